--- a/tests/lab/test_models.py
+++ b/tests/lab/test_models.py
@@ -63,88 +63,164 @@
 
 CASES: dict[str, tuple[dict[str, Any], list[Step], dict[str, Run]]] = {
     "speed": ({"speed": 4.0}, [(0, job("a"))], {"a": (0, 0.25, "done")}),
-    "more slots than cores: they share": ({"slots": 2}, [(0, job("a", 1)), (0, job("b", 2))],
-     {"a": (0, 2, "done"), "b": (0, 3, "done")}),
+    "more slots than cores: they share": (
+        {"slots": 2},
+        [(0, job("a", 1)), (0, job("b", 2))],
+        {"a": (0, 2, "done"), "b": (0, 3, "done")},
+    ),
     "two cores, three in work, one of two slots": (
-     {"cores": 2, "slots": 4}, [(0, job("a", 1, slots=2)), (0, job("b", 1)), (1, job("c", 1))],
-     {"a": (0, 1.666667, "done"), "b": (0, 1.666667, "done"), "c": (1, 2.333333, "done")}),
-    "a queue beyond its bound is full": ({"queue": 1}, [(0, job("a")), (0, job("b")), (0, job("c"))],
-     {"a": (0, 1, "done"), "b": (1, 2, "done")}),
+        {"cores": 2, "slots": 4},
+        [(0, job("a", 1, slots=2)), (0, job("b", 1)), (1, job("c", 1))],
+        {"a": (0, 1.666667, "done"), "b": (0, 1.666667, "done"), "c": (1, 2.333333, "done")},
+    ),
+    "a queue beyond its bound is full": (
+        {"queue": 1},
+        [(0, job("a")), (0, job("b")), (0, job("c"))],
+        {"a": (0, 1, "done"), "b": (1, 2, "done")},
+    ),
     "a job larger than it is full": ({"memory": 4}, [(0, job("a", slots=2)), (0, job("b", memory=5))], {}),
     "less than a slot counts as one": (
-     {}, [(0, job("a", slots=0)), (0, job("b", slots=0.1))], {"a": (0, 1, "done"), "b": (1, 2, "done")}),
-    "slots are no whole numbers": ({"cores": 4}, [(0, job(str(s), s, slots=s)) for s in (1.1, 1.3, 1.2)],
-     {str(s): (0, s, "done") for s in (1.1, 1.3, 1.2)}),
+        {},
+        [(0, job("a", slots=0)), (0, job("b", slots=0.1))],
+        {"a": (0, 1, "done"), "b": (1, 2, "done")},
+    ),
+    "slots are no whole numbers": (
+        {"cores": 4},
+        [(0, job(str(s), s, slots=s)) for s in (1.1, 1.3, 1.2)],
+        {str(s): (0, s, "done") for s in (1.1, 1.3, 1.2)},
+    ),
     "fifo: the head waits until it fits": (
-     {"cores": 2}, [(0, job("a", 2)), (0, job("b", 1, slots=2)), (0, job("c", 1))],
-     {"a": (0, 2, "done"), "b": (2, 3, "done"), "c": (3, 4, "done")}),
-    "backfill: whatever fits first": ({"cores": 2, "order": "backfill"},
-     [(0, job("a", 2)), (0, job("b", 1, slots=2)), (0, job("c", 1))],
-     {"a": (0, 2, "done"), "b": (2, 3, "done"), "c": (0, 1, "done")}),
-    "priority, of one priority by arrival": ({"order": "priority", "queue": 3},
-     [(0, job("a")), (0, job("b")), (0.1, job("c", priority=1)), (0.2, job("d", priority=1))],
-     {"a": (0, 1, "done"), "c": (1, 2, "done"), "d": (2, 3, "done"), "b": (3, 4, "done")}),
+        {"cores": 2},
+        [(0, job("a", 2)), (0, job("b", 1, slots=2)), (0, job("c", 1))],
+        {"a": (0, 2, "done"), "b": (2, 3, "done"), "c": (3, 4, "done")},
+    ),
+    "backfill: whatever fits first": (
+        {"cores": 2, "order": "backfill"},
+        [(0, job("a", 2)), (0, job("b", 1, slots=2)), (0, job("c", 1))],
+        {"a": (0, 2, "done"), "b": (2, 3, "done"), "c": (0, 1, "done")},
+    ),
+    "priority, of one priority by arrival": (
+        {"order": "priority", "queue": 3},
+        [(0, job("a")), (0, job("b")), (0.1, job("c", priority=1)), (0.2, job("d", priority=1))],
+        {"a": (0, 1, "done"), "c": (1, 2, "done"), "d": (2, 3, "done"), "b": (3, 4, "done")},
+    ),
     "suspend: goes on with what it has done": (
-     {"order": "priority", "preempt": "suspend"}, [(0, job("a", 3)), (1, job("b", 1, priority=1))],
-     {"a": (0, 4, "done"), "b": (1, 2, "done")}),
-    "suspend needs a place in the queue": ({"order": "priority", "preempt": "suspend", "queue": 0},
-     [(0, job("a", 3)), (1, job("b", 1, priority=1))], {"a": (0, 3, "done")}),
+        {"order": "priority", "preempt": "suspend"},
+        [(0, job("a", 3)), (1, job("b", 1, priority=1))],
+        {"a": (0, 4, "done"), "b": (1, 2, "done")},
+    ),
+    "suspend needs a place in the queue": (
+        {"order": "priority", "preempt": "suspend", "queue": 0},
+        [(0, job("a", 3)), (1, job("b", 1, priority=1))],
+        {"a": (0, 3, "done")},
+    ),
     "kill: the last begun of the least important, and no more than needed": (
-     {"cores": 3, "order": "priority", "preempt": "kill", "queue": 0},
-     [(0, job("a", 3)), (0, job("b", 3, priority=1)), (0.5, job("c", 3)), (1, job("d", 1, priority=2))],
-     {"a": (0, 3, "done"), "b": (0, 3, "done"), "c": (0.5, 1, "killed"), "d": (1, 2, "done")}),
-    "what must not run twice is not pushed out": ({"order": "priority", "preempt": "kill"},
-     [(0, job("a", 3, repeatable=False)), (1, job("b", 1, priority=1))],
-     {"a": (0, 3, "done"), "b": (3, 4, "done")}),
+        {"cores": 3, "order": "priority", "preempt": "kill", "queue": 0},
+        [(0, job("a", 3)), (0, job("b", 3, priority=1)), (0.5, job("c", 3)), (1, job("d", 1, priority=2))],
+        {"a": (0, 3, "done"), "b": (0, 3, "done"), "c": (0.5, 1, "killed"), "d": (1, 2, "done")},
+    ),
+    "what must not run twice is not pushed out": (
+        {"order": "priority", "preempt": "kill"},
+        [(0, job("a", 3, repeatable=False)), (1, job("b", 1, priority=1))],
+        {"a": (0, 3, "done"), "b": (3, 4, "done")},
+    ),
     "memory is a bound of its own": (
-     {"cores": 4, "memory": 10}, [(0, job("a", 1, memory=6)), (0, job("b", 1, memory=6))],
-     {"a": (0, 1, "done"), "b": (1, 2, "done")}),
+        {"cores": 4, "memory": 10},
+        [(0, job("a", 1, memory=6)), (0, job("b", 1, memory=6))],
+        {"a": (0, 1, "done"), "b": (1, 2, "done")},
+    ),
     "a fetch holds the slot; the key is kept": (
-     {"keys_kept": 1, "fetch_s": 0.5}, [(0, job("a", 1, "k")), (0, job("b", 1, "k"))],
-     {"a": (0, 1.5, "done"), "b": (1.5, 2.5, "done")}),
-    "one fetch for two jobs; a fetching job uses no core": ({"slots": 3, "keys_kept": 1, "fetch_s": 1.0},
-     [(0, job("a", 1, "k")), (0.5, job("b", 1, "k")), (0, job("c", 1))],
-     {"a": (0, 3, "done"), "b": (0.5, 3, "done"), "c": (0, 1, "done")}),
-    "the key used longest ago goes first": ({"keys_kept": 2, "fetch_s": 1.0},
-     [(0, job("a", 1, "k")), (2, job("b", 1, "l")), (4, job("c", 1, "k")), (5, job("d", 1, "m")),
-     (7, job("e", 1, "k")), (8, job("f", 1, "l"))],
-     {"a": (0, 2, "done"), "b": (2, 4, "done"), "c": (4, 5, "done"), "d": (5, 7, "done"),
-     "e": (7, 8, "done"), "f": (8, 10, "done")}),
+        {"keys_kept": 1, "fetch_s": 0.5},
+        [(0, job("a", 1, "k")), (0, job("b", 1, "k"))],
+        {"a": (0, 1.5, "done"), "b": (1.5, 2.5, "done")},
+    ),
+    "one fetch for two jobs; a fetching job uses no core": (
+        {"slots": 3, "keys_kept": 1, "fetch_s": 1.0},
+        [(0, job("a", 1, "k")), (0.5, job("b", 1, "k")), (0, job("c", 1))],
+        {"a": (0, 3, "done"), "b": (0.5, 3, "done"), "c": (0, 1, "done")},
+    ),
+    "the key used longest ago goes first": (
+        {"keys_kept": 2, "fetch_s": 1.0},
+        [
+            (0, job("a", 1, "k")),
+            (2, job("b", 1, "l")),
+            (4, job("c", 1, "k")),
+            (5, job("d", 1, "m")),
+            (7, job("e", 1, "k")),
+            (8, job("f", 1, "l")),
+        ],
+        {
+            "a": (0, 2, "done"),
+            "b": (2, 4, "done"),
+            "c": (4, 5, "done"),
+            "d": (5, 7, "done"),
+            "e": (7, 8, "done"),
+            "f": (8, 10, "done"),
+        },
+    ),
     "crowded: half the capacity gone when slots and queue are full": (
-     {"queue": 1, "crowd": 0.5}, [(0, job("a", 1)), (0, job("b", 0.75))],
-     {"a": (0, 2, "done"), "b": (2, 3, "done")}),
-    "slow, then standing still, then as before": ({},
-     [(0, job("a", 2)), (0, do("set_speed", 0.5)), (1, do("set_speed", 0.0)), (5, do("set_speed", 1.0))],
-     {"a": (0, 6.5, "done")}),
-    "a pause stops everything": ({"slots": 2, "keys_kept": 1, "fetch_s": 1.0},
-     [(0, job("a", 2)), (0.5, job("b", 1, "k")), (1, do("pause")), (4, do("resume"))],
-     {"a": (0, 6, "done"), "b": (0.5, 6, "done")}),
+        {"queue": 1, "crowd": 0.5},
+        [(0, job("a", 1)), (0, job("b", 0.75))],
+        {"a": (0, 2, "done"), "b": (2, 3, "done")},
+    ),
+    "slow, then standing still, then as before": (
+        {},
+        [(0, job("a", 2)), (0, do("set_speed", 0.5)), (1, do("set_speed", 0.0)), (5, do("set_speed", 1.0))],
+        {"a": (0, 6.5, "done")},
+    ),
+    "a pause stops everything": (
+        {"slots": 2, "keys_kept": 1, "fetch_s": 1.0},
+        [(0, job("a", 2)), (0.5, job("b", 1, "k")), (1, do("pause")), (4, do("resume"))],
+        {"a": (0, 6, "done"), "b": (0.5, 6, "done")},
+    ),
     "drain hands back what has not begun": (
-     {}, [(0, job("a", 2)), (0, job("b")), (1, do("drain")), (1, job("c"))],
-     {"a": (0, 2, "done"), "b": (None, 1, "returned")}),
+        {},
+        [(0, job("a", 2)), (0, job("b")), (1, do("drain")), (1, job("c"))],
+        {"a": (0, 2, "done"), "b": (None, 1, "returned")},
+    ),
     "drain that hands nothing back": (
-     {"drain_returns": False}, [(0, job("a", 2)), (0, job("b")), (1, do("drain")), (1, job("c"))],
-     {"a": (0, 2, "done"), "b": (2, 3, "done")}),
-    "drain keeps what was suspended": ({"order": "priority", "preempt": "suspend"},
-     [(0, job("a", 2)), (1, job("b", 1, priority=1)), (1.5, do("drain"))],
-     {"a": (0, 3, "done"), "b": (1, 2, "done")}),
-    "cancel frees the slot": ({}, [(0, job("a", 5)), (0, job("b")), (1, do("cancel", "a"))],
-     {"a": (0, 1, "cancelled"), "b": (1, 2, "done")}),
-    "cancel that stops nothing but what waits": ({"cancel_stops": False},
-     [(0, job("a", 5)), (0, job("b")), (0, job("c")), (1, do("cancel", "a")), (1, do("cancel", "b"))],
-     {"a": (0, 1, "cancelled"), "b": (None, 1, "cancelled"), "c": (5, 6, "done")}),
-    "cancel that stops nothing at all": ({"cancel_stops": False, "cancel_unqueues": False},
-     [(0, job("a", 2)), (0, job("b")), (0, job("c")), (1, do("cancel", "b"))],
-     {"a": (0, 2, "done"), "b": (2, None, ""), "c": (3, 4, "done")}),
-    "kill loses all": ({}, [(0, job("a", 5)), (0, job("b")), (1, do("kill")), (2, job("c"))],
-     {"a": (0, 1, "killed"), "b": (None, 1, "killed")}),
-    "a handshake takes a core": ({"handshake_s": 1.0}, [(0, job("a", 2)), (0, do("connection"))],
-     {"a": (0, 3, "done")}),
+        {"drain_returns": False},
+        [(0, job("a", 2)), (0, job("b")), (1, do("drain")), (1, job("c"))],
+        {"a": (0, 2, "done"), "b": (2, 3, "done")},
+    ),
+    "drain keeps what was suspended": (
+        {"order": "priority", "preempt": "suspend"},
+        [(0, job("a", 2)), (1, job("b", 1, priority=1)), (1.5, do("drain"))],
+        {"a": (0, 3, "done"), "b": (1, 2, "done")},
+    ),
+    "cancel frees the slot": (
+        {},
+        [(0, job("a", 5)), (0, job("b")), (1, do("cancel", "a"))],
+        {"a": (0, 1, "cancelled"), "b": (1, 2, "done")},
+    ),
+    "cancel that stops nothing but what waits": (
+        {"cancel_stops": False},
+        [(0, job("a", 5)), (0, job("b")), (0, job("c")), (1, do("cancel", "a")), (1, do("cancel", "b"))],
+        {"a": (0, 1, "cancelled"), "b": (None, 1, "cancelled"), "c": (5, 6, "done")},
+    ),
+    "cancel that stops nothing at all": (
+        {"cancel_stops": False, "cancel_unqueues": False},
+        [(0, job("a", 2)), (0, job("b")), (0, job("c")), (1, do("cancel", "b"))],
+        {"a": (0, 2, "done"), "b": (2, None, ""), "c": (3, 4, "done")},
+    ),
+    "kill loses all": (
+        {},
+        [(0, job("a", 5)), (0, job("b")), (1, do("kill")), (2, job("c"))],
+        {"a": (0, 1, "killed"), "b": (None, 1, "killed")},
+    ),
+    "a handshake takes a core": (
+        {"handshake_s": 1.0},
+        [(0, job("a", 2)), (0, do("connection"))],
+        {"a": (0, 3, "done")},
+    ),
     "at once": (
-     {"answers_at_once": True}, [(0, job(n, 9)) for n in "abcd"], {n: (0, 0, "done") for n in "abcd"}),
+        {"answers_at_once": True},
+        [(0, job(n, 9)) for n in "abcd"],
+        {n: (0, 0, "done") for n in "abcd"},
+    ),
     "errors": ({"error_rate": 1.0}, [(0, job("a"))], {"a": (0, 1, "failed")}),
     "an id that it holds": ({}, [(0, job("a")), (0, job("a"))], {"a": (0, 1, "done")}),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("case", CASES)
@@ -187,8 +263,13 @@
         (3.2, do("cancel", "a")),
     ]
     told = [(t.at, t.id, t.state, round(t.share, 3)) for t in play(model, *steps)[1] if isinstance(t, Told)]
-    assert told == [(0, "a", "started", 0), (1, "a", "running", 0.4), (3, "a", "running", 0.8),
-                    (3, "b", "returned", 0), (3, "c", "returned", 0)]  # fmt: skip
+    assert told == [
+        (0, "a", "started", 0),
+        (1, "a", "running", 0.4),
+        (3, "a", "running", 0.8),
+        (3, "b", "returned", 0),
+        (3, "c", "returned", 0),
+    ]
     done = [a for a in play(server(reports=True), (0, job("a")))[1] if isinstance(a, Told)]
     assert done[0].result.startswith("w1/1/a/") and done[0].load is not None
     assert [a for a in play(server(), (0, job("a")))[1] if isinstance(a, Told)][0].load is None
@@ -372,8 +453,13 @@
     kernel.at(0.5, die)
     outcomes = deployment.play((at, JobIn(str(at), "view", "", 1.0)) for at in (0.0, 0.1, 0.2, 0.3, 0.6, 1.2))
     assert [(o.server, o.how) for o in outcomes] == [
-        ("w0", "killed"), ("w1", "done"), ("w2", "done"), ("w1", "refused"), ("w1", "refused"), ("w1", "done")
-    ]  # fmt: skip
+        ("w0", "killed"),
+        ("w1", "done"),
+        ("w2", "done"),
+        ("w1", "refused"),
+        ("w1", "refused"),
+        ("w1", "done"),
+    ]
     assert not deployment._open
 
 
@@ -428,13 +514,23 @@
     model.change(3.0, {"w1": ("gone", 0.0), "w2": ("ready", 2.5)})
     lines = model.advance(5.5)
     assert brief([x for x in lines if x.watch == fresh]) == [
-        (2.0, 2, False, "w0:r w2:r w3:r w1:d"), (3.1, 3, False, "w1:g w2:r"), (5.1, 0, False, "")
-    ]  # fmt: skip
+        (2.0, 2, False, "w0:r w2:r w3:r w1:d"),
+        (3.1, 3, False, "w1:g w2:r"),
+        (5.1, 0, False, ""),
+    ]
     assert brief([x for x in lines if x.watch == late])[0] == (2.0, 2, False, "w1:d")
     assert brief([x for x in lines if x.last]) == [(2.0, 2, True, "w0:r w1:d w2:r w3:r")]
     entry = json.loads([x for x in lines if x.watch == fresh][1].data)["endpoints"][1]
-    assert entry == {"name": "w2", "address": "127.0.0.1:2", "zone": "a", "type": "m2", "group": 2,
-                     "status": "ready", "weight": 1.0, "since_ms": 1_002_500}  # fmt: skip
+    assert entry == {
+        "name": "w2",
+        "address": "127.0.0.1:2",
+        "zone": "a",
+        "type": "m2",
+        "group": 2,
+        "status": "ready",
+        "weight": 1.0,
+        "since_ms": 1_002_500,
+    }
     told = [[(t.server, t.state, t.born, t.at) for t in x.told] for x in lines if x.watch == fresh]
     assert told[1:] == [[("w1", "gone", 0.0, 3.1), ("w2", "ready", 2.5, 3.1)], []]
     model.unwatch(fresh)
--- a/tests/lab/test_peers.py
+++ b/tests/lab/test_peers.py
@@ -84,28 +84,40 @@
 # (0.8 s here), after the round of pings that finds it (8 of 0.2 s). The kill lasts longer than both together.
 FAULTS = {
     "three are killed and come back": (
-        ["{kind='kill', at_s=4.0, for_s=5.0, target='dispatchers:1-3'}"], ("n8", "n1"), True,
+        ["{kind='kill', at_s=4.0, for_s=5.0, target='dispatchers:1-3'}"],
+        ("n8", "n1"),
+        True,
     ),
     "one stands still and wakes": (
-        ["{kind='pause', at_s=4.0, for_s=4.0, target='n1'}"], ("n8", "n1"), True,
+        ["{kind='pause', at_s=4.0, for_s=4.0, target='n1'}"],
+        ("n8", "n1"),
+        True,
     ),
     "a split in five and three": (
-        ["{kind='peer_cut', at_s=4.0, for_s=5.0, target='dispatchers:1-3', share=1.0}"], ("n8", "n1"), True,
+        ["{kind='peer_cut', at_s=4.0, for_s=5.0, target='dispatchers:1-3', share=1.0}"],
+        ("n8", "n1"),
+        True,
     ),
     "a link that stalls": (
-        ["{kind='peer_stall', at_s=4.0, for_s=5.0, target='n1', way='all'}"], ("n8", "n1"), True,
+        ["{kind='peer_stall', at_s=4.0, for_s=5.0, target='n1', way='all'}"],
+        ("n8", "n1"),
+        True,
     ),
     "one that is heard by nobody": (
-        ["{kind='peer_cut', at_s=4.0, for_s=5.0, target='n1', way='out'}"], ("n8", "n1"), True,
+        ["{kind='peer_cut', at_s=4.0, for_s=5.0, target='n1', way='out'}"],
+        ("n8", "n1"),
+        True,
     ),
     "a third is lost, others come late, twice and in any order": (
         [
             f"{{kind='peer_{kind}', at_s=2.0, for_s=9.0, target='dispatchers:1-8', share=1.0, way='within',"
             f" size={size}}}"
             for kind, size in (("loss", 0.3), ("double", 0.5), ("shuffle", 0.3))
-        ], ("n8", "n1"), False,
+        ],
+        ("n8", "n1"),
+        False,
     ),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("name", FAULTS)
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -99,18 +99,49 @@
         ("answers_itself", 10, [], "answer", "invented", 12, 12),
         ("answers_twice", 10, [], "answer", "twice answered", 12, 12),
         ("runs_twice", 10, [], "once", "twice sent", 1, 12),
-        ("loses", 1000, ["load.phase.0.rate=500.0", "load.phase.0.for_s=2.0", "class.0.deadline_s=1.0",
-                         "class.1.deadline_s=1.0"], "answer", "unanswered", 1, 1),
-        ("sends_to_drained", 1, ["slack_s=0.05", "load.phase.0.for_s=2.0",
-                                 "fault=[{kind='drain', at_s=0.3, target='w0001'}]"],
-         "drain", "drain", 1, 240),
-        ("floods_cold", 1, ["class.0.work_s=0.05", "class.1.work_s=0.05", "pool.0.queue=1000",
-                            "pool.0.cores=4", "callbacks.lost=1.0", "load.phase.0.rate=240.0",
-                            "load.phase.0.for_s=2.0",
-                            "fault=[{kind='crash', at_s=0.1, target='w0001', for_s=0.2}]"],
-         "cold", "flood", 1, 1),
+        (
+            "loses",
+            1000,
+            [
+                "load.phase.0.rate=500.0",
+                "load.phase.0.for_s=2.0",
+                "class.0.deadline_s=1.0",
+                "class.1.deadline_s=1.0",
+            ],
+            "answer",
+            "unanswered",
+            1,
+            1,
+        ),
+        (
+            "sends_to_drained",
+            1,
+            ["slack_s=0.05", "load.phase.0.for_s=2.0", "fault=[{kind='drain', at_s=0.3, target='w0001'}]"],
+            "drain",
+            "drain",
+            1,
+            240,
+        ),
+        (
+            "floods_cold",
+            1,
+            [
+                "class.0.work_s=0.05",
+                "class.1.work_s=0.05",
+                "pool.0.queue=1000",
+                "pool.0.cores=4",
+                "callbacks.lost=1.0",
+                "load.phase.0.rate=240.0",
+                "load.phase.0.for_s=2.0",
+                "fault=[{kind='crash', at_s=0.1, target='w0001', for_s=0.2}]",
+            ],
+            "cold",
+            "flood",
+            1,
+            1,
+        ),
     ],
-)  # fmt: skip
+)
 def test_the_judge_sees_what_a_dispatcher_does_wrong(
     tmp_path: Path, name: str, every: int, sets: list[str], rule: str, kind: str, least: int, most: int
 ) -> None:
@@ -348,9 +379,12 @@
     ],
 )
 def test_what_cannot_be_used_is_one_line_and_status_2(
-    tmp_path: Path, command: list[str], text: str, monkeypatch: pytest.MonkeyPatch,
+    tmp_path: Path,
+    command: list[str],
+    text: str,
+    monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
-) -> None:  # fmt: skip
+) -> None:
     (tmp_path / "small.toml").write_text(SMALL)
     monkeypatch.chdir(tmp_path)
     with pytest.raises(SystemExit) as ended:
@@ -362,16 +396,27 @@
 
 def summary(served: float, valid: bool = True) -> dict[str, object]:
     return {
-        "name": "x", "valid": valid, "offered": 200, "served_per_s": served, "refused": 10, "failed": 0,
+        "name": "x",
+        "valid": valid,
+        "offered": 200,
+        "served_per_s": served,
+        "refused": 10,
+        "failed": 0,
         "latency": {"a": {"p50_ms": 1.0, "p99_ms": 5.0}, "b": {"p50_ms": 2.0, "p99_ms": 4.0}},
         "dispatchers": {"n1": {"cpu": 0.5, "rss_mb": 30.0}, "n2": {"cpu": 0.25, "rss_mb": 31.0}},
         "rules": {"once": 2},
-    }  # fmt: skip
+    }
 
 
 def test_a_sweep_shows_the_spread_of_valid_runs(tmp_path: Path) -> None:
-    runs = [("a", 16, 900.0, True), ("b", 16, 1100.0, True), ("c", 16, 1000.0, True), ("d", 16, 7.0, False),
-            ("e", 64, 8.0, False), ("f", 64, 0.0, True)]  # fmt: skip
+    runs = [
+        ("a", 16, 900.0, True),
+        ("b", 16, 1100.0, True),
+        ("c", 16, 1000.0, True),
+        ("d", 16, 7.0, False),
+        ("e", 64, 8.0, False),
+        ("f", 64, 0.0, True),
+    ]
     sweep.note(tmp_path, [sweep.Played(name, {"x.n": n, "y": []}, 0) for name, n, *_ in runs])
     for name, _, served, valid in runs[:-1]:  # the last was never played
         (tmp_path / name).mkdir()
--- a/tests/lab/test_spread.py
+++ b/tests/lab/test_spread.py
@@ -40,19 +40,39 @@
         # b holds nothing all the time; a has exactly twice the mean of both, which is not over it
         (world(HALF), "idle", 0.0),
         # of three, a has three times the mean, and two are idle beside it
-        (world(HALF, servers=["a", "b", "c"], lives=[spread.Life(n, 0.0, INF, 2.0) for n in "abc"]),
-         "idle", 2 / 3),
+        (
+            world(HALF, servers=["a", "b", "c"], lives=[spread.Life(n, 0.0, INF, 2.0) for n in "abc"]),
+            "idle",
+            2 / 3,
+        ),
         # one that is down is not idle, and makes no mean
-        (world(HALF, servers=["a", "b", "c"],
-               lives=[spread.Life("a", 0.0, INF, 2.0), spread.Life("b", 0.0, 0.0, 2.0),
-                      spread.Life("c", 0.0, 0.0, 2.0)]), "idle", 0.0),
+        (
+            world(
+                HALF,
+                servers=["a", "b", "c"],
+                lives=[
+                    spread.Life("a", 0.0, INF, 2.0),
+                    spread.Life("b", 0.0, 0.0, 2.0),
+                    spread.Life("c", 0.0, 0.0, 2.0),
+                ],
+            ),
+            "idle",
+            0.0,
+        ),
         # held, though all its work is as good as done: not idle
-        (world([*HALF, spread.Stay("b", 0.0, 0.0, 10.0, 1e-9)], servers=["a", "b", "c"],
-               lives=[spread.Life(n, 0.0, INF, 2.0) for n in "abc"]), "idle", 1 / 3),
+        (
+            world(
+                [*HALF, spread.Stay("b", 0.0, 0.0, 10.0, 1e-9)],
+                servers=["a", "b", "c"],
+                lives=[spread.Life(n, 0.0, INF, 2.0) for n in "abc"],
+            ),
+            "idle",
+            1 / 3,
+        ),
         (world(HALF, full=[1.0]), "full", 0.5),
         (world(HALF, full=[10.0]), "full", 0.0),  # past the end
     ],
-)  # fmt: skip
+)
 def test_figures_of_hand_made_runs(w: spread.World, name: str, want: float) -> None:
     assert of(w)[name] == pytest.approx(want, abs=0.002)
 
@@ -81,20 +101,34 @@
 
 def ledger() -> Ledger:
     e = experiment()
-    return join(Ledger(e), [
-        Mark(0.0, "run:start"), Mark(0.0, "day"), Mark(10.0, "run:arrivals_end"), Mark(12.0, "run:end"),
-        Born("w0001", 1, -1.0, False, 4.0), Born("w0002", 1, -1.0, False, 4.0),
-        Died("w0002", 1, 4.0, "killed"), Born("w0002", 2, 6.0, True, 4.0),
-        Asked("1", "1", 0, "c", "n1", "view", "", 1.0, 1.0, 5.0, 2.0, 2.0),
-        Taken("1", "w0001", 1, 1.0, 1.0, "full"), Taken("1", "w0002", 1, 1.1, 1.1, "accepted"),
-        Began("1", "w0002", 1, 1.1), Answered("1", 4.0, "reset"),
-        Asked("2", "2", 0, "c", "n1", "view", "", 2.0, 2.0, 5.0, 1.0),
-        Taken("2", "w0001", 1, 2.0, 2.0, "accepted"),
-        Began("2", "w0001", 1, 2.0), Ended("2", "w0001", 1, 3.0, "done", "x"),
-        Answered("2", 3.0, "answer", 200, "x"),
-        Struck(4.0, "kill", "w0002"), Struck(6.0, "kill", "w0002", "end"), Struck(4.02, "kill", "w0001"),
-        Struck(5.0, "kill", "w0001", "end"), Struck(0.0, "started", "n1"),
-    ])  # fmt: skip
+    return join(
+        Ledger(e),
+        [
+            Mark(0.0, "run:start"),
+            Mark(0.0, "day"),
+            Mark(10.0, "run:arrivals_end"),
+            Mark(12.0, "run:end"),
+            Born("w0001", 1, -1.0, False, 4.0),
+            Born("w0002", 1, -1.0, False, 4.0),
+            Died("w0002", 1, 4.0, "killed"),
+            Born("w0002", 2, 6.0, True, 4.0),
+            Asked("1", "1", 0, "c", "n1", "view", "", 1.0, 1.0, 5.0, 2.0, 2.0),
+            Taken("1", "w0001", 1, 1.0, 1.0, "full"),
+            Taken("1", "w0002", 1, 1.1, 1.1, "accepted"),
+            Began("1", "w0002", 1, 1.1),
+            Answered("1", 4.0, "reset"),
+            Asked("2", "2", 0, "c", "n1", "view", "", 2.0, 2.0, 5.0, 1.0),
+            Taken("2", "w0001", 1, 2.0, 2.0, "accepted"),
+            Began("2", "w0001", 1, 2.0),
+            Ended("2", "w0001", 1, 3.0, "done", "x"),
+            Answered("2", 3.0, "answer", 200, "x"),
+            Struck(4.0, "kill", "w0002"),
+            Struck(6.0, "kill", "w0002", "end"),
+            Struck(4.02, "kill", "w0001"),
+            Struck(5.0, "kill", "w0001", "end"),
+            Struck(0.0, "started", "n1"),
+        ],
+    )
 
 
 def test_a_ledgers_runs_become_stays_that_end_with_their_servers_process() -> None:
@@ -123,9 +157,12 @@
 def day(**more: Any) -> Experiment:
     view = JobClass("view", work_s=0.2, work_law="exponential")
     e = Experiment(
-        "floor", Load([Phase("day", 60.0, rate=60.0)]), pool=[Pool(count=10, cores=2, queue=1000)],
-        job_class=[view], keys=Keys(count=500),
-    )  # fmt: skip
+        "floor",
+        Load([Phase("day", 60.0, rate=60.0)]),
+        pool=[Pool(count=10, cores=2, queue=1000)],
+        job_class=[view],
+        keys=Keys(count=500),
+    )
     return msgspec.structs.replace(e, **more)
 
 
@@ -164,8 +201,10 @@
     """Thirty dispatchers that see 2 jobs a second each; the first key is a seventh of the load."""
     e = day(
         load=Load([Phase("warm", 20.0, rate=60.0, counted=False), Phase("day", 20.0, rate=60.0)]),
-        pool=[Pool(count=12, cores=2, queue=8)], keys=Keys(count=500, zipf=1.0), dispatchers=30,
-    )  # fmt: skip
+        pool=[Pool(count=12, cores=2, queue=8)],
+        keys=Keys(count=500, zipf=1.0),
+        dispatchers=30,
+    )
     return msgspec.structs.replace(e, **more)
 
 
@@ -187,7 +226,7 @@
             Fault("slow", at_s=25.0, for_s=8.0, target="servers:4-5", size=0.15),
             Fault("errors", at_s=25.0, for_s=8.0, target="servers:6-6", size=0.9),
         ]
-    )  # fmt: skip
+    )
     world, latency, unserved = decisions.play(hard)
     assert len([life for life in world.lives if life.until < 40.0]) == 3
     served = sum(len(values) for values in latency.values())
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -60,9 +60,13 @@
 
 
 def request(
-    id: str = "1", path: str = "/s/k1", left: str = "4", body: bytes = b"", more: str = "",
+    id: str = "1",
+    path: str = "/s/k1",
+    left: str = "4",
+    body: bytes = b"",
+    more: str = "",
     method: str = "POST",
-) -> bytes:  # fmt: skip
+) -> bytes:
     head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: {id}\r\nX-Time-Left: {left}\r\n{more}"
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
--- a/tests/sim/test_hard_cases.py
+++ b/tests/sim/test_hard_cases.py
@@ -16,10 +16,14 @@
 
 def plan(faults: list[Fault], job_class: str = "confirm", jobs: int = 4, dispatchers: int = 1) -> Plan:
     e = Experiment(
-        name="hard", load=Load([Phase("all", 60.0)], retries=Retries("none")), dispatchers=dispatchers,
-        pool=[Pool(count=3, cores=2, cold_for_s=1.0, progress_s=0.25)], job_class=CLASSES,
-        callbacks=Callbacks(0.0, 0.0, 1.0), discovery=Discovery(delay_s=0.01),
-    )  # fmt: skip
+        name="hard",
+        load=Load([Phase("all", 60.0)], retries=Retries("none")),
+        dispatchers=dispatchers,
+        pool=[Pool(count=3, cores=2, cold_for_s=1.0, progress_s=0.25)],
+        job_class=CLASSES,
+        callbacks=Callbacks(0.0, 0.0, 1.0),
+        discovery=Discovery(delay_s=0.01),
+    )
     calm = BOOT_S + 7.0 + SETTLE_S
     wishes = [Job(n, round(1.0 + 0.2 * n, 2), n % 2, job_class, f"k{n}", 0.05) for n in range(jobs)]
     wishes += [Job(jobs + n, calm + 0.2 * n, 0, "view", calm=True) for n in range(2)]
--- a/tests/sim/test_network.py
+++ b/tests/sim/test_network.py
@@ -120,7 +120,7 @@
     ("cut", lambda p, a, b: p.net.cut(a), {}, [(0.0, "ECONNRESET")], [(0.001, "ECONNRESET")]),
     ("half cut", lambda p, a, b: p.net.cut(a, both=False), {}, [(0.0, "ECONNRESET")], []),
     ("to a closed end", bytes_to_a_closed_end, {}, [(0.001, "end"), (0.007, "ECONNRESET")], []),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("do", "how", "client", "server"), [c[1:] for c in CASES], ids=[c[0] for c in CASES])
--- a/tests/test_believing.py
+++ b/tests/test_believing.py
@@ -206,9 +206,14 @@
     ],
 )
 def test_which_list_a_start_begins_with(
-    source: str, version: int, age: float, known: int | None, answers: bool, used: bool,
+    source: str,
+    version: int,
+    age: float,
+    known: int | None,
+    answers: bool,
+    used: bool,
     monkeypatch: pytest.MonkeyPatch,
-) -> None:  # fmt: skip
+) -> None:
     monkeypatch.setattr("finchladder.net.membership.READ_WITHIN", 0.02)
 
     async def play() -> None:
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -76,8 +76,12 @@
                 verdict = self.arrivals.judge(self.now, client, f"r{step}", "safe", 3.0)
                 if not verdict.wait:
                     kind = pick.choice(("safe", "unsafe", "keyed"))
-                    self.ask(kind, 0.2 + 4 * pick.random(), key=pick.choice((None, pick.randrange(30))),
-                             tenant=pick.choice(("t1", "t2", None)))  # fmt: skip
+                    self.ask(
+                        kind,
+                        0.2 + 4 * pick.random(),
+                        key=pick.choice((None, pick.randrange(30))),
+                        tenant=pick.choice(("t1", "t2", None)),
+                    )
             elif todo < 0.9:
                 id, attempt = pick.choice(list(self.out))
                 if pick.random() < 0.4:
@@ -393,9 +397,12 @@
 async def command(n: Node, *args: str, config: Path | None = None) -> tuple[int, bytes, str]:
     env = {"NODE_LISTEN": f"127.0.0.1:{n.port}", "NODE_CONFIG": str(config or n.config)}
     process = await asyncio.create_subprocess_exec(
-        *(sys.executable, "-m", "finchladder", *args), cwd=ROOT, env=os.environ | env,
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        *(sys.executable, "-m", "finchladder", *args),
+        cwd=ROOT,
+        env=os.environ | env,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+    )
     out, err = await process.communicate()
     return process.returncode or 0, out, err.decode()
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -35,7 +35,7 @@
     read_message,
     request,
     run,
-)  # fmt: skip
+)
 
 SERVICES: list[dict[str, Any]] = SETTINGS["services"]
 CAPS: dict[str, Any] = SETTINGS["caps"]
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -28,7 +28,7 @@
     Standing,
     Want,
     flaw,
-)  # fmt: skip
+)
 from finchladder.net.peers.actor import PeersActor
 from finchladder.net.peers.datagrams import MOST, VERSION, Unusable, decode, encode
 
@@ -38,31 +38,57 @@
 TENTHS, NUMBER = st.integers(0, 6_000).map(lambda n: n / 10), st.integers(0, (1 << 32) - 1)
 SAID = st.builds(Said, NUMBER, TENTHS, TENTHS, TENTHS, TENTHS, TENTHS, st.integers(0, 15))
 ROW = st.builds(
-    Row, NAME, INT, INT, INT, st.floats(0, 30), FIGURE, st.lists(WANT, max_size=3).map(tuple), NUMBER, TENTHS,
-    TENTHS, st.lists(SAID, max_size=MOST_SAYS).map(tuple),
-)  # fmt: skip
+    Row,
+    NAME,
+    INT,
+    INT,
+    INT,
+    st.floats(0, 30),
+    FIGURE,
+    st.lists(WANT, max_size=3).map(tuple),
+    NUMBER,
+    TENTHS,
+    TENTHS,
+    st.lists(SAID, max_size=MOST_SAYS).map(tuple),
+)
 ORDER = st.builds(
     Order, NAME, st.sampled_from(STANCES), st.floats(0, 86_400), INT, NAME, st.text(max_size=80)
-)  # fmt: skip
+)
 PART = st.builds(
-    Part, st.integers(0, 40), INT, st.integers(1, 1000), st.floats(0, 3),
-    st.lists(st.tuples(st.integers(0, (1 << 32) - 1), st.integers(0, 999).map(lambda n: n / 8)), max_size=150)
-    .map(tuple),
-)  # fmt: skip
+    Part,
+    st.integers(0, 40),
+    INT,
+    st.integers(1, 1000),
+    st.floats(0, 3),
+    st.lists(
+        st.tuples(st.integers(0, (1 << 32) - 1), st.integers(0, 999).map(lambda n: n / 8)), max_size=150
+    ).map(tuple),
+)
 PACKET = st.builds(
-    Packet, st.sampled_from(Kind), NAME, INT, INT, st.integers(0, 1 << 31), NAME,
+    Packet,
+    st.sampled_from(Kind),
+    NAME,
+    INT,
+    INT,
+    st.integers(0, 1 << 31),
+    NAME,
     st.lists(st.builds(Rumour, NAME, INT, st.sampled_from(Standing)), max_size=12).map(tuple),
     st.lists(ROW, max_size=3).map(tuple),
     st.lists(st.builds(Grant, INT, st.text(max_size=40), FIGURE, FIGURE, INT), max_size=3).map(tuple),
-    st.lists(st.builds(Return, INT, INT, FIGURE), max_size=3).map(tuple), st.none() | PART,
+    st.lists(st.builds(Return, INT, INT, FIGURE), max_size=3).map(tuple),
+    st.none() | PART,
     st.lists(ORDER, max_size=3).map(tuple),
-)  # fmt: skip
+)
 
 
 def room(p: Packet) -> int:
     told: list[Rumour | Row | Grant | Return | Part | Order] = [
-        *p.rumours, *p.rows, *p.grants, *p.returns, *p.orders,
-    ]  # fmt: skip
+        *p.rumours,
+        *p.rows,
+        *p.grants,
+        *p.returns,
+        *p.orders,
+    ]
     return sum(t.room for t in [*told, *([p.part] if p.part else [])])
 
 
@@ -101,9 +127,12 @@
 
 
 @settings(deadline=None, max_examples=400)
-@given(st.binary(max_size=200) | st.tuples(st.integers(0, len(SOUND) - 1), st.binary(max_size=4)).map(
-    lambda cut: SOUND[: cut[0]] + cut[1] + SOUND[cut[0] + 1 :]
-))  # fmt: skip
+@given(
+    st.binary(max_size=200)
+    | st.tuples(st.integers(0, len(SOUND) - 1), st.binary(max_size=4)).map(
+        lambda cut: SOUND[: cut[0]] + cut[1] + SOUND[cut[0] + 1 :]
+    )
+)
 def test_whatever_comes_is_a_packet_or_is_unusable(data: bytes) -> None:
     p, before = made(), state(made())
     try:
@@ -130,16 +159,23 @@
     [
         GOOD._replace(incarnation=MOST_INCARNATION + 1),
         GOOD._replace(rumours=(Rumour("n3", MOST_INCARNATION + 1, Standing.GONE),)),
-        rowed(age_s=math.nan), rowed(age_s=-1.0), rowed(asked=math.inf), rowed(incarnation=1 << 52),
-        rowed(wants=(Want("b", 1e300, 0.0, 0.0),)), rowed(wants=(Want("b", 1.0, 0.0, math.nan),)),
-        rowed(wants=(Want("b", 1.0, -1.0, 0.0),)), rowed(wants=(WANT_OF_ALL, WANT_OF_ALL)),
+        rowed(age_s=math.nan),
+        rowed(age_s=-1.0),
+        rowed(asked=math.inf),
+        rowed(incarnation=1 << 52),
+        rowed(wants=(Want("b", 1e300, 0.0, 0.0),)),
+        rowed(wants=(Want("b", 1.0, 0.0, math.nan),)),
+        rowed(wants=(Want("b", 1.0, -1.0, 0.0),)),
+        rowed(wants=(WANT_OF_ALL, WANT_OF_ALL)),
         GOOD._replace(grants=(Grant(1, "b", math.inf, 0.0, 1),)),
         GOOD._replace(grants=(Grant(1, "b", 1.0, math.nan, 1),)),
         GOOD._replace(returns=(Return(1, 1, math.nan),)),
-        GOOD._replace(part=Part(1, 1, 0, 0.0, ())), GOOD._replace(part=Part(1, 1, 2, math.nan, ())),
-        GOOD._replace(part=Part(64, 1, 2, 0.0, ())), GOOD._replace(part=Part(0, 1, 1, 0.0, ((1, math.nan),))),
+        GOOD._replace(part=Part(1, 1, 0, 0.0, ())),
+        GOOD._replace(part=Part(1, 1, 2, math.nan, ())),
+        GOOD._replace(part=Part(64, 1, 2, 0.0, ())),
+        GOOD._replace(part=Part(0, 1, 1, 0.0, ((1, math.nan),))),
     ],
-)  # fmt: skip
+)
 def test_figures_that_cannot_be_change_nothing(packet: Packet) -> None:
     p, before = made(), state(made())
     assert p.hear(1.0, packet) == [] and state(p) == before and p.dropped == {"flaw": 1}
@@ -167,16 +203,19 @@
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (b"", "malformed"), (ENDED[:-1], "malformed"), (ENDED + b"\0", "malformed"),
+        (b"", "malformed"),
+        (ENDED[:-1], "malformed"),
+        (ENDED + b"\0", "malformed"),
         (b"x" * (MOST + 1), "too long"),
-        (encode("g", GOOD), "fleet"), (msgspec.msgpack.encode([VERSION + 1, "f", {}]), "version"),
+        (encode("g", GOOD), "fleet"),
+        (msgspec.msgpack.encode([VERSION + 1, "f", {}]), "version"),
         (ENDED.replace(bytes([0x9E, VERSION]), bytes([0x9E, VERSION + 1])), "version"),
         (encode("f", GOOD._replace(sender="n" * 65)), "malformed"),
         (with_part([1, 1, 1, 0.0, b"abc"]), "malformed"),
         (with_part(None, kind=9), "malformed"),
         (b"\x91" * 1000, "malformed"),
     ],
-)  # fmt: skip
+)
 def test_why_a_datagram_is_dropped(data: bytes, why: str) -> None:
     with pytest.raises(Unusable, match=why):
         decode("f", data)
@@ -227,14 +266,18 @@
 @pytest.mark.parametrize(
     ("text", "reason"),
     [
-        ("", "either members or file"), ("members = a=127.0.0.1:1\nfile = x", "either members or file"),
-        ("members = a=127.0.0.1:1, a=127.0.0.1:2", "a is named twice"), ("members = a=127.0.0.1", "unusable"),
+        ("", "either members or file"),
+        ("members = a=127.0.0.1:1\nfile = x", "either members or file"),
+        ("members = a=127.0.0.1:1, a=127.0.0.1:2", "a is named twice"),
+        ("members = a=127.0.0.1", "unusable"),
         ("members = a=127.0.0.1:1, b=127.0.0.1:1", "one address"),
-        ("members = a b=127.0.0.1:1", "no dispatcher's name"), ("members = a=host:1", "unusable address"),
-        ("file = x\nfleet = a b", "fleet"), ("file = x\nwave_s = 0", "wave_s"),
+        ("members = a b=127.0.0.1:1", "no dispatcher's name"),
+        ("members = a=host:1", "unusable address"),
+        ("file = x\nfleet = a b", "fleet"),
+        ("file = x\nwave_s = 0", "wave_s"),
         ("file = x\nnix = 1", "nix"),
     ],
-)  # fmt: skip
+)
 def test_a_section_that_cannot_be_used(text: str, reason: str, tmp_path: Path) -> None:
     (tmp_path / "o.ini").write_text(f"[peers]\n{text}\n")
     with pytest.raises(ValueError, match=reason):
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -103,10 +103,12 @@
 
 async def command(n: Node, *args: str, key: str = KEY) -> tuple[int, str, str]:
     process = await asyncio.create_subprocess_exec(
-        *(sys.executable, "-m", "finchladder", "drill", *args), cwd=ROOT,
+        *(sys.executable, "-m", "finchladder", "drill", *args),
+        cwd=ROOT,
         env=os.environ | {"NODE_LISTEN": f"127.0.0.1:{n.port}", "NODE_DRILL_KEY": key},
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+    )
     out, err = await process.communicate()
     return process.returncode or 0, out.decode(), err.decode()
 
@@ -184,11 +186,21 @@
 @pytest.mark.parametrize(
     "body",
     [b"", b"{", b"[]", b'{"class":"u"}']
-    + [json.dumps(GOOD | bad).encode() for bad in (
-        {"for_s": 601}, {"for_s": 0}, {"share": 1.1}, {"share": -1}, {"share": "1"}, {"delay_ms": -1},
-        {"abort_share": 2}, {"class": "nosuch"}, {"more": 1},
-    )],
-)  # fmt: skip
+    + [
+        json.dumps(GOOD | bad).encode()
+        for bad in (
+            {"for_s": 601},
+            {"for_s": 0},
+            {"share": 1.1},
+            {"share": -1},
+            {"share": "1"},
+            {"delay_ms": -1},
+            {"abort_share": 2},
+            {"class": "nosuch"},
+            {"more": 1},
+        )
+    ],
+)
 def test_an_unusable_order_is_refused(body: bytes) -> None:
     options = Options(drill=DrillOptions(KEY))
     arrivals = Arrivals(options, 1)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -542,8 +542,10 @@
                 p.gate._say(now, 1.0)
             logger.remove(sink)
             assert [line.split(";")[0] for line in said] == [
-                "overload: jobs are turned away", "overload: over", "overload: jobs are turned away",
-            ]  # fmt: skip
+                "overload: jobs are turned away",
+                "overload: over",
+                "overload: jobs are turned away",
+            ]
 
     run(play())
 
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -31,7 +31,7 @@
     [
         ("", OFF),
         ("[door]", Options(door=DoorOptions(20, 40, 4096))),
-        ("[drill]\nkey = 50%% of \"it\"", Options(drill=DrillOptions('50%% of "it"'))),
+        ('[drill]\nkey = 50%% of "it"', Options(drill=DrillOptions('50%% of "it"'))),
         ("[door]\nrate = 5\nmax_keys = 9", Options(door=DoorOptions(5, 40, 9))),
         ("[door.a]\nrate = 5", Options(door_of={"a": DoorOptions(5, 40, 4096)})),
         (  # what a class leaves unsaid holds as for all, also where its section stands first
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -151,7 +151,7 @@
         (messages.read_id, "X-Correlation-Id", ["9b1f", "~"], ["", "a b", "x" * 129]),
         (messages.read_facts, "X-Facts", ["", "slots=2,other=x"], ["slots=", "memory=nan", "slots=-1"]),
     ],
-)  # fmt: skip
+)
 def test_fields(read: Callable[[Head], object], name: str, good: list[str], bad: list[str]) -> None:
     for value in good:
         read(Head(1, Headers([(name, value)])))
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -28,7 +28,7 @@
     request,
     run,
     serve,
-)  # fmt: skip
+)
 
 
 async def start_only(server: RealServer, message: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_unlike_settings.py
+++ b/tests/test_unlike_settings.py
@@ -34,34 +34,72 @@
 
 
 SHORT = Deployment(
-    SETTINGS | {
+    SETTINGS
+    | {
         "services": [
             service("tide-quote", "retryable", 1.0, 0.15, 3.0),
             service("ledger-post", "fragile", 1.5, 0.25, 12.0),
             service("berth-upsert", "dedup", 1.2, 0.2, 6.0, group="zone", windowS=0.7),
         ],
-        "zones": ["quay-east", "quay-west"], "az": "quay-west", "flavors": ["broad-hull", "narrow-hull"],
-        "registryMode": "ask", "weights": "nominal", "balancers": 3,
-        "caps": {"cancel": True, "connIdleS": 8.0, "connectTimeoutS": 0.2, "maxRetryAfterS": 0.5,
-                 "peers": False, "probes": True, "retryAfter": True, "secondCopies": False, "tryLimit": 3},
-        "familyInfo": {"classKind": [-1, -1, -1], "classPriority": [0, 2, 1], "classStretch": [1.5, 2.0, 2.0],
-                       "tellsStart": True, "progressS": 0.0},
+        "zones": ["quay-east", "quay-west"],
+        "az": "quay-west",
+        "flavors": ["broad-hull", "narrow-hull"],
+        "registryMode": "ask",
+        "weights": "nominal",
+        "balancers": 3,
+        "caps": {
+            "cancel": True,
+            "connIdleS": 8.0,
+            "connectTimeoutS": 0.2,
+            "maxRetryAfterS": 0.5,
+            "peers": False,
+            "probes": True,
+            "retryAfter": True,
+            "secondCopies": False,
+            "tryLimit": 3,
+        },
+        "familyInfo": {
+            "classKind": [-1, -1, -1],
+            "classPriority": [0, 2, 1],
+            "classStretch": [1.5, 2.0, 2.0],
+            "tellsStart": True,
+            "progressS": 0.0,
+        },
     },
-    "tide-quote", "berth-upsert", "ledger-post", True,
-)  # fmt: skip
+    "tide-quote",
+    "berth-upsert",
+    "ledger-post",
+    True,
+)
 LONG = Deployment(
-    SETTINGS | {
+    SETTINGS
+    | {
         "services": [
             service("cut-plan", "dedup", 20.0, 4.0, 4.0, group="cell", windowS=3.0),
             service("axle-weigh", "fragile", 9.0, 1.0, 1.0),
         ],
-        "zones": ["pit-floor"], "az": "pit-floor", "flavors": ["crane-rig"], "weights": "off", "balancers": 1,
-        "caps": {"cancel": True, "connIdleS": 5.0, "connectTimeoutS": 0.4, "peers": False, "probes": False,
-                 "retryAfter": False, "secondCopies": True, "tryLimit": 2},
+        "zones": ["pit-floor"],
+        "az": "pit-floor",
+        "flavors": ["crane-rig"],
+        "weights": "off",
+        "balancers": 1,
+        "caps": {
+            "cancel": True,
+            "connIdleS": 5.0,
+            "connectTimeoutS": 0.4,
+            "peers": False,
+            "probes": False,
+            "retryAfter": False,
+            "secondCopies": True,
+            "tryLimit": 2,
+        },
         "familyInfo": {"classKind": [0, -1], "tellsStart": False, "progressS": 0.0},
     },
-    None, "cut-plan", "axle-weigh", False,
-)  # fmt: skip
+    None,
+    "cut-plan",
+    "axle-weigh",
+    False,
+)
 BOTH = pytest.mark.parametrize("d", [SHORT, LONG], ids=["short", "long"])
 
 
@@ -98,9 +136,7 @@
 def pair(d: Deployment, behaviour: Any, apart: bool = False) -> list[RealServer]:
     """Two real servers; `apart`: of different groups."""
     zones, kind = d.settings["zones"], d.settings["flavors"][0]
-    return [
-        Placed(f"r{n}", zones[n * apart % len(zones)], n * apart, kind, behaviour) for n in range(2)
-    ]
+    return [Placed(f"r{n}", zones[n * apart % len(zones)], n * apart, kind, behaviour) for n in range(2)]
 
 
 @BOTH
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -18,7 +18,7 @@
     SILENT_S,
     TOLD_WITHIN_S,
     Watching,
-)  # fmt: skip
+)
 from finchladder.net.http1 import connect
 from finchladder.net.service import Lines, ServiceActor
 from tests.peers import (
@@ -317,9 +317,7 @@
     run(play())
 
 
-async def start(
-    tmp_path: Path, port: int, d: Discovery, known: object
-) -> asyncio.subprocess.Process:
+async def start(tmp_path: Path, port: int, d: Discovery, known: object) -> asyncio.subprocess.Process:
     config = tmp_path / "config.json"
     config.write_text(json.dumps({"seed": "5", "known": known, "settings": SETTINGS}))
     env = os.environ | {
