--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 	.venv-dev/bin/python -m pytest -q -n 4
 
 lint: .venv-dev/installed
+	.venv-dev/bin/ruff format --check .
 	.venv-dev/bin/ruff check .
 	.venv-dev/bin/mypy
 	.venv-dev/bin/lint-imports --no-cache
