--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -11,7 +11,7 @@
 from finchladder import Dispatcher, api
 from finchladder.config.entries import read_list
 from finchladder.config.options import OFF
-from finchladder.core.connections.body_memory import BodyRoom
+from finchladder.core.connections.body_memory import BodyMemory
 from finchladder.core.connections.graceful_shutdown import Leaving
 from finchladder.core.dispatch.attempt_stages import Step
 from finchladder.features.arrivals import Arrivals
@@ -199,7 +199,7 @@
             read_list(line)
         return
     news = read_list(line)
-    assert (news.version, [e.born for e in news.workers.entries] in ([1.5], [])) == (1, True)
+    assert (news.version, [e.started_at for e in news.workers.entries] in ([1.5], [])) == (1, True)
 
 
 @pytest.mark.parametrize("size", [1, 3, 100])
@@ -223,7 +223,7 @@
     return Intake({"s", "unsafe"}, flows, module, Timers(Clock()), Arrivals(OFF, 0), Leaving(3.0), sockets)
 
 
-def listener(taking: Intake, bodies: BodyRoom) -> clients.Clients:
+def listener(taking: Intake, bodies: BodyMemory) -> clients.Clients:
     controls = Controls(taking.clock, taking.classes, OFF, None, taking.arrivals, None)
     return clients.Clients(Front(taking, controls, lambda: True, lambda c: None), bodies, 128)
 
@@ -260,7 +260,7 @@
 def test_the_list_goes_ahead_of_queued_work() -> None:
     """What comes while an event is being decided waits in the mailbox; lists keep their own order there."""
     seen: list[object] = []
-    first, second = api.WorkerList(api.ListKind.WHOLE), api.WorkerList(api.ListKind.PATCH)
+    first, second = api.WorkerList(api.ListKind.FULL), api.WorkerList(api.ListKind.PATCH)
 
     class Watcher(Dispatcher):
         def handle(self, now: float, event: api.Event) -> list[api.Action]:
@@ -285,7 +285,9 @@
         address = {"w1": listener.sockets[0].getsockname()[:2]}
 
         def drain() -> None:
-            group.update(api.WorkerList(api.ListKind.PATCH, (entry("w1", api.State.DRAINING),)), address)
+            group.update(
+                api.WorkerList(api.ListKind.PATCH, (entry("w1", api.WorkerStatus.DRAINING),)), address
+            )
 
         async def connect_late(to: tuple[str, int]) -> http1.Channel:
             channel = await http1.connect(to)
@@ -293,7 +295,7 @@
             return channel
 
         group = servers.RealServers(flows, module, Timers(Clock()), 5, 30.0, 128, connect_late)
-        group.update(api.WorkerList(api.ListKind.WHOLE, (entry("w1"),)), address)
+        group.update(api.WorkerList(api.ListKind.FULL, (entry("w1"),)), address)
         attempt = Watched(flow_of(flows, []), 0, "w1", 0.0, 1e12)
         group.send(attempt)
         if not connecting:
@@ -359,7 +361,7 @@
     async def play() -> None:
         flows = Flows()
         module = ModuleActor(Dispatcher(settings(), 1), flows, Clock())
-        bodies = BodyRoom(32 * 1024 * 1024)
+        bodies = BodyMemory(32 * 1024 * 1024)
         assert bodies.free == 8 * 1024 * 1024
         bodies.free = 10
         edge = listener(intake(flows, module), bodies)
@@ -380,7 +382,7 @@
         flows, told = Flows(), list[object]()
         module = ModuleActor(Dispatcher(settings(), 1), flows, Clock())
         module.tell = told.append  # type: ignore[assignment]
-        edge = listener(intake(flows, module), BodyRoom(32 * 1024 * 1024))
+        edge = listener(intake(flows, module), BodyMemory(32 * 1024 * 1024))
         [sock] = bind_sockets(0, "127.0.0.1")
         edge.add_socket(sock)
         first = asyncio.create_task(exchange(sock.getsockname()[1], request("a1")))
@@ -433,12 +435,12 @@
         now = [100.0]
         clock = Clock(lambda: now[0], lambda: now[0])
         module = ModuleActor(Watcher(settings(), 1), Flows(), clock)
-        module.tell(api.WorkerList(api.ListKind.WHOLE, (entry("w1"),)))  # its sweep is due in 0.05 s
+        module.tell(api.WorkerList(api.ListKind.FULL, (entry("w1"),)))  # its sweep is due in 0.05 s
         now[0] += 0.05 + late
-        module.tell(api.ClientGone("x"))
-        module.tell(api.ClientGone("y"))
+        module.tell(api.ClientDisconnected("x"))
+        module.tell(api.ClientDisconnected("y"))
 
     asyncio.run(play())
-    told = [e.seconds for e in seen if isinstance(e, api.Unseen)]
+    told = [e.duration_s for e in seen if isinstance(e, api.LoopStall)]
     assert told == ([pytest.approx(late)] if unseen else []) and len(seen) == 3 + unseen
-    assert isinstance(seen[1], api.Unseen) == unseen
+    assert isinstance(seen[1], api.LoopStall) == unseen
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 import pytest
 
 from finchladder import api
-from finchladder.core.api import Effect, Ending, Group, State
+from finchladder.core.api import DeduplicationScope, Effect, Ending, WorkerStatus
 from finchladder.core.dispatch.dispatcher import Dispatcher
 from tests.helpers import Bench, entry, settings, workers
 
@@ -16,7 +16,7 @@
 
 def test_held_request_is_answered_before_the_client_gives_up() -> None:
     b = Bench()
-    name, sent = b.ask("unsafe", patience=0.5)
+    name, sent = b.ask("unsafe", timeout_s=0.5)
     b.run_until(102.0)
     assert not sent
     [(at, _)] = b.answers(name)
@@ -25,7 +25,7 @@
 
 def test_request_that_comes_with_little_time_left_is_answered() -> None:
     b = Bench()
-    name, _ = b.ask("unsafe", patience=0.01)  # shorter than the wait for the next sweep
+    name, _ = b.ask("unsafe", timeout_s=0.01)  # shorter than the wait for the next sweep
     b.run_until(102.0)
     [(at, _)] = b.answers(name)
     assert at < 100.01
@@ -33,7 +33,7 @@
 
 def test_running_request_is_answered_before_the_client_gives_up() -> None:
     b = Bench(["only"])
-    name, sent = b.ask("unsafe", patience=2.0)
+    name, sent = b.ask("unsafe", timeout_s=2.0)
     b.start(name)
     b.run_until(105.0)
     [(at, answer)] = b.answers(name)
@@ -43,7 +43,7 @@
 
 def test_time_out_at_the_deadline_gets_a_failure_at_once() -> None:
     b = Bench(["only"])
-    name, _ = b.ask("unsafe", patience=1.0)
+    name, _ = b.ask("unsafe", timeout_s=1.0)
     b.now += 1.0
     actions = b.end(name, Ending.TIMED_OUT)
     assert api.Fail(name) in actions
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("ending", list(Ending))
 def test_one_final_answer_and_nothing_sent_after_it(job_class: str, ending: Ending) -> None:
     b = Bench(workers(6))
-    name, _ = b.ask(job_class, patience=3.0, key=3)
+    name, _ = b.ask(job_class, timeout_s=3.0, key=3)
     b.start(name)
     b.end(name, ending)
     for n in range(1, 6):
@@ -80,7 +80,7 @@
     b = Bench(["only"])
     b.feed(api.Ended("nobody", 0, Ending.OK, True, 0.1))
     b.feed(api.Started("nobody", 3))
-    b.feed(api.ClientGone("nobody"))
+    b.feed(api.ClientDisconnected("nobody"))
     name, _ = b.ask()
     b.end(name, Ending.OK)
     b.end(name, Ending.OK)
@@ -91,7 +91,7 @@
 def test_client_that_left_is_owed_nothing() -> None:
     b = Bench()
     name, _ = b.ask()
-    b.feed(api.ClientGone(name))
+    b.feed(api.ClientDisconnected(name))
     b.patch(entry("late"))
     b.run_until(130.0)
     assert not b.answers(name) and not b.sends(name)
@@ -121,7 +121,7 @@
 
 def test_unsafe_job_is_never_copied_while_it_runs() -> None:
     b = Bench(workers(6))
-    name, _ = b.ask("unsafe", patience=20.0)
+    name, _ = b.ask("unsafe", timeout_s=20.0)
     b.run_until(119.0)
     assert len(b.sends(name)) == 1
 
@@ -130,10 +130,22 @@
     return [entry(f"w{i}", zone="ab"[i % 2], cell=i % 4) for i in range(12)]
 
 
-@pytest.mark.parametrize(("group", "field"), [(Group.ZONE, "zone"), (Group.CELL, "cell")])
+@pytest.mark.parametrize(
+    ("group", "field"), [(DeduplicationScope.ZONE, "zone"), (DeduplicationScope.CELL, "cell")]
+)
 @pytest.mark.parametrize("ending", MAY_HAVE_RUN)
-def test_keyed_job_stays_in_the_group_that_drops_repeats(group: Group, field: str, ending: Ending) -> None:
-    cls = api.JobClass("k", Effect.KEYED, aim=2.0, deadline=10.0, group=group, window=5.0, stretch=2.0)
+def test_keyed_job_stays_in_the_group_that_drops_repeats(
+    group: DeduplicationScope, field: str, ending: Ending
+) -> None:
+    cls = api.JobClass(
+        "k",
+        Effect.KEYED,
+        latency_target_s=2.0,
+        deadline_s=10.0,
+        deduplication_scope=group,
+        deduplication_window_s=5.0,
+        run_time_allowance=2.0,
+    )
     for key in range(12):
         b = Bench(keyed_fleet(), classes=(cls,))
         name, first = b.ask("k", key=key)
@@ -157,16 +169,23 @@
 
 
 def test_keyed_job_of_a_fleet_wide_group_may_be_refused() -> None:
-    cls = api.JobClass("k", Effect.KEYED, aim=1.0, deadline=4.0, group=Group.ALL, window=2.0)
+    cls = api.JobClass(
+        "k",
+        Effect.KEYED,
+        latency_target_s=1.0,
+        deadline_s=4.0,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window_s=2.0,
+    )
     b = Bench(["only"], classes=(cls,))
-    name, _ = b.ask("k", patience=4.0)
+    name, _ = b.ask("k", timeout_s=4.0)
     b.end(name, Ending.BROKEN)
     b.run_until(110.0)
-    assert [type(a) for _, a in b.answers(name)] == [api.Refuse]
+    assert [type(a) for _, a in b.answers(name)] == [api.Reject]
 
 
 def test_no_second_copy_where_settings_forbid_it() -> None:
-    b = Bench(workers(6), may_copy=False)
+    b = Bench(workers(6), may_hedge=False)
     name, _ = b.ask("safe")
     b.run_until(109.0)
     assert len(b.sends(name)) == 1
@@ -174,17 +193,17 @@
 
 def test_no_probe_no_message_no_cancel_where_forbidden() -> None:
     b = Bench(workers(4), may_cancel=False)
-    names = [b.ask(patience=2.0, key=1)[0] for _ in range(9)]
+    names = [b.ask(timeout_s=2.0, key=1)[0] for _ in range(9)]
     b.end(names[0], Ending.ERROR)
     b.run_until(110.0)
-    assert not any(isinstance(a, api.Cancel | api.Tell) for _, a in b.log)
+    assert not any(isinstance(a, api.Cancel | api.Broadcast) for _, a in b.log)
 
 
 # --- drains -----------------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
-def test_nothing_new_to_a_worker_that_drains_or_is_gone(state: State) -> None:
+@pytest.mark.parametrize("state", [WorkerStatus.DRAINING, WorkerStatus.REMOVED])
+def test_nothing_new_to_a_worker_that_drains_or_is_gone(state: WorkerStatus) -> None:
     b = Bench(["a", "b"])
     b.patch(entry("a", state))
     for n in range(20):
@@ -195,7 +214,7 @@
 
 def test_worker_missing_from_a_whole_list_is_gone() -> None:
     b = Bench(["a", "b"])
-    b.feed(api.WorkerList(api.ListKind.WHOLE, (entry("b"),)))
+    b.feed(api.WorkerList(api.ListKind.FULL, (entry("b"),)))
     for n in range(20):
         b.ask(key=n)
     assert {a.worker for _, a in b.log if isinstance(a, api.Send)} == {"b"}
@@ -209,7 +228,7 @@
 
 
 def test_list_that_must_be_asked_is_subscribed_to_again_after_failures() -> None:
-    b = Bench(["a"], must_ask=True, ask_within=10.0)
+    b = Bench(["a"], must_subscribe=True, subscribe_timeout_s=10.0)
     assert sum(isinstance(a, api.Subscribe) for _, a in b.log) == 1
     times = []
     for _ in range(6):
@@ -225,7 +244,7 @@
 def test_nodes_do_not_ask_again_in_step() -> None:
     waits = set()
     for seed in range(8):
-        b = Bench(["a"], seed=seed, must_ask=True)
+        b = Bench(["a"], seed=seed, must_subscribe=True)
         b.feed(api.WorkerList(api.ListKind.BROKEN))
         b.run_until(110.0)
         waits.add(round(max(t for t, a in b.log if isinstance(a, api.Subscribe)), 1))
@@ -241,14 +260,19 @@
     sent: list[tuple[float, float]] = []
     rate = 40.0 / nodes  # jobs a second at each node, 0.2 s each, ten warm workers: 0.8 s a second each
     for seed in range(nodes):
-        rule = {"fall_within": span, "fall_multiple": multiple, "cold_from": cold_from, "cold_for": 20.0}
+        rule = {
+            "overload_window_s": span,
+            "overload_multiple": multiple,
+            "slow_start_initial_share": cold_from,
+            "slow_start_s": 20.0,
+        }
         b = Bench(workers(10), seed=seed, **rule)
         step, born = 1 / rate, 0.0
         for n in range(int(30 * rate)):
             b.run_until(100.0 + (n + seed / nodes) * step)
             if b.now > 115.0 and not born:
                 born = 114.0
-                b.patch(entry("w0", born=born) if restart else entry("cold", born=born))
+                b.patch(entry("w0", started_at=born) if restart else entry("cold", started_at=born))
             name, s = b.ask(key=n * 7 % 50)
             if s:
                 b.serve(name, after=min(0.2, step / 2))
@@ -272,9 +296,9 @@
     [
         ({"classes": ()}, "classes"),
         ({"max_attempts": 0}, "max_attempts"),
-        ({"cold_from": 0.0}, "cold_from"),
-        ({"fall_within": -1.0}, "fall_within"),
-        ({"tick": 0.0}, "tick"),
+        ({"slow_start_initial_share": 0.0}, "slow_start_initial_share"),
+        ({"overload_window_s": -1.0}, "overload_window_s"),
+        ({"clock_tick_s": 0.0}, "clock_tick_s"),
     ],
 )
 def test_settings_that_make_no_sense_are_named(change: dict[str, object], name: str) -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -361,7 +361,7 @@
     config = str(ROOT / "examples" / "config.json")
     listen = {"NODE_LISTEN": "127.0.0.1:1", "NODE_DISCOVERY": "[::1]:2", "NODE_CONFIG": config}
     setup = read_setup(listen)
-    assert (setup.caps.connect_timeout_s, setup.settings.classes[1].worth) == (0.12, 10.0)
+    assert (setup.caps.connect_timeout_s, setup.settings.classes[1].value) == (0.12, 10.0)
     assert (setup.listen, setup.discovery) == (("127.0.0.1", 1), ("::1", 2))
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -96,7 +96,7 @@
     """A ServiceActor that watches a scripted discovery; `states` is what was applied last of each."""
 
     def __init__(self, shared: bool = False) -> None:
-        self.states: dict[str, api.State] = {}
+        self.states: dict[str, api.WorkerStatus] = {}
         self.news = asyncio.Event()
         self.actor = ServiceActor(("127.0.0.1", 0), self.apply, lambda names: None, connect)
         self.actor.rules = Watching(shared)
@@ -105,10 +105,10 @@
         if workers.kind is not api.ListKind.PATCH:
             self.states = {}
         self.states |= {e.worker: e.state for e in workers.entries}
-        self.born = max((e.born for e in workers.entries), default=0.0)
+        self.born = max((e.started_at for e in workers.entries), default=0.0)
         self.news.set()
 
-    async def until(self, **states: api.State) -> None:
+    async def until(self, **states: api.WorkerStatus) -> None:
         while self.states != states:
             self.news.clear()
             await self.news.wait()
@@ -117,7 +117,7 @@
         await d.open()
         self.actor.address = ("127.0.0.1", d.port)
         self.actor.start(list_line(1, [entry("w1"), entry("w2")], True))
-        await self.until(w1=api.State.READY, w2=api.State.READY)
+        await self.until(w1=api.WorkerStatus.READY, w2=api.WorkerStatus.READY)
 
 
 DRAIN = list_line(3, [entry("w1", "draining")])
@@ -147,7 +147,7 @@
         while not d.fell:
             await asyncio.sleep(0)
         fell = d.fell
-        await f.until(w1=api.State.DRAINING, w2=api.State.READY)
+        await f.until(w1=api.WorkerStatus.DRAINING, w2=api.WorkerStatus.READY)
         assert time.monotonic() - fell < TOLD_WITHIN_S
         f.actor.stop()
 
@@ -158,7 +158,7 @@
     async def play() -> None:
         d, f = Scripted(said(), said(list_line(3, [entry("w1", since_ms=5000)], True))), Followed()
         await f.follow(d)
-        await f.until(w1=api.State.READY)  # and w2 is no more
+        await f.until(w1=api.WorkerStatus.READY)  # and w2 is no more
         assert f.born == 5.0
         f.actor.stop()
 
@@ -172,7 +172,7 @@
         while not d.fell:
             await asyncio.sleep(0)
         fell = d.fell
-        await f.until(w1=api.State.DRAINING, w2=api.State.READY)
+        await f.until(w1=api.WorkerStatus.DRAINING, w2=api.WorkerStatus.READY)
         assert time.monotonic() - fell < TOLD_WITHIN_S and len(d.asked) == 3
         f.actor.stop()
 
@@ -187,10 +187,10 @@
         d = Scripted(said(DRAIN, old, list_line(2, [entry("w1")]), list_line(4, [entry("w2", "gone")])))
         f = Followed()
         await f.follow(d)
-        await f.until(w1=api.State.DRAINING, w2=api.State.GONE)
+        await f.until(w1=api.WorkerStatus.DRAINING, w2=api.WorkerStatus.REMOVED)
         d.acts = [said(old, list_line(5, [entry("w3")]))]
         d.watches[-1].transport.abort()
-        await f.until(w1=api.State.DRAINING, w2=api.State.GONE, w3=api.State.READY)
+        await f.until(w1=api.WorkerStatus.DRAINING, w2=api.WorkerStatus.REMOVED, w3=api.WorkerStatus.READY)
         assert d.asked[-1].endswith("index=4") and f.actor.index == 5
         f.actor.stop()
 
@@ -213,7 +213,7 @@
         text = json.dumps(json.loads(DRAIN), indent=2).encode()
         d, f = Scripted(said(text)), Followed()
         await f.follow(d)
-        await f.until(w1=api.State.DRAINING, w2=api.State.READY)
+        await f.until(w1=api.WorkerStatus.DRAINING, w2=api.WorkerStatus.READY)
         assert len(d.asked) == 1
         f.actor.stop()
 
@@ -268,7 +268,7 @@
             d.push(b"")
             await asyncio.sleep(0.05)
         assert asyncio.get_running_loop().time() > doubted + 0.2
-        await f.until(w1=api.State.DRAINING, w2=api.State.READY)
+        await f.until(w1=api.WorkerStatus.DRAINING, w2=api.WorkerStatus.READY)
         assert d.asked[-1].endswith("index=0")
         f.actor.stop()
 
