--- a/finchladder/cluster/placement/demand.py
+++ b/finchladder/cluster/placement/demand.py
@@ -98,23 +98,23 @@
 
     def take(self, now: float, report: DemandReport) -> None:
         """A dispatcher's report."""
-        uses = Counter({Place(use.instance, use.model): use.requests for use in report.uses})
-        reported = ReportedDemand(now, loads=Counter(report.loads), uses=uses)
+        uses = Counter({Place(use.instance, use.model): use.requests for use in report.model_uses})
+        reported = ReportedDemand(now, loads=Counter(report.worker_loads), uses=uses)
         for demand in report.demands:
             item = Item(demand.service, demand.model, demand.adapter)
-            if demand.asked:
+            if demand.requests:
                 figure = self.figures.setdefault(item, Figure(at=now))
                 figure.decay(now, self.running_now(item))
-                figure.rate += demand.asked / TIME_CONSTANT_S
-                figure.tokens += demand.tokens / TIME_CONSTANT_S
-                figure.recent_rate += demand.asked / RECENT_S
-                figure.recent_tokens += demand.tokens / RECENT_S
+                figure.rate += demand.requests / TIME_CONSTANT_S
+                figure.tokens += demand.prompt_tokens / TIME_CONSTANT_S
+                figure.recent_rate += demand.requests / RECENT_S
+                figure.recent_tokens += demand.prompt_tokens / RECENT_S
                 figure.asked_at = now
-            if demand.waiting:
-                reported.waiting[item] = demand.waiting
-            if demand.running:
-                reported.running[item] = demand.running
-        for service, s_per_token in report.s_per_token.items():
+            if demand.queued:
+                reported.waiting[item] = demand.queued
+            if demand.in_flight:
+                reported.running[item] = demand.in_flight
+        for service, s_per_token in report.prefill_s_per_token.items():
             self.paces.setdefault(service, {})[report.sender] = s_per_token
         self._withdraw(report.sender)
         self.reported[report.sender] = reported
--- a/finchladder/cluster/process/chain_service.py
+++ b/finchladder/cluster/process/chain_service.py
@@ -6,19 +6,19 @@
 
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.tasks import Signal
-from finchladder.cluster.process.voting import Voting
+from finchladder.cluster.process.view_agreement import Voting
 from finchladder.cluster.replication import chain
 from finchladder.cluster.replication.chain import Keep, NeedState, Refuse, Replica
 from finchladder.cluster.replication.lease import GrantedLease
 from finchladder.cluster.transport.peers import all_of, steady
-from finchladder.cluster.types.errors import ClusterError, PeerRefused
+from finchladder.cluster.types.errors import ClusterError, PeerRefusedError
 from finchladder.cluster.types.members import Member, View
 from finchladder.cluster.types.messages import (
-    Fetch,
-    Fetched,
+    FetchReplica,
     Ping,
     Pong,
     ReadState,
+    ReplicaReply,
     Replicate,
     Replicated,
     StateReply,
@@ -181,10 +181,12 @@
             return own
         others = [m for m in view.chain if m.disk_id != self.voting.me.disk_id]
         call = self.voting.peers.call
-        replies = await all_of([call(m.peer_address, Fetch(view.number), FETCH_TIMEOUT_S) for m in others])
+        replies = await all_of(
+            [call(m.peer_address, FetchReplica(view.number), FETCH_TIMEOUT_S) for m in others]
+        )
         found = [own]
         for reply in replies:
-            if not isinstance(reply, Fetched):
+            if not isinstance(reply, ReplicaReply):
                 return None
             if reply.state is None:
                 await self.voting.learn(reply.view)
@@ -192,14 +194,14 @@
             found.append(Replica(reply.state_view, reply.state))
         return chain.newest(found)
 
-    async def on_fetch(self, request: Fetch) -> Fetched:
+    async def on_fetch(self, request: FetchReplica) -> ReplicaReply:
         """The replica of this member, once it knows the view and stores nothing of older ones any more."""
         voting = self.voting
         async with voting.lock:
             view, replica = voting.view, voting.replica
         if view.number != request.view or view.position(voting.me.disk_id) is None:
-            return Fetched(view)
-        return Fetched(view, replica.state_view, replica.state)
+            return ReplicaReply(view)
+        return ReplicaReply(view, replica.state_view, replica.state)
 
     async def ready_to_write(self) -> ControlState | None:
         """With the write lock held: the state that the next write builds on; None if it can't be known."""
@@ -263,7 +265,7 @@
         agreeing = {
             p.sender.disk_id
             for p in pongs
-            if p.sender.disk_id in known and p.view == view.number and not p.accepted
+            if p.sender.disk_id in known and p.view == view.number and not p.has_accepted
         }
         return len(agreeing) >= view.quorum
 
@@ -271,14 +273,14 @@
         """The newest acknowledged state, from the tail; ClusterError where it can't be had."""
         tail = self.view.tail
         if tail is None:
-            raise PeerRefused("ReadState", "", "there is no chain")
+            raise PeerRefusedError("ReadState", "", "there is no chain")
         if tail.disk_id == self.voting.me.disk_id:
             reply = await self.on_read(ReadState())
         else:
             answer = await self.voting.call_member(tail, ReadState(), 2 * READ_TIMEOUT_S)
             reply = answer if isinstance(answer, StateReply) else StateReply(None, "unexpected reply")
         if reply.state is None:
-            raise PeerRefused("ReadState", tail.name, reply.problem)
+            raise PeerRefusedError("ReadState", tail.name, reply.problem)
         return reply.state
 
 
--- a/finchladder/cluster/process/configuration_changes.py
+++ b/finchladder/cluster/process/configuration_changes.py
@@ -70,7 +70,7 @@
         if state is None:
             return unclear("the chain does not answer")
         digest = document.digest(base, patch, body)
-        for revision in state.taken:
+        for revision in state.accepted_revisions:
             if revision.digest == digest:
                 return Submitted(TAKEN, revision.version)
         if base != state.version:
--- a/finchladder/cluster/process/control_api.py
+++ b/finchladder/cluster/process/control_api.py
@@ -6,7 +6,7 @@
 from aiohttp import web
 
 from finchladder.cluster.process.chain_service import ChainService
-from finchladder.cluster.process.changes import CONFLICT, INVALID, TAKEN, Changes
+from finchladder.cluster.process.configuration_changes import CONFLICT, INVALID, TAKEN, Changes
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.sessions_service import SessionsService
 from finchladder.cluster.types.errors import ClusterError
--- a/finchladder/cluster/process/control_plane.py
+++ b/finchladder/cluster/process/control_plane.py
@@ -10,34 +10,34 @@
 from attrs import define
 
 from finchladder.cluster.process.chain_service import ChainService
-from finchladder.cluster.process.changes import Changes
-from finchladder.cluster.process.ended_workers import EndedWorkers
+from finchladder.cluster.process.configuration_changes import Changes
 from finchladder.cluster.process.log import event
-from finchladder.cluster.process.role import RoleService
-from finchladder.cluster.process.voting import PING_S, Voting
+from finchladder.cluster.process.placer_lease import RoleService
+from finchladder.cluster.process.view_agreement import PING_S, Voting
+from finchladder.cluster.process.worker_retirement import EndedWorkers
 from finchladder.cluster.replication.agreement import Acceptor
 from finchladder.cluster.replication.chain import Replica
 from finchladder.cluster.replication.lease import GrantedLease, HeldLease
-from finchladder.cluster.replication.membership import Limits
+from finchladder.cluster.replication.membership import ReplicationLimits
 from finchladder.cluster.storage.interface import DurableStore
 from finchladder.cluster.transport.interface import Peers
-from finchladder.cluster.types.errors import StorageFailed
+from finchladder.cluster.types.errors import StorageError
 from finchladder.cluster.types.members import Member
 from finchladder.cluster.types.messages import (
     Accept,
-    ClaimRole,
-    EndWorker,
+    ClaimLease,
     Failure,
-    Fetch,
+    FetchReplica,
     Learn,
     Ping,
     Prepare,
     ReadState,
-    RenewPlacer,
+    ReleaseLease,
+    RenewLease,
     Replicate,
     Reply,
     Request,
-    Resign,
+    RetireWorker,
     Submit,
 )
 
@@ -85,7 +85,7 @@
             me,
             store,
             peers,
-            Limits(losses),
+            ReplicationLimits(losses),
             seeds,
             recovered.founder,
             recovered.acceptor,
@@ -109,19 +109,19 @@
                 return await self.voting.on_learn(request)
             case Replicate():
                 return await self.chain.on_replicate(request)
-            case Fetch():
+            case FetchReplica():
                 return await self.chain.on_fetch(request)
             case Submit():
                 return await self.changes.on_submit(request)
-            case EndWorker():
+            case RetireWorker():
                 return await self.ended.on_end(request)
             case ReadState():
                 return await self.chain.on_read(request)
-            case RenewPlacer():
+            case RenewLease():
                 return await self.role.on_renew(request)
-            case ClaimRole():
+            case ClaimLease():
                 return await self.role.on_claim(request)
-            case Resign():
+            case ReleaseLease():
                 return await self.role.on_resign(request)
         return Failure(type(request).__name__, "not understood")
 
@@ -146,6 +146,6 @@
             if self.voting.store.failed:
                 try:
                     await self.voting.store.probe()
-                except StorageFailed as error:
+                except StorageError as error:
                     event("storage.failed", problem=str(error))
             await asyncio.sleep(PROBE_S)
--- a/finchladder/cluster/process/core_node.py
+++ b/finchladder/cluster/process/core_node.py
@@ -23,7 +23,7 @@
 from finchladder.cluster.transport.peers import PeerClient, peer_handler
 from finchladder.cluster.types.errors import ClusterError
 from finchladder.cluster.types.members import Member
-from finchladder.cluster.types.messages import DemandReport, Pull, Reply, Request
+from finchladder.cluster.types.messages import DemandReport, PullUpdates, Reply, Request
 
 WIND_UP_S = 0.3
 LEAVE_S = 1.5  # for the others to go on without this process
@@ -90,7 +90,7 @@
     async def answer(self, request: Request) -> Reply:
         """The internal protocol."""
         match request:
-            case Pull():
+            case PullUpdates():
                 return await self.sessions.on_pull(request)
             case DemandReport():
                 return self.placer.on_demand(request)
--- a/finchladder/cluster/process/core_sessions.py
+++ b/finchladder/cluster/process/core_sessions.py
@@ -11,13 +11,13 @@
 from attrs import define
 
 from finchladder.cluster.process.control_plane import ControlPlane
-from finchladder.cluster.process.pulling import Puller
 from finchladder.cluster.process.sessions_service import SessionsService
 from finchladder.cluster.process.tasks import Tasks
+from finchladder.cluster.process.update_puller import Puller
 from finchladder.cluster.sessions.table import Tables
 from finchladder.cluster.transport.interface import Peers
 from finchladder.cluster.transport.peers import steady
-from finchladder.cluster.types.messages import Delta
+from finchladder.cluster.types.messages import Update
 
 CONFIRMED_S = 2.0  # so long one confirmation by the chain counts
 EXPIRE_S = 0.25
@@ -62,7 +62,7 @@
             quorum_lost=control.voting.quorum_is_lost,
         )
 
-        def take(delta: Delta, changed: list[str]) -> None:
+        def take(delta: Update, changed: list[str]) -> None:
             sessions.origins[delta.origin] = steady()
             puller.view = control.voting.view
             if changed:
@@ -101,7 +101,7 @@
     async def _announce_state(self) -> None:
         """Readers learn at once of what the chain has acknowledged."""
         while True:
-            self.sessions.take_ended(self.control.chain.acknowledged.ended)
+            self.sessions.take_ended(self.control.chain.acknowledged.retirements)
             await self.control.chain.changed.wait(ANNOUNCE_S)
             self.sessions.changed.fire()
 
--- a/finchladder/cluster/process/dispatcher_node.py
+++ b/finchladder/cluster/process/dispatcher_node.py
@@ -11,10 +11,10 @@
 from finchladder.cluster.configuration import routing
 from finchladder.cluster.configuration.packing import unpack
 from finchladder.cluster.process.log import event
-from finchladder.cluster.process.pulling import Puller
 from finchladder.cluster.process.router import Router
 from finchladder.cluster.process.settings import Settings
 from finchladder.cluster.process.tasks import Signal, Tasks
+from finchladder.cluster.process.update_puller import Puller
 from finchladder.cluster.routing.budget import RetryBudget
 from finchladder.cluster.routing.demand import DemandCounter
 from finchladder.cluster.routing.pools import Chooser, LoadUnderWay, PoolKey, holder_of
@@ -23,7 +23,7 @@
 from finchladder.cluster.transport.http_server import Listener
 from finchladder.cluster.transport.peers import PeerClient, steady
 from finchladder.cluster.types.errors import ClusterError
-from finchladder.cluster.types.messages import Delta, DemandReply, DemandReport
+from finchladder.cluster.types.messages import DemandReply, DemandReport, Update
 
 READY_PATH = "/api/readyz"
 KEYED_SHARE = 0.2  # of a worker's slots in use, above which the least loaded is looked for
@@ -85,14 +85,14 @@
 
     # --- what control tells -------------------------------------------------------------------------------
 
-    def _take(self, delta: Delta, changed: list[str]) -> None:
+    def _take(self, delta: Update, changed: list[str]) -> None:
         if delta.document and delta.version > self.router.snapshot.version:
             self.router.snapshot = routing.build(unpack(delta.document))
             event("configuration.in_force", version=delta.version)
         if changed:
             self._note_pending_loads(changed)
             self._update_pools(changed)
-        self.fresh = self.fresh or (delta.confirmed and delta.version > 0)
+        self.fresh = self.fresh or (delta.chain_confirmed and delta.version > 0)
 
     def _note_pending_loads(self, changed: list[str]) -> None:
         """When what is being loaded will be there, by the own clock from the moment it was told."""
@@ -104,7 +104,7 @@
                 continue
             pending = placement.record.pending_load
             key = PoolKey(worker.record.service, pending.model, pending.adapter)
-            self.pending_loads[instance] = LoadUnderWay(key, now + pending.left_ms / 1000)
+            self.pending_loads[instance] = LoadUnderWay(key, now + pending.remaining_ms / 1000)
 
     def _update_pools(self, changed: list[str]) -> None:
         tables, router = self.puller.tables, self.router
@@ -154,7 +154,7 @@
             if isinstance(reply, DemandReply):
                 interval = reply.interval_ms / 1000
                 self.loads_heard_at = steady()
-                self.router.pools.hear_loads(self.loads_heard_at, reply.loads)
+                self.router.pools.hear_loads(self.loads_heard_at, reply.peer_loads)
 
     def _forget_old_loads(self, now: float, interval_s: float) -> None:
         """Without a placer only the own requests count: those of the others would soon be all wrong."""
--- a/finchladder/cluster/process/main.py
+++ b/finchladder/cluster/process/main.py
@@ -10,7 +10,7 @@
 
 from finchladder.cluster.process import log
 from finchladder.cluster.process.settings import Settings, load
-from finchladder.cluster.types.errors import SettingsInvalid
+from finchladder.cluster.types.errors import InvalidSettingsError
 
 UNUSABLE_SETTINGS = 2
 
@@ -32,7 +32,7 @@
 
         asyncio.run(_until_stopped(CoreNode(settings).run))
         return
-    from finchladder.cluster.process.edge_node import EdgeNode
+    from finchladder.cluster.process.dispatcher_node import EdgeNode
 
     asyncio.run(_until_stopped(EdgeNode(settings).run))
 
@@ -47,7 +47,7 @@
     """Run one process of the system, as FINCHLADDER_NODE_FILE says."""
     try:
         settings = load()
-    except SettingsInvalid as error:
+    except InvalidSettingsError as error:
         click.echo(f"finchladder: {error}", err=True)
         sys.exit(UNUSABLE_SETTINGS)
     _serve(settings)
--- a/finchladder/cluster/process/managed_worker.py
+++ b/finchladder/cluster/process/managed_worker.py
@@ -6,8 +6,8 @@
 
 from finchladder.cluster.placement.ledger import LoadLedger
 from finchladder.cluster.placement.plan import Load, Victim, WorkerState
-from finchladder.cluster.types.worker_api import OrderBody, Report
-from finchladder.cluster.types.workers import Holding, PendingLoad, PlacementRecord
+from finchladder.cluster.types.worker_api import OrderRequest, WorkerReport
+from finchladder.cluster.types.workers import LoadedModel, PendingLoad, PlacementRecord
 
 
 @define
@@ -16,7 +16,7 @@
 
     state: WorkerState
     term: int = 0
-    report: Report | None = None
+    report: WorkerReport | None = None
     revision: int = 0  # orders that the worker has taken
     announced: int = 0  # orders of the action under way that it has not taken yet
     serial: int = 0
@@ -34,7 +34,7 @@
     def placement(self, now: float, window_s: float) -> PlacementRecord:
         """What dispatchers may use at the worker, what is being loaded, and what a successor has to know."""
         usable = tuple(
-            Holding(model, tuple(a for a in sorted(adapters) if Victim(model, a) not in self.hidden))
+            LoadedModel(model, tuple(a for a in sorted(adapters) if Victim(model, a) not in self.hidden))
             for model, adapters in sorted(self.state.models.items())
             if Victim(model) not in self.hidden
         )
@@ -53,11 +53,11 @@
         """
         return 1 if self.taken_before is None else max(0, self.taken_before - self.announced_before)
 
-    def order(self, operation: str, model: str, adapter: str, holder: str) -> OrderBody:
+    def order(self, operation: str, model: str, adapter: str, holder: str) -> OrderRequest:
         """An order that the worker takes only if it has taken all before it and no other, and has ended them:
         so what it holds then is what the placer counts with.
         """
-        return OrderBody(operation, model, holder, self.term, adapter or None, self.revision)
+        return OrderRequest(operation, model, holder, self.term, adapter or None, self.revision)
 
 
 @define
--- a/finchladder/cluster/process/placer.py
+++ b/finchladder/cluster/process/placer.py
@@ -26,16 +26,16 @@
 from finchladder.cluster.placement.planner import Round
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.managed_worker import Managed, StoreLoad
-from finchladder.cluster.process.role import RoleService
+from finchladder.cluster.process.placer_lease import RoleService
 from finchladder.cluster.process.sessions_service import SessionsService
 from finchladder.cluster.process.tasks import Signal, Tasks
 from finchladder.cluster.process.worker_orders import SETTLE_S, WorkerOrders
 from finchladder.cluster.routing.pools import effective_holdings
 from finchladder.cluster.transport.peers import steady
-from finchladder.cluster.types.errors import PeerUnreachable
+from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.messages import DemandReply, DemandReport
-from finchladder.cluster.types.worker_api import Report
-from finchladder.cluster.types.workers import PendingLoad, Phase, WorkerRecord
+from finchladder.cluster.types.worker_api import WorkerReport
+from finchladder.cluster.types.workers import PendingLoad, SessionPhase, WorkerRecord
 
 TICK_S = 0.1
 HIDE_S = 0.05  # from telling the dispatchers that a model goes until the order goes out
@@ -76,7 +76,7 @@
     def on_demand(self, report: DemandReport) -> DemandReply:
         """A dispatcher's report."""
         self.demand.take(steady(), report)
-        if any(d.waiting for d in report.demands):
+        if any(d.queued for d in report.demands):
             self._note_waiting()
             self.waited_for.fire()
         edges = max(1, self.sessions.edges())
@@ -106,7 +106,7 @@
         now, tables = steady(), self.sessions.tables
         if not self.term:
             for record in tables.live():
-                self.disks.note(record.instance, record.address, (h.model for h in record.holdings))
+                self.disks.note(record.instance, record.address, (h.model for h in record.loaded_models))
         self.observed.note(now, (p.record for p in tables.placements.values()))
         self.observed.forget(now)
 
@@ -136,7 +136,7 @@
                 self._take_over(now, name, service.engine)
 
     async def _look_at(self, managed: Managed) -> None:
-        with suppress(PeerUnreachable):
+        with suppress(PeerUnreachableError):
             report = await self.orders.ask(managed)
             if managed.report is None and managed.taken_before is None:
                 managed.taken_before = report.sequence
@@ -149,7 +149,7 @@
         """
         try:
             self._know(managed, await self.orders.learn(managed))
-        except PeerUnreachable as error:
+        except PeerUnreachableError as error:
             managed.retry_at = steady() + SETTLE_S
             event("placer.worker_unheard", problem=str(error))
         finally:
@@ -196,10 +196,10 @@
             managed = self.managed.get(instance)
             if managed is None:
                 managed = self.managed[instance] = self._managed(record)
-            managed.state.leaving = record.phase is not Phase.READY
+            managed.state.leaving = record.phase is not SessionPhase.READY
 
     def _managed(self, record: WorkerRecord) -> Managed:
-        models = {h.model: set(h.adapters) for h in record.holdings}
+        models = {h.model: set(h.adapters) for h in record.loaded_models}
         self.disks.note(record.instance, record.address, models)
         state = WorkerState(
             record.instance, record.service, record.address, record.zone, False, False, models
@@ -209,7 +209,7 @@
             return Managed(state, self.term)
         told = placement.record
         serial = told.serial if told.token == self.term else 0  # it may have been lost, and be back
-        return Managed(state, self.term, serial=serial, announced_before=told.orders)
+        return Managed(state, self.term, serial=serial, announced_before=told.orders_taken)
 
     def _plan(self, now: float, service: str, engine: Engine) -> None:
         workers = [m for m in self.managed.values() if m.state.service == service]
@@ -283,7 +283,7 @@
         try:
             if await self._make_room(managed, action) and self._still_fits(managed, action, engine):
                 await self._load(managed, action, engine, ledger)
-        except PeerUnreachable as error:
+        except PeerUnreachableError as error:
             managed.retry_at = steady() + SETTLE_S
             managed.report = None
             event("placer.worker_unheard", problem=str(error))
@@ -294,7 +294,7 @@
             if managed.report is not None and managed.state.instance in self.managed:
                 self._publish(managed)
 
-    def _know(self, managed: Managed, report: Report) -> None:
+    def _know(self, managed: Managed, report: WorkerReport) -> None:
         managed.report, managed.revision = report, report.sequence
         if managed.taken_before is None:
             managed.taken_before = report.sequence
@@ -311,7 +311,7 @@
             return False
         told = effective_holdings(worker.record, None if placement is None else placement.record)
         is_loading = placement is not None and placement.record.pending_load is not None
-        return is_loading or told != managed.placement(steady(), self.window_s).holdings
+        return is_loading or told != managed.placement(steady(), self.window_s).usable_models
 
     def _publish(self, managed: Managed) -> None:
         """Tells the dispatchers what may be used at the worker and what is being loaded; changes only."""
--- a/finchladder/cluster/process/placer_lease.py
+++ b/finchladder/cluster/process/placer_lease.py
@@ -10,12 +10,12 @@
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.errors import ClusterError
 from finchladder.cluster.types.members import Member
-from finchladder.cluster.types.messages import ClaimRole, Granted, RenewPlacer, Request, Resign
+from finchladder.cluster.types.messages import ClaimLease, LeaseReply, ReleaseLease, RenewLease, Request
 from finchladder.cluster.types.operations import ClaimPlacer
 
 RENEW_TIMEOUT_S = 1.0
 LOOK_S = 0.2
-REFUSED = Granted(False, 0)
+REFUSED = LeaseReply(False, 0)
 
 
 @define
@@ -39,17 +39,17 @@
 
     # --- as head ------------------------------------------------------------------------------------------
 
-    async def on_renew(self, request: RenewPlacer) -> Granted:
+    async def on_renew(self, request: RenewLease) -> LeaseReply:
         """Keeps the lease, if the chain confirms after this was asked that no later view has begun."""
         if not await self.chain.confirm():
             return REFUSED
         state = self.chain.acknowledged
         if state.placer != request.holder or state.fence_token != request.token:
-            return Granted(False, state.fence_token)
+            return LeaseReply(False, state.fence_token)
         self.chain.lease.renew(steady())
-        return Granted(True, state.fence_token)
+        return LeaseReply(True, state.fence_token)
 
-    async def on_claim(self, request: ClaimRole) -> Granted:
+    async def on_claim(self, request: ClaimLease) -> LeaseReply:
         """Grants a vacant role with the next token; the holder may take its own role anew at any time."""
         async with self.chain.write_lock:
             state = await self.chain.ready_to_write()
@@ -57,11 +57,11 @@
                 return REFUSED
             wait_s = self._wait_s(state.placer, request.holder)
             if wait_s is None or wait_s > 0 or request.token != state.fence_token:
-                return Granted(False, state.fence_token, int((wait_s or 0) * 1000))
+                return LeaseReply(False, state.fence_token, int((wait_s or 0) * 1000))
             if not await self.chain.write(ClaimPlacer(request.holder, state.fence_token)):
                 return REFUSED
             self.chain.lease.renew(steady())
-            return Granted(True, state.fence_token + 1)
+            return LeaseReply(True, state.fence_token + 1)
 
     def _wait_s(self, holder: str, claimant: str) -> float | None:
         """How long a claim has to wait; None: unknown. The role is free where nobody else has it."""
@@ -70,30 +70,30 @@
         wait_s = self.chain.lease.wait_s(steady(), holder_left=holder_left)
         return 0.0 if holder in ("", claimant) and wait_s is not None else wait_s
 
-    async def on_resign(self, request: Resign) -> Granted:
+    async def on_resign(self, request: ReleaseLease) -> LeaseReply:
         """The holder ends; others need wait only until its last order is old enough."""
         state = self.chain.acknowledged
         if state.placer == request.holder and state.fence_token == request.token:
             self.chain.lease.resign(steady(), request.idle_ms / 1000)
-        return Granted(True, state.fence_token)
+        return LeaseReply(True, state.fence_token)
 
     # --- as candidate and holder --------------------------------------------------------------------------
 
-    async def _ask_head(self, request: Request) -> Granted:
+    async def _ask_head(self, request: Request) -> LeaseReply:
         head = self.chain.view.head
         if head is None:
             return REFUSED
         if head.disk_id == self.me.disk_id:
             return await self._here(request)
         reply = await self.chain.voting.call_member(head, request, RENEW_TIMEOUT_S)
-        return reply if isinstance(reply, Granted) else REFUSED
+        return reply if isinstance(reply, LeaseReply) else REFUSED
 
-    async def _here(self, request: Request) -> Granted:
-        if isinstance(request, RenewPlacer):
+    async def _here(self, request: Request) -> LeaseReply:
+        if isinstance(request, RenewLease):
             return await self.on_renew(request)
-        if isinstance(request, ClaimRole):
+        if isinstance(request, ClaimLease):
             return await self.on_claim(request)
-        if isinstance(request, Resign):
+        if isinstance(request, ReleaseLease):
             return await self.on_resign(request)
         return REFUSED
 
@@ -116,21 +116,21 @@
 
     async def _renew(self, asked_at: float) -> None:
         """Also a lease that has run out goes on, as long as nobody else was given the role."""
-        granted = await self._ask_head(RenewPlacer(self.me.name, self.lease.token))
+        granted = await self._ask_head(RenewLease(self.me.name, self.lease.token))
         if granted.granted:
             self.lease.extend(asked_at, granted.token)
         elif granted.token:
             self.lease.drop()
 
     async def _claim(self, asked_at: float, was_own: bool) -> None:
-        granted = await self._ask_head(ClaimRole(self.me.name, self.known_token))
+        granted = await self._ask_head(ClaimLease(self.me.name, self.known_token))
         self.known_token = max(self.known_token, granted.token)
         if granted.granted:
             self.was_own = was_own
             self.lease.extend(asked_at, granted.token)
             event("placer.elected", token=granted.token)
-        elif granted.wait_ms:
-            await self.chain.voting.changed.wait(granted.wait_ms / 1000)  # another view may shorten it
+        elif granted.retry_after_ms:
+            await self.chain.voting.changed.wait(granted.retry_after_ms / 1000)  # another view may shorten it
 
     def _is_candidate(self) -> bool:
         """The last members of the chain claim first, so that head and placer are mostly two machines."""
@@ -143,6 +143,6 @@
         self.lease.drop()
         idle_ms = int((steady() - self.last_order_at) * 1000)
         try:
-            await self._ask_head(Resign(self.me.name, self.lease.token, idle_ms))
+            await self._ask_head(ReleaseLease(self.me.name, self.lease.token, idle_ms))
         except ClusterError as error:
             event("placer.unheard", problem=str(error))
--- a/finchladder/cluster/process/router.py
+++ b/finchladder/cluster/process/router.py
@@ -21,9 +21,13 @@
     TimedOut,
     send,
 )
-from finchladder.cluster.process.finding import RETRY_AFTER_ABSENT_S, RETRY_AFTER_FULL_S, WorkerFinder
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.tasks import Signal
+from finchladder.cluster.process.worker_selection import (
+    RETRY_AFTER_ABSENT_S,
+    RETRY_AFTER_FULL_S,
+    WorkerFinder,
+)
 from finchladder.cluster.routing.budget import RetryBudget
 from finchladder.cluster.routing.demand import DemandCounter
 from finchladder.cluster.routing.events import EventCutter
--- a/finchladder/cluster/process/sessions_service.py
+++ b/finchladder/cluster/process/sessions_service.py
@@ -12,10 +12,10 @@
 from finchladder.cluster.sessions.table import Tables
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.members import View
-from finchladder.cluster.types.messages import Delta, Pull
-from finchladder.cluster.types.operations import ControlState, EndedWorker
-from finchladder.cluster.types.worker_api import Heartbeat, holdings
-from finchladder.cluster.types.workers import Phase, Stamp, WorkerRecord
+from finchladder.cluster.types.messages import PullUpdates, Update
+from finchladder.cluster.types.operations import ControlState, WorkerRetirement
+from finchladder.cluster.types.worker_api import Heartbeat, loaded_models
+from finchladder.cluster.types.workers import SessionPhase, Stamp, WorkerRecord
 
 MISSED_HEARTBEATS = 2.5  # silence after which a worker counts as lost
 HEARTBEAT_SLACK_S = 0.4
@@ -73,7 +73,7 @@
     placer: Callable[[], str]
     confirmed: Callable[[], bool]
     is_there: Callable[[str, str], Awaitable[bool]]
-    record_end: Callable[[EndedWorker], Awaitable[bool]]
+    record_end: Callable[[WorkerRetirement], Awaitable[bool]]
     quorum_lost: Callable[[], bool]
     changed: Signal = field(factory=Signal)
     readers: dict[str, Reader] = field(factory=dict)
@@ -83,7 +83,7 @@
     last_heartbeats: dict[str, LastHeartbeat] = field(factory=dict)
     origins: dict[str, float] = field(factory=dict)  # when each other origin was last heard
     told: set[str] = field(factory=set)  # instances whose drain or end was acknowledged here
-    ended: tuple[EndedWorker, ...] = ()  # those of the chain that the tables were told
+    ended: tuple[WorkerRetirement, ...] = ()  # those of the chain that the tables were told
     answered_at: dict[str, float] = field(factory=dict)  # when workers of silent owners last answered
     started_at: float = field(factory=steady)
     forgot_at: float = field(factory=steady)  # when former lives were last looked at
@@ -96,14 +96,14 @@
         known = self.tables.workers.get(instance)
         heard = self.last_heartbeats.get(instance)
         last = max(known.record.sequence if known else -1, heard.sequence if heard else -1)
-        if known is not None and known.record.phase is Phase.GONE:
+        if known is not None and known.record.phase is SessionPhase.DEREGISTERED:
             return await self._handed_on(instance)
         if heartbeat.sequence < last:
             return heartbeat.state != DRAINING or await self._handed_on(instance)
         self.last_heartbeats[instance] = LastHeartbeat(heartbeat.sequence, now)
         record = self._record(instance, heartbeat)
         if known is not None and _same(known.record, record):
-            return record.phase is Phase.READY or await self._handed_on(instance)
+            return record.phase is SessionPhase.READY or await self._handed_on(instance)
         self.tables.put_worker(record)
         self.changed.fire()
         if known is None or known.record.phase is not record.phase:
@@ -112,9 +112,9 @@
                 instance=instance,
                 phase=record.phase.value,
                 address=record.address,
-                models=[h.model for h in record.holdings],
+                models=[h.model for h in record.loaded_models],
             )
-        return record.phase is Phase.READY or await self._handed_on(instance)
+        return record.phase is SessionPhase.READY or await self._handed_on(instance)
 
     def _record(self, instance: str, heartbeat: Heartbeat) -> WorkerRecord:
         return WorkerRecord(
@@ -123,26 +123,31 @@
             address=heartbeat.address,
             zone=heartbeat.zone,
             slots=heartbeat.slots,
-            phase=Phase.DRAINING if heartbeat.state == DRAINING else Phase.READY,
+            phase=SessionPhase.DRAINING if heartbeat.state == DRAINING else SessionPhase.READY,
             sequence=heartbeat.sequence,
             owner=self.tables.origin,
-            holdings=holdings(heartbeat.models),
+            loaded_models=loaded_models(heartbeat.models),
             remaining_ms=None if heartbeat.remaining_ms is None else int(heartbeat.remaining_ms),
         )
 
     async def on_leave(self, instance: str) -> bool:
         """A worker has left for good. True if the call may be acknowledged."""
         known = self.tables.workers.get(instance)
-        if known is None or known.record.phase is not Phase.GONE:
+        if known is None or known.record.phase is not SessionPhase.DEREGISTERED:
             # one that is unknown here may be known to those that this process does not hear
             record = _unknown_worker(instance) if known is None else known.record
-            gone = msgspec.structs.replace(record, phase=Phase.GONE, owner=self.tables.origin)
+            gone = msgspec.structs.replace(record, phase=SessionPhase.DEREGISTERED, owner=self.tables.origin)
             self.tables.put_worker(gone)
             self.changed.fire()
-            event("worker.session", instance=instance, phase=Phase.GONE.value, address=gone.address)
+            event(
+                "worker.session",
+                instance=instance,
+                phase=SessionPhase.DEREGISTERED.value,
+                address=gone.address,
+            )
         return await self._handed_on(instance)
 
-    def take_ended(self, ended: tuple[EndedWorker, ...]) -> None:
+    def take_ended(self, ended: tuple[WorkerRetirement, ...]) -> None:
         """Drains and ends that the chain has stored count here, too, also after all tables were lost."""
         if ended is self.ended:
             return
@@ -151,12 +156,12 @@
             if end not in before:
                 self._take_end(end)
 
-    def _take_end(self, end: EndedWorker) -> None:
+    def _take_end(self, end: WorkerRetirement) -> None:
         known = self.tables.workers.get(end.instance)
         if known is None:
             self.tables.put_worker(_unknown_worker(end.instance))
         elif _is_news(end, known.record):
-            phase = Phase.GONE if end.left else Phase.DRAINING
+            phase = SessionPhase.DEREGISTERED if end.deregistered else SessionPhase.DRAINING
             sequence = max(end.sequence, known.record.sequence)
             self.tables.put_worker(msgspec.structs.replace(known.record, phase=phase, sequence=sequence))
         else:
@@ -168,12 +173,12 @@
         True if a majority of the voters does: whoever is in touch with them learns of it in time.
         """
         worker = self.tables.workers.get(instance)
-        if worker is None or worker.record.phase is Phase.READY:
+        if worker is None or worker.record.phase is SessionPhase.READY:
             return False
         if instance in self.told:
             return True
         record = worker.record
-        end = EndedWorker(instance, record.sequence, record.phase is Phase.GONE)
+        end = WorkerRetirement(instance, record.sequence, record.phase is SessionPhase.DEREGISTERED)
         stored, known = await asyncio.gather(self.record_end(end), self._spread(worker.stamp))
         if not stored or not known:
             return False
@@ -215,7 +220,10 @@
         self._forget_former_lives(now)
         for instance, worker in list(self.tables.workers.items()):
             record = worker.record
-            if record.phase in (Phase.READY, Phase.DRAINING) and record.owner == self.tables.origin:
+            if (
+                record.phase in (SessionPhase.READY, SessionPhase.DRAINING)
+                and record.owner == self.tables.origin
+            ):
                 heard = self.last_heartbeats.get(instance)
                 if heard is not None and now - heard.at > self.patience_s:
                     self._lose(record, heard.sequence)
@@ -236,14 +244,19 @@
                 self._lose(record, record.sequence)
 
     def _is_orphan(self, record: WorkerRecord, now: float) -> bool:
-        if record.owner == self.tables.origin or record.phase in (Phase.LOST, Phase.GONE):
+        if record.owner == self.tables.origin or record.phase in (
+            SessionPhase.LOST,
+            SessionPhase.DEREGISTERED,
+        ):
             return False
         heard_at = self.origins.setdefault(record.owner, now)
         answered_at = self.answered_at.get(record.instance, heard_at)
         return now - max(heard_at, answered_at) > ORPHAN_S + self.patience_s
 
     def _lose(self, record: WorkerRecord, sequence: int) -> None:
-        lost = msgspec.structs.replace(record, phase=Phase.LOST, sequence=sequence, owner=self.tables.origin)
+        lost = msgspec.structs.replace(
+            record, phase=SessionPhase.LOST, sequence=sequence, owner=self.tables.origin
+        )
         if self.tables.put_worker(lost):
             event("worker.lost", instance=record.instance, address=record.address)
             self.changed.fire()
@@ -261,7 +274,7 @@
 
     # --- readers ------------------------------------------------------------------------------------------
 
-    async def on_pull(self, pull: Pull) -> Delta:
+    async def on_pull(self, pull: PullUpdates) -> Update:
         """Answers at once if the reader misses anything, else when something changes or its wait is over."""
         self._note(pull)
         until = steady() + min(pull.wait_ms / 1000, LONGEST_WAIT_S)
@@ -275,12 +288,12 @@
             reader.told_at = steady()
         return self._delta(pull)
 
-    def _note(self, pull: Pull) -> Reader:
+    def _note(self, pull: PullUpdates) -> Reader:
         known = self.readers.get(pull.sender)
         told_at = -1e9 if known is None else known.told_at
         if known is None:
             self.edges_counted_at = -1e9
-        reader = Reader(pull.vector, steady(), pull.is_edge, pull.wait_ms > 0, told_at)
+        reader = Reader(pull.vector, steady(), pull.is_dispatcher, pull.wait_ms > 0, told_at)
         self.readers[pull.sender] = reader
         return reader
 
@@ -288,29 +301,29 @@
         """Seconds between two answers with news to one dispatcher: what comes meanwhile travels together."""
         return min(LONGEST_SPACING_S, SPACING_PER_EDGE_S * self.edges())
 
-    async def _space_out(self, pull: Pull) -> None:
+    async def _space_out(self, pull: PullUpdates) -> None:
         """Holds news back for a moment after the last, unless it takes a worker out of use."""
-        if not pull.is_edge or not pull.wait_ms:
+        if not pull.is_dispatcher or not pull.wait_ms:
             return
         until = self.readers[pull.sender].told_at + self.spacing_s()
         while (left := until - steady()) > 0 and self._has_news(pull) and not self._is_urgent(pull):
             await asyncio.sleep(min(left, URGENT_LOOK_S))  # changes are many: not each of them is looked at
 
-    def _is_urgent(self, pull: Pull) -> bool:
+    def _is_urgent(self, pull: PullUpdates) -> bool:
         """Whether a newer configuration or view, a drain, a loss or an end of a worker is among the news."""
         if self.state().version > pull.version or self.view().number > pull.view:
             return True
         workers, _ = self.tables.missing(pull.vector)
-        return any(w.record.phase is not Phase.READY for w in workers)
+        return any(w.record.phase is not SessionPhase.READY for w in workers)
 
-    def _has_news(self, pull: Pull) -> bool:
+    def _has_news(self, pull: PullUpdates) -> bool:
         newer = self.state().version > pull.version or self.view().number > pull.view
         return newer or self.tables.is_ahead(pull.vector)
 
-    def _delta(self, pull: Pull) -> Delta:
+    def _delta(self, pull: PullUpdates) -> Update:
         state, view = self.state(), self.view()
         workers, placements = self.tables.missing(pull.vector)
-        return Delta(
+        return Update(
             origin=self.tables.origin,
             vector=self.tables.told_vector(),
             view=view if view.number > pull.view else None,
@@ -318,11 +331,11 @@
             placements=placements,
             version=state.version,
             document=self.packer.pack(state.document) if state.version > pull.version else b"",
-            complete=self.is_complete(),
-            whole=not pull.vector,
+            knows_all_workers=self.is_complete(),
+            is_full=not pull.vector,
             placer=self.placer(),
-            edges=self.edges(),
-            confirmed=self.confirmed(),
+            dispatchers=self.edges(),
+            chain_confirmed=self.confirmed(),
             quorum_lost=self.quorum_lost(),
         )
 
@@ -341,14 +354,14 @@
 
 def _unknown_worker(instance: str) -> WorkerRecord:
     """What is told of a worker that has ended and of which nothing else is known."""
-    return WorkerRecord(instance, "", "", "", 0, Phase.GONE, 0, "")
+    return WorkerRecord(instance, "", "", "", 0, SessionPhase.DEREGISTERED, 0, "")
 
 
-def _is_news(end: EndedWorker, record: WorkerRecord) -> bool:
+def _is_news(end: WorkerRetirement, record: WorkerRecord) -> bool:
     """Whether a stored drain or end takes that worker out of use."""
-    if end.left:
-        return record.phase is not Phase.GONE
-    return record.phase is Phase.READY and record.sequence <= end.sequence
+    if end.deregistered:
+        return record.phase is not SessionPhase.DEREGISTERED
+    return record.phase is SessionPhase.READY and record.sequence <= end.sequence
 
 
 def _same(known: WorkerRecord, new: WorkerRecord) -> bool:
--- a/finchladder/cluster/process/settings.py
+++ b/finchladder/cluster/process/settings.py
@@ -9,7 +9,7 @@
 from jsonschema import Draft202012Validator
 
 from finchladder.cluster.configuration.schema import first_problem
-from finchladder.cluster.types.errors import SettingsInvalid
+from finchladder.cluster.types.errors import InvalidSettingsError
 
 FILE_VARIABLE = "FINCHLADDER_NODE_FILE"
 ADDRESS = {"type": "string", "pattern": "^[0-9.]+:[0-9]+$"}
@@ -110,10 +110,10 @@
     try:
         value = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise SettingsInvalid("read settings", place, str(error)) from None
+        raise InvalidSettingsError("read settings", place, str(error)) from None
     problem = first_problem(validator, value)
     if problem:
-        raise SettingsInvalid("check settings", place, problem)
+        raise InvalidSettingsError("check settings", place, problem)
     listen = value["listen"]
     return Settings(
         node_name=value["node_name"],
@@ -142,4 +142,4 @@
         with open(path, encoding="utf-8") as file:
             return parse(file.read(), path)
     except OSError as error:
-        raise SettingsInvalid("open settings", path or FILE_VARIABLE, str(error)) from None
+        raise InvalidSettingsError("open settings", path or FILE_VARIABLE, str(error)) from None
--- a/finchladder/cluster/process/update_puller.py
+++ b/finchladder/cluster/process/update_puller.py
@@ -18,7 +18,7 @@
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.errors import ClusterError
 from finchladder.cluster.types.members import GENESIS, Member, View
-from finchladder.cluster.types.messages import Delta, Pull
+from finchladder.cluster.types.messages import PullUpdates, Update
 
 WAIT_MS = 1000
 TIMEOUT_S = 1.8
@@ -66,7 +66,7 @@
     zone: str
     seeds: tuple[str, ...]
     version: Callable[[], int]
-    take: Callable[[Delta, list[str]], None]
+    take: Callable[[Update, list[str]], None]
     view: View = GENESIS
     sources: dict[str, Source] = field(factory=dict)
     primary: str = ""
@@ -151,7 +151,7 @@
             source = self.sources[address]
             waits = self._waits_at(address)
             wait_ms = WAIT_MS if waits else 0
-            pull = Pull(
+            pull = PullUpdates(
                 self.name, dict(self.tables.vector), self.version(), self.view.number, wait_ms, self.is_edge
             )
             try:
@@ -161,7 +161,7 @@
                 await asyncio.sleep(RETRY_S * self.random.uniform(0.5, 1.5))
                 continue
             source.failed = False
-            if isinstance(reply, Delta):
+            if isinstance(reply, Update):
                 await self._receive(source, reply)
             if not waits:
                 await self.look_now.wait(self.look_interval_s() * self.random.uniform(0.9, 1.1))
@@ -175,39 +175,39 @@
         if source.address == self.primary and was_trusted and not source.is_trusted():
             self.look_now.fire()
 
-    async def _receive(self, source: Source, delta: Delta) -> None:
-        newly_complete = delta.complete and (source.origin != delta.origin or not source.complete)
+    async def _receive(self, source: Source, delta: Update) -> None:
+        newly_complete = delta.knows_all_workers and (source.origin != delta.origin or not source.complete)
         was_trusted = source.is_trusted()
         source.origin, source.heard_at = delta.origin, steady()
-        source.complete, source.confirmed = delta.complete, delta.confirmed
+        source.complete, source.confirmed = delta.knows_all_workers, delta.chain_confirmed
         if delta.quorum_lost and not self._is_quorum_lost():
             self.quorum_lost_at = steady()
         source.quorum_lost = delta.quorum_lost
-        if delta.confirmed:
+        if delta.chain_confirmed:
             self.confirmed_at = steady()
         self._note_doubt(source, was_trusted)
         self._merge(delta)
         if newly_complete and self.is_edge:
             await self._compare_whole(source)
 
-    def _merge(self, delta: Delta) -> None:
+    def _merge(self, delta: Update) -> None:
         changed = self.tables.merge(delta.workers, delta.placements)
         self.tables.advance(delta.vector)
         if delta.view is not None and delta.view.number > self.view.number:
             self.view = delta.view
         self.placer = delta.placer or self.placer
-        self.edges = delta.edges or self.edges
+        self.edges = delta.dispatchers or self.edges
         self.take(delta, changed)
 
     async def _compare_whole(self, source: Source) -> None:
         """Drops what a control process that must know all workers does not know."""
-        pull = Pull(self.name, {}, self.version(), self.view.number, 0, self.is_edge)
+        pull = PullUpdates(self.name, {}, self.version(), self.view.number, 0, self.is_edge)
         try:
             reply = await self.peers.call(source.address, pull, TIMEOUT_S)
         except ClusterError:
             source.complete = False
             return
-        if isinstance(reply, Delta) and reply.whole and reply.complete:
+        if isinstance(reply, Update) and reply.is_full and reply.knows_all_workers:
             self._merge(reply)
             dropped = self.tables.keep_only({w.record.instance for w in reply.workers})
             if dropped:
--- a/finchladder/cluster/process/view_agreement.py
+++ b/finchladder/cluster/process/view_agreement.py
@@ -11,11 +11,11 @@
 from finchladder.cluster.replication import agreement
 from finchladder.cluster.replication.agreement import Acceptor
 from finchladder.cluster.replication.chain import Replica
-from finchladder.cluster.replication.membership import Limits, Status, first_view, next_view
+from finchladder.cluster.replication.membership import MemberStatus, ReplicationLimits, first_view, next_view
 from finchladder.cluster.storage.interface import DurableStore
 from finchladder.cluster.transport.interface import Peers
 from finchladder.cluster.transport.peers import all_of, steady
-from finchladder.cluster.types.errors import ClusterError, PeerUnreachable
+from finchladder.cluster.types.errors import ClusterError, PeerUnreachableError
 from finchladder.cluster.types.members import Ballot, Member, View
 from finchladder.cluster.types.messages import (
     Accept,
@@ -56,7 +56,7 @@
     me: Member
     store: DurableStore
     peers: Peers
-    limits: Limits
+    limits: ReplicationLimits
     seeds: tuple[str, ...]  # peer addresses
     founder: bool
     acceptor: Acceptor
@@ -94,19 +94,19 @@
         return Pong(
             sender=self.me,
             view=view.number,
-            newer=view if view.number > known_view else None,
+            newer_view=view if view.number > known_view else None,
             state_view=self.replica.state_view,
             sequence=self.replica.state.sequence,
-            healthy=self.healthy(),
-            accepted=self.acceptor.accepted is not None,
-            leaving=self.leaving,
+            disk_healthy=self.healthy(),
+            has_accepted=self.acceptor.accepted is not None,
+            shutting_down=self.leaving,
         )
 
     # --- as acceptor --------------------------------------------------------------------------------------
 
     async def on_ping(self, request: Ping) -> Pong:
         """Another member looks whether this one is there."""
-        if request.wants_in:
+        if request.wants_to_join:
             self.wants_in[request.sender.disk_id] = request.sender, steady()
         return self.pong(request.view)
 
@@ -156,7 +156,7 @@
 
     def _forget_former_members(self) -> None:
         """What was heard of disks that are lost would grow with each of them."""
-        members = {m.disk_id for group in (self.view.members(), *self.view.sources) for m in group}
+        members = {m.disk_id for group in (self.view.members(), *self.view.state_sources) for m in group}
         now = steady()
         self.heard = {d: h for d, h in self.heard.items() if d in members or now - h.at < SUSPECT_S}
         self.wants_in = {d: w for d, w in self.wants_in.items() if now - w[1] < SUSPECT_S}
@@ -197,23 +197,25 @@
             if not isinstance(reply, Pong):
                 return
             self.heard[reply.sender.disk_id] = Heard(reply, steady())
-            if reply.newer is not None:
-                await self.learn(reply.newer)
+            if reply.newer_view is not None:
+                await self.learn(reply.newer_view)
         except ClusterError:
             return  # not heard, or the own disk refuses: both show in `alive`
 
-    def alive(self) -> dict[str, Status]:
+    def alive(self) -> dict[str, MemberStatus]:
         """Members that answered lately, this one among them."""
         now = steady()
         fresh = {
-            disk_id: Status(heard.pong.sender, heard.pong.state_view, heard.pong.healthy, heard.pong.leaving)
+            disk_id: MemberStatus(
+                heard.pong.sender, heard.pong.state_view, heard.pong.disk_healthy, heard.pong.shutting_down
+            )
             for disk_id, heard in self.heard.items()
             if now - heard.at < SUSPECT_S
         }
         if now - self.adopted_at < SUSPECT_S:
             for member in self.view.chain:  # not heard yet is not silent
-                fresh.setdefault(member.disk_id, Status(member, NOT_KNOWN, True))
-        fresh[self.me.disk_id] = Status(self.me, self.replica.state_view, self.healthy(), self.leaving)
+                fresh.setdefault(member.disk_id, MemberStatus(member, NOT_KNOWN, True))
+        fresh[self.me.disk_id] = MemberStatus(self.me, self.replica.state_view, self.healthy(), self.leaving)
         return fresh
 
     def stored_views(self) -> dict[str, int]:
@@ -247,14 +249,14 @@
                 change.cancel()
             if call.done():
                 return call.result()
-            raise PeerUnreachable(type(request).__name__, member.name, "it has left the chain")
+            raise PeerUnreachableError(type(request).__name__, member.name, "it has left the chain")
         finally:
             if not call.done():
                 call.cancel()
 
     async def leave(self, patience_s: float) -> bool:
         """Has the others go on without this process, which is about to end; True if they do in time."""
-        if len(self.view.chain) <= self.limits.shortest_chain:
+        if len(self.view.chain) <= self.limits.min_chain_length:
             return False
         self.leaving = True
         until = steady() + patience_s
--- a/finchladder/cluster/process/worker_client.py
+++ b/finchladder/cluster/process/worker_client.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from finchladder.cluster.transport.http_client import make_session
-from finchladder.cluster.types.errors import PeerUnreachable
-from finchladder.cluster.types.worker_api import OrderBody, Report, report_decoder
+from finchladder.cluster.types.errors import PeerUnreachableError
+from finchladder.cluster.types.worker_api import OrderRequest, WorkerReport, report_decoder
 
 HEALTH_PATH = "/healthz"
 INSTANCE_ID = "X-Finchladder-Instance-Id"
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self._session = make_session(keepalive_s=KEEPALIVE_S)
 
-    async def order(self, address: str, instance: str, body: OrderBody, timeout_s: float) -> int:
+    async def order(self, address: str, instance: str, body: OrderRequest, timeout_s: float) -> int:
         """The status of the answer; PeerUnreachable without one: the order may have been taken. After
         `timeout_s` no byte of it leaves any more.
         """
@@ -31,18 +31,18 @@
         status, _ = await self._call("POST", url, "order", address, data, headers, min(timeout_s, TIMEOUT_S))
         return status
 
-    async def report(self, address: str, instance: str) -> Report:
+    async def report(self, address: str, instance: str) -> WorkerReport:
         """What the worker holds; PeerUnreachable where it does not say."""
         headers = {"X-Finchladder-Expected-Instance": instance}
         status, body = await self._call(
             "GET", f"http://{address}/api/report", "report", address, None, headers
         )
         if status != 200:
-            raise PeerUnreachable("report", address, f"status {status}")
+            raise PeerUnreachableError("report", address, f"status {status}")
         try:
             return report_decoder.decode(body)
         except msgspec.DecodeError as error:
-            raise PeerUnreachable("report", address, f"unreadable: {error}") from None
+            raise PeerUnreachableError("report", address, f"unreadable: {error}") from None
 
     async def is_there(self, address: str, instance: str) -> bool:
         """Whether that very instance answers, whatever it says of its health."""
@@ -72,7 +72,7 @@
             ):
                 return response.status, await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise PeerUnreachable(step, address, repr(error)) from None
+            raise PeerUnreachableError(step, address, repr(error)) from None
 
     async def close(self) -> None:
         """Closes all connections."""
--- a/finchladder/cluster/process/worker_orders.py
+++ b/finchladder/cluster/process/worker_orders.py
@@ -11,10 +11,10 @@
 
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.managed_worker import Managed, StoreLoad
-from finchladder.cluster.process.role import RoleService
+from finchladder.cluster.process.placer_lease import RoleService
 from finchladder.cluster.process.worker_client import WorkerClient
 from finchladder.cluster.transport.peers import steady
-from finchladder.cluster.types.worker_api import Report
+from finchladder.cluster.types.worker_api import WorkerReport
 
 DONE, TAKEN, BUSY, STALE_FENCE = 200, 202, 409, 412
 POLL_S = 0.1
@@ -33,11 +33,11 @@
     role: RoleService
     client: WorkerClient
 
-    async def ask(self, managed: Managed) -> Report:
+    async def ask(self, managed: Managed) -> WorkerReport:
         """What a worker says of itself now."""
         return await self.client.report(managed.state.address, managed.state.instance)
 
-    async def learn(self, managed: Managed) -> Report:
+    async def learn(self, managed: Managed) -> WorkerReport:
         """What a worker holds, once no order is under way there."""
         while True:
             report = await self.ask(managed)
--- a/finchladder/cluster/process/worker_retirement.py
+++ b/finchladder/cluster/process/worker_retirement.py
@@ -13,8 +13,8 @@
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.tasks import result_within
 from finchladder.cluster.types.errors import ClusterError
-from finchladder.cluster.types.messages import EndWorker, WorkerEnded
-from finchladder.cluster.types.operations import EndedWorker, RecordEnds, has_ended
+from finchladder.cluster.types.messages import RetireWorker, RetireWorkerReply
+from finchladder.cluster.types.operations import RecordRetirements, WorkerRetirement, is_retired
 
 RECORD_S = 0.7  # a worker calls the next control process after a second
 
@@ -24,11 +24,11 @@
     """Hands ends to the head; as head takes them down the chain."""
 
     chain: ChainService
-    pending: dict[str, EndedWorker] = field(factory=dict)  # by instance, not stored yet
+    pending: dict[str, WorkerRetirement] = field(factory=dict)  # by instance, not stored yet
 
-    async def record(self, end: EndedWorker) -> bool:
+    async def record(self, end: WorkerRetirement) -> bool:
         """True once the chain has stored it."""
-        if has_ended(self.chain.acknowledged, end):
+        if is_retired(self.chain.acknowledged, end):
             return True
         if self.chain.is_head:
             return await self._take(end)
@@ -36,17 +36,17 @@
         if head is None:
             return False
         try:
-            reply = await self.chain.voting.call_member(head, EndWorker(end), RECORD_S)
+            reply = await self.chain.voting.call_member(head, RetireWorker(end), RECORD_S)
         except ClusterError as error:
             event("worker.end_unheard", instance=end.instance, problem=str(error))
             return False
-        return isinstance(reply, WorkerEnded) and reply.stored
+        return isinstance(reply, RetireWorkerReply) and reply.stored
 
-    async def on_end(self, request: EndWorker) -> WorkerEnded:
+    async def on_end(self, request: RetireWorker) -> RetireWorkerReply:
         """Forwarded by another process; it is not forwarded again."""
-        return WorkerEnded(self.chain.is_head and await self._take(request.end))
+        return RetireWorkerReply(self.chain.is_head and await self._take(request.retirement))
 
-    async def _take(self, end: EndedWorker) -> bool:
+    async def _take(self, end: WorkerRetirement) -> bool:
         """As head; the write goes on when the time is over."""
         work = asyncio.ensure_future(self._take_in_turn(end))
         try:
@@ -55,20 +55,20 @@
             event("worker.end_unheard", instance=end.instance, problem=str(error))
             return False
 
-    async def _take_in_turn(self, end: EndedWorker) -> bool:
+    async def _take_in_turn(self, end: WorkerRetirement) -> bool:
         self.pending[end.instance] = end
         async with self.chain.write_lock:
             state = await self.chain.ready_to_write()
             if state is None:
                 return False
-            if has_ended(state, end):
+            if is_retired(state, end):
                 self._forget({end.instance: end})
                 return True
             batch = dict(self.pending)
-            if not await self.chain.write(RecordEnds(tuple(batch.values()))):
+            if not await self.chain.write(RecordRetirements(tuple(batch.values()))):
                 return False
             self._forget(batch)
             return True
 
-    def _forget(self, stored: dict[str, EndedWorker]) -> None:
+    def _forget(self, stored: dict[str, WorkerRetirement]) -> None:
         self.pending = {i: end for i, end in self.pending.items() if stored.get(i) != end}
--- a/finchladder/cluster/replication/membership.py
+++ b/finchladder/cluster/replication/membership.py
@@ -19,37 +19,37 @@
 
 
 @frozen
-class Status:
+class MemberStatus:
     """What is known of a member that answers."""
 
     member: Member
     state_view: int  # the view in which it last stored the state
     healthy: bool  # its disk answers
-    leaving: bool = False  # its process is about to end
+    shutting_down: bool = False  # its process is about to end
 
 
-NOTHING_HEARD: Mapping[str, int] = MappingProxyType({})
-MOST_SOURCES = 8  # groups of one view; beyond them it waits for a survivor
+NO_STORED_VIEWS: Mapping[str, int] = MappingProxyType({})
+MAX_STATE_SOURCES = 8  # groups of one view; beyond them it waits for a survivor
 
 
 @frozen
-class Limits:
+class ReplicationLimits:
     """What the deployment must bear. `losses`: disks that may be lost at once."""
 
-    losses: int
+    tolerated_losses: int
 
     @property
-    def shortest_chain(self) -> int:
+    def min_chain_length(self) -> int:
         """Fewer members could lose what was acknowledged."""
-        return self.losses + 1
+        return self.tolerated_losses + 1
 
     @property
-    def most_voters(self) -> int:
+    def max_voters(self) -> int:
         """So many that a majority is left after `losses`."""
-        return 2 * self.losses + 1
+        return 2 * self.tolerated_losses + 1
 
 
-def survivors(view: View, alive: Mapping[str, Status]) -> list[Member]:
+def survivors(view: View, alive: Mapping[str, MemberStatus]) -> list[Member]:
     """Members of the chain that hold all that was acknowledged and that answer, in their order."""
     kept = []
     for place, member in enumerate(view.chain):
@@ -62,7 +62,7 @@
 
 
 def next_voters(
-    view: View, alive: Mapping[str, Status], chain: Sequence[Member], limits: Limits
+    view: View, alive: Mapping[str, MemberStatus], chain: Sequence[Member], limits: ReplicationLimits
 ) -> list[Member]:
     """The voters of the next view: members of its chain replace former incarnations, then the silent, then
     fill up.
@@ -73,10 +73,10 @@
         if member.disk_id in known:
             continue
         former = [v for v in voters if v.name == member.name or v.peer_address == member.peer_address]
-        silent = [v for v in voters if v.disk_id not in alive or alive[v.disk_id].leaving]
+        silent = [v for v in voters if v.disk_id not in alive or alive[v.disk_id].shutting_down]
         if former:
             voters[voters.index(former[0])] = member
-        elif len(voters) < limits.most_voters:
+        elif len(voters) < limits.max_voters:
             voters.append(member)
         elif silent:
             voters[voters.index(silent[0])] = member
@@ -85,10 +85,10 @@
 
 def next_view(
     view: View,
-    alive: Mapping[str, Status],
+    alive: Mapping[str, MemberStatus],
     joining: Collection[Member],
-    limits: Limits,
-    stored: Mapping[str, int] = NOTHING_HEARD,
+    limits: ReplicationLimits,
+    stored: Mapping[str, int] = NO_STORED_VIEWS,
 ) -> View | None:
     """The view to propose; None if the present one is good, or no safe one can be made.
 
@@ -101,7 +101,7 @@
     present = [m for m in view.chain if m not in kept and _is_healthy(m, alive)]
     newcomers = _newcomers([*kept, *present], alive, joining)
     settled = all(alive[m.disk_id].state_view == view.number for m in (*kept, *present))
-    if not settled and len(kept) + len(present) >= limits.shortest_chain:
+    if not settled and len(kept) + len(present) >= limits.min_chain_length:
         newcomers = []
     chain = (*kept, *present, *newcomers)
     return _checked_view(view, alive, chain, len(kept), (_holders(view, kept, stored),), limits)
@@ -109,15 +109,15 @@
 
 def _checked_view(
     view: View,
-    alive: Mapping[str, Status],
+    alive: Mapping[str, MemberStatus],
     chain: tuple[Member, ...],
     kept: int,
     sources: tuple[tuple[Member, ...], ...],
-    limits: Limits,
+    limits: ReplicationLimits,
 ) -> View | None:
     """The view with that chain, unless it is the present one, too short, or its voters do not answer."""
     voters = tuple(next_voters(view, alive, chain, limits))
-    if len(chain) < limits.shortest_chain:
+    if len(chain) < limits.min_chain_length:
         return None
     if chain == view.chain and voters == view.voters:
         return None
@@ -135,11 +135,11 @@
     )
 
 
-def _collecting_view(view: View, alive: Mapping[str, Status], limits: Limits) -> View | None:
+def _collecting_view(view: View, alive: Mapping[str, MemberStatus], limits: ReplicationLimits) -> View | None:
     """A view without survivors, whose members have the state together; None if too few of them answer."""
     groups = (view.chain, *(g for g in view.source_groups if set(g) != set(view.chain)))
     answering = [[m for m in group if _is_healthy(m, alive)] for group in groups]
-    if not all(answering) or len(groups) > MOST_SOURCES:
+    if not all(answering) or len(groups) > MAX_STATE_SOURCES:
         return None
     chain = tuple(dict.fromkeys(member for group in reversed(answering) for member in group))
     if set(chain) == set(view.chain):
@@ -147,13 +147,13 @@
     return _checked_view(view, alive, chain, 0, groups, limits)
 
 
-def _is_healthy(member: Member, alive: Mapping[str, Status]) -> bool:
+def _is_healthy(member: Member, alive: Mapping[str, MemberStatus]) -> bool:
     status = alive.get(member.disk_id)
-    return status is not None and status.healthy and not status.leaving
+    return status is not None and status.healthy and not status.shutting_down
 
 
 def _newcomers(
-    staying: Sequence[Member], alive: Mapping[str, Status], joining: Collection[Member]
+    staying: Sequence[Member], alive: Mapping[str, MemberStatus], joining: Collection[Member]
 ) -> list[Member]:
     """Who may join behind those that stay; nobody that shares a name with one of them."""
     names = {member.name for member in staying}
@@ -162,9 +162,9 @@
     return sorted(wanted, key=lambda m: (m.name, m.disk_id))
 
 
-def first_view(members: Sequence[Member], limits: Limits) -> View | None:
+def first_view(members: Sequence[Member], limits: ReplicationLimits) -> View | None:
     """The first view of a new system, from those that were told to found it."""
-    if len(members) < limits.shortest_chain:
+    if len(members) < limits.min_chain_length:
         return None
     chain = tuple(sorted(members, key=lambda m: (m.name, m.disk_id)))
-    return View(1, chain[: limits.most_voters], chain, len(chain))
+    return View(1, chain[: limits.max_voters], chain, len(chain))
--- a/finchladder/cluster/routing/pools.py
+++ b/finchladder/cluster/routing/pools.py
@@ -20,7 +20,7 @@
 
 from attrs import define, field, frozen
 
-from finchladder.cluster.types.workers import Holding, Phase, PlacementRecord, WorkerRecord
+from finchladder.cluster.types.workers import LoadedModel, PlacementRecord, SessionPhase, WorkerRecord
 from finchladder.core.dispatch.choice import overflow, winner
 from finchladder.core.dispatch.hash_ring import Ring, key_hashes, ring_points
 
@@ -204,7 +204,7 @@
     """A worker that may be sent to, and what may be used there."""
 
     backend: Backend
-    holdings: tuple[Holding, ...] = ()
+    holdings: tuple[LoadedModel, ...] = ()
 
     def keys(self) -> Iterable[PoolKey]:
         """Of the pools that it is in."""
@@ -282,16 +282,16 @@
         return found
 
 
-def effective_holdings(worker: WorkerRecord, placement: PlacementRecord | None) -> tuple[Holding, ...]:
+def effective_holdings(worker: WorkerRecord, placement: PlacementRecord | None) -> tuple[LoadedModel, ...]:
     """What may be used at a worker: as the placer says; without its word, as the worker says itself."""
-    return worker.holdings if placement is None else placement.holdings
+    return worker.loaded_models if placement is None else placement.usable_models
 
 
 def holder_of(
     worker: WorkerRecord | None, placement: PlacementRecord | None, known: Holder | None
 ) -> Holder | None:
     """What the tables say of a worker; None unless it is ready. Known ones keep their loads."""
-    if worker is None or worker.phase is not Phase.READY:
+    if worker is None or worker.phase is not SessionPhase.READY:
         return None
     if known is not None:
         backend = known.backend
--- a/finchladder/cluster/sessions/table.py
+++ b/finchladder/cluster/sessions/table.py
@@ -14,8 +14,8 @@
 
 from finchladder.cluster.sessions.stamp_log import StampLog
 from finchladder.cluster.types.workers import (
-    Phase,
     PlacementRecord,
+    SessionPhase,
     Stamp,
     StampedPlacement,
     StampedWorker,
@@ -139,7 +139,11 @@
 
     def forget_ended(self, now: float) -> list[str]:
         """Drops workers that have been lost or gone for FORGET_S; returns them. `now`: steady seconds."""
-        ended = [i for i, w in self.workers.items() if w.record.phase in (Phase.LOST, Phase.GONE)]
+        ended = [
+            i
+            for i, w in self.workers.items()
+            if w.record.phase in (SessionPhase.LOST, SessionPhase.DEREGISTERED)
+        ]
         self._ended = {instance: self._ended.get(instance, now) for instance in ended}
         due = [instance for instance, since in self._ended.items() if now - since > FORGET_S]
         for instance in due:
@@ -157,7 +161,7 @@
     def live(self) -> Iterator[WorkerRecord]:
         """Workers that are ready or draining."""
         for worker in self.workers.values():
-            if worker.record.phase in (Phase.READY, Phase.DRAINING):
+            if worker.record.phase in (SessionPhase.READY, SessionPhase.DRAINING):
                 yield worker.record
 
 
--- a/finchladder/cluster/storage/lmdb_store.py
+++ b/finchladder/cluster/storage/lmdb_store.py
@@ -20,7 +20,7 @@
 
 from finchladder.cluster.replication.agreement import Acceptor
 from finchladder.cluster.replication.chain import Replica
-from finchladder.cluster.types.errors import StorageFailed
+from finchladder.cluster.types.errors import StorageError
 
 FORMAT = 1
 CHECKSUM_BYTES = 8
@@ -30,12 +30,12 @@
 T = TypeVar("T")
 
 
-class Damaged(Exception):
+class StorageDamagedError(Exception):
     """A value does not match its checksum or format."""
 
 
 # a disk that is full or refuses to be read is no reason to give up what is on it
-UNREADABLE = (Damaged, lmdb.InvalidError, lmdb.CorruptedError, lmdb.VersionMismatchError)
+UNREADABLE = (StorageDamagedError, lmdb.InvalidError, lmdb.CorruptedError, lmdb.VersionMismatchError)
 
 
 class Identity(msgspec.Struct, frozen=True, array_like=True):
@@ -56,11 +56,11 @@
     payload = data[1 + CHECKSUM_BYTES :]
     checksum = blake2b(payload, digest_size=CHECKSUM_BYTES).digest()
     if data[:1] != bytes([FORMAT]) or data[1 : 1 + CHECKSUM_BYTES] != checksum:
-        raise Damaged("checksum or format differs")
+        raise StorageDamagedError("checksum or format differs")
     try:
         return msgspec.msgpack.decode(payload, type=kind)
     except msgspec.DecodeError as error:
-        raise Damaged(str(error)) from None
+        raise StorageDamagedError(str(error)) from None
 
 
 class Store:
@@ -152,7 +152,7 @@
             self._failed = False
         except (lmdb.Error, OSError) as error:
             self._failed = True
-            raise StorageFailed("store", "disk", str(error)) from error
+            raise StorageError("store", "disk", str(error)) from error
         finally:
             del self._pending[serial]
 
--- a/finchladder/cluster/transport/peers.py
+++ b/finchladder/cluster/transport/peers.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from finchladder.cluster.transport.http_client import make_session
-from finchladder.cluster.types.errors import ClusterError, PeerRefused, PeerUnreachable
+from finchladder.cluster.types.errors import ClusterError, PeerRefusedError, PeerUnreachableError
 from finchladder.cluster.types.messages import (
     Failure,
     Reply,
@@ -44,15 +44,15 @@
             ) as response:
                 body = await response.read()
                 if response.status != 200:
-                    raise PeerRefused(step, address, f"status {response.status}")
+                    raise PeerRefusedError(step, address, f"status {response.status}")
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise PeerUnreachable(step, address, repr(error)) from None
+            raise PeerUnreachableError(step, address, repr(error)) from None
         try:
             reply = reply_decoder.decode(body)
         except msgspec.DecodeError as error:
-            raise PeerRefused(step, address, f"unreadable reply: {error}") from None
+            raise PeerRefusedError(step, address, f"unreadable reply: {error}") from None
         if isinstance(reply, Failure):
-            raise PeerRefused(reply.step, address, reply.problem)
+            raise PeerRefusedError(reply.step, address, reply.problem)
         return reply
 
     async def close(self) -> None:
--- a/finchladder/cluster/types/errors.py
+++ b/finchladder/cluster/types/errors.py
@@ -9,17 +9,17 @@
         self.step, self.peer, self.problem = step, peer, problem
 
 
-class PeerUnreachable(ClusterError):
+class PeerUnreachableError(ClusterError):
     """The peer did not answer in time, or the connection failed."""
 
 
-class PeerRefused(ClusterError):
+class PeerRefusedError(ClusterError):
     """The peer answered that it could not do it."""
 
 
-class StorageFailed(ClusterError):
+class StorageError(ClusterError):
     """The disk refused a write or did not answer."""
 
 
-class SettingsInvalid(ClusterError):
+class InvalidSettingsError(ClusterError):
     """The settings file can't be used."""
--- a/finchladder/cluster/types/members.py
+++ b/finchladder/cluster/types/members.py
@@ -32,12 +32,12 @@
     voters: tuple[Member, ...]
     chain: tuple[Member, ...]
     survivors: int
-    sources: tuple[tuple[Member, ...], ...] = ()
+    state_sources: tuple[tuple[Member, ...], ...] = ()
 
     @property
     def source_groups(self) -> tuple[tuple[Member, ...], ...]:
         """`sources`; of a view that names none, its survivors."""
-        return self.sources or (self.chain[: self.survivors],)
+        return self.state_sources or (self.chain[: self.survivors],)
 
     @property
     def quorum(self) -> int:
--- a/finchladder/cluster/types/messages.py
+++ b/finchladder/cluster/types/messages.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from finchladder.cluster.types.members import NO_BALLOT, Ballot, Member, View
-from finchladder.cluster.types.operations import ControlState, EndedWorker, Operation
+from finchladder.cluster.types.operations import ControlState, Operation, WorkerRetirement
 from finchladder.cluster.types.workers import StampedPlacement, StampedWorker
 
 
@@ -19,7 +19,7 @@
 
     sender: Member
     view: int  # the newest decided one that the sender knows
-    wants_in: bool
+    wants_to_join: bool
 
 
 class Prepare(Message, frozen=True, tag=2):
@@ -64,7 +64,7 @@
     """Asks the tail for the newest acknowledged state."""
 
 
-class Pull(Message, frozen=True, tag=8):
+class PullUpdates(Message, frozen=True, tag=8):
     """Asks for what is missing, by version vector; answered at once or when something changes."""
 
     sender: str
@@ -72,7 +72,7 @@
     version: int  # of the configuration that the sender has
     view: int
     wait_ms: int
-    is_edge: bool
+    is_dispatcher: bool
 
 
 class Demand(Message, frozen=True):
@@ -81,10 +81,10 @@
     service: str
     model: str
     adapter: str
-    asked: int
-    waiting: int  # requests held because nobody holds it
-    running: int
-    tokens: int  # of the prompts asked for
+    requests: int
+    queued: int  # requests held because nobody holds it
+    in_flight: int
+    prompt_tokens: int  # of the prompts asked for
 
 
 class ModelUse(Message, frozen=True):
@@ -99,28 +99,30 @@
     """From a dispatcher to the placer."""
 
     sender: str
-    seconds: float  # since the report before
+    interval_s: float  # since the report before
     demands: tuple[Demand, ...]
-    loads: dict[str, int] = {}  # by worker instance, in prompt tokens to be read; in requests without a model
-    uses: tuple[ModelUse, ...] = ()
-    s_per_token: dict[str, float] = {}  # of reading prompts, by service, where anything is known
+    worker_loads: dict[
+        str, int
+    ] = {}  # by worker instance, in prompt tokens to be read; in requests without a model
+    model_uses: tuple[ModelUse, ...] = ()
+    prefill_s_per_token: dict[str, float] = {}  # of reading prompts, by service, where anything is known
 
 
-class RenewPlacer(Message, frozen=True, tag=10):
+class RenewLease(Message, frozen=True, tag=10):
     """Asks the head to keep the placer's lease."""
 
     holder: str
     token: int
 
 
-class ClaimRole(Message, frozen=True, tag=11):
+class ClaimLease(Message, frozen=True, tag=11):
     """Asks the head for the vacant placer's role."""
 
     holder: str
     token: int  # the last one that the sender knows
 
 
-class Resign(Message, frozen=True, tag=12):
+class ReleaseLease(Message, frozen=True, tag=12):
     """The placer gives its role up; `idle_ms` ago it sent its last order."""
 
     holder: str
@@ -128,16 +130,16 @@
     idle_ms: int
 
 
-class Fetch(Message, frozen=True, tag=13):
+class FetchReplica(Message, frozen=True, tag=13):
     """From the head of a view without survivors: asks a member of its chain for the replica that it holds."""
 
     view: int
 
 
-class EndWorker(Message, frozen=True, tag=14):
+class RetireWorker(Message, frozen=True, tag=14):
     """Hands the drain or end of a worker to the head, for the chain to store."""
 
-    end: EndedWorker
+    retirement: WorkerRetirement
 
 
 Request = (
@@ -148,13 +150,13 @@
     | Replicate
     | Submit
     | ReadState
-    | Pull
+    | PullUpdates
     | DemandReport
-    | RenewPlacer
-    | ClaimRole
-    | Resign
-    | Fetch
-    | EndWorker
+    | RenewLease
+    | ClaimLease
+    | ReleaseLease
+    | FetchReplica
+    | RetireWorker
 )
 
 # --- replies ----------------------------------------------------------------------------------------------
@@ -165,12 +167,12 @@
 
     sender: Member
     view: int
-    newer: View | None  # where the asker knows an older one
+    newer_view: View | None  # where the asker knows an older one
     state_view: int
     sequence: int
-    healthy: bool  # its disk answers
-    accepted: bool  # it has accepted a proposal for the next view
-    leaving: bool = False  # its process is about to end
+    disk_healthy: bool  # its disk answers
+    has_accepted: bool  # it has accepted a proposal for the next view
+    shutting_down: bool = False  # its process is about to end
 
 
 class Promise(Message, frozen=True, tag=52):
@@ -215,7 +217,7 @@
     problem: str = ""
 
 
-class Delta(Message, frozen=True, tag=57):
+class Update(Message, frozen=True, tag=57):
     """What the puller was missing."""
 
     origin: str
@@ -225,20 +227,20 @@
     placements: tuple[StampedPlacement, ...]
     version: int
     document: bytes  # the newer configuration, packed; empty: there is none
-    complete: bool  # the sender has been up for long enough to know all workers
-    whole: bool  # the tables are sent whole, not as changes
+    knows_all_workers: bool  # the sender has been up for long enough to know all workers
+    is_full: bool  # the tables are sent whole, not as changes
     placer: str  # peer address of the placer; empty: unknown
-    edges: int  # dispatchers in session with the sender
-    confirmed: bool  # the sender's chain answered lately
+    dispatchers: int  # dispatchers in session with the sender
+    chain_confirmed: bool  # the sender's chain answered lately
     quorum_lost: bool = False  # most machines of the core answer the sender, and too few voters
 
 
-class Granted(Message, frozen=True, tag=58):
+class LeaseReply(Message, frozen=True, tag=58):
     """Answer to RenewPlacer, ClaimRole and Resign."""
 
     granted: bool
     token: int
-    wait_ms: int = 0
+    retry_after_ms: int = 0
 
 
 class DemandReply(Message, frozen=True, tag=59):
@@ -246,7 +248,7 @@
 
     interval_ms: int
     is_placer: bool
-    loads: dict[str, int] = {}  # of all other dispatchers, by worker instance, as they reported them
+    peer_loads: dict[str, int] = {}  # of all other dispatchers, by worker instance, as they reported them
 
 
 class Failure(Message, frozen=True, tag=60):
@@ -256,7 +258,7 @@
     problem: str
 
 
-class Fetched(Message, frozen=True, tag=61):
+class ReplicaReply(Message, frozen=True, tag=61):
     """Answer to Fetch. No state: the sender is not a member of that view, but knows `view`."""
 
     view: View
@@ -264,7 +266,7 @@
     state: ControlState | None = None
 
 
-class WorkerEnded(Message, frozen=True, tag=62):
+class RetireWorkerReply(Message, frozen=True, tag=62):
     """Answer to EndWorker: whether the whole chain has stored it; if not, it may or may not last."""
 
     stored: bool
@@ -277,13 +279,13 @@
     | Replicated
     | Submitted
     | StateReply
-    | Delta
-    | Granted
+    | Update
+    | LeaseReply
     | DemandReply
     | Learn
     | Failure
-    | Fetched
-    | WorkerEnded
+    | ReplicaReply
+    | RetireWorkerReply
 )
 
 encoder = msgspec.msgpack.Encoder()
--- a/finchladder/cluster/types/operations.py
+++ b/finchladder/cluster/types/operations.py
@@ -10,12 +10,12 @@
     digest: bytes
 
 
-class EndedWorker(msgspec.Struct, frozen=True, array_like=True):
+class WorkerRetirement(msgspec.Struct, frozen=True, array_like=True):
     """A worker incarnation whose drain (`left` false) or end was told. `sequence`: of its last call."""
 
     instance: str
     sequence: int
-    left: bool
+    deregistered: bool
 
 
 class ControlState(msgspec.Struct, frozen=True, array_like=True):
@@ -24,10 +24,10 @@
     sequence: int = 0
     version: int = 0  # of the configuration; 0: none yet
     document: bytes = b""  # the configuration, JSON
-    taken: tuple[Revision, ...] = ()  # the newest last, at most REVISIONS_KEPT
+    accepted_revisions: tuple[Revision, ...] = ()  # the newest last, at most MAX_REVISIONS
     fence_token: int = 0  # last one given out
     placer: str = ""  # name of the member that holds the placer's role
-    ended: tuple[EndedWorker, ...] = ()  # the newest last, at most ENDS_KEPT
+    retirements: tuple[WorkerRetirement, ...] = ()  # the newest last, at most MAX_RETIREMENTS
 
 
 class SetConfiguration(msgspec.Struct, frozen=True, array_like=True, tag=1):
@@ -46,15 +46,15 @@
     token: int
 
 
-class RecordEnds(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class RecordRetirements(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """Keeps drains and ends of workers."""
 
-    ends: tuple[EndedWorker, ...]
+    retirements: tuple[WorkerRetirement, ...]
 
 
-Operation = SetConfiguration | ClaimPlacer | RecordEnds
-REVISIONS_KEPT = 1024
-ENDS_KEPT = 1024  # by the time of so many later ones, a worker has long ended
+Operation = SetConfiguration | ClaimPlacer | RecordRetirements
+MAX_REVISIONS = 1024
+MAX_RETIREMENTS = 1024  # by the time of so many later ones, a worker has long ended
 
 
 def apply(state: ControlState, operation: Operation) -> ControlState:
@@ -66,11 +66,13 @@
             sequence=state.sequence + 1,
             version=operation.version,
             document=operation.document,
-            taken=(*state.taken, revision)[-REVISIONS_KEPT:],
+            accepted_revisions=(*state.accepted_revisions, revision)[-MAX_REVISIONS:],
         )
-    if isinstance(operation, RecordEnds):
+    if isinstance(operation, RecordRetirements):
         return msgspec.structs.replace(
-            state, sequence=state.sequence + 1, ended=_with_ends(state.ended, operation.ends)
+            state,
+            sequence=state.sequence + 1,
+            retirements=_with_retirements(state.retirements, operation.retirements),
         )
     return msgspec.structs.replace(
         state,
@@ -80,15 +82,20 @@
     )
 
 
-def has_ended(state: ControlState, end: EndedWorker) -> bool:
+def is_retired(state: ControlState, retirement: WorkerRetirement) -> bool:
     """Whether the state tells that drain or end already."""
-    return any(known.instance == end.instance and known.left >= end.left for known in state.ended)
+    return any(
+        known.instance == retirement.instance and known.deregistered >= retirement.deregistered
+        for known in state.retirements
+    )
 
 
-def _with_ends(known: tuple[EndedWorker, ...], ends: tuple[EndedWorker, ...]) -> tuple[EndedWorker, ...]:
+def _with_retirements(
+    known: tuple[WorkerRetirement, ...], retirements: tuple[WorkerRetirement, ...]
+) -> tuple[WorkerRetirement, ...]:
     """Each instance once, in its final form."""
     by_instance = {end.instance: end for end in known}
-    for end in ends:
+    for end in retirements:
         former = by_instance.pop(end.instance, end)
-        by_instance[end.instance] = former if former.left else end
-    return tuple(by_instance.values())[-ENDS_KEPT:]
+        by_instance[end.instance] = former if former.deregistered else end
+    return tuple(by_instance.values())[-MAX_RETIREMENTS:]
--- a/finchladder/cluster/types/worker_api.py
+++ b/finchladder/cluster/types/worker_api.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from finchladder.cluster.types.workers import Holding
+from finchladder.cluster.types.workers import LoadedModel
 
 
 class ModelReport(msgspec.Struct):
@@ -26,7 +26,7 @@
     remaining_ms: float | None = None
 
 
-class Report(msgspec.Struct):
+class WorkerReport(msgspec.Struct):
     """A worker's report of itself; some hundred ms old. `sequence` counts the orders it has taken."""
 
     sequence: int = 0
@@ -38,7 +38,7 @@
     kv_cache_total: int = 0
 
 
-class OrderBody(msgspec.Struct, omit_defaults=True):
+class OrderRequest(msgspec.Struct, omit_defaults=True):
     """An order to a worker."""
 
     operation: str
@@ -49,10 +49,12 @@
     if_revision: int | None = None
 
 
-def holdings(models: list[ModelReport]) -> tuple[Holding, ...]:
+def loaded_models(models: list[ModelReport]) -> tuple[LoadedModel, ...]:
     """Sorted, so that equal holdings compare equal."""
-    return tuple(sorted((Holding(m.name, tuple(sorted(m.adapters))) for m in models), key=lambda h: h.model))
+    return tuple(
+        sorted((LoadedModel(m.name, tuple(sorted(m.adapters))) for m in models), key=lambda h: h.model)
+    )
 
 
 heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
-report_decoder = msgspec.json.Decoder(Report)
+report_decoder = msgspec.json.Decoder(WorkerReport)
--- a/finchladder/cluster/types/workers.py
+++ b/finchladder/cluster/types/workers.py
@@ -5,16 +5,16 @@
 import msgspec
 
 
-class Phase(str, Enum):
+class SessionPhase(str, Enum):
     """State of a worker's session."""
 
     READY = "ready"
     DRAINING = "draining"
     LOST = "lost"  # its heartbeats stopped; a new one brings it back
-    GONE = "gone"  # it has left for good
+    DEREGISTERED = "gone"  # it has left for good
 
 
-class Holding(msgspec.Struct, frozen=True, array_like=True):
+class LoadedModel(msgspec.Struct, frozen=True, array_like=True):
     """A model in a worker's memory, with the adapters that lie beside it."""
 
     model: str
@@ -36,15 +36,15 @@
     address: str
     zone: str
     slots: int
-    phase: Phase
+    phase: SessionPhase
     sequence: int  # of the worker's calls; higher is newer
     owner: str  # origin that hears its heartbeats
-    holdings: tuple[Holding, ...] = ()
+    loaded_models: tuple[LoadedModel, ...] = ()
     remaining_ms: int | None = None  # time left to a worker that is taken away at short notice
 
     def rank(self) -> tuple[bool, int, bool]:
         """Orders two records of one worker: what is final, then the newer call, then its silence."""
-        return self.phase is Phase.GONE, self.sequence, self.phase is Phase.LOST
+        return self.phase is SessionPhase.DEREGISTERED, self.sequence, self.phase is SessionPhase.LOST
 
 
 class PendingLoad(msgspec.Struct, frozen=True, array_like=True):
@@ -52,7 +52,7 @@
 
     model: str
     adapter: str
-    left_ms: int
+    remaining_ms: int
 
 
 class PlacementRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -65,9 +65,9 @@
     instance: str
     token: int
     serial: int
-    holdings: tuple[Holding, ...]
+    usable_models: tuple[LoadedModel, ...]
     pending_load: PendingLoad | None = None
-    orders: int = 0
+    orders_taken: int = 0
     load_ages_ms: tuple[int, ...] = ()
 
 
--- a/finchladder/lab/cluster/chain_model.py
+++ b/finchladder/lab/cluster/chain_model.py
@@ -12,7 +12,7 @@
 
 from finchladder.cluster.replication import chain, membership
 from finchladder.cluster.replication.chain import Keep, NeedState, Replica, Store
-from finchladder.cluster.replication.membership import Limits, Status
+from finchladder.cluster.replication.membership import MemberStatus, ReplicationLimits
 from finchladder.cluster.types.members import Member, View
 from finchladder.cluster.types.messages import Replicate
 from finchladder.cluster.types.operations import ControlState, SetConfiguration
@@ -39,7 +39,7 @@
     writes_left: int
     views_left: int
     wipes_left: int
-    limits: Limits
+    limits: ReplicationLimits
 
     def view_of(self, node: Node) -> View | None:
         """The newest view that it knows."""
@@ -59,7 +59,7 @@
     named = tuple(_member(n, 0) for n in range(members))
     first = View(1, named, named, members)
     nodes = tuple(Node(m, 0, Replica(1, ControlState())) for m in named)
-    return System(nodes, (first,), frozenset(), writes, views, wipes, Limits((members - 1) // 2))
+    return System(nodes, (first,), frozenset(), writes, views, wipes, ReplicationLimits((members - 1) // 2))
 
 
 def _member(number: int, incarnation: int) -> Member:
@@ -140,7 +140,7 @@
     if view.tail != node.member:
         return after
     known_before = {version for version, _ in system.acknowledged}
-    fresh = {r.version for r in replica.state.taken} - known_before
+    fresh = {r.version for r in replica.state.accepted_revisions} - known_before
     return evolve(after, acknowledged=system.acknowledged | {(version, view.number) for version in fresh})
 
 
@@ -153,7 +153,7 @@
             voting = [n for n in answering if system.view_of(n) == view and n.member in view.voters]
             if len(voting) < view.quorum:
                 continue
-            alive = {n.member.disk_id: Status(n.member, n.replica.state_view, True) for n in answering}
+            alive = {n.member.disk_id: MemberStatus(n.member, n.replica.state_view, True) for n in answering}
             joining = [n.member for n in answering]
             following = membership.next_view(view, alive, joining, system.limits, stored)
             if following is not None:
@@ -165,7 +165,7 @@
 def nothing_acknowledged_is_missing(system: System) -> bool:
     """The rule: who has stored the state of a view has all that was acknowledged in it or before."""
     for node in system.nodes:
-        held = {revision.version for revision in node.replica.state.taken}
+        held = {revision.version for revision in node.replica.state.accepted_revisions}
         if any(v not in held and number <= node.replica.state_view for v, number in system.acknowledged):
             return False
     return True
--- a/finchladder/lab/cluster/dataplane.py
+++ b/finchladder/lab/cluster/dataplane.py
@@ -10,13 +10,13 @@
 
 from finchladder.cluster.configuration.packing import unpack
 from finchladder.cluster.process.core_sessions import CoreSessions
-from finchladder.cluster.process.pulling import Puller
 from finchladder.cluster.process.sessions_service import DRAINING
 from finchladder.cluster.process.tasks import Tasks
+from finchladder.cluster.process.update_puller import Puller
 from finchladder.cluster.sessions.table import Tables
-from finchladder.cluster.types.messages import Delta
+from finchladder.cluster.types.messages import Update
 from finchladder.cluster.types.worker_api import Heartbeat
-from finchladder.cluster.types.workers import Phase
+from finchladder.cluster.types.workers import SessionPhase
 from finchladder.lab.cluster.contact import Process
 from finchladder.lab.cluster.network import SimulatedPeers
 from finchladder.lab.cluster.operators import number_in
@@ -61,7 +61,7 @@
         self.version = self.number = 0
         random, tasks = Random(world.random.getrandbits(64)), Tasks()
 
-        def take(delta: Delta, _: list[str]) -> None:
+        def take(delta: Update, _: list[str]) -> None:
             if delta.document and delta.version > self.version:
                 self.version, self.number = delta.version, number_in(unpack(delta.document))
 
@@ -95,7 +95,7 @@
         if self.puller is None:
             return set()
         workers = self.puller.tables.workers.values()
-        return {w.record.instance for w in workers if w.record.phase is Phase.READY}
+        return {w.record.instance for w in workers if w.record.phase is SessionPhase.READY}
 
 
 @define
--- a/finchladder/lab/cluster/disk.py
+++ b/finchladder/lab/cluster/disk.py
@@ -8,7 +8,7 @@
 from finchladder.cluster.replication.agreement import Acceptor
 from finchladder.cluster.replication.chain import Replica
 from finchladder.cluster.storage.lmdb_store import seal, unseal
-from finchladder.cluster.types.errors import StorageFailed
+from finchladder.cluster.types.errors import StorageError
 
 SYNC_S = (0.001, 0.008)
 SHORTEST_S = 0.001  # of a sleep: what is less than the clock can show would never end
@@ -81,6 +81,6 @@
                 await asyncio.Event().wait()
             self.failed = self.refuses
             if self.refuses:
-                raise StorageFailed("store", "disk", "no space is left")
+                raise StorageError("store", "disk", "no space is left")
         finally:
             del self.pending[serial]
--- a/finchladder/lab/cluster/emulator/engines.py
+++ b/finchladder/lab/cluster/emulator/engines.py
@@ -14,7 +14,7 @@
 
 from finchladder.cluster.process.tasks import Signal
 from finchladder.cluster.transport.peers import steady
-from finchladder.cluster.types.worker_api import OrderBody
+from finchladder.cluster.types.worker_api import OrderRequest
 from finchladder.lab.cluster.model_workers import TAKEN, StandInWorker
 
 IDLE_S = 3600.0
@@ -87,7 +87,7 @@
     numbers: "count[int]" = field(factory=count)
     busy_s: float = 0.0
 
-    def take(self, order: OrderBody) -> int:
+    def take(self, order: OrderRequest) -> int:
         """As of the stand-in. What waits for a model that goes is refused."""
         times = self.load_times[order.model]
         self.load_s = times.disk_s if order.model in self.on_disk else times.store_s
@@ -99,7 +99,7 @@
             self.kept = {path for path in self.kept if path[0] != order.model}
         return status
 
-    def _refuse_waiting(self, order: OrderBody) -> None:
+    def _refuse_waiting(self, order: OrderRequest) -> None:
         for request in [*self.queue]:
             work = request.work
             if work.model == order.model and order.adapter in (None, work.adapter):
--- a/finchladder/lab/cluster/emulator/fleet.py
+++ b/finchladder/lab/cluster/emulator/fleet.py
@@ -10,13 +10,13 @@
 
 from finchladder.cluster.configuration.routing import Engine, Model, Service, Snapshot
 from finchladder.cluster.process.attempt import MISDIRECTED, NotExecuted
-from finchladder.cluster.process.edge_node import KEYED_SHARE, REPORT_S, TOGETHER_S
-from finchladder.cluster.process.finding import WorkerFinder
+from finchladder.cluster.process.dispatcher_node import KEYED_SHARE, REPORT_S, TOGETHER_S
 from finchladder.cluster.process.placer import Placer
 from finchladder.cluster.process.router import RETURN_S, Running
 from finchladder.cluster.process.sessions_service import LONGEST_SPACING_S, SPACING_PER_EDGE_S
 from finchladder.cluster.process.tasks import Signal, Tasks
 from finchladder.cluster.process.worker_orders import WorkerOrders
+from finchladder.cluster.process.worker_selection import WorkerFinder
 from finchladder.cluster.replication.lease import HeldLease
 from finchladder.cluster.routing.demand import DemandCounter
 from finchladder.cluster.routing.pools import Chooser, LoadUnderWay, PoolKey, holder_of
@@ -26,7 +26,7 @@
 from finchladder.cluster.types.members import Member
 from finchladder.cluster.types.messages import DemandReport
 from finchladder.cluster.types.operations import ControlState
-from finchladder.cluster.types.workers import Holding, Phase, WorkerRecord
+from finchladder.cluster.types.workers import LoadedModel, SessionPhase, WorkerRecord
 from finchladder.lab.cluster.emulator.demand import Arrival, DayPlan, arrivals
 from finchladder.lab.cluster.emulator.engines import EngineSpeed, EngineWorker, LoadTime
 from finchladder.lab.cluster.model_workers import StandInClient
@@ -131,7 +131,7 @@
             reply = self.fleet.placer.on_demand(report)
             await asyncio.sleep(CALL_S)
             interval = reply.interval_ms / 1000
-            self.finder.pools.hear_loads(steady(), reply.loads)
+            self.finder.pools.hear_loads(steady(), reply.peer_loads)
 
     async def serve(self, outcome: Outcome, arrived: float) -> float | None:
         """One try of a client; returns what it is told to wait, if it is refused."""
@@ -257,11 +257,19 @@
             self.workers[f"w{number:03}"] = worker
         for number, (name, worker) in enumerate(self.workers.items()):
             holdings = tuple(
-                Holding(m, tuple(sorted(worker.adapters.get(m, ())))) for m in sorted(worker.models)
+                LoadedModel(m, tuple(sorted(worker.adapters.get(m, ())))) for m in sorted(worker.models)
             )
             zone = f"z{number % plan.zones}"
             record = WorkerRecord(
-                name, SERVICE, f"{name}:1", zone, plan.speed.batch, Phase.READY, 1, "core-1/1", holdings
+                name,
+                SERVICE,
+                f"{name}:1",
+                zone,
+                plan.speed.batch,
+                SessionPhase.READY,
+                1,
+                "core-1/1",
+                holdings,
             )
             self.tables.put_worker(record)
 
@@ -303,7 +311,7 @@
     def _update(self, instances: list[str]) -> None:
         now, tables = steady(), self.tables
         loads = [
-            LoadUnderWay(PoolKey(SERVICE, pending.model, pending.adapter), now + pending.left_ms / 1000)
+            LoadUnderWay(PoolKey(SERVICE, pending.model, pending.adapter), now + pending.remaining_ms / 1000)
             for placed in tables.placements.values()
             if (pending := placed.record.pending_load) is not None
         ]
--- a/finchladder/lab/cluster/machine.py
+++ b/finchladder/lab/cluster/machine.py
@@ -5,7 +5,7 @@
 from finchladder.cluster.process.control_plane import ControlPlane
 from finchladder.cluster.process.core_sessions import CoreSessions
 from finchladder.cluster.process.placer import Placer
-from finchladder.cluster.types.messages import DemandReport, Pull, Reply, Request
+from finchladder.cluster.types.messages import DemandReport, PullUpdates, Reply, Request
 from finchladder.lab.cluster.contact import Process
 from finchladder.lab.cluster.disk import Platter, SimulatedDisk
 from finchladder.lab.cluster.virtual import running_loop
@@ -36,7 +36,7 @@
     async def answer(self, request: Request) -> Reply:
         """The internal protocol."""
         assert self.plane is not None
-        if isinstance(request, Pull) and self.sessions is not None:
+        if isinstance(request, PullUpdates) and self.sessions is not None:
             return await self.sessions.sessions.on_pull(request)
         if isinstance(request, DemandReport) and self.placer is not None:
             return self.placer.on_demand(request)
--- a/finchladder/lab/cluster/model_workers.py
+++ b/finchladder/lab/cluster/model_workers.py
@@ -6,8 +6,8 @@
 from attrs import define, field
 
 from finchladder.cluster.transport.peers import steady
-from finchladder.cluster.types.errors import PeerUnreachable
-from finchladder.cluster.types.worker_api import ModelReport, OrderBody, Report
+from finchladder.cluster.types.errors import PeerUnreachableError
+from finchladder.cluster.types.worker_api import ModelReport, OrderRequest, WorkerReport
 
 DONE, TAKEN, BUSY, STALE_FENCE = 200, 202, 409, 412
 
@@ -26,10 +26,10 @@
     sequence: int = 0
     fence: int = 0
     busy_until: float = 0.0
-    underway: OrderBody | None = None
+    underway: OrderRequest | None = None
     adapters: dict[str, set[str]] = field(factory=dict)
-    log: list[tuple[float, OrderBody, int]] = field(factory=list)
-    past: list[tuple[float, Report]] = field(factory=list)
+    log: list[tuple[float, OrderRequest, int]] = field(factory=list)
+    past: list[tuple[float, WorkerReport]] = field(factory=list)
     dark: bool = False
     in_use: Counter[str] = field(factory=Counter)
     on_disk: set[str] = field(factory=set)  # models that it has held
@@ -43,13 +43,13 @@
         self._finish(order)
         self._note(self.busy_until)
 
-    def _waits_for_requests(self, order: OrderBody) -> bool:
+    def _waits_for_requests(self, order: OrderRequest) -> bool:
         if order.operation == "load" or not self.in_use[order.model]:
             return False
         self.busy_until = steady()
         return True
 
-    def _finish(self, order: OrderBody) -> None:
+    def _finish(self, order: OrderRequest) -> None:
         held = self.adapters.setdefault(order.model, set())
         if order.adapter is not None:
             (held.add if order.operation == "load" else held.discard)(order.adapter)
@@ -62,9 +62,9 @@
 
     def _note(self, at: float) -> None:
         models = [ModelReport(m, 1, sorted(self.adapters.get(m, ()))) for m in sorted(self.models)]
-        self.past.append((at, Report(self.sequence, self.underway is not None, models)))
+        self.past.append((at, WorkerReport(self.sequence, self.underway is not None, models)))
 
-    def _is_underway(self, order: OrderBody) -> bool:
+    def _is_underway(self, order: OrderRequest) -> bool:
         underway = self.underway
         return underway is not None and (underway.operation, underway.model, underway.adapter) == (
             order.operation,
@@ -72,12 +72,12 @@
             order.adapter,
         )
 
-    def _holds(self, order: OrderBody) -> bool:
+    def _holds(self, order: OrderRequest) -> bool:
         if order.adapter is not None:
             return order.adapter in self.adapters.get(order.model, ())
         return order.model in self.models
 
-    def take(self, order: OrderBody) -> int:
+    def take(self, order: OrderRequest) -> int:
         """The status of the answer to an order."""
         self.settle()
         if order.fence_token < self.fence:
@@ -102,7 +102,7 @@
         goes = order is not None and order.operation == "evict" and order.model == model
         return model in self.models and not goes
 
-    def reported(self) -> Report:
+    def reported(self) -> WorkerReport:
         """What it says of itself: as it was some time ago."""
         self.settle()
         if not self.past:
@@ -118,7 +118,7 @@
 
     workers: dict[str, StandInWorker]
 
-    async def order(self, address: str, instance: str, body: OrderBody, timeout_s: float) -> int:
+    async def order(self, address: str, instance: str, body: OrderRequest, timeout_s: float) -> int:
         """As of `WorkerClient`."""
         worker = await self._reach(address, "order", timeout_s)
         status = worker.take(body)
@@ -126,7 +126,7 @@
         await asyncio.sleep(worker.call_s / 2)
         return status
 
-    async def report(self, address: str, instance: str) -> Report:
+    async def report(self, address: str, instance: str) -> WorkerReport:
         """As of `WorkerClient`."""
         worker = await self._reach(address, "report", 0.8)
         report = worker.reported()
@@ -137,5 +137,5 @@
         worker = self.workers[address]
         await asyncio.sleep(timeout_s if worker.dark else worker.call_s / 2)
         if worker.dark:
-            raise PeerUnreachable(step, address, "no answer")
+            raise PeerUnreachableError(step, address, "no answer")
         return worker
--- a/finchladder/lab/cluster/network.py
+++ b/finchladder/lab/cluster/network.py
@@ -7,7 +7,7 @@
 
 from attrs import define, field
 
-from finchladder.cluster.types.errors import ClusterError, PeerRefused, PeerUnreachable
+from finchladder.cluster.types.errors import ClusterError, PeerRefusedError, PeerUnreachableError
 from finchladder.cluster.types.messages import (
     Failure,
     Reply,
@@ -51,7 +51,7 @@
             return None
         host = self.hosts.get(target)
         if host is None:
-            raise PeerUnreachable(type(request).__name__, target, "connection refused")
+            raise PeerUnreachableError(type(request).__name__, target, "connection refused")
         message = request_decoder.decode(encoder.encode(request))
         task = host.spawn(self._handle(host, message))
         try:
@@ -59,7 +59,7 @@
         except asyncio.CancelledError:
             caller = asyncio.current_task()
             if task.cancelled() and not (caller and caller.cancelling()):
-                raise PeerUnreachable(type(request).__name__, target, "connection reset") from None
+                raise PeerUnreachableError(type(request).__name__, target, "connection reset") from None
             raise
         if not await self._travel(target, source):
             return None
@@ -88,8 +88,8 @@
                 if reply is None:
                     await asyncio.Event().wait()
         except TimeoutError:
-            raise PeerUnreachable(step, address, "no answer in time") from None
+            raise PeerUnreachableError(step, address, "no answer in time") from None
         assert reply is not None
         if isinstance(reply, Failure):
-            raise PeerRefused(reply.step, address, reply.problem)
+            raise PeerRefusedError(reply.step, address, reply.problem)
         return reply
--- a/finchladder/lab/cluster/placement.py
+++ b/finchladder/lab/cluster/placement.py
@@ -22,8 +22,8 @@
 from finchladder.cluster.routing.requests import Need
 from finchladder.cluster.types.errors import ClusterError
 from finchladder.cluster.types.messages import DemandReport
-from finchladder.cluster.types.worker_api import Heartbeat, ModelReport, OrderBody
-from finchladder.cluster.types.workers import Phase
+from finchladder.cluster.types.worker_api import Heartbeat, ModelReport, OrderRequest
+from finchladder.cluster.types.workers import SessionPhase
 from finchladder.lab.cluster.dataplane import ANSWER_S, HEARTBEAT_S, Dispatcher
 from finchladder.lab.cluster.engine import BUSY, LOAD_S, MEMORY_MB, RARE, RATE_S, SERVICE, WEIGHTS_MB
 from finchladder.lab.cluster.model_workers import TAKEN, StandInClient, StandInWorker
@@ -109,7 +109,7 @@
             return None
         for name, worker in self.play.workers.items():
             record, placement = puller.tables.workers.get(name), puller.tables.placements.get(name)
-            if record is None or record.record.phase is not Phase.READY or not worker.holds(model):
+            if record is None or record.record.phase is not SessionPhase.READY or not worker.holds(model):
                 continue
             told = effective_holdings(record.record, None if placement is None else placement.record)
             if any(holding.model == model for holding in told):
@@ -238,7 +238,7 @@
 
     play: PlacementPlay
 
-    async def order(self, address: str, instance: str, body: OrderBody, timeout_s: float) -> int:
+    async def order(self, address: str, instance: str, body: OrderRequest, timeout_s: float) -> int:
         """As of `WorkerClient`."""
         worker = self.workers[address]
         taken_before, loop = worker.sequence, asyncio.get_running_loop()
--- a/finchladder/lab/cluster/planted_faults.py
+++ b/finchladder/lab/cluster/planted_faults.py
@@ -51,7 +51,7 @@
         "read although a voter has accepted a later view",
         1,
         "process.chain_service",
-        " and not p.accepted",
+        " and not p.has_accepted",
         "",
     ),
     Mutant(
@@ -74,14 +74,14 @@
         "drains that were stored are not taken after a restart",
         1,
         "process.core_sessions",
-        "self.sessions.take_ended(self.control.chain.acknowledged.ended)",
+        "self.sessions.take_ended(self.control.chain.acknowledged.retirements)",
         "pass",
         edges=4,
     ),
     Mutant(
         "dispatcher waits at a core machine that is not confirmed",
         1,
-        "process.pulling",
+        "process.update_puller",
         "if self.sources[m.peer_address].is_trusted()] or live",
         "] or live",
         edges=4,
@@ -89,7 +89,7 @@
     Mutant(
         "dispatcher goes on while the core has lost its quorum",
         1,
-        "process.pulling",
+        "process.update_puller",
         "return self._is_quorum_lost() and steady() - since > DOUBT_S",
         "return False",
         machines=5,
@@ -97,7 +97,11 @@
     ),
     Mutant("read by any member", 1, "process.chain_service", _IS_TAIL, "if tail is None:"),
     Mutant(
-        "refusal without the chain", 1, "process.changes", "if await self.chain.confirm_locked():", "if True:"
+        "refusal without the chain",
+        1,
+        "process.configuration_changes",
+        "if await self.chain.confirm_locked():",
+        "if True:",
     ),
     Mutant(
         "write on what is not confirmed",
@@ -124,7 +128,7 @@
     Mutant(
         "lease renewed without the chain",
         1,
-        "process.role",
+        "process.placer_lease",
         "if not await self.chain.confirm():",
         "if False:",
     ),
@@ -144,7 +148,11 @@
         "self.lease.confirm(steady() - 100)",
     ),
     Mutant(
-        "lease counted from the answer", 1, "process.role", _EXTEND, _EXTEND.replace("asked_at", "steady()")
+        "lease counted from the answer",
+        1,
+        "process.placer_lease",
+        _EXTEND,
+        _EXTEND.replace("asked_at", "steady()"),
     ),
     Mutant(
         "token that does not rise",
@@ -157,21 +165,21 @@
     Mutant(
         "order sent again is not recognised",
         2,
-        "process.changes",
+        "process.configuration_changes",
         "if revision.digest == digest:",
         "if False:",
     ),
     Mutant(
         "order sent again is answered with another version",
         2,
-        "process.changes",
+        "process.configuration_changes",
         "return Submitted(TAKEN, revision.version)",
         "return Submitted(TAKEN, state.version)",
     ),
-    Mutant("base is not looked at", 2, "process.changes", "if base != state.version:", "if False:"),
     Mutant(
-        "taken orders are forgotten", 2, "types.operations", "REVISIONS_KEPT = 1024", "REVISIONS_KEPT = 1"
+        "base is not looked at", 2, "process.configuration_changes", "if base != state.version:", "if False:"
     ),
+    Mutant("taken orders are forgotten", 2, "types.operations", "MAX_REVISIONS = 1024", "MAX_REVISIONS = 1"),
     Mutant(
         "digest without the base's body",
         2,
@@ -180,27 +188,27 @@
         "return blake2b(head, digest_size=16).digest()",
     ),
     # losses after repairs
-    Mutant("votes not stored", 3, "process.voting", _STORE_VOTE, "self.acceptor, self.accepted_at"),
-    Mutant("promises not stored", 3, "process.voting", _STORE_PROMISE, "self.acceptor = acceptor"),
-    Mutant("view not stored", 3, "process.voting", _STORE_VIEW, "self.acceptor = acceptor"),
+    Mutant("votes not stored", 3, "process.view_agreement", _STORE_VOTE, "self.acceptor, self.accepted_at"),
+    Mutant("promises not stored", 3, "process.view_agreement", _STORE_PROMISE, "self.acceptor = acceptor"),
+    Mutant("view not stored", 3, "process.view_agreement", _STORE_VIEW, "self.acceptor = acceptor"),
     Mutant(
         "view learned while a vote is stored",
         3,
-        "process.voting",
+        "process.view_agreement",
         "async with self.lock:\n            acceptor = agreement.learn",
         "if True:\n            acceptor = agreement.learn",
     ),
     Mutant(
         "majority one too small",
         3,
-        "process.voting",
+        "process.view_agreement",
         "quorum = len(addresses) // 2 + 1",
         "quorum = len(addresses) // 2",
     ),
     Mutant(
         "view decided by one vote",
         3,
-        "process.voting",
+        "process.view_agreement",
         "if sum(a.granted for a in accepted) < quorum:",
         "if sum(a.granted for a in accepted) < 1:",
     ),
@@ -236,14 +244,18 @@
     Mutant(
         "who is no voter votes",
         3,
-        "process.voting",
+        "process.view_agreement",
         "return self.view.has_voter(self.me.disk_id)",
         "return True",
     ),
-    Mutant("empty disk founds a system", 3, "process.voting", "return self.founder", "return True"),
-    Mutant("chain too short", 3, "replication.membership", "return self.losses + 1", "return 1"),
+    Mutant("empty disk founds a system", 3, "process.view_agreement", "return self.founder", "return True"),
+    Mutant("chain too short", 3, "replication.membership", "return self.tolerated_losses + 1", "return 1"),
     Mutant(
-        "too few voters", 3, "replication.membership", "return 2 * self.losses + 1", "return self.losses + 1"
+        "too few voters",
+        3,
+        "replication.membership",
+        "return 2 * self.tolerated_losses + 1",
+        "return self.tolerated_losses + 1",
     ),
     Mutant("former incarnation keeps its vote", 3, "replication.membership", "if former:", "if False:"),
     Mutant(
@@ -277,11 +289,17 @@
     Mutant(
         "undecided vote is left",
         3,
-        "process.voting",
+        "process.view_agreement",
         "return self.acceptor.accepted if waited > UNDECIDED_S else None",
         "return None",
     ),
-    Mutant("leaving is not told", 3, "process.voting", "leaving=self.leaving,", "leaving=False,"),
+    Mutant(
+        "leaving is not told",
+        3,
+        "process.view_agreement",
+        "shutting_down=self.leaving,",
+        "shutting_down=False,",
+    ),
     # members that were away
     Mutant("anybody survives", 4, "replication.membership", _QUALIFIED, "if True:"),
     Mutant(
--- a/tests/cluster/placer_scene.py
+++ b/tests/cluster/placer_scene.py
@@ -17,7 +17,7 @@
 from finchladder.cluster.types.members import Member
 from finchladder.cluster.types.messages import Demand, DemandReport
 from finchladder.cluster.types.operations import ControlState
-from finchladder.cluster.types.workers import Holding, Phase, WorkerRecord
+from finchladder.cluster.types.workers import LoadedModel, SessionPhase, WorkerRecord
 from finchladder.lab.cluster.model_workers import StandInClient, StandInWorker
 
 LOAD_S = 0.8
@@ -32,8 +32,10 @@
     def __init__(self, token: int = 1, **workers: StandInWorker) -> None:
         self.tables = Tables("core-1/1")
         for name, worker in workers.items():
-            holdings = tuple(Holding(m, ()) for m in sorted(worker.models))
-            record = WorkerRecord(name, "llm", f"{name}:1", "z", 64, Phase.READY, 1, "core-1/1", holdings)
+            holdings = tuple(LoadedModel(m, ()) for m in sorted(worker.models))
+            record = WorkerRecord(
+                name, "llm", f"{name}:1", "z", 64, SessionPhase.READY, 1, "core-1/1", holdings
+            )
             self.tables.put_worker(record)
         sessions = SimpleNamespace(
             tables=self.tables,
@@ -85,13 +87,13 @@
 
     def lose(self, name: str) -> None:
         """Its heartbeats have stopped."""
-        self._put(name, Phase.LOST)
+        self._put(name, SessionPhase.LOST)
 
     def bring_back(self, name: str) -> None:
         """It is heard again, as the same instance."""
-        self._put(name, Phase.READY)
+        self._put(name, SessionPhase.READY)
 
-    def _put(self, name: str, phase: Phase) -> None:
+    def _put(self, name: str, phase: SessionPhase) -> None:
         record = self.tables.workers[name].record
         changed = msgspec.structs.replace(record, phase=phase, sequence=record.sequence + 1)
         assert self.tables.put_worker(changed)
@@ -104,5 +106,5 @@
 
     def is_usable(self, model: str, adapter: str) -> bool:
         placements = [p.record for p in self.tables.placements.values()]
-        held = [h for record in placements for h in record.holdings if h.model == model]
+        held = [h for record in placements for h in record.usable_models if h.model == model]
         return any(not adapter or adapter in h.adapters for h in held)
--- a/tests/cluster/test_chain.py
+++ b/tests/cluster/test_chain.py
@@ -3,7 +3,7 @@
 from finchladder.cluster.replication.chain import Keep, NeedState, Refuse, Replica, Store, receive
 from finchladder.cluster.types.messages import Replicate
 from finchladder.cluster.types.operations import (
-    REVISIONS_KEPT,
+    MAX_REVISIONS,
     ClaimPlacer,
     ControlState,
     SetConfiguration,
@@ -56,7 +56,7 @@
 
 def test_the_orders_that_were_taken_are_kept_up_to_a_bound() -> None:
     state = ControlState()
-    for number in range(REVISIONS_KEPT + 3):
+    for number in range(MAX_REVISIONS + 3):
         state = apply(state, SetConfiguration(number, number + 1, b"%d" % number, b""))
-    assert len(state.taken) == REVISIONS_KEPT
-    assert state.taken[-1].version == REVISIONS_KEPT + 3
+    assert len(state.accepted_revisions) == MAX_REVISIONS
+    assert state.accepted_revisions[-1].version == MAX_REVISIONS + 3
--- a/tests/cluster/test_chain_model.py
+++ b/tests/cluster/test_chain_model.py
@@ -8,7 +8,7 @@
 
 from finchladder.cluster.replication import chain, membership
 from finchladder.cluster.replication.chain import Replica
-from finchladder.cluster.replication.membership import Limits, Status
+from finchladder.cluster.replication.membership import MemberStatus, ReplicationLimits
 from finchladder.cluster.types.members import Member, View
 from finchladder.lab.cluster import chain_model
 from finchladder.lab.cluster.__main__ import main
@@ -34,7 +34,7 @@
 
 
 def test_joiners_that_count_as_survivors_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    def anybody(view: View, alive: Mapping[str, Status]) -> list[Member]:
+    def anybody(view: View, alive: Mapping[str, MemberStatus]) -> list[Member]:
         return [m for m in view.chain if m.disk_id in alive]
 
     monkeypatch.setattr(membership, "survivors", anybody)
@@ -48,7 +48,7 @@
         view = next_view(*arguments)
         if view is None:
             return None
-        return View(view.number, view.voters, view.chain[::-1], view.survivors, view.sources)
+        return View(view.number, view.voters, view.chain[::-1], view.survivors, view.state_sources)
 
     monkeypatch.setattr(membership, "next_view", joiner_first)
     assert searched().broken is not None
@@ -57,7 +57,9 @@
 def test_a_collection_without_the_sources_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without the other group it needs machines that vote no more; test_worst_days.py forbids it by cases."""
 
-    def whoever_answers(view: View, alive: Mapping[str, Status], limits: Limits) -> View | None:
+    def whoever_answers(
+        view: View, alive: Mapping[str, MemberStatus], limits: ReplicationLimits
+    ) -> View | None:
         members = tuple(status.member for status in alive.values())
         return membership._checked_view(view, alive, members, 0, (view.chain,), limits)
 
--- a/tests/cluster/test_changes.py
+++ b/tests/cluster/test_changes.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from finchladder.cluster.process.changes import CONFLICT, INVALID, TAKEN, UNCLEAR
+from finchladder.cluster.process.configuration_changes import CONFLICT, INVALID, TAKEN, UNCLEAR
 from finchladder.cluster.process.tasks import Signal
 from finchladder.cluster.types.errors import ClusterError
 from finchladder.lab.cluster.machine import Machine
--- a/tests/cluster/test_control_world.py
+++ b/tests/cluster/test_control_world.py
@@ -128,7 +128,7 @@
 
 
 def test_joiners_that_count_as_survivors_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    def anybody(view: View, alive: dict[str, membership.Status]) -> list[Member]:
+    def anybody(view: View, alive: dict[str, membership.MemberStatus]) -> list[Member]:
         return [status.member for status in alive.values() if status.healthy]
 
     monkeypatch.setattr(membership, "survivors", anybody)
--- a/tests/cluster/test_edge_node.py
+++ b/tests/cluster/test_edge_node.py
@@ -7,11 +7,11 @@
 import pytest
 from aiohttp import web
 
-from finchladder.cluster.process import edge_node
-from finchladder.cluster.process.edge_node import EdgeNode
-from finchladder.cluster.process.pulling import Puller
+from finchladder.cluster.process import dispatcher_node
+from finchladder.cluster.process.dispatcher_node import EdgeNode
 from finchladder.cluster.process.router import Router
 from finchladder.cluster.process.settings import Settings
+from finchladder.cluster.process.update_puller import Puller
 from finchladder.cluster.routing.budget import RetryBudget
 from finchladder.cluster.routing.demand import DemandCounter
 from finchladder.cluster.routing.pools import Backend, Chooser, Holder, Pools
@@ -41,7 +41,7 @@
 def test_a_request_that_comes_as_the_dispatcher_ends_is_answered_whole(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(edge_node, "UNREADY_S", 0.1)
+    monkeypatch.setattr(dispatcher_node, "UNREADY_S", 0.1)
 
     async def work() -> None:
         settings = SimpleNamespace(bounds=SimpleNamespace(grace_s=5.0))
@@ -104,7 +104,7 @@
         one.add(1)
         node.tasks.repeat(node._report, "demand")
         await asyncio.sleep(0.6)
-        assert [(r.sender, r.loads) for r in reports] == [("edge-1", {"a": 1})]
+        assert [(r.sender, r.worker_loads) for r in reports] == [("edge-1", {"a": 1})]
         assert (one.load, two.load) == (1, 5)
         await asyncio.sleep(2.0)
         assert len(reports) == 3, "as often as the placer asks for"
--- a/tests/cluster/test_emulator.py
+++ b/tests/cluster/test_emulator.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from finchladder.cluster.types.worker_api import OrderBody
+from finchladder.cluster.types.worker_api import OrderRequest
 from finchladder.lab.cluster.emulator import days
 from finchladder.lab.cluster.emulator.demand import arrivals
 from finchladder.lab.cluster.emulator.engines import EngineSpeed, EngineWorker, LoadTime, Work
@@ -61,7 +61,7 @@
         absent = engine.submit(work(100, model="m1"), 60.0) is None
         waiting = engine.submit(work(100), 60.0)
         assert waiting is not None
-        assert engine.take(OrderBody("evict", "m0", "h", 1)) == 202
+        assert engine.take(OrderRequest("evict", "m0", "h", 1)) == 202
         return absent, waiting.first.done(), waiting.was_run
 
     assert run(play()) == (True, True, False)
--- a/tests/cluster/test_ended_workers.py
+++ b/tests/cluster/test_ended_workers.py
@@ -6,45 +6,45 @@
 
 from finchladder.cluster.process.control_plane import ControlPlane
 from finchladder.cluster.types.operations import (
-    ENDS_KEPT,
+    MAX_RETIREMENTS,
     ControlState,
-    EndedWorker,
-    RecordEnds,
+    RecordRetirements,
+    WorkerRetirement,
     apply,
-    has_ended,
+    is_retired,
 )
 from finchladder.lab.cluster.virtual import run
 from finchladder.lab.cluster.world import World
 
 
-def drain(instance: str, sequence: int = 1) -> EndedWorker:
-    return EndedWorker(instance, sequence, False)
+def drain(instance: str, sequence: int = 1) -> WorkerRetirement:
+    return WorkerRetirement(instance, sequence, False)
 
 
-def leave(instance: str, sequence: int = 1) -> EndedWorker:
-    return EndedWorker(instance, sequence, True)
+def leave(instance: str, sequence: int = 1) -> WorkerRetirement:
+    return WorkerRetirement(instance, sequence, True)
 
 
 def test_each_worker_stands_once_and_an_end_is_final() -> None:
-    state = apply(ControlState(), RecordEnds((drain("a"), drain("b"))))
-    state = apply(state, RecordEnds((leave("a"), drain("b", 2))))
-    state = apply(state, RecordEnds((drain("a", 5),)))
-    assert state.ended == (drain("b", 2), leave("a"))
+    state = apply(ControlState(), RecordRetirements((drain("a"), drain("b"))))
+    state = apply(state, RecordRetirements((leave("a"), drain("b", 2))))
+    state = apply(state, RecordRetirements((drain("a", 5),)))
+    assert state.retirements == (drain("b", 2), leave("a"))
     assert state.sequence == 3
 
 
 @pytest.mark.parametrize(
     ("end", "known"), [(drain("a"), True), (leave("a"), False), (drain("b"), False), (drain("a", 9), True)]
 )
-def test_a_drain_tells_no_end(end: EndedWorker, known: bool) -> None:
-    assert has_ended(apply(ControlState(), RecordEnds((drain("a"),))), end) is known
+def test_a_drain_tells_no_end(end: WorkerRetirement, known: bool) -> None:
+    assert is_retired(apply(ControlState(), RecordRetirements((drain("a"),))), end) is known
 
 
 def test_the_oldest_ends_are_forgotten() -> None:
     state = ControlState()
-    for number in range(ENDS_KEPT + 3):
-        state = apply(state, RecordEnds((drain(f"i-{number}"),)))
-    assert len(state.ended) == ENDS_KEPT and state.ended[0].instance == "i-3"
+    for number in range(MAX_RETIREMENTS + 3):
+        state = apply(state, RecordRetirements((drain(f"i-{number}"),)))
+    assert len(state.retirements) == MAX_RETIREMENTS and state.retirements[0].instance == "i-3"
 
 
 async def planes(world: World) -> list[ControlPlane]:
@@ -60,9 +60,9 @@
     async def work() -> None:
         for number, plane in enumerate(members := await planes(World(3))):
             assert await plane.ended.record(drain(f"i-{number}"))
-            assert all(m.voting.replica.state.ended[-1].instance == f"i-{number}" for m in members)
+            assert all(m.voting.replica.state.retirements[-1].instance == f"i-{number}" for m in members)
             assert await plane.ended.record(drain(f"i-{number}"))
-            assert len(members[0].voting.replica.state.ended) == number + 1, "it is written once"
+            assert len(members[0].voting.replica.state.retirements) == number + 1, "it is written once"
 
     run(work())
 
@@ -74,7 +74,7 @@
         ends = [drain(f"i-{number}") for number in range(60)]
         assert all(await asyncio.gather(*(second.ended.record(end) for end in ends)))
         state = head.voting.replica.state
-        assert {end.instance for end in state.ended} == {end.instance for end in ends}
+        assert {end.instance for end in state.retirements} == {end.instance for end in ends}
         assert state.sequence - before < 10
         assert head.ended.pending == {}
 
@@ -107,6 +107,6 @@
         assert not await head.ended.record(drain("i-1"))
         await asyncio.sleep(3.0)
         assert await head.ended.record(drain("i-1"))
-        assert [e.instance for e in head.voting.replica.state.ended] == ["i-1"]
+        assert [e.instance for e in head.voting.replica.state.retirements] == ["i-1"]
 
     run(work())
--- a/tests/cluster/test_exchange.py
+++ b/tests/cluster/test_exchange.py
@@ -17,7 +17,7 @@
 from finchladder.cluster.routing.pools import Backend, Holder
 from finchladder.cluster.transport.exchange import StrictResponseHandler
 from finchladder.cluster.transport.peers import PeerClient
-from finchladder.cluster.types.errors import PeerUnreachable
+from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.messages import ReadState, StateReply, encoder
 from tests.cluster.test_router import Bench, Worker, bench, plain, played
 
@@ -344,7 +344,7 @@
         client = PeerClient()
         try:
             return await client.call(f"{host}:{port}", ReadState(), 5.0)
-        except PeerUnreachable:
+        except PeerUnreachableError:
             return None
         finally:
             await client.close()
--- a/tests/cluster/test_hunt.py
+++ b/tests/cluster/test_hunt.py
@@ -19,7 +19,7 @@
 
 
 def test_a_finding_is_shrunk_to_as_few_faults_as_still_break_a_rule(monkeypatch: pytest.MonkeyPatch) -> None:
-    def anybody(view: View, alive: dict[str, membership.Status]) -> list[Member]:
+    def anybody(view: View, alive: dict[str, membership.MemberStatus]) -> list[Member]:
         return [status.member for status in alive.values() if status.healthy]
 
     monkeypatch.setattr(membership, "survivors", anybody)
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -1,16 +1,16 @@
 """Which view follows which."""
 
-from finchladder.cluster.replication.membership import Limits, Status, first_view, next_view
+from finchladder.cluster.replication.membership import MemberStatus, ReplicationLimits, first_view, next_view
 from finchladder.cluster.types.members import Member, View
 from tests.cluster.test_agreement import member
 
 A, B, C, D = (member(name) for name in "abcd")
-ONE = Limits(losses=1)
+ONE = ReplicationLimits(tolerated_losses=1)
 VIEW = View(3, (A, B, C), (A, B, C), 3)
 
 
-def alive(*members: Member, stored: int = 3, sick: tuple[Member, ...] = ()) -> dict[str, Status]:
-    return {m.disk_id: Status(m, stored, m not in sick) for m in members}
+def alive(*members: Member, stored: int = 3, sick: tuple[Member, ...] = ()) -> dict[str, MemberStatus]:
+    return {m.disk_id: MemberStatus(m, stored, m not in sick) for m in members}
 
 
 def chain_of(view: View | None) -> tuple[Member, ...]:
@@ -74,7 +74,7 @@
 
 def test_no_view_is_proposed_whose_own_voters_are_mostly_silent() -> None:
     view = View(2, (A, B, C), (C, D), 2)
-    assert next_view(view, alive(C, D, stored=2), [], Limits(losses=0)) is not None
+    assert next_view(view, alive(C, D, stored=2), [], ReplicationLimits(tolerated_losses=0)) is not None
     assert next_view(View(2, (A, B, C), (C,), 1), alive(C, stored=2), [], ONE) is None
 
 
--- a/tests/cluster/test_network.py
+++ b/tests/cluster/test_network.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from finchladder.cluster.types.errors import PeerUnreachable
+from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.members import Ballot
 from finchladder.cluster.types.messages import Prepare, Reply, Request
 from finchladder.lab.cluster.network import Host, Network
@@ -37,7 +37,7 @@
         call = Call()
         await asyncio.sleep(1.0)
         call.callee[0].cancel()
-        with pytest.raises(PeerUnreachable, match="connection reset"):
+        with pytest.raises(PeerUnreachableError, match="connection reset"):
             await call.caller
 
     run(work())
--- a/tests/cluster/test_placer.py
+++ b/tests/cluster/test_placer.py
@@ -14,10 +14,10 @@
 from finchladder.cluster.process.worker_orders import LONGEST_EVICT_S, POLL_S, QUICK_S, TAKEN, WorkerOrders
 from finchladder.cluster.replication.lease import HeldLease
 from finchladder.cluster.transport.peers import steady
-from finchladder.cluster.types.errors import PeerUnreachable
+from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.members import Member
 from finchladder.cluster.types.messages import DemandReply, DemandReport
-from finchladder.cluster.types.worker_api import OrderBody, Report
+from finchladder.cluster.types.worker_api import OrderRequest, WorkerReport
 from finchladder.lab.cluster.virtual import run
 
 REVISION = 4  # orders that the worker has taken, the eviction under way being the last
@@ -26,11 +26,11 @@
 class Worker:
     """A worker that says something else at each look, the last of it for ever."""
 
-    def __init__(self, *reports: Report) -> None:
+    def __init__(self, *reports: WorkerReport) -> None:
         self.reports = list(reports)
         self.looks = 0
 
-    async def report(self, address: str, instance: str) -> Report:
+    async def report(self, address: str, instance: str) -> WorkerReport:
         self.looks += 1
         return self.reports[min(self.looks, len(self.reports)) - 1]
 
@@ -58,17 +58,17 @@
 
 
 def test_an_order_is_given_again_soon_while_the_eviction_before_it_goes_on() -> None:
-    again, waited_s = asked_again(Worker(Report(sequence=REVISION, busy=True)), 0.2)
+    again, waited_s = asked_again(Worker(WorkerReport(sequence=REVISION, busy=True)), 0.2)
     assert again
     assert waited_s == pytest.approx(POLL_S)
 
 
 def test_a_worker_that_took_an_order_of_another_holder_gets_no_more() -> None:
-    assert not asked_again(Worker(Report(sequence=REVISION + 1)), 0.2)[0]
+    assert not asked_again(Worker(WorkerReport(sequence=REVISION + 1)), 0.2)[0]
 
 
 def test_an_eviction_without_an_end_is_given_up() -> None:
-    again, _ = asked_again(Worker(Report(sequence=REVISION, busy=True)), LONGEST_EVICT_S)
+    again, _ = asked_again(Worker(WorkerReport(sequence=REVISION, busy=True)), LONGEST_EVICT_S)
     assert not again
 
 
@@ -89,7 +89,7 @@
         return placer.on_demand(DemandReport("two", 0.4, (), {"a": 4}))
 
     told = run(work())
-    assert told.loads == {"a": 1, "b": 2}
+    assert told.peer_loads == {"a": 1, "b": 2}
     assert told.interval_ms == 2000, "300 dispatchers may report 150 times a second together"
 
 
@@ -100,11 +100,11 @@
         self.takes_s = takes_s
         self.limits_s: list[float] = []
 
-    async def order(self, address: str, instance: str, body: OrderBody, timeout_s: float) -> int:
+    async def order(self, address: str, instance: str, body: OrderRequest, timeout_s: float) -> int:
         self.limits_s.append(timeout_s)
         await asyncio.sleep(min(self.takes_s, timeout_s))
         if self.takes_s > timeout_s:
-            raise PeerUnreachable("order", address, "no answer in time")
+            raise PeerUnreachableError("order", address, "no answer in time")
         return TAKEN
 
 
@@ -121,8 +121,8 @@
         role = SimpleNamespace(lease=lease, me=me, last_order_at=began, holds=lambda: lease.holds(steady()))
         worker = SlowWorker(takes_s)
         orders = WorkerOrders(cast(Any, role), cast(Any, worker))
-        managed = Managed(WorkerState("i-1", "llm", "a:1", "z", False, False), 7, report=Report())
-        with suppress(PeerUnreachable):
+        managed = Managed(WorkerState("i-1", "llm", "a:1", "z", False, False), 7, report=WorkerReport())
+        with suppress(PeerUnreachableError):
             await orders.give(managed, "load", "m", "")
         return worker.limits_s[0], role.last_order_at - began, steady() - began
 
@@ -141,7 +141,7 @@
         role = SimpleNamespace(lease=lease, me=me, last_order_at=began, holds=lambda: lease.holds(steady()))
         worker = SlowWorker(0.01)
         orders = WorkerOrders(cast(Any, role), cast(Any, worker))
-        managed = Managed(WorkerState("i-1", "llm", "a:1", "z", False, False), 7, report=Report())
+        managed = Managed(WorkerState("i-1", "llm", "a:1", "z", False, False), 7, report=WorkerReport())
         await asyncio.sleep(0.02)
         return await orders.give(managed, "evict", "m", ""), worker.limits_s
 
--- a/tests/cluster/test_pulling.py
+++ b/tests/cluster/test_pulling.py
@@ -7,12 +7,12 @@
 import pytest
 from attrs import define, field
 
-from finchladder.cluster.process.pulling import LOOK_S, WAIT_MS, Puller
 from finchladder.cluster.process.tasks import Tasks
+from finchladder.cluster.process.update_puller import LOOK_S, WAIT_MS, Puller
 from finchladder.cluster.sessions.table import Tables
-from finchladder.cluster.types.errors import PeerUnreachable
+from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.members import Member, View
-from finchladder.cluster.types.messages import Delta, Pull, Reply, Request
+from finchladder.cluster.types.messages import PullUpdates, Reply, Request, Update
 from finchladder.lab.cluster.virtual import run
 
 CORES = 5
@@ -31,15 +31,15 @@
     waits: Counter[str] = field(factory=Counter)
 
     async def call(self, address: str, request: Request, timeout_s: float) -> Reply:
-        assert isinstance(request, Pull)
+        assert isinstance(request, PullUpdates)
         self.calls[address] += 1
         self.waits[address] += request.wait_ms > 0
         if address in self.unreachable:
             await asyncio.sleep(timeout_s)
-            raise PeerUnreachable("Pull", address, "no answer")
+            raise PeerUnreachableError("PullUpdates", address, "no answer")
         await asyncio.sleep(request.wait_ms / 1000)
         view = VIEW if request.view < VIEW.number else None
-        return Delta(
+        return Update(
             origin=address,
             vector={},
             view=view,
@@ -47,11 +47,11 @@
             placements=(),
             version=0,
             document=b"",
-            complete=False,
-            whole=False,
+            knows_all_workers=False,
+            is_full=False,
             placer="",
-            edges=1,
-            confirmed=address not in self.unconfirmed,
+            dispatchers=1,
+            chain_confirmed=address not in self.unconfirmed,
             quorum_lost=address in self.without_quorum,
         )
 
--- a/tests/cluster/test_router.py
+++ b/tests/cluster/test_router.py
@@ -19,7 +19,7 @@
 from finchladder.cluster.transport.http_client import make_session
 from finchladder.cluster.transport.http_server import Listener
 from finchladder.cluster.transport.peers import steady
-from finchladder.cluster.types.workers import Holding
+from finchladder.cluster.types.workers import LoadedModel
 
 ID = "X-Finchladder-Request-Id"
 STAMP = "X-Finchladder-Response-Signature"
@@ -263,8 +263,8 @@
                 assert response.status == 503
                 back_s = float(response.headers["Retry-After"])
             now = steady()
-            assert [(d.model, d.waiting) for d in it.router.demand.take(now)] == [("m9", 1)]
-            assert [(d.model, d.waiting) for d in it.router.demand.take(now + back_s)] == [("m9", 1)]
+            assert [(d.model, d.queued) for d in it.router.demand.take(now)] == [("m9", 1)]
+            assert [(d.model, d.queued) for d in it.router.demand.take(now + back_s)] == [("m9", 1)]
             assert it.router.demand.take(now + back_s + RETURN_S) == ()
 
     played(work)
@@ -280,7 +280,7 @@
 
         async with bench(Worker(looked_at)) as it:
             holder = next(iter(it.router.pools.holders.values()))
-            it.router.pools = Pools().changed({"i-0": Holder(holder.backend, (Holding("m1", ("a1",)),))})
+            it.router.pools = Pools().changed({"i-0": Holder(holder.backend, (LoadedModel("m1", ("a1",)),))})
             async with it.send("/once/x", b"{}", **{"X-Finchladder-Model": "m1/a1"}) as response:
                 assert response.status == 200
             assert seen == [("m1", 1)]
--- a/tests/cluster/test_routing.py
+++ b/tests/cluster/test_routing.py
@@ -27,7 +27,7 @@
     holder_of,
 )
 from finchladder.cluster.routing.requests import need, onward_headers
-from finchladder.cluster.types.workers import Holding, Phase, PlacementRecord, WorkerRecord
+from finchladder.cluster.types.workers import LoadedModel, PlacementRecord, SessionPhase, WorkerRecord
 
 
 def backend(name: str, load: float = 0.0) -> Backend:
@@ -65,13 +65,18 @@
     assert pool.choose(6.0, CHOOSER, frozenset({"c"})) in (one, two)
 
 
-def record(name: str, phase: Phase = Phase.READY, *holdings: Holding) -> WorkerRecord:
+def record(name: str, phase: SessionPhase = SessionPhase.READY, *holdings: LoadedModel) -> WorkerRecord:
     return WorkerRecord(name, "llm", f"{name}:1", "z", 64, phase, 1, "core", holdings)
 
 
 def test_draining_lost_and_gone_workers_get_nothing_and_loads_outlive_a_swap() -> None:
     old = {"a": Holder(backend("a", 3))}
-    phases = {"a": Phase.READY, "b": Phase.DRAINING, "c": Phase.LOST, "d": Phase.GONE}
+    phases = {
+        "a": SessionPhase.READY,
+        "b": SessionPhase.DRAINING,
+        "c": SessionPhase.LOST,
+        "d": SessionPhase.DEREGISTERED,
+    }
     holders = {n: holder_of(record(n, phase), None, old.get(n)) for n, phase in phases.items()}
     assert holders["a"] is not None and holders["a"].backend is old["a"].backend
     assert [holders[name] for name in "bcd"] == [None] * 3
@@ -79,16 +84,16 @@
 
 
 def test_the_placers_word_goes_before_the_workers_own() -> None:
-    worker = record("a", Phase.READY, Holding("m0"), Holding("m1"))
-    assert effective_holdings(worker, None) == worker.holdings
-    told = PlacementRecord("a", 1, 1, (Holding("m1"),))
-    assert effective_holdings(worker, told) == (Holding("m1"),)
+    worker = record("a", SessionPhase.READY, LoadedModel("m0"), LoadedModel("m1"))
+    assert effective_holdings(worker, None) == worker.loaded_models
+    told = PlacementRecord("a", 1, 1, (LoadedModel("m1"),))
+    assert effective_holdings(worker, told) == (LoadedModel("m1"),)
 
 
 def test_a_pool_has_who_holds_the_model_and_the_adapter() -> None:
     a, b, c = (backend(name) for name in "abc")
     pools = Pools().changed(
-        {"a": Holder(a, (Holding("m0", ("a1",)),)), "b": Holder(b, (Holding("m0"),)), "c": Holder(c)},
+        {"a": Holder(a, (LoadedModel("m0", ("a1",)),)), "b": Holder(b, (LoadedModel("m0"),)), "c": Holder(c)},
         [LoadUnderWay(PoolKey("llm", "m9", ""), 8.0), LoadUnderWay(PoolKey("llm", "m9", ""), 7.0)],
     )
     assert pools.pool(PoolKey("llm", "m0", "")).backends == (a, b)
@@ -116,7 +121,9 @@
     """The oracle is a look at all holders; pools of earlier moments stay as they were."""
     pools, holders, earlier = Pools(), dict[str, Holder](), []
     for name, is_there, held in steps:
-        holder = Holder(backend(name), tuple(Holding(m, ("a1",) if adapter else ()) for m, adapter in held))
+        holder = Holder(
+            backend(name), tuple(LoadedModel(m, ("a1",) if adapter else ()) for m, adapter in held)
+        )
         holders.pop(name, None)
         if is_there:
             holders[name] = holder
@@ -131,9 +138,9 @@
 
 def test_a_change_of_others_leaves_a_pool_as_it_is() -> None:
     key = PoolKey("llm", "m0", "")
-    pools = Pools().changed({"a": Holder(backend("a"), (Holding("m0"),)), "b": Holder(backend("b"))})
+    pools = Pools().changed({"a": Holder(backend("a"), (LoadedModel("m0"),)), "b": Holder(backend("b"))})
     pool = pools.pool(key)
-    assert pools.changed({"b": Holder(pools.holders["b"].backend, (Holding("m1"),))}).pool(key) is pool
+    assert pools.changed({"b": Holder(pools.holders["b"].backend, (LoadedModel("m1"),))}).pool(key) is pool
 
 
 # --- many dispatchers
--- a/tests/cluster/test_sessions.py
+++ b/tests/cluster/test_sessions.py
@@ -14,12 +14,12 @@
 from finchladder.cluster.sessions.stamp_log import SPARE
 from finchladder.cluster.sessions.table import Tables
 from finchladder.cluster.types.members import View
-from finchladder.cluster.types.messages import Delta, Pull
-from finchladder.cluster.types.operations import ControlState, EndedWorker
+from finchladder.cluster.types.messages import PullUpdates, Update
+from finchladder.cluster.types.operations import ControlState, WorkerRetirement
 from finchladder.cluster.types.worker_api import Heartbeat
 from finchladder.cluster.types.workers import (
-    Phase,
     PlacementRecord,
+    SessionPhase,
     Stamp,
     StampedPlacement,
     StampedWorker,
@@ -49,9 +49,9 @@
         node=st.sampled_from(NODES[:3]),
         worker=st.sampled_from("abc"),
         sequence=st.integers(0, 20),
-        phase=st.sampled_from(Phase),
+        phase=st.sampled_from(SessionPhase),
     )
-    def write(self, node: str, worker: str, sequence: int, phase: Phase) -> None:
+    def write(self, node: str, worker: str, sequence: int, phase: SessionPhase) -> None:
         record = WorkerRecord(worker, "s", "a:1", "z", 1, phase, sequence, node)
         if self.tables[node].put_worker(record):
             self.newest[worker] = max(self.newest.get(worker, record.rank()), record.rank())
@@ -111,7 +111,7 @@
     async def is_there(address: str, instance: str) -> bool:
         return instance in answering
 
-    async def record_end(end: EndedWorker) -> bool:
+    async def record_end(end: WorkerRetirement) -> bool:
         return stores
 
     return SessionsService(
@@ -132,11 +132,11 @@
     return Heartbeat(service="llm", address="10.0.0.9:80", sequence=sequence, state=state)
 
 
-def pull(vector: dict[str, int], wait_ms: int = 0) -> Pull:
-    return Pull("edge-1", vector, 0, 1, wait_ms, True)
+def pull(vector: dict[str, int], wait_ms: int = 0) -> PullUpdates:
+    return PullUpdates("edge-1", vector, 0, 1, wait_ms, True)
 
 
-def phase_of(sessions: SessionsService, instance: str = "i-1") -> Phase:
+def phase_of(sessions: SessionsService, instance: str = "i-1") -> SessionPhase:
     return sessions.tables.workers[instance].record.phase
 
 
@@ -159,13 +159,13 @@
 
 
 def test_a_late_heartbeat_does_not_undo_a_drain() -> None:
-    async def work() -> Phase:
+    async def work() -> SessionPhase:
         sessions = service()
         await sessions.on_heartbeat("i-1", heartbeat(5, "draining"))
         assert await sessions.on_heartbeat("i-1", heartbeat(4))
         return phase_of(sessions)
 
-    assert played(work) is Phase.DRAINING
+    assert played(work) is SessionPhase.DRAINING
 
 
 def test_a_drain_is_acknowledged_once_a_reader_has_it_and_not_without() -> None:
@@ -178,7 +178,7 @@
         async def reader() -> None:
             vector: dict[str, int] = {}
             while True:
-                delta: Delta = await sessions.on_pull(pull(vector, 1000))
+                delta: Update = await sessions.on_pull(pull(vector, 1000))
                 vector = dict(delta.vector)
 
         task = asyncio.create_task(reader())
@@ -194,7 +194,7 @@
     """A reader that waits for changes again and again."""
     vector: dict[str, int] = {}
     while True:
-        delta = await sessions.on_pull(Pull(name, vector, 0, 1, 1000, is_edge))
+        delta = await sessions.on_pull(PullUpdates(name, vector, 0, 1, 1000, is_edge))
         vector = dict(delta.vector)
 
 
@@ -259,18 +259,18 @@
 @pytest.mark.parametrize(
     ("known", "end", "expected"),
     [
-        (None, EndedWorker("i-1", 7, False), Phase.GONE),
-        (None, EndedWorker("i-1", 7, True), Phase.GONE),
-        (Phase.READY, EndedWorker("i-1", 7, False), Phase.DRAINING),
-        (Phase.READY, EndedWorker("i-1", 4, False), Phase.READY),
-        (Phase.READY, EndedWorker("i-1", 4, True), Phase.GONE),
-        (Phase.DRAINING, EndedWorker("i-1", 7, True), Phase.GONE),
-        (Phase.LOST, EndedWorker("i-1", 7, False), Phase.LOST),
-        (Phase.GONE, EndedWorker("i-1", 7, False), Phase.GONE),
+        (None, WorkerRetirement("i-1", 7, False), SessionPhase.DEREGISTERED),
+        (None, WorkerRetirement("i-1", 7, True), SessionPhase.DEREGISTERED),
+        (SessionPhase.READY, WorkerRetirement("i-1", 7, False), SessionPhase.DRAINING),
+        (SessionPhase.READY, WorkerRetirement("i-1", 4, False), SessionPhase.READY),
+        (SessionPhase.READY, WorkerRetirement("i-1", 4, True), SessionPhase.DEREGISTERED),
+        (SessionPhase.DRAINING, WorkerRetirement("i-1", 7, True), SessionPhase.DEREGISTERED),
+        (SessionPhase.LOST, WorkerRetirement("i-1", 7, False), SessionPhase.LOST),
+        (SessionPhase.DEREGISTERED, WorkerRetirement("i-1", 7, False), SessionPhase.DEREGISTERED),
     ],
 )
 def test_what_the_chain_has_stored_takes_a_worker_out_of_use(
-    known: Phase | None, end: EndedWorker, expected: Phase
+    known: SessionPhase | None, end: WorkerRetirement, expected: SessionPhase
 ) -> None:
     sessions = service()
     if known is not None:
@@ -281,9 +281,9 @@
 
 def test_what_the_chain_has_stored_is_told_once() -> None:
     sessions = service()
-    sessions.take_ended((EndedWorker("i-1", 7, True),))
+    sessions.take_ended((WorkerRetirement("i-1", 7, True),))
     sessions.tables.forget("i-1")
-    sessions.take_ended((EndedWorker("i-1", 7, True), EndedWorker("i-2", 1, False)))
+    sessions.take_ended((WorkerRetirement("i-1", 7, True), WorkerRetirement("i-2", 1, False)))
     assert set(sessions.tables.workers) == {"i-2"}
 
 
@@ -298,18 +298,18 @@
 
 
 def test_the_end_of_a_worker_that_is_unknown_here_is_told_to_those_who_may_know_it() -> None:
-    async def work() -> Phase:
+    async def work() -> SessionPhase:
         cut_off, other = service("core-1"), service("core-2")
         await other.on_heartbeat("i-1", heartbeat(7))
         await cut_off.on_leave("i-1")
         other.tables.merge(*cut_off.tables.missing({}))
         return phase_of(other)
 
-    assert played(work) is Phase.GONE
+    assert played(work) is SessionPhase.DEREGISTERED
 
 
 def test_a_silent_worker_is_lost_and_comes_back_with_its_next_call() -> None:
-    async def work() -> list[Phase]:
+    async def work() -> list[SessionPhase]:
         sessions = service()
         await sessions.on_heartbeat("i-1", heartbeat(1))
         seen = []
@@ -323,24 +323,24 @@
         seen.append(phase_of(sessions))
         return seen
 
-    assert played(work) == [Phase.READY, Phase.LOST, Phase.READY]
+    assert played(work) == [SessionPhase.READY, SessionPhase.LOST, SessionPhase.READY]
 
 
 def test_what_is_gone_stays_gone() -> None:
-    async def work() -> Phase:
+    async def work() -> SessionPhase:
         sessions = service()
         await sessions.on_heartbeat("i-1", heartbeat(1))
         await sessions.on_leave("i-1")
         await sessions.on_heartbeat("i-1", heartbeat(2))
         return phase_of(sessions)
 
-    assert played(work) is Phase.GONE
+    assert played(work) is SessionPhase.DEREGISTERED
 
 
-def judged(after_s: tuple[float, ...], **of_the_judge: Any) -> list[Phase]:
+def judged(after_s: tuple[float, ...], **of_the_judge: Any) -> list[SessionPhase]:
     """How a core holds a worker of another one from which it hears nothing."""
 
-    async def work() -> list[Phase]:
+    async def work() -> list[SessionPhase]:
         owner, other = service("core-1"), service("core-2", **of_the_judge)
         await owner.on_heartbeat("i-1", heartbeat(1))
         other.tables.merge(*owner.tables.missing({}))
@@ -353,32 +353,32 @@
             seen.append(phase_of(other))
         return seen
 
-    found: list[Phase] = played(work)
+    found: list[SessionPhase] = played(work)
     return found
 
 
 def test_a_worker_of_an_owner_that_is_silent_is_judged_by_the_others_only_after_a_while() -> None:
-    assert judged((6.0, 2.0)) == [Phase.READY, Phase.LOST]
+    assert judged((6.0, 2.0)) == [SessionPhase.READY, SessionPhase.LOST]
 
 
 def test_a_worker_that_answers_itself_is_kept_while_its_owner_is_cut_off() -> None:
-    assert judged((8.0,) * 5, answering=("i-1",)) == [Phase.READY] * 5
-    assert judged((8.0,) * 2, answering=("i-2",)) == [Phase.LOST] * 2
+    assert judged((8.0,) * 5, answering=("i-1",)) == [SessionPhase.READY] * 5
+    assert judged((8.0,) * 2, answering=("i-2",)) == [SessionPhase.LOST] * 2
 
 
 def test_a_core_that_is_cut_off_from_the_chain_judges_nobody() -> None:
-    assert judged((8.0, 8.0), confirmed=False) == [Phase.READY] * 2
+    assert judged((8.0, 8.0), confirmed=False) == [SessionPhase.READY] * 2
 
 
 def test_records_survive_the_wire() -> None:
-    record = WorkerRecord("i", "s", "a:1", "z", 1, Phase.LOST, 3, "o")
+    record = WorkerRecord("i", "s", "a:1", "z", 1, SessionPhase.LOST, 3, "o")
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(record), type=WorkerRecord) == record
 
 
 def test_the_log_of_stamps_does_not_grow_with_writes_to_the_same_records() -> None:
     tables = Tables("n")
     for sequence in range(2000):
-        tables.put_worker(WorkerRecord("i", "s", "a:1", "z", 1, Phase.READY, sequence, "n"))
+        tables.put_worker(WorkerRecord("i", "s", "a:1", "z", 1, SessionPhase.READY, sequence, "n"))
     assert sum(len(entries) for entries in tables._worker_log._entries.values()) <= 2 * SPARE
     assert [w.record.sequence for w in tables.missing({"n": 1990})[0]] == [1999]
 
@@ -393,7 +393,7 @@
         reader.advance(source.told_vector())
 
 
-def worker(instance: str, origin: str, phase: Phase = Phase.READY) -> WorkerRecord:
+def worker(instance: str, origin: str, phase: SessionPhase = SessionPhase.READY) -> WorkerRecord:
     return WorkerRecord(instance, "s", "a:1", "z", 1, phase, 1, origin)
 
 
@@ -435,11 +435,11 @@
 
 def test_a_worker_that_came_back_is_not_forgotten_for_its_earlier_end() -> None:
     tables = Tables("a")
-    tables.put_worker(worker("i-1", "a", Phase.LOST))
+    tables.put_worker(worker("i-1", "a", SessionPhase.LOST))
     assert tables.forget_ended(0.0) == []
     tables.put_worker(msgspec.structs.replace(worker("i-1", "a"), sequence=2))
     assert tables.forget_ended(100.0) == []
-    tables.put_worker(msgspec.structs.replace(worker("i-1", "a", Phase.LOST), sequence=3))
+    tables.put_worker(msgspec.structs.replace(worker("i-1", "a", SessionPhase.LOST), sequence=3))
     assert tables.forget_ended(101.0) == []
     assert tables.forget_ended(170.0) == ["i-1"] and not tables.workers
 
@@ -469,9 +469,9 @@
         sessions = service(voters=("core-1", "core-2", "core-3"))
         await sessions.on_leave("i-1")
         vector = dict(sessions.tables.vector)
-        await sessions.on_pull(Pull("core-2", vector, 0, 1, 0, False))
+        await sessions.on_pull(PullUpdates("core-2", vector, 0, 1, 0, False))
         await asyncio.sleep(5.0)
-        await sessions.on_pull(Pull("edge-1", vector, 0, 1, 1, True))
+        await sessions.on_pull(PullUpdates("edge-1", vector, 0, 1, 1, True))
         return await sessions.on_leave("i-1")
 
     assert not played(work)
@@ -492,7 +492,7 @@
         nonlocal answers
         vector: dict[str, int] = {}
         while True:
-            delta: Delta = await sessions.on_pull(pull(vector, 1000))
+            delta: Update = await sessions.on_pull(pull(vector, 1000))
             answers += bool(delta.workers)
             vector = dict(delta.vector)
 
@@ -519,7 +519,7 @@
 def test_a_drain_is_told_at_once_to_many_dispatchers() -> None:
     async def ends(sessions: SessionsService, number: int) -> None:
         sessions.tables.put_worker(
-            WorkerRecord(f"i-{number}", "s", "a:1", "z", 1, Phase.DRAINING, 1, "core-1/1")
+            WorkerRecord(f"i-{number}", "s", "a:1", "z", 1, SessionPhase.DRAINING, 1, "core-1/1")
         )
         sessions.changed.fire()
 
--- a/tests/cluster/test_storage.py
+++ b/tests/cluster/test_storage.py
@@ -11,8 +11,8 @@
 from finchladder.cluster.process.settings import parse
 from finchladder.cluster.replication.agreement import Acceptor
 from finchladder.cluster.replication.chain import Replica
-from finchladder.cluster.storage.lmdb_store import Damaged, Identity, Store, seal, unseal
-from finchladder.cluster.types.errors import SettingsInvalid, StorageFailed
+from finchladder.cluster.storage.lmdb_store import Identity, StorageDamagedError, Store, seal, unseal
+from finchladder.cluster.types.errors import InvalidSettingsError, StorageError
 from finchladder.cluster.types.members import Ballot
 from finchladder.cluster.types.operations import ControlState
 
@@ -54,7 +54,7 @@
     store.load(lambda: identity("first"))
     asyncio.run(store.save(acceptor=ACCEPTOR))
     store._environment = PanickedEnvironment(store._environment)
-    with pytest.raises(StorageFailed):
+    with pytest.raises(StorageError):
         asyncio.run(store.save(replica=REPLICA))
     assert store.failed
     asyncio.run(store.probe())
@@ -87,7 +87,7 @@
 def test_a_changed_byte_is_noticed(place: int, change: int) -> None:
     data = bytearray(seal(REPLICA))
     data[place % len(data)] ^= change
-    with pytest.raises(Damaged):
+    with pytest.raises(StorageDamagedError):
         unseal(bytes(data), Replica)
 
 
@@ -123,5 +123,5 @@
     ],
 )
 def test_a_settings_file_that_cannot_be_used_says_where(change: tuple[str, str], named: str) -> None:
-    with pytest.raises(SettingsInvalid, match=named):
+    with pytest.raises(InvalidSettingsError, match=named):
         parse(SETTINGS.replace(*change), "boot.toml")
--- a/tests/cluster/test_takeover.py
+++ b/tests/cluster/test_takeover.py
@@ -6,8 +6,8 @@
 
 from finchladder.cluster.placement.ledger import LoadLedger, ObservedLoads
 from finchladder.cluster.transport.peers import steady
-from finchladder.cluster.types.worker_api import OrderBody
-from finchladder.cluster.types.workers import Holding, PendingLoad, PlacementRecord
+from finchladder.cluster.types.worker_api import OrderRequest
+from finchladder.cluster.types.workers import LoadedModel, PendingLoad, PlacementRecord
 from finchladder.lab.cluster.model_workers import TAKEN, StandInWorker
 from finchladder.lab.cluster.virtual import run
 from tests.cluster.placer_scene import ENGINE, Scene
@@ -113,7 +113,9 @@
     assert told_s <= 0.2
 
 
-def told_after_takeover(scene: Scene, worker: StandInWorker, underway: OrderBody | None = None) -> list[str]:
+def told_after_takeover(
+    scene: Scene, worker: StandInWorker, underway: OrderRequest | None = None
+) -> list[str]:
     """Models that dispatchers may use at `w1` once a new placer has asked it; `underway`: its last order."""
 
     async def work() -> list[str]:
@@ -131,22 +133,24 @@
     worker = StandInWorker({"m0", "m1"})
     scene = Scene(token=2, w1=worker)
     pending = PendingLoad("m0", "", 800)
-    scene.tables.put_placement(PlacementRecord("w1", 1, 7, (Holding("m3"),), pending, 2))
+    scene.tables.put_placement(PlacementRecord("w1", 1, 7, (LoadedModel("m3"),), pending, 2))
     assert told_after_takeover(scene, worker) == ["m0", "m1"]
 
 
 def test_a_worker_whose_last_order_goes_on_is_told_of_when_it_has_ended() -> None:
     worker = StandInWorker({"m1"}, load_s=0.2, report_lag_s=0.02)
     scene = Scene(token=2, w1=worker)
-    scene.tables.put_placement(PlacementRecord("w1", 1, 7, (Holding("m1"),), PendingLoad("m0", "", 200), 1))
-    underway = OrderBody("load", "m0", "core-2", 1)
+    scene.tables.put_placement(
+        PlacementRecord("w1", 1, 7, (LoadedModel("m1"),), PendingLoad("m0", "", 200), 1)
+    )
+    underway = OrderRequest("load", "m0", "core-2", 1)
     assert told_after_takeover(scene, worker, underway) == ["m0", "m1"]
 
 
 def test_a_new_placer_says_nothing_of_workers_that_hold_what_dispatchers_know() -> None:
     worker = StandInWorker({"m0", "m1"})
     scene = Scene(token=2, w1=worker)
-    record_before = PlacementRecord("w1", 1, 7, (Holding("m0"), Holding("m1")), None, 2)
+    record_before = PlacementRecord("w1", 1, 7, (LoadedModel("m0"), LoadedModel("m1")), None, 2)
     scene.tables.put_placement(record_before)
     assert told_after_takeover(scene, worker) == ["m0", "m1"]
     assert scene.tables.placements["w1"].record is record_before
--- a/tests/cluster/test_utilization.py
+++ b/tests/cluster/test_utilization.py
@@ -102,7 +102,7 @@
                 Demand("llm", model, "", round(rate * 0.4 * 100) // 100 or 1, 0, 1, int(800 * rate))
                 for model, rate in rates.items()
             ]
-            report = DemandReport("edge", 0.4, tuple(demands), s_per_token={"llm": S_PER_TOKEN})
+            report = DemandReport("edge", 0.4, tuple(demands), prefill_s_per_token={"llm": S_PER_TOKEN})
             self.book.take(0.4 * (number + 1), report)
 
     def plan(self) -> list[Load]:
@@ -145,7 +145,7 @@
     book = DemandBook()
     assert book.s_per_token("llm") == 0.0
     for name, pace in (("one", 0.00004), ("two", 0.00005), ("three", 0.9)):
-        book.take(1.0, DemandReport(name, 0.4, (), s_per_token={"llm": pace}))
+        book.take(1.0, DemandReport(name, 0.4, (), prefill_s_per_token={"llm": pace}))
     assert book.s_per_token("llm") == 0.00005
     assert book.s_per_token("other") == 0.0
 
--- a/tests/cluster/test_worker_client.py
+++ b/tests/cluster/test_worker_client.py
@@ -7,8 +7,8 @@
 
 from finchladder.cluster.process.worker_client import HEALTH_PATH, INSTANCE_ID, TIMEOUT_S, WorkerClient
 from finchladder.cluster.transport.http_server import Listener
-from finchladder.cluster.types.errors import PeerUnreachable
-from finchladder.cluster.types.worker_api import OrderBody
+from finchladder.cluster.types.errors import PeerUnreachableError
+from finchladder.cluster.types.worker_api import OrderRequest
 
 
 def asked_whether_there(status: int, named: str) -> tuple[bool, bool]:
@@ -52,8 +52,8 @@
     async def work() -> None:
         worker, client = Listener(silent, "127.0.0.1:0"), WorkerClient()
         await worker.start()
-        body = OrderBody("load", "m", "core-1", 7)
-        with pytest.raises(PeerUnreachable):
+        body = OrderRequest("load", "m", "core-1", 7)
+        with pytest.raises(PeerUnreachableError):
             await client.order(worker.bound, "i-1", body, 0.01)
         await client.close()
         await worker.stop()
--- a/tests/cluster/test_worst_days.py
+++ b/tests/cluster/test_worst_days.py
@@ -9,21 +9,21 @@
 import pytest
 
 from finchladder.cluster.process.chain_service import LINK_TIMEOUT_S
-from finchladder.cluster.process.changes import CONFLICT, TAKEN, UNCLEAR
+from finchladder.cluster.process.configuration_changes import CONFLICT, TAKEN, UNCLEAR
 from finchladder.cluster.process.control_plane import ControlPlane
-from finchladder.cluster.process.pulling import Source
-from finchladder.cluster.process.role import RoleService
-from finchladder.cluster.process.voting import Voting
+from finchladder.cluster.process.placer_lease import RoleService
+from finchladder.cluster.process.update_puller import Source
+from finchladder.cluster.process.view_agreement import Voting
 from finchladder.cluster.replication.agreement import Acceptor, bound_value
 from finchladder.cluster.replication.chain import Replica, newest
-from finchladder.cluster.replication.membership import Limits, Status, next_view
+from finchladder.cluster.replication.membership import MemberStatus, ReplicationLimits, next_view
 from finchladder.cluster.storage.lmdb_store import seal
-from finchladder.cluster.types.errors import ClusterError, PeerUnreachable
+from finchladder.cluster.types.errors import ClusterError, PeerUnreachableError
 from finchladder.cluster.types.members import Ballot, Member, View
 from finchladder.cluster.types.messages import (
     Accept,
     Accepted,
-    Granted,
+    LeaseReply,
     Prepare,
     Promise,
     Replicate,
@@ -44,7 +44,7 @@
 RECOVERY_S = 8.0
 LEASE_S = 0.75  # of the placer's role in the world
 A, B, C, D, E = (member(name) for name in "abcde")
-ONE, TWO = Limits(losses=1), Limits(losses=2)
+ONE, TWO = ReplicationLimits(tolerated_losses=1), ReplicationLimits(tolerated_losses=2)
 
 
 def body(version: int, note: str = "") -> bytes:
@@ -313,9 +313,9 @@
         head, _, _ = await settled(world)
         role = plane_of(head).role
 
-        async def grant_late(asked: RoleService, request: Request) -> Granted:
+        async def grant_late(asked: RoleService, request: Request) -> LeaseReply:
             await asyncio.sleep(0.7)
-            return Granted(True, 7)
+            return LeaseReply(True, 7)
 
         monkeypatch.setattr(RoleService, "_ask_head", grant_late)
         asked_at = asyncio.get_running_loop().time()
@@ -723,7 +723,7 @@
     class Link:
         async def call(self, address: str, request: Request, timeout_s: float) -> Reply:
             if not isinstance(request, Replicate) or not isinstance(request.operation, SetConfiguration):
-                raise PeerUnreachable(type(request).__name__, address, "nobody else is there")
+                raise PeerUnreachableError(type(request).__name__, address, "nobody else is there")
             waited[len(request.operation.document)] = timeout_s
             return Replicated(True, View(1, (A, B), (A, B), 2))
 
@@ -764,11 +764,11 @@
 # --- which view follows where no survivor answers
 
 
-def status(of: Member, stored: int) -> Status:
-    return Status(of, stored, True)
+def status(of: Member, stored: int) -> MemberStatus:
+    return MemberStatus(of, stored, True)
 
 
-def alive(**stored: int) -> dict[str, Status]:
+def alive(**stored: int) -> dict[str, MemberStatus]:
     known = {"a": A, "b": B, "c": C, "d": D, "e": E}
     return {known[name].disk_id: status(known[name], view) for name, view in stored.items()}
 
@@ -777,15 +777,15 @@
     view = View(3, (A, B, C), (A, B), 2)
     following = next_view(view, alive(a=3, c=1), [], ONE)
     assert following is not None
-    assert (following.chain, following.survivors, following.sources) == ((A, C), 1, ((A, B),))
+    assert (following.chain, following.survivors, following.state_sources) == ((A, C), 1, ((A, B),))
 
 
 def test_a_joiner_that_was_heard_to_have_the_state_is_a_source_when_it_is_silent() -> None:
     view = View(3, (A, B, C), (A, B, C), 1)
     following = next_view(view, alive(a=3, c=3), [], ONE, {B.disk_id: 3})
-    assert following is not None and following.sources == ((A, B, C),)
+    assert following is not None and following.state_sources == ((A, B, C),)
     unheard = next_view(view, alive(a=3, c=3), [], ONE, {B.disk_id: 2})
-    assert unheard is not None and unheard.sources == ((A, C),)
+    assert unheard is not None and unheard.state_sources == ((A, C),)
 
 
 @pytest.mark.parametrize(
@@ -804,7 +804,7 @@
     following = next_view(view, alive(**there), [], ONE)
     assert (following.chain if following else None) == chain
     if following is not None:
-        assert (following.survivors, following.sources) == (0, ((A, C), (A, B)))
+        assert (following.survivors, following.state_sources) == (0, ((A, C), (A, B)))
 
 
 def test_the_newest_of_several_replicas_is_of_the_latest_view_and_there_the_longest() -> None:
@@ -819,4 +819,4 @@
 
     old: Any = [[4, [], [], 2], [0, ""], [0, ""], None]
     acceptor = msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=Acceptor)
-    assert acceptor.view.sources == () and acceptor.view.number == 4
+    assert acceptor.view.state_sources == () and acceptor.view.number == 4
