--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,82 @@
+"""Data that version 0.1.0 as of 749a777 wrote is read by this version, value by value.
+
+The fixtures hold an LMDB state with its values as JSON, one encoded message of each type of the internal
+protocol, a last good list and a simulation trace. They were written once, by that version, and are never
+written anew.
+"""
+
+import json
+import shutil
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from finchladder.cluster.storage.lmdb_store import Identity, Store
+from finchladder.cluster.types.messages import encoder, reply_decoder, request_decoder
+from finchladder.cluster.types.operations import WorkerRetirement
+from finchladder.sim import trace
+from finchladder.store import lastgood
+
+STORED = Path(__file__).parent / "fixtures" / "stored"
+DISK_BYTES = 32 << 20
+MESSAGES = [json.loads(line) for line in (STORED / "messages.jsonl").read_text().splitlines()]
+
+
+def no_new_identity() -> Identity:
+    raise AssertionError("the stored identity was not found")
+
+
+def test_an_lmdb_state_of_the_version_before_is_read_value_by_value(tmp_path: Path) -> None:
+    shutil.copytree(STORED / "lmdb", tmp_path / "disk")
+    store = Store(str(tmp_path / "disk"), DISK_BYTES)
+    identity, acceptor, replica = store.load(no_new_identity)
+    store.close()
+    assert not store.was_empty
+    assert not store.moved_aside
+    expected = json.loads((STORED / "lmdb.json").read_text())
+    found = {"identity": identity, "acceptor": acceptor, "replica": replica}
+    assert json.loads(msgspec.json.encode(found)) == expected
+
+
+def test_the_stored_values_mean_what_they_meant(tmp_path: Path) -> None:
+    shutil.copytree(STORED / "lmdb", tmp_path / "disk")
+    store = Store(str(tmp_path / "disk"), DISK_BYTES)
+    identity, acceptor, replica = store.load(no_new_identity)
+    store.close()
+    assert identity.founder
+    assert acceptor.view.number == 4
+    assert [member.name for member in acceptor.view.chain] == ["core-2", "core-3"]
+    assert acceptor.accepted is not None
+    assert acceptor.accepted.number == 5
+    assert acceptor.promised > acceptor.accepted_ballot
+    assert replica.state_view == 4
+    assert (replica.state.sequence, replica.state.version, replica.state.fence_token) == (12, 3, 7)
+    assert replica.state.placer == "core-2"
+    assert [revision.version for revision in replica.state.accepted_revisions] == [2, 3]
+    assert replica.state.retirements == (
+        WorkerRetirement("worker-1", 40, False),
+        WorkerRetirement("worker-2", 41, True),
+    )
+
+
+@pytest.mark.parametrize("number", range(len(MESSAGES)))
+def test_a_message_of_the_version_before_is_read_and_written_alike(number: int) -> None:
+    encoded = bytes.fromhex(MESSAGES[number]["encoded"])
+    decoder = request_decoder if MESSAGES[number]["kind"] == "request" else reply_decoder
+    assert encoder.encode(decoder.decode(encoded)) == encoded
+
+
+def test_a_last_good_list_of_the_version_before_is_read() -> None:
+    found = lastgood.read(STORED / "last-good-list")
+    assert found is not None
+    assert (found.source, found.version, found.time_s) == ("discovery", 7, 1764700000.5)
+    assert json.loads(found.body)["servers"][0]["name"] == "w1"
+    assert lastgood.encode(found) == (STORED / "last-good-list").read_bytes()
+
+
+def test_a_simulation_trace_of_the_version_before_plays_the_same() -> None:
+    plan, lines = trace.read(STORED / "simulation-trace.jsonl")
+    again, _ = trace.record(plan)
+    assert len(lines) == 182
+    assert trace.first_difference(lines, again) is None
