--- a/benchmarks/etcd_serve.py
+++ b/benchmarks/etcd_serve.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from finchladder.config.entries import ServiceEntry
+from finchladder.config.endpoint_list import ServiceEntry
 from finchladder.config.options import EtcdOptions
 from finchladder.net.etcd.client import Client, EtcdError
 
--- a/finchladder/cli/config.py
+++ b/finchladder/cli/config.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from finchladder.cli.front import fail
-from finchladder.config.codes import Findings
+from finchladder.config.findings import Findings
+from finchladder.config.operator_file import Loaded, read
 from finchladder.config.platform import read_file
 from finchladder.config.render import explain, to_toml
-from finchladder.config.routes import Loaded, read
 from finchladder.config.settings import read_settings
-from finchladder.config.tables import schema
+from finchladder.config.toml_schema import schema
 from finchladder.core import api
 
 
--- a/finchladder/cli/drill.py
+++ b/finchladder/cli/drill.py
@@ -7,7 +7,7 @@
 
 from finchladder.cli import calls
 from finchladder.cli.front import fail, takes_config
-from finchladder.config.options import read_options
+from finchladder.config.option_files import read_options
 from finchladder.features.drills import Order
 
 
--- a/finchladder/cli/etcd.py
+++ b/finchladder/cli/etcd.py
@@ -15,8 +15,9 @@
 
 from finchladder.cli.front import fail, takes_config
 from finchladder.config.addresses import parse_address
-from finchladder.config.entries import ServiceEntry, ServiceList
-from finchladder.config.options import EtcdOptions, read_options
+from finchladder.config.endpoint_list import ServiceEntry, ServiceList
+from finchladder.config.option_files import read_options
+from finchladder.config.options import EtcdOptions
 from finchladder.net.etcd.client import Client, EtcdError
 from finchladder.net.etcd.keys import Keys
 
--- a/finchladder/cli/judge.py
+++ b/finchladder/cli/judge.py
@@ -9,7 +9,7 @@
 from finchladder.cli import calls
 from finchladder.cli.front import fail, takes_config
 from finchladder.config.addresses import parse_address
-from finchladder.config.options import read_options
+from finchladder.config.option_files import read_options
 
 UNITS = {"s": 1.0, "m": 60.0, "h": 3600.0}
 
--- a/finchladder/cli/replay.py
+++ b/finchladder/cli/replay.py
@@ -5,7 +5,8 @@
 import sys
 
 from finchladder.cli.front import fail, takes_config
-from finchladder.config.options import is_toml, read_options
+from finchladder.config.option_files import read_options
+from finchladder.config.options import is_toml
 from finchladder.config.platform import read_file
 from finchladder.config.settings import read_settings
 from finchladder.features.replay import Replay
@@ -26,7 +27,7 @@
         file, routes = read_file(os.environ), None
         settings = read_settings(bytes(file.settings))
         if args.config is not None and is_toml(args.config):
-            from finchladder.config.routes import read
+            from finchladder.config.operator_file import read
 
             loaded = read(args.config, settings, file.limits.memory_mb)
             options, routes = loaded.options, loaded.routes
--- a/finchladder/cli/serve.py
+++ b/finchladder/cli/serve.py
@@ -13,8 +13,10 @@
 from loguru import logger
 
 from finchladder.cli.front import fail, takes_config, takes_log_format
-from finchladder.config.options import Options, Refused, is_toml, read_options
-from finchladder.config.platform import Setup, read_setup
+from finchladder.config.errors import InvalidFileError
+from finchladder.config.option_files import read_options
+from finchladder.config.options import Options, is_toml
+from finchladder.config.platform import DispatcherSetup, read_setup
 from finchladder.net.machine import Machine, Selector
 from finchladder.net.node import Node, OperatorFile
 
@@ -39,14 +41,16 @@
     return logger.add(sink, level="INFO", backtrace=False, diagnose=False, serialize=log_format == "json")
 
 
-def read_file(path: str, setup: Setup) -> OperatorFile:
-    from finchladder.config.routes import read  # what a dispatcher with an INI file need not load
+def read_file(path: str, setup: DispatcherSetup) -> OperatorFile:
+    from finchladder.config.operator_file import read  # what a dispatcher with an INI file need not load
 
     again = partial(read, path, setup.settings, setup.limits.memory_mb)
     return OperatorFile(again(), again)
 
 
-async def serve(setup: Setup, options: Options, file: OperatorFile | None, machine: Machine) -> None:
+async def serve(
+    setup: DispatcherSetup, options: Options, file: OperatorFile | None, machine: Machine
+) -> None:
     # jobs leave no cycles, so the collector finds next to nothing, but each full look at 10,000 real servers
     # would hold up the loop for 100 ms and more: it comes seldom, and not at what stays
     gc.set_threshold(*THRESHOLDS)
@@ -55,7 +59,7 @@
     await node.serve()
 
 
-def play(setup: Setup, options: Options, file: OperatorFile | None) -> None:
+def play(setup: DispatcherSetup, options: Options, file: OperatorFile | None) -> None:
     if options.overload is None:
         asyncio.run(serve(setup, options, file, Machine(keep=gc.freeze)))
         return
@@ -74,7 +78,7 @@
         options.check([c.name for c in setup.settings.classes], setup.limits.memory_mb, setup.settings)
         if options.peers is not None:
             options.peers.listing(setup.name)
-    except Refused as e:
+    except InvalidFileError as e:
         print(e, file=sys.stderr)
         sys.exit(2)
     except ValueError as e:
--- a/finchladder/config/entries.py
+++ b/finchladder/config/endpoint_list.py
@@ -52,7 +52,7 @@
         return api.WorkerList(found, tuple(e.worker() for e in self.endpoints))
 
 
-class News(NamedTuple):
+class EndpointUpdate(NamedTuple):
     """A list that has been read and found usable."""
 
     version: int
@@ -61,7 +61,7 @@
     entries: list[ServiceEntry] = []
 
 
-class Change(NamedTuple):
+class EndpointChange(NamedTuple):
     """What a long list changed: entries that are not as they were; GONE are those that a whole one lacks."""
 
     version: int
@@ -86,16 +86,18 @@
 _entry = msgspec.json.Decoder(ServiceEntry)
 
 
-def read_list(line: bytes, kind: api.ListKind | None = None) -> News:
+def read_list(line: bytes, kind: api.ListKind | None = None) -> EndpointUpdate:
     """One line of the list; ValueError says what is wrong with it."""
     try:
         found = _decoder.decode(line)
-        return News(found.index, found.workers(kind), found.addresses(), found.endpoints)
+        return EndpointUpdate(found.index, found.workers(kind), found.addresses(), found.endpoints)
     except msgspec.MsgspecError as e:
         raise ValueError(str(e)) from None
 
 
-def read_long(line: bytes, slice_of: int, kind: api.ListKind | None = None) -> Generator[None, None, News]:
+def read_long(
+    line: bytes, slice_of: int, kind: api.ListKind | None = None
+) -> Generator[None, None, EndpointUpdate]:
     """As `read_list`, so many entries between two pauses."""
     entries: list[api.WorkerEntry] = []
     addresses: dict[str, tuple[str, int]] = {}
@@ -112,7 +114,7 @@
     except msgspec.MsgspecError as error:
         raise ValueError(str(error)) from None
     kind = kind or (api.ListKind.FULL if found.snapshot else api.ListKind.PATCH)
-    return News(found.index, api.WorkerList(kind, tuple(entries)), addresses)
+    return EndpointUpdate(found.index, api.WorkerList(kind, tuple(entries)), addresses)
 
 
 def version_of(line: bytes) -> int:
@@ -120,7 +122,7 @@
     return _index.decode(line).index
 
 
-def version_and_whole(line: bytes) -> tuple[int, bool]:
+def version_and_is_full(line: bytes) -> tuple[int, bool]:
     """Of a line of the list, whatever else is in it; ValueError says what is wrong with these."""
     try:
         found = _index.decode(line)
@@ -148,16 +150,16 @@
     return msgspec.json.encode(ServiceList(version, True, listed))
 
 
-class EntryTable:
+class EndpointTable:
     """All entries as they were last told: of a long list only what differs is worth the work."""
 
     def __init__(self) -> None:
-        self.told: dict[str, ServiceEntry] = {}
+        self.known: dict[str, ServiceEntry] = {}
 
-    def keep(self, news: News) -> None:
+    def keep(self, news: EndpointUpdate) -> None:
         self._keep({e.name: e for e in news.entries}, news.workers.kind is not api.ListKind.PATCH)
 
-    def read(self, line: bytes, slice_of: int, whole: bool = False) -> Generator[None, None, Change]:
+    def read(self, line: bytes, slice_of: int, whole: bool = False) -> Generator[None, None, EndpointChange]:
         """Reads so many entries between two pauses; what is told is kept at the end. `whole`: it is, it says.
 
         ValueError says what is wrong with it; then nothing of it is kept.
@@ -182,22 +184,22 @@
         whole = whole or found.snapshot
         if whole:
             entries += [
-                api.WorkerEntry(name, api.WorkerStatus.REMOVED) for name in self.told if name not in told
+                api.WorkerEntry(name, api.WorkerStatus.REMOVED) for name in self.known if name not in told
             ]
         self._keep(told, whole)
-        return Change(found.index, entries, addresses)
+        return EndpointChange(found.index, entries, addresses)
 
     def _said(self, e: ServiceEntry) -> bool:
         """Whether it is as it was but for its weight, which nothing here goes by."""
-        if (old := self.told.get(e.name)) is None:
+        if (old := self.known.get(e.name)) is None:
             return e.status == "gone"
         return old == e or msgspec.structs.replace(old, weight=e.weight) == e
 
     def _keep(self, told: dict[str, ServiceEntry], whole: bool) -> None:
         if whole:
-            self.told = dict(told)
+            self.known = dict(told)
         else:
-            self.told.update(told)
+            self.known.update(told)
         for e in told.values():
             if e.status == "gone":
-                del self.told[e.name]
+                del self.known[e.name]
--- a/finchladder/config/codes.py
+++ b/finchladder/config/findings.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple, NoReturn
 
-from finchladder.config.options import Refused
-from finchladder.config.places import Path, Place, Places
+from finchladder.config.errors import InvalidFileError
+from finchladder.config.positions import Path, Position, PositionIndex
 
 
 class Finding(NamedTuple):
@@ -22,16 +22,16 @@
         return f"{self.file}:{self.line}:{self.column}: {self.code} {self.reason}. {self.remedy}."
 
 
-MOST = 200  # findings that are told of one file
-LONGEST = 300  # characters of a reason
+MAX_FINDINGS = 200  # findings that are told of one file
+MAX_REASON_LENGTH = 300  # characters of a reason
 
 
-class Findings(Refused):
+class Findings(InvalidFileError):
     """What was found in it in the order of its lines, and how many `more` there are."""
 
     def __init__(self, findings: Iterable[Finding]) -> None:
         found = sorted(findings, key=lambda f: (f.line, f.column, f.code))
-        self.all, self.more = tuple(found[:MOST]), max(0, len(found) - MOST)
+        self.all, self.more = tuple(found[:MAX_FINDINGS]), max(0, len(found) - MAX_FINDINGS)
         lines = [*map(str, self.all), *([f"and {self.more} more findings"] if self.more else [])]
         super().__init__("\n".join(lines))
 
@@ -125,27 +125,29 @@
 }
 
 
-class Unusable(Exception):
+class UnreadableFileError(Exception):
     """There is nothing to go on with; why has been noted."""
 
 
-class Notes:
+class FindingCollector:
     """What was found in one file so far. One place has each code once, however many routes it concerns."""
 
     def __init__(self, file: str) -> None:
         self.file = _line(file)
-        self.places = Places()
-        self.found: dict[tuple[str, Place], Finding] = {}
+        self.places = PositionIndex()
+        self.found: dict[tuple[str, Position], Finding] = {}
 
     def add(self, code: str, path: Path, reason: str, **words: Any) -> None:
         """`words` fill the gaps of the code's remedy."""
         self.at(code, self.places.find(path), reason, **words)
 
-    def at(self, code: str, place: Place, reason: str, **words: Any) -> None:
+    def at(self, code: str, place: Position, reason: str, **words: Any) -> None:
         remedy = REMEDIES[code].format(**words)
-        one = Finding(code, self.file, *place, _line(reason)[:LONGEST], _line(remedy)[:LONGEST])
+        one = Finding(
+            code, self.file, *place, _line(reason)[:MAX_REASON_LENGTH], _line(remedy)[:MAX_REASON_LENGTH]
+        )
         self.found.setdefault((code, place), one)
 
-    def stop(self, code: str, place: Place, reason: str, **words: Any) -> NoReturn:
+    def stop(self, code: str, place: Position, reason: str, **words: Any) -> NoReturn:
         self.at(code, place, reason, **words)
-        raise Unusable
+        raise UnreadableFileError
--- /dev/null
+++ b/finchladder/config/ini_file.py
@@ -0,0 +1,72 @@
+"""Operator's files in INI form: text to sections, and sections of either form to options."""
+
+from collections.abc import Mapping
+from configparser import ConfigParser
+from configparser import Error as IniError
+from typing import Any, TypeVar
+
+import msgspec
+
+from finchladder.config.options import SECTIONS, DoorOptions, Options
+
+Part = TypeVar("Part", bound=msgspec.Struct)
+
+
+def ini_sections(text: str, path: str) -> dict[str, dict[str, str]]:
+    """configparser.Error says what can't be read."""
+    # no interpolation, as a key may hold a %, and no section whose values leak into all others
+    parser = ConfigParser(interpolation=None, default_section="\0")
+    parser.optionxform = str  # type: ignore[assignment,method-assign]
+    parser.read_string(text, path)
+    return {name: dict(parser[name]) for name in parser.sections()}
+
+
+def read_ini(text: str, path: str) -> Options:
+    """ValueError says in one line what can't be used; `path` is named there."""
+    try:
+        sections = ini_sections(text, path)
+        options = options_of(sections)
+        if (reason := at_odds(sections)) is not None:
+            raise ValueError(f"[membership]: {reason}")
+        return options
+    except (IniError, ValueError) as e:
+        raise ValueError(f"{path}: {e}") from None
+
+
+def options_of(sections: Mapping[str, Mapping[str, object]], strict: bool = False) -> Options:
+    """By section, `door.NAME` for a class. `strict`: a value must have its type, else it may be text."""
+    found: dict[str, object] = {}
+    classes: dict[str, DoorOptions] = {}
+    for name, values in sections.items():
+        part, dot, job_class = name.partition(".")
+        if part == "door" and dot and job_class:
+            # what a class does not say holds as for all: its burst must not fall back below a raised rate
+            classes[job_class] = _section(name, {**sections.get("door", {}), **values}, DoorOptions, strict)
+        elif name in SECTIONS:
+            found[name] = _section(name, values, SECTIONS[name], strict)
+        else:
+            raise ValueError(f"[{name}]: unknown section")
+    return msgspec.convert(found | {"door_of": classes}, Options)
+
+
+def at_odds(sections: Mapping[str, Mapping[str, object]]) -> str | None:
+    """What no section can tell by itself, of sections that can be used."""
+    if sections.get("membership", {}).get("lead") == "etcd" and "etcd" not in sections:
+        return "lead is etcd, and there is no section [etcd]"
+    return None
+
+
+def _section(name: str, values: Mapping[str, object], kind: type[Part], strict: bool) -> Part:
+    try:
+        return msgspec.convert(dict(values) if strict else from_text(kind, values), kind, strict=strict)
+    except msgspec.ValidationError as e:
+        raise ValueError(f"[{name}]: {e}") from None
+
+
+def from_text(kind: type[msgspec.Struct], values: Mapping[str, object]) -> dict[str, Any]:
+    """A setting that is a list stands in an INI file as text, with commas between."""
+    lists = {f.name for f in msgspec.structs.fields(kind) if "list[" in str(f.type)}
+    return {
+        name: [one.strip() for one in value.split(",")] if name in lists and isinstance(value, str) else value
+        for name, value in values.items()
+    }
--- a/finchladder/config/routes.py
+++ b/finchladder/config/operator_file.py
@@ -8,13 +8,14 @@
 import tomllib
 from typing import Any, NamedTuple
 
-from finchladder.config.checker import check
-from finchladder.config.codes import Findings, Notes, Unusable, listed, shown
-from finchladder.config.levels import Resolved, build, resolve
-from finchladder.config.options import OFF, SECTIONS, Options, at_odds, is_toml, options_of, read_ini
-from finchladder.config.places import Path, Place, Places, ini_places, toml_places
-from finchladder.config.tables import LEVELS, NAME, Limits, RouteTable
-from finchladder.config.values import Leaves, Said, kind_of, leaves
+from finchladder.config.findings import FindingCollector, Findings, UnreadableFileError, listed, shown
+from finchladder.config.ini_file import at_odds, options_of, read_ini
+from finchladder.config.options import OFF, SECTIONS, Options, is_toml
+from finchladder.config.positions import Path, Position, PositionIndex, ini_positions, toml_positions
+from finchladder.config.precedence import ResolvedRoute, build, resolve
+from finchladder.config.route_checks import check
+from finchladder.config.toml_schema import LEVELS, NAME, Limits, RouteTable
+from finchladder.config.value_checks import GivenValue, ValuesByPath, collect_values, kind_of
 from finchladder.core import api
 from finchladder.core.routing.routes import MOST_ROUTES, NO_ROUTES, Routes
 
@@ -32,8 +33,8 @@
     options: Options
     routes: Routes
     version: str
-    resolved: tuple[Resolved, ...] = ()  # where each value of each route came from
-    places: Places = Places()
+    resolved: tuple[ResolvedRoute, ...] = ()  # where each value of each route came from
+    places: PositionIndex = PositionIndex()
 
 
 def load(
@@ -43,7 +44,7 @@
 
     Without the platform's settings only what needs none of them is checked, and no routes come out.
     """
-    notes = Notes(name)
+    notes = FindingCollector(name)
     found = None
     try:
         raw = data.encode("utf-8", "surrogatepass") if isinstance(data, str) else data
@@ -54,7 +55,7 @@
         else:
             found = Loaded(_ini(notes, text, name), NO_ROUTES, version)
         _against_platform(notes, found.options, settings, memory_mb)
-    except Unusable:
+    except UnreadableFileError:
         pass
     if notes.found or found is None:
         return Findings(notes.found.values())
@@ -67,7 +68,7 @@
         with open(path, "rb") as file:
             data = file.read(MOST_BYTES + 1)
     except (OSError, ValueError) as e:  # ValueError: a name that no file can have
-        notes = Notes(path)
+        notes = FindingCollector(path)
         notes.add("FL101", (), f"the file can't be read: {getattr(e, 'strerror', None) or e}")
         raise Findings(notes.found.values()) from None
     found = load(data, path, settings, memory_mb)
@@ -76,25 +77,25 @@
     return found
 
 
-def _decoded(notes: Notes, raw: bytes) -> str:
+def _decoded(notes: FindingCollector, raw: bytes) -> str:
     if len(raw) > MOST_BYTES:
-        notes.stop("FL102", Place(1, 1), "the file is larger than 1 MB")
+        notes.stop("FL102", Position(1, 1), "the file is larger than 1 MB")
     try:
         text = raw.decode("utf-8")
     except UnicodeDecodeError as e:
         line = raw.count(b"\n", 0, e.start) + 1
         before = raw[raw.rfind(b"\n", 0, e.start) + 1 : e.start]
-        place = Place(line, len(before.decode("utf-8", "replace")) + 1)
+        place = Position(line, len(before.decode("utf-8", "replace")) + 1)
         notes.stop("FL103", place, f"byte 0x{raw[e.start]:02x} is no UTF-8")
     if text.startswith("\ufeff"):
-        notes.stop("FL103", Place(1, 1), "the file begins with a byte order mark")
+        notes.stop("FL103", Position(1, 1), "the file begins with a byte order mark")
     return text
 
 
-def _ini(notes: Notes, text: str, name: str) -> Options:
+def _ini(notes: FindingCollector, text: str, name: str) -> Options:
     """As a dispatcher reads it; what it would say is the one finding."""
     text = text.replace("\r\n", "\n").replace("\r", "\n")  # as reading a file as text does
-    notes.places = ini_places(text)
+    notes.places = ini_positions(text)
     try:
         return read_ini(text, name)
     except ValueError as e:
@@ -102,7 +103,7 @@
         notes.stop("FL109", notes.places.told_of(reason), reason)
 
 
-def _toml(notes: Notes, text: str, settings: api.Settings | None, version: str) -> Loaded:
+def _toml(notes: FindingCollector, text: str, settings: api.Settings | None, version: str) -> Loaded:
     whole = _parsed(notes, text)
     for key in whole:
         if key not in SECTIONS and key not in LEVELS:
@@ -122,8 +123,8 @@
     return Loaded(options, made, version, tuple(resolved), notes.places)
 
 
-def _parsed(notes: Notes, text: str) -> dict[str, Any]:
-    notes.places = toml_places(text)
+def _parsed(notes: FindingCollector, text: str) -> dict[str, Any]:
+    notes.places = toml_positions(text)
     if notes.places.deep is not None:
         notes.stop("FL107", notes.places.deep, "tables or arrays are nested too deeply")
     try:
@@ -131,10 +132,10 @@
     except ValueError as e:
         said = str(e)
     except RecursionError:  # the walk has a bound of its own; should it have lost its way, here is another
-        notes.stop("FL107", Place(1, 1), "tables or arrays are nested too deeply")
+        notes.stop("FL107", Position(1, 1), "tables or arrays are nested too deeply")
     m = _AT.search(said)
     lines = text.replace("\r\n", "\n").split("\n")
-    place = Place(int(m[1]), int(m[2])) if m else Place(len(lines), len(lines[-1]) + 1)
+    place = Position(int(m[1]), int(m[2])) if m else Position(len(lines), len(lines[-1]) + 1)
     reason = shown(_AT.sub("", said).removesuffix(_AT_END))
     if said.startswith(_TWICE):
         twice = notes.places.twice
@@ -144,10 +145,10 @@
         notes.stop("FL106", twice.place, f"{key} is there already, at line {twice.first.line}")
     if said.endswith(_AT_END):
         notes.stop("FL108", place, f"the file ends too early: {reason}")
-    notes.stop("FL105", place if m else Place(1, 1), f"this is no TOML: {reason}")
+    notes.stop("FL105", place if m else Position(1, 1), f"this is no TOML: {reason}")
 
 
-def _features(notes: Notes, sections: dict[str, Any]) -> Options:
+def _features(notes: FindingCollector, sections: dict[str, Any]) -> Options:
     """The sections that an INI file has too, with the same meaning."""
     given: dict[str, dict[str, Any]] = {}
     before = len(notes.found)
@@ -159,10 +160,10 @@
         own = {k: v for k, v in table.items() if k not in classes}
         if own or not classes or (name,) in notes.places.tables:  # [door.NAME] alone limits no other class
             given[name] = own
-            leaves(notes, SECTIONS[name], own, (name,), 0)
+            collect_values(notes, SECTIONS[name], own, (name,), 0)
         for job_class, values in classes.items():
             given[f"{name}.{job_class}"] = values
-            leaves(notes, SECTIONS[name], values, (name, job_class), 0)
+            collect_values(notes, SECTIONS[name], values, (name, job_class), 0)
     if len(notes.found) > before:
         return OFF
     for name, values in given.items():
@@ -178,8 +179,8 @@
 
 
 def _named(
-    notes: Notes, whole: dict[str, Any], level: str, kind: type[Limits], number: int
-) -> dict[str, Leaves]:
+    notes: FindingCollector, whole: dict[str, Any], level: str, kind: type[Limits], number: int
+) -> dict[str, ValuesByPath]:
     """[class.NAME], [route.NAME]."""
     tables = whole.get(level, {})
     if not isinstance(tables, dict):
@@ -192,22 +193,24 @@
     return {name: own for name, own in found.items() if own is not None}
 
 
-def _section(notes: Notes, kind: type[Limits], table: Any, path: Path, level: int) -> Leaves | None:
+def _section(
+    notes: FindingCollector, kind: type[Limits], table: Any, path: Path, level: int
+) -> ValuesByPath | None:
     if not isinstance(table, dict):
         name = f"[{path[0]}.NAME]" if len(path) > 1 else f"[{path[0]}]"
         notes.add("FL120", path, f"{shown(path[-1])} is {kind_of(table)}", table=name)
         return None
-    found = leaves(notes, kind, table, path, level)
+    found = collect_values(notes, kind, table, path, level)
     for name in ("class", "match"):  # whether it can be used or not: it says which jobs are meant
         if name in table:
-            found.setdefault(f"{name}?", Said(True, (*path, name), level))
+            found.setdefault(f"{name}?", GivenValue(True, (*path, name), level))
     if "hedge_after" in table and "hedge_after_s" in table:
         notes.add("FL125", (*path, "hedge_after_s"), "hedge_after and hedge_after_s are both there")
     return found
 
 
 def _against_platform(
-    notes: Notes, options: Options, settings: api.Settings | None, memory_mb: int | None
+    notes: FindingCollector, options: Options, settings: api.Settings | None, memory_mb: int | None
 ) -> None:
     if settings is not None:
         known = [c.name for c in settings.classes]
--- a/finchladder/config/platform.py
+++ b/finchladder/config/platform.py
@@ -7,70 +7,72 @@
 import msgspec
 
 from finchladder.config.addresses import parse_address
-from finchladder.config.entries import read_list
+from finchladder.config.endpoint_list import read_list
 from finchladder.config.settings import read_settings
 from finchladder.core import api
 
 LEAST_SOCKETS, LEAST_MEMORY = 128, 32
 
 
-class Caps(msgspec.Struct, rename="camel"):
+class ConnectionLimits(msgspec.Struct, rename="camel"):
     """What of the settings concerns connections alone, and so never reaches the module."""
 
     conn_idle_s: float
     connect_timeout_s: float
 
 
-class NetPart(msgspec.Struct):
-    caps: Caps
+class ConnectionSettings(msgspec.Struct):
+    caps: ConnectionLimits
 
 
-class Limits(msgspec.Struct):
+class ProcessLimits(msgspec.Struct):
     sockets: int = 1024
     memory_mb: int = 192
     cores: float = 1.0
 
 
-class File(msgspec.Struct):
+class PlatformFile(msgspec.Struct):
     """The file that NODE_CONFIG names."""
 
     settings: msgspec.Raw
     discovery: str = ""  # goes before NODE_DISCOVERY, which a file written later can't change
     seed: str = ""
     known: msgspec.Raw = msgspec.Raw(b"")
-    limits: Limits = msgspec.field(default_factory=Limits)
+    limits: ProcessLimits = msgspec.field(default_factory=ProcessLimits)
 
 
-class Setup(NamedTuple):
+class DispatcherSetup(NamedTuple):
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: str
     known: bytes  # a list, found usable; empty: none
     settings: api.Settings
-    caps: Caps
-    limits: Limits
+    caps: ConnectionLimits
+    limits: ProcessLimits
 
 
 def read_bytes(path: str) -> bytes:
     return Path(path).read_bytes()
 
 
-def read_file(env: Mapping[str, str], *needed: str, read: Callable[[str], bytes] = read_bytes) -> File:
+def read_file(
+    env: Mapping[str, str], *needed: str, read: Callable[[str], bytes] = read_bytes
+) -> PlatformFile:
     for name in (*needed, "NODE_CONFIG"):
         if not env.get(name):
             raise ValueError(f"{name} is not set")
     try:
-        return msgspec.json.decode(read(env["NODE_CONFIG"]), type=File)
+        return msgspec.json.decode(read(env["NODE_CONFIG"]), type=PlatformFile)
     except (OSError, msgspec.MsgspecError) as e:
         raise ValueError(f"{env['NODE_CONFIG']}: {e}") from None
 
 
-def read_setup(env: Mapping[str, str], read: Callable[[str], bytes] = read_bytes) -> Setup:
+def read_setup(env: Mapping[str, str], read: Callable[[str], bytes] = read_bytes) -> DispatcherSetup:
     """ValueError says in one line what can't be used. `read` gets NODE_CONFIG, and gives the file's bytes."""
     file = read_file(env, "NODE_LISTEN", read=read)
     try:
-        caps = msgspec.json.decode(file.settings, type=NetPart).caps
+        caps = msgspec.json.decode(file.settings, type=ConnectionSettings).caps
     except msgspec.MsgspecError as e:
         raise ValueError(f"{env['NODE_CONFIG']}: {e}") from None
     if caps.conn_idle_s <= 0 or caps.connect_timeout_s <= 0:
@@ -85,7 +87,7 @@
     known = bytes(file.known) if bytes(file.known) != b"null" else b""
     if known:
         read_list(known)
-    return Setup(
+    return DispatcherSetup(
         env.get("NODE_NAME", "dispatcher"),
         parse_address(env["NODE_LISTEN"]),
         parse_address(discovery),
--- a/finchladder/config/places.py
+++ b/finchladder/config/positions.py
@@ -32,82 +32,82 @@
 _INI_KEY = re.compile(r"[^\s:=;#\[][^:=]*")
 
 
-class Place(NamedTuple):
+class Position(NamedTuple):
     line: int
     column: int
 
 
-class Twice(NamedTuple):
+class DuplicateKey(NamedTuple):
     """A key or table that was there already."""
 
     path: Path
-    place: Place
-    first: Place
+    place: Position
+    first: Position
 
 
-class Places:
+class PositionIndex:
     """`tables` are those that a header names; `twice` and `deep` are what ended the walk, where that did."""
 
     def __init__(self) -> None:
-        self.of: dict[Path, Place] = {}
+        self.of: dict[Path, Position] = {}
         self.tables: set[Path] = set()
-        self.twice: Twice | None = None
-        self.deep: Place | None = None
+        self.twice: DuplicateKey | None = None
+        self.deep: Position | None = None
 
-    def find(self, path: Path) -> Place:
+    def find(self, path: Path) -> Position:
         """Of the path, or of the nearest thing that holds it."""
         while path and path not in self.of:
             path = path[:-1]
-        return self.of.get(path, Place(1, 1))
+        return self.of.get(path, Position(1, 1))
 
-    def told_of(self, text: str) -> Place:
+    def told_of(self, text: str) -> Position:
         """Of what a message about an INI file names: a line, or a section and perhaps a key of it."""
         if (m := _INI_LINE.search(text)) is not None:
-            return Place(int(m[1] or m[2]), 1)
+            return Position(int(m[1] or m[2]), 1)
         section = next((p[0] for p in self.of if len(p) == 1 and f"[{p[0]}]" in text), "")
         words = text.replace("$.", "").split("`")
         keys = [p for p in self.of if len(p) == 2 and p[0] == section and p[1] in words]
         return self.find(keys[0] if keys else (section,))
 
 
-class _Lost(Exception):
+class _PositionLostError(Exception):
     """The text can't be followed any further."""
 
 
-def toml_places(text: str) -> Places:
-    walk = _Walk(text.replace("\r\n", "\n"))
-    with suppress(_Lost):
+def toml_positions(text: str) -> PositionIndex:
+    walk = _TomlWalker(text.replace("\r\n", "\n"))
+    with suppress(_PositionLostError):
         walk.file()
     return walk.places
 
 
-def ini_places(text: str) -> Places:
+def ini_positions(text: str) -> PositionIndex:
     """Of an INI file: its sections and their keys, as paths of two."""
-    places, section = Places(), ""
+    places, section = PositionIndex(), ""
     for number, line in enumerate(text.split("\n"), 1):
         if (m := _INI_SECTION.match(line)) is not None:
             section = m[1]
-            places.of.setdefault((section,), Place(number, 1))
+            places.of.setdefault((section,), Position(number, 1))
         elif (m := _INI_KEY.match(line)) is not None:
-            places.of.setdefault((section, m[0].rstrip()), Place(number, 1))
+            places.of.setdefault((section, m[0].rstrip()), Position(number, 1))
     return places
 
 
-class _Walk:
+class _TomlWalker:
     def __init__(self, text: str) -> None:
         self.text, self.at = text, 0
-        self.places = Places()
+        self.places = PositionIndex()
         self.implied: set[Path] = set()  # tables that are there because something in them is
         self.counts: dict[Path, int] = {}  # tables in each array of tables
         self.line, self.begins, self.counted = 1, 0, 0  # the line counted up to here, and where it begins
 
-    def place(self) -> Place:
+    def place(self) -> Position:
         """Of what stands here. Asked for in the order of the text, so each line is counted once."""
         if (more := self.text.count("\n", self.counted, self.at)) > 0:
             self.line += more
             self.begins = self.text.rindex("\n", self.counted, self.at) + 1
         self.counted = self.at
-        return Place(self.line, self.at - self.begins + 1)
+        return Position(self.line, self.at - self.begins + 1)
 
     def skip(self, pattern: re.Pattern[str]) -> None:
         if (m := pattern.match(self.text, self.at)) is not None:
@@ -120,7 +120,7 @@
 
     def need(self, what: str) -> None:
         if not self.take(what):
-            raise _Lost
+            raise _PositionLostError
 
     def file(self) -> None:
         table: Path = ()
@@ -167,7 +167,7 @@
                 self.too_deep()
             m = _KEY.match(self.text, self.at)
             if m is None:
-                raise _Lost
+                raise _PositionLostError
             self.at = m.end()
             parts.append(m[1] or _unquoted(m[0]))
             self.skip(_SPACE)
@@ -177,7 +177,7 @@
 
     def too_deep(self) -> NoReturn:
         self.places.deep = self.place()
-        raise _Lost
+        raise _PositionLostError
 
     def pair(self, table: Path) -> None:
         place = self.place()
@@ -187,7 +187,7 @@
         self.note(path, place)
         self.value(path)
 
-    def note(self, path: Path, place: Place, again: bool = False) -> None:
+    def note(self, path: Path, place: Position, again: bool = False) -> None:
         above = path[:-1]
         while above and above not in self.places.of:  # what holds a noted path is noted too
             self.places.of[above] = place
@@ -201,9 +201,9 @@
             self.twice(path, place)
         self.places.of[path] = place
 
-    def twice(self, path: Path, place: Place) -> NoReturn:
-        self.places.twice = Twice(path, place, self.places.of[path])
-        raise _Lost
+    def twice(self, path: Path, place: Position) -> NoReturn:
+        self.places.twice = DuplicateKey(path, place, self.places.of[path])
+        raise _PositionLostError
 
     def value(self, path: Path) -> None:
         if (m := _TEXT.match(self.text, self.at)) is not None:
@@ -234,11 +234,11 @@
             if self.take(","):
                 self.skip(_GAP)
             elif self.at == before:  # nothing that could be an item stands here
-                raise _Lost
+                raise _PositionLostError
 
 
 def _unquoted(token: str) -> str:
     try:
         return str(tomllib.loads(f"k = {token}")["k"])
     except (tomllib.TOMLDecodeError, ValueError):
-        raise _Lost from None
+        raise _PositionLostError from None
--- a/finchladder/config/levels.py
+++ b/finchladder/config/precedence.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from finchladder.config.codes import Notes, listed, shown
-from finchladder.config.places import Path
-from finchladder.config.values import Leaves, Said
+from finchladder.config.findings import FindingCollector, listed, shown
+from finchladder.config.positions import Path
+from finchladder.config.value_checks import GivenValue, ValuesByPath
 from finchladder.core.api import Ending, JobClass, Settings, WorkerPool
 from finchladder.core.routing.routes import (
     Backoff,
@@ -23,30 +23,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Resolved:
+class ResolvedRoute:
     """A route for one class of jobs; `cls` is None where the platform's settings are not known."""
 
     name: str
     job_class: str | None
     cls: JobClass | None
     match: Match
-    said: Leaves
+    values: ValuesByPath
 
     @property
     def path(self) -> Path:
         return ("route", self.name)
 
     def get(self, name: str, absent: Any = None) -> Any:
-        return self.said[name].value if name in self.said else absent
+        return self.values[name].value if name in self.values else absent
 
-    def told(self, *names: str) -> Said | None:
+    def first_given(self, *names: str) -> GivenValue | None:
         """The first of the settings that the file says."""
-        return next((self.said[name] for name in names if name in self.said), None)
+        return next((self.values[name] for name in names if name in self.values), None)
 
     @property
-    def hedges(self) -> Said | None:
+    def hedges(self) -> GivenValue | None:
         """What turns second copies on, if they are on."""
-        on = self.told("hedge_after", "hedge_after_s")
+        on = self.first_given("hedge_after", "hedge_after_s")
         off = self.get("hedge_most", HEDGE_MOST) == 0 or self.get("attempts") == 1
         return None if off else on
 
@@ -58,18 +58,18 @@
 
 
 def resolve(
-    notes: Notes,
+    notes: FindingCollector,
     settings: Settings | None,
-    defaults: Leaves,
-    classes: dict[str, Leaves],
-    routes: dict[str, Leaves],
-) -> list[Resolved]:
+    defaults: ValuesByPath,
+    classes: dict[str, ValuesByPath],
+    routes: dict[str, ValuesByPath],
+) -> list[ResolvedRoute]:
     """Each route once for every class that it can match; what names no class that can be is noted."""
     known = {c.name: c for c in settings.classes} if settings is not None else None
     for name in classes:
         if known is not None and name not in known:
             notes.add("FL161", ("class", name), f"there is no class {shown(name)}", known=listed(known))
-    found: list[Resolved] = []
+    found: list[ResolvedRoute] = []
     for name, own in routes.items():
         match = _match(own)
         named = {said.value: said for said in (own.get("class"), own.get("match.class")) if said is not None}
@@ -87,17 +87,17 @@
         match = Match(job_class, match.path, match.method, match.headers)
         for one in [job_class] if job_class is not None or known is None else known:
             said = _over(_over(dict(defaults), classes.get(one or "", {})), own)
-            found.append(Resolved(name, one, (known or {}).get(one or ""), match, said))
+            found.append(ResolvedRoute(name, one, (known or {}).get(one or ""), match, said))
     return found
 
 
-def _over(below: Leaves, above: Leaves) -> Leaves:
+def _over(below: ValuesByPath, above: ValuesByPath) -> ValuesByPath:
     for name in above:
         below.pop(EITHER.get(name, ""), None)
     return below | above
 
 
-def _match(own: Leaves) -> Match:
+def _match(own: ValuesByPath) -> Match:
     def of(name: str) -> Any:
         return own[f"match.{name}"].value if f"match.{name}" in own else None
 
@@ -105,7 +105,7 @@
     return Match(of("class"), of("path"), of("method"), headers)
 
 
-def build(r: Resolved) -> Route:
+def build(r: ResolvedRoute) -> Route:
     """What the checker found nothing wrong with."""
     assert r.cls is not None
     hedge, budget = None, None
@@ -113,7 +113,7 @@
         after = r.get("hedge_after")
         percentile = float(after[1:]) if after is not None else None
         hedge = Hedge(r.get("hedge_after_s"), percentile, r.get("hedge_most", HEDGE_MOST))
-    if "retry_budget.share" in r.said:
+    if "retry_budget.share" in r.values:
         least = r.get("retry_budget.least_per_s", 1.0)
         window, repeats = r.get("retry_budget.window_s", 10.0), r.get("retry_budget.repeats", False)
         budget = RetryBudget(r.get("retry_budget.share"), least, window, repeats)
--- a/finchladder/config/render.py
+++ b/finchladder/config/render.py
@@ -5,12 +5,13 @@
 
 import msgspec
 
-from finchladder.config.codes import Findings
-from finchladder.config.levels import EITHER, Resolved
-from finchladder.config.options import SECTIONS, from_text, ini_sections, is_toml, read_ini
-from finchladder.config.places import Places
-from finchladder.config.routes import load
-from finchladder.config.tables import DEFAULTS, fields_of
+from finchladder.config.findings import Findings
+from finchladder.config.ini_file import from_text, ini_sections, read_ini
+from finchladder.config.operator_file import load
+from finchladder.config.options import SECTIONS, is_toml
+from finchladder.config.positions import PositionIndex
+from finchladder.config.precedence import EITHER, ResolvedRoute
+from finchladder.config.toml_schema import DEFAULTS, fields_of
 
 
 class Line(NamedTuple):
@@ -40,22 +41,22 @@
         return "default" if line.line is None else f"{self.file}:{line.line} {line.section}"
 
 
-def explain(r: Resolved, places: Places, file: str) -> Explained:
+def explain(r: ResolvedRoute, places: PositionIndex, file: str) -> Explained:
     """Each setting of a route with the line that it came from."""
     lines = []
     for name in ("class", *(f"match.{part}" for part in ("class", "path", "method", "headers"))):
-        if name in r.said:
+        if name in r.values:
             lines.append(_line(r, places, name))
     for name in DEFAULTS:
-        if name in r.said:
+        if name in r.values:
             lines.append(_line(r, places, name))
-        elif EITHER.get(name) not in r.said:
+        elif EITHER.get(name) not in r.values:
             lines.append(Line(name, None, DEFAULTS[name], None, None))
     return Explained(file, r.name, r.job_class, lines)
 
 
-def _line(r: Resolved, places: Places, name: str) -> Line:
-    said = r.said[name]
+def _line(r: ResolvedRoute, places: PositionIndex, name: str) -> Line:
+    said = r.values[name]
     section = ("[defaults]", f"[class.{r.job_class}]", f"[route.{r.name}]")[said.level]
     return Line(name, said.value, None, places.find(said.path).line, section)
 
--- a/finchladder/config/checker.py
+++ b/finchladder/config/route_checks.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable
 from itertools import combinations
 
-from finchladder.config.codes import Notes, listed, shown
-from finchladder.config.levels import Resolved
-from finchladder.config.places import Path
-from finchladder.config.values import Leaves, Said
+from finchladder.config.findings import FindingCollector, listed, shown
+from finchladder.config.positions import Path
+from finchladder.config.precedence import ResolvedRoute
+from finchladder.config.value_checks import GivenValue, ValuesByPath
 from finchladder.core.api import DeduplicationScope, Effect, Settings
 from finchladder.core.routing.routes import MAY_HAVE_RUN, Match
 
@@ -20,12 +20,12 @@
 
 
 def check(
-    notes: Notes,
+    notes: FindingCollector,
     settings: Settings | None,
-    defaults: Leaves | None,
-    classes: dict[str, Leaves],
-    routes: dict[str, Leaves],
-    resolved: list[Resolved],
+    defaults: ValuesByPath | None,
+    classes: dict[str, ValuesByPath],
+    routes: dict[str, ValuesByPath],
+    resolved: list[ResolvedRoute],
 ) -> None:
     if not notes.found:  # else what could not be read may be what it stands below
         _unused(notes, defaults, classes, routes, resolved)
@@ -52,12 +52,14 @@
     What stands below routes may be of use to one of them alone, and may be overridden by any of them.
     """
 
-    def __init__(self, notes: Notes) -> None:
+    def __init__(self, notes: FindingCollector) -> None:
         self.notes = notes
         self.found: dict[tuple[str, Path], str] = {}
         self.of_use: set[tuple[str, Path]] = set()
 
-    def judge(self, code: str, one: Said | None, void: bool, by: Said | None, reason: str) -> None:
+    def judge(
+        self, code: str, one: GivenValue | None, void: bool, by: GivenValue | None, reason: str
+    ) -> None:
         """`by`: the setting that makes it void, if that is one."""
         if one is None:
             return
@@ -75,7 +77,7 @@
 # --- which jobs ---------------------------------------------------------------------------------------------
 
 
-def _matches(notes: Notes, name: str, own: Leaves) -> None:
+def _matches(notes: FindingCollector, name: str, own: ValuesByPath) -> None:
     if "class?" not in own and "match?" not in own:
         notes.add("FL143", ("route", name), f"route {name} does not say which jobs it is for")
     method = own.get("match.method")
@@ -84,11 +86,11 @@
 
 
 def _unused(
-    notes: Notes,
-    defaults: Leaves | None,
-    classes: dict[str, Leaves],
-    routes: dict[str, Leaves],
-    resolved: list[Resolved],
+    notes: FindingCollector,
+    defaults: ValuesByPath | None,
+    classes: dict[str, ValuesByPath],
+    routes: dict[str, ValuesByPath],
+    resolved: list[ResolvedRoute],
 ) -> None:
     if defaults is not None and not routes:
         notes.add("FL148", ("defaults",), "[defaults] stands below no route, so it changes nothing")
@@ -99,9 +101,9 @@
             notes.add("FL147", ("class", name), reason)
 
 
-def _alike(notes: Notes, resolved: list[Resolved]) -> None:
+def _alike(notes: FindingCollector, resolved: list[ResolvedRoute]) -> None:
     """Two routes that are equally specific, and that one and the same job could match."""
-    groups: dict[object, dict[str, Resolved]] = {}
+    groups: dict[object, dict[str, ResolvedRoute]] = {}
     for r in resolved:
         groups.setdefault((r.match.rank, r.match.parts), {})[r.name] = r  # once, if it is for all classes
     for group in groups.values():
@@ -120,11 +122,11 @@
     return all("*" in (value, values.get(name, "*")) or values[name] == value for name, value in a.headers)
 
 
-def _inverted(notes: Notes, resolved: list[Resolved]) -> None:
+def _inverted(notes: FindingCollector, resolved: list[ResolvedRoute]) -> None:
     """A class of more worth must not come after one of less."""
     ranked = sorted((r for r in resolved if r.cls is not None), key=lambda r: -r.cls.value if r.cls else 0)
-    least: Resolved | None = None  # priority, of those whose worth is greater
-    waiting: list[Resolved] = []  # of the worth that is looked at
+    least: ResolvedRoute | None = None  # priority, of those whose worth is greater
+    waiting: list[ResolvedRoute] = []  # of the worth that is looked at
     for r in ranked:
         assert r.cls is not None
         if waiting and waiting[0].cls is not None and waiting[0].cls.value > r.cls.value:
@@ -132,7 +134,7 @@
             waiting = []
         waiting.append(r)
         if least is not None and least.get("priority", 0) < r.get("priority", 0):
-            said = r.told("priority") or least.told("priority")
+            said = r.first_given("priority") or least.first_given("priority")
             assert said is not None
             better, worse = f"route {least.name} ({least.job_class})", f"route {r.name} ({r.job_class})"
             notes.add(
@@ -147,7 +149,7 @@
 # --- each route by itself -----------------------------------------------------------------------------------
 
 
-def _whole(r: Resolved) -> tuple[float, str] | None:
+def _whole(r: ResolvedRoute) -> tuple[float, str] | None:
     """How long a job of the route has at most, and what says so."""
     timeout = r.get("timeout_s")
     if r.cls is not None and (timeout is None or r.cls.deadline_s < timeout):
@@ -155,46 +157,46 @@
     return (timeout, f"timeout_s, {timeout:g} s") if timeout is not None else None
 
 
-def times(notes: Notes, r: Resolved) -> None:
-    whole, one = _whole(r), r.told("attempt_timeout_s")
+def times(notes: FindingCollector, r: ResolvedRoute) -> None:
+    whole, one = _whole(r), r.first_given("attempt_timeout_s")
     if whole is None:
         return
     most, what = whole
     if one is not None and one.value > most:
         notes.add("FL131", one.path, f"attempt_timeout_s is longer than {what}", most=most)
         return
-    sends = r.told("attempts")
+    sends = r.first_given("attempts")
     count = sends.value if sends is not None else 2
     each = one.value if one is not None and sends is not None else 0.0
     took = count * each + r.backoff.longest_s(count - 1)
     if took > most + NEAR:
-        wait = r.told("backoff.base_s")
+        wait = r.first_given("backoff.base_s")
         said = _last(*(s for s in (sends, one if sends else None, wait) if s is not None))
         code = "FL132" if what.startswith("timeout_s") else "FL163"
         reason = f"{count} attempts with their backoff may take {took:g} s, longer than {what}"
         notes.add(code, said.path, f"in route {r.name} {reason}")
 
 
-def resends(notes: Notes, void: Void, r: Resolved) -> None:
-    sends = r.told("attempts")
-    base, most = r.told("backoff.base_s"), r.told("backoff.most_s")
+def resends(notes: FindingCollector, void: Void, r: ResolvedRoute) -> None:
+    sends = r.first_given("attempts")
+    base, most = r.first_given("backoff.base_s"), r.first_given("backoff.most_s")
     if base is not None and most is not None and most.value < base.value:
         reason = f"most_s, {most.value:g}, is less than base_s, {base.value:g}"
         notes.add("FL133", _last(base, most).path, reason)
     for name in ("backoff.most_s", "backoff.jitter"):
         reason = f"{name} changes nothing, as there is no wait"
-        void.judge("FL129", r.told(name), not r.get("backoff.base_s"), base, reason)
+        void.judge("FL129", r.first_given(name), not r.get("backoff.base_s"), base, reason)
     for name in ("backoff.base_s", "resend_on", "retry_budget.share"):
         reason = f"{name} changes nothing, as attempts = 1 lets no job be sent again"
         counts = name == "retry_budget.share" and r.get("retry_budget.repeats", False)  # clients' own, too
         once = r.get("attempts") == 1 and not counts
-        void.judge("FL134", r.told(name), once and r.get(name) != [], sends, reason)
-    again = r.told("resend_on")
+        void.judge("FL134", r.first_given(name), once and r.get(name) != [], sends, reason)
+    again = r.first_given("resend_on")
     if sends is not None and sends.value > 1 and again is not None and not again.value and r.hedges is None:
         reason = f"route {r.name} has {sends.value} attempts, and no ending lets a job be sent again"
         notes.add("FL135", _last(sends, again).path, reason)
-    share, least = r.told("retry_budget.share"), r.told("retry_budget.least_per_s")
-    for other in (least, r.told("retry_budget.window_s"), r.told("retry_budget.repeats")):
+    share, least = r.first_given("retry_budget.share"), r.first_given("retry_budget.least_per_s")
+    for other in (least, r.first_given("retry_budget.window_s"), r.first_given("retry_budget.repeats")):
         void.judge("FL128", other, share is None, None, "retry_budget does not say its share")
     none = [said for said in (share, least) if said is not None and said.value == 0]
     if len(none) == 2 and r.get("attempts") != 1:
@@ -203,32 +205,36 @@
         notes.add("FL136", _last(*none).path, reason)
 
 
-def _last(*said: Said) -> Said:
+def _last(*said: GivenValue) -> GivenValue:
     """The one of the highest level: the first of those."""
     return max(said, key=lambda s: s.level)
 
 
-def hedges(notes: Notes, void: Void, r: Resolved) -> None:
-    on, sends, share = r.told("hedge_after", "hedge_after_s"), r.told("attempts"), r.told("hedge_most")
+def hedges(notes: FindingCollector, void: Void, r: ResolvedRoute) -> None:
+    on, sends, share = (
+        r.first_given("hedge_after", "hedge_after_s"),
+        r.first_given("attempts"),
+        r.first_given("hedge_most"),
+    )
     off = share is not None and share.value == 0  # says that there are none, which is of use in any case
     void.judge("FL138", share, on is None and not off, None, "hedge_most changes nothing without hedge_after")
     if not off:
         reason = "a hedge is a second attempt, and attempts = 1"
         void.judge("FL137", on, r.get("attempts") == 1, sends, reason)
-    after, bounds = r.told("hedge_after_s"), [b for b in (_whole(r), _attempt(r)) if b is not None]
+    after, bounds = r.first_given("hedge_after_s"), [b for b in (_whole(r), _attempt(r)) if b is not None]
     if after is not None and r.hedges is not None and bounds and after.value >= min(bounds)[0]:
         most, what = min(bounds)
         notes.add("FL139", after.path, f"no hedge would ever be sent within {what}", most=most)
 
 
-def _attempt(r: Resolved) -> tuple[float, str] | None:
+def _attempt(r: ResolvedRoute) -> tuple[float, str] | None:
     one = r.get("attempt_timeout_s")
     return (one, f"attempt_timeout_s, {one:g} s") if one is not None else None
 
 
-def queues(notes: Notes, void: Void, r: Resolved) -> None:
-    length, order, wait = (r.told(f"queue.{name}") for name in ("length", "order", "longest_wait_s"))
-    alone = "concurrency" not in r.said
+def queues(notes: FindingCollector, void: Void, r: ResolvedRoute) -> None:
+    length, order, wait = (r.first_given(f"queue.{name}") for name in ("length", "order", "longest_wait_s"))
+    alone = "concurrency" not in r.values
     for one in (length, order, wait):
         reason = "a queue changes nothing without concurrency, as nothing waits"
         void.judge("FL140", one, alone, None, reason)
@@ -243,8 +249,8 @@
 # --- against the platform's settings ------------------------------------------------------------------------
 
 
-def platform(notes: Notes, r: Resolved, settings: Settings) -> None:
-    timeout, sends, cls = r.told("timeout_s"), r.told("attempts"), r.cls
+def platform(notes: FindingCollector, r: ResolvedRoute, settings: Settings) -> None:
+    timeout, sends, cls = r.first_given("timeout_s"), r.first_given("attempts"), r.cls
     assert cls is not None
     if timeout is not None and timeout.value > cls.deadline_s:
         reason = f"clients of {cls.name} wait {cls.deadline_s:g} s, so timeout_s would never end a job"
@@ -264,16 +270,16 @@
             notes.add("FL175", on.path, reason, where=_where(r))
 
 
-def _where(r: Resolved) -> str:
+def _where(r: ResolvedRoute) -> str:
     """The section that can say otherwise for this class alone."""
     return f"[class.{r.job_class}]" if r.match.job_class is None else f"[route.{r.name}]"
 
 
-def effects(notes: Notes, r: Resolved) -> None:
+def effects(notes: FindingCollector, r: ResolvedRoute) -> None:
     """No resend or second copy that the class forbids, as far as the file asks for one by name."""
     cls, on = r.cls, r.hedges
     assert cls is not None
-    again = r.told("resend_on")
+    again = r.first_given("resend_on")
     risky = [word for word in (again.value if again is not None else []) if word in RISKY]
     if cls.effect is Effect.UNSAFE:
         if on is not None:
@@ -284,15 +290,15 @@
             notes.add("FL167", (*again.path, again.value.index(risky[0])), reason)
     if cls.effect is not Effect.KEYED:
         return
-    sends, one = r.told("attempts"), r.told("attempt_timeout_s")
-    after = r.told("hedge_after_s")
+    sends, one = r.first_given("attempts"), r.first_given("attempt_timeout_s")
+    after = r.first_given("hedge_after_s")
     if on is not None and after is not None and after.value > cls.deduplication_window_s:
         _leaves_window(notes, r, after, after.value)
     elif sends is not None and one is not None and (again is None or risky):
         last = (sends.value - 1) * one.value + r.backoff.longest_s(sends.value - 1)
         if last > cls.deduplication_window_s + NEAR:
             _leaves_window(notes, r, _last(sends, one), last)
-    zones = r.told("pool.zones")
+    zones = r.first_given("pool.zones")
     if (
         cls.deduplication_scope is DeduplicationScope.ZONE
         and zones is not None
@@ -303,23 +309,25 @@
         notes.add("FL169", zones.path, reason)
 
 
-def _leaves_window(notes: Notes, r: Resolved, said: Said, last_s: float) -> None:
+def _leaves_window(notes: FindingCollector, r: ResolvedRoute, said: GivenValue, last_s: float) -> None:
     assert r.cls is not None
     window = f"{r.cls.deduplication_window_s:g} s"
     reason = f"repeats of {r.cls.name} are dropped for {window}, and its last send may be after {last_s:g} s"
     notes.add("FL168", said.path, reason, most=r.cls.deduplication_window_s)
 
 
-def pools(notes: Notes, r: Resolved, settings: Settings) -> None:
+def pools(notes: FindingCollector, r: ResolvedRoute, settings: Settings) -> None:
     assert r.cls is not None
-    kinds = _there(notes, "FL170", "kind", r.told("pool.kinds"), settings.kinds)
-    _there(notes, "FL171", "zone", r.told("pool.zones"), settings.zones)
+    kinds = _there(notes, "FL170", "kind", r.first_given("pool.kinds"), settings.kinds)
+    _there(notes, "FL171", "zone", r.first_given("pool.zones"), settings.zones)
     if kinds is not None and r.cls.kind is not None and kinds.value and r.cls.kind not in kinds.value:
         reason = f"nothing could run jobs of {r.cls.name}, which need kind {shown(r.cls.kind)}"
         notes.add("FL172", kinds.path, reason, kind=shown(r.cls.kind))
 
 
-def _there(notes: Notes, code: str, what: str, said: Said | None, known: Iterable[str]) -> Said | None:
+def _there(
+    notes: FindingCollector, code: str, what: str, said: GivenValue | None, known: Iterable[str]
+) -> GivenValue | None:
     for n, word in enumerate(said.value if said is not None else ()):
         if word not in known:
             notes.add(
--- a/finchladder/config/tables.py
+++ b/finchladder/config/toml_schema.py
@@ -201,7 +201,11 @@
     ) = msgspec.field(default=UNSET, name="class")
 
 
-LEVELS: dict[str, type[Limits]] = {"defaults": Limits, "class": Limits, "route": RouteTable}
+LEVELS: dict[str, type[Limits]] = {
+    "defaults": Limits,
+    "class": Limits,
+    "route": RouteTable,
+}
 DEFAULTS: dict[str, str] = {  # of what is unsaid, in words; what is not here has none
     "timeout_s": "the client's patience",
     "attempt_timeout_s": "none",
--- a/finchladder/config/values.py
+++ b/finchladder/config/value_checks.py
@@ -7,9 +7,9 @@
 import msgspec
 from msgspec import Meta
 
-from finchladder.config.codes import Notes, listed, shown
-from finchladder.config.places import Path
-from finchladder.config.tables import fields_of, table_in
+from finchladder.config.findings import FindingCollector, listed, shown
+from finchladder.config.positions import Path
+from finchladder.config.toml_schema import fields_of, table_in
 
 _UNIT = re.compile(r"_(ns|us|ms|sec|secs|seconds|m|min|mins|minutes|h|hours)\Z")
 _ITEM = re.compile(r"\[(\d+)\]")
@@ -38,22 +38,24 @@
 }
 
 
-class Said(NamedTuple):
+class GivenValue(NamedTuple):
     value: Any
     path: Path
     level: int = 0  # 0 [defaults], 1 [class.NAME], 2 [route.NAME]
 
 
-Leaves = dict[str, Said]  # by dotted names, as backoff.base_s
+ValuesByPath = dict[str, GivenValue]  # by dotted names, as backoff.base_s
 
 
 def kind_of(value: Any) -> str:
     return _KINDS.get(type(value), "a date or time")
 
 
-def leaves(notes: Notes, kind: type[msgspec.Struct], table: dict[str, Any], path: Path, level: int) -> Leaves:
+def collect_values(
+    notes: FindingCollector, kind: type[msgspec.Struct], table: dict[str, Any], path: Path, level: int
+) -> ValuesByPath:
     """What can be used of a table; the rest is noted."""
-    found: Leaves = {}
+    found: ValuesByPath = {}
     fields = fields_of(kind)
     for key, value in table.items():
         here = (*path, key)
@@ -61,9 +63,9 @@
             _unknown(notes, key, here, fields)
         elif (deeper := table_in(fields[key])) is None:
             if _usable(notes, key, value, fields[key], here):
-                found[key] = Said(value, here, level)
+                found[key] = GivenValue(value, here, level)
         elif isinstance(value, dict):
-            below = leaves(notes, deeper, value, here, level)
+            below = collect_values(notes, deeper, value, here, level)
             found |= {f"{key}.{name}": said for name, said in below.items()}
         else:
             names = ", ".join(fields_of(deeper))
@@ -71,7 +73,7 @@
     return found
 
 
-def _unknown(notes: Notes, key: str, path: Path, fields: dict[str, Any]) -> None:
+def _unknown(notes: FindingCollector, key: str, path: Path, fields: dict[str, Any]) -> None:
     bare = _UNIT.sub("", key)
     if f"{bare}_s" in fields:
         reason = f"{key} has no unit" if bare == key else f"{key} is not in seconds"
@@ -80,7 +82,7 @@
         notes.add("FL112", path, f"there is no setting {shown(key)} here", known=listed(fields))
 
 
-def _usable(notes: Notes, key: str, value: Any, kind: Any, path: Path) -> bool:
+def _usable(notes: FindingCollector, key: str, value: Any, kind: Any, path: Path) -> bool:
     """Whether a value is of its type and within its bounds."""
     if isinstance(value, float) and not math.isfinite(value):
         code, what = ("FL115", "no number") if math.isnan(value) else ("FL116", "infinite")
@@ -102,7 +104,7 @@
     return True
 
 
-def _unfit(notes: Notes, key: str, value: Any, kind: Any, said: str, path: Path) -> None:
+def _unfit(notes: FindingCollector, key: str, value: Any, kind: Any, said: str, path: Path) -> None:
     """From msgspec's words to a finding."""
     said, _, inner = said.partition(" - at `$")
     item: Any = value
--- a/finchladder/lab/settings.py
+++ b/finchladder/lab/settings.py
@@ -100,7 +100,7 @@
         return f"settings.{error.args[0]}"
     if e.program.command or e.program.revision or e.program.null:
         return None
-    from finchladder.config.options import read_options
+    from finchladder.config.option_files import read_options
     from finchladder.config.settings import SettingsError, read_settings
 
     try:
--- a/finchladder/net/etcd/client.py
+++ b/finchladder/net/etcd/client.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from finchladder.config.entries import ServiceEntry
+from finchladder.config.endpoint_list import ServiceEntry
 from finchladder.config.options import EtcdOptions
 from finchladder.net import http1
 from finchladder.net.etcd import messages
--- a/finchladder/net/etcd/keys.py
+++ b/finchladder/net/etcd/keys.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from finchladder.config.addresses import parse_address
-from finchladder.config.entries import ServiceEntry
+from finchladder.config.endpoint_list import ServiceEntry
 from finchladder.core import api
 from finchladder.core.membership.decisions import ANY_START, Address
 from finchladder.net.etcd.messages import Item
--- a/finchladder/net/membership.py
+++ b/finchladder/net/membership.py
@@ -7,7 +7,14 @@
 from math import inf
 from typing import Protocol
 
-from finchladder.config.entries import Change, News, read_list, read_long, version_of, write_list
+from finchladder.config.endpoint_list import (
+    EndpointChange,
+    EndpointUpdate,
+    read_list,
+    read_long,
+    version_of,
+    write_list,
+)
 from finchladder.core import api
 from finchladder.core.membership.decisions import (
     Belief,
@@ -59,7 +66,7 @@
     ) -> None: ...  # in slices
 
 
-Found = tuple[LastGood, News]
+Found = tuple[LastGood, EndpointUpdate]
 
 
 class File(Protocol):
@@ -166,7 +173,7 @@
             self._take(*found, version_of(known) if known else -1)
         return b"" if self.membership.up else known
 
-    def _take(self, good: LastGood, news: News, known_version: int) -> None:
+    def _take(self, good: LastGood, news: EndpointUpdate, known_version: int) -> None:
         if good.source == DISCOVERY and good.version < known_version:
             return
         age = max(0.0, self.clock() - good.time_s)
@@ -214,7 +221,7 @@
     return LastGood(source, version, time_s, write_list(version, listed))
 
 
-async def read_in_slices(line: bytes, kind: api.ListKind | None = None) -> News:
+async def read_in_slices(line: bytes, kind: api.ListKind | None = None) -> EndpointUpdate:
     """ValueError: it can't be used."""
     if len(line) <= LONG:
         return read_list(line, kind)
@@ -223,7 +230,7 @@
         try:
             next(reading)
         except StopIteration as over:
-            news: News = over.value
+            news: EndpointUpdate = over.value
             return news
         await asyncio.sleep(0)
 
@@ -235,10 +242,10 @@
         self.actor = actor
 
     def tell(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
-        self.actor.post(News(0, workers, addresses))
+        self.actor.post(EndpointUpdate(0, workers, addresses))
 
     def change(self, entries: Sequence[api.WorkerEntry], addresses: dict[str, tuple[str, int]]) -> None:
-        self.actor._changed(Change(0, list(entries), addresses), known=False)
+        self.actor._changed(EndpointChange(0, list(entries), addresses), known=False)
 
 
 class DiscoverySource(ServiceActor):
@@ -248,7 +255,7 @@
         super().__init__(address, lambda workers, addresses: None, lambda names: None, connect)
         self.members = members
 
-    def receive(self, news: News) -> None:
+    def receive(self, news: EndpointUpdate) -> None:
         self.members.report(Report(DISCOVERY, news.version, news.workers, news.addresses))
         self.index = news.version
 
@@ -259,5 +266,5 @@
         self.members.heard(DISCOVERY)
 
 
-def last_good_file(path: str) -> LastGoodFile[News]:
+def last_good_file(path: str) -> LastGoodFile[EndpointUpdate]:
     return LastGoodFile(path, partial(read_list, kind=api.ListKind.STALE))
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from finchladder.config.options import JudgementOptions, MembershipOptions, Options, PeersOptions
-from finchladder.config.platform import Setup
+from finchladder.config.platform import DispatcherSetup
 from finchladder.config.settings import read_seed
 from finchladder.core.connections.body_memory import BodyMemory
 from finchladder.core.connections.graceful_shutdown import Leaving
@@ -36,7 +36,7 @@
 from finchladder.net.timers import Timers
 
 if TYPE_CHECKING:
-    from finchladder.config.routes import Loaded
+    from finchladder.config.operator_file import Loaded
     from finchladder.core.health.detection.detector import Judging
     from finchladder.core.peers.bucket import Bucket
     from finchladder.core.peers.exchange import Peers
@@ -57,9 +57,9 @@
 
     def __init__(
         self,
-        setup: Setup,
+        setup: DispatcherSetup,
         options: Options,
-        reread: Callable[[], Setup],
+        reread: Callable[[], DispatcherSetup],
         machine: Machine | None = None,
         file: OperatorFile | None = None,
     ) -> None:
--- a/finchladder/net/reload.py
+++ b/finchladder/net/reload.py
@@ -10,7 +10,7 @@
 from finchladder.core.routing.routes import Routes
 
 if TYPE_CHECKING:  # at run time only who has a file in TOML needs its reader
-    from finchladder.config.routes import Loaded
+    from finchladder.config.operator_file import Loaded
 
 MOST_TOLD = 20  # findings of an unusable file in the log
 
--- a/finchladder/net/service.py
+++ b/finchladder/net/service.py
@@ -8,7 +8,13 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from finchladder.config.entries import Change, EntryTable, News, read_list, version_and_whole
+from finchladder.config.endpoint_list import (
+    EndpointChange,
+    EndpointTable,
+    EndpointUpdate,
+    read_list,
+    version_and_is_full,
+)
 from finchladder.core import api
 from finchladder.core.membership.watch import FIRST_WORD_S, NOTHING_NEW_S, Watching
 from finchladder.core.membership.watch_backoff import Recalls
@@ -78,7 +84,7 @@
     return api.WorkerList(api.ListKind.PATCH, entries), found
 
 
-class ServiceActor(Actor[News]):
+class ServiceActor(Actor[EndpointUpdate]):
     """Keeps the version of the list last read, and watches for what comes after it.
 
     A long list is read and applied in slices, so that no turn of the loop waits for it: what drains or is
@@ -102,7 +108,7 @@
         self.recalls = Recalls(1, Random(0), self.rules.away_s, self.rules.retry_s)
         self.up = self.established = False
         self.spoken = asyncio.Event()  # discovery has said whether the list known from before still holds
-        self.table, self.subset = EntryTable(), subset
+        self.table, self.subset = EndpointTable(), subset
         # entries that the subset is still to be told, and their addresses
         self.told: dict[str, api.WorkerEntry] = {}
         self.told_addresses: dict[str, tuple[str, int]] = {}
@@ -115,7 +121,7 @@
         self.watching: asyncio.Task[None]
         self.applying: asyncio.Task[None] | None = None
 
-    def receive(self, news: News) -> None:
+    def receive(self, news: EndpointUpdate) -> None:
         workers, addresses = news.workers, news.addresses
         for e in workers.entries:
             self._drop(e.worker)
@@ -138,7 +144,7 @@
             if known or self._takes(news.version, news.workers.kind is api.ListKind.FULL):
                 self.post(news)
             return
-        if not known and not self._takes(*version_and_whole(line)):
+        if not known and not self._takes(*version_and_is_full(line)):
             return
         reading = self.table.read(line, READ_AT_ONCE, known)
         while True:
@@ -154,7 +160,7 @@
         self.log.warning("service list: version {} came after {}, and is passed over", version, self.index)
         return False
 
-    def _changed(self, change: Change, known: bool) -> None:
+    def _changed(self, change: EndpointChange, known: bool) -> None:
         for e in change.entries:
             self._drop(e.worker)
         if self.subset is None:
@@ -164,7 +170,7 @@
             self.told.update((e.worker, e) for e in entries)
             self.told_addresses |= change.addresses
         self.retire([e.worker for e in change.entries if e.state is not api.WorkerStatus.READY])
-        self.index, self.up = change.version, self.up or bool(self.table.told) or not known
+        self.index, self.up = change.version, self.up or bool(self.table.known) or not known
         if self.applying is None or self.applying.done():
             self.applying = self.spawn(self._apply_on())
 
--- a/finchladder/sim/process.py
+++ b/finchladder/sim/process.py
@@ -8,10 +8,10 @@
 from socket import socket as Socket
 from typing import TYPE_CHECKING, Any, Literal, cast
 
-from finchladder.config.codes import Findings
+from finchladder.config.findings import Findings
+from finchladder.config.operator_file import Loaded, load
 from finchladder.config.options import CaptureOptions, Options
-from finchladder.config.platform import Setup, read_setup
-from finchladder.config.routes import Loaded, load
+from finchladder.config.platform import DispatcherSetup, read_setup
 from finchladder.core.routing.routes import NO_ROUTES
 from finchladder.lab.settings import config_file
 from finchladder.net import http1
@@ -117,7 +117,7 @@
         self.main = loop.create_task(self._live(setup, options))
         run.moment("start", node=self.name)
 
-    def setup(self) -> Setup:
+    def setup(self) -> DispatcherSetup:
         run = self.run
         seed = stream(run.plan.seed, "seed", self.name, self.starts).getrandbits(64)
         known, registry = run.registry.last_list(self.name), run.registry.address(self.name)
@@ -125,7 +125,7 @@
         env = {"NODE_NAME": self.name, "NODE_LISTEN": f"{self.ip}:{PORT}", "NODE_CONFIG": "virtual"}
         return read_setup(env, lambda path: data)
 
-    async def _live(self, setup: Setup, options: Options) -> None:
+    async def _live(self, setup: DispatcherSetup, options: Options) -> None:
         reads, texts = itertools.count(), self.run.plan.world.routes
 
         def read() -> Loaded:
--- a/finchladder/sim/run.py
+++ b/finchladder/sim/run.py
@@ -19,7 +19,8 @@
 import msgspec
 from loguru import logger
 
-from finchladder.config.options import Options, read_ini
+from finchladder.config.ini_file import read_ini
+from finchladder.config.options import Options
 from finchladder.lab import records
 from finchladder.lab.judge import Finding
 from finchladder.lab.models.kernel import Kernel
--- a/tests/config/test_docs.py
+++ b/tests/config/test_docs.py
@@ -11,13 +11,13 @@
 import pytest
 
 from finchladder.cli import front
-from finchladder.config.codes import REMEDIES, Findings
-from finchladder.config.options import read_options
+from finchladder.config.findings import REMEDIES, Findings
+from finchladder.config.operator_file import Loaded, load, read
+from finchladder.config.option_files import read_options
 from finchladder.config.render import to_toml
-from finchladder.config.routes import Loaded, load, read
 from finchladder.config.settings import read_settings
-from finchladder.config.tables import DEFAULTS, RouteTable, fields_of, schema, table_in
-from finchladder.config.values import PATTERNS, bounds, choices, meta_of
+from finchladder.config.toml_schema import DEFAULTS, RouteTable, fields_of, schema, table_in
+from finchladder.config.value_checks import PATTERNS, bounds, choices, meta_of
 from tests.config.platform import MEMORY_MB, PLATFORMS
 from tests.peers import ROOT
 
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 
 from finchladder.cli import front
-from finchladder.config.codes import MOST, REMEDIES, Finding, Findings
-from finchladder.config.options import read_options
-from finchladder.config.places import Place, toml_places
-from finchladder.config.routes import MOST_BYTES, Loaded, load, read
+from finchladder.config.findings import MAX_FINDINGS, REMEDIES, Finding, Findings
+from finchladder.config.operator_file import MOST_BYTES, Loaded, load, read
+from finchladder.config.option_files import read_options
+from finchladder.config.positions import Position, toml_positions
 from finchladder.core.api import Effect
 from finchladder.core.routing.routes import MOST_ROUTES, may_resend_on
 from tests.config.platform import MEMORY_MB, PLATFORMS, VARIANTS, variant_of
@@ -150,9 +150,9 @@
         ("FL112", 13, 1),
         ("FL164", 14, 1),
     ]
-    many = loaded("".join(f"a{n} = 1\n" for n in range(MOST + 7)))
+    many = loaded("".join(f"a{n} = 1\n" for n in range(MAX_FINDINGS + 7)))
     assert isinstance(many, Findings)
-    assert (len(many.all), many.more) == (MOST, 7)
+    assert (len(many.all), many.more) == (MAX_FINDINGS, 7)
     assert str(many).endswith("\nand 7 more findings")
 
 
@@ -296,7 +296,7 @@
 
 
 def test_each_key_has_its_place() -> None:
-    places = toml_places(WALK)
+    places = toml_positions(WALK)
     assert places.twice is None
     assert places.deep is None
     assert {".".join(map(str, path)): tuple(place) for path, place in places.of.items()} == {
@@ -320,8 +320,8 @@
         "s.1.sub": (12, 1),
         "s.1.sub.o": (13, 1),
     }
-    assert places.find(("t", "u", "nosuch", 3)) == Place(4, 1)
-    assert places.find(("nosuch",)) == Place(1, 1)
+    assert places.find(("t", "u", "nosuch", 3)) == Position(4, 1)
+    assert places.find(("nosuch",)) == Position(1, 1)
 
 
 def _paths(value: object, path: tuple[str | int, ...] = ()) -> list[tuple[str | int, ...]]:
@@ -341,7 +341,7 @@
     seen = 0
     for text in [WALK, *GOOD, *(text for _, text in BAD)]:
         whole = readable(text)
-        places = toml_places(text)
+        places = toml_positions(text)
         if whole is None or places.deep is not None:
             continue
         assert set(places.of) == set(_paths(whole)), text
--- a/tests/config/test_routes.py
+++ b/tests/config/test_routes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from finchladder.config.routes import Loaded, load
+from finchladder.config.operator_file import Loaded, load
 from finchladder.core.api import NEVER_RAN, Ending, WorkerPool
 from finchladder.core.routing.routes import (
     ALL_BUT_OK,
--- a/tests/core/test_members.py
+++ b/tests/core/test_members.py
@@ -10,8 +10,9 @@
 from hypothesis import strategies as st
 
 from finchladder import Dispatcher, api
-from finchladder.config.entries import read_list
-from finchladder.config.options import ApertureOptions, read_ini
+from finchladder.config.endpoint_list import read_list
+from finchladder.config.ini_file import read_ini
+from finchladder.config.options import ApertureOptions
 from finchladder.core.api import ListKind, WorkerStatus
 from finchladder.core.membership.aperture import Aperture, ApertureSettings
 from finchladder.core.membership.subset_filter import Members
--- a/tests/core/test_routes_model.py
+++ b/tests/core/test_routes_model.py
@@ -11,7 +11,7 @@
 import pytest
 
 from finchladder import api
-from finchladder.config.routes import Loaded, load
+from finchladder.config.operator_file import Loaded, load
 from finchladder.core.api import DeduplicationScope, Effect, Ending, JobClass
 from finchladder.core.routing.limited_dispatcher import GUARD
 from finchladder.core.routing.routes import Backoff, Hedge, RetryBudget, Route, Routes
--- a/tests/test_believing.py
+++ b/tests/test_believing.py
@@ -10,10 +10,10 @@
 import pytest
 from loguru import logger
 
-from finchladder.config.entries import News, read_list, read_long, write_list
+from finchladder.config.endpoint_list import EndpointUpdate, read_list, read_long, write_list
 from finchladder.config.options import MembershipOptions
-from finchladder.config.tables import fields_of
-from finchladder.config.values import meta_of
+from finchladder.config.toml_schema import fields_of
+from finchladder.config.value_checks import meta_of
 from finchladder.core import api
 from finchladder.core.membership.decisions import MembershipSettings, Report, Source
 from finchladder.lab.etcd.server import Etcd
@@ -103,7 +103,7 @@
 
 def test_a_failing_disk_is_told_of_once_and_leaves_the_file_as_it_was(tmp_path: Path) -> None:
     path = tmp_path / "last"
-    file: LastGoodFile[News] = last_good_file(str(path))
+    file: LastGoodFile[EndpointUpdate] = last_good_file(str(path))
     file._write(lambda: GOOD)
     (tmp_path / "last.new").mkdir()  # it can't be written beside its place
     said = log_of(lambda: file._write(lambda: GOOD._replace(version=9)))[1]
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -11,7 +11,8 @@
 from hypothesis import strategies as st
 
 from finchladder.cli.peers import lines
-from finchladder.config.options import PeersOptions, read_options
+from finchladder.config.option_files import read_options
+from finchladder.config.options import PeersOptions
 from finchladder.core.health.detection.overrides import STANCES, Order
 from finchladder.core.health.detection.reports import MOST_SAYS, Said
 from finchladder.core.peers.exchange import Peers, Rule
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from finchladder.config.entries import Change, EntryTable, read_list
+from finchladder.config.endpoint_list import EndpointChange, EndpointTable, read_list
 from finchladder.core import api
 from finchladder.net import http1, service
 from finchladder.net.service import ServiceActor
@@ -18,7 +18,9 @@
     return json.dumps({"index": index, "snapshot": whole, "endpoints": listed}).encode()
 
 
-def read(table: EntryTable, data: bytes, slice_of: int = 2, whole: bool = False) -> tuple[int, Change]:
+def read(
+    table: EndpointTable, data: bytes, slice_of: int = 2, whole: bool = False
+) -> tuple[int, EndpointChange]:
     reading, pauses = table.read(data, slice_of, whole), 0
     while True:
         try:
@@ -43,7 +45,7 @@
 def test_only_what_differs_is_applied_of_a_long_list(
     told: dict[str, str], whole: bool, changed: dict[str, api.WorkerStatus]
 ) -> None:
-    table = EntryTable()
+    table = EndpointTable()
     table.keep(read_list(line({"a": "ready", "b": "ready", "c": "draining"})))
     _, change = read(table, line(told, 7, whole))
     assert (change.version, {e.worker: e.state for e in change.entries}) == (7, changed)
@@ -61,13 +63,13 @@
     ],
 )
 def test_a_weight_alone_is_no_difference(more: dict[str, object], differs: bool) -> None:
-    table = EntryTable()
+    table = EndpointTable()
     read(table, line({"a": "ready"}))
     assert bool(read(table, line({"a": "ready"}, 2, True, **more))[1].entries) == differs
 
 
 def test_nothing_is_kept_of_a_line_that_can_not_be_used() -> None:
-    table = EntryTable()
+    table = EndpointTable()
     good = {f"w{n}": "ready" for n in range(9)}
     assert read(table, line(good))[0] == 5  # 9 entries, 2 at once, and one pause for the line itself
     with pytest.raises(ValueError, match="asleep"):
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -11,7 +11,8 @@
 
 from finchladder import __main__
 from finchladder.cli import front, serve
-from finchladder.config.options import OFF, CaptureOptions, DoorOptions, DrillOptions, Options, read_options
+from finchladder.config.option_files import read_options
+from finchladder.config.options import OFF, CaptureOptions, DoorOptions, DrillOptions, Options
 from tests.peers import ROOT
 
 ENV = {
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -9,7 +9,7 @@
 from tornado.netutil import bind_sockets
 
 from finchladder import Dispatcher, api
-from finchladder.config.entries import read_list
+from finchladder.config.endpoint_list import read_list
 from finchladder.config.options import OFF
 from finchladder.core.connections.body_memory import BodyMemory
 from finchladder.core.connections.graceful_shutdown import Leaving
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -7,8 +7,8 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
+from finchladder.config.operator_file import Loaded
 from finchladder.config.options import Options
-from finchladder.config.routes import Loaded
 from finchladder.core.routing.routes import Routes
 from finchladder.net.reload import Reload
 from tests.peers import Message, Node, RealServer, node, run
