--- a/finchladder/cluster/configuration/document.py
+++ b/finchladder/cluster/configuration/changes.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class Candidate:
+class ValidChange:
     """A change that may be taken."""
 
     version: int
@@ -20,49 +20,51 @@
 
 
 @dataclass(frozen=True)
-class Invalid:
+class InvalidChange:
     """A change that must be refused, and why."""
 
     problem: str
 
 
-def digest(base: int, patch: bool, body: bytes) -> bytes:
+def change_digest(base: int, is_patch: bool, body: bytes) -> bytes:
     """Names one order of the operator: the same bytes on the same base are the same order."""
-    head = f"{base} {'PATCH' if patch else 'PUT'} ".encode()
+    head = f"{base} {'PATCH' if is_patch else 'PUT'} ".encode()
     return blake2b(head + body, digest_size=16).digest()
 
 
-def read(body: bytes) -> Document | Invalid:
+def parse_object(body: bytes) -> Document | InvalidChange:
     """Parses a body; the result is an object."""
     try:
-        value = json.loads(body, parse_constant=_refuse_constant)
+        value = json.loads(body, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
-        return Invalid(f"not JSON: {error}")
-    return value if isinstance(value, dict) else Invalid("not an object")
+        return InvalidChange(f"not JSON: {error}")
+    return value if isinstance(value, dict) else InvalidChange("not an object")
 
 
-def _refuse_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f"{name} is not JSON")
 
 
-def prepare(current: bytes, current_version: int, patch: bool, body: bytes) -> Candidate | Invalid:
+def validate_change(
+    current: bytes, current_version: int, is_patch: bool, body: bytes
+) -> ValidChange | InvalidChange:
     """Checks a change against the configuration that it builds on. CPU: O(size)."""
-    change = read(body)
-    if isinstance(change, Invalid):
+    change = parse_object(body)
+    if isinstance(change, InvalidChange):
         return change
-    problem = first_problem(patch_validator if patch else document_validator, change)
+    problem = first_problem(patch_validator if is_patch else document_validator, change)
     if problem:
-        return Invalid(problem)
+        return InvalidChange(problem)
     if change["version"] <= current_version:
-        return Invalid(f"version {change['version']} is not above {current_version}")
-    document = _patched(json.loads(current or b"{}"), change) if patch else change
+        return InvalidChange(f"version {change['version']} is not above {current_version}")
+    document = _apply_patch(json.loads(current or b"{}"), change) if is_patch else change
     problem = semantic_problem(document)
     if problem:
-        return Invalid(problem)
-    return Candidate(change["version"], json.dumps(document, separators=(",", ":")).encode())
+        return InvalidChange(problem)
+    return ValidChange(change["version"], json.dumps(document, separators=(",", ":")).encode())
 
 
-def _patched(document: Document, change: Document) -> Document:
+def _apply_patch(document: Document, change: Document) -> Document:
     """Applies `upsert` and `remove` by name; a replaced item keeps its place."""
     result = dict(document)
     result["version"] = change["version"]
--- a/finchladder/cluster/configuration/packing.py
+++ b/finchladder/cluster/configuration/compression.py
@@ -8,26 +8,26 @@
 
 from attrs import define
 
-LEVEL = 6
+COMPRESSION_LEVEL = 6
 
 
-def unpack(packed: bytes) -> bytes:
+def decompress(compressed: bytes) -> bytes:
     """The document in JSON; empty for an empty one. zlib.error if it was not packed."""
-    return zlib.decompress(packed) if packed else b""
+    return zlib.decompress(compressed) if compressed else b""
 
 
 @define
-class DocumentPacker:
+class DocumentCompressor:
     """Compresses each document once, whoever asks for it. Documents are told apart by their bytes: a version
     that was not acknowledged may be followed by another one with its number.
     """
 
     document: bytes = b""
-    packed: bytes = b""
+    compressed: bytes = b""
 
-    def pack(self, document: bytes) -> bytes:
+    def compress(self, document: bytes) -> bytes:
         """The document, compressed; empty for an empty one. CPU: O(size), little if it is the last again."""
         if document != self.document:
             self.document = document
-            self.packed = zlib.compress(document, LEVEL) if document else b""
-        return self.packed
+            self.compressed = zlib.compress(document, COMPRESSION_LEVEL) if document else b""
+        return self.compressed
--- a/finchladder/cluster/configuration/routing.py
+++ b/finchladder/cluster/configuration/snapshot.py
@@ -9,14 +9,14 @@
 from attrs import frozen
 
 DEFAULT_TIMEOUT_MS = 30_000.0
-DEFAULT_IDLE_MS = 15_000.0
-DEFAULT_BODY_BYTES = 4 << 20
-DEFAULT_HEADER_BYTES = 16 << 10
-DEFAULT_CONNECTIONS = 64
+DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
+DEFAULT_MAX_BODY_BYTES = 4 << 20
+DEFAULT_MAX_HEADER_BYTES = 16 << 10
+DEFAULT_MAX_CONNECTIONS = 64
 DEFAULT_SLOTS = 64
 
 
-class Kind(str, Enum):
+class RequestKind(str, Enum):
     """What may be repeated of a request."""
 
     IDEMPOTENT = "idempotent"
@@ -43,7 +43,7 @@
     kv_cache_tokens: int
     weights_mb: float
     lora_slots: int
-    load_rate_s: float
+    max_loads_per_s: float
     models: Mapping[str, Model]
 
 
@@ -64,53 +64,53 @@
     name: str
     host: str
     path_prefix: str
-    kind: Kind
+    kind: RequestKind
     timeout_s: float
-    aim_s: float
-    gap_aim_s: float
+    latency_target_s: float
+    max_event_gap_s: float
     priority: int
-    most_workers: int
+    max_attempts: int
     resumable: bool
-    targets: tuple[tuple[float, str], ...]
+    weighted_services: tuple[tuple[float, str], ...]
 
-    def target(self, point: float) -> str:
+    def service_at(self, point: float) -> str:
         """The service at that point of the weights, 0 to 1."""
-        for edge, service in self.targets:
+        for edge, service in self.weighted_services:
             if point < edge:
                 return service
-        return self.targets[-1][1]
+        return self.weighted_services[-1][1]
 
     @property
-    def may_repeat(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a request may run more than once."""
-        return self.kind is Kind.IDEMPOTENT or (self.kind is Kind.STREAMING and self.resumable)
+        return self.kind is RequestKind.IDEMPOTENT or (self.kind is RequestKind.STREAMING and self.resumable)
 
 
 @frozen
-class Snapshot:
+class ConfigurationSnapshot:
     """One version of the configuration, ready for routing."""
 
     version: int
-    routes: Mapping[str, tuple[Route, ...]]  # by host, the longest prefix first
+    routes_by_host: Mapping[str, tuple[Route, ...]]  # by host, the longest prefix first
     services: Mapping[str, Service]
-    idle_s: float
-    body_bytes: int
-    header_bytes: int
+    idle_timeout_s: float
+    max_body_bytes: int
+    max_header_bytes: int
 
     def match(self, host: str, path: str) -> Route | None:
         """The route of that host with the longest prefix of the path."""
-        for route in self.routes.get(host.lower(), ()):
+        for route in self.routes_by_host.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
 
-EMPTY = Snapshot(
-    0, MappingProxyType({}), MappingProxyType({}), 15.0, DEFAULT_BODY_BYTES, DEFAULT_HEADER_BYTES
+EMPTY_SNAPSHOT = ConfigurationSnapshot(
+    0, MappingProxyType({}), MappingProxyType({}), 15.0, DEFAULT_MAX_BODY_BYTES, DEFAULT_MAX_HEADER_BYTES
 )
 
 
-def build(document: bytes) -> Snapshot:
+def build_snapshot(document: bytes) -> ConfigurationSnapshot:
     """Makes a snapshot of a checked configuration (JSON). CPU: O(routes log routes)."""
     value: dict[str, Any] = json.loads(document)
     limits = value.get("limits") or {}
@@ -122,13 +122,13 @@
         host: tuple(sorted(found, key=lambda r: -len(r.path_prefix))) for host, found in by_host.items()
     }
     services = {item["name"]: _service(item) for item in value.get("services", [])}
-    return Snapshot(
+    return ConfigurationSnapshot(
         value["version"],
         MappingProxyType(routes),
         MappingProxyType(services),
-        float(limits.get("idle_timeout_ms", DEFAULT_IDLE_MS)) / 1000,
-        int(limits.get("max_body_bytes", DEFAULT_BODY_BYTES)),
-        int(limits.get("max_header_bytes", DEFAULT_HEADER_BYTES)),
+        float(limits.get("idle_timeout_ms", DEFAULT_IDLE_TIMEOUT_MS)) / 1000,
+        int(limits.get("max_body_bytes", DEFAULT_MAX_BODY_BYTES)),
+        int(limits.get("max_header_bytes", DEFAULT_MAX_HEADER_BYTES)),
     )
 
 
@@ -138,26 +138,26 @@
         name=item["name"],
         host=item["host"].lower(),
         path_prefix=item["path_prefix"],
-        kind=_kind(item.get("kind")),
+        kind=_request_kind(item.get("kind")),
         timeout_s=timeout_ms / 1000,
-        aim_s=float(item.get("target_latency_ms", timeout_ms)) / 1000,
-        gap_aim_s=float(item.get("gap_aim_ms", 0)) / 1000,
+        latency_target_s=float(item.get("target_latency_ms", timeout_ms)) / 1000,
+        max_event_gap_s=float(item.get("gap_aim_ms", 0)) / 1000,
         priority=int(item.get("priority", 0)),
-        most_workers=max(1, int(item.get("retries", 1))),
+        max_attempts=max(1, int(item.get("retries", 1))),
         resumable=bool(item.get("resumable", False)),
-        targets=_targets(item),
+        weighted_services=_weighted_services(item),
     )
 
 
-def _kind(name: str | None) -> Kind:
+def _request_kind(name: str | None) -> RequestKind:
     """What is not known may run once only."""
     try:
-        return Kind(name)
+        return RequestKind(name)
     except ValueError:
-        return Kind.NON_IDEMPOTENT
+        return RequestKind.NON_IDEMPOTENT
 
 
-def _targets(item: dict[str, Any]) -> tuple[tuple[float, str], ...]:
+def _weighted_services(item: dict[str, Any]) -> tuple[tuple[float, str], ...]:
     split = item.get("traffic_split")
     if not split:
         return ((1.0, item["service"]),)
@@ -174,7 +174,7 @@
     engine = item.get("engine")
     return Service(
         name=item["name"],
-        max_connections=int(item.get("max_connections", DEFAULT_CONNECTIONS)),
+        max_connections=int(item.get("max_connections", DEFAULT_MAX_CONNECTIONS)),
         health_check=item.get("health_check", ""),
         engine=_engine(engine) if engine else None,
     )
@@ -196,6 +196,6 @@
         kv_cache_tokens=int(item.get("kv_cache_tokens", 0)),
         weights_mb=float(item.get("weights_mb", 0)),
         lora_slots=int(item.get("lora_slots", 0)),
-        load_rate_s=float(item.get("load_rate_s", 0)),
+        max_loads_per_s=float(item.get("load_rate_s", 0)),
         models=MappingProxyType(models),
     )
--- a/finchladder/cluster/placement/model_demand.py
+++ b/finchladder/cluster/placement/model_demand.py
@@ -2,7 +2,7 @@
 
 from attrs import define
 
-from finchladder.cluster.configuration.routing import Engine
+from finchladder.cluster.configuration.snapshot import Engine
 from finchladder.cluster.placement.demand import DemandBook
 
 IDLE_RATE = 0.5  # requests a second: what is asked for less, and not in use, gives its place to others
--- a/finchladder/cluster/placement/plan.py
+++ b/finchladder/cluster/placement/plan.py
@@ -7,7 +7,7 @@
 
 from attrs import define, field, frozen
 
-from finchladder.cluster.configuration.routing import Engine
+from finchladder.cluster.configuration.snapshot import Engine
 from finchladder.cluster.placement.demand import DemandBook
 
 MOST_RESERVED = 0.4  # of all places
@@ -87,7 +87,7 @@
     Queues with Many Exponential Servers").
     """
     longest_s = max((model.load_s for model in engine.models.values()), default=0.0)
-    kept_under_way = max(1, ceil(engine.load_rate_s * longest_s))
+    kept_under_way = max(1, ceil(engine.max_loads_per_s * longest_s))
     if longest_s < LONG_LOAD_S:
         return kept_under_way
     return max(1, min(kept_under_way, workers - ceil(kept_free * sqrt(workers))))
--- a/finchladder/cluster/process/configuration_changes.py
+++ b/finchladder/cluster/process/configuration_changes.py
@@ -4,7 +4,7 @@
 
 from attrs import define
 
-from finchladder.cluster.configuration import document
+from finchladder.cluster.configuration import changes
 from finchladder.cluster.process.chain_service import ChainService
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.tasks import result_within
@@ -69,7 +69,7 @@
         state = await self.chain.ready_to_write()
         if state is None:
             return unclear("the chain does not answer")
-        digest = document.digest(base, patch, body)
+        digest = changes.change_digest(base, patch, body)
         for revision in state.accepted_revisions:
             if revision.digest == digest:
                 return Submitted(TAKEN, revision.version)
@@ -77,7 +77,7 @@
             problem = f"version {state.version} is in place"
             return await self._refused(Submitted(CONFLICT, state.version, problem))
         candidate = await self._checked(state, patch, body)
-        if isinstance(candidate, document.Invalid):
+        if isinstance(candidate, changes.InvalidChange):
             return await self._refused(Submitted(INVALID, state.version, candidate.problem))
         operation = SetConfiguration(base, candidate.version, digest, candidate.document)
         if not await self.chain.write(operation):
@@ -93,9 +93,9 @@
 
     async def _checked(
         self, state: ControlState, patch: bool, body: bytes
-    ) -> document.Candidate | document.Invalid:
+    ) -> changes.ValidChange | changes.InvalidChange:
         """Large ones are checked in a thread, so that the loop goes on."""
         arguments = state.document, state.version, patch, body
         if len(body) + len(state.document) < LARGE_BODY:
-            return document.prepare(*arguments)
-        return await asyncio.to_thread(document.prepare, *arguments)
+            return changes.validate_change(*arguments)
+        return await asyncio.to_thread(changes.validate_change, *arguments)
--- a/finchladder/cluster/process/control_plane.py
+++ b/finchladder/cluster/process/control_plane.py
@@ -14,7 +14,7 @@
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.placer_lease import RoleService
 from finchladder.cluster.process.view_agreement import PING_S, Voting
-from finchladder.cluster.process.worker_retirement import EndedWorkers
+from finchladder.cluster.process.worker_retirement import RetirementRecorder
 from finchladder.cluster.replication.agreement import Acceptor
 from finchladder.cluster.replication.chain import Replica
 from finchladder.cluster.replication.lease import GrantedLease, HeldLease
@@ -61,7 +61,7 @@
     voting: Voting
     chain: ChainService
     changes: Changes
-    ended: EndedWorkers
+    retirements: RetirementRecorder
     role: RoleService
 
     @classmethod
@@ -94,7 +94,9 @@
         )
         lease_s = turn_s * LEASE_SHARE
         chain = ChainService(voting, GrantedLease(lease_s, turn_s, fenced=fenced))
-        return cls(voting, chain, Changes(chain), EndedWorkers(chain), RoleService(chain, HeldLease(lease_s)))
+        return cls(
+            voting, chain, Changes(chain), RetirementRecorder(chain), RoleService(chain, HeldLease(lease_s))
+        )
 
     async def answer(self, request: Request) -> Reply:
         """The part of the internal protocol that concerns the control state."""
@@ -114,7 +116,7 @@
             case Submit():
                 return await self.changes.on_submit(request)
             case RetireWorker():
-                return await self.ended.on_end(request)
+                return await self.retirements.on_retire(request)
             case ReadState():
                 return await self.chain.on_read(request)
             case RenewLease():
--- a/finchladder/cluster/process/core_sessions.py
+++ b/finchladder/cluster/process/core_sessions.py
@@ -13,8 +13,8 @@
 from finchladder.cluster.process.control_plane import ControlPlane
 from finchladder.cluster.process.sessions_service import SessionsService
 from finchladder.cluster.process.tasks import Tasks
-from finchladder.cluster.process.update_puller import Puller
-from finchladder.cluster.sessions.table import Tables
+from finchladder.cluster.process.update_puller import UpdatePuller
+from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.transport.interface import Peers
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.messages import Update
@@ -33,7 +33,7 @@
 
     control: ControlPlane
     sessions: SessionsService
-    puller: Puller
+    puller: UpdatePuller
 
     @classmethod
     def build(
@@ -48,7 +48,7 @@
     ) -> "CoreSessions":
         """`heartbeat_s`: between two calls of a worker; `is_there(address, instance)` asks the worker."""
         me = control.voting.me
-        tables = Tables(f"{me.name}/{random.getrandbits(32):x}")
+        tables = ReplicatedTables(f"{me.name}/{random.getrandbits(32):x}")
         sessions = SessionsService(
             me.name,
             tables,
@@ -58,7 +58,7 @@
             placer=lambda: placer_address(control),
             confirmed=lambda: steady() - control.chain.confirmed_at < CONFIRMED_S,
             is_there=is_there,
-            record_end=control.ended.record,
+            record_end=control.retirements.record,
             quorum_lost=control.voting.quorum_is_lost,
         )
 
@@ -68,18 +68,18 @@
             if changed:
                 sessions.changed.fire()
 
-        puller = Puller(
+        puller = UpdatePuller(
             name=me.name,
             tables=tables,
             peers=peers,
             tasks=tasks,
             random=random,
-            is_edge=False,
+            is_dispatcher=False,
             own_address=me.peer_address,
             zone=me.zone,
             seeds=control.voting.seeds,
-            version=lambda: ANY_VERSION,
-            take=take,
+            configuration_version=lambda: ANY_VERSION,
+            on_update=take,
         )
         return cls(control, sessions, puller)
 
--- a/finchladder/cluster/process/dispatcher_node.py
+++ b/finchladder/cluster/process/dispatcher_node.py
@@ -8,17 +8,17 @@
 from aiohttp import web
 from attrs import define, field
 
-from finchladder.cluster.configuration import routing
-from finchladder.cluster.configuration.packing import unpack
+from finchladder.cluster.configuration import snapshot
+from finchladder.cluster.configuration.compression import decompress
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.router import Router
 from finchladder.cluster.process.settings import Settings
 from finchladder.cluster.process.tasks import Signal, Tasks
-from finchladder.cluster.process.update_puller import Puller
+from finchladder.cluster.process.update_puller import UpdatePuller
 from finchladder.cluster.routing.budget import RetryBudget
 from finchladder.cluster.routing.demand import DemandCounter
 from finchladder.cluster.routing.pools import Chooser, LoadUnderWay, PoolKey, holder_of
-from finchladder.cluster.sessions.table import Tables
+from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.transport.http_client import make_session
 from finchladder.cluster.transport.http_server import Listener
 from finchladder.cluster.transport.peers import PeerClient, steady
@@ -47,7 +47,7 @@
     random: Random = field(factory=Random)
     tasks: Tasks = field(factory=Tasks)
     peers: PeerClient = field(init=False)
-    puller: Puller = field(init=False)
+    puller: UpdatePuller = field(init=False)
     router: Router = field(init=False)
     demand: DemandCounter = field(factory=DemandCounter)
     waited_for: Signal = field(factory=Signal)
@@ -65,29 +65,29 @@
             make_session(keepalive_s=WORKER_KEEPALIVE_S),
             Chooser(settings.node_name, settings.zone, KEYED_SHARE, self.random),
             lambda: RetryBudget(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s),
-            lambda: self.puller.edges,
+            lambda: self.puller.dispatcher_count,
             self.demand,
-            lambda: self.puller.is_doubtful(),
+            lambda: self.puller.has_core_lost_quorum(),
         )
-        self.puller = Puller(
+        self.puller = UpdatePuller(
             name=settings.node_name,
-            tables=Tables(f"{settings.node_name}/{self.random.getrandbits(32):x}"),
+            tables=ReplicatedTables(f"{settings.node_name}/{self.random.getrandbits(32):x}"),
             peers=self.peers,
             tasks=self.tasks,
             random=self.random,
-            is_edge=True,
+            is_dispatcher=True,
             own_address=settings.peer_address,
             zone=settings.zone,
             seeds=tuple(settings.peer_of(seed) for seed in settings.seeds),
-            version=lambda: self.router.snapshot.version,
-            take=self._take,
+            configuration_version=lambda: self.router.snapshot.version,
+            on_update=self._take,
         )
 
     # --- what control tells -------------------------------------------------------------------------------
 
     def _take(self, delta: Update, changed: list[str]) -> None:
         if delta.document and delta.version > self.router.snapshot.version:
-            self.router.snapshot = routing.build(unpack(delta.document))
+            self.router.snapshot = snapshot.build_snapshot(decompress(delta.document))
             event("configuration.in_force", version=delta.version)
         if changed:
             self._note_pending_loads(changed)
@@ -123,7 +123,7 @@
         """Whether clients should be sent here."""
         if self.stopping or not self.router.snapshot.version or not self.router.pools.holders:
             return False
-        if self.puller.is_doubtful():
+        if self.puller.has_core_lost_quorum():
             return False
         return self.fresh or steady() - self.started_at > START_WITHOUT_CONFIRMATION_S
 
--- a/finchladder/cluster/process/placer.py
+++ b/finchladder/cluster/process/placer.py
@@ -8,7 +8,12 @@
 import msgspec
 from attrs import define, field
 
-from finchladder.cluster.configuration.routing import EMPTY, Engine, Snapshot, build
+from finchladder.cluster.configuration.snapshot import (
+    EMPTY_SNAPSHOT,
+    ConfigurationSnapshot,
+    Engine,
+    build_snapshot,
+)
 from finchladder.cluster.placement.demand import DemandBook, Item
 from finchladder.cluster.placement.disks import KnownDisks
 from finchladder.cluster.placement.durations import EVICT_S, Durations, FirstCopies
@@ -64,7 +69,7 @@
     observed: ObservedLoads = field(init=False)
     waited_for: Signal = field(factory=Signal)
     waiting_since: dict[Item, float] = field(factory=dict)  # what is waited for that nobody holds
-    snapshot: Snapshot = EMPTY
+    snapshot: ConfigurationSnapshot = EMPTY_SNAPSHOT
     term: int = 0
     was_own: bool = False  # the holder before was a former life of this process
     term_began: float = 0.0
@@ -105,7 +110,7 @@
         """
         now, tables = steady(), self.sessions.tables
         if not self.term:
-            for record in tables.live():
+            for record in tables.live_workers():
                 self.disks.note(record.instance, record.address, (h.model for h in record.loaded_models))
         self.observed.note(now, (p.record for p in tables.placements.values()))
         self.observed.forget(now)
@@ -176,7 +181,7 @@
         now = steady()
         state = self.sessions.state()
         if state.version != self.snapshot.version and state.document:
-            self.snapshot = build(state.document)
+            self.snapshot = build_snapshot(state.document)
         self.demand.settle(now)
         self._follow_workers()
         for name, service in self.snapshot.services.items():
@@ -184,7 +189,7 @@
                 self._plan(now, name, service.engine)
 
     def _follow_workers(self) -> None:
-        live = {r.instance: r for r in self.sessions.tables.live()}
+        live = {r.instance: r for r in self.sessions.tables.live_workers()}
         for instance in set(self.managed) - set(live):
             gone = self.managed.pop(instance)
             if gone.task is not None:
@@ -272,7 +277,7 @@
     def _ledger(self, service: str, engine: Engine) -> LoadLedger:
         ledger = self.ledgers.get(service)
         if ledger is None:
-            ledger = self.ledgers[service] = LoadLedger(engine.load_rate_s, self.window_s, self.overage)
+            ledger = self.ledgers[service] = LoadLedger(engine.max_loads_per_s, self.window_s, self.overage)
             if self.term > 1:
                 ledger.assume_full(self.term_began - (0.0 if self.was_own else self.idle_s))
         return ledger
--- a/finchladder/cluster/process/router.py
+++ b/finchladder/cluster/process/router.py
@@ -10,7 +10,12 @@
 from aiohttp import web
 from attrs import define, field
 
-from finchladder.cluster.configuration.routing import EMPTY, Kind, Route, Snapshot
+from finchladder.cluster.configuration.snapshot import (
+    EMPTY_SNAPSHOT,
+    ConfigurationSnapshot,
+    RequestKind,
+    Route,
+)
 from finchladder.cluster.process.attempt import (
     Answered,
     Broken,
@@ -56,7 +61,7 @@
     dispatchers: Callable[[], int]
     demand: DemandCounter
     is_doubtful: Callable[[], bool] = lambda: False  # whether a newer configuration may be in force
-    snapshot: Snapshot = EMPTY
+    snapshot: ConfigurationSnapshot = EMPTY_SNAPSHOT
     finder: WorkerFinder = field(init=False)
     draining: bool = False
     whole_only_from: float = inf  # what comes later is taken only if it ends before `holds_end`
@@ -122,7 +127,7 @@
         return await self._serve(request, route, wanted, body)
 
     async def _body(self, request: web.BaseRequest) -> bytes | None:
-        parts, size, most = [], 0, self.snapshot.body_bytes
+        parts, size, most = [], 0, self.snapshot.max_body_bytes
         try:
             async for part in request.content.iter_any():
                 size += len(part)
@@ -167,10 +172,10 @@
                 continue
             sent |= {backend.instance}
             if isinstance(outcome, NotExecuted):
-                if len(sent) >= route.most_workers:
+                if len(sent) >= route.max_attempts:
                     return self._refuse(max(outcome.retry_after_s, RETRY_AFTER_FULL_S), FULL, wanted)
                 continue
-            if isinstance(outcome, Broken) and route.may_repeat and len(sent) < route.most_workers:
+            if isinstance(outcome, Broken) and route.is_idempotent and len(sent) < route.max_attempts:
                 continue
             return self._plain(504 if isinstance(outcome, TimedOut) else 502, "the worker gave no answer")
 
@@ -205,7 +210,7 @@
         self, route: Route, wanted: Need, sending: Sending, backend: Backend, response: aiohttp.ClientResponse
     ) -> web.StreamResponse:
         try:
-            if route.kind is Kind.STREAMING and response.status == 200:
+            if route.kind is RequestKind.STREAMING and response.status == 200:
                 return await self._stream(route, wanted, sending, backend, response)
             return await self._whole(wanted, response)
         finally:
@@ -244,7 +249,7 @@
         sent = frozenset({backend.instance})
         while not await self._copy(response, answer, wanted, cutter):
             again = None
-            if cutter is not None and len(sent) < route.most_workers:
+            if cutter is not None and len(sent) < route.max_attempts:
                 cutter.drop_rest()
                 again = await self._take_up(wanted, sending, sent, cutter.last_id or cutter_id)
             if again is None:
--- a/finchladder/cluster/process/sessions_service.py
+++ b/finchladder/cluster/process/sessions_service.py
@@ -6,10 +6,10 @@
 import msgspec
 from attrs import define, field
 
-from finchladder.cluster.configuration.packing import DocumentPacker
+from finchladder.cluster.configuration.compression import DocumentCompressor
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.tasks import Signal
-from finchladder.cluster.sessions.table import Tables
+from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.members import View
 from finchladder.cluster.types.messages import PullUpdates, Update
@@ -66,7 +66,7 @@
     """
 
     name: str
-    tables: Tables
+    tables: ReplicatedTables
     heartbeat_s: float
     state: Callable[[], ControlState]
     view: Callable[[], View]
@@ -77,7 +77,7 @@
     quorum_lost: Callable[[], bool]
     changed: Signal = field(factory=Signal)
     readers: dict[str, Reader] = field(factory=dict)
-    packer: DocumentPacker = field(factory=DocumentPacker)
+    packer: DocumentCompressor = field(factory=DocumentCompressor)
     edge_count: int = 0  # dispatchers that had pulled lately at `edges_counted_at`
     edges_counted_at: float = -1e9
     last_heartbeats: dict[str, LastHeartbeat] = field(factory=dict)
@@ -264,11 +264,11 @@
     def _forget_former_lives(self, now: float) -> None:
         if now - self.forgot_at > FORGET_LOOK_S:
             self.forgot_at = now
-            for instance in self.tables.forget_ended(now):
+            for instance in self.tables.expire_ended_workers(now):
                 self.last_heartbeats.pop(instance, None)
                 self.answered_at.pop(instance, None)
                 self.told.discard(instance)
-            self.tables.forget_origins(now)
+            self.tables.expire_origins(now)
             self.readers = {name: r for name, r in self.readers.items() if now - r.seen_at < FORGET_S}
             self.origins = {origin: at for origin, at in self.origins.items() if now - at < FORGET_S}
 
@@ -313,7 +313,7 @@
         """Whether a newer configuration or view, a drain, a loss or an end of a worker is among the news."""
         if self.state().version > pull.version or self.view().number > pull.view:
             return True
-        workers, _ = self.tables.missing(pull.vector)
+        workers, _ = self.tables.records_after(pull.vector)
         return any(w.record.phase is not SessionPhase.READY for w in workers)
 
     def _has_news(self, pull: PullUpdates) -> bool:
@@ -322,15 +322,15 @@
 
     def _delta(self, pull: PullUpdates) -> Update:
         state, view = self.state(), self.view()
-        workers, placements = self.tables.missing(pull.vector)
+        workers, placements = self.tables.records_after(pull.vector)
         return Update(
             origin=self.tables.origin,
-            vector=self.tables.told_vector(),
+            vector=self.tables.advertised_vector(),
             view=view if view.number > pull.view else None,
             workers=workers,
             placements=placements,
             version=state.version,
-            document=self.packer.pack(state.document) if state.version > pull.version else b"",
+            document=self.packer.compress(state.document) if state.version > pull.version else b"",
             knows_all_workers=self.is_complete(),
             is_full=not pull.vector,
             placer=self.placer(),
--- a/finchladder/cluster/process/worker_retirement.py
+++ b/finchladder/cluster/process/worker_retirement.py
@@ -16,59 +16,59 @@
 from finchladder.cluster.types.messages import RetireWorker, RetireWorkerReply
 from finchladder.cluster.types.operations import RecordRetirements, WorkerRetirement, is_retired
 
-RECORD_S = 0.7  # a worker calls the next control process after a second
+RECORD_TIMEOUT_S = 0.7  # a worker calls the next control process after a second
 
 
 @define
-class EndedWorkers:
+class RetirementRecorder:
     """Hands ends to the head; as head takes them down the chain."""
 
     chain: ChainService
     pending: dict[str, WorkerRetirement] = field(factory=dict)  # by instance, not stored yet
 
-    async def record(self, end: WorkerRetirement) -> bool:
+    async def record(self, retirement: WorkerRetirement) -> bool:
         """True once the chain has stored it."""
-        if is_retired(self.chain.acknowledged, end):
+        if is_retired(self.chain.acknowledged, retirement):
             return True
         if self.chain.is_head:
-            return await self._take(end)
+            return await self._record_as_head(retirement)
         head = self.chain.view.head
         if head is None:
             return False
         try:
-            reply = await self.chain.voting.call_member(head, RetireWorker(end), RECORD_S)
+            reply = await self.chain.voting.call_member(head, RetireWorker(retirement), RECORD_TIMEOUT_S)
         except ClusterError as error:
-            event("worker.end_unheard", instance=end.instance, problem=str(error))
+            event("worker.end_unheard", instance=retirement.instance, problem=str(error))
             return False
         return isinstance(reply, RetireWorkerReply) and reply.stored
 
-    async def on_end(self, request: RetireWorker) -> RetireWorkerReply:
+    async def on_retire(self, request: RetireWorker) -> RetireWorkerReply:
         """Forwarded by another process; it is not forwarded again."""
-        return RetireWorkerReply(self.chain.is_head and await self._take(request.retirement))
+        return RetireWorkerReply(self.chain.is_head and await self._record_as_head(request.retirement))
 
-    async def _take(self, end: WorkerRetirement) -> bool:
+    async def _record_as_head(self, retirement: WorkerRetirement) -> bool:
         """As head; the write goes on when the time is over."""
-        work = asyncio.ensure_future(self._take_in_turn(end))
+        work = asyncio.ensure_future(self._write_pending(retirement))
         try:
-            return await result_within(work, RECORD_S) or False
+            return await result_within(work, RECORD_TIMEOUT_S) or False
         except ClusterError as error:
-            event("worker.end_unheard", instance=end.instance, problem=str(error))
+            event("worker.end_unheard", instance=retirement.instance, problem=str(error))
             return False
 
-    async def _take_in_turn(self, end: WorkerRetirement) -> bool:
-        self.pending[end.instance] = end
+    async def _write_pending(self, retirement: WorkerRetirement) -> bool:
+        self.pending[retirement.instance] = retirement
         async with self.chain.write_lock:
             state = await self.chain.ready_to_write()
             if state is None:
                 return False
-            if is_retired(state, end):
-                self._forget({end.instance: end})
+            if is_retired(state, retirement):
+                self._discard_pending({retirement.instance: retirement})
                 return True
             batch = dict(self.pending)
             if not await self.chain.write(RecordRetirements(tuple(batch.values()))):
                 return False
-            self._forget(batch)
+            self._discard_pending(batch)
             return True
 
-    def _forget(self, stored: dict[str, WorkerRetirement]) -> None:
+    def _discard_pending(self, stored: dict[str, WorkerRetirement]) -> None:
         self.pending = {i: end for i, end in self.pending.items() if stored.get(i) != end}
--- a/finchladder/cluster/routing/requests.py
+++ b/finchladder/cluster/routing/requests.py
@@ -5,7 +5,7 @@
 
 from attrs import frozen
 
-from finchladder.cluster.configuration.routing import Kind, Route
+from finchladder.cluster.configuration.snapshot import RequestKind, Route
 from finchladder.cluster.routing.pools import PoolKey
 
 REQUEST_ID = "X-Finchladder-Request-Id"
@@ -69,17 +69,20 @@
     deadline_ms = _number(headers.get(DEADLINE))
     client_s = route.timeout_s if deadline_ms is None else deadline_ms / 1000
     model, _, adapter = headers.get(MODEL, "").partition("/")
-    key = PoolKey(route.target(_point(request_id)), model, adapter)
+    key = PoolKey(route.service_at(_point(request_id)), model, adapter)
     until = now + min(client_s, route.timeout_s)
     tokens = _tokens(headers.get(TOKENS))
-    return Need(request_id, key, now, until, tokens, route.aim_s, _patience_s(route, client_s))
+    return Need(request_id, key, now, until, tokens, route.latency_target_s, _patience_s(route, client_s))
 
 
 def _patience_s(route: Route, client_s: float) -> float:
     """Clients give a stream up after a silence; source: the project's protocol page."""
-    if route.kind is not Kind.STREAMING:
+    if route.kind is not RequestKind.STREAMING:
         return client_s
-    return min(client_s, max(LEAST_SILENCE_S, SILENT_AIMS * route.aim_s, SILENT_GAPS * route.gap_aim_s))
+    return min(
+        client_s,
+        max(LEAST_SILENCE_S, SILENT_AIMS * route.latency_target_s, SILENT_GAPS * route.max_event_gap_s),
+    )
 
 
 def _point(request_id: str) -> float:
--- a/finchladder/cluster/sessions/stamp_log.py
+++ b/finchladder/cluster/sessions/stamp_log.py
@@ -8,7 +8,7 @@
 
 from finchladder.cluster.types.workers import Stamp
 
-SPARE = 64  # entries that may be out of date before the log of one origin is compacted
+COMPACTION_SLACK = 64  # entries that may be out of date before the log of one origin is compacted
 
 
 class StampLog:
@@ -26,10 +26,10 @@
         """Notes the stamp that a record has just been given. O(log entries), mostly at the end."""
         entries = self._entries.setdefault(stamp.origin, [])
         insort(entries, (stamp.counter, key))
-        if len(entries) > self._compact_at.setdefault(stamp.origin, SPARE):
+        if len(entries) > self._compact_at.setdefault(stamp.origin, COMPACTION_SLACK):
             self._compact(stamp.origin)
 
-    def later(self, origin: str, counter: int) -> Iterator[str]:
+    def keys_after(self, origin: str, counter: int) -> Iterator[str]:
         """The keys of records that carry a stamp of that origin above that counter."""
         entries = self._entries.get(origin, [])
         first = bisect_right(entries, (counter + 1,))
@@ -45,7 +45,7 @@
         kept = [e for e in self._entries[origin] if self._current(e[1]) == Stamp(origin, e[0])]
         if kept:
             self._entries[origin] = kept
-            self._compact_at[origin] = 2 * len(kept) + SPARE
+            self._compact_at[origin] = 2 * len(kept) + COMPACTION_SLACK
         else:
             del self._entries[origin]
             self._compact_at.pop(origin, None)
--- a/finchladder/lab/cluster/dataplane.py
+++ b/finchladder/lab/cluster/dataplane.py
@@ -8,12 +8,12 @@
 
 from attrs import define, field
 
-from finchladder.cluster.configuration.packing import unpack
+from finchladder.cluster.configuration.compression import decompress
 from finchladder.cluster.process.core_sessions import CoreSessions
 from finchladder.cluster.process.sessions_service import DRAINING
 from finchladder.cluster.process.tasks import Tasks
-from finchladder.cluster.process.update_puller import Puller
-from finchladder.cluster.sessions.table import Tables
+from finchladder.cluster.process.update_puller import UpdatePuller
+from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.types.messages import Update
 from finchladder.cluster.types.worker_api import Heartbeat
 from finchladder.cluster.types.workers import SessionPhase
@@ -45,7 +45,7 @@
     name: str
     address: str
     lives: int = 0
-    puller: Puller | None = None
+    puller: UpdatePuller | None = None
     version: int = 0
     number: int = 0
 
@@ -63,25 +63,25 @@
 
         def take(delta: Update, _: list[str]) -> None:
             if delta.document and delta.version > self.version:
-                self.version, self.number = delta.version, number_in(unpack(delta.document))
+                self.version, self.number = delta.version, number_in(decompress(delta.document))
 
-        self.puller = Puller(
+        self.puller = UpdatePuller(
             name=self.name,
-            tables=Tables(f"{self.name}/{random.getrandbits(32):x}"),
+            tables=ReplicatedTables(f"{self.name}/{random.getrandbits(32):x}"),
             peers=SimulatedPeers(world.network, self.address),
             tasks=tasks,
             random=random,
-            is_edge=True,
+            is_dispatcher=True,
             own_address=self.address,
             zone="zone",
             seeds=seeds,
-            version=lambda: self.version,
-            take=take,
+            configuration_version=lambda: self.version,
+            on_update=take,
         )
         running_loop().spawn(self.name, self._keep(self.puller))
         world.note(f"{self.name} starts, life {self.lives}")
 
-    async def _keep(self, puller: Puller) -> None:
+    async def _keep(self, puller: UpdatePuller) -> None:
         puller.tasks.repeat(puller.run, "sources")
 
     def kill(self, world: "World") -> None:
--- a/finchladder/lab/cluster/emulator/fleet.py
+++ b/finchladder/lab/cluster/emulator/fleet.py
@@ -8,7 +8,7 @@
 
 from attrs import define, field, frozen
 
-from finchladder.cluster.configuration.routing import Engine, Model, Service, Snapshot
+from finchladder.cluster.configuration.snapshot import ConfigurationSnapshot, Engine, Model, Service
 from finchladder.cluster.process.attempt import MISDIRECTED, NotExecuted
 from finchladder.cluster.process.dispatcher_node import KEYED_SHARE, REPORT_S, TOGETHER_S
 from finchladder.cluster.process.placer import Placer
@@ -21,7 +21,7 @@
 from finchladder.cluster.routing.demand import DemandCounter
 from finchladder.cluster.routing.pools import Chooser, LoadUnderWay, PoolKey, holder_of
 from finchladder.cluster.routing.requests import Need
-from finchladder.cluster.sessions.table import Tables
+from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.members import Member
 from finchladder.cluster.types.messages import DemandReport
@@ -180,7 +180,7 @@
     seed: int
     workers: dict[str, EngineWorker] = field(factory=dict)
     dispatchers: list[Dispatcher] = field(factory=list)
-    tables: Tables = field(factory=lambda: Tables("core-1/1"))
+    tables: ReplicatedTables = field(factory=lambda: ReplicatedTables("core-1/1"))
     changed: Signal = field(factory=Signal)
     placer: Placer = field(init=False)
     tasks: Tasks = field(factory=Tasks)
@@ -237,7 +237,7 @@
             models,
         )
         service = Service(SERVICE, 700, "/healthz", engine)
-        snapshot = Snapshot(1, {}, {SERVICE: service}, 15.0, 1 << 20, 1 << 14)
+        snapshot = ConfigurationSnapshot(1, {}, {SERVICE: service}, 15.0, 1 << 20, 1 << 14)
         self._make_workers()
         self._make_placer(snapshot)
         self.dispatchers = [Dispatcher.make(number, self) for number in range(plan.dispatchers)]
@@ -273,7 +273,7 @@
             )
             self.tables.put_worker(record)
 
-    def _make_placer(self, snapshot: Snapshot) -> None:
+    def _make_placer(self, snapshot: ConfigurationSnapshot) -> None:
         sessions = SimpleNamespace(
             tables=self.tables,
             changed=self.changed,
--- a/finchladder/lab/cluster/watching.py
+++ b/finchladder/lab/cluster/watching.py
@@ -47,7 +47,7 @@
 
 
 def _judge_in_time(world: "World", dispatcher: Dispatcher, now: float) -> None:
-    if dispatcher.puller is None or dispatcher.puller.is_doubtful():
+    if dispatcher.puller is None or dispatcher.puller.has_core_lost_quorum():
         return  # it refuses all requests
     due = world.oracle.newest_taken_before(now - world.fleet.apply_s)
     if 0 < dispatcher.version < due:  # without any, it refuses all requests, which breaks no rule
--- a/tests/cluster/placer_scene.py
+++ b/tests/cluster/placer_scene.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from finchladder.cluster.configuration.routing import Engine, Model, Service, Snapshot
+from finchladder.cluster.configuration.snapshot import ConfigurationSnapshot, Engine, Model, Service
 from finchladder.cluster.process.placer import Placer
 from finchladder.cluster.process.tasks import Signal, Tasks
 from finchladder.cluster.process.worker_orders import WorkerOrders
 from finchladder.cluster.replication.lease import HeldLease
 from finchladder.cluster.routing.pools import effective_holdings
-from finchladder.cluster.sessions.table import Tables
+from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.members import Member
 from finchladder.cluster.types.messages import Demand, DemandReport
@@ -23,14 +23,16 @@
 LOAD_S = 0.8
 MODELS = {f"m{n}": Model(f"m{n}", 70.0, LOAD_S, 4, 1.0) for n in range(9)}
 ENGINE = Engine(64, 1000, 200.0, 4, 2.1, MODELS)
-SNAPSHOT = Snapshot(1, {}, {"llm": Service("llm", 10, "/healthz", ENGINE)}, 15.0, 1 << 20, 1 << 14)
+SNAPSHOT = ConfigurationSnapshot(
+    1, {}, {"llm": Service("llm", 10, "/healthz", ENGINE)}, 15.0, 1 << 20, 1 << 14
+)
 
 
 class Scene:
     """A placer with the role under that fencing token, over stand-in workers of one service."""
 
     def __init__(self, token: int = 1, **workers: StandInWorker) -> None:
-        self.tables = Tables("core-1/1")
+        self.tables = ReplicatedTables("core-1/1")
         for name, worker in workers.items():
             holdings = tuple(LoadedModel(m, ()) for m in sorted(worker.models))
             record = WorkerRecord(
--- a/tests/cluster/test_configuration.py
+++ b/tests/cluster/test_configuration.py
@@ -5,8 +5,13 @@
 
 import pytest
 
-from finchladder.cluster.configuration.document import Candidate, Invalid, digest, prepare
-from finchladder.cluster.configuration.packing import DocumentPacker, unpack
+from finchladder.cluster.configuration.changes import (
+    InvalidChange,
+    ValidChange,
+    change_digest,
+    validate_change,
+)
+from finchladder.cluster.configuration.compression import DocumentCompressor, decompress
 
 ROUTE = {
     "name": "r1",
@@ -26,16 +31,16 @@
 }
 
 
-def put(value: object, version: int = 0, current: bytes = b"") -> Candidate | Invalid:
-    return prepare(current, version, False, json.dumps(value).encode())
+def put(value: object, version: int = 0, current: bytes = b"") -> ValidChange | InvalidChange:
+    return validate_change(current, version, False, json.dumps(value).encode())
 
 
-def patch(value: object) -> Candidate | Invalid:
-    return prepare(json.dumps(WHOLE).encode(), 5, True, json.dumps(value).encode())
+def patch(value: object) -> ValidChange | InvalidChange:
+    return validate_change(json.dumps(WHOLE).encode(), 5, True, json.dumps(value).encode())
 
 
-def document(outcome: Candidate | Invalid) -> Any:
-    assert isinstance(outcome, Candidate), outcome
+def document(outcome: ValidChange | InvalidChange) -> Any:
+    assert isinstance(outcome, ValidChange), outcome
     return json.loads(outcome.document)
 
 
@@ -70,19 +75,19 @@
 )
 def test_an_invalid_configuration_is_refused(value: object) -> None:
     outcome = put(value)
-    assert isinstance(outcome, Invalid) and outcome.problem
+    assert isinstance(outcome, InvalidChange) and outcome.problem
 
 
 @pytest.mark.parametrize(
     "body", [b"", b'{"version":5,"routes":[', b"\xff", b'{"version": NaN}', b"[" * 100_000]
 )
 def test_what_cannot_be_read_whole_is_refused(body: bytes) -> None:
-    assert isinstance(prepare(b"", 0, False, body), Invalid)
+    assert isinstance(validate_change(b"", 0, False, body), InvalidChange)
 
 
 def test_a_version_that_is_not_above_the_current_one_is_refused() -> None:
     for version in (5, 6):
-        assert isinstance(put(WHOLE, version), Invalid)
+        assert isinstance(put(WHOLE, version), InvalidChange)
 
 
 def test_a_patch_replaces_adds_and_removes_by_name() -> None:
@@ -95,15 +100,18 @@
 
 
 def test_a_patch_that_leaves_a_route_without_its_service_is_refused() -> None:
-    assert isinstance(patch({"version": 7, "remove": {"services": ["s1"]}}), Invalid)
+    assert isinstance(patch({"version": 7, "remove": {"services": ["s1"]}}), InvalidChange)
 
 
 def test_a_digest_names_the_order_and_not_only_its_text() -> None:
     orders = {
-        digest(base, is_patch, body) for base in (1, 2) for is_patch in (True, False) for body in (b"a", b"b")
+        change_digest(base, is_patch, body)
+        for base in (1, 2)
+        for is_patch in (True, False)
+        for body in (b"a", b"b")
     }
     assert len(orders) == 8
-    assert digest(1, True, b"a") == digest(1, True, b"a")
+    assert change_digest(1, True, b"a") == change_digest(1, True, b"a")
 
 
 # --- on the way to dispatchers
@@ -112,16 +120,16 @@
 def test_a_configuration_of_many_routes_travels_in_a_small_part_of_its_size() -> None:
     routes = [{**ROUTE, "name": f"r{n}", "path_prefix": f"/p{n}/"} for n in range(1400)]
     plain = json.dumps({**WHOLE, "routes": routes}).encode()
-    packed = DocumentPacker().pack(plain)
+    packed = DocumentCompressor().compress(plain)
     assert len(packed) < len(plain) / 10
-    assert unpack(packed) == plain
+    assert decompress(packed) == plain
 
 
 def test_another_document_is_packed_anew_and_nothing_stays_nothing() -> None:
     """A version that was not acknowledged may be followed by another one with its number."""
-    packer = DocumentPacker()
-    assert unpack(packer.pack(b"")) == b"" == packer.pack(b"")
-    first = packer.pack(b"one")
-    assert packer.pack(b"one") is first
-    assert unpack(packer.pack(b"two")) == b"two"
-    assert unpack(packer.pack(b"one")) == b"one"
+    packer = DocumentCompressor()
+    assert decompress(packer.compress(b"")) == b"" == packer.compress(b"")
+    first = packer.compress(b"one")
+    assert packer.compress(b"one") is first
+    assert decompress(packer.compress(b"two")) == b"two"
+    assert decompress(packer.compress(b"one")) == b"one"
--- a/tests/cluster/test_control_world.py
+++ b/tests/cluster/test_control_world.py
@@ -10,7 +10,7 @@
 import pytest
 from attrs import evolve
 
-from finchladder.cluster.configuration import document
+from finchladder.cluster.configuration import changes
 from finchladder.cluster.replication import chain, membership
 from finchladder.cluster.replication.agreement import Acceptor
 from finchladder.cluster.replication.chain import Keep, Outcome, Replica
@@ -137,7 +137,9 @@
 
 def test_orders_that_are_not_recognised_when_sent_again_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     numbers = iter(range(1 << 30))
-    monkeypatch.setattr(document, "digest", lambda base, patch, body: msgspec.json.encode(next(numbers)))
+    monkeypatch.setattr(
+        changes, "change_digest", lambda base, is_patch, body: msgspec.json.encode(next(numbers))
+    )
     assert _finds_a_violation()
 
 
--- a/tests/cluster/test_edge_node.py
+++ b/tests/cluster/test_edge_node.py
@@ -11,7 +11,7 @@
 from finchladder.cluster.process.dispatcher_node import EdgeNode
 from finchladder.cluster.process.router import Router
 from finchladder.cluster.process.settings import Settings
-from finchladder.cluster.process.update_puller import Puller
+from finchladder.cluster.process.update_puller import UpdatePuller
 from finchladder.cluster.routing.budget import RetryBudget
 from finchladder.cluster.routing.demand import DemandCounter
 from finchladder.cluster.routing.pools import Backend, Chooser, Holder, Pools
@@ -99,7 +99,7 @@
         one, two = (Backend(name, "llm", f"{name}:1", "z", 64) for name in "ab")
         pools = Pools().changed({"a": Holder(one), "b": Holder(two)})
         node.router = cast(Router, SimpleNamespace(pools=pools))
-        node.puller = cast(Puller, SimpleNamespace(placer="core-1:1"))
+        node.puller = cast(UpdatePuller, SimpleNamespace(placer="core-1:1"))
         node.peers = cast(PeerClient, Peers())
         one.add(1)
         node.tasks.repeat(node._report, "demand")
--- a/tests/cluster/test_exchange.py
+++ b/tests/cluster/test_exchange.py
@@ -280,7 +280,7 @@
     spare = Worker(plain)
 
     async def check(b: Bench) -> None:
-        b.router.snapshot = evolve(b.router.snapshot, body_bytes=64 << 20)
+        b.router.snapshot = evolve(b.router.snapshot, max_body_bytes=64 << 20)
         body = b"x" * (16 << 20)
         assert (await outcome(b, "/once/", body))[0] == 200
         assert [len(sent) for _, _, sent in spare.seen] == [len(body)]
--- a/tests/cluster/test_placement.py
+++ b/tests/cluster/test_placement.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from finchladder.cluster.configuration.routing import Engine, Model
+from finchladder.cluster.configuration.snapshot import Engine, Model
 from finchladder.cluster.placement.demand import DemandBook, Item
 from finchladder.cluster.placement.disks import MOST_DISKS, KnownDisks
 from finchladder.cluster.placement.durations import Durations
@@ -26,7 +26,7 @@
 
 MODELS = {f"m{n}": Model(f"m{n}", 70.0, 5.0, 4, 1.0) for n in range(8)}
 ENGINE = Engine(
-    slots=64, kv_cache_tokens=1000, weights_mb=220.0, lora_slots=2, load_rate_s=2.0, models=MODELS
+    slots=64, kv_cache_tokens=1000, weights_mb=220.0, lora_slots=2, max_loads_per_s=2.0, models=MODELS
 )
 
 
@@ -255,12 +255,12 @@
     def at_once(engine: Engine, *workers: int, kept_free: float = KEPT_FREE) -> list[int]:
         return [store_loads_at_once(engine, count, kept_free) for count in workers]
 
-    many = evolve(ENGINE, load_rate_s=40.0)
+    many = evolve(ENGINE, max_loads_per_s=40.0)
     assert at_once(ENGINE, 1, 2, 6, 12, 300) == [1, 1, 4, 9, 10]
     assert at_once(many, 6, 70, 890) == [4, 63, 200]
     assert at_once(ENGINE, 1, 2, 6, 12, 300, kept_free=KEPT_FREE_BY_PREPARING) == [1, 1, 2, 6, 10]
     assert at_once(many, 6, 70, 890, kept_free=KEPT_FREE_BY_PREPARING) == [2, 56, 200]
-    quick = evolve(ENGINE, models={"m0": Model("m0", 70.0, 0.8, 0, 1.0)}, load_rate_s=5.0)
+    quick = evolve(ENGINE, models={"m0": Model("m0", 70.0, 0.8, 0, 1.0)}, max_loads_per_s=5.0)
     assert store_loads_at_once(quick, 6) == 4, "quick ones leave a worker free soon enough"
 
 
--- a/tests/cluster/test_router.py
+++ b/tests/cluster/test_router.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 from yarl import URL
 
-from finchladder.cluster.configuration.routing import build
+from finchladder.cluster.configuration.snapshot import build_snapshot
 from finchladder.cluster.process.router import RETURN_S, Router
 from finchladder.cluster.routing.budget import RetryBudget
 from finchladder.cluster.routing.demand import DemandCounter
@@ -92,7 +92,7 @@
     router = Router(
         session, Chooser("edge", "z", 0.5), lambda: RetryBudget(0.2, 50, 10), lambda: 1, DemandCounter()
     )
-    router.snapshot = build(json.dumps(DOCUMENT).encode())
+    router.snapshot = build_snapshot(json.dumps(DOCUMENT).encode())
     holders = {
         f"i-{n}": Holder(Backend(f"i-{n}", "s", listener.bound, "z", 4, float(n)))
         for n, listener in enumerate(listeners)
--- a/tests/cluster/test_routing.py
+++ b/tests/cluster/test_routing.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from finchladder.cluster.configuration.routing import build
+from finchladder.cluster.configuration.snapshot import build_snapshot
 from finchladder.cluster.routing.budget import RetryBudget
 from finchladder.cluster.routing.events import EventCutter
 from finchladder.cluster.routing.pace import ReadingPace
@@ -351,21 +351,21 @@
 
 
 def test_the_longest_prefix_of_the_host_wins() -> None:
-    snapshot = build(json.dumps(DOCUMENT).encode())
+    snapshot = build_snapshot(json.dumps(DOCUMENT).encode())
     found = [snapshot.match("a.EXAMPLE", path) for path in ("/x/1", "/x/y/1", "/x", "/z/")]
     assert [route.name if route else None for route in found] == ["r1", "r2", None, None]
-    assert snapshot.idle_s == 9.0
+    assert snapshot.idle_timeout_s == 9.0
 
 
 def test_a_split_goes_by_weights_and_a_weight_of_nothing_gets_nothing() -> None:
-    route = build(json.dumps(DOCUMENT).encode()).match("b.example", "/q")
+    route = build_snapshot(json.dumps(DOCUMENT).encode()).match("b.example", "/q")
     assert route is not None
-    assert [route.target(point) for point in (0.0, 0.74, 0.76, 0.9999999)] == ["api", "api", "llm", "llm"]
+    assert [route.service_at(point) for point in (0.0, 0.74, 0.76, 0.9999999)] == ["api", "api", "llm", "llm"]
 
 
 def test_a_kind_that_is_not_known_may_run_once() -> None:
-    route = build(json.dumps(DOCUMENT).encode()).match("b.example", "/q")
-    assert route is not None and not route.may_repeat
+    route = build_snapshot(json.dumps(DOCUMENT).encode()).match("b.example", "/q")
+    assert route is not None and not route.is_idempotent
 
 
 @pytest.mark.parametrize(
@@ -377,7 +377,7 @@
     ],
 )
 def test_what_a_request_names(headers: dict[str, str], model: str, adapter: str, tokens: int) -> None:
-    route = build(json.dumps(DOCUMENT).encode()).match("a.example", "/x/y/1")
+    route = build_snapshot(json.dumps(DOCUMENT).encode()).match("a.example", "/x/y/1")
     assert route is not None
     wanted = need({**headers, "X-Finchladder-Deadline-Ms": "9000"}, route, 100.0)
     assert (wanted.key.model, wanted.key.adapter, wanted.tokens) == (model, adapter, tokens)
--- a/tests/cluster/test_sessions.py
+++ b/tests/cluster/test_sessions.py
@@ -11,8 +11,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from finchladder.cluster.process.sessions_service import SessionsService
-from finchladder.cluster.sessions.stamp_log import SPARE
-from finchladder.cluster.sessions.table import Tables
+from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
+from finchladder.cluster.sessions.stamp_log import COMPACTION_SLACK
 from finchladder.cluster.types.members import View
 from finchladder.cluster.types.messages import PullUpdates, Update
 from finchladder.cluster.types.operations import ControlState, WorkerRetirement
@@ -41,7 +41,7 @@
 
     @initialize()
     def begin(self) -> None:
-        self.tables = {name: Tables(name) for name in NODES}
+        self.tables = {name: ReplicatedTables(name) for name in NODES}
         self.newest: dict[str, tuple[bool, int, bool]] = {}
         self.ranks: dict[tuple[str, str], tuple[bool, int, bool]] = {}
 
@@ -63,11 +63,11 @@
     @rule(reader=st.sampled_from(NODES), source=st.sampled_from(NODES))
     def pull(self, reader: str, source: str) -> None:
         own, other = self.tables[reader], self.tables[source]
-        workers, placements = other.missing(own.vector)
+        workers, placements = other.records_after(own.vector)
         assert {w.record.instance for w in workers} == _unknown(other.workers, own.vector)
         assert {p.record.instance for p in placements} == _unknown(other.placements, own.vector)
         own.merge(workers, placements)
-        own.advance(other.vector)
+        own.advance_vector(other.vector)
         assert not other.is_ahead(own.vector)
 
     @invariant()
@@ -116,7 +116,7 @@
 
     return SessionsService(
         name,
-        Tables(f"{name}/1"),
+        ReplicatedTables(f"{name}/1"),
         1.2,
         ControlState,
         lambda: view,
@@ -282,7 +282,7 @@
 def test_what_the_chain_has_stored_is_told_once() -> None:
     sessions = service()
     sessions.take_ended((WorkerRetirement("i-1", 7, True),))
-    sessions.tables.forget("i-1")
+    sessions.tables.remove("i-1")
     sessions.take_ended((WorkerRetirement("i-1", 7, True), WorkerRetirement("i-2", 1, False)))
     assert set(sessions.tables.workers) == {"i-2"}
 
@@ -302,7 +302,7 @@
         cut_off, other = service("core-1"), service("core-2")
         await other.on_heartbeat("i-1", heartbeat(7))
         await cut_off.on_leave("i-1")
-        other.tables.merge(*cut_off.tables.missing({}))
+        other.tables.merge(*cut_off.tables.records_after({}))
         return phase_of(other)
 
     assert played(work) is SessionPhase.DEREGISTERED
@@ -343,7 +343,7 @@
     async def work() -> list[SessionPhase]:
         owner, other = service("core-1"), service("core-2", **of_the_judge)
         await owner.on_heartbeat("i-1", heartbeat(1))
-        other.tables.merge(*owner.tables.missing({}))
+        other.tables.merge(*owner.tables.records_after({}))
         await other.judge_orphans()
         seen = []
         for pause in after_s:
@@ -376,21 +376,21 @@
 
 
 def test_the_log_of_stamps_does_not_grow_with_writes_to_the_same_records() -> None:
-    tables = Tables("n")
+    tables = ReplicatedTables("n")
     for sequence in range(2000):
         tables.put_worker(WorkerRecord("i", "s", "a:1", "z", 1, SessionPhase.READY, sequence, "n"))
-    assert sum(len(entries) for entries in tables._worker_log._entries.values()) <= 2 * SPARE
-    assert [w.record.sequence for w in tables.missing({"n": 1990})[0]] == [1999]
+    assert sum(len(entries) for entries in tables._worker_log._entries.values()) <= 2 * COMPACTION_SLACK
+    assert [w.record.sequence for w in tables.records_after({"n": 1990})[0]] == [1999]
 
 
 # --- what is forgotten
 
 
-def exchange(one: Tables, other: Tables) -> None:
+def exchange(one: ReplicatedTables, other: ReplicatedTables) -> None:
     """Each pulls from the other, as core processes do."""
     for reader, source in ((one, other), (other, one)):
-        reader.merge(*source.missing(reader.vector))
-        reader.advance(source.told_vector())
+        reader.merge(*source.records_after(reader.vector))
+        reader.advance_vector(source.advertised_vector())
 
 
 def worker(instance: str, origin: str, phase: SessionPhase = SessionPhase.READY) -> WorkerRecord:
@@ -399,49 +399,49 @@
 
 def test_vectors_do_not_grow_with_lives_of_core_processes() -> None:
     """100 lives, each of which stamps a worker that the next one takes over."""
-    steady_one, now = Tables("core-2/1"), 0.0
+    steady_one, now = ReplicatedTables("core-2/1"), 0.0
     for life in range(100):
-        other = Tables(f"core-1/{life}")
+        other = ReplicatedTables(f"core-1/{life}")
         other.put_worker(msgspec.structs.replace(worker("i-1", other.origin), sequence=life))
         for _ in range(4):
             exchange(steady_one, other)
             now += 5.0
-            steady_one.forget_origins(now)
-            other.forget_origins(now)
+            steady_one.expire_origins(now)
+            other.expire_origins(now)
         assert not steady_one.is_ahead(other.vector) and not other.is_ahead(steady_one.vector)
     assert len(steady_one.vector) <= 6
     assert steady_one.workers["i-1"].record.sequence == 99
 
 
 def test_an_origin_whose_stamp_a_record_carries_is_told_however_quiet_it_is() -> None:
-    tables = Tables("core-2/1")
+    tables = ReplicatedTables("core-2/1")
     tables.merge((StampedWorker(Stamp("core-1/1", 7), worker("i-1", "core-1/1")),), ())
-    tables.advance({"core-1/1": 7, "core-3/1": 4})
+    tables.advance_vector({"core-1/1": 7, "core-3/1": 4})
     for now in range(0, 200, 5):
-        tables.forget_origins(float(now))
-    assert tables.told_vector() == tables.vector == {"core-1/1": 7}
+        tables.expire_origins(float(now))
+    assert tables.advertised_vector() == tables.vector == {"core-1/1": 7}
 
 
 def test_two_that_forget_at_different_times_do_not_teach_each_other_for_ever() -> None:
-    one, other = Tables("a"), Tables("b")
-    one.advance({"gone": 5})
+    one, other = ReplicatedTables("a"), ReplicatedTables("b")
+    one.advance_vector({"gone": 5})
     for step in range(60):
         now = 5.0 * step
         exchange(one, other)
-        one.forget_origins(now)
-        other.forget_origins(now + 17.0)
+        one.expire_origins(now)
+        other.expire_origins(now + 17.0)
     assert "gone" not in one.vector and "gone" not in other.vector
 
 
 def test_a_worker_that_came_back_is_not_forgotten_for_its_earlier_end() -> None:
-    tables = Tables("a")
+    tables = ReplicatedTables("a")
     tables.put_worker(worker("i-1", "a", SessionPhase.LOST))
-    assert tables.forget_ended(0.0) == []
+    assert tables.expire_ended_workers(0.0) == []
     tables.put_worker(msgspec.structs.replace(worker("i-1", "a"), sequence=2))
-    assert tables.forget_ended(100.0) == []
+    assert tables.expire_ended_workers(100.0) == []
     tables.put_worker(msgspec.structs.replace(worker("i-1", "a", SessionPhase.LOST), sequence=3))
-    assert tables.forget_ended(101.0) == []
-    assert tables.forget_ended(170.0) == ["i-1"] and not tables.workers
+    assert tables.expire_ended_workers(101.0) == []
+    assert tables.expire_ended_workers(170.0) == ["i-1"] and not tables.workers
 
 
 def test_a_core_process_forgets_ends_readers_and_what_it_heard_of_workers() -> None:
--- a/tests/cluster/test_takeover.py
+++ b/tests/cluster/test_takeover.py
@@ -13,7 +13,7 @@
 from tests.cluster.placer_scene import ENGINE, Scene
 
 WINDOW_S = 5.0
-MOST = int(ENGINE.load_rate_s * WINDOW_S)
+MOST = int(ENGINE.max_loads_per_s * WINDOW_S)
 
 
 def record(instance: str, serial: int, *ages_ms: int, token: int = 1, orders: int = 0) -> PlacementRecord:
@@ -87,7 +87,7 @@
 def test_a_process_that_has_just_started_knows_nothing() -> None:
     scene = Scene(token=2, w1=StandInWorker({"m0"}))
     scene.sessions.started_at = 0.0
-    hard_most = LoadLedger(ENGINE.load_rate_s, WINDOW_S, 1.1).hard_most
+    hard_most = LoadLedger(ENGINE.max_loads_per_s, WINDOW_S, 1.1).hard_most
     assert left_after_takeover(scene) == hard_most - MOST
 
 
--- a/tests/cluster/test_pulling.py
+++ b/tests/cluster/test_update_puller.py
@@ -8,8 +8,8 @@
 from attrs import define, field
 
 from finchladder.cluster.process.tasks import Tasks
-from finchladder.cluster.process.update_puller import LOOK_S, WAIT_MS, Puller
-from finchladder.cluster.sessions.table import Tables
+from finchladder.cluster.process.update_puller import LONG_POLL_MS, POLL_INTERVAL_S, UpdatePuller
+from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.members import Member, View
 from finchladder.cluster.types.messages import PullUpdates, Reply, Request, Update
@@ -60,23 +60,23 @@
         self.waits.clear()
 
 
-def puller(cores: Cores, tasks: Tasks) -> Puller:
-    return Puller(
+def puller(cores: Cores, tasks: Tasks) -> UpdatePuller:
+    return UpdatePuller(
         name="edge-1",
-        tables=Tables("edge-1/1"),
+        tables=ReplicatedTables("edge-1/1"),
         peers=cores,
         tasks=tasks,
         random=Random(1),
-        is_edge=True,
+        is_dispatcher=True,
         own_address="edge-1:1",
         zone="z2",
         seeds=("core-0:1",),
-        version=lambda: 0,
-        take=lambda delta, changed: None,
+        configuration_version=lambda: 0,
+        on_update=lambda delta, changed: None,
     )
 
 
-async def started(cores: Cores) -> Puller:
+async def started(cores: Cores) -> UpdatePuller:
     """A dispatcher that has pulled for a while."""
     tasks = Tasks()
     it = puller(cores, tasks)
@@ -94,7 +94,9 @@
         assert it.primary == "core-2:1"
         assert cores.waits.total() == cores.waits["core-2:1"] >= 29
         looks = cores.calls.total() - cores.calls["core-2:1"]
-        assert 0.85 * 30.0 / LOOK_S < looks < 1.15 * 30.0 / LOOK_S, "whatever the number of cores"
+        assert 0.85 * 30.0 / POLL_INTERVAL_S < looks < 1.15 * 30.0 / POLL_INTERVAL_S, (
+            "whatever the number of cores"
+        )
         assert min(cores.calls[m.peer_address] for m in MEMBERS) >= 12, "each of them"
 
     run(work())
@@ -105,7 +107,7 @@
         cores = Cores()
         it = await started(cores)
         cores.unconfirmed.add("core-2:1")
-        await asyncio.sleep(WAIT_MS / 1000 + 0.5)
+        await asyncio.sleep(LONG_POLL_MS / 1000 + 0.5)
         assert it.primary not in ("", "core-2:1")
         assert it.primary in {m.peer_address for m in MEMBERS}
 
@@ -127,7 +129,7 @@
         cores = Cores()
         it = await started(cores)
         cores.unreachable.add("core-2:1")
-        await asyncio.sleep(WAIT_MS / 1000 + 2.5)
+        await asyncio.sleep(LONG_POLL_MS / 1000 + 2.5)
         assert it.primary not in ("", "core-2:1")
         cores.forget()
         await asyncio.sleep(10.0)
@@ -157,13 +159,13 @@
     async def work() -> None:
         cores = Cores()
         it = await started(cores)
-        assert not it.is_doubtful()
+        assert not it.has_core_lost_quorum()
         cores.unconfirmed, cores.without_quorum, cores.unreachable = unconfirmed, without_quorum, unreachable
         await asyncio.sleep(6.0)
-        assert it.is_doubtful() is is_doubtful
+        assert it.has_core_lost_quorum() is is_doubtful
         cores.unconfirmed, cores.without_quorum, cores.unreachable = set(), set(), set()
         await asyncio.sleep(3.0)
-        assert not it.is_doubtful()
+        assert not it.has_core_lost_quorum()
 
     run(work())
 
@@ -174,8 +176,8 @@
         it = await started(cores)
         cores.without_quorum = set(ALL)
         await asyncio.sleep(0.9)
-        assert not it.is_doubtful()
+        assert not it.has_core_lost_quorum()
         await asyncio.sleep(2.0)
-        assert it.is_doubtful()
+        assert it.has_core_lost_quorum()
 
     run(work())
--- a/tests/cluster/test_ended_workers.py
+++ b/tests/cluster/test_worker_retirement.py
@@ -59,9 +59,9 @@
 def test_any_core_machine_has_the_whole_chain_store_an_end() -> None:
     async def work() -> None:
         for number, plane in enumerate(members := await planes(World(3))):
-            assert await plane.ended.record(drain(f"i-{number}"))
+            assert await plane.retirements.record(drain(f"i-{number}"))
             assert all(m.voting.replica.state.retirements[-1].instance == f"i-{number}" for m in members)
-            assert await plane.ended.record(drain(f"i-{number}"))
+            assert await plane.retirements.record(drain(f"i-{number}"))
             assert len(members[0].voting.replica.state.retirements) == number + 1, "it is written once"
 
     run(work())
@@ -72,11 +72,11 @@
         head, second, _ = await planes(World(4))
         before = head.voting.replica.state.sequence
         ends = [drain(f"i-{number}") for number in range(60)]
-        assert all(await asyncio.gather(*(second.ended.record(end) for end in ends)))
+        assert all(await asyncio.gather(*(second.retirements.record(end) for end in ends)))
         state = head.voting.replica.state
         assert {end.instance for end in state.retirements} == {end.instance for end in ends}
         assert state.sequence - before < 10
-        assert head.ended.pending == {}
+        assert head.retirements.pending == {}
 
     run(work())
 
@@ -88,11 +88,11 @@
         for other in world.machines.values():
             world.network.cut |= {(head.voting.me.peer_address, other.address)}
             world.network.cut |= {(other.address, head.voting.me.peer_address)}
-        calls = head.ended.record(drain("i-1")), second.ended.record(drain("i-2"))
+        calls = head.retirements.record(drain("i-1")), second.retirements.record(drain("i-2"))
         assert list(await asyncio.gather(*calls)) == [False, False]
         await asyncio.sleep(3.0)
-        assert not await head.ended.record(drain("i-1")), "it is cut off"
-        assert await second.ended.record(drain("i-2")), "the others have gone on"
+        assert not await head.retirements.record(drain("i-1")), "it is cut off"
+        assert await second.retirements.record(drain("i-2")), "the others have gone on"
 
     run(work())
 
@@ -104,9 +104,9 @@
         disk = world.machines[tail.voting.me.name].disk
         assert disk is not None
         disk.stalled_until = asyncio.get_running_loop().time() + 0.8
-        assert not await head.ended.record(drain("i-1"))
+        assert not await head.retirements.record(drain("i-1"))
         await asyncio.sleep(3.0)
-        assert await head.ended.record(drain("i-1"))
+        assert await head.retirements.record(drain("i-1"))
         assert [e.instance for e in head.voting.replica.state.retirements] == ["i-1"]
 
     run(work())
--- a/tests/cluster/test_worst_days.py
+++ b/tests/cluster/test_worst_days.py
@@ -12,7 +12,7 @@
 from finchladder.cluster.process.configuration_changes import CONFLICT, TAKEN, UNCLEAR
 from finchladder.cluster.process.control_plane import ControlPlane
 from finchladder.cluster.process.placer_lease import RoleService
-from finchladder.cluster.process.update_puller import Source
+from finchladder.cluster.process.update_puller import UpdateSource
 from finchladder.cluster.process.view_agreement import Voting
 from finchladder.cluster.replication.agreement import Acceptor, bound_value
 from finchladder.cluster.replication.chain import Replica, newest
@@ -227,8 +227,10 @@
             await asyncio.sleep(0.4)
             assert all(d.version >= version - 5 for d in others), "in force 2 s after an acknowledgement"
         assert [d.version for d in beside] == [1, 1]
-        assert not any(s.confirmed for s in sources(beside[0])), "nobody confirms what it was told there"
-        assert any(s.is_trusted() for s in sources(others[0]))
+        assert not any(s.chain_confirmed for s in sources(beside[0])), (
+            "nobody confirms what it was told there"
+        )
+        assert any(s.is_confirmed() for s in sources(others[0]))
         world.network.cut -= links
 
         async def has_caught_up() -> bool:
@@ -273,13 +275,13 @@
                 world.restart(machine)
         await asyncio.sleep(CONTACT_S)
         assert dispatcher.puller is not None
-        assert dispatcher.puller.is_doubtful() is is_lost
+        assert dispatcher.puller.has_core_lost_quorum() is is_lost
         for place in silent:
             world.restart(machines[place])
 
         async def is_sure() -> bool:
             assert dispatcher.puller is not None
-            return not dispatcher.puller.is_doubtful()
+            return not dispatcher.puller.has_core_lost_quorum()
 
         await soon(is_sure, CONTACT_S)
         await taken(machines[0], 1, 2)
@@ -287,7 +289,7 @@
     run(work())
 
 
-def sources(dispatcher: Dispatcher) -> list[Source]:
+def sources(dispatcher: Dispatcher) -> list[UpdateSource]:
     assert dispatcher.puller is not None
     return list(dispatcher.puller.sources.values())
 
