--- a/finchladder/cluster/process/control_api.py
+++ b/finchladder/cluster/process/control_api.py
@@ -8,7 +8,7 @@
 from finchladder.cluster.process.chain_service import ChainService
 from finchladder.cluster.process.configuration_changes import CONFLICT, INVALID, TAKEN, Changes
 from finchladder.cluster.process.log import event
-from finchladder.cluster.process.sessions_service import SessionsService
+from finchladder.cluster.process.worker_sessions import WorkerSessions
 from finchladder.cluster.types.errors import ClusterError
 from finchladder.cluster.types.worker_api import heartbeat_decoder
 
@@ -45,9 +45,7 @@
 class ControlApi:
     """Handlers of the public control address."""
 
-    def __init__(
-        self, changes: Changes, chain: ChainService, sessions: SessionsService, address: str
-    ) -> None:
+    def __init__(self, changes: Changes, chain: ChainService, sessions: WorkerSessions, address: str) -> None:
         self._changes, self._chain, self._sessions = changes, chain, sessions
         self._address = address
 
@@ -92,7 +90,7 @@
         if body is None:
             return _json(400, Problem("the body broke off"))
         if request.method == "DELETE":
-            return await self._acknowledged(self._sessions.on_leave(instance))
+            return await self._acknowledged(self._sessions.on_deregister(instance))
         try:
             heartbeat = heartbeat_decoder.decode(body)
         except msgspec.DecodeError as error:
--- a/finchladder/cluster/process/core_node.py
+++ b/finchladder/cluster/process/core_node.py
@@ -13,7 +13,6 @@
 from finchladder.cluster.process.core_sessions import CoreSessions
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.placer import Placer
-from finchladder.cluster.process.sessions_service import SessionsService
 from finchladder.cluster.process.settings import Settings
 from finchladder.cluster.process.tasks import Tasks
 from finchladder.cluster.process.worker_client import WorkerClient
@@ -39,7 +38,6 @@
     peers: PeerClient = field(init=False)
     control: ControlPlane = field(init=False)
     core_sessions: CoreSessions = field(init=False)
-    sessions: SessionsService = field(init=False)
     placer: Placer = field(init=False)
     workers: WorkerClient = field(init=False)
 
@@ -74,12 +72,11 @@
             peers=self.peers,
             tasks=self.tasks,
             random=self.random,
-            is_there=self.workers.is_there,
+            is_running=self.workers.is_there,
         )
-        self.sessions = self.core_sessions.sessions
         self.placer = Placer(
             self.control.role,
-            self.sessions,
+            self.core_sessions.updates,
             WorkerOrders(self.control.role, self.workers),
             self.tasks,
             bounds.ceiling_window_s,
@@ -91,7 +88,7 @@
         """The internal protocol."""
         match request:
             case PullUpdates():
-                return await self.sessions.on_pull(request)
+                return await self.core_sessions.updates.on_pull(request)
             case DemandReport():
                 return self.placer.on_demand(request)
         return await self.control.answer(request)
@@ -99,7 +96,9 @@
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until `stop` is set."""
         self._wire()
-        control = ControlApi(self.control.changes, self.control.chain, self.sessions, self.settings.control)
+        control = ControlApi(
+            self.control.changes, self.control.chain, self.core_sessions.sessions, self.settings.control
+        )
         listeners = [
             Listener(peer_handler(self.answer), self.settings.peer_address),
             Listener(control.handle, self.settings.control),
--- a/finchladder/cluster/process/core_sessions.py
+++ b/finchladder/cluster/process/core_sessions.py
@@ -1,38 +1,41 @@
-"""The part of a core process that knows workers: their sessions here, and what it pulls from the others.
+"""The part of a control process that knows workers: their sessions here, and the tables of its peers.
 
 Its control state and its peers are handed in: the same code runs on machines and in
 `finchladder.lab.cluster`.
 """
 
-import asyncio
 from collections.abc import Awaitable, Callable
 from random import Random
 
 from attrs import define
 
 from finchladder.cluster.process.control_plane import ControlPlane
-from finchladder.cluster.process.sessions_service import SessionsService
+from finchladder.cluster.process.retirement_propagation import RetirementPropagation
 from finchladder.cluster.process.tasks import Tasks
 from finchladder.cluster.process.update_puller import UpdatePuller
+from finchladder.cluster.process.update_server import UpdateServer
+from finchladder.cluster.process.worker_expiry import WorkerExpiry
+from finchladder.cluster.process.worker_sessions import WorkerSessions
 from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.transport.interface import Peers
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.messages import Update
 
-CONFIRMED_S = 2.0  # so long one confirmation by the chain counts
-EXPIRE_S = 0.25
-ANNOUNCE_S = 1.0  # readers are looked at again after so long, also without news
-ANY_VERSION = 1 << 60  # a core process has its configuration from the chain and pulls none
+CONFIRMATION_VALIDITY_S = 2.0  # of the chain's last confirmation
+ANNOUNCE_INTERVAL_S = 1.0  # subscribers are woken at least so often
+ANY_VERSION = 1 << 60  # a control process has its configuration from the chain and pulls none
 
-IsThere = Callable[[str, str], Awaitable[bool]]
+IsRunning = Callable[[str, str], Awaitable[bool]]
 
 
 @define
 class CoreSessions:
-    """Sessions with workers, and the tables of the other core processes."""
+    """Sessions with workers, and the exchange of tables with peers and dispatchers."""
 
     control: ControlPlane
-    sessions: SessionsService
+    updates: UpdateServer
+    sessions: WorkerSessions
+    expiry: WorkerExpiry
     puller: UpdatePuller
 
     @classmethod
@@ -44,29 +47,49 @@
         peers: Peers,
         tasks: Tasks,
         random: Random,
-        is_there: IsThere,
+        is_running: IsRunning,
     ) -> "CoreSessions":
-        """`heartbeat_s`: between two calls of a worker; `is_there(address, instance)` asks the worker."""
+        """Wires the parts together.
+
+        Args:
+            control: The control state of this process.
+            heartbeat_s: Seconds between two heartbeats of a worker.
+            peers: Sends requests to other processes.
+            tasks: Owns the background tasks.
+            random: Source of the origin's name and of the pulls' jitter.
+            is_running: Asks a worker, by address and instance, whether it runs.
+        """
         me = control.voting.me
         tables = ReplicatedTables(f"{me.name}/{random.getrandbits(32):x}")
-        sessions = SessionsService(
-            me.name,
-            tables,
-            heartbeat_s,
+
+        def is_chain_confirmed() -> bool:
+            return steady() - control.chain.confirmed_at < CONFIRMATION_VALIDITY_S
+
+        updates = UpdateServer(
+            tables=tables,
+            heartbeat_s=heartbeat_s,
             state=lambda: control.chain.acknowledged,
             view=lambda: control.voting.view,
-            placer=lambda: placer_address(control),
-            confirmed=lambda: steady() - control.chain.confirmed_at < CONFIRMED_S,
-            is_there=is_there,
-            record_end=control.retirements.record,
-            quorum_lost=control.voting.quorum_is_lost,
+            placer_address=lambda: placer_address(control),
+            is_chain_confirmed=is_chain_confirmed,
+            is_quorum_lost=control.voting.quorum_is_lost,
+        )
+        retirements = RetirementPropagation(me.name, tables, updates, control.retirements.record)
+        sessions = WorkerSessions(tables, retirements, updates.changed)
+        expiry = WorkerExpiry(
+            tables=tables,
+            sessions=sessions,
+            updates=updates,
+            heartbeat_s=heartbeat_s,
+            is_running=is_running,
+            is_chain_confirmed=is_chain_confirmed,
         )
 
-        def take(delta: Update, changed: list[str]) -> None:
-            sessions.origins[delta.origin] = steady()
+        def on_update(update: Update, changed: list[str]) -> None:
+            expiry.on_owner_seen(update.origin)
             puller.view = control.voting.view
             if changed:
-                sessions.changed.fire()
+                updates.changed.fire()
 
         puller = UpdatePuller(
             name=me.name,
@@ -79,41 +102,37 @@
             zone=me.zone,
             seeds=control.voting.seeds,
             configuration_version=lambda: ANY_VERSION,
-            on_update=take,
+            on_update=on_update,
         )
-        return cls(control, sessions, puller)
+        return cls(control, updates, sessions, expiry, puller)
 
     def loops(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """What has to run all the time, by name."""
+        """The background loops, by name."""
         return {
-            "expiry": self._expire,
+            "expiry": self.expiry.run,
             "announce": self._announce_state,
             "announce views": self._announce_views,
             "sources": self.puller.run,
         }
 
-    async def _expire(self) -> None:
-        while True:
-            self.sessions.expire()
-            await self.sessions.judge_orphans()
-            await asyncio.sleep(EXPIRE_S)
-
     async def _announce_state(self) -> None:
-        """Readers learn at once of what the chain has acknowledged."""
+        """Wakes the subscribers whenever the chain has acknowledged a state."""
         while True:
-            self.sessions.take_ended(self.control.chain.acknowledged.retirements)
-            await self.control.chain.changed.wait(ANNOUNCE_S)
-            self.sessions.changed.fire()
+            self.sessions.apply_retirements(self.control.chain.acknowledged.retirements)
+            await self.control.chain.changed.wait(ANNOUNCE_INTERVAL_S)
+            self.updates.changed.fire()
 
     async def _announce_views(self) -> None:
         while True:
-            await self.control.voting.changed.wait(ANNOUNCE_S)
+            await self.control.voting.changed.wait(ANNOUNCE_INTERVAL_S)
             self.puller.view = self.control.voting.view
-            self.sessions.changed.fire()
+            self.updates.changed.fire()
 
 
 def placer_address(control: ControlPlane) -> str:
-    """Where the placer listens; empty while there is none."""
+    """The peer address of the placer; empty while there is none."""
     name = control.chain.acknowledged.placer
-    found = [m.peer_address for m in control.voting.view.members() if m.name == name]
-    return found[0] if found else ""
+    for member in control.voting.view.members():
+        if member.name == name:
+            return member.peer_address
+    return ""
--- a/finchladder/cluster/process/placer.py
+++ b/finchladder/cluster/process/placer.py
@@ -32,8 +32,8 @@
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.managed_worker import Managed, StoreLoad
 from finchladder.cluster.process.placer_lease import RoleService
-from finchladder.cluster.process.sessions_service import SessionsService
 from finchladder.cluster.process.tasks import Signal, Tasks
+from finchladder.cluster.process.update_server import UpdateServer
 from finchladder.cluster.process.worker_orders import SETTLE_S, WorkerOrders
 from finchladder.cluster.routing.pools import effective_holdings
 from finchladder.cluster.transport.peers import steady
@@ -54,7 +54,7 @@
     """Its knowledge begins anew with each term of the role."""
 
     role: RoleService
-    sessions: SessionsService
+    updates: UpdateServer
     orders: WorkerOrders
     tasks: Tasks
     window_s: float
@@ -84,7 +84,7 @@
         if any(d.queued for d in report.demands):
             self._note_waiting()
             self.waited_for.fire()
-        edges = max(1, self.sessions.edges())
+        edges = max(1, self.updates.dispatcher_count())
         interval = max(REPORT_INTERVAL_MS, 1000 * edges // REPORTS_A_SECOND)
         return DemandReply(interval, self.role.holds(), self.demand.loads_of_others(report.sender))
 
@@ -108,7 +108,7 @@
         """What whoever may become placer has to know: which models workers have held, as these are on their
         disks, and which loads began lately.
         """
-        now, tables = steady(), self.sessions.tables
+        now, tables = steady(), self.updates.tables
         if not self.term:
             for record in tables.live_workers():
                 self.disks.note(record.instance, record.address, (h.model for h in record.loaded_models))
@@ -133,7 +133,7 @@
         """
         await asyncio.gather(*(self._look_at(managed) for managed in self.managed.values()))
         now = steady()
-        if self.term != term or now - self.sessions.started_at < self.window_s:
+        if self.term != term or now - self.updates.started_at < self.window_s:
             return
         self._observe()
         for name, service in self.snapshot.services.items():
@@ -179,7 +179,7 @@
 
     def _tick(self) -> None:
         now = steady()
-        state = self.sessions.state()
+        state = self.updates.state()
         if state.version != self.snapshot.version and state.document:
             self.snapshot = build_snapshot(state.document)
         self.demand.settle(now)
@@ -189,7 +189,7 @@
                 self._plan(now, name, service.engine)
 
     def _follow_workers(self) -> None:
-        live = {r.instance: r for r in self.sessions.tables.live_workers()}
+        live = {r.instance: r for r in self.updates.tables.live_workers()}
         for instance in set(self.managed) - set(live):
             gone = self.managed.pop(instance)
             if gone.task is not None:
@@ -209,7 +209,7 @@
         state = WorkerState(
             record.instance, record.service, record.address, record.zone, False, False, models
         )
-        placement = self.sessions.tables.placements.get(record.instance)
+        placement = self.updates.tables.placements.get(record.instance)
         if placement is None:
             return Managed(state, self.term)
         told = placement.record
@@ -310,7 +310,7 @@
 
     def _is_told_otherwise(self, managed: Managed) -> bool:
         """Whether dispatchers go by something else than what the worker holds."""
-        tables, instance = self.sessions.tables, managed.state.instance
+        tables, instance = self.updates.tables, managed.state.instance
         worker, placement = tables.workers.get(instance), tables.placements.get(instance)
         if worker is None:
             return False
@@ -325,9 +325,9 @@
             return
         managed.serial += 1
         record = managed.told = msgspec.structs.replace(record, serial=managed.serial)
-        if not self.sessions.tables.put_placement(record):
+        if not self.updates.tables.put_placement(record):
             event("placer.outranked", instance=record.instance, token=record.token, serial=record.serial)
-        self.sessions.changed.fire()
+        self.updates.changed.fire()
 
     def _is_warm(self, managed: Managed, model: str) -> bool:
         return self.disks.has(managed.state.instance, model)
@@ -349,7 +349,7 @@
         managed.hidden.update(action.victims)
         managed.announced = len(action.victims) + 1
         is_idle = all(self._is_idle(managed.state.service, victim) for victim in action.victims)
-        hide_s = 0.0 if is_idle else HIDE_S + self.sessions.spacing_s()
+        hide_s = 0.0 if is_idle else HIDE_S + self.updates.batch_interval_s()
         evictions_s = EVICT_S * len(action.victims)
         expected_s = self._expected_s(managed, action, service.engine) + evictions_s + hide_s
         managed.pending_load = PendingLoad(action.model, action.adapter, int(1000 * expected_s))
--- /dev/null
+++ b/finchladder/cluster/process/retirement_propagation.py
@@ -0,0 +1,70 @@
+"""Makes sure that a worker's retirement is durable and known before the worker's call is acknowledged."""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+from attrs import define, field
+
+from finchladder.cluster.process.update_server import UpdateServer
+from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
+from finchladder.cluster.transport.peers import steady
+from finchladder.cluster.types.operations import WorkerRetirement
+from finchladder.cluster.types.workers import SessionPhase, Stamp
+
+PROPAGATION_TIMEOUT_S = 0.5  # for the live subscribers; they may be slow or cut off
+PROPAGATION_POLL_INTERVAL_S = 0.02
+
+
+@define
+class RetirementPropagation:
+    """Stores retirements in the chain and waits until subscribers have them.
+
+    `record`: has the chain store a retirement; True once it has.
+    """
+
+    name: str
+    tables: ReplicatedTables
+    updates: UpdateServer
+    record: Callable[[WorkerRetirement], Awaitable[bool]]
+    acknowledged: set[str] = field(factory=set)  # instances whose retirement was acknowledged here
+
+    async def propagate(self, instance: str) -> bool:
+        """Returns whether the retirement is stored and most voters know it.
+
+        Every dispatcher that is in touch with most voters then learns of it in time.
+        """
+        worker = self.tables.workers.get(instance)
+        if worker is None or worker.record.phase is SessionPhase.READY:
+            return False
+        if instance in self.acknowledged:
+            return True
+        record = worker.record
+        retirement = WorkerRetirement(instance, record.sequence, record.phase is SessionPhase.DEREGISTERED)
+        is_stored, is_known = await asyncio.gather(
+            self.record(retirement), self._wait_for_subscribers(worker.stamp)
+        )
+        if not is_stored or not is_known:
+            return False
+        self.acknowledged.add(instance)
+        return True
+
+    async def _wait_for_subscribers(self, stamp: Stamp) -> bool:
+        """Waits for the live subscribers; returns whether one, and most voters, have the record."""
+        deadline = steady() + PROPAGATION_TIMEOUT_S
+        while True:
+            subscribers = [s for s in self.updates.live_subscribers() if s.long_polls]
+            all_have_it = bool(subscribers) and all(s.has(stamp) for s in subscribers)
+            if all_have_it or steady() >= deadline:
+                break
+            await asyncio.sleep(PROPAGATION_POLL_INTERVAL_S)
+        return any(s.has(stamp) for s in subscribers) and self._has_majority(stamp)
+
+    def _has_majority(self, stamp: Stamp) -> bool:
+        """Whether most voters have a record, this process included if it is one.
+
+        A subscriber that has not pulled lately may have ended, and its tables with it.
+        """
+        voters = {voter.name for voter in self.updates.view().voters}
+        informed = {s.name for s in self.updates.live_subscribers() if not s.is_dispatcher and s.has(stamp)}
+        informed.add(self.name)
+        return 2 * len(voters & informed) > len(voters)
--- /dev/null
+++ b/finchladder/cluster/process/update_server.py
@@ -0,0 +1,182 @@
+"""Serves the replicated tables, the configuration and the view to the processes that pull them.
+
+A subscriber long-polls: it is answered at once if it lacks anything, else when something changes. Updates for
+many dispatchers are batched, unless one takes a worker out of use.
+"""
+
+from asyncio import sleep
+from collections.abc import Callable
+
+from attrs import define, field
+
+from finchladder.cluster.configuration.compression import DocumentCompressor
+from finchladder.cluster.process.tasks import Signal
+from finchladder.cluster.sessions.heartbeat_timeouts import registration_timeout_s
+from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
+from finchladder.cluster.transport.peers import steady
+from finchladder.cluster.types.members import View
+from finchladder.cluster.types.messages import PullUpdates, Update
+from finchladder.cluster.types.operations import ControlState
+from finchladder.cluster.types.workers import SessionPhase, Stamp
+
+SUBSCRIBER_TIMEOUT_S = 2.5  # without a pull, after which a subscriber no longer counts as live
+SUBSCRIBER_RETENTION_S = 60.0
+MAX_LONG_POLL_S = 2.0
+BATCH_INTERVAL_PER_DISPATCHER_S = 0.001  # between two updates to one dispatcher, for each that there is
+MAX_BATCH_INTERVAL_S = 0.25
+URGENCY_CHECK_INTERVAL_S = 0.02  # changes are frequent: not each of them is examined
+DISPATCHER_COUNT_INTERVAL_S = 0.1
+NEVER = -1e9
+
+
+@define
+class Subscriber:
+    """A process that pulls from this one."""
+
+    name: str
+    vector: dict[str, int]
+    last_pull_at: float
+    is_dispatcher: bool
+    long_polls: bool  # it learns of changes here at once; others poll from time to time
+    last_update_at: float = NEVER  # when its last long poll was answered with changes
+
+    def has(self, stamp: Stamp) -> bool:
+        """Whether it has the record with that stamp, or a newer one."""
+        return self.vector.get(stamp.origin, 0) >= stamp.counter
+
+    def is_live(self, now: float) -> bool:
+        """Whether it has pulled lately; `now` in steady seconds."""
+        return now - self.last_pull_at < SUBSCRIBER_TIMEOUT_S
+
+
+@define
+class UpdateServer:
+    """Answers pulls, and knows which subscriber has which records.
+
+    `is_chain_confirmed`: whether the chain answered lately; `is_quorum_lost`: whether too few voters answer
+    although most control processes do; `placer_address`: empty while there is no placer.
+    """
+
+    tables: ReplicatedTables
+    heartbeat_s: float
+    state: Callable[[], ControlState]
+    view: Callable[[], View]
+    placer_address: Callable[[], str]
+    is_chain_confirmed: Callable[[], bool]
+    is_quorum_lost: Callable[[], bool]
+    changed: Signal = field(factory=Signal)
+    subscribers: dict[str, Subscriber] = field(factory=dict)  # by name
+    started_at: float = field(factory=steady)
+    _compressor: DocumentCompressor = field(factory=DocumentCompressor, init=False)
+    _dispatcher_count: int = field(default=0, init=False)
+    _dispatchers_counted_at: float = field(default=NEVER, init=False)
+
+    async def on_pull(self, pull: PullUpdates) -> Update:
+        """Answers at once if the subscriber lacks anything, else after a change or the end of its poll."""
+        self._register(pull)
+        await self._wait_for_change(pull)
+        await self._wait_for_batch(pull)
+        subscriber = self._register(pull)
+        if self._has_changes(pull):
+            subscriber.last_update_at = steady()
+        return self._update(pull)
+
+    def live_subscribers(self) -> list[Subscriber]:
+        """Those that have pulled lately."""
+        now = steady()
+        return [subscriber for subscriber in self.subscribers.values() if subscriber.is_live(now)]
+
+    def dispatcher_count(self) -> int:
+        """Number of dispatchers that have pulled lately."""
+        now = steady()
+        if now - self._dispatchers_counted_at > DISPATCHER_COUNT_INTERVAL_S:
+            self._dispatchers_counted_at = now
+            self._dispatcher_count = sum(
+                subscriber.is_dispatcher and subscriber.is_live(now)
+                for subscriber in self.subscribers.values()
+            )
+        return self._dispatcher_count
+
+    def batch_interval_s(self) -> float:
+        """Seconds between two updates to one dispatcher: changes meanwhile are sent together."""
+        return min(MAX_BATCH_INTERVAL_S, BATCH_INTERVAL_PER_DISPATCHER_S * self.dispatcher_count())
+
+    def knows_all_workers(self) -> bool:
+        """Whether every live worker must have sent a heartbeat since this process started."""
+        return steady() - self.started_at > registration_timeout_s(self.heartbeat_s)
+
+    def expire_subscribers(self, now: float) -> None:
+        """Removes those that have not pulled for long; `now` in steady seconds."""
+        self.subscribers = {
+            name: subscriber
+            for name, subscriber in self.subscribers.items()
+            if now - subscriber.last_pull_at < SUBSCRIBER_RETENTION_S
+        }
+
+    def _register(self, pull: PullUpdates) -> Subscriber:
+        known = self.subscribers.get(pull.sender)
+        if known is None:
+            self._dispatchers_counted_at = NEVER
+        subscriber = Subscriber(
+            name=pull.sender,
+            vector=pull.vector,
+            last_pull_at=steady(),
+            is_dispatcher=pull.is_dispatcher,
+            long_polls=pull.wait_ms > 0,
+            last_update_at=NEVER if known is None else known.last_update_at,
+        )
+        self.subscribers[pull.sender] = subscriber
+        return subscriber
+
+    async def _wait_for_change(self, pull: PullUpdates) -> None:
+        deadline = steady() + min(pull.wait_ms / 1000, MAX_LONG_POLL_S)
+        while not self._has_changes(pull):
+            remaining_s = deadline - steady()
+            if remaining_s <= 0 or not await self.changed.wait(remaining_s):
+                break
+
+    async def _wait_for_batch(self, pull: PullUpdates) -> None:
+        """Delays changes that follow the last update closely, unless one is urgent."""
+        if not pull.is_dispatcher or not pull.wait_ms:
+            return
+        due_at = self.subscribers[pull.sender].last_update_at + self.batch_interval_s()
+        while (
+            (remaining_s := due_at - steady()) > 0
+            and self._has_changes(pull)
+            and not self._has_urgent_changes(pull)
+        ):
+            await sleep(min(remaining_s, URGENCY_CHECK_INTERVAL_S))
+
+    def _has_changes(self, pull: PullUpdates) -> bool:
+        return self._has_newer_control_state(pull) or self.tables.is_ahead(pull.vector)
+
+    def _has_urgent_changes(self, pull: PullUpdates) -> bool:
+        """Whether there is a newer configuration or view, or a worker that is no longer ready."""
+        if self._has_newer_control_state(pull):
+            return True
+        workers = self.tables.records_after(pull.vector).workers
+        return any(worker.record.phase is not SessionPhase.READY for worker in workers)
+
+    def _has_newer_control_state(self, pull: PullUpdates) -> bool:
+        return self.state().version > pull.version or self.view().number > pull.view
+
+    def _update(self, pull: PullUpdates) -> Update:
+        state = self.state()
+        view = self.view()
+        records = self.tables.records_after(pull.vector)
+        is_newer = state.version > pull.version
+        return Update(
+            origin=self.tables.origin,
+            vector=self.tables.advertised_vector(),
+            view=view if view.number > pull.view else None,
+            workers=records.workers,
+            placements=records.placements,
+            version=state.version,
+            document=self._compressor.compress(state.document) if is_newer else b"",
+            knows_all_workers=self.knows_all_workers(),
+            is_full=not pull.vector,
+            placer=self.placer_address(),
+            dispatchers=self.dispatcher_count(),
+            chain_confirmed=self.is_chain_confirmed(),
+            quorum_lost=self.is_quorum_lost(),
+        )
--- /dev/null
+++ b/finchladder/cluster/process/worker_expiry.py
@@ -0,0 +1,112 @@
+"""Declares workers lost whose heartbeats have stopped, and drops what has expired."""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+import msgspec
+from attrs import define, field
+
+from finchladder.cluster.process.log import event
+from finchladder.cluster.process.update_server import UpdateServer
+from finchladder.cluster.process.worker_sessions import WorkerSessions
+from finchladder.cluster.sessions.heartbeat_timeouts import loss_timeout_s
+from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
+from finchladder.cluster.transport.peers import steady
+from finchladder.cluster.types.workers import SessionPhase, WorkerRecord
+
+CHECK_INTERVAL_S = 0.25
+CLEANUP_INTERVAL_S = 5.0
+OWNER_TIMEOUT_S = 4.0  # without an update from an owner, before others judge its workers
+OWNER_RETENTION_S = 60.0
+
+LIVE_PHASES = (SessionPhase.READY, SessionPhase.DRAINING)
+FINAL_PHASES = (SessionPhase.LOST, SessionPhase.DEREGISTERED)
+
+
+@define
+class WorkerExpiry:
+    """Judges this process's own workers, and those of owners that it can't reach.
+
+    `is_running(address, instance)`: asks a worker itself; `is_chain_confirmed`: whether the chain answered
+    lately.
+    """
+
+    tables: ReplicatedTables
+    sessions: WorkerSessions
+    updates: UpdateServer
+    heartbeat_s: float
+    is_running: Callable[[str, str], Awaitable[bool]]
+    is_chain_confirmed: Callable[[], bool]
+    owners_seen_at: dict[str, float] = field(factory=dict)  # by origin of another control process
+    workers_answered_at: dict[str, float] = field(factory=dict)  # by instance, of unreachable owners
+    _cleaned_up_at: float = field(factory=steady, init=False)
+
+    async def run(self) -> None:
+        """Checks all workers again and again."""
+        while True:
+            self.expire_own_workers()
+            await self.expire_orphans()
+            await asyncio.sleep(CHECK_INTERVAL_S)
+
+    def on_owner_seen(self, origin: str) -> None:
+        """An update of that origin has been received."""
+        self.owners_seen_at[origin] = steady()
+
+    def expire_own_workers(self) -> None:
+        """Declares own workers lost that sent no heartbeat for too long, and drops expired entries."""
+        now = steady()
+        self._clean_up(now)
+        timeout_s = loss_timeout_s(self.heartbeat_s)
+        for instance, worker in list(self.tables.workers.items()):
+            record = worker.record
+            if record.phase in LIVE_PHASES and record.owner == self.tables.origin:
+                heartbeat = self.sessions.last_heartbeats.get(instance)
+                if heartbeat is not None and now - heartbeat.received_at > timeout_s:
+                    self._declare_lost(record, heartbeat.sequence)
+
+    async def expire_orphans(self) -> None:
+        """Declares workers lost whose owner is unreachable and that do not answer themselves.
+
+        The owner may be cut off from this process and not from them. A process that is cut off from the chain
+        judges nobody.
+        """
+        if not self.is_chain_confirmed():
+            return
+        now = steady()
+        orphans = [w.record for w in self.tables.workers.values() if self._is_orphan(w.record, now)]
+        answers = await asyncio.gather(*(self.is_running(r.address, r.instance) for r in orphans))
+        for record, answered in zip(orphans, answers, strict=True):
+            if answered:
+                self.workers_answered_at[record.instance] = now
+            elif self._is_orphan(record, now) and self.tables.workers[record.instance].record == record:
+                self._declare_lost(record, record.sequence)
+
+    def _is_orphan(self, record: WorkerRecord, now: float) -> bool:
+        if record.owner == self.tables.origin or record.phase in FINAL_PHASES:
+            return False
+        owner_seen_at = self.owners_seen_at.setdefault(record.owner, now)
+        answered_at = self.workers_answered_at.get(record.instance, owner_seen_at)
+        return now - max(owner_seen_at, answered_at) > OWNER_TIMEOUT_S + loss_timeout_s(self.heartbeat_s)
+
+    def _declare_lost(self, record: WorkerRecord, sequence: int) -> None:
+        lost = msgspec.structs.replace(
+            record, phase=SessionPhase.LOST, sequence=sequence, owner=self.tables.origin
+        )
+        if self.tables.put_worker(lost):
+            event("worker.lost", instance=record.instance, address=record.address)
+            self.updates.changed.fire()
+
+    def _clean_up(self, now: float) -> None:
+        if now - self._cleaned_up_at <= CLEANUP_INTERVAL_S:
+            return
+        self._cleaned_up_at = now
+        for instance in self.tables.expire_ended_workers(now):
+            self.sessions.forget(instance)
+            self.workers_answered_at.pop(instance, None)
+        self.tables.expire_origins(now)
+        self.updates.expire_subscribers(now)
+        self.owners_seen_at = {
+            origin: seen_at
+            for origin, seen_at in self.owners_seen_at.items()
+            if now - seen_at < OWNER_RETENTION_S
+        }
--- a/finchladder/cluster/sessions/replicated_tables.py
+++ b/finchladder/cluster/sessions/replicated_tables.py
@@ -11,6 +11,7 @@
 """
 
 from collections.abc import Iterator, Mapping
+from typing import NamedTuple
 
 from finchladder.cluster.sessions.stamp_log import StampLog
 from finchladder.cluster.types.workers import (
@@ -26,6 +27,13 @@
 RETENTION_S = 60.0
 
 
+class MissingRecords(NamedTuple):
+    """What a subscriber lacks."""
+
+    workers: tuple[StampedWorker, ...]
+    placements: tuple[StampedPlacement, ...]
+
+
 class ReplicatedTables:
     """All workers and placements that one process knows."""
 
@@ -102,13 +110,11 @@
         for origin, counter in vector.items():
             self.vector[origin] = max(counter, self.vector.get(origin, 0))
 
-    def records_after(
-        self, vector: Mapping[str, int]
-    ) -> tuple[tuple[StampedWorker, ...], tuple[StampedPlacement, ...]]:
+    def records_after(self, vector: Mapping[str, int]) -> MissingRecords:
         """The records that a reader with that vector does not have. O(what it lacks)."""
         workers = tuple(self.workers[i] for i in _keys_after(self._worker_log, vector))
         placements = tuple(self.placements[i] for i in _keys_after(self._placement_log, vector))
-        return workers, placements
+        return MissingRecords(workers, placements)
 
     def advertised_vector(self) -> dict[str, int]:
         """What is told to readers: the vector without origins that say nothing any more."""
--- a/finchladder/lab/cluster/dataplane.py
+++ b/finchladder/lab/cluster/dataplane.py
@@ -10,9 +10,9 @@
 
 from finchladder.cluster.configuration.compression import decompress
 from finchladder.cluster.process.core_sessions import CoreSessions
-from finchladder.cluster.process.sessions_service import DRAINING
 from finchladder.cluster.process.tasks import Tasks
 from finchladder.cluster.process.update_puller import UpdatePuller
+from finchladder.cluster.process.worker_sessions import DRAINING_STATE
 from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.types.messages import Update
 from finchladder.cluster.types.worker_api import Heartbeat
@@ -135,7 +135,7 @@
                 return
 
     async def _drain(self) -> None:
-        self.state, self.ready_since = DRAINING, None
+        self.state, self.ready_since = DRAINING_STATE, None
         if await self._call_until_heard():
             self._note_drained()
         until = running_loop().time() + self.random.uniform(*SERVE_ON_S)
@@ -145,7 +145,7 @@
         for _ in range(LEAVE_TRIES):
             machine = self._control_process()
             if machine is not None and machine.sessions is not None:
-                leaving = machine.sessions.sessions.on_leave(self.instance)
+                leaving = machine.sessions.sessions.on_deregister(self.instance)
                 if await self.world.call(machine, leaving, ANSWER_S):
                     self._note_drained()
                     return
@@ -181,7 +181,7 @@
     assert machine.plane is not None
     random = Random(world.random.getrandbits(64))
 
-    async def is_there(address: str, instance: str) -> bool:
+    async def is_running(address: str, instance: str) -> bool:
         return any([await worker.is_there(instance) for worker in world.workers if worker.address == address])
 
     return CoreSessions.build(
@@ -190,7 +190,7 @@
         peers=SimulatedPeers(world.network, machine.address),
         tasks=Tasks(),
         random=random,
-        is_there=is_there,
+        is_running=is_running,
     )
 
 
--- a/finchladder/lab/cluster/emulator/fleet.py
+++ b/finchladder/lab/cluster/emulator/fleet.py
@@ -13,8 +13,8 @@
 from finchladder.cluster.process.dispatcher_node import KEYED_SHARE, REPORT_S, TOGETHER_S
 from finchladder.cluster.process.placer import Placer
 from finchladder.cluster.process.router import RETURN_S, Running
-from finchladder.cluster.process.sessions_service import LONGEST_SPACING_S, SPACING_PER_EDGE_S
 from finchladder.cluster.process.tasks import Signal, Tasks
+from finchladder.cluster.process.update_server import BATCH_INTERVAL_PER_DISPATCHER_S, MAX_BATCH_INTERVAL_S
 from finchladder.cluster.process.worker_orders import WorkerOrders
 from finchladder.cluster.process.worker_selection import WorkerFinder
 from finchladder.cluster.replication.lease import HeldLease
@@ -293,7 +293,7 @@
         self.placer.snapshot = snapshot
 
     def _spacing_s(self) -> float:
-        return min(LONGEST_SPACING_S, SPACING_PER_EDGE_S * self.plan.dispatchers)
+        return min(MAX_BATCH_INTERVAL_S, BATCH_INTERVAL_PER_DISPATCHER_S * self.plan.dispatchers)
 
     # --- news ---------------------------------------------------------------------------------------------
 
--- a/finchladder/lab/cluster/machine.py
+++ b/finchladder/lab/cluster/machine.py
@@ -37,7 +37,7 @@
         """The internal protocol."""
         assert self.plane is not None
         if isinstance(request, PullUpdates) and self.sessions is not None:
-            return await self.sessions.sessions.on_pull(request)
+            return await self.sessions.updates.on_pull(request)
         if isinstance(request, DemandReport) and self.placer is not None:
             return self.placer.on_demand(request)
         return await self.plane.answer(request)
--- a/finchladder/lab/cluster/placement.py
+++ b/finchladder/lab/cluster/placement.py
@@ -194,7 +194,7 @@
         client = WatchedClient({f"{name}:1": worker for name, worker in self.workers.items()}, self)
         machine.placer = Placer(
             machine.plane.role,
-            machine.sessions.sessions,
+            machine.sessions.updates,
             WorkerOrders(machine.plane.role, client),  # type: ignore[arg-type]
             Tasks(),
             WINDOW_S,
--- a/tests/cluster/placer_scene.py
+++ b/tests/cluster/placer_scene.py
@@ -39,15 +39,15 @@
                 name, "llm", f"{name}:1", "z", 64, SessionPhase.READY, 1, "core-1/1", holdings
             )
             self.tables.put_worker(record)
-        sessions = SimpleNamespace(
+        updates = SimpleNamespace(
             tables=self.tables,
             changed=Signal(),
-            edges=lambda: 1,
-            spacing_s=lambda: 0.001,
+            dispatcher_count=lambda: 1,
+            batch_interval_s=lambda: 0.001,
             state=lambda: ControlState(),
             started_at=-1e9,
         )
-        self.sessions = sessions
+        self.updates = updates
         self.lease = lease = HeldLease(1e9, token=token, until=1e9)
         me = Member("core-1", "d", "z", "core-1:1", "core-1:2")
         role = SimpleNamespace(
@@ -57,7 +57,7 @@
         client = StandInClient({f"{name}:1": worker for name, worker in workers.items()})
         self.placer = Placer(
             cast(Any, role),
-            cast(Any, sessions),
+            cast(Any, updates),
             WorkerOrders(cast(Any, role), cast(Any, client)),
             self.tasks,
             5.0,
--- a/tests/cluster/test_placer.py
+++ b/tests/cluster/test_placer.py
@@ -73,10 +73,10 @@
 
 
 def test_a_dispatcher_is_told_what_all_others_have_in_flight() -> None:
-    sessions = SimpleNamespace(edges=lambda: 300)
+    updates = SimpleNamespace(dispatcher_count=lambda: 300)
     placer = Placer(
         cast(Any, SimpleNamespace(holds=lambda: True)),
-        cast(Any, sessions),
+        cast(Any, updates),
         cast(Any, None),
         Tasks(),
         5.0,
--- /dev/null
+++ b/tests/cluster/test_retirement_propagation.py
@@ -0,0 +1,122 @@
+"""When the retirement of a worker is acknowledged, at virtual time."""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+import pytest
+
+from finchladder.cluster.types.messages import PullUpdates, Update
+from tests.cluster.session_scene import SessionScene, heartbeat, played, pull, session_scene
+
+
+def test_a_drain_is_acknowledged_once_a_subscriber_has_it_and_not_without() -> None:
+    async def work() -> tuple[bool, bool]:
+        alone = session_scene()
+        unheard = await alone.sessions.on_heartbeat("i-1", heartbeat(1, "draining"))
+        scene = session_scene()
+        await scene.sessions.on_heartbeat("i-1", heartbeat(1))
+
+        async def reader() -> None:
+            vector: dict[str, int] = {}
+            while True:
+                delta: Update = await scene.updates.on_pull(pull(vector, 1000))
+                vector = dict(delta.vector)
+
+        task = asyncio.create_task(reader())
+        await asyncio.sleep(0.01)
+        heard = await scene.sessions.on_heartbeat("i-1", heartbeat(2, "draining"))
+        task.cancel()
+        return unheard, heard
+
+    assert played(work) == (False, True)
+
+
+async def follow(scene: SessionScene, name: str, is_edge: bool) -> None:
+    """A reader that waits for changes again and again."""
+    vector: dict[str, int] = {}
+    while True:
+        delta = await scene.updates.on_pull(PullUpdates(name, vector, 0, 1, 1000, is_edge))
+        vector = dict(delta.vector)
+
+
+def acknowledged(
+    readers: dict[str, bool],
+    calls: Callable[[SessionScene], Awaitable[list[bool]]],
+    *,
+    stores: bool = True,
+) -> list[bool]:
+    """Answers to calls at one of three voters, with those readers; by name, whether it is a dispatcher.
+    `stores`: the chain stores what ends.
+    """
+
+    async def work() -> list[bool]:
+        scene = session_scene(voters=("core-1", "core-2", "core-3"), stores=stores)
+        tasks = [asyncio.create_task(follow(scene, name, edge)) for name, edge in readers.items()]
+        await asyncio.sleep(0.01)
+        answers = await calls(scene)
+        for task in tasks:
+            task.cancel()
+        return answers
+
+    answers: list[bool] = played(work)
+    return answers
+
+
+async def drain_three_times(scene: SessionScene) -> list[bool]:
+    return [await scene.sessions.on_heartbeat("i-1", heartbeat(number, "draining")) for number in (1, 2, 3)]
+
+
+async def deregister_three_times(scene: SessionScene) -> list[bool]:
+    return [await scene.sessions.on_deregister("i-1") for _ in range(3)]
+
+
+@pytest.mark.parametrize("calls", [drain_three_times, deregister_three_times])
+@pytest.mark.parametrize(
+    ("readers", "answer"),
+    [
+        ({}, False),
+        ({"edge-1": True, "edge-2": True}, False),
+        ({"edge-1": True, "core-9": False}, False),
+        ({"core-2": False}, True),
+        ({"edge-1": True, "core-3": False}, True),
+    ],
+)
+def test_a_retirement_is_acknowledged_only_once_most_voters_have_it(
+    calls: Callable[[SessionScene], Awaitable[list[bool]]], readers: dict[str, bool], answer: bool
+) -> None:
+    """A control process that is cut off with some dispatchers must not: the others would go on sending."""
+    assert acknowledged(readers, calls) == [answer] * 3
+
+
+@pytest.mark.parametrize("calls", [drain_three_times, deregister_three_times])
+def test_a_retirement_that_the_chain_does_not_store_is_not_acknowledged(
+    calls: Callable[[SessionScene], Awaitable[list[bool]]],
+) -> None:
+    """All core machines may lose power in the next moment, and their tables with it."""
+    readers = {"core-2": False, "core-3": False, "edge-1": True}
+    assert acknowledged(readers, calls, stores=False) == [False] * 3
+
+
+def test_a_late_heartbeat_of_a_drain_that_nobody_knows_is_not_acknowledged() -> None:
+    async def calls(scene: SessionScene) -> list[bool]:
+        return [
+            await scene.sessions.on_heartbeat("i-1", heartbeat(5, "draining")),
+            await scene.sessions.on_heartbeat("i-1", heartbeat(4, "draining")),
+        ]
+
+    assert acknowledged({}, calls) == [False, False]
+
+
+def test_a_voter_that_has_not_pulled_lately_does_not_count_as_knowing_a_retirement() -> None:
+    """It may have ended since, and its tables with it."""
+
+    async def work() -> bool:
+        scene = session_scene(voters=("core-1", "core-2", "core-3"))
+        await scene.sessions.on_deregister("i-1")
+        vector = dict(scene.tables.vector)
+        await scene.updates.on_pull(PullUpdates("core-2", vector, 0, 1, 0, False))
+        await asyncio.sleep(5.0)
+        await scene.updates.on_pull(PullUpdates("edge-1", vector, 0, 1, 1, True))
+        return await scene.sessions.on_deregister("i-1")
+
+    assert not played(work)
--- a/tests/cluster/test_takeover.py
+++ b/tests/cluster/test_takeover.py
@@ -86,7 +86,7 @@
 
 def test_a_process_that_has_just_started_knows_nothing() -> None:
     scene = Scene(token=2, w1=StandInWorker({"m0"}))
-    scene.sessions.started_at = 0.0
+    scene.updates.started_at = 0.0
     hard_most = LoadLedger(ENGINE.max_loads_per_s, WINDOW_S, 1.1).hard_most
     assert left_after_takeover(scene) == hard_most - MOST
 
