--- a/finchladder/cluster/process/dispatcher_node.py
+++ b/finchladder/cluster/process/dispatcher_node.py
@@ -88,7 +88,7 @@
     def _take(self, delta: Update, changed: list[str]) -> None:
         if delta.document and delta.version > self.router.snapshot.version:
             self.router.snapshot = snapshot.build_snapshot(decompress(delta.document))
-            event("configuration.in_force", version=delta.version)
+            event("configuration.activated", version=delta.version)
         if changed:
             self._note_pending_loads(changed)
             self._update_pools(changed)
--- a/finchladder/cluster/process/worker_retirement.py
+++ b/finchladder/cluster/process/worker_retirement.py
@@ -1,8 +1,8 @@
-"""Drains and ends of workers, stored by the chain before they are acknowledged.
+"""Retirements of workers: the chain stores each before it is acknowledged.
 
-The tables of workers live in memory: all core processes may end at once, and a dispatcher that was cut off
-when a drain was acknowledged would go on using that worker. What the chain has stored is put into the tables
-again. Many that come at once, as when a zone is emptied, travel together.
+The tables of workers are in memory, and all control processes may end at once. A dispatcher that was cut off
+when a drain was acknowledged would then go on using that worker; so what the chain has stored is applied to
+the tables again. Retirements that arrive together, as when a zone is emptied, are stored in one operation.
 """
 
 import asyncio
@@ -16,18 +16,18 @@
 from finchladder.cluster.types.messages import RetireWorker, RetireWorkerReply
 from finchladder.cluster.types.operations import RecordRetirements, WorkerRetirement, is_retired
 
-RECORD_TIMEOUT_S = 0.7  # a worker calls the next control process after a second
+RECORD_TIMEOUT_S = 0.7  # less than the second after which a worker calls the next control process
 
 
 @define
 class RetirementRecorder:
-    """Hands ends to the head; as head takes them down the chain."""
+    """Forwards retirements to the head; as head writes them to the chain."""
 
     chain: ChainService
-    pending: dict[str, WorkerRetirement] = field(factory=dict)  # by instance, not stored yet
+    pending: dict[str, WorkerRetirement] = field(factory=dict)  # by instance: not stored yet
 
     async def record(self, retirement: WorkerRetirement) -> bool:
-        """True once the chain has stored it."""
+        """Has the chain store a retirement; True once it has."""
         if is_retired(self.chain.acknowledged, retirement):
             return True
         if self.chain.is_head:
@@ -38,21 +38,21 @@
         try:
             reply = await self.chain.voting.call_member(head, RetireWorker(retirement), RECORD_TIMEOUT_S)
         except ClusterError as error:
-            event("worker.end_unheard", instance=retirement.instance, problem=str(error))
+            event("worker.retirement_failed", instance=retirement.instance, problem=str(error))
             return False
         return isinstance(reply, RetireWorkerReply) and reply.stored
 
     async def on_retire(self, request: RetireWorker) -> RetireWorkerReply:
-        """Forwarded by another process; it is not forwarded again."""
+        """Handles a request that another process has forwarded; it is not forwarded again."""
         return RetireWorkerReply(self.chain.is_head and await self._record_as_head(request.retirement))
 
     async def _record_as_head(self, retirement: WorkerRetirement) -> bool:
-        """As head; the write goes on when the time is over."""
-        work = asyncio.ensure_future(self._write_pending(retirement))
+        """Writes it to the chain; the write goes on after the timeout."""
+        write = asyncio.ensure_future(self._write_pending(retirement))
         try:
-            return await result_within(work, RECORD_TIMEOUT_S) or False
+            return await result_within(write, RECORD_TIMEOUT_S) or False
         except ClusterError as error:
-            event("worker.end_unheard", instance=retirement.instance, problem=str(error))
+            event("worker.retirement_failed", instance=retirement.instance, problem=str(error))
             return False
 
     async def _write_pending(self, retirement: WorkerRetirement) -> bool:
@@ -71,4 +71,8 @@
             return True
 
     def _discard_pending(self, stored: dict[str, WorkerRetirement]) -> None:
-        self.pending = {i: end for i, end in self.pending.items() if stored.get(i) != end}
+        self.pending = {
+            instance: retirement
+            for instance, retirement in self.pending.items()
+            if stored.get(instance) != retirement
+        }
--- a/finchladder/cluster/sessions/replicated_tables.py
+++ b/finchladder/cluster/sessions/replicated_tables.py
@@ -1,13 +1,12 @@
-"""The replicated tables of workers and placements, merged by rank and told by version vector; no I/O, no
-clock.
+"""The replicated tables of workers and placements: merged by rank, exchanged by version vector; no I/O.
 
-Each control process stamps the changes that it makes itself with its origin and a rising counter. A reader
-sends the highest counter that it has of each origin and gets all records with later stamps. What is gone
-stays as a tombstone until it is forgotten by age.
+Each control process stamps its own changes with its origin and a rising counter. A subscriber sends the
+highest counter that it has of each origin and gets all records with later stamps. A lost or deregistered
+worker stays as a tombstone until it expires.
 
-Each life of a control process is an origin. One whose counter has long stood still and whose stamp no record
-carries says nothing any more: it is no longer told after QUIET_S, and dropped after FORGET_S, by when nobody
-tells it.
+Each incarnation of a control process is an origin. An origin is stale once its counter has stood still for
+long and no record carries its stamp: after STALE_ORIGIN_S it is no longer advertised, and after RETENTION_S
+it is dropped, by when nobody advertises it.
 """
 
 from collections.abc import Iterator, Mapping
@@ -28,52 +27,37 @@
 
 
 class MissingRecords(NamedTuple):
-    """What a subscriber lacks."""
+    """The records that a subscriber lacks."""
 
     workers: tuple[StampedWorker, ...]
     placements: tuple[StampedPlacement, ...]
 
 
+class OriginAdvance(NamedTuple):
+    """The counter of an origin, and when it was first seen to stand there; steady seconds."""
+
+    counter: int
+    seen_at: float
+
+
 class ReplicatedTables:
-    """All workers and placements that one process knows."""
+    """All workers and placements that one process knows, by instance, with its version vector."""
 
     def __init__(self, origin: str) -> None:
+        """Creates empty tables; `origin` names this incarnation of the process in its stamps."""
         self.origin = origin
         self.counter = 0
         self.workers: dict[str, StampedWorker] = {}
         self.placements: dict[str, StampedPlacement] = {}
         self.vector: dict[str, int] = {}
-        self._last_advances: dict[
-            str, tuple[int, float]
-        ] = {}  # by origin, its counter and when that was first seen
-        self._stale_origins: frozenset[str] = frozenset()  # origins that are no longer told
-        self._ended_at: dict[str, float] = {}  # when workers that are lost or gone were first seen so
+        self._last_advances: dict[str, OriginAdvance] = {}
+        self._stale_origins: frozenset[str] = frozenset()
+        self._ended_at: dict[str, float] = {}  # when lost and deregistered workers were first seen so
         self._worker_log = StampLog(self._worker_stamp)
         self._placement_log = StampLog(self._placement_stamp)
 
-    def _worker_stamp(self, instance: str) -> Stamp | None:
-        worker = self.workers.get(instance)
-        return None if worker is None else worker.stamp
-
-    def _placement_stamp(self, instance: str) -> Stamp | None:
-        placement = self.placements.get(instance)
-        return None if placement is None else placement.stamp
-
-    def _store_worker(self, worker: StampedWorker) -> None:
-        self.workers[worker.record.instance] = worker
-        self._worker_log.add(worker.record.instance, worker.stamp)
-
-    def _store_placement(self, placement: StampedPlacement) -> None:
-        self.placements[placement.record.instance] = placement
-        self._placement_log.add(placement.record.instance, placement.stamp)
-
-    def _next_stamp(self) -> Stamp:
-        self.counter += 1
-        self.vector[self.origin] = self.counter
-        return Stamp(self.origin, self.counter)
-
     def put_worker(self, record: WorkerRecord) -> bool:
-        """Takes a record that this process made; False if a newer one is known."""
+        """Stamps and stores a record of this process; False if a newer one is known."""
         known = self.workers.get(record.instance)
         if known is not None and record.rank() < known.record.rank():
             return False
@@ -81,9 +65,9 @@
         return True
 
     def put_placement(self, record: PlacementRecord) -> bool:
-        """Takes a placement that this process made; False if a newer one is known."""
+        """Stamps and stores a placement of this process; False if it does not supersede the known one."""
         known = self.placements.get(record.instance)
-        if known is not None and (record.token, record.serial) <= (known.record.token, known.record.serial):
+        if known is not None and not _placement_supersedes(record, known.record):
             return False
         self._store_placement(StampedPlacement(self._next_stamp(), record))
         return True
@@ -91,56 +75,62 @@
     def merge(
         self, workers: tuple[StampedWorker, ...], placements: tuple[StampedPlacement, ...]
     ) -> list[str]:
-        """Takes records of others; returns the instances for which something changed."""
+        """Stores the records of others that supersede known ones; returns the instances that changed."""
         changed: list[str] = []
         for worker in workers:
-            known = self.workers.get(worker.record.instance)
-            if known is None or _supersedes(worker, known):
+            known_worker = self.workers.get(worker.record.instance)
+            if known_worker is None or _worker_supersedes(worker, known_worker):
                 self._store_worker(worker)
                 changed.append(worker.record.instance)
         for placement in placements:
-            held = self.placements.get(placement.record.instance)
-            if held is None or _placement_supersedes(placement.record, held.record):
+            known_placement = self.placements.get(placement.record.instance)
+            if known_placement is None or _placement_supersedes(placement.record, known_placement.record):
                 self._store_placement(placement)
                 changed.append(placement.record.instance)
         return changed
 
     def advance_vector(self, vector: Mapping[str, int]) -> None:
-        """Everything up to that vector has been merged."""
+        """Notes that everything up to that vector has been merged."""
         for origin, counter in vector.items():
             self.vector[origin] = max(counter, self.vector.get(origin, 0))
 
     def records_after(self, vector: Mapping[str, int]) -> MissingRecords:
-        """The records that a reader with that vector does not have. O(what it lacks)."""
-        workers = tuple(self.workers[i] for i in _keys_after(self._worker_log, vector))
-        placements = tuple(self.placements[i] for i in _keys_after(self._placement_log, vector))
-        return MissingRecords(workers, placements)
+        """The records that a subscriber with that vector lacks. O(their number)."""
+        return MissingRecords(
+            workers=tuple(self.workers[key] for key in _keys_after(self._worker_log, vector)),
+            placements=tuple(self.placements[key] for key in _keys_after(self._placement_log, vector)),
+        )
 
     def advertised_vector(self) -> dict[str, int]:
-        """What is told to readers: the vector without origins that say nothing any more."""
-        return {
-            origin: counter for origin, counter in self.vector.items() if origin not in self._stale_origins
-        }
+        """The version vector without stale origins."""
+        stale = self._stale_origins
+        return {origin: counter for origin, counter in self.vector.items() if origin not in stale}
 
     def is_ahead(self, vector: Mapping[str, int]) -> bool:
-        """Whether a reader with that vector misses anything. O(origins)."""
-        quiet = self._stale_origins
-        return any(c > vector.get(o, 0) for o, c in self.vector.items() if o not in quiet)
+        """Whether a subscriber with that vector lacks anything. O(origins)."""
+        stale = self._stale_origins
+        return any(
+            counter > vector.get(origin, 0) for origin, counter in self.vector.items() if origin not in stale
+        )
 
     def expire_origins(self, now: float) -> None:
-        """Drops origins of former lives; `now`: steady seconds. O(origins + records)."""
-        carried = {worker.stamp.origin for worker in self.workers.values()}
-        carried |= {placement.stamp.origin for placement in self.placements.values()}
-        quiet = set()
+        """Drops origins of former incarnations; `now` in steady seconds. O(origins + records)."""
+        in_use = {worker.stamp.origin for worker in self.workers.values()}
+        in_use |= {placement.stamp.origin for placement in self.placements.values()}
+        in_use.add(self.origin)
+        stale = set()
         for origin, counter in list(self.vector.items()):
-            risen = self._last_advances.get(origin)
-            if risen is None or risen[0] != counter or origin in carried or origin == self.origin:
-                self._last_advances[origin] = counter, now
-            elif now - risen[1] > RETENTION_S:
-                del self.vector[origin], self._last_advances[origin]
-            elif now - risen[1] > STALE_ORIGIN_S:
-                quiet.add(origin)
-        self._stale_origins = frozenset(quiet)
+            last_advance = self._last_advances.get(origin)
+            if last_advance is None or last_advance.counter != counter or origin in in_use:
+                self._last_advances[origin] = OriginAdvance(counter, now)
+                continue
+            idle_s = now - last_advance.seen_at
+            if idle_s > RETENTION_S:
+                del self.vector[origin]
+                del self._last_advances[origin]
+            elif idle_s > STALE_ORIGIN_S:
+                stale.add(origin)
+        self._stale_origins = frozenset(stale)
 
     def remove(self, instance: str) -> None:
         """Drops a worker and its placement."""
@@ -148,18 +138,18 @@
         self.placements.pop(instance, None)
 
     def expire_ended_workers(self, now: float) -> list[str]:
-        """Drops workers that have been lost or gone for FORGET_S; returns them. `now`: steady seconds."""
+        """Drops and returns workers that ended RETENTION_S ago; `now` in steady seconds."""
         ended = [
-            i
-            for i, w in self.workers.items()
-            if w.record.phase in (SessionPhase.LOST, SessionPhase.DEREGISTERED)
+            instance
+            for instance, worker in self.workers.items()
+            if worker.record.phase in (SessionPhase.LOST, SessionPhase.DEREGISTERED)
         ]
         self._ended_at = {instance: self._ended_at.get(instance, now) for instance in ended}
-        due = [instance for instance, since in self._ended_at.items() if now - since > RETENTION_S]
-        for instance in due:
+        expired = [instance for instance, ended_at in self._ended_at.items() if now - ended_at > RETENTION_S]
+        for instance in expired:
             self.remove(instance)
             del self._ended_at[instance]
-        return due
+        return expired
 
     def retain_workers(self, instances: set[str]) -> list[str]:
         """Drops all workers but these; returns those dropped."""
@@ -174,6 +164,27 @@
             if worker.record.phase in (SessionPhase.READY, SessionPhase.DRAINING):
                 yield worker.record
 
+    def _next_stamp(self) -> Stamp:
+        self.counter += 1
+        self.vector[self.origin] = self.counter
+        return Stamp(self.origin, self.counter)
+
+    def _store_worker(self, worker: StampedWorker) -> None:
+        self.workers[worker.record.instance] = worker
+        self._worker_log.add(worker.record.instance, worker.stamp)
+
+    def _store_placement(self, placement: StampedPlacement) -> None:
+        self.placements[placement.record.instance] = placement
+        self._placement_log.add(placement.record.instance, placement.stamp)
+
+    def _worker_stamp(self, instance: str) -> Stamp | None:
+        worker = self.workers.get(instance)
+        return None if worker is None else worker.stamp
+
+    def _placement_stamp(self, instance: str) -> Stamp | None:
+        placement = self.placements.get(instance)
+        return None if placement is None else placement.stamp
+
 
 def _keys_after(log: StampLog, vector: Mapping[str, int]) -> Iterator[str]:
     """The keys of all records with stamps above that vector."""
@@ -181,11 +192,14 @@
         yield from log.keys_after(origin, vector.get(origin, 0))
 
 
-def _supersedes(one: StampedWorker, known: StampedWorker) -> bool:
-    if one.record.rank() != known.record.rank():
-        return one.record.rank() > known.record.rank()
-    return one.stamp.origin == known.stamp.origin and one.stamp.counter > known.stamp.counter
+def _worker_supersedes(received: StampedWorker, known: StampedWorker) -> bool:
+    """Whether a record of another process replaces the known one: by rank, then by its owner's counter."""
+    received_rank = received.record.rank()
+    known_rank = known.record.rank()
+    if received_rank != known_rank:
+        return received_rank > known_rank
+    return received.stamp.origin == known.stamp.origin and received.stamp.counter > known.stamp.counter
 
 
-def _placement_supersedes(one: PlacementRecord, known: PlacementRecord) -> bool:
-    return (one.token, one.serial) > (known.token, known.serial)
+def _placement_supersedes(received: PlacementRecord, known: PlacementRecord) -> bool:
+    return (received.token, received.serial) > (known.token, known.serial)
