--- a/finchladder/cluster/configuration/__init__.py
+++ b/finchladder/cluster/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Reading, checking and routing by the operator's configuration."""
+"""The operator's configuration: validation of changes, snapshots for routing, compression."""
--- a/finchladder/cluster/configuration/changes.py
+++ b/finchladder/cluster/configuration/changes.py
@@ -1,39 +1,38 @@
-"""A configuration's life before it is taken: read, patched, checked; what a digest names."""
+"""Changes of the configuration before they are committed: parsed, patched, validated, named by a digest."""
 
 import json
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from hashlib import blake2b
 from typing import Any
 
-from finchladder.cluster.configuration.schema import document_validator, first_problem, patch_validator
+from finchladder.cluster.configuration.schema import DOCUMENT_VALIDATOR, PATCH_VALIDATOR, first_problem
 
-ITEM_LISTS = ("routes", "services")
-Document = dict[str, Any]
+Document = dict[str, Any]  # a configuration or a patch, as parsed JSON
 
 
 @dataclass(frozen=True)
 class ValidChange:
-    """A change that may be taken."""
+    """A change that may be committed: the resulting configuration."""
 
     version: int
-    document: bytes  # JSON
+    document: bytes  # the full configuration, JSON
 
 
 @dataclass(frozen=True)
 class InvalidChange:
-    """A change that must be refused, and why."""
+    """A change that must be rejected, and why."""
 
     problem: str
 
 
 def change_digest(base: int, is_patch: bool, body: bytes) -> bytes:
-    """Names one order of the operator: the same bytes on the same base are the same order."""
+    """Identifies a change by base version, method and bytes, so that a retry is recognised."""
     head = f"{base} {'PATCH' if is_patch else 'PUT'} ".encode()
     return blake2b(head + body, digest_size=16).digest()
 
 
 def parse_object(body: bytes) -> Document | InvalidChange:
-    """Parses a body; the result is an object."""
+    """Parses a request body, which must be a JSON object."""
     try:
         value = json.loads(body, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
@@ -48,11 +47,18 @@
 def validate_change(
     current: bytes, current_version: int, is_patch: bool, body: bytes
 ) -> ValidChange | InvalidChange:
-    """Checks a change against the configuration that it builds on. CPU: O(size)."""
+    """Validates a change against the configuration that it builds on. CPU: O(size).
+
+    Args:
+        current: The configuration that is in place, JSON; empty if there is none.
+        current_version: Its version; that of the change must be higher.
+        is_patch: Whether the body is a patch, not a full configuration.
+        body: The request body.
+    """
     change = parse_object(body)
     if isinstance(change, InvalidChange):
         return change
-    problem = first_problem(patch_validator if is_patch else document_validator, change)
+    problem = first_problem(PATCH_VALIDATOR if is_patch else DOCUMENT_VALIDATOR, change)
     if problem:
         return InvalidChange(problem)
     if change["version"] <= current_version:
@@ -65,12 +71,12 @@
 
 
 def _apply_patch(document: Document, change: Document) -> Document:
-    """Applies `upsert` and `remove` by name; a replaced item keeps its place."""
+    """Applies `remove`, then `upsert`, by item name; a replaced item keeps its index."""
     result = dict(document)
     result["version"] = change["version"]
     for kind, names in change.get("remove", {}).items():
-        gone = set(names)
-        result[kind] = [item for item in result.get(kind, []) if item["name"] not in gone]
+        removed = set(names)
+        result[kind] = [item for item in result.get(kind, []) if item["name"] not in removed]
     for kind, items in change.get("upsert", {}).items():
         if not isinstance(items, list):
             result[kind] = items
@@ -82,25 +88,36 @@
 
 
 def semantic_problem(document: Document) -> str:
-    """What the schema can't say: names that must exist, places that must differ, weights that must count."""
+    """Checks what the schema can't express: references, uniqueness, sums of weights.
+
+    Returns:
+        The first problem; empty if there is none.
+    """
     services = {service["name"] for service in document.get("services", [])}
-    places: set[tuple[str, str]] = set()
-    names: set[str] = set()
+    earlier = _EarlierRoutes()
     for route in document.get("routes", []):
-        problem = _route_problem(route, services, places, names)
+        problem = _route_problem(route, services, earlier)
         if problem:
             return f"route {route['name']}: {problem}"
     return ""
 
 
-def _route_problem(route: Document, services: set[str], places: set[tuple[str, str]], names: set[str]) -> str:
-    place = route["host"].lower(), route["path_prefix"]
-    if place in places:
+@dataclass
+class _EarlierRoutes:
+    """What no later route may repeat."""
+
+    names: set[str] = field(default_factory=set)
+    matches: set[tuple[str, str]] = field(default_factory=set)  # host and path prefix
+
+
+def _route_problem(route: Document, services: set[str], earlier: _EarlierRoutes) -> str:
+    match = (route["host"].lower(), route["path_prefix"])
+    if match in earlier.matches:
         return "another route has its host and prefix"
-    if route["name"] in names:
+    if route["name"] in earlier.names:
         return "its name is used twice"
-    places.add(place)
-    names.add(route["name"])
+    earlier.matches.add(match)
+    earlier.names.add(route["name"])
     split = route.get("traffic_split")
     targets = [part["service"] for part in split] if split else [route.get("service")]
     unknown = [target for target in targets if target not in services]
--- a/finchladder/cluster/configuration/compression.py
+++ b/finchladder/cluster/configuration/compression.py
@@ -1,7 +1,7 @@
-"""Configurations as they travel to dispatchers: compressed, as their routes repeat each other's keys.
+"""Compression of configurations that are sent to dispatchers.
 
-A dispatcher's link is slow, and a configuration of a thousand routes has some hundred KB: uncompressed it
-took longer than a pull may, several pulls at once made it longer still, and some dispatchers never got it.
+A dispatcher's link is slow, and a configuration of a thousand routes has some hundred KB: uncompressed, its
+transfer exceeds the timeout of a pull, the more so beside other pulls, and the dispatcher never gets it.
 """
 
 import zlib
@@ -12,21 +12,27 @@
 
 
 def decompress(compressed: bytes) -> bytes:
-    """The document in JSON; empty for an empty one. zlib.error if it was not packed."""
+    """Restores a document; empty for an empty one.
+
+    Raises:
+        zlib.error: The bytes are not a compressed document.
+    """
     return zlib.decompress(compressed) if compressed else b""
 
 
 @define
 class DocumentCompressor:
-    """Compresses each document once, whoever asks for it. Documents are told apart by their bytes: a version
-    that was not acknowledged may be followed by another one with its number.
+    """Compresses each document once, for all subscribers.
+
+    Documents are compared by their bytes, not by version: one that was never acknowledged may be followed by
+    another with the same version.
     """
 
     document: bytes = b""
     compressed: bytes = b""
 
     def compress(self, document: bytes) -> bytes:
-        """The document, compressed; empty for an empty one. CPU: O(size), little if it is the last again."""
+        """The compressed document; empty for an empty one. CPU: O(size), less if it is the last one again."""
         if document != self.document:
             self.document = document
             self.compressed = zlib.compress(document, COMPRESSION_LEVEL) if document else b""
--- a/finchladder/cluster/configuration/schema.py
+++ b/finchladder/cluster/configuration/schema.py
@@ -1,6 +1,6 @@
-"""JSON schema of the operator's configuration, and of a patch; unknown fields are kept and pass.
+"""JSON schemas of the operator's configuration and of a patch; unknown fields are valid and stay.
 
-Source: the operator's API in the project's protocol page. Amounts: `timeout_ms`, `target_latency_ms` and
+Source: the operator's API in the project's protocol page. Units: `timeout_ms`, `target_latency_ms` and
 `gap_aim_ms` are milliseconds, `weights_mb` and `adapter_size_mb` megabytes, `load_s` seconds.
 """
 
@@ -8,75 +8,80 @@
 
 from jsonschema import Draft202012Validator
 
-NAME = {"type": "string", "minLength": 1}
-POSITIVE = {"type": "number", "exclusiveMinimum": 0}
-NOT_NEGATIVE = {"type": "number", "minimum": 0}
+MAX_MESSAGE_CHARS = 200  # a message quotes the value, which may be large
 
-ROUTE: dict[str, Any] = {
+NAME_SCHEMA = {"type": "string", "minLength": 1}
+POSITIVE_SCHEMA = {"type": "number", "exclusiveMinimum": 0}
+NON_NEGATIVE_SCHEMA = {"type": "number", "minimum": 0}
+
+ROUTE_SCHEMA: dict[str, Any] = {
     "type": "object",
     "required": ["name", "host", "path_prefix"],
     "properties": {
-        "name": NAME,
-        "host": NAME,
+        "name": NAME_SCHEMA,
+        "host": NAME_SCHEMA,
         "path_prefix": {"type": "string", "pattern": "^/(.*/)?$"},
         "kind": {"type": "string"},
-        "timeout_ms": POSITIVE,
-        "target_latency_ms": NOT_NEGATIVE,
-        "gap_aim_ms": NOT_NEGATIVE,
+        "timeout_ms": POSITIVE_SCHEMA,
+        "target_latency_ms": NON_NEGATIVE_SCHEMA,
+        "gap_aim_ms": NON_NEGATIVE_SCHEMA,
         "priority": {"type": "integer"},
         "retries": {"type": "integer", "minimum": 0},
-        "service": NAME,
+        "service": NAME_SCHEMA,
         "traffic_split": {
             "type": "array",
             "minItems": 1,
             "items": {
                 "type": "object",
                 "required": ["service", "weight"],
-                "properties": {"service": NAME, "weight": NOT_NEGATIVE},
+                "properties": {"service": NAME_SCHEMA, "weight": NON_NEGATIVE_SCHEMA},
             },
         },
     },
     "anyOf": [{"required": ["service"]}, {"required": ["traffic_split"]}],
 }
-MODEL: dict[str, Any] = {
+MODEL_SCHEMA: dict[str, Any] = {
     "type": "object",
     "required": ["name"],
-    "properties": {"name": NAME, "weights_mb": NOT_NEGATIVE, "load_s": NOT_NEGATIVE},
+    "properties": {"name": NAME_SCHEMA, "weights_mb": NON_NEGATIVE_SCHEMA, "load_s": NON_NEGATIVE_SCHEMA},
 }
-SERVICE: dict[str, Any] = {
+SERVICE_SCHEMA: dict[str, Any] = {
     "type": "object",
     "required": ["name"],
     "properties": {
-        "name": NAME,
+        "name": NAME_SCHEMA,
         "health_check": {"type": "string"},
-        "max_connections": POSITIVE,
-        "engine": {"type": "object", "properties": {"models": {"type": "array", "items": MODEL}}},
+        "max_connections": POSITIVE_SCHEMA,
+        "engine": {"type": "object", "properties": {"models": {"type": "array", "items": MODEL_SCHEMA}}},
     },
 }
-LIMITS: dict[str, Any] = {"type": "object"}
-ITEMS = {"routes": {"type": "array", "items": ROUTE}, "services": {"type": "array", "items": SERVICE}}
-DOCUMENT: dict[str, Any] = {
+LIMITS_SCHEMA: dict[str, Any] = {"type": "object"}
+ITEM_PROPERTIES = {
+    "routes": {"type": "array", "items": ROUTE_SCHEMA},
+    "services": {"type": "array", "items": SERVICE_SCHEMA},
+}
+DOCUMENT_SCHEMA: dict[str, Any] = {
     "type": "object",
     "required": ["version", "routes", "services"],
-    "properties": {"version": {"type": "integer", "minimum": 1}, "limits": LIMITS, **ITEMS},
+    "properties": {"version": {"type": "integer", "minimum": 1}, "limits": LIMITS_SCHEMA, **ITEM_PROPERTIES},
 }
-PATCH: dict[str, Any] = {
+PATCH_SCHEMA: dict[str, Any] = {
     "type": "object",
     "required": ["version"],
     "properties": {
         "version": {"type": "integer", "minimum": 1},
-        "upsert": {"type": "object", "properties": ITEMS},
-        "remove": {"type": "object", "additionalProperties": {"type": "array", "items": NAME}},
+        "upsert": {"type": "object", "properties": ITEM_PROPERTIES},
+        "remove": {"type": "object", "additionalProperties": {"type": "array", "items": NAME_SCHEMA}},
     },
 }
 
-document_validator = Draft202012Validator(DOCUMENT)
-patch_validator = Draft202012Validator(PATCH)
+DOCUMENT_VALIDATOR = Draft202012Validator(DOCUMENT_SCHEMA)
+PATCH_VALIDATOR = Draft202012Validator(PATCH_SCHEMA)
 
 
 def first_problem(validator: Draft202012Validator, value: object) -> str:
-    """The place and text of the first finding; empty if there is none."""
+    """Path and text of the first violation, the text cut to a bound; empty if there is none."""
     for error in validator.iter_errors(value):
-        place = "/".join(str(part) for part in error.absolute_path)
-        return f"{place or 'configuration'}: {error.message[:200]}"
+        path = "/".join(str(part) for part in error.absolute_path)
+        return f"{path or 'configuration'}: {error.message[:MAX_MESSAGE_CHARS]}"
     return ""
--- a/finchladder/cluster/configuration/snapshot.py
+++ b/finchladder/cluster/configuration/snapshot.py
@@ -1,10 +1,10 @@
-"""An immutable routing snapshot, made whole from a configuration and swapped whole."""
+"""An immutable snapshot of the configuration, ready for routing; a newer one replaces it at once."""
 
 import json
 from collections.abc import Mapping
 from enum import Enum
 from types import MappingProxyType
-from typing import Any
+from typing import Any, NamedTuple
 
 from attrs import frozen
 
@@ -17,7 +17,7 @@
 
 
 class RequestKind(str, Enum):
-    """What may be repeated of a request."""
+    """How often a request may run, as the operator declares it of a route."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -26,7 +26,11 @@
 
 @frozen
 class Model:
-    """A model of a service: `weights_mb` of a worker's memory, `load_s` from the store."""
+    """A model of a service.
+
+    `weights_mb`: memory that it takes of a worker; `load_s`: time to load it from the store; `adapters`: how
+    many there are, of `adapter_size_mb` each.
+    """
 
     name: str
     weights_mb: float
@@ -37,7 +41,10 @@
 
 @frozen
 class Engine:
-    """What a service's model workers can hold and do."""
+    """Capacities of each model worker of a service.
+
+    `weights_mb`: memory for weights and adapters; `max_loads_per_s`: of all workers together, from the store.
+    """
 
     slots: int
     kv_cache_tokens: int
@@ -49,7 +56,7 @@
 
 @frozen
 class Service:
-    """A service of the configuration; `engine` is None where it serves no models."""
+    """A service; `engine` is None where it serves no models."""
 
     name: str
     max_connections: int
@@ -57,9 +64,20 @@
     engine: Engine | None
 
 
+class WeightedService(NamedTuple):
+    """A share of a route's traffic; the cumulative weights of a route end at 1."""
+
+    cumulative_weight: float
+    service: str
+
+
 @frozen
 class Route:
-    """A route. `targets`: services with their cumulated weights, which end at 1."""
+    """A route.
+
+    `latency_target_s`: within which an answer has its full value; `max_event_gap_s`: longest pause between
+    events of a stream, 0 if none is set; `max_attempts`: workers that one request may be sent to.
+    """
 
     name: str
     host: str
@@ -71,18 +89,18 @@
     priority: int
     max_attempts: int
     resumable: bool
-    weighted_services: tuple[tuple[float, str], ...]
+    weighted_services: tuple[WeightedService, ...]
 
     def service_at(self, point: float) -> str:
-        """The service at that point of the weights, 0 to 1."""
-        for edge, service in self.weighted_services:
-            if point < edge:
+        """The service at that point of the cumulative weights, 0 to 1."""
+        for cumulative_weight, service in self.weighted_services:
+            if point < cumulative_weight:
                 return service
-        return self.weighted_services[-1][1]
+        return self.weighted_services[-1].service
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may run more than once: a resumable stream continues where it broke off."""
         return self.kind is RequestKind.IDEMPOTENT or (self.kind is RequestKind.STREAMING and self.resumable)
 
 
@@ -91,7 +109,7 @@
     """One version of the configuration, ready for routing."""
 
     version: int
-    routes_by_host: Mapping[str, tuple[Route, ...]]  # by host, the longest prefix first
+    routes_by_host: Mapping[str, tuple[Route, ...]]  # the longest prefix first
     services: Mapping[str, Service]
     idle_timeout_s: float
     max_body_bytes: int
@@ -106,29 +124,35 @@
 
 
 EMPTY_SNAPSHOT = ConfigurationSnapshot(
-    0, MappingProxyType({}), MappingProxyType({}), 15.0, DEFAULT_MAX_BODY_BYTES, DEFAULT_MAX_HEADER_BYTES
+    version=0,
+    routes_by_host=MappingProxyType({}),
+    services=MappingProxyType({}),
+    idle_timeout_s=DEFAULT_IDLE_TIMEOUT_MS / 1000,
+    max_body_bytes=DEFAULT_MAX_BODY_BYTES,
+    max_header_bytes=DEFAULT_MAX_HEADER_BYTES,
 )
 
 
 def build_snapshot(document: bytes) -> ConfigurationSnapshot:
-    """Makes a snapshot of a checked configuration (JSON). CPU: O(routes log routes)."""
+    """Builds a snapshot of a valid configuration (JSON). CPU: O(routes log routes)."""
     value: dict[str, Any] = json.loads(document)
     limits = value.get("limits") or {}
     by_host: dict[str, list[Route]] = {}
     for item in value.get("routes", []):
         route = _route(item)
         by_host.setdefault(route.host, []).append(route)
-    routes = {
-        host: tuple(sorted(found, key=lambda r: -len(r.path_prefix))) for host, found in by_host.items()
+    routes_by_host = {
+        host: tuple(sorted(routes, key=lambda route: -len(route.path_prefix)))
+        for host, routes in by_host.items()
     }
     services = {item["name"]: _service(item) for item in value.get("services", [])}
     return ConfigurationSnapshot(
-        value["version"],
-        MappingProxyType(routes),
-        MappingProxyType(services),
-        float(limits.get("idle_timeout_ms", DEFAULT_IDLE_TIMEOUT_MS)) / 1000,
-        int(limits.get("max_body_bytes", DEFAULT_MAX_BODY_BYTES)),
-        int(limits.get("max_header_bytes", DEFAULT_MAX_HEADER_BYTES)),
+        version=value["version"],
+        routes_by_host=MappingProxyType(routes_by_host),
+        services=MappingProxyType(services),
+        idle_timeout_s=float(limits.get("idle_timeout_ms", DEFAULT_IDLE_TIMEOUT_MS)) / 1000,
+        max_body_bytes=int(limits.get("max_body_bytes", DEFAULT_MAX_BODY_BYTES)),
+        max_header_bytes=int(limits.get("max_header_bytes", DEFAULT_MAX_HEADER_BYTES)),
     )
 
 
@@ -150,24 +174,25 @@
 
 
 def _request_kind(name: str | None) -> RequestKind:
-    """What is not known may run once only."""
+    """An unknown kind counts as not idempotent."""
     try:
         return RequestKind(name)
     except ValueError:
         return RequestKind.NON_IDEMPOTENT
 
 
-def _weighted_services(item: dict[str, Any]) -> tuple[tuple[float, str], ...]:
+def _weighted_services(item: dict[str, Any]) -> tuple[WeightedService, ...]:
     split = item.get("traffic_split")
     if not split:
-        return ((1.0, item["service"]),)
+        return (WeightedService(1.0, item["service"]),)
     total = sum(part["weight"] for part in split)
-    edges, reached = [], 0.0
+    weighted_services = []
+    cumulative_weight = 0.0
     for part in split:
         if part["weight"] > 0:
-            reached += part["weight"] / total
-            edges.append((reached, part["service"]))
-    return tuple(edges)
+            cumulative_weight += part["weight"] / total
+            weighted_services.append(WeightedService(cumulative_weight, part["service"]))
+    return tuple(weighted_services)
 
 
 def _service(item: dict[str, Any]) -> Service:
@@ -183,11 +208,11 @@
 def _engine(item: dict[str, Any]) -> Engine:
     models = {
         model["name"]: Model(
-            model["name"],
-            float(model.get("weights_mb", 0)),
-            float(model.get("load_s", 0)),
-            int(model.get("adapters", 0)),
-            float(model.get("adapter_size_mb", 0)),
+            name=model["name"],
+            weights_mb=float(model.get("weights_mb", 0)),
+            load_s=float(model.get("load_s", 0)),
+            adapters=int(model.get("adapters", 0)),
+            adapter_size_mb=float(model.get("adapter_size_mb", 0)),
         )
         for model in item.get("models", [])
     }
--- a/finchladder/cluster/types/messages.py
+++ b/finchladder/cluster/types/messages.py
@@ -15,35 +15,35 @@
 
 
 class Ping(Message, frozen=True, tag=1):
-    """Failure detection between core members; also asks to be admitted where the sender is in no view."""
+    """Failure detection between members; also requests to join where the sender is in no view."""
 
     sender: Member
-    view: int  # the newest decided one that the sender knows
+    view: int  # number of the newest decided one that the sender knows
     wants_to_join: bool
 
 
 class Prepare(Message, frozen=True, tag=2):
-    """First phase of agreeing on view `instance`."""
+    """First phase of the agreement on view `instance`."""
 
     instance: int
     ballot: Ballot
 
 
 class Accept(Message, frozen=True, tag=3):
-    """Second phase of agreeing on a view."""
+    """Second phase of the agreement on a view."""
 
     ballot: Ballot
     view: View
 
 
 class Learn(Message, frozen=True, tag=4):
-    """A view that was decided."""
+    """Announces a decided view."""
 
     view: View
 
 
 class Replicate(Message, frozen=True, tag=5):
-    """From a member to its successor: an operation, the whole state, or neither to confirm what is stored."""
+    """From a member to its successor: an operation, the full state, or neither to confirm what is stored."""
 
     view: int
     sequence: int  # after the operation
@@ -52,7 +52,7 @@
 
 
 class Submit(Message, frozen=True, tag=6):
-    """A change of the configuration, forwarded to the head. `patch`: PATCH, not PUT."""
+    """A change of the configuration, forwarded to the head. `patch`: a PATCH, not a PUT."""
 
     base: int
     patch: bool
@@ -61,11 +61,11 @@
 
 
 class ReadState(Message, frozen=True, tag=7):
-    """Asks the tail for the newest acknowledged state."""
+    """Requests the newest acknowledged state from the tail."""
 
 
 class PullUpdates(Message, frozen=True, tag=8):
-    """Asks for what is missing, by version vector; answered at once or when something changes."""
+    """Requests what the sender lacks, by version vector; a long poll where `wait_ms` is positive."""
 
     sender: str
     vector: dict[str, int]
@@ -76,15 +76,15 @@
 
 
 class Demand(Message, frozen=True):
-    """What one dispatcher was asked for of one model or adapter since its last report."""
+    """Requests for one model or adapter that one dispatcher received since its last report."""
 
     service: str
     model: str
     adapter: str
     requests: int
-    queued: int  # requests held because nobody holds it
+    queued: int  # requests that wait because no worker has it loaded
     in_flight: int
-    prompt_tokens: int  # of the prompts asked for
+    prompt_tokens: int  # of the prompts of these requests
 
 
 class ModelUse(Message, frozen=True):
@@ -96,34 +96,33 @@
 
 
 class DemandReport(Message, frozen=True, tag=9):
-    """From a dispatcher to the placer."""
+    """From a dispatcher to the placer: demand and load."""
 
     sender: str
-    interval_s: float  # since the report before
+    interval_s: float  # since the previous report
     demands: tuple[Demand, ...]
-    worker_loads: dict[
-        str, int
-    ] = {}  # by worker instance, in prompt tokens to be read; in requests without a model
+    # by worker instance: prompt tokens to prefill; requests where there is no model
+    worker_loads: dict[str, int] = {}
     model_uses: tuple[ModelUse, ...] = ()
-    prefill_s_per_token: dict[str, float] = {}  # of reading prompts, by service, where anything is known
+    prefill_s_per_token: dict[str, float] = {}  # by service, where it is known
 
 
 class RenewLease(Message, frozen=True, tag=10):
-    """Asks the head to keep the placer's lease."""
+    """Requests from the head that the placer's lease be renewed."""
 
     holder: str
     token: int
 
 
 class ClaimLease(Message, frozen=True, tag=11):
-    """Asks the head for the vacant placer's role."""
+    """Requests the vacant lease of the placer from the head."""
 
     holder: str
-    token: int  # the last one that the sender knows
+    token: int  # last fencing token that the sender knows
 
 
 class ReleaseLease(Message, frozen=True, tag=12):
-    """The placer gives its role up; `idle_ms` ago it sent its last order."""
+    """Releases the placer's lease; the last order was sent `idle_ms` ago."""
 
     holder: str
     token: int
@@ -131,13 +130,13 @@
 
 
 class FetchReplica(Message, frozen=True, tag=13):
-    """From the head of a view without survivors: asks a member of its chain for the replica that it holds."""
+    """From the head of a view without survivors: requests the replica of a member of its chain."""
 
     view: int
 
 
 class RetireWorker(Message, frozen=True, tag=14):
-    """Hands the drain or end of a worker to the head, for the chain to store."""
+    """Forwards the retirement of a worker to the head, for the chain to store."""
 
     retirement: WorkerRetirement
 
@@ -167,12 +166,12 @@
 
     sender: Member
     view: int
-    newer_view: View | None  # where the asker knows an older one
+    newer_view: View | None  # set where the sender of the ping knows an older one
     state_view: int
     sequence: int
-    disk_healthy: bool  # its disk answers
+    disk_healthy: bool  # its disk completes writes
     has_accepted: bool  # it has accepted a proposal for the next view
-    shutting_down: bool = False  # its process is about to end
+    shutting_down: bool = False  # it is shutting down gracefully
 
 
 class Promise(Message, frozen=True, tag=52):
@@ -194,7 +193,7 @@
 
 
 class Replicated(Message, frozen=True, tag=54):
-    """Answer to Replicate: whether it is stored from here to the tail; else what is wrong, and where."""
+    """Answer to Replicate: whether it is stored from here to the tail; else the problem and its member."""
 
     stored: bool
     view: View
@@ -203,7 +202,7 @@
 
 
 class Submitted(Message, frozen=True, tag=55):
-    """Outcome of a change. `status` is that of HTTP: 200, 400, 412 or 503."""
+    """Outcome of a change. `status`: as in HTTP, 200, 400, 412 or 503."""
 
     status: int
     version: int
@@ -211,32 +210,32 @@
 
 
 class StateReply(Message, frozen=True, tag=56):
-    """The newest acknowledged state, or why it can't be told."""
+    """The newest acknowledged state, or the reason why it is not known."""
 
     state: ControlState | None
     problem: str = ""
 
 
 class Update(Message, frozen=True, tag=57):
-    """What the puller was missing."""
+    """What the puller lacked, with the status of the sender."""
 
     origin: str
     vector: dict[str, int]
-    view: View | None  # where the puller knows an older one
+    view: View | None  # set where the puller knows an older one
     workers: tuple[StampedWorker, ...]
     placements: tuple[StampedPlacement, ...]
     version: int
-    document: bytes  # the newer configuration, packed; empty: there is none
-    knows_all_workers: bool  # the sender has been up for long enough to know all workers
-    is_full: bool  # the tables are sent whole, not as changes
+    document: bytes  # the newer configuration, compressed; empty: there is none
+    knows_all_workers: bool  # the sender has run for long enough to know all workers
+    is_full: bool  # full tables, not a delta
     placer: str  # peer address of the placer; empty: unknown
-    dispatchers: int  # dispatchers in session with the sender
-    chain_confirmed: bool  # the sender's chain answered lately
-    quorum_lost: bool = False  # most machines of the core answer the sender, and too few voters
+    dispatchers: int  # number of those that pull from the sender
+    chain_confirmed: bool  # the chain has confirmed the sender lately
+    quorum_lost: bool = False  # most control processes answer the sender, and too few voters
 
 
 class LeaseReply(Message, frozen=True, tag=58):
-    """Answer to RenewPlacer, ClaimRole and Resign."""
+    """Answer to RenewLease, ClaimLease and ReleaseLease."""
 
     granted: bool
     token: int
@@ -248,18 +247,18 @@
 
     interval_ms: int
     is_placer: bool
-    peer_loads: dict[str, int] = {}  # of all other dispatchers, by worker instance, as they reported them
+    peer_loads: dict[str, int] = {}  # of all other dispatchers, by worker instance, as last reported
 
 
 class Failure(Message, frozen=True, tag=60):
-    """A request that could not be answered."""
+    """Answer to a request that could not be handled."""
 
     step: str
     problem: str
 
 
 class ReplicaReply(Message, frozen=True, tag=61):
-    """Answer to Fetch. No state: the sender is not a member of that view, but knows `view`."""
+    """Answer to FetchReplica. No state: the sender is not a member of that view, but knows `view`."""
 
     view: View
     state_view: int = 0
@@ -267,7 +266,7 @@
 
 
 class RetireWorkerReply(Message, frozen=True, tag=62):
-    """Answer to EndWorker: whether the whole chain has stored it; if not, it may or may not last."""
+    """Answer to RetireWorker: whether the full chain has stored it; if not, it may or may not last."""
 
     stored: bool
 
--- a/finchladder/cluster/types/worker_api.py
+++ b/finchladder/cluster/types/worker_api.py
@@ -1,4 +1,4 @@
-"""What workers send and answer, as JSON; unknown fields are skipped."""
+"""Messages between workers and the system, as JSON; unknown fields are ignored."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class ModelReport(msgspec.Struct):
-    """A model in a worker's memory, as the worker tells it."""
+    """A model in a worker's memory, as the worker reports it."""
 
     name: str
     version: int = 0
@@ -14,7 +14,7 @@
 
 
 class Heartbeat(msgspec.Struct):
-    """A worker's heartbeat."""
+    """A worker's heartbeat; `sequence` rises with each."""
 
     service: str
     address: str
@@ -27,7 +27,7 @@
 
 
 class WorkerReport(msgspec.Struct):
-    """A worker's report of itself; some hundred ms old. `sequence` counts the orders it has taken."""
+    """A worker's status, up to some hundred ms old. `sequence` counts the orders that it has taken."""
 
     sequence: int = 0
     busy: bool = False
@@ -39,7 +39,7 @@
 
 
 class OrderRequest(msgspec.Struct, omit_defaults=True):
-    """An order to a worker."""
+    """An order of the placer to a worker; `holder` of the lease, with its fencing token."""
 
     operation: str
     model: str
@@ -50,9 +50,11 @@
 
 
 def loaded_models(models: list[ModelReport]) -> tuple[LoadedModel, ...]:
-    """Sorted, so that equal holdings compare equal."""
+    """Converts a report; the result is sorted, so that equal sets compare equal."""
     return tuple(
-        sorted((LoadedModel(m.name, tuple(sorted(m.adapters))) for m in models), key=lambda h: h.model)
+        sorted(
+            (LoadedModel(m.name, tuple(sorted(m.adapters))) for m in models), key=lambda loaded: loaded.model
+        )
     )
 
 
--- a/finchladder/cluster/types/workers.py
+++ b/finchladder/cluster/types/workers.py
@@ -1,4 +1,4 @@
-"""Records of the replicated tables: workers, and what the placer says of them."""
+"""Records of the replicated tables: workers, and the placements of models at them."""
 
 from enum import Enum
 
@@ -10,26 +10,26 @@
 
     READY = "ready"
     DRAINING = "draining"
-    LOST = "lost"  # its heartbeats stopped; a new one brings it back
-    DEREGISTERED = "gone"  # it has left for good
+    LOST = "lost"  # its heartbeats stopped; a new one makes it ready again
+    DEREGISTERED = "gone"  # final
 
 
 class LoadedModel(msgspec.Struct, frozen=True, array_like=True):
-    """A model in a worker's memory, with the adapters that lie beside it."""
+    """A model in a worker's memory, with its adapters that are loaded, too."""
 
     model: str
     adapters: tuple[str, ...] = ()
 
 
 class Stamp(msgspec.Struct, frozen=True, array_like=True):
-    """Which change of which control process a record is; the entries of a version vector."""
+    """Identifies a change: the control process that made it and its counter; an entry of a version vector."""
 
     origin: str
     counter: int
 
 
 class WorkerRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One worker incarnation as its session's owner knows it."""
+    """One worker incarnation, as the owner of its session knows it."""
 
     instance: str
     service: str
@@ -37,18 +37,18 @@
     zone: str
     slots: int
     phase: SessionPhase
-    sequence: int  # of the worker's calls; higher is newer
-    owner: str  # origin that hears its heartbeats
+    sequence: int  # of the worker's heartbeats; higher is newer
+    owner: str  # origin of the control process that receives its heartbeats
     loaded_models: tuple[LoadedModel, ...] = ()
-    remaining_ms: int | None = None  # time left to a worker that is taken away at short notice
+    remaining_ms: int | None = None  # time left to a worker that will be preempted
 
     def rank(self) -> tuple[bool, int, bool]:
-        """Orders two records of one worker: what is final, then the newer call, then its silence."""
+        """Orders two records of one worker: a final one, then the newer heartbeat, then its loss."""
         return self.phase is SessionPhase.DEREGISTERED, self.sequence, self.phase is SessionPhase.LOST
 
 
 class PendingLoad(msgspec.Struct, frozen=True, array_like=True):
-    """A model or adapter that is being loaded, and how long that will still take."""
+    """A model or adapter that is being loaded, and the time that this will still take."""
 
     model: str
     adapter: str
@@ -56,10 +56,10 @@
 
 
 class PlacementRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What the placer lets be used at a worker. A higher (token, serial) replaces a lower one.
+    """The models that the placer allows dispatchers to use at a worker. A higher (token, serial) wins.
 
-    `orders`: that the worker will have taken when the action under way has ended; `load_ages_ms`: of the
-    loads from the store that this placer began there lately, so that a successor keeps within their rate.
+    `orders_taken`: how many the worker will have taken when the present one has ended; `load_ages_ms`: time
+    since each recent load from the store that this placer began there, so that a successor keeps their rate.
     """
 
     instance: str
