--- a/finchladder/cluster/process/update_server.py
+++ b/finchladder/cluster/process/update_server.py
@@ -140,11 +140,10 @@
         if not pull.is_dispatcher or not pull.wait_ms:
             return
         due_at = self.subscribers[pull.sender].last_update_at + self.batch_interval_s()
-        while (
-            (remaining_s := due_at - steady()) > 0
-            and self._has_changes(pull)
-            and not self._has_urgent_changes(pull)
-        ):
+        while True:
+            remaining_s = due_at - steady()
+            if remaining_s <= 0 or not self._has_changes(pull) or self._has_urgent_changes(pull):
+                return
             await sleep(min(remaining_s, URGENCY_CHECK_INTERVAL_S))
 
     def _has_changes(self, pull: PullUpdates) -> bool:
