--- a/tests/cluster/session_scene.py
+++ b/tests/cluster/session_scene.py
@@ -95,7 +95,7 @@
     return scene.tables.workers[instance].record.phase
 
 
-def played(work: Callable[[], Awaitable[Any]]) -> Any:
+def run_virtual(work: Callable[[], Awaitable[Any]]) -> Any:
     async def main() -> Any:
         return await work()
 
--- a/tests/cluster/test_configuration.py
+++ b/tests/cluster/test_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's changes: read, patched, checked; what is kept of them."""
+"""Changes of the configuration: parsed, patched, validated, compressed."""
 
 import json
 from typing import Any
@@ -22,7 +22,7 @@
     "extra": {"k": 0.1},
 }
 SERVICE = {"name": "s1", "engine": {"models": [{"name": "m", "weights_mb": 65099.99999999999}]}}
-WHOLE = {
+DOCUMENT = {
     "version": 5,
     "routes": [ROUTE],
     "services": [SERVICE],
@@ -36,7 +36,7 @@
 
 
 def patch(value: object) -> ValidChange | InvalidChange:
-    return validate_change(json.dumps(WHOLE).encode(), 5, True, json.dumps(value).encode())
+    return validate_change(json.dumps(DOCUMENT).encode(), 5, True, json.dumps(value).encode())
 
 
 def document(outcome: ValidChange | InvalidChange) -> Any:
@@ -44,12 +44,12 @@
     return json.loads(outcome.document)
 
 
-def test_a_whole_configuration_is_kept_as_it_was_sent() -> None:
-    assert document(put(WHOLE)) == WHOLE
+def test_a_full_configuration_stays_as_it_was_sent() -> None:
+    assert document(put(DOCUMENT)) == DOCUMENT
 
 
 def changed(**items: Any) -> dict[str, Any]:
-    return {**WHOLE, **items}
+    return {**DOCUMENT, **items}
 
 
 def with_route(**fields: Any) -> dict[str, Any]:
@@ -73,7 +73,7 @@
         changed(routes=[{"name": "r1"}]),
     ],
 )
-def test_an_invalid_configuration_is_refused(value: object) -> None:
+def test_an_invalid_configuration_is_rejected(value: object) -> None:
     outcome = put(value)
     assert isinstance(outcome, InvalidChange) and outcome.problem
 
@@ -81,13 +81,13 @@
 @pytest.mark.parametrize(
     "body", [b"", b'{"version":5,"routes":[', b"\xff", b'{"version": NaN}', b"[" * 100_000]
 )
-def test_what_cannot_be_read_whole_is_refused(body: bytes) -> None:
+def test_a_body_that_is_not_json_is_rejected(body: bytes) -> None:
     assert isinstance(validate_change(b"", 0, False, body), InvalidChange)
 
 
-def test_a_version_that_is_not_above_the_current_one_is_refused() -> None:
+def test_a_version_that_is_not_above_the_current_one_is_rejected() -> None:
     for version in (5, 6):
-        assert isinstance(put(WHOLE, version), InvalidChange)
+        assert isinstance(put(DOCUMENT, version), InvalidChange)
 
 
 def test_a_patch_replaces_adds_and_removes_by_name() -> None:
@@ -99,37 +99,37 @@
     assert removed["routes"] == []
 
 
-def test_a_patch_that_leaves_a_route_without_its_service_is_refused() -> None:
+def test_a_patch_that_removes_the_service_of_a_route_is_rejected() -> None:
     assert isinstance(patch({"version": 7, "remove": {"services": ["s1"]}}), InvalidChange)
 
 
-def test_a_digest_names_the_order_and_not_only_its_text() -> None:
-    orders = {
+def test_a_digest_depends_on_base_method_and_body() -> None:
+    digests = {
         change_digest(base, is_patch, body)
         for base in (1, 2)
         for is_patch in (True, False)
         for body in (b"a", b"b")
     }
-    assert len(orders) == 8
+    assert len(digests) == 8
     assert change_digest(1, True, b"a") == change_digest(1, True, b"a")
 
 
-# --- on the way to dispatchers
+# --- compression
 
 
-def test_a_configuration_of_many_routes_travels_in_a_small_part_of_its_size() -> None:
+def test_a_configuration_of_many_routes_is_compressed_to_a_tenth() -> None:
     routes = [{**ROUTE, "name": f"r{n}", "path_prefix": f"/p{n}/"} for n in range(1400)]
-    plain = json.dumps({**WHOLE, "routes": routes}).encode()
-    packed = DocumentCompressor().compress(plain)
-    assert len(packed) < len(plain) / 10
-    assert decompress(packed) == plain
+    plain = json.dumps({**DOCUMENT, "routes": routes}).encode()
+    compressed = DocumentCompressor().compress(plain)
+    assert len(compressed) < len(plain) / 10
+    assert decompress(compressed) == plain
 
 
-def test_another_document_is_packed_anew_and_nothing_stays_nothing() -> None:
+def test_each_document_is_compressed_once_and_an_empty_one_stays_empty() -> None:
     """A version that was not acknowledged may be followed by another one with its number."""
-    packer = DocumentCompressor()
-    assert decompress(packer.compress(b"")) == b"" == packer.compress(b"")
-    first = packer.compress(b"one")
-    assert packer.compress(b"one") is first
-    assert decompress(packer.compress(b"two")) == b"two"
-    assert decompress(packer.compress(b"one")) == b"one"
+    compressor = DocumentCompressor()
+    assert decompress(compressor.compress(b"")) == b"" == compressor.compress(b"")
+    first = compressor.compress(b"one")
+    assert compressor.compress(b"one") is first
+    assert decompress(compressor.compress(b"two")) == b"two"
+    assert decompress(compressor.compress(b"one")) == b"one"
--- a/tests/cluster/test_replicated_tables.py
+++ b/tests/cluster/test_replicated_tables.py
@@ -21,13 +21,13 @@
 NODES = ("n1", "n2", "n3", "reader")
 
 
-def _unknown(records: Mapping[str, StampedWorker | StampedPlacement], vector: Mapping[str, int]) -> set[str]:
-    """What a look at all records finds above a vector: the oracle for the log of stamps."""
+def _scan(records: Mapping[str, StampedWorker | StampedPlacement], vector: Mapping[str, int]) -> set[str]:
+    """What a scan of all records finds above a vector: the oracle for the stamp log."""
     return {key for key, r in records.items() if r.stamp.counter > vector.get(r.stamp.origin, 0)}
 
 
 class Replication(RuleBasedStateMachine):
-    """Writers stamp records, everybody pulls from anybody; after enough pulls all know the same."""
+    """Writers stamp records, all pull from each other; after enough pulls all tables are equal."""
 
     @initialize()
     def begin(self) -> None:
@@ -47,21 +47,21 @@
             self.newest[worker] = max(self.newest.get(worker, record.rank()), record.rank())
 
     @rule(node=st.sampled_from(NODES[:3]), token=st.integers(1, 3), serial=st.integers(1, 9))
-    def place(self, node: str, token: int, serial: int) -> None:
+    def put_placement(self, node: str, token: int, serial: int) -> None:
         self.tables[node].put_placement(PlacementRecord("a", token, serial, ()))
 
     @rule(reader=st.sampled_from(NODES), source=st.sampled_from(NODES))
     def pull(self, reader: str, source: str) -> None:
         own, other = self.tables[reader], self.tables[source]
         workers, placements = other.records_after(own.vector)
-        assert {w.record.instance for w in workers} == _unknown(other.workers, own.vector)
-        assert {p.record.instance for p in placements} == _unknown(other.placements, own.vector)
+        assert {w.record.instance for w in workers} == _scan(other.workers, own.vector)
+        assert {p.record.instance for p in placements} == _scan(other.placements, own.vector)
         own.merge(workers, placements)
         own.advance_vector(other.vector)
         assert not other.is_ahead(own.vector)
 
     @invariant()
-    def no_record_goes_back(self) -> None:
+    def no_rank_decreases(self) -> None:
         for name, tables in getattr(self, "tables", {}).items():
             for worker, stamped in tables.workers.items():
                 rank = stamped.record.rank()
@@ -95,7 +95,7 @@
 
 
 def exchange(one: ReplicatedTables, other: ReplicatedTables) -> None:
-    """Each pulls from the other, as core processes do."""
+    """Each pulls from the other, as control processes do."""
     for reader, source in ((one, other), (other, one)):
         reader.merge(*source.records_after(reader.vector))
         reader.advance_vector(source.advertised_vector())
@@ -106,11 +106,11 @@
 
 
 def test_vectors_do_not_grow_with_incarnations_of_control_processes() -> None:
-    """100 lives, each of which stamps a worker that the next one takes over."""
+    """100 incarnations, each of which stamps a worker that the next one takes over."""
     steady_one, now = ReplicatedTables("core-2/1"), 0.0
-    for life in range(100):
-        other = ReplicatedTables(f"core-1/{life}")
-        other.put_worker(msgspec.structs.replace(worker("i-1", other.origin), sequence=life))
+    for incarnation in range(100):
+        other = ReplicatedTables(f"core-1/{incarnation}")
+        other.put_worker(msgspec.structs.replace(worker("i-1", other.origin), sequence=incarnation))
         for _ in range(4):
             exchange(steady_one, other)
             now += 5.0
--- a/tests/cluster/test_retirement_propagation.py
+++ b/tests/cluster/test_retirement_propagation.py
@@ -6,59 +6,66 @@
 import pytest
 
 from finchladder.cluster.types.messages import PullUpdates, Update
-from tests.cluster.session_scene import SessionScene, heartbeat, played, pull, session_scene
+from tests.cluster.session_scene import SessionScene, heartbeat, pull, run_virtual, session_scene
 
 
 def test_a_drain_is_acknowledged_once_a_subscriber_has_it_and_not_without() -> None:
     async def work() -> tuple[bool, bool]:
         alone = session_scene()
-        unheard = await alone.sessions.on_heartbeat("i-1", heartbeat(1, "draining"))
+        without = await alone.sessions.on_heartbeat("i-1", heartbeat(1, "draining"))
         scene = session_scene()
         await scene.sessions.on_heartbeat("i-1", heartbeat(1))
 
-        async def reader() -> None:
+        async def subscriber() -> None:
             vector: dict[str, int] = {}
             while True:
-                delta: Update = await scene.updates.on_pull(pull(vector, 1000))
-                vector = dict(delta.vector)
+                update: Update = await scene.updates.on_pull(pull(vector, 1000))
+                vector = dict(update.vector)
 
-        task = asyncio.create_task(reader())
+        task = asyncio.create_task(subscriber())
         await asyncio.sleep(0.01)
-        heard = await scene.sessions.on_heartbeat("i-1", heartbeat(2, "draining"))
+        with_subscriber = await scene.sessions.on_heartbeat("i-1", heartbeat(2, "draining"))
         task.cancel()
-        return unheard, heard
+        return without, with_subscriber
 
-    assert played(work) == (False, True)
+    assert run_virtual(work) == (False, True)
 
 
-async def follow(scene: SessionScene, name: str, is_edge: bool) -> None:
-    """A reader that waits for changes again and again."""
+async def subscribe(scene: SessionScene, name: str, is_dispatcher: bool) -> None:
+    """A subscriber that long-polls again and again."""
     vector: dict[str, int] = {}
     while True:
-        delta = await scene.updates.on_pull(PullUpdates(name, vector, 0, 1, 1000, is_edge))
-        vector = dict(delta.vector)
+        update = await scene.updates.on_pull(PullUpdates(name, vector, 0, 1, 1000, is_dispatcher))
+        vector = dict(update.vector)
 
 
 def acknowledged(
-    readers: dict[str, bool],
+    subscribers: dict[str, bool],
     calls: Callable[[SessionScene], Awaitable[list[bool]]],
     *,
     stores: bool = True,
 ) -> list[bool]:
-    """Answers to calls at one of three voters, with those readers; by name, whether it is a dispatcher.
-    `stores`: the chain stores what ends.
+    """Answers to calls at one of three voters.
+
+    Args:
+        subscribers: By name, whether it is a dispatcher.
+        calls: Calls the control process as a worker does.
+        stores: Whether the chain stores retirements.
     """
 
     async def work() -> list[bool]:
         scene = session_scene(voters=("core-1", "core-2", "core-3"), stores=stores)
-        tasks = [asyncio.create_task(follow(scene, name, edge)) for name, edge in readers.items()]
+        tasks = [
+            asyncio.create_task(subscribe(scene, name, is_dispatcher))
+            for name, is_dispatcher in subscribers.items()
+        ]
         await asyncio.sleep(0.01)
         answers = await calls(scene)
         for task in tasks:
             task.cancel()
         return answers
 
-    answers: list[bool] = played(work)
+    answers: list[bool] = run_virtual(work)
     return answers
 
 
@@ -72,7 +79,7 @@
 
 @pytest.mark.parametrize("calls", [drain_three_times, deregister_three_times])
 @pytest.mark.parametrize(
-    ("readers", "answer"),
+    ("subscribers", "answer"),
     [
         ({}, False),
         ({"edge-1": True, "edge-2": True}, False),
@@ -82,19 +89,19 @@
     ],
 )
 def test_a_retirement_is_acknowledged_only_once_most_voters_have_it(
-    calls: Callable[[SessionScene], Awaitable[list[bool]]], readers: dict[str, bool], answer: bool
+    calls: Callable[[SessionScene], Awaitable[list[bool]]], subscribers: dict[str, bool], answer: bool
 ) -> None:
     """A control process that is cut off with some dispatchers must not: the others would go on sending."""
-    assert acknowledged(readers, calls) == [answer] * 3
+    assert acknowledged(subscribers, calls) == [answer] * 3
 
 
 @pytest.mark.parametrize("calls", [drain_three_times, deregister_three_times])
 def test_a_retirement_that_the_chain_does_not_store_is_not_acknowledged(
     calls: Callable[[SessionScene], Awaitable[list[bool]]],
 ) -> None:
-    """All core machines may lose power in the next moment, and their tables with it."""
-    readers = {"core-2": False, "core-3": False, "edge-1": True}
-    assert acknowledged(readers, calls, stores=False) == [False] * 3
+    """All control processes may lose power in the next moment, and their tables with it."""
+    subscribers = {"core-2": False, "core-3": False, "edge-1": True}
+    assert acknowledged(subscribers, calls, stores=False) == [False] * 3
 
 
 def test_a_late_heartbeat_of_a_drain_that_nobody_knows_is_not_acknowledged() -> None:
@@ -119,4 +126,4 @@
         await scene.updates.on_pull(PullUpdates("edge-1", vector, 0, 1, 1, True))
         return await scene.sessions.on_deregister("i-1")
 
-    assert not played(work)
+    assert not run_virtual(work)
--- a/tests/cluster/test_update_puller.py
+++ b/tests/cluster/test_update_puller.py
@@ -1,4 +1,4 @@
-"""Where a dispatcher pulls from: one primary, the others in turn, at virtual time."""
+"""Which control processes a dispatcher long-polls and polls, at virtual time."""
 
 import asyncio
 from collections import Counter
@@ -28,12 +28,12 @@
     unconfirmed: set[str] = field(factory=set)
     without_quorum: set[str] = field(factory=set)
     calls: Counter[str] = field(factory=Counter)
-    waits: Counter[str] = field(factory=Counter)
+    long_polls: Counter[str] = field(factory=Counter)
 
     async def call(self, address: str, request: Request, timeout_s: float) -> Reply:
         assert isinstance(request, PullUpdates)
         self.calls[address] += 1
-        self.waits[address] += request.wait_ms > 0
+        self.long_polls[address] += request.wait_ms > 0
         if address in self.unreachable:
             await asyncio.sleep(timeout_s)
             raise PeerUnreachableError("PullUpdates", address, "no answer")
@@ -55,12 +55,12 @@
             quorum_lost=address in self.without_quorum,
         )
 
-    def forget(self) -> None:
+    def reset_counts(self) -> None:
         self.calls.clear()
-        self.waits.clear()
+        self.long_polls.clear()
 
 
-def puller(cores: Cores, tasks: Tasks) -> UpdatePuller:
+def new_puller(cores: Cores, tasks: Tasks) -> UpdatePuller:
     return UpdatePuller(
         name="edge-1",
         tables=ReplicatedTables("edge-1/1"),
@@ -72,29 +72,29 @@
         zone="z2",
         seeds=("core-0:1",),
         configuration_version=lambda: 0,
-        on_update=lambda delta, changed: None,
+        on_update=lambda update, changed: None,
     )
 
 
-async def started(cores: Cores) -> UpdatePuller:
+async def started_puller(cores: Cores) -> UpdatePuller:
     """A dispatcher that has pulled for a while."""
     tasks = Tasks()
-    it = puller(cores, tasks)
-    tasks.repeat(it.run, "sources")
+    puller = new_puller(cores, tasks)
+    tasks.repeat(puller.run, "sources")
     await asyncio.sleep(10.0)
-    cores.forget()
-    return it
+    cores.reset_counts()
+    return puller
 
 
-def test_a_dispatcher_waits_in_its_own_zone_and_looks_at_the_others_in_turn() -> None:
+def test_a_dispatcher_long_polls_in_its_own_zone_and_polls_the_others_in_turn() -> None:
     async def work() -> None:
         cores = Cores()
-        it = await started(cores)
+        puller = await started_puller(cores)
         await asyncio.sleep(30.0)
-        assert it.primary == "core-2:1"
-        assert cores.waits.total() == cores.waits["core-2:1"] >= 29
-        looks = cores.calls.total() - cores.calls["core-2:1"]
-        assert 0.85 * 30.0 / POLL_INTERVAL_S < looks < 1.15 * 30.0 / POLL_INTERVAL_S, (
+        assert puller.primary == "core-2:1"
+        assert cores.long_polls.total() == cores.long_polls["core-2:1"] >= 29
+        polls = cores.calls.total() - cores.calls["core-2:1"]
+        assert 0.85 * 30.0 / POLL_INTERVAL_S < polls < 1.15 * 30.0 / POLL_INTERVAL_S, (
             "whatever the number of cores"
         )
         assert min(cores.calls[m.peer_address] for m in MEMBERS) >= 12, "each of them"
@@ -102,14 +102,14 @@
     run(work())
 
 
-def test_a_dispatcher_leaves_a_primary_that_the_chain_does_not_confirm() -> None:
+def test_a_dispatcher_replaces_a_primary_that_the_chain_does_not_confirm() -> None:
     async def work() -> None:
         cores = Cores()
-        it = await started(cores)
+        puller = await started_puller(cores)
         cores.unconfirmed.add("core-2:1")
         await asyncio.sleep(LONG_POLL_MS / 1000 + 0.5)
-        assert it.primary not in ("", "core-2:1")
-        assert it.primary in {m.peer_address for m in MEMBERS}
+        assert puller.primary not in ("", "core-2:1")
+        assert puller.primary in {m.peer_address for m in MEMBERS}
 
     run(work())
 
@@ -118,22 +118,22 @@
     async def work() -> None:
         cores = Cores()
         cores.unconfirmed.update(m.peer_address for m in MEMBERS)
-        it = await started(cores)
-        assert it.primary == "core-2:1"
+        puller = await started_puller(cores)
+        assert puller.primary == "core-2:1"
 
     run(work())
 
 
-def test_a_dispatcher_looks_at_all_others_at_once_when_its_primary_fails() -> None:
+def test_a_dispatcher_chooses_another_primary_when_its_own_fails() -> None:
     async def work() -> None:
         cores = Cores()
-        it = await started(cores)
+        puller = await started_puller(cores)
         cores.unreachable.add("core-2:1")
         await asyncio.sleep(LONG_POLL_MS / 1000 + 2.5)
-        assert it.primary not in ("", "core-2:1")
-        cores.forget()
+        assert puller.primary not in ("", "core-2:1")
+        cores.reset_counts()
         await asyncio.sleep(10.0)
-        assert cores.waits[it.primary] >= 9, "the one that it chose is waited at"
+        assert cores.long_polls[puller.primary] >= 9, "the new primary is long-polled"
 
     run(work())
 
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize(
-    ("unconfirmed", "without_quorum", "unreachable", "is_doubtful"),
+    ("unconfirmed", "without_quorum", "unreachable", "is_lost"),
     [
         (set(), set(), set(), False),
         (ALL, set(), set(), False),
@@ -151,33 +151,33 @@
         (ALL - {"core-3:1"}, {"core-2:1"}, set(), False),
         (ALL, {"core-2:1"}, ALL, False),
     ],
-    ids=["calm", "nobody confirms", "lost", "lost, its primary silent", "one confirms", "nobody answers"],
+    ids=["healthy", "nobody confirms", "lost", "lost, primary unreachable", "one confirms", "nobody answers"],
 )
-def test_a_dispatcher_is_in_doubt_while_most_of_the_core_runs_without_a_quorum(
-    unconfirmed: set[str], without_quorum: set[str], unreachable: set[str], is_doubtful: bool
+def test_a_dispatcher_knows_that_most_of_the_core_runs_without_a_quorum(
+    unconfirmed: set[str], without_quorum: set[str], unreachable: set[str], is_lost: bool
 ) -> None:
     async def work() -> None:
         cores = Cores()
-        it = await started(cores)
-        assert not it.has_core_lost_quorum()
+        puller = await started_puller(cores)
+        assert not puller.has_core_lost_quorum()
         cores.unconfirmed, cores.without_quorum, cores.unreachable = unconfirmed, without_quorum, unreachable
         await asyncio.sleep(6.0)
-        assert it.has_core_lost_quorum() is is_doubtful
+        assert puller.has_core_lost_quorum() is is_lost
         cores.unconfirmed, cores.without_quorum, cores.unreachable = set(), set(), set()
         await asyncio.sleep(3.0)
-        assert not it.has_core_lost_quorum()
+        assert not puller.has_core_lost_quorum()
 
     run(work())
 
 
-def test_a_quorum_that_is_missing_for_a_moment_puts_nobody_in_doubt() -> None:
+def test_a_quorum_counts_as_lost_only_after_a_timeout() -> None:
     async def work() -> None:
         cores = Cores(unconfirmed=set(ALL))
-        it = await started(cores)
+        puller = await started_puller(cores)
         cores.without_quorum = set(ALL)
         await asyncio.sleep(0.9)
-        assert not it.has_core_lost_quorum()
+        assert not puller.has_core_lost_quorum()
         await asyncio.sleep(2.0)
-        assert it.has_core_lost_quorum()
+        assert puller.has_core_lost_quorum()
 
     run(work())
--- a/tests/cluster/test_update_server.py
+++ b/tests/cluster/test_update_server.py
@@ -11,24 +11,24 @@
     SessionPhase,
     WorkerRecord,
 )
-from tests.cluster.session_scene import SessionScene, heartbeat, played, pull, session_scene
+from tests.cluster.session_scene import SessionScene, heartbeat, pull, run_virtual, session_scene
 
 
 async def update_count(scene: SessionScene, dispatchers: int, write: Callable[[int], Awaitable[Any]]) -> int:
-    """How many answers with news one dispatcher gets while something changes 100 times in 2 s."""
+    """Number of updates that one dispatcher gets while something changes 100 times in 2 s."""
     for number in range(dispatchers - 1):
         await scene.updates.on_pull(msgspec.structs.replace(pull({}), sender=f"other-{number}"))
     answers = 0
 
-    async def reader() -> None:
+    async def subscriber() -> None:
         nonlocal answers
         vector: dict[str, int] = {}
         while True:
-            delta: Update = await scene.updates.on_pull(pull(vector, 1000))
-            answers += bool(delta.workers)
-            vector = dict(delta.vector)
+            update: Update = await scene.updates.on_pull(pull(vector, 1000))
+            answers += bool(update.workers)
+            vector = dict(update.vector)
 
-    task = asyncio.create_task(reader())
+    task = asyncio.create_task(subscriber())
     for number in range(100):
         await write(number)
         await asyncio.sleep(0.02)
@@ -43,7 +43,7 @@
             scene, dispatchers, lambda n: scene.sessions.on_heartbeat(f"i-{n}", heartbeat(1))
         )
 
-    few, many = played(lambda: times(6)), played(lambda: times(200))
+    few, many = run_virtual(lambda: times(6)), run_virtual(lambda: times(200))
     assert few == 100
     assert 2.0 / 0.2 <= many <= 2.0 / 0.2 + 2
 
@@ -59,4 +59,4 @@
         scene = session_scene()
         return await update_count(scene, 200, lambda n: put_draining(scene, n))
 
-    assert played(work) == 100
+    assert run_virtual(work) == 100
--- a/tests/cluster/test_worker_expiry.py
+++ b/tests/cluster/test_worker_expiry.py
@@ -6,7 +6,7 @@
 from finchladder.cluster.types.workers import (
     SessionPhase,
 )
-from tests.cluster.session_scene import SessionScene, heartbeat, phase_of, played, pull, session_scene
+from tests.cluster.session_scene import SessionScene, heartbeat, phase_of, pull, run_virtual, session_scene
 
 
 def test_a_worker_without_heartbeats_is_lost_until_its_next_one() -> None:
@@ -24,14 +24,14 @@
         seen.append(phase_of(scene))
         return seen
 
-    assert played(work) == [SessionPhase.READY, SessionPhase.LOST, SessionPhase.READY]
+    assert run_virtual(work) == [SessionPhase.READY, SessionPhase.LOST, SessionPhase.READY]
 
 
-def phases_at_a_peer(after_s: tuple[float, ...], **of_the_judge: Any) -> list[SessionPhase]:
-    """How a core holds a worker of another one from which it hears nothing."""
+def phases_at_a_peer(after_s: tuple[float, ...], **scene_options: Any) -> list[SessionPhase]:
+    """The phases of a worker at a control process that cannot reach its owner."""
 
     async def work() -> list[SessionPhase]:
-        owner, other = session_scene("core-1"), session_scene("core-2", **of_the_judge)
+        owner, other = session_scene("core-1"), session_scene("core-2", **scene_options)
         await owner.sessions.on_heartbeat("i-1", heartbeat(1))
         other.tables.merge(*owner.tables.records_after({}))
         await other.expiry.expire_orphans()
@@ -43,7 +43,7 @@
             seen.append(phase_of(other))
         return seen
 
-    found: list[SessionPhase] = played(work)
+    found: list[SessionPhase] = run_virtual(work)
     return found
 
 
@@ -73,7 +73,7 @@
             scene.expiry.expire_own_workers()
         return scene
 
-    scene = played(work)
+    scene = run_virtual(work)
     left = (
         scene.tables.workers,
         scene.sessions.last_heartbeats,
--- a/tests/cluster/test_worker_retirement.py
+++ b/tests/cluster/test_worker_retirement.py
@@ -1,4 +1,4 @@
-"""Drains and ends of workers in the chain, at virtual time."""
+"""Retirements of workers in the chain, at virtual time."""
 
 import asyncio
 
@@ -21,33 +21,34 @@
     return WorkerRetirement(instance, sequence, False)
 
 
-def leave(instance: str, sequence: int = 1) -> WorkerRetirement:
+def deregistration(instance: str, sequence: int = 1) -> WorkerRetirement:
     return WorkerRetirement(instance, sequence, True)
 
 
-def test_each_worker_stands_once_and_an_end_is_final() -> None:
+def test_each_worker_is_stored_once_and_a_deregistration_is_final() -> None:
     state = apply(ControlState(), RecordRetirements((drain("a"), drain("b"))))
-    state = apply(state, RecordRetirements((leave("a"), drain("b", 2))))
+    state = apply(state, RecordRetirements((deregistration("a"), drain("b", 2))))
     state = apply(state, RecordRetirements((drain("a", 5),)))
-    assert state.retirements == (drain("b", 2), leave("a"))
+    assert state.retirements == (drain("b", 2), deregistration("a"))
     assert state.sequence == 3
 
 
 @pytest.mark.parametrize(
-    ("end", "known"), [(drain("a"), True), (leave("a"), False), (drain("b"), False), (drain("a", 9), True)]
+    ("retirement", "known"),
+    [(drain("a"), True), (deregistration("a"), False), (drain("b"), False), (drain("a", 9), True)],
 )
-def test_a_drain_tells_no_end(end: WorkerRetirement, known: bool) -> None:
-    assert is_retired(apply(ControlState(), RecordRetirements((drain("a"),))), end) is known
+def test_a_stored_drain_is_no_deregistration(retirement: WorkerRetirement, known: bool) -> None:
+    assert is_retired(apply(ControlState(), RecordRetirements((drain("a"),))), retirement) is known
 
 
-def test_the_oldest_ends_are_forgotten() -> None:
+def test_the_oldest_retirements_are_dropped() -> None:
     state = ControlState()
     for number in range(MAX_RETIREMENTS + 3):
         state = apply(state, RecordRetirements((drain(f"i-{number}"),)))
     assert len(state.retirements) == MAX_RETIREMENTS and state.retirements[0].instance == "i-3"
 
 
-async def planes(world: World) -> list[ControlPlane]:
+async def control_planes(world: World) -> list[ControlPlane]:
     """Of a settled core, in the order of the chain."""
     for _ in range(world.count):
         world.start(world.add(True))
@@ -56,9 +57,9 @@
     return [by_name[m.name] for m in next(iter(by_name.values())).voting.view.chain]
 
 
-def test_any_core_machine_has_the_whole_chain_store_an_end() -> None:
+def test_any_control_process_has_the_full_chain_store_a_retirement() -> None:
     async def work() -> None:
-        for number, plane in enumerate(members := await planes(World(3))):
+        for number, plane in enumerate(members := await control_planes(World(3))):
             assert await plane.retirements.record(drain(f"i-{number}"))
             assert all(m.voting.replica.state.retirements[-1].instance == f"i-{number}" for m in members)
             assert await plane.retirements.record(drain(f"i-{number}"))
@@ -67,24 +68,28 @@
     run(work())
 
 
-def test_ends_that_come_together_travel_together() -> None:
+def test_concurrent_retirements_are_stored_in_few_operations() -> None:
     async def work() -> None:
-        head, second, _ = await planes(World(4))
+        head, second, _ = await control_planes(World(4))
         before = head.voting.replica.state.sequence
-        ends = [drain(f"i-{number}") for number in range(60)]
-        assert all(await asyncio.gather(*(second.retirements.record(end) for end in ends)))
+        retirements = [drain(f"i-{number}") for number in range(60)]
+        assert all(
+            await asyncio.gather(*(second.retirements.record(retirement) for retirement in retirements))
+        )
         state = head.voting.replica.state
-        assert {end.instance for end in state.retirements} == {end.instance for end in ends}
+        assert {retirement.instance for retirement in state.retirements} == {
+            retirement.instance for retirement in retirements
+        }
         assert state.sequence - before < 10
         assert head.retirements.pending == {}
 
     run(work())
 
 
-def test_without_the_chain_no_end_is_stored() -> None:
+def test_no_retirement_is_stored_without_the_chain() -> None:
     async def work() -> None:
         world = World(5)
-        head, second, _ = await planes(world)
+        head, second, _ = await control_planes(world)
         for other in world.machines.values():
             world.network.cut |= {(head.voting.me.peer_address, other.address)}
             world.network.cut |= {(other.address, head.voting.me.peer_address)}
@@ -97,16 +102,16 @@
     run(work())
 
 
-def test_an_end_that_was_written_after_the_callers_time_counts_when_it_is_told_again() -> None:
+def test_a_retirement_written_after_the_timeout_counts_at_the_retry() -> None:
     async def work() -> None:
         world = World(6)
-        head, second, tail = await planes(world)
+        head, second, tail = await control_planes(world)
         disk = world.machines[tail.voting.me.name].disk
         assert disk is not None
         disk.stalled_until = asyncio.get_running_loop().time() + 0.8
         assert not await head.retirements.record(drain("i-1"))
         await asyncio.sleep(3.0)
         assert await head.retirements.record(drain("i-1"))
-        assert [e.instance for e in head.voting.replica.state.retirements] == ["i-1"]
+        assert [retirement.instance for retirement in head.voting.replica.state.retirements] == ["i-1"]
 
     run(work())
--- a/tests/cluster/test_worker_sessions.py
+++ b/tests/cluster/test_worker_sessions.py
@@ -7,7 +7,7 @@
     SessionPhase,
     WorkerRecord,
 )
-from tests.cluster.session_scene import heartbeat, phase_of, played, session_scene
+from tests.cluster.session_scene import heartbeat, phase_of, run_virtual, session_scene
 
 
 def test_a_heartbeat_without_changes_is_not_replicated() -> None:
@@ -18,7 +18,7 @@
         await scene.sessions.on_heartbeat("i-1", heartbeat(2))
         return first, scene.tables.counter
 
-    assert played(work) == (1, 1)
+    assert run_virtual(work) == (1, 1)
 
 
 def test_a_late_heartbeat_does_not_undo_a_drain() -> None:
@@ -28,7 +28,7 @@
         assert await scene.sessions.on_heartbeat("i-1", heartbeat(4))
         return phase_of(scene)
 
-    assert played(work) is SessionPhase.DRAINING
+    assert run_virtual(work) is SessionPhase.DRAINING
 
 
 @pytest.mark.parametrize(
@@ -70,7 +70,7 @@
         other.tables.merge(*cut_off.tables.records_after({}))
         return phase_of(other)
 
-    assert played(work) is SessionPhase.DEREGISTERED
+    assert run_virtual(work) is SessionPhase.DEREGISTERED
 
 
 def test_a_deregistered_worker_stays_deregistered() -> None:
@@ -81,4 +81,4 @@
         await scene.sessions.on_heartbeat("i-1", heartbeat(2))
         return phase_of(scene)
 
-    assert played(work) is SessionPhase.DEREGISTERED
+    assert run_virtual(work) is SessionPhase.DEREGISTERED
