--- /dev/null
+++ b/.ruff_cache/CACHEDIR.TAG
@@ -0,0 +1,1 @@
+Signature: 8a477f597d28d172789f06886806bc55
--- a/finchladder/cluster/placement/demand.py
+++ b/finchladder/cluster/placement/demand.py
@@ -11,6 +11,7 @@
 from attrs import define, field
 
 from finchladder.cluster.types.messages import DemandReport
+from finchladder.cluster.types.replicas import ReplicaKey
 
 TIME_CONSTANT_S = 4.0
 RECENT_S = 1.0  # the same, of what tells where demand goes
@@ -68,14 +69,6 @@
     return max(average, recent + TREND * max(0.0, recent - average))
 
 
-@define(frozen=True)
-class Place:
-    """A model at a worker."""
-
-    instance: str
-    model: str
-
-
 @define
 class ReportedDemand:
     """The last report of one dispatcher."""
@@ -84,7 +77,7 @@
     waiting: Counter[Item] = field(factory=Counter)
     running: Counter[Item] = field(factory=Counter)
     loads: Counter[str] = field(factory=Counter)  # requests in flight by worker instance
-    uses: Counter[Place] = field(factory=Counter)  # those of one model, its adapters included
+    uses: Counter[ReplicaKey] = field(factory=Counter)  # those of one model, its adapters included
 
 
 @define
@@ -98,7 +91,7 @@
 
     def take(self, now: float, report: DemandReport) -> None:
         """A dispatcher's report."""
-        uses = Counter({Place(use.instance, use.model): use.requests for use in report.model_uses})
+        uses = Counter({ReplicaKey(use.instance, use.model): use.requests for use in report.model_uses})
         reported = ReportedDemand(now, loads=Counter(report.worker_loads), uses=uses)
         for demand in report.demands:
             item = Item(demand.service, demand.model, demand.adapter)
@@ -177,7 +170,7 @@
 
     def uses(self, instance: str, model: str) -> int:
         """Requests of that model in flight at that worker, as last reported."""
-        return self.total.uses[Place(instance, model)]
+        return self.total.uses[ReplicaKey(instance, model)]
 
     def loads_of_others(self, sender: str) -> dict[str, int]:
         """Requests in flight by worker instance that all but one dispatcher have reported of."""
--- a/finchladder/cluster/routing/demand.py
+++ b/finchladder/cluster/routing/demand.py
@@ -9,6 +9,7 @@
 from finchladder.cluster.routing.pools import ONE_REQUEST, PoolKey, Sized
 from finchladder.cluster.routing.requests import Need
 from finchladder.cluster.types.messages import Demand, ModelUse
+from finchladder.cluster.types.replicas import ReplicaKey
 
 USUAL_TOKENS = 1000  # of a prompt whose request does not tell its size
 
@@ -23,14 +24,6 @@
     running: int = 0
 
 
-@frozen
-class Place:
-    """A model at a worker."""
-
-    instance: str
-    model: str
-
-
 @frozen
 class Returning:
     """A refused request that counts as waiting until its client may have come back. `until`: seconds."""
@@ -44,7 +37,7 @@
     """Times are passed in. `on_wait` is called when something begins to be waited for that nobody holds."""
 
     counts: dict[PoolKey, Count] = field(factory=dict)
-    in_flight: Counter[Place] = field(factory=Counter)
+    in_flight: Counter[ReplicaKey] = field(factory=Counter)
     returning: deque[Returning] = field(factory=deque)
     paces: dict[str, ReadingPace] = field(factory=dict)  # by service
     on_wait: Callable[[], None] = lambda: None
@@ -76,7 +69,7 @@
         if not key.model:
             return
         self._of(key).running += step
-        place = Place(instance, key.model)
+        place = ReplicaKey(instance, key.model)
         self.in_flight[place] += step
         if not self.in_flight[place]:
             del self.in_flight[place]
--- a/tests/cluster/test_placement.py
+++ b/tests/cluster/test_placement.py
@@ -3,10 +3,10 @@
 from collections import Counter
 
 from attrs import evolve
+from finchladder.cluster.configuration.snapshot import Engine, Model
 from hypothesis import given
 from hypothesis import strategies as st
 
-from finchladder.cluster.configuration.snapshot import Engine, Model
 from finchladder.cluster.placement.demand import DemandBook, Item
 from finchladder.cluster.placement.disks import MOST_DISKS, KnownDisks
 from finchladder.cluster.placement.durations import Durations
--- a/tests/cluster/test_rare_models.py
+++ b/tests/cluster/test_rare_models.py
@@ -3,8 +3,8 @@
 from math import exp
 
 import pytest
-
 from finchladder.cluster.configuration.snapshot import Engine, Model
+
 from finchladder.cluster.placement.demand import DemandBook
 from finchladder.cluster.placement.durations import CHANGE_S, USE_S, FirstCopies
 from finchladder.cluster.placement.plan import Load, Plan, Victim, WorkerState, places_for_first_copies
--- a/tests/cluster/test_utilization.py
+++ b/tests/cluster/test_utilization.py
@@ -3,10 +3,10 @@
 from itertools import pairwise
 
 import pytest
+from finchladder.cluster.configuration.snapshot import Engine, Model
 from hypothesis import given
 from hypothesis import strategies as st
 
-from finchladder.cluster.configuration.snapshot import Engine, Model
 from finchladder.cluster.placement.demand import DemandBook, Item
 from finchladder.cluster.placement.plan import Load, Plan, WorkerState
 from finchladder.cluster.placement.planner import Round
