--- a/finchladder/cluster/placement/demand.py
+++ b/finchladder/cluster/placement/demand.py
@@ -13,17 +13,17 @@
 from finchladder.cluster.types.messages import DemandReport
 from finchladder.cluster.types.replicas import ReplicaKey
 
-TIME_CONSTANT_S = 4.0
-RECENT_S = 1.0  # the same, of what tells where demand goes
-TREND = 0.5  # of what a figure has lately gained over its average, it is expected to gain again
-REPORT_FORGOTTEN_S = 3.0
-LEAST_RATE = 0.003  # below this a model counts as idle
+RATE_TIME_CONSTANT_S = 4.0
+RECENT_TIME_CONSTANT_S = 1.0  # the same, of what tells where demand goes
+TREND_WEIGHT = 0.5  # of what a figure has lately gained over its average, it is expected to gain again
+REPORT_EXPIRY_S = 3.0
+MIN_TRACKED_RATE = 0.003  # below this a model counts as idle
 
 Key = TypeVar("Key", bound=Hashable)
 
 
 @define(frozen=True)
-class Item:
+class DemandKey:
     """A model, or an adapter of it."""
 
     service: str
@@ -32,156 +32,165 @@
 
 
 @define
-class Figure:
+class DemandEstimate:
     """Of one item. `rate`: requests a second, decayed; `waiting` and `running` as last reported."""
 
     rate: float = 0.0
     recent_rate: float = 0.0  # the same, over a shorter time
-    tokens: float = 0.0  # a second
-    recent_tokens: float = 0.0
-    at: float = 0.0
+    tokens_per_s: float = 0.0  # a second
+    recent_tokens_per_s: float = 0.0
+    updated_at: float = 0.0
     running: float = 0.0  # smoothed
-    asked_at: float = -1e9
+    last_request_at: float = -1e9
 
     def decay(self, now: float, running: int | None = None) -> None:
         """Brings the figures to that moment; `running`: how many run now."""
-        factor = exp(-(now - self.at) / TIME_CONSTANT_S)
+        factor = exp(-(now - self.updated_at) / RATE_TIME_CONSTANT_S)
         self.rate *= factor
-        self.tokens *= factor
-        recent_factor = exp(-(now - self.at) / RECENT_S)
+        self.tokens_per_s *= factor
+        recent_factor = exp(-(now - self.updated_at) / RECENT_TIME_CONSTANT_S)
         self.recent_rate *= recent_factor
-        self.recent_tokens *= recent_factor
+        self.recent_tokens_per_s *= recent_factor
         if running is not None:
             self.running += (1 - factor) * (running - self.running)
-        self.at = now
+        self.updated_at = now
 
 
 @define(frozen=True)
-class Expected:
+class ExpectedDemand:
     """Requests and prompt tokens a second."""
 
     rate: float
-    tokens: float
+    tokens_per_s: float
 
 
-def _ahead(average: float, recent: float) -> float:
+def _extrapolate(average: float, recent: float) -> float:
     """Where a figure that rises will be when a load that begins now has ended; no lower than it was."""
-    return max(average, recent + TREND * max(0.0, recent - average))
+    return max(average, recent + TREND_WEIGHT * max(0.0, recent - average))
 
 
 @define
 class ReportedDemand:
     """The last report of one dispatcher."""
 
-    at: float
-    waiting: Counter[Item] = field(factory=Counter)
-    running: Counter[Item] = field(factory=Counter)
-    loads: Counter[str] = field(factory=Counter)  # requests in flight by worker instance
-    uses: Counter[ReplicaKey] = field(factory=Counter)  # those of one model, its adapters included
+    received_at: float
+    queued: Counter[DemandKey] = field(factory=Counter)
+    running: Counter[DemandKey] = field(factory=Counter)
+    worker_loads: Counter[str] = field(factory=Counter)  # requests in flight by worker instance
+    replica_requests: Counter[ReplicaKey] = field(
+        factory=Counter
+    )  # those of one model, its adapters included
 
 
 @define
-class DemandBook:
+class DemandTracker:
     """O(items in the report) for each report: sums over the dispatchers are kept, not made anew."""
 
-    figures: dict[Item, Figure] = field(factory=dict)
-    reported: dict[str, ReportedDemand] = field(factory=dict)
-    total: ReportedDemand = field(factory=lambda: ReportedDemand(0.0))
-    paces: dict[str, dict[str, float]] = field(factory=dict)  # seconds a token, by service and dispatcher
+    estimates: dict[DemandKey, DemandEstimate] = field(factory=dict)
+    reports: dict[str, ReportedDemand] = field(factory=dict)
+    totals: ReportedDemand = field(factory=lambda: ReportedDemand(0.0))
+    prefill_reports: dict[str, dict[str, float]] = field(
+        factory=dict
+    )  # seconds a token, by service and dispatcher
 
-    def take(self, now: float, report: DemandReport) -> None:
+    def add_report(self, now: float, report: DemandReport) -> None:
         """A dispatcher's report."""
         uses = Counter({ReplicaKey(use.instance, use.model): use.requests for use in report.model_uses})
-        reported = ReportedDemand(now, loads=Counter(report.worker_loads), uses=uses)
+        reported = ReportedDemand(now, worker_loads=Counter(report.worker_loads), replica_requests=uses)
         for demand in report.demands:
-            item = Item(demand.service, demand.model, demand.adapter)
+            item = DemandKey(demand.service, demand.model, demand.adapter)
             if demand.requests:
-                figure = self.figures.setdefault(item, Figure(at=now))
+                figure = self.estimates.setdefault(item, DemandEstimate(updated_at=now))
                 figure.decay(now, self.running_now(item))
-                figure.rate += demand.requests / TIME_CONSTANT_S
-                figure.tokens += demand.prompt_tokens / TIME_CONSTANT_S
-                figure.recent_rate += demand.requests / RECENT_S
-                figure.recent_tokens += demand.prompt_tokens / RECENT_S
-                figure.asked_at = now
+                figure.rate += demand.requests / RATE_TIME_CONSTANT_S
+                figure.tokens_per_s += demand.prompt_tokens / RATE_TIME_CONSTANT_S
+                figure.recent_rate += demand.requests / RECENT_TIME_CONSTANT_S
+                figure.recent_tokens_per_s += demand.prompt_tokens / RECENT_TIME_CONSTANT_S
+                figure.last_request_at = now
             if demand.queued:
-                reported.waiting[item] = demand.queued
+                reported.queued[item] = demand.queued
             if demand.in_flight:
                 reported.running[item] = demand.in_flight
         for service, s_per_token in report.prefill_s_per_token.items():
-            self.paces.setdefault(service, {})[report.sender] = s_per_token
-        self._withdraw(report.sender)
-        self.reported[report.sender] = reported
-        self.total.waiting.update(reported.waiting)
-        self.total.running.update(reported.running)
-        self.total.loads.update(reported.loads)
-        self.total.uses.update(reported.uses)
-
-    def _withdraw(self, sender: str) -> None:
+            self.prefill_reports.setdefault(service, {})[report.sender] = s_per_token
+        self._remove_report(report.sender)
+        self.reports[report.sender] = reported
+        self.totals.queued.update(reported.queued)
+        self.totals.running.update(reported.running)
+        self.totals.worker_loads.update(reported.worker_loads)
+        self.totals.replica_requests.update(reported.replica_requests)
+
+    def _remove_report(self, sender: str) -> None:
         """Takes a dispatcher's last report out of the sums."""
-        reported = self.reported.pop(sender, None)
+        reported = self.reports.pop(sender, None)
         if reported is not None:
-            _subtract(self.total.waiting, reported.waiting)
-            _subtract(self.total.running, reported.running)
-            _subtract(self.total.loads, reported.loads)
-            _subtract(self.total.uses, reported.uses)
+            _subtract(self.totals.queued, reported.queued)
+            _subtract(self.totals.running, reported.running)
+            _subtract(self.totals.worker_loads, reported.worker_loads)
+            _subtract(self.totals.replica_requests, reported.replica_requests)
 
-    def settle(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Decays all figures and forgets idle items and silent dispatchers."""
-        for sender in [s for s, reported in self.reported.items() if now - reported.at > REPORT_FORGOTTEN_S]:
-            self._withdraw(sender)
-        for item, figure in list(self.figures.items()):
+        for sender in [
+            s for s, reported in self.reports.items() if now - reported.received_at > REPORT_EXPIRY_S
+        ]:
+            self._remove_report(sender)
+        for item, figure in list(self.estimates.items()):
             figure.decay(now, self.running_now(item))
-            if figure.rate < LEAST_RATE and now - figure.asked_at > 10 * TIME_CONSTANT_S:
-                del self.figures[item]
+            if figure.rate < MIN_TRACKED_RATE and now - figure.last_request_at > 10 * RATE_TIME_CONSTANT_S:
+                del self.estimates[item]
 
-    def rate(self, item: Item) -> float:
+    def rate(self, key: DemandKey) -> float:
         """Requests a second."""
-        figure = self.figures.get(item)
+        figure = self.estimates.get(key)
         return 0.0 if figure is None else figure.rate
 
-    def expected(self, item: Item) -> "Expected":
+    def expected(self, key: DemandKey) -> "ExpectedDemand":
         """What is asked for soon."""
-        figure = self.figures.get(item)
+        figure = self.estimates.get(key)
         if figure is None:
-            return Expected(0.0, 0.0)
-        return Expected(_ahead(figure.rate, figure.recent_rate), _ahead(figure.tokens, figure.recent_tokens))
+            return ExpectedDemand(0.0, 0.0)
+        return ExpectedDemand(
+            _extrapolate(figure.rate, figure.recent_rate),
+            _extrapolate(figure.tokens_per_s, figure.recent_tokens_per_s),
+        )
 
-    def s_per_token(self, service: str) -> float:
+    def prefill_s_per_token(self, service: str) -> float:
         """Seconds that an engine reads at one token of a prompt; 0: nobody knows."""
-        known = self.paces.get(service)
+        known = self.prefill_reports.get(service)
         return median(known.values()) if known else 0.0
 
-    def waiting(self, item: Item) -> int:
+    def queued(self, key: DemandKey) -> int:
         """Requests that wait for it anywhere."""
-        return self.total.waiting[item]
+        return self.totals.queued[key]
 
-    def waited_for(self) -> list[Item]:
+    def queued_keys(self) -> list[DemandKey]:
         """Items for which requests wait anywhere."""
-        return list(self.total.waiting)
+        return list(self.totals.queued)
 
-    def running(self, item: Item) -> float:
+    def running(self, key: DemandKey) -> float:
         """Requests of it that run anywhere, smoothed."""
-        figure = self.figures.get(item)
+        figure = self.estimates.get(key)
         return 0.0 if figure is None else figure.running
 
-    def running_now(self, item: Item) -> int:
+    def running_now(self, key: DemandKey) -> int:
         """Requests of it that run anywhere, as last reported."""
-        return self.total.running[item]
+        return self.totals.running[key]
 
-    def uses(self, instance: str, model: str) -> int:
+    def replica_requests(self, instance: str, model: str) -> int:
         """Requests of that model in flight at that worker, as last reported."""
-        return self.total.uses[ReplicaKey(instance, model)]
+        return self.totals.replica_requests[ReplicaKey(instance, model)]
 
-    def loads_of_others(self, sender: str) -> dict[str, int]:
+    def peer_loads(self, sender: str) -> dict[str, int]:
         """Requests in flight by worker instance that all but one dispatcher have reported of."""
-        others = Counter(self.total.loads)
-        if sender in self.reported:
-            _subtract(others, self.reported[sender].loads)
+        others = Counter(self.totals.worker_loads)
+        if sender in self.reports:
+            _subtract(others, self.reports[sender].worker_loads)
         return dict(others)
 
-    def items(self) -> set[Item]:
+    def tracked_keys(self) -> set[DemandKey]:
         """All that is asked for, waited for or running."""
-        return set(self.figures) | set(self.total.waiting) | set(self.total.running)
+        return set(self.estimates) | set(self.totals.queued) | set(self.totals.running)
 
 
 def _subtract(sums: Counter[Key], part: Counter[Key]) -> None:
--- a/finchladder/cluster/placement/ledger.py
+++ b/finchladder/cluster/placement/load_rate_limiter.py
@@ -13,99 +13,106 @@
 
 from finchladder.cluster.types.workers import PlacementRecord
 
-RULE_SLACK = 3  # loads that the rule allows beyond the rate
+RULE_EXTRA_LOADS = 3  # loads that the rule allows beyond the rate
 
 
 @define
-class LoadLedger:
+class LoadRateLimiter:
     """Loads that this placer began, or assumes that others did."""
 
-    rate_s: float
+    max_loads_per_s: float
     window_s: float
-    overage: float
-    unknown_until: float = 0.0  # up to then others' loads count in the window
-    began: deque[float] = field(factory=deque)
+    allowed_overage: float
+    predecessor_unknown_until: float = 0.0  # up to then others' loads count in the window
+    load_times: deque[float] = field(factory=deque)
 
-    def assume_full(self, until: float) -> None:
+    def assume_exhausted(self, until: float) -> None:
         """Another placer may have begun all that it may, up to that moment."""
-        self.began = deque([until] * self.most)
-        self.unknown_until = until + self.window_s
+        self.load_times = deque([until] * self.max_loads)
+        self.predecessor_unknown_until = until + self.window_s
 
-    def know(self, began: Iterable[float]) -> None:
+    def restore(self, load_times: Iterable[float]) -> None:
         """What others began lately is known, unless it is more than one placer begins."""
-        self.began = deque(sorted(began)[-self.most :])
-        if len(self.began) < self.most:
-            self.unknown_until = 0.0
+        self.load_times = deque(sorted(load_times)[-self.max_loads :])
+        if len(self.load_times) < self.max_loads:
+            self.predecessor_unknown_until = 0.0
 
     @property
-    def most(self) -> int:
+    def max_loads(self) -> int:
         """Loads that one window may hold."""
-        return max(1, int(self.rate_s * self.window_s))
+        return max(1, int(self.max_loads_per_s * self.window_s))
 
     def allows(self, now: float) -> bool:
         """Whether another load may begin."""
-        return self.left(now) > 0
+        return self.remaining(now) > 0
 
-    def left(self, now: float) -> int:
+    def remaining(self, now: float) -> int:
         """How many loads may begin now."""
-        while self.began and self.began[0] <= now - self.window_s:
-            self.began.popleft()
-        most = self.hard_most if now < self.unknown_until else self.most
-        return most - len(self.began)
+        while self.load_times and self.load_times[0] <= now - self.window_s:
+            self.load_times.popleft()
+        most = self.hard_max_loads if now < self.predecessor_unknown_until else self.max_loads
+        return most - len(self.load_times)
 
     @property
-    def hard_most(self) -> int:
+    def hard_max_loads(self) -> int:
         """Loads that the rule allows in one window, less one for clocks that differ."""
-        return max(self.most, int(self.rate_s * self.window_s * self.overage + RULE_SLACK) - 1)
+        return max(
+            self.max_loads,
+            int(self.max_loads_per_s * self.window_s * self.allowed_overage + RULE_EXTRA_LOADS) - 1,
+        )
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """A load may have begun."""
-        self.began.append(now)
+        self.load_times.append(now)
 
-    def withdraw(self, at: float) -> None:
+    def withdraw(self, recorded_at: float) -> None:
         """The load that was noted at that moment has not begun."""
-        if at in self.began:
-            self.began.remove(at)
+        if recorded_at in self.load_times:
+            self.load_times.remove(recorded_at)
 
 
 @frozen
-class Announced:
+class AnnouncedLoads:
     """What one placement record tells: when loads from the store began at the worker."""
 
     serial: int
-    began: tuple[float, ...]
+    load_times: tuple[float, ...]
 
 
 @define
-class ObservedLoads:
+class AnnouncedLoadLog:
     """Loads from the store that placers announced, as any member of the core sees them. A record is older
     than the moment at which it is seen, so a load counts for no shorter than it should.
     """
 
     window_s: float
-    by_worker: dict[tuple[str, int], Announced] = field(factory=dict)  # by instance and fencing token
+    by_worker_and_token: dict[tuple[str, int], AnnouncedLoads] = field(
+        factory=dict
+    )  # by instance and fencing token
 
-    def note(self, now: float, records: Iterable[PlacementRecord]) -> None:
+    def record(self, now: float, records: Iterable[PlacementRecord]) -> None:
         """These records are known now. O(records)."""
         for record in records:
             key = record.instance, record.token
-            known = self.by_worker.get(key)
+            known = self.by_worker_and_token.get(key)
             if record.load_ages_ms and (known is None or known.serial < record.serial):
                 began = tuple(now - age_ms / 1000 for age_ms in record.load_ages_ms)
-                self.by_worker[key] = Announced(record.serial, began)
+                self.by_worker_and_token[key] = AnnouncedLoads(record.serial, began)
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drops what lies before the window."""
         since = now - self.window_s
-        self.by_worker = {key: a for key, a in self.by_worker.items() if max(a.began) > since}
+        self.by_worker_and_token = {
+            key: a for key, a in self.by_worker_and_token.items() if max(a.load_times) > since
+        }
 
-    def within(self, now: float, instances: Iterable[str]) -> list[float]:
+    def recent_loads(self, now: float, instances: Iterable[str]) -> list[float]:
         """When loads at these workers began, as far as that lies in the window."""
         wanted, since = set(instances), now - self.window_s
         return [
             at
-            for (instance, _), announced in self.by_worker.items()
+            for (instance, _), announced in self.by_worker_and_token.items()
             if instance in wanted
-            for at in announced.began
+            for at in announced.load_times
             if at > since
         ]
--- a/finchladder/cluster/process/placer.py
+++ b/finchladder/cluster/process/placer.py
@@ -14,27 +14,27 @@
     Engine,
     build_snapshot,
 )
-from finchladder.cluster.placement.demand import DemandBook, Item
-from finchladder.cluster.placement.disks import KnownDisks
-from finchladder.cluster.placement.durations import EVICT_S, Durations, FirstCopies
-from finchladder.cluster.placement.ledger import LoadLedger, ObservedLoads
+from finchladder.cluster.placement.demand import DemandKey, DemandTracker
+from finchladder.cluster.placement.disk_inventory import DiskInventory
+from finchladder.cluster.placement.load_durations import EVICTION_S, ColdStartOccupancy, LoadDurations
+from finchladder.cluster.placement.load_rate_limiter import AnnouncedLoadLog, LoadRateLimiter
 from finchladder.cluster.placement.plan import (
-    KEPT_FREE,
-    KEPT_FREE_BY_PREPARING,
-    Load,
-    Plan,
-    Victim,
-    WorkerState,
-    store_loads_at_once,
+    PREFETCH_RESERVED_WORKERS_FACTOR,
+    RESERVED_WORKERS_FACTOR,
+    Eviction,
+    LoadAction,
+    PlannerWorker,
+    PlanningInput,
+    max_concurrent_store_loads,
     used_mb,
 )
-from finchladder.cluster.placement.planner import Round
+from finchladder.cluster.placement.planner import PlanningPass
 from finchladder.cluster.process.log import event
-from finchladder.cluster.process.managed_worker import Managed, StoreLoad
+from finchladder.cluster.process.managed_worker import ManagedWorker, StoreLoadPermit
 from finchladder.cluster.process.placer_lease import RoleService
 from finchladder.cluster.process.tasks import Signal, Tasks
 from finchladder.cluster.process.update_server import UpdateServer
-from finchladder.cluster.process.worker_orders import SETTLE_S, WorkerOrders
+from finchladder.cluster.process.worker_orders import WORKER_RETRY_DELAY_S, WorkerOrders
 from finchladder.cluster.routing.pools import effective_holdings
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.errors import PeerUnreachableError
@@ -42,11 +42,11 @@
 from finchladder.cluster.types.worker_api import WorkerReport
 from finchladder.cluster.types.workers import PendingLoad, SessionPhase, WorkerRecord
 
-TICK_S = 0.1
-HIDE_S = 0.05  # from telling the dispatchers that a model goes until the order goes out
-IDLE_REQUESTS = 0.02  # expected within that time: what is asked for less is evicted at once
-REPORT_INTERVAL_MS = 400
-REPORTS_A_SECOND = 150  # that the placer is ready to read
+PLANNING_INTERVAL_S = 0.1
+EVICTION_NOTICE_S = 0.05  # from telling the dispatchers that a model goes until the order goes out
+MAX_IDLE_REQUESTS = 0.02  # expected within that time: what is asked for less is evicted at once
+MIN_REPORT_INTERVAL_MS = 400
+MAX_REPORTS_PER_S = 150  # that the placer is ready to read
 
 
 @define
@@ -57,41 +57,43 @@
     updates: UpdateServer
     orders: WorkerOrders
     tasks: Tasks
-    window_s: float
-    overage: float
-    idle_s: float  # the last holder's orders are at least so old when the role is granted to another one
-    demand: DemandBook = field(factory=DemandBook)
-    managed: dict[str, Managed] = field(factory=dict)
-    ledgers: dict[str, LoadLedger] = field(factory=dict)
-    durations: dict[str, Durations] = field(factory=dict)
-    first_copies: dict[str, FirstCopies] = field(factory=dict)  # by service
-    disks: KnownDisks = field(factory=KnownDisks)
-    observed: ObservedLoads = field(init=False)
-    waited_for: Signal = field(factory=Signal)
-    waiting_since: dict[Item, float] = field(factory=dict)  # what is waited for that nobody holds
+    load_window_s: float
+    allowed_load_overage: float
+    takeover_delay_s: (
+        float  # the last holder's orders are at least so old when the role is granted to another one
+    )
+    demand: DemandTracker = field(factory=DemandTracker)
+    workers: dict[str, ManagedWorker] = field(factory=dict)
+    rate_limiters: dict[str, LoadRateLimiter] = field(factory=dict)
+    load_durations: dict[str, LoadDurations] = field(factory=dict)
+    cold_starts: dict[str, ColdStartOccupancy] = field(factory=dict)  # by service
+    disks: DiskInventory = field(factory=DiskInventory)
+    announced_loads: AnnouncedLoadLog = field(init=False)
+    demand_queued: Signal = field(factory=Signal)
+    queued_since: dict[DemandKey, float] = field(factory=dict)  # what is waited for that nobody holds
     snapshot: ConfigurationSnapshot = EMPTY_SNAPSHOT
     term: int = 0
-    was_own: bool = False  # the holder before was a former life of this process
-    term_began: float = 0.0
+    is_reelected: bool = False  # the holder before was a former life of this process
+    term_started_at: float = 0.0
     survey: asyncio.Task[None] | None = None
 
     def __attrs_post_init__(self) -> None:
-        self.observed = ObservedLoads(self.window_s)
+        self.announced_loads = AnnouncedLoadLog(self.load_window_s)
 
     def on_demand(self, report: DemandReport) -> DemandReply:
         """A dispatcher's report."""
-        self.demand.take(steady(), report)
+        self.demand.add_report(steady(), report)
         if any(d.queued for d in report.demands):
-            self._note_waiting()
-            self.waited_for.fire()
+            self._track_queued()
+            self.demand_queued.fire()
         edges = max(1, self.updates.dispatcher_count())
-        interval = max(REPORT_INTERVAL_MS, 1000 * edges // REPORTS_A_SECOND)
-        return DemandReply(interval, self.role.holds(), self.demand.loads_of_others(report.sender))
+        interval = max(MIN_REPORT_INTERVAL_MS, 1000 * edges // MAX_REPORTS_PER_S)
+        return DemandReply(interval, self.role.holds(), self.demand.peer_loads(report.sender))
 
-    def _note_waiting(self) -> None:
+    def _track_queued(self) -> None:
         """Keeps since when each item is waited for, as long as it is."""
-        now, items = steady(), self.demand.waited_for()
-        self.waiting_since = {item: self.waiting_since.get(item, now) for item in items}
+        now, items = steady(), self.demand.queued_keys()
+        self.queued_since = {item: self.queued_since.get(item, now) for item in items}
 
     async def run(self) -> None:
         """Plans again and again while it holds the role."""
@@ -99,10 +101,10 @@
             self._observe()
             if self.role.holds():
                 self._begin_term()
-                self._tick()
+                self._plan_all_services()
             elif self.term and self.role.lease.is_dropped:
                 self._end_term()
-            await self.waited_for.wait(TICK_S)
+            await self.demand_queued.wait(PLANNING_INTERVAL_S)
 
     def _observe(self) -> None:
         """What whoever may become placer has to know: which models workers have held, as these are on their
@@ -111,204 +113,219 @@
         now, tables = steady(), self.updates.tables
         if not self.term:
             for record in tables.live_workers():
-                self.disks.note(record.instance, record.address, (h.model for h in record.loaded_models))
-        self.observed.note(now, (p.record for p in tables.placements.values()))
-        self.observed.forget(now)
+                self.disks.record_models(
+                    record.instance, record.address, (h.model for h in record.loaded_models)
+                )
+        self.announced_loads.record(now, (p.record for p in tables.placements.values()))
+        self.announced_loads.expire(now)
 
     def _begin_term(self) -> None:
         token = self.role.lease.token
         if token == self.term:
             return
         self._end_term()
-        self.term, self.term_began = token, steady()
-        self.was_own = self.role.was_own
-        self.ledgers = {}
+        self.term, self.term_started_at = token, steady()
+        self.is_reelected = self.role.was_own
+        self.rate_limiters = {}
         self._follow_workers()
         if token > 1:
-            self.survey = self.tasks.spawn(self._survey(token), "survey of the workers")
+            self.survey = self.tasks.spawn(self._survey_workers(token), "survey of the workers")
 
-    async def _survey(self, term: int) -> None:
+    async def _survey_workers(self, term: int) -> None:
         """Asks all workers what they hold, and so learns how many loads the last placer may have begun. One
         that was not there to see what was announced does not know.
         """
-        await asyncio.gather(*(self._look_at(managed) for managed in self.managed.values()))
+        await asyncio.gather(*(self._survey_worker(managed) for managed in self.workers.values()))
         now = steady()
-        if self.term != term or now - self.updates.started_at < self.window_s:
+        if self.term != term or now - self.updates.started_at < self.load_window_s:
             return
         self._observe()
         for name, service in self.snapshot.services.items():
             if service.engine is not None:
-                self._take_over(now, name, service.engine)
+                self._restore_load_history(now, name, service.engine)
 
-    async def _look_at(self, managed: Managed) -> None:
+    async def _survey_worker(self, managed: ManagedWorker) -> None:
         with suppress(PeerUnreachableError):
-            report = await self.orders.ask(managed)
-            if managed.report is None and managed.taken_before is None:
-                managed.taken_before = report.sequence
+            report = await self.orders.fetch_report(managed)
+            if managed.last_report is None and managed.orders_taken_before_term is None:
+                managed.orders_taken_before_term = report.sequence
                 if managed.task is None and not report.busy:
-                    self._know(managed, report)
+                    self._accept_report(managed, report)
 
-    async def _get_to_know(self, managed: Managed) -> None:
+    async def _refresh_worker(self, managed: ManagedWorker) -> None:
         """Learns what a worker holds, once what it is doing has ended, and tells the dispatchers: what they
         were told last may be of a placer that was lost in the middle of an action.
         """
         try:
-            self._know(managed, await self.orders.learn(managed))
+            self._accept_report(managed, await self.orders.fetch_idle_report(managed))
         except PeerUnreachableError as error:
-            managed.retry_at = steady() + SETTLE_S
+            managed.retry_at = steady() + WORKER_RETRY_DELAY_S
             event("placer.worker_unheard", problem=str(error))
         finally:
             managed.task = None
 
-    def _take_over(self, now: float, service: str, engine: Engine) -> None:
+    def _restore_load_history(self, now: float, service: str, engine: Engine) -> None:
         """Counts the loads that were announced, and each order that was not as a load of this moment."""
-        workers = [m for m in self.managed.values() if m.state.service == service]
-        began = self.observed.within(now, (m.state.instance for m in workers))
-        unknown = sum(managed.orders_unheard() for managed in workers)
-        self._ledger(service, engine).know([*began, *[now] * unknown])
+        workers = [m for m in self.workers.values() if m.state.service == service]
+        began = self.announced_loads.recent_loads(now, (m.state.instance for m in workers))
+        unknown = sum(managed.unannounced_orders() for managed in workers)
+        self._rate_limiter(service, engine).restore([*began, *[now] * unknown])
         event("placer.taken_over", service=service, loads_lately=len(began), orders_unheard=unknown)
 
     def _end_term(self) -> None:
-        for managed in self.managed.values():
+        for managed in self.workers.values():
             if managed.task is not None:
                 managed.task.cancel()
-        self.managed.clear()
+        self.workers.clear()
         self.term = 0
 
     # --- planning -----------------------------------------------------------------------------------------
 
-    def _tick(self) -> None:
+    def _plan_all_services(self) -> None:
         now = steady()
         state = self.updates.state()
         if state.version != self.snapshot.version and state.document:
             self.snapshot = build_snapshot(state.document)
-        self.demand.settle(now)
+        self.demand.decay(now)
         self._follow_workers()
         for name, service in self.snapshot.services.items():
             if service.engine is not None:
-                self._plan(now, name, service.engine)
+                self._plan_service(now, name, service.engine)
 
     def _follow_workers(self) -> None:
         live = {r.instance: r for r in self.updates.tables.live_workers()}
-        for instance in set(self.managed) - set(live):
-            gone = self.managed.pop(instance)
+        for instance in set(self.workers) - set(live):
+            gone = self.workers.pop(instance)
             if gone.task is not None:
                 gone.task.cancel()
         for instance, record in live.items():
             service = self.snapshot.services.get(record.service)
             if service is None or service.engine is None:
                 continue
-            managed = self.managed.get(instance)
+            managed = self.workers.get(instance)
             if managed is None:
-                managed = self.managed[instance] = self._managed(record)
-            managed.state.leaving = record.phase is not SessionPhase.READY
+                managed = self.workers[instance] = self._new_worker(record)
+            managed.state.is_draining = record.phase is not SessionPhase.READY
 
-    def _managed(self, record: WorkerRecord) -> Managed:
+    def _new_worker(self, record: WorkerRecord) -> ManagedWorker:
         models = {h.model: set(h.adapters) for h in record.loaded_models}
-        self.disks.note(record.instance, record.address, models)
-        state = WorkerState(
+        self.disks.record_models(record.instance, record.address, models)
+        state = PlannerWorker(
             record.instance, record.service, record.address, record.zone, False, False, models
         )
         placement = self.updates.tables.placements.get(record.instance)
         if placement is None:
-            return Managed(state, self.term)
+            return ManagedWorker(state, self.term)
         told = placement.record
         serial = told.serial if told.token == self.term else 0  # it may have been lost, and be back
-        return Managed(state, self.term, serial=serial, announced_before=told.orders_taken)
+        return ManagedWorker(state, self.term, serial=serial, orders_announced_before_term=told.orders_taken)
 
-    def _plan(self, now: float, service: str, engine: Engine) -> None:
-        workers = [m for m in self.managed.values() if m.state.service == service]
-        ledger = self._ledger(service, engine)
+    def _plan_service(self, now: float, service: str, engine: Engine) -> None:
+        workers = [m for m in self.workers.values() if m.state.service == service]
+        ledger = self._rate_limiter(service, engine)
         loading: dict[str, int] = {}
         for managed in workers:
-            if managed.report is None and managed.task is None and now >= managed.retry_at:
-                managed.task = self.tasks.spawn(self._get_to_know(managed), "getting to know a worker")
-            managed.state.busy = managed.task is not None or now < managed.retry_at
-            managed.state.on_disk = self.disks.of(managed.state.instance)
-            managed.state.loading = ""
+            if managed.last_report is None and managed.task is None and now >= managed.retry_at:
+                managed.task = self.tasks.spawn(self._refresh_worker(managed), "getting to know a worker")
+            managed.state.is_busy = managed.task is not None or now < managed.retry_at
+            managed.state.models_on_disk = self.disks.models_on(managed.state.instance)
+            managed.state.loading_model = ""
             if managed.action is not None and not managed.action.adapter:
-                managed.state.loading = managed.action.model
+                managed.state.loading_model = managed.action.model
                 loading[managed.action.model] = loading.get(managed.action.model, 0) + 1
-        left = self._store_loads_left(now, workers, engine, ledger, KEPT_FREE)
-        has_demand = any(self.demand.rate(item) for item in self.demand.items() if item.service == service)
-        kept_free = KEPT_FREE_BY_PREPARING if has_demand else KEPT_FREE
+        left = self._store_loads_left(now, workers, engine, ledger, RESERVED_WORKERS_FACTOR)
+        has_demand = any(
+            self.demand.rate(item) for item in self.demand.tracked_keys() if item.service == service
+        )
+        kept_free = PREFETCH_RESERVED_WORKERS_FACTOR if has_demand else RESERVED_WORKERS_FACTOR
         preparing = self._store_loads_left(now, workers, engine, ledger, kept_free)
-        durations = self.durations.setdefault(service, Durations())
-        first_copies = self.first_copies.setdefault(service, FirstCopies())
-        plan = Plan(
+        durations = self.load_durations.setdefault(service, LoadDurations())
+        first_copies = self.cold_starts.setdefault(service, ColdStartOccupancy())
+        plan = PlanningInput(
             service,
             engine,
             [m.state for m in workers],
             self.demand,
             left,
             preparing,
-            durations.warm_share,
-            first_copies.at_once(now),
+            durations.warm_fraction,
+            first_copies.occupied_slots(now),
         )
-        held = {model for m in workers for model in m.state.models} | set(loading)
-        for action in Round(plan, loading).actions():
+        held = {model for m in workers for model in m.state.loaded_models} | set(loading)
+        for action in PlanningPass(plan, loading).actions():
             if not action.adapter and action.model not in held:
-                first_copies.begin(
+                first_copies.record_cold_start(
                     now, durations.expected_s(engine.models[action.model].load_s, False, False)
                 )
-            managed = self.managed[action.instance]
+            managed = self.workers[action.instance]
             managed.action = action
-            work = self._carry_out(managed, action, engine, ledger)
+            work = self._execute(managed, action, engine, ledger)
             managed.task = self.tasks.spawn(work, f"order {action}")
 
     def _store_loads_left(
-        self, now: float, workers: list[Managed], engine: Engine, ledger: LoadLedger, kept_free: float
+        self,
+        now: float,
+        workers: list[ManagedWorker],
+        engine: Engine,
+        ledger: LoadRateLimiter,
+        kept_free: float,
     ) -> int:
         """How many more loads from the store may be begun. Those that still wait for an eviction take nothing
         of what the store can do at once, but each of them will.
         """
-        at_once = store_loads_at_once(engine, len(workers), kept_free)
-        loading = sum(managed.loads_from_store for managed in workers)
-        waiting = sum(self._waits_to_load(managed) for managed in workers)
-        return min(ledger.left(now) - waiting, at_once - loading, 2 * at_once - loading - waiting)
+        at_once = max_concurrent_store_loads(engine, len(workers), kept_free)
+        loading = sum(managed.is_loading_from_store for managed in workers)
+        waiting = sum(self._will_load_from_store(managed) for managed in workers)
+        return min(ledger.remaining(now) - waiting, at_once - loading, 2 * at_once - loading - waiting)
 
-    def _waits_to_load(self, managed: Managed) -> bool:
+    def _will_load_from_store(self, managed: ManagedWorker) -> bool:
         """Whether it will load from the store once there is room."""
         action = managed.action
-        if action is None or action.adapter or managed.loads_from_store:
+        if action is None or action.adapter or managed.is_loading_from_store:
             return False
-        return not self._is_warm(managed, action.model)
+        return not self._has_on_disk(managed, action.model)
 
-    def _ledger(self, service: str, engine: Engine) -> LoadLedger:
-        ledger = self.ledgers.get(service)
+    def _rate_limiter(self, service: str, engine: Engine) -> LoadRateLimiter:
+        ledger = self.rate_limiters.get(service)
         if ledger is None:
-            ledger = self.ledgers[service] = LoadLedger(engine.max_loads_per_s, self.window_s, self.overage)
+            ledger = self.rate_limiters[service] = LoadRateLimiter(
+                engine.max_loads_per_s, self.load_window_s, self.allowed_load_overage
+            )
             if self.term > 1:
-                ledger.assume_full(self.term_began - (0.0 if self.was_own else self.idle_s))
+                ledger.assume_exhausted(
+                    self.term_started_at - (0.0 if self.is_reelected else self.takeover_delay_s)
+                )
         return ledger
 
     # --- orders -------------------------------------------------------------------------------------------
 
-    async def _carry_out(self, managed: Managed, action: Load, engine: Engine, ledger: LoadLedger) -> None:
+    async def _execute(
+        self, managed: ManagedWorker, action: LoadAction, engine: Engine, ledger: LoadRateLimiter
+    ) -> None:
         try:
-            if await self._make_room(managed, action) and self._still_fits(managed, action, engine):
+            if await self._evict_models(managed, action) and self._still_fits(managed, action, engine):
                 await self._load(managed, action, engine, ledger)
         except PeerUnreachableError as error:
-            managed.retry_at = steady() + SETTLE_S
-            managed.report = None
+            managed.retry_at = steady() + WORKER_RETRY_DELAY_S
+            managed.last_report = None
             event("placer.worker_unheard", problem=str(error))
         finally:
             managed.task, managed.action, managed.pending_load = None, None, None
-            managed.announced, managed.loads_from_store = 0, False
-            managed.hidden.clear()
-            if managed.report is not None and managed.state.instance in self.managed:
+            managed.announced_orders, managed.is_loading_from_store = 0, False
+            managed.evicting.clear()
+            if managed.last_report is not None and managed.state.instance in self.workers:
                 self._publish(managed)
 
-    def _know(self, managed: Managed, report: WorkerReport) -> None:
-        managed.report, managed.revision = report, report.sequence
-        if managed.taken_before is None:
-            managed.taken_before = report.sequence
-        managed.state.models = {m.name: set(m.adapters) for m in report.models}
-        self.disks.note(managed.state.instance, managed.state.address, managed.state.models)
-        if self._is_told_otherwise(managed):
+    def _accept_report(self, managed: ManagedWorker, report: WorkerReport) -> None:
+        managed.last_report, managed.orders_taken = report, report.sequence
+        if managed.orders_taken_before_term is None:
+            managed.orders_taken_before_term = report.sequence
+        managed.state.loaded_models = {m.name: set(m.adapters) for m in report.models}
+        self.disks.record_models(managed.state.instance, managed.state.address, managed.state.loaded_models)
+        if self._is_announcement_stale(managed):
             self._publish(managed)
 
-    def _is_told_otherwise(self, managed: Managed) -> bool:
+    def _is_announcement_stale(self, managed: ManagedWorker) -> bool:
         """Whether dispatchers go by something else than what the worker holds."""
         tables, instance = self.updates.tables, managed.state.instance
         worker, placement = tables.workers.get(instance), tables.placements.get(instance)
@@ -316,122 +333,128 @@
             return False
         told = effective_holdings(worker.record, None if placement is None else placement.record)
         is_loading = placement is not None and placement.record.pending_load is not None
-        return is_loading or told != managed.placement(steady(), self.window_s).usable_models
+        return is_loading or told != managed.placement_record(steady(), self.load_window_s).usable_models
 
-    def _publish(self, managed: Managed) -> None:
+    def _publish(self, managed: ManagedWorker) -> None:
         """Tells the dispatchers what may be used at the worker and what is being loaded; changes only."""
-        record = managed.placement(steady(), self.window_s)
-        if record == managed.told:
+        record = managed.placement_record(steady(), self.load_window_s)
+        if record == managed.announced_record:
             return
         managed.serial += 1
-        record = managed.told = msgspec.structs.replace(record, serial=managed.serial)
+        record = managed.announced_record = msgspec.structs.replace(record, serial=managed.serial)
         if not self.updates.tables.put_placement(record):
             event("placer.outranked", instance=record.instance, token=record.token, serial=record.serial)
         self.updates.changed.fire()
 
-    def _is_warm(self, managed: Managed, model: str) -> bool:
-        return self.disks.has(managed.state.instance, model)
+    def _has_on_disk(self, managed: ManagedWorker, model: str) -> bool:
+        return self.disks.has_model(managed.state.instance, model)
 
-    def _expected_s(self, managed: Managed, action: Load, engine: Engine) -> float:
+    def _expected_load_s(self, managed: ManagedWorker, action: LoadAction, engine: Engine) -> float:
         model = engine.models[action.model]
-        durations = self.durations.setdefault(managed.state.service, Durations())
+        durations = self.load_durations.setdefault(managed.state.service, LoadDurations())
         instance = managed.state.instance
-        warm = self.disks.has(instance, action.model) or self.disks.may_have(instance, action.model)
+        warm = self.disks.has_model(instance, action.model) or self.disks.may_have_model(
+            instance, action.model
+        )
         return durations.expected_s(model.load_s, bool(action.adapter), warm)
 
-    async def _make_room(self, managed: Managed, action: Load) -> bool:
+    async def _evict_models(self, managed: ManagedWorker, action: LoadAction) -> bool:
         """Evicts what has to give way; the dispatchers are told first, so that nothing more is sent to it."""
-        if not action.victims:
+        if not action.evictions:
             return True
         service = self.snapshot.services.get(managed.state.service)
         if service is None or service.engine is None or action.model not in service.engine.models:
             return False
-        managed.hidden.update(action.victims)
-        managed.announced = len(action.victims) + 1
-        is_idle = all(self._is_idle(managed.state.service, victim) for victim in action.victims)
-        hide_s = 0.0 if is_idle else HIDE_S + self.updates.batch_interval_s()
-        evictions_s = EVICT_S * len(action.victims)
-        expected_s = self._expected_s(managed, action, service.engine) + evictions_s + hide_s
+        managed.evicting.update(action.evictions)
+        managed.announced_orders = len(action.evictions) + 1
+        is_idle = all(self._is_unused(managed.state.service, victim) for victim in action.evictions)
+        hide_s = 0.0 if is_idle else EVICTION_NOTICE_S + self.updates.batch_interval_s()
+        evictions_s = EVICTION_S * len(action.evictions)
+        expected_s = self._expected_load_s(managed, action, service.engine) + evictions_s + hide_s
         managed.pending_load = PendingLoad(action.model, action.adapter, int(1000 * expected_s))
         self._publish(managed)
         await asyncio.sleep(hide_s)
-        for victim in action.victims:
-            if not await self.orders.give(managed, "evict", victim.model, victim.adapter):
+        for victim in action.evictions:
+            if not await self.orders.submit(managed, "evict", victim.model, victim.adapter):
                 return False
             _remove(managed.state, victim)
-            await asyncio.sleep(EVICT_S)
+            await asyncio.sleep(EVICTION_S)
         return True
 
-    def _is_idle(self, service: str, victim: Victim) -> bool:
+    def _is_unused(self, service: str, victim: Eviction) -> bool:
         """Whether nobody uses it, and hardly anybody will while the dispatchers learn that it goes."""
         demand = self.demand
-        items = [item for item in demand.items() if (item.service, item.model) == (service, victim.model)]
+        items = [
+            item for item in demand.tracked_keys() if (item.service, item.model) == (service, victim.model)
+        ]
         if victim.adapter:
             items = [item for item in items if item.adapter == victim.adapter]
-        in_use = any(demand.waiting(item) or demand.running_now(item) for item in items)
-        return not in_use and sum(map(demand.rate, items)) * HIDE_S < IDLE_REQUESTS
+        in_use = any(demand.queued(item) or demand.running_now(item) for item in items)
+        return not in_use and sum(map(demand.rate, items)) * EVICTION_NOTICE_S < MAX_IDLE_REQUESTS
 
-    def _still_fits(self, managed: Managed, action: Load, engine: Engine) -> bool:
+    def _still_fits(self, managed: ManagedWorker, action: LoadAction, engine: Engine) -> bool:
         """Checks a load against what the worker says it holds: too much would end it."""
         state = managed.state
-        model, adapters = engine.models.get(action.model), state.models.get(action.model)
+        model, adapters = engine.models.get(action.model), state.loaded_models.get(action.model)
         if model is None:
             return False
         if action.adapter:
-            fits = state.adapters() < engine.lora_slots
+            fits = state.adapter_count() < engine.lora_slots
             needed = adapters is not None and action.adapter not in adapters and fits
         else:
             needed = adapters is None
         need_mb = model.adapter_size_mb if action.adapter else model.weights_mb
-        return needed and used_mb(engine, state.models) + need_mb <= engine.weights_mb
+        return needed and used_mb(engine, state.loaded_models) + need_mb <= engine.weights_mb
 
-    async def _load(self, managed: Managed, action: Load, engine: Engine, ledger: LoadLedger) -> None:
-        warm = self._is_warm(managed, action.model)
-        from_store = None if action.adapter or warm else StoreLoad(ledger, managed)
-        expected_s = self._expected_s(managed, action, engine)
+    async def _load(
+        self, managed: ManagedWorker, action: LoadAction, engine: Engine, ledger: LoadRateLimiter
+    ) -> None:
+        warm = self._has_on_disk(managed, action.model)
+        from_store = None if action.adapter or warm else StoreLoadPermit(ledger, managed)
+        expected_s = self._expected_load_s(managed, action, engine)
         managed.pending_load = PendingLoad(action.model, action.adapter, int(1000 * expected_s))
-        managed.announced = 1
+        managed.announced_orders = 1
         if from_store is not None:
-            managed.store_loads.append(steady())
+            managed.store_load_times.append(steady())
         self._publish(managed)
-        taken = await self.orders.give(managed, "load", action.model, action.adapter, from_store)
+        taken = await self.orders.submit(managed, "load", action.model, action.adapter, from_store)
         began = steady()
         if from_store is not None:
-            managed.store_loads[-1:] = [began] if taken else []
+            managed.store_load_times[-1:] = [began] if taken else []
             self._publish(managed)
-        if taken and await self.orders.await_loaded(managed, action.model, action.adapter, expected_s):
+        if taken and await self.orders.wait_until_loaded(managed, action.model, action.adapter, expected_s):
             _add(managed.state, action.model, action.adapter)
-            self._learn_duration(managed, action, engine, warm, steady() - began)
+            self._record_load_duration(managed, action, engine, warm, steady() - began)
 
-    def _learn_duration(
-        self, managed: Managed, action: Load, engine: Engine, warm: bool, took_s: float
+    def _record_load_duration(
+        self, managed: ManagedWorker, action: LoadAction, engine: Engine, warm: bool, took_s: float
     ) -> None:
-        load_s, durations = engine.models[action.model].load_s, self.durations[managed.state.service]
-        if not action.adapter and self.disks.may_have(managed.state.instance, action.model):
-            store_s = durations.expected_s(load_s, adapter=False, warm=False)
-            warm = self.disks.learn(managed.state.instance, took_s, store_s)
-        durations.learn(load_s, bool(action.adapter), warm, took_s)
-        now, item = steady(), Item(managed.state.service, action.model, action.adapter)
+        load_s, durations = engine.models[action.model].load_s, self.load_durations[managed.state.service]
+        if not action.adapter and self.disks.may_have_model(managed.state.instance, action.model):
+            store_s = durations.expected_s(load_s, is_adapter=False, is_warm=False)
+            warm = self.disks.record_load(managed.state.instance, took_s, store_s)
+        durations.record(load_s, bool(action.adapter), warm, took_s)
+        now, item = steady(), DemandKey(managed.state.service, action.model, action.adapter)
         event(
             "placer.loaded",
             model=action.model,
             adapter=action.adapter,
             warm=warm,
             took_s=round(took_s, 2),
-            waited_s=round(now - self.waiting_since.get(item, now), 2),
+            waited_s=round(now - self.queued_since.get(item, now), 2),
         )
 
 
-def _add(state: WorkerState, model: str, adapter: str) -> None:
+def _add(state: PlannerWorker, model: str, adapter: str) -> None:
     """Adds a model or an adapter to what a worker is known to hold."""
-    held = state.models.setdefault(model, set())
+    held = state.loaded_models.setdefault(model, set())
     if adapter:
         held.add(adapter)
 
 
-def _remove(state: WorkerState, victim: Victim) -> None:
+def _remove(state: PlannerWorker, victim: Eviction) -> None:
     """Takes a model or an adapter out of what a worker is known to hold."""
     if victim.adapter:
-        state.models.get(victim.model, set()).discard(victim.adapter)
+        state.loaded_models.get(victim.model, set()).discard(victim.adapter)
     else:
-        state.models.pop(victim.model, None)
+        state.loaded_models.pop(victim.model, None)
--- a/tests/cluster/test_load_delays.py
+++ b/tests/cluster/test_load_delays.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from finchladder.cluster.process.placer import HIDE_S
+from finchladder.cluster.process.placer import EVICTION_NOTICE_S
 from finchladder.cluster.transport.peers import steady
 from finchladder.lab.cluster.model_workers import TAKEN, StandInWorker
 from finchladder.lab.cluster.virtual import run
@@ -78,7 +78,7 @@
         scene.ask("m6")
         await scene.until_usable("m6")
         await scene.tasks.stop()
-        return list(scene.placer.ledgers["llm"].began)
+        return list(scene.placer.rate_limiters["llm"].load_times)
 
     (counted_at,) = run(work())
     (taken_at,) = [at for at, order, status in worker.log if (order.operation, status) == ("load", TAKEN)]
@@ -106,5 +106,7 @@
         return hidden_s, worker.log[0][0] - began
 
     hidden_s, evicted_s = run(work())
-    assert evicted_s - hidden_s >= (HIDE_S if running else 0.0)
-    assert running or evicted_s - hidden_s < HIDE_S / 2, "nobody is sending to what nobody asks for"
+    assert evicted_s - hidden_s >= (EVICTION_NOTICE_S if running else 0.0)
+    assert running or evicted_s - hidden_s < EVICTION_NOTICE_S / 2, (
+        "nobody is sending to what nobody asks for"
+    )
--- a/tests/cluster/test_placer.py
+++ b/tests/cluster/test_placer.py
@@ -7,11 +7,17 @@
 
 import pytest
 
-from finchladder.cluster.placement.plan import WorkerState
-from finchladder.cluster.process.managed_worker import Managed
+from finchladder.cluster.placement.plan import PlannerWorker
+from finchladder.cluster.process.managed_worker import ManagedWorker
 from finchladder.cluster.process.placer import Placer
 from finchladder.cluster.process.tasks import Tasks
-from finchladder.cluster.process.worker_orders import LONGEST_EVICT_S, POLL_S, QUICK_S, TAKEN, WorkerOrders
+from finchladder.cluster.process.worker_orders import (
+    EVICTION_TIMEOUT_S,
+    POLL_INTERVAL_S,
+    QUICK_EVICTION_S,
+    STATUS_ACCEPTED,
+    WorkerOrders,
+)
 from finchladder.cluster.replication.lease import HeldLease
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.errors import PeerUnreachableError
@@ -39,11 +45,13 @@
     """Whether the placer gives its order again, and after how long."""
     nothing = cast(Any, SimpleNamespace())
     orders = WorkerOrders(nothing, cast(Any, worker))
-    state = WorkerState("i-1", "llm", "a:1", "z", False, False)
+    state = PlannerWorker("i-1", "llm", "a:1", "z", False, False)
 
     async def work() -> tuple[bool, float]:
         before = steady()
-        again = await orders._still_busy(Managed(state, revision=REVISION), before - began_before_s)
+        again = await orders._should_resubmit(
+            ManagedWorker(state, orders_taken=REVISION), before - began_before_s
+        )
         return again, steady() - before
 
     return run(work())
@@ -53,14 +61,14 @@
     worker = Worker()
     again, waited_s = asked_again(worker, 0.0)
     assert again
-    assert waited_s == pytest.approx(QUICK_S / 2)
+    assert waited_s == pytest.approx(QUICK_EVICTION_S / 2)
     assert worker.looks == 0
 
 
 def test_an_order_is_given_again_soon_while_the_eviction_before_it_goes_on() -> None:
     again, waited_s = asked_again(Worker(WorkerReport(sequence=REVISION, busy=True)), 0.2)
     assert again
-    assert waited_s == pytest.approx(POLL_S)
+    assert waited_s == pytest.approx(POLL_INTERVAL_S)
 
 
 def test_a_worker_that_took_an_order_of_another_holder_gets_no_more() -> None:
@@ -68,7 +76,7 @@
 
 
 def test_an_eviction_without_an_end_is_given_up() -> None:
-    again, _ = asked_again(Worker(WorkerReport(sequence=REVISION, busy=True)), LONGEST_EVICT_S)
+    again, _ = asked_again(Worker(WorkerReport(sequence=REVISION, busy=True)), EVICTION_TIMEOUT_S)
     assert not again
 
 
@@ -105,7 +113,7 @@
         await asyncio.sleep(min(self.takes_s, timeout_s))
         if self.takes_s > timeout_s:
             raise PeerUnreachableError("order", address, "no answer in time")
-        return TAKEN
+        return STATUS_ACCEPTED
 
 
 @pytest.mark.parametrize(("takes_s", "ended_s"), [(0.3, 0.3), (5.0, 0.6)])
@@ -121,9 +129,11 @@
         role = SimpleNamespace(lease=lease, me=me, last_order_at=began, holds=lambda: lease.holds(steady()))
         worker = SlowWorker(takes_s)
         orders = WorkerOrders(cast(Any, role), cast(Any, worker))
-        managed = Managed(WorkerState("i-1", "llm", "a:1", "z", False, False), 7, report=WorkerReport())
+        managed = ManagedWorker(
+            PlannerWorker("i-1", "llm", "a:1", "z", False, False), 7, last_report=WorkerReport()
+        )
         with suppress(PeerUnreachableError):
-            await orders.give(managed, "load", "m", "")
+            await orders.submit(managed, "load", "m", "")
         return worker.limits_s[0], role.last_order_at - began, steady() - began
 
     limit_s, idle_from_s, lasted_s = run(work())
@@ -141,8 +151,10 @@
         role = SimpleNamespace(lease=lease, me=me, last_order_at=began, holds=lambda: lease.holds(steady()))
         worker = SlowWorker(0.01)
         orders = WorkerOrders(cast(Any, role), cast(Any, worker))
-        managed = Managed(WorkerState("i-1", "llm", "a:1", "z", False, False), 7, report=WorkerReport())
+        managed = ManagedWorker(
+            PlannerWorker("i-1", "llm", "a:1", "z", False, False), 7, last_report=WorkerReport()
+        )
         await asyncio.sleep(0.02)
-        return await orders.give(managed, "evict", "m", ""), worker.limits_s
+        return await orders.submit(managed, "evict", "m", ""), worker.limits_s
 
     assert run(work()) == (False, [])
--- a/tests/cluster/test_rare_models.py
+++ b/tests/cluster/test_rare_models.py
@@ -5,10 +5,20 @@
 import pytest
 from finchladder.cluster.configuration.snapshot import Engine, Model
 
-from finchladder.cluster.placement.demand import DemandBook
-from finchladder.cluster.placement.durations import CHANGE_S, USE_S, FirstCopies
-from finchladder.cluster.placement.plan import Load, Plan, Victim, WorkerState, places_for_first_copies
-from finchladder.cluster.placement.planner import Round
+from finchladder.cluster.placement.demand import DemandTracker
+from finchladder.cluster.placement.load_durations import (
+    FIRST_USE_S,
+    OCCUPANCY_TIME_CONSTANT_S,
+    ColdStartOccupancy,
+)
+from finchladder.cluster.placement.plan import (
+    Eviction,
+    LoadAction,
+    PlannerWorker,
+    PlanningInput,
+    reserved_model_slots,
+)
+from finchladder.cluster.placement.planner import PlanningPass
 from finchladder.cluster.types.messages import Demand, DemandReport, ModelUse
 
 MODELS = {f"m{n}": Model(f"m{n}", 70.0, 0.8, 4, 1.0) for n in range(12)}
@@ -20,7 +30,7 @@
 
     def __init__(self, **held: str) -> None:
         self.workers = {
-            name: WorkerState(name, "llm", name, "z", False, False, {m: set() for m in models.split()})
+            name: PlannerWorker(name, "llm", name, "z", False, False, {m: set() for m in models.split()})
             for name, models in held.items()
         }
         self.demands: dict[tuple[str, str], Demand] = {}
@@ -35,13 +45,15 @@
     def used(self, name: str, model: str, requests: int) -> None:
         self.uses.append(ModelUse(name, model, requests))
 
-    def plan(self, first_copies: float = 0.0) -> list[Load]:
-        book = DemandBook()
+    def plan(self, first_copies: float = 0.0) -> list[LoadAction]:
+        book = DemandTracker()
         for at in (0.0, 4.0, 8.0):  # what runs is smoothed
             report = DemandReport("edge", 4.0, tuple(self.demands.values()), {}, tuple(self.uses))
-            book.take(at, report)
+            book.add_report(at, report)
         workers = list(self.workers.values())
-        return Round(Plan("llm", ENGINE, workers, book, 9, 9, 1.0, first_copies), {}).actions()
+        return PlanningPass(
+            PlanningInput("llm", ENGINE, workers, book, 9, 9, 1.0, first_copies), {}
+        ).actions()
 
 
 def test_a_copy_whose_requests_would_be_waited_for_does_not_give_way() -> None:
@@ -53,7 +65,7 @@
         fleet.used(name, model, 2)
     fleet.asked("m5", waiting=1)
     actions = [action for action in fleet.plan() if action.model == "m5"]
-    assert [(a.instance, a.victims) for a in actions] == [("w2", (Victim("m1"),))]
+    assert [(a.instance, a.evictions) for a in actions] == [("w2", (Eviction("m1"),))]
 
 
 def test_of_two_idle_models_the_one_that_still_runs_somewhere_stays() -> None:
@@ -63,19 +75,19 @@
     fleet.asked("m4", rate=0.25)
     fleet.asked("m5", waiting=1)
     (action,) = fleet.plan()
-    assert action.victims == (Victim("m4"),)
+    assert action.evictions == (Eviction("m4"),)
 
 
 def test_an_adapter_in_use_does_not_give_way_to_another() -> None:
     fleet = Fleet(w1="m0")
-    fleet.workers["w1"].models["m0"] = {"a1", "a2", "a3", "a4"}
+    fleet.workers["w1"].loaded_models["m0"] = {"a1", "a2", "a3", "a4"}
     fleet.asked("m0", rate=4.0)
     fleet.asked("m0", rate=0.25, running=1, adapter="a1")
     for adapter in ("a2", "a3", "a4"):
         fleet.asked("m0", rate=1.0, adapter=adapter)
     fleet.asked("m0", waiting=1, adapter="a9")
     (action,) = [a for a in fleet.plan() if a.adapter]
-    assert action.victims == (Victim("m0", "a2"),)
+    assert action.evictions == (Eviction("m0", "a2"),)
 
 
 @pytest.mark.parametrize(("first_copies", "copied"), [(0.0, True), (0.2, True), (1.0, False), (5.0, False)])
@@ -111,23 +123,27 @@
 
 
 def test_the_places_kept_grow_with_what_first_copies_take_and_are_bounded() -> None:
-    assert [places_for_first_copies(taken, 100) for taken in (0.0, 0.3, 1.0, 4.0, 9.0)] == [0, 1, 2, 6, 12]
-    assert places_for_first_copies(50.0, 10) == 4
+    assert [reserved_model_slots(taken, 100) for taken in (0.0, 0.3, 1.0, 4.0, 9.0)] == [0, 1, 2, 6, 12]
+    assert reserved_model_slots(50.0, 10) == 4
 
 
 def test_first_copies_are_averaged_over_the_time_that_they_take_a_place() -> None:
-    taken = FirstCopies()
+    taken = ColdStartOccupancy()
     for number in range(100):
-        taken.begin(number / 2, load_s=1.0)
-    assert taken.at_once(49.5) == pytest.approx(2 * (1.0 + USE_S), rel=0.05)
-    before = taken.at_once(49.5)
-    assert taken.at_once(49.5 + CHANGE_S) == pytest.approx(before * exp(-1))
+        taken.record_cold_start(number / 2, load_s=1.0)
+    assert taken.occupied_slots(49.5) == pytest.approx(2 * (1.0 + FIRST_USE_S), rel=0.05)
+    before = taken.occupied_slots(49.5)
+    assert taken.occupied_slots(49.5 + OCCUPANCY_TIME_CONSTANT_S) == pytest.approx(before * exp(-1))
 
 
 def test_uses_follow_each_dispatchers_last_report() -> None:
-    book = DemandBook()
-    book.take(0.0, DemandReport("one", 0.4, (), {}, (ModelUse("w1", "m0", 2), ModelUse("w2", "m0", 1))))
-    book.take(0.0, DemandReport("two", 0.4, (), {}, (ModelUse("w1", "m0", 3),)))
-    assert (book.uses("w1", "m0"), book.uses("w2", "m0"), book.uses("w1", "m1")) == (5, 1, 0)
-    book.take(0.4, DemandReport("one", 0.4, (), {}, ()))
-    assert (book.uses("w1", "m0"), book.uses("w2", "m0")) == (3, 0)
+    book = DemandTracker()
+    book.add_report(0.0, DemandReport("one", 0.4, (), {}, (ModelUse("w1", "m0", 2), ModelUse("w2", "m0", 1))))
+    book.add_report(0.0, DemandReport("two", 0.4, (), {}, (ModelUse("w1", "m0", 3),)))
+    assert (
+        book.replica_requests("w1", "m0"),
+        book.replica_requests("w2", "m0"),
+        book.replica_requests("w1", "m1"),
+    ) == (5, 1, 0)
+    book.add_report(0.4, DemandReport("one", 0.4, (), {}, ()))
+    assert (book.replica_requests("w1", "m0"), book.replica_requests("w2", "m0")) == (3, 0)
--- a/tests/cluster/test_takeover.py
+++ b/tests/cluster/test_takeover.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from finchladder.cluster.placement.ledger import LoadLedger, ObservedLoads
+from finchladder.cluster.placement.load_rate_limiter import AnnouncedLoadLog, LoadRateLimiter
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.worker_api import OrderRequest
 from finchladder.cluster.types.workers import LoadedModel, PendingLoad, PlacementRecord
@@ -21,42 +21,42 @@
 
 
 def test_loads_count_from_when_their_record_is_first_seen_at_the_latest() -> None:
-    observed = ObservedLoads(WINDOW_S)
-    observed.note(10.0, [record("w1", 1, 400, 1500)])
-    observed.note(12.0, [record("w1", 1, 400, 1500)])
-    assert sorted(observed.within(12.0, ["w1"])) == pytest.approx([8.5, 9.6])
-    observed.note(12.0, [record("w1", 2, 100, 2300)])
-    assert sorted(observed.within(12.0, ["w1"])) == pytest.approx([9.7, 11.9])
+    observed = AnnouncedLoadLog(WINDOW_S)
+    observed.record(10.0, [record("w1", 1, 400, 1500)])
+    observed.record(12.0, [record("w1", 1, 400, 1500)])
+    assert sorted(observed.recent_loads(12.0, ["w1"])) == pytest.approx([8.5, 9.6])
+    observed.record(12.0, [record("w1", 2, 100, 2300)])
+    assert sorted(observed.recent_loads(12.0, ["w1"])) == pytest.approx([9.7, 11.9])
 
 
 def test_loads_of_several_placers_at_one_worker_are_all_counted() -> None:
-    observed = ObservedLoads(WINDOW_S)
-    observed.note(10.0, [record("w1", 3, 100)])
-    observed.note(10.5, [record("w1", 1, 0, token=2)])
-    assert sorted(observed.within(11.0, ["w1"])) == pytest.approx([9.9, 10.5])
-    assert observed.within(11.0, ["w2"]) == []
+    observed = AnnouncedLoadLog(WINDOW_S)
+    observed.record(10.0, [record("w1", 3, 100)])
+    observed.record(10.5, [record("w1", 1, 0, token=2)])
+    assert sorted(observed.recent_loads(11.0, ["w1"])) == pytest.approx([9.9, 10.5])
+    assert observed.recent_loads(11.0, ["w2"]) == []
 
 
 def test_what_lies_before_the_window_is_forgotten() -> None:
-    observed = ObservedLoads(WINDOW_S)
-    observed.note(10.0, [record("w1", 1, 100), record("w2", 1, 4000)])
-    observed.forget(12.0)
-    assert list(observed.by_worker) == [("w1", 1)]
-    assert observed.within(15.5, ["w1"]) == []
+    observed = AnnouncedLoadLog(WINDOW_S)
+    observed.record(10.0, [record("w1", 1, 100), record("w2", 1, 4000)])
+    observed.expire(12.0)
+    assert list(observed.by_worker_and_token) == [("w1", 1)]
+    assert observed.recent_loads(15.5, ["w1"]) == []
 
 
 def test_a_ledger_that_knows_of_fewer_loads_than_may_be_allows_the_rest() -> None:
-    ledger = LoadLedger(2.1, WINDOW_S, 1.1)
-    ledger.assume_full(10.0)
-    ledger.know([9.0, 8.0, 9.5])
-    assert ledger.left(10.0) == MOST - 3
+    ledger = LoadRateLimiter(2.1, WINDOW_S, 1.1)
+    ledger.assume_exhausted(10.0)
+    ledger.restore([9.0, 8.0, 9.5])
+    assert ledger.remaining(10.0) == MOST - 3
 
 
 def test_a_ledger_that_knows_of_more_loads_than_one_placer_begins_allows_what_the_rule_leaves() -> None:
-    ledger = LoadLedger(2.1, WINDOW_S, 1.1)
-    ledger.assume_full(10.0)
-    ledger.know([10.0] * 40)
-    assert ledger.left(10.0) == ledger.hard_most - MOST
+    ledger = LoadRateLimiter(2.1, WINDOW_S, 1.1)
+    ledger.assume_exhausted(10.0)
+    ledger.restore([10.0] * 40)
+    assert ledger.remaining(10.0) == ledger.hard_max_loads - MOST
 
 
 def left_after_takeover(scene: Scene) -> int:
@@ -65,9 +65,9 @@
     async def work() -> int:
         scene.tasks.spawn(scene.placer.run(), "placer")
         await asyncio.sleep(1.0)
-        ledger = scene.placer.ledgers["llm"]
+        ledger = scene.placer.rate_limiters["llm"]
         await scene.tasks.stop()
-        return ledger.left(steady())
+        return ledger.remaining(steady())
 
     return run(work())
 
@@ -87,7 +87,7 @@
 def test_a_process_that_has_just_started_knows_nothing() -> None:
     scene = Scene(token=2, w1=StandInWorker({"m0"}))
     scene.updates.started_at = 0.0
-    hard_most = LoadLedger(ENGINE.max_loads_per_s, WINDOW_S, 1.1).hard_most
+    hard_most = LoadRateLimiter(ENGINE.max_loads_per_s, WINDOW_S, 1.1).hard_max_loads
     assert left_after_takeover(scene) == hard_most - MOST
 
 
@@ -104,7 +104,7 @@
         await asyncio.sleep(1.0)
         scene.lease.until = 1e9
         told_s = await scene.until_usable("m1")
-        left = scene.placer.ledgers["llm"].left(steady())
+        left = scene.placer.rate_limiters["llm"].remaining(steady())
         await scene.tasks.stop()
         return left, told_s
 
--- a/tests/cluster/test_utilization.py
+++ b/tests/cluster/test_utilization.py
@@ -7,10 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from finchladder.cluster.placement.demand import DemandBook, Item
-from finchladder.cluster.placement.plan import Load, Plan, WorkerState
-from finchladder.cluster.placement.planner import Round
-from finchladder.cluster.placement.utilization import ExpectedLoad, Utilization, late_share
+from finchladder.cluster.placement.demand import DemandKey, DemandTracker
+from finchladder.cluster.placement.plan import LoadAction, PlannerWorker, PlanningInput
+from finchladder.cluster.placement.planner import PlanningPass
+from finchladder.cluster.placement.utilization import ExpectedLoad, FleetUtilization, late_fraction
 from finchladder.cluster.types.messages import Demand, DemandReport
 
 S_PER_TOKEN = 0.00004  # 25 tokens a millisecond
@@ -20,32 +20,32 @@
 
 
 def test_the_later_the_more_is_to_be_read_without_a_step() -> None:
-    shares = [late_share(n / 100) for n in range(300)]
+    shares = [late_fraction(n / 100) for n in range(300)]
     assert all(before < after for before, after in pairwise(shares))
     slopes = [100 * (after - before) for before, after in pairwise(shares)]
     assert all(before <= after + 1e-9 for before, after in pairwise(slopes)), "it grows ever faster"
-    assert late_share(0.3) < 0.02 and late_share(1.0) == pytest.approx(0.4)
+    assert late_fraction(0.3) < 0.02 and late_fraction(1.0) == pytest.approx(0.4)
 
 
 def test_a_models_reading_falls_evenly_on_its_copies_and_those_on_their_way_count() -> None:
-    utilization = Utilization({"w1": ["m0", "m1"], "w2": ["m0"], "w3": []}, {"m0": ONE, "m1": TWO})
-    assert [utilization.of(w) for w in ("w1", "w2", "w3")] == pytest.approx([0.6, 0.4, 0.0])
-    assert utilization.least_used("m0") == pytest.approx(0.4)
-    utilization.add("w3", "m0")
-    assert utilization.of("w2") == pytest.approx(0.8 / 3)
-    utilization.remove("w3", "m0")
-    assert utilization.of("w2") == pytest.approx(0.4)
+    utilization = FleetUtilization({"w1": ["m0", "m1"], "w2": ["m0"], "w3": []}, {"m0": ONE, "m1": TWO})
+    assert [utilization.utilization_of(w) for w in ("w1", "w2", "w3")] == pytest.approx([0.6, 0.4, 0.0])
+    assert utilization.min_utilization("m0") == pytest.approx(0.4)
+    utilization.add_replica("w3", "m0")
+    assert utilization.utilization_of("w2") == pytest.approx(0.8 / 3)
+    utilization.remove_replica("w3", "m0")
+    assert utilization.utilization_of("w2") == pytest.approx(0.4)
 
 
 def test_relief_counts_what_else_the_holders_read() -> None:
-    alone = Utilization({"w1": ["m0"]}, {"m0": ONE, "m1": TWO})
-    shared = Utilization({"w1": ["m0", "m1"]}, {"m0": ONE, "m1": TWO})
+    alone = FleetUtilization({"w1": ["m0"]}, {"m0": ONE, "m1": TWO})
+    shared = FleetUtilization({"w1": ["m0", "m1"]}, {"m0": ONE, "m1": TWO})
     assert shared.relief("m0") > alone.relief("m0") > 0
     assert alone.relief("m1") == 0.0, "the first copy relieves nobody"
 
 
 def test_a_busy_worker_is_a_burden_to_a_copy() -> None:
-    utilization = Utilization(
+    utilization = FleetUtilization(
         {"w1": ["m0"], "w2": ["m1"], "w3": []}, {"m0": ONE, "m1": ExpectedLoad(0.7, 9.0)}
     )
     assert utilization.burden("w2", "m0") > utilization.burden("w3", "m0") > 0
@@ -64,12 +64,12 @@
     def late(at: list[set[str]]) -> float:
         total = 0.0
         for models in at:
-            work = sum(expected[m].work / sum(m in other for other in at) for m in models)
-            rate = sum(expected[m].rate / sum(m in other for other in at) for m in models)
-            total += rate * late_share(work)
+            work = sum(expected[m].prefill_utilization / sum(m in other for other in at) for m in models)
+            rate = sum(expected[m].request_rate / sum(m in other for other in at) for m in models)
+            total += rate * late_fraction(work)
         return total
 
-    utilization = Utilization({str(n): models for n, models in enumerate(held)}, expected)
+    utilization = FleetUtilization({str(n): models for n, models in enumerate(held)}, expected)
     copies = sum(model in models for models in held)
     for number, models in enumerate(held):
         if model in models:
@@ -89,9 +89,9 @@
     """Workers, and what was asked for in the last seconds, by one dispatcher."""
 
     def __init__(self, **held: str) -> None:
-        self.book = DemandBook()
+        self.book = DemandTracker()
         self.workers = [
-            WorkerState(name, "llm", name, "z", False, False, {m: set() for m in models.split()})
+            PlannerWorker(name, "llm", name, "z", False, False, {m: set() for m in models.split()})
             for name, models in held.items()
         ]
 
@@ -103,10 +103,10 @@
                 for model, rate in rates.items()
             ]
             report = DemandReport("edge", 0.4, tuple(demands), prefill_s_per_token={"llm": S_PER_TOKEN})
-            self.book.take(0.4 * (number + 1), report)
+            self.book.add_report(0.4 * (number + 1), report)
 
-    def plan(self) -> list[Load]:
-        return Round(Plan("llm", ENGINE, self.workers, self.book, 9, 9, 0.25), {}).actions()
+    def plan(self) -> list[LoadAction]:
+        return PlanningPass(PlanningInput("llm", ENGINE, self.workers, self.book, 9, 9, 0.25), {}).actions()
 
 
 def test_a_copy_comes_before_an_engine_is_full_and_goes_to_the_least_used_worker() -> None:
@@ -132,22 +132,22 @@
 def test_demand_that_rises_is_expected_to_rise_on() -> None:
     fleet = Fleet(w1="m0")
     fleet.asked(8.0, m0=2.5)
-    calm = fleet.book.expected(Item("llm", "m0"))
+    calm = fleet.book.expected(DemandKey("llm", "m0"))
     for number in range(3):
         demand = Demand("llm", "m0", "", 4, 0, 1, 8000)
-        fleet.book.take(8.0 + 0.4 * (number + 1), DemandReport("edge", 0.4, (demand,)))
-    risen = fleet.book.expected(Item("llm", "m0"))
-    assert risen.rate > 2 * calm.rate and risen.tokens > 2 * calm.tokens
-    assert risen.rate > fleet.book.rate(Item("llm", "m0"))
+        fleet.book.add_report(8.0 + 0.4 * (number + 1), DemandReport("edge", 0.4, (demand,)))
+    risen = fleet.book.expected(DemandKey("llm", "m0"))
+    assert risen.rate > 2 * calm.rate and risen.tokens_per_s > 2 * calm.tokens_per_s
+    assert risen.rate > fleet.book.rate(DemandKey("llm", "m0"))
 
 
 def test_the_pace_is_the_median_of_what_dispatchers_tell() -> None:
-    book = DemandBook()
-    assert book.s_per_token("llm") == 0.0
+    book = DemandTracker()
+    assert book.prefill_s_per_token("llm") == 0.0
     for name, pace in (("one", 0.00004), ("two", 0.00005), ("three", 0.9)):
-        book.take(1.0, DemandReport(name, 0.4, (), prefill_s_per_token={"llm": pace}))
-    assert book.s_per_token("llm") == 0.00005
-    assert book.s_per_token("other") == 0.0
+        book.add_report(1.0, DemandReport(name, 0.4, (), prefill_s_per_token={"llm": pace}))
+    assert book.prefill_s_per_token("llm") == 0.00005
+    assert book.prefill_s_per_token("other") == 0.0
 
 
 def test_a_further_copy_takes_no_place_from_the_last_copy_of_another_model_for_little() -> None:
