--- a/finchladder/cluster/placement/__init__.py
+++ b/finchladder/cluster/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which model is to be where: demand, plan, ledger of loads."""
+"""Decides which worker holds which model: demand, load budget, planner; no I/O and no clock."""
--- a/finchladder/cluster/placement/demand.py
+++ b/finchladder/cluster/placement/demand.py
@@ -1,5 +1,7 @@
-"""Demand in the fleet by model and adapter, summed over the dispatchers' reports and decayed; times are
-passed in.
+"""Demand by model and adapter, summed over the dispatchers' reports; no I/O and no clock.
+
+Rates are exponentially decayed averages. The last report of each dispatcher is kept, so that the sums follow
+a new report in O(entries of the report) and lose those of a dispatcher that no longer reports.
 """
 
 from collections import Counter
@@ -8,23 +10,25 @@
 from statistics import median
 from typing import TypeVar
 
-from attrs import define, field
+from attrs import define, field, frozen
 
 from finchladder.cluster.types.messages import DemandReport
 from finchladder.cluster.types.replicas import ReplicaKey
 
 RATE_TIME_CONSTANT_S = 4.0
-RECENT_TIME_CONSTANT_S = 1.0  # the same, of what tells where demand goes
-TREND_WEIGHT = 0.5  # of what a figure has lately gained over its average, it is expected to gain again
+RECENT_TIME_CONSTANT_S = 1.0  # of the short averages, which show a trend
+TREND_WEIGHT = 0.5  # share of the short average's lead over the long one that is expected to be gained again
 REPORT_EXPIRY_S = 3.0
-MIN_TRACKED_RATE = 0.003  # below this a model counts as idle
+MIN_TRACKED_RATE = 0.003  # requests a second below which an estimate is dropped
+ESTIMATE_EXPIRY_S = 10 * RATE_TIME_CONSTANT_S  # since the last request, before which none is dropped
+NEVER = -1e9
 
-Key = TypeVar("Key", bound=Hashable)
+CounterKey = TypeVar("CounterKey", bound=Hashable)
 
 
-@define(frozen=True)
+@frozen
 class DemandKey:
-    """A model, or an adapter of it."""
+    """A model of a service, or an adapter of that model."""
 
     service: str
     model: str
@@ -33,84 +37,75 @@
 
 @define
 class DemandEstimate:
-    """Of one item. `rate`: requests a second, decayed; `waiting` and `running` as last reported."""
+    """Decayed averages for one key; rates are per second."""
 
     rate: float = 0.0
-    recent_rate: float = 0.0  # the same, over a shorter time
-    tokens_per_s: float = 0.0  # a second
+    recent_rate: float = 0.0
+    tokens_per_s: float = 0.0
     recent_tokens_per_s: float = 0.0
     updated_at: float = 0.0
-    running: float = 0.0  # smoothed
-    last_request_at: float = -1e9
-
-    def decay(self, now: float, running: int | None = None) -> None:
-        """Brings the figures to that moment; `running`: how many run now."""
-        factor = exp(-(now - self.updated_at) / RATE_TIME_CONSTANT_S)
+    running: float = 0.0  # requests in flight, smoothed
+    last_request_at: float = NEVER
+
+    def add_requests(self, now: float, requests: int, prompt_tokens: int) -> None:
+        """Adds newly arrived requests to averages that have been decayed to this moment."""
+        self.rate += requests / RATE_TIME_CONSTANT_S
+        self.tokens_per_s += prompt_tokens / RATE_TIME_CONSTANT_S
+        self.recent_rate += requests / RECENT_TIME_CONSTANT_S
+        self.recent_tokens_per_s += prompt_tokens / RECENT_TIME_CONSTANT_S
+        self.last_request_at = now
+
+    def decay(self, now: float, running: int) -> None:
+        """Decays the averages to this moment and folds in the number of requests in flight."""
+        elapsed_s = now - self.updated_at
+        factor = exp(-elapsed_s / RATE_TIME_CONSTANT_S)
+        recent_factor = exp(-elapsed_s / RECENT_TIME_CONSTANT_S)
         self.rate *= factor
         self.tokens_per_s *= factor
-        recent_factor = exp(-(now - self.updated_at) / RECENT_TIME_CONSTANT_S)
         self.recent_rate *= recent_factor
         self.recent_tokens_per_s *= recent_factor
-        if running is not None:
-            self.running += (1 - factor) * (running - self.running)
+        self.running += (1 - factor) * (running - self.running)
         self.updated_at = now
 
+    def is_expired(self, now: float) -> bool:
+        """Whether there has been no demand for so long that the estimate may be dropped."""
+        return self.rate < MIN_TRACKED_RATE and now - self.last_request_at > ESTIMATE_EXPIRY_S
+
 
-@define(frozen=True)
+@frozen
 class ExpectedDemand:
-    """Requests and prompt tokens a second."""
+    """Requests and prompt tokens per second that are expected by the time a load could end."""
 
     rate: float
     tokens_per_s: float
 
 
-def _extrapolate(average: float, recent: float) -> float:
-    """Where a figure that rises will be when a load that begins now has ended; no lower than it was."""
-    return max(average, recent + TREND_WEIGHT * max(0.0, recent - average))
+NO_EXPECTED_DEMAND = ExpectedDemand(0.0, 0.0)
 
 
 @define
 class ReportedDemand:
-    """The last report of one dispatcher."""
+    """Counts from the last report of one dispatcher, or their sums over all of them."""
 
     received_at: float
     queued: Counter[DemandKey] = field(factory=Counter)
     running: Counter[DemandKey] = field(factory=Counter)
     worker_loads: Counter[str] = field(factory=Counter)  # requests in flight by worker instance
-    replica_requests: Counter[ReplicaKey] = field(
-        factory=Counter
-    )  # those of one model, its adapters included
+    replica_requests: Counter[ReplicaKey] = field(factory=Counter)  # requests in flight, adapters included
 
 
 @define
 class DemandTracker:
-    """O(items in the report) for each report: sums over the dispatchers are kept, not made anew."""
+    """Demand of all services as reported by all dispatchers."""
 
     estimates: dict[DemandKey, DemandEstimate] = field(factory=dict)
-    reports: dict[str, ReportedDemand] = field(factory=dict)
+    reports: dict[str, ReportedDemand] = field(factory=dict)  # by dispatcher
     totals: ReportedDemand = field(factory=lambda: ReportedDemand(0.0))
-    prefill_reports: dict[str, dict[str, float]] = field(
-        factory=dict
-    )  # seconds a token, by service and dispatcher
+    prefill_reports: dict[str, dict[str, float]] = field(factory=dict)  # by service and dispatcher
 
     def add_report(self, now: float, report: DemandReport) -> None:
-        """A dispatcher's report."""
-        uses = Counter({ReplicaKey(use.instance, use.model): use.requests for use in report.model_uses})
-        reported = ReportedDemand(now, worker_loads=Counter(report.worker_loads), replica_requests=uses)
-        for demand in report.demands:
-            item = DemandKey(demand.service, demand.model, demand.adapter)
-            if demand.requests:
-                figure = self.estimates.setdefault(item, DemandEstimate(updated_at=now))
-                figure.decay(now, self.running_now(item))
-                figure.rate += demand.requests / RATE_TIME_CONSTANT_S
-                figure.tokens_per_s += demand.prompt_tokens / RATE_TIME_CONSTANT_S
-                figure.recent_rate += demand.requests / RECENT_TIME_CONSTANT_S
-                figure.recent_tokens_per_s += demand.prompt_tokens / RECENT_TIME_CONSTANT_S
-                figure.last_request_at = now
-            if demand.queued:
-                reported.queued[item] = demand.queued
-            if demand.in_flight:
-                reported.running[item] = demand.in_flight
+        """Folds in a dispatcher's report, which replaces its last one. O(entries of the report)."""
+        reported = self._fold_in(now, report)
         for service, s_per_token in report.prefill_s_per_token.items():
             self.prefill_reports.setdefault(service, {})[report.sender] = s_per_token
         self._remove_report(report.sender)
@@ -120,8 +115,25 @@
         self.totals.worker_loads.update(reported.worker_loads)
         self.totals.replica_requests.update(reported.replica_requests)
 
+    def _fold_in(self, now: float, report: DemandReport) -> ReportedDemand:
+        """Adds the report's new requests to the estimates and returns its counts."""
+        reported = ReportedDemand(now, worker_loads=Counter(report.worker_loads))
+        for use in report.model_uses:
+            reported.replica_requests[ReplicaKey(use.instance, use.model)] = use.requests
+        for demand in report.demands:
+            key = DemandKey(demand.service, demand.model, demand.adapter)
+            if demand.requests:
+                estimate = self.estimates.setdefault(key, DemandEstimate(updated_at=now))
+                estimate.decay(now, self.running_now(key))
+                estimate.add_requests(now, demand.requests, demand.prompt_tokens)
+            if demand.queued:
+                reported.queued[key] = demand.queued
+            if demand.in_flight:
+                reported.running[key] = demand.in_flight
+        return reported
+
     def _remove_report(self, sender: str) -> None:
-        """Takes a dispatcher's last report out of the sums."""
+        """Subtracts a dispatcher's last report from the totals."""
         reported = self.reports.pop(sender, None)
         if reported is not None:
             _subtract(self.totals.queued, reported.queued)
@@ -130,72 +142,78 @@
             _subtract(self.totals.replica_requests, reported.replica_requests)
 
     def decay(self, now: float) -> None:
-        """Decays all figures and forgets idle items and silent dispatchers."""
-        for sender in [
-            s for s, reported in self.reports.items() if now - reported.received_at > REPORT_EXPIRY_S
-        ]:
+        """Decays all estimates and drops expired estimates and reports."""
+        expired = [
+            sender for sender, report in self.reports.items() if now - report.received_at > REPORT_EXPIRY_S
+        ]
+        for sender in expired:
             self._remove_report(sender)
-        for item, figure in list(self.estimates.items()):
-            figure.decay(now, self.running_now(item))
-            if figure.rate < MIN_TRACKED_RATE and now - figure.last_request_at > 10 * RATE_TIME_CONSTANT_S:
-                del self.estimates[item]
+        for key, estimate in list(self.estimates.items()):
+            estimate.decay(now, self.running_now(key))
+            if estimate.is_expired(now):
+                del self.estimates[key]
 
     def rate(self, key: DemandKey) -> float:
-        """Requests a second."""
-        figure = self.estimates.get(key)
-        return 0.0 if figure is None else figure.rate
-
-    def expected(self, key: DemandKey) -> "ExpectedDemand":
-        """What is asked for soon."""
-        figure = self.estimates.get(key)
-        if figure is None:
-            return ExpectedDemand(0.0, 0.0)
+        """Requests per second, averaged."""
+        estimate = self.estimates.get(key)
+        return 0.0 if estimate is None else estimate.rate
+
+    def expected(self, key: DemandKey) -> ExpectedDemand:
+        """Demand by the time a load that begins now could end."""
+        estimate = self.estimates.get(key)
+        if estimate is None:
+            return NO_EXPECTED_DEMAND
         return ExpectedDemand(
-            _extrapolate(figure.rate, figure.recent_rate),
-            _extrapolate(figure.tokens_per_s, figure.recent_tokens_per_s),
+            _extrapolate(estimate.rate, estimate.recent_rate),
+            _extrapolate(estimate.tokens_per_s, estimate.recent_tokens_per_s),
         )
 
     def prefill_s_per_token(self, service: str) -> float:
-        """Seconds that an engine reads at one token of a prompt; 0: nobody knows."""
-        known = self.prefill_reports.get(service)
-        return median(known.values()) if known else 0.0
+        """Prefill time per prompt token, the median over the dispatchers; 0 if none has reported it."""
+        by_dispatcher = self.prefill_reports.get(service)
+        return median(by_dispatcher.values()) if by_dispatcher else 0.0
 
     def queued(self, key: DemandKey) -> int:
-        """Requests that wait for it anywhere."""
+        """Requests queued at any dispatcher."""
         return self.totals.queued[key]
 
     def queued_keys(self) -> list[DemandKey]:
-        """Items for which requests wait anywhere."""
+        """Keys with queued requests."""
         return list(self.totals.queued)
 
     def running(self, key: DemandKey) -> float:
-        """Requests of it that run anywhere, smoothed."""
-        figure = self.estimates.get(key)
-        return 0.0 if figure is None else figure.running
+        """Requests in flight, smoothed."""
+        estimate = self.estimates.get(key)
+        return 0.0 if estimate is None else estimate.running
 
     def running_now(self, key: DemandKey) -> int:
-        """Requests of it that run anywhere, as last reported."""
+        """Requests in flight as last reported."""
         return self.totals.running[key]
 
     def replica_requests(self, instance: str, model: str) -> int:
-        """Requests of that model in flight at that worker, as last reported."""
+        """Requests in flight for one model at one worker as last reported."""
         return self.totals.replica_requests[ReplicaKey(instance, model)]
 
     def peer_loads(self, sender: str) -> dict[str, int]:
-        """Requests in flight by worker instance that all but one dispatcher have reported of."""
+        """Requests in flight by worker instance, as reported by all dispatchers but this one."""
         others = Counter(self.totals.worker_loads)
         if sender in self.reports:
             _subtract(others, self.reports[sender].worker_loads)
         return dict(others)
 
     def tracked_keys(self) -> set[DemandKey]:
-        """All that is asked for, waited for or running."""
+        """Keys with an estimate, queued requests or requests in flight."""
         return set(self.estimates) | set(self.totals.queued) | set(self.totals.running)
 
 
-def _subtract(sums: Counter[Key], part: Counter[Key]) -> None:
-    """Takes a part out of sums; entries that become 0 go."""
+def _extrapolate(average: float, recent: float) -> float:
+    """Continues a rising trend; a falling one leaves the average as it is."""
+    return max(average, recent + TREND_WEIGHT * max(0.0, recent - average))
+
+
+def _subtract(totals: Counter[CounterKey], part: Counter[CounterKey]) -> None:
+    """Subtracts in place and deletes entries that become 0."""
     for key, count in part.items():
-        sums[key] -= count
-        if not sums[key]:
-            del sums[key]
+        totals[key] -= count
+        if not totals[key]:
+            del totals[key]
--- /dev/null
+++ b/finchladder/cluster/placement/eviction_planner.py
@@ -0,0 +1,70 @@
+"""Which models a worker should evict to free memory for another one; no I/O and no clock."""
+
+from attrs import frozen
+
+from finchladder.cluster.placement.actions import Eviction
+from finchladder.cluster.placement.capacity import used_mb
+from finchladder.cluster.placement.planning_input import PlannerWorker
+from finchladder.cluster.placement.planning_state import PlanningState
+
+RUNNING_REQUEST_COST = 0.5  # of each request in flight: an eviction blocks the worker until they end
+
+
+@frozen
+class EvictionPlan:
+    """Models to be evicted from a worker, and the value that is lost with them."""
+
+    cost: float
+    evicted_models: tuple[str, ...]
+
+    def evictions(self) -> tuple[Eviction, ...]:
+        """The plan as part of an action."""
+        return tuple(Eviction(model) for model in self.evicted_models)
+
+
+class EvictionPlanner:
+    """Plans evictions within one planning pass."""
+
+    def __init__(self, state: PlanningState) -> None:
+        """Begins without cached plans."""
+        self.state = state
+        self._plans: dict[tuple[str, float], EvictionPlan | None] = {}
+        self._configured_order = {name: index for index, name in enumerate(state.engine.models)}
+
+    def plan_for(self, worker: PlannerWorker, model: str) -> EvictionPlan | None:
+        """The cheapest models to evict for a model, none where it fits; None if it can't be made to fit.
+
+        A replica that is still being loaded elsewhere is no substitute for one that would be evicted. Plans
+        are cached for the pass by worker and size: values of replicas change little within it.
+        """
+        needed_mb = self.state.engine.models[model].weights_mb
+        cache_key = worker.instance, needed_mb
+        if cache_key not in self._plans:
+            self._plans[cache_key] = self._plan(worker, needed_mb)
+        return self._plans[cache_key]
+
+    def _plan(self, worker: PlannerWorker, needed_mb: float) -> EvictionPlan | None:
+        free_mb = self.state.free_mb(worker)
+        cost = 0.0
+        evicted_models = []
+        for model in sorted(worker.loaded_models, key=lambda model: self._eviction_order(worker, model)):
+            if free_mb >= needed_mb:
+                break
+            cost += self._cost(worker, model)
+            evicted_models.append(model)
+            free_mb += used_mb(self.state.engine, {model: worker.loaded_models[model]})
+        return EvictionPlan(cost, tuple(evicted_models)) if free_mb >= needed_mb else None
+
+    def _eviction_order(self, worker: PlannerWorker, model: str) -> tuple[float, int]:
+        """The cheapest first; among equals the last in the configuration."""
+        return self._cost(worker, model), -self._configured_order.get(model, 0)
+
+    def _cost(self, worker: PlannerWorker, model: str) -> float:
+        """Value that is lost with a replica, and by the wait for its requests in flight."""
+        state = self.state
+        if state.loaded_replicas[model] <= 1:
+            value = state.first_replica_value(model)
+        else:
+            value = state.utilization.loss(worker.instance, model)
+        in_flight = state.inputs.demand.replica_requests(worker.instance, model)
+        return value + RUNNING_REQUEST_COST * in_flight
--- a/finchladder/cluster/placement/load_durations.py
+++ b/finchladder/cluster/placement/load_durations.py
@@ -1,6 +1,4 @@
-"""How long orders take, learned from those that were carried out; seconds."""
-
-from math import exp
+"""Expected durations of loads and evictions, learned from loads that have ended; no I/O and no clock."""
 
 from attrs import define
 
@@ -12,14 +10,18 @@
 
 @define
 class LoadDurations:
-    """Of one service. `warm_share`: a load from the worker's own disk over one from the store."""
+    """Moving averages for the workers of one service.
+
+    `warm_fraction` and `cold_fraction`: duration of a load from the local disk, and from the weight store, as
+    a fraction of the duration that is configured for the model.
+    """
 
     warm_fraction: float = INITIAL_WARM_FRACTION
-    cold_fraction: float = 1.0  # a load from the store over what the configuration says
+    cold_fraction: float = 1.0
     adapter_load_s: float = INITIAL_ADAPTER_LOAD_S
 
     def expected_s(self, configured_load_s: float, is_adapter: bool, is_warm: bool) -> float:
-        """Of one load."""
+        """Expected duration of a load; `is_warm`: from the worker's local disk."""
         if is_adapter:
             return self.adapter_load_s
         return configured_load_s * (self.warm_fraction if is_warm else self.cold_fraction)
@@ -27,37 +29,14 @@
     def record(
         self, configured_load_s: float, is_adapter: bool, is_warm: bool, load_duration_s: float
     ) -> None:
-        """One load took so long."""
+        """Folds in the duration of a load that has ended."""
         if is_adapter:
             self.adapter_load_s += SMOOTHING_FACTOR * (load_duration_s - self.adapter_load_s)
-        elif configured_load_s > 0 and is_warm:
-            self.warm_fraction += SMOOTHING_FACTOR * (
-                load_duration_s / configured_load_s - self.warm_fraction
-            )
-        elif configured_load_s > 0:
-            self.cold_fraction += SMOOTHING_FACTOR * (
-                load_duration_s / configured_load_s - self.cold_fraction
-            )
-
-
-OCCUPANCY_TIME_CONSTANT_S = 10.0  # time constant with which the places that first copies take are averaged
-FIRST_USE_S = 1.0  # for which a place is in use once its model is there
-
-
-@define
-class ColdStartOccupancy:
-    """Loads of models of which there was no copy: how many places they take at once, on average."""
-
-    average_slots: float = 0.0  # a second, decayed
-    updated_at: float = 0.0
-
-    def record_cold_start(self, now: float, load_s: float) -> None:
-        """One begins."""
-        self.occupied_slots(now)
-        self.average_slots += (load_s + FIRST_USE_S) / OCCUPANCY_TIME_CONSTANT_S
-
-    def occupied_slots(self, now: float) -> float:
-        """Places taken on average lately."""
-        self.average_slots *= exp(-(now - self.updated_at) / OCCUPANCY_TIME_CONSTANT_S)
-        self.updated_at = now
-        return self.average_slots
+            return
+        if configured_load_s <= 0:
+            return
+        observed_fraction = load_duration_s / configured_load_s
+        if is_warm:
+            self.warm_fraction += SMOOTHING_FACTOR * (observed_fraction - self.warm_fraction)
+        else:
+            self.cold_fraction += SMOOTHING_FACTOR * (observed_fraction - self.cold_fraction)
--- a/finchladder/cluster/placement/load_rate_limiter.py
+++ b/finchladder/cluster/placement/load_rate_limiter.py
@@ -1,47 +1,53 @@
-"""How many loads from the weight store may still begin; times are passed in.
+"""Rate limit of loads from the weight store over a sliding window; times are passed in.
 
-A placer begins at most `rate_s` x `window_s` loads in any window. The rule allows `overage` times as many and
-a few more; until a new placer knows what the one before it began, it counts with the most that this may have
-been, and uses what the rule leaves beyond. It learns it from two sides: placement records tell the loads that
-were announced, and what workers have taken beyond their records counts as loads of this moment.
+A placer begins at most `max_loads_per_s` x `window_s` loads in any window. The rule allows `allowed_overage`
+times as many and a few more. Until a new placer knows what its predecessor began, it assumes the most that
+the predecessor may have begun, and uses only what the rule leaves beyond. It learns it from two sources:
+placement records announce loads, and orders that workers have taken beyond their records count as loads that
+begin now.
 """
 
 from collections import deque
 from collections.abc import Iterable
 
-from attrs import define, field, frozen
+from attrs import define, field
 
-from finchladder.cluster.types.workers import PlacementRecord
-
-RULE_EXTRA_LOADS = 3  # loads that the rule allows beyond the rate
+RULE_EXTRA_LOADS = 3  # loads that the rule allows in a window beyond the rate
+CLOCK_SAFETY_LOADS = 1  # left unused, since the clocks of the placer and the weight store differ
 
 
 @define
 class LoadRateLimiter:
-    """Loads that this placer began, or assumes that others did."""
+    """Log of the loads that this placer began, or assumes that its predecessor did."""
 
     max_loads_per_s: float
     window_s: float
     allowed_overage: float
-    predecessor_unknown_until: float = 0.0  # up to then others' loads count in the window
+    predecessor_unknown_until: float = 0.0  # up to then assumed loads are in the window
     load_times: deque[float] = field(factory=deque)
 
     def assume_exhausted(self, until: float) -> None:
-        """Another placer may have begun all that it may, up to that moment."""
+        """Assumes that a predecessor used its full budget at this moment."""
         self.load_times = deque([until] * self.max_loads)
         self.predecessor_unknown_until = until + self.window_s
 
     def restore(self, load_times: Iterable[float]) -> None:
-        """What others began lately is known, unless it is more than one placer begins."""
+        """Replaces assumed loads by known ones; the newest, if there are more than one placer may begin."""
         self.load_times = deque(sorted(load_times)[-self.max_loads :])
         if len(self.load_times) < self.max_loads:
             self.predecessor_unknown_until = 0.0
 
     @property
     def max_loads(self) -> int:
-        """Loads that one window may hold."""
+        """Loads that one placer may begin in a window."""
         return max(1, int(self.max_loads_per_s * self.window_s))
 
+    @property
+    def hard_max_loads(self) -> int:
+        """Loads that all placers together may begin in a window."""
+        rule_limit = int(self.max_loads_per_s * self.window_s * self.allowed_overage + RULE_EXTRA_LOADS)
+        return max(self.max_loads, rule_limit - CLOCK_SAFETY_LOADS)
+
     def allows(self, now: float) -> bool:
         """Whether another load may begin."""
         return self.remaining(now) > 0
@@ -50,69 +56,14 @@
         """How many loads may begin now."""
         while self.load_times and self.load_times[0] <= now - self.window_s:
             self.load_times.popleft()
-        most = self.hard_max_loads if now < self.predecessor_unknown_until else self.max_loads
-        return most - len(self.load_times)
-
-    @property
-    def hard_max_loads(self) -> int:
-        """Loads that the rule allows in one window, less one for clocks that differ."""
-        return max(
-            self.max_loads,
-            int(self.max_loads_per_s * self.window_s * self.allowed_overage + RULE_EXTRA_LOADS) - 1,
-        )
+        limit = self.hard_max_loads if now < self.predecessor_unknown_until else self.max_loads
+        return limit - len(self.load_times)
 
     def record(self, now: float) -> None:
-        """A load may have begun."""
+        """Counts a load that may begin now."""
         self.load_times.append(now)
 
     def withdraw(self, recorded_at: float) -> None:
-        """The load that was noted at that moment has not begun."""
+        """Removes a load that was recorded at that moment and did not begin."""
         if recorded_at in self.load_times:
             self.load_times.remove(recorded_at)
-
-
-@frozen
-class AnnouncedLoads:
-    """What one placement record tells: when loads from the store began at the worker."""
-
-    serial: int
-    load_times: tuple[float, ...]
-
-
-@define
-class AnnouncedLoadLog:
-    """Loads from the store that placers announced, as any member of the core sees them. A record is older
-    than the moment at which it is seen, so a load counts for no shorter than it should.
-    """
-
-    window_s: float
-    by_worker_and_token: dict[tuple[str, int], AnnouncedLoads] = field(
-        factory=dict
-    )  # by instance and fencing token
-
-    def record(self, now: float, records: Iterable[PlacementRecord]) -> None:
-        """These records are known now. O(records)."""
-        for record in records:
-            key = record.instance, record.token
-            known = self.by_worker_and_token.get(key)
-            if record.load_ages_ms and (known is None or known.serial < record.serial):
-                began = tuple(now - age_ms / 1000 for age_ms in record.load_ages_ms)
-                self.by_worker_and_token[key] = AnnouncedLoads(record.serial, began)
-
-    def expire(self, now: float) -> None:
-        """Drops what lies before the window."""
-        since = now - self.window_s
-        self.by_worker_and_token = {
-            key: a for key, a in self.by_worker_and_token.items() if max(a.load_times) > since
-        }
-
-    def recent_loads(self, now: float, instances: Iterable[str]) -> list[float]:
-        """When loads at these workers began, as far as that lies in the window."""
-        wanted, since = set(instances), now - self.window_s
-        return [
-            at
-            for (instance, _), announced in self.by_worker_and_token.items()
-            if instance in wanted
-            for at in announced.load_times
-            if at > since
-        ]
--- a/finchladder/cluster/placement/model_demand.py
+++ b/finchladder/cluster/placement/model_demand.py
@@ -1,44 +1,44 @@
-"""Demand by model, its adapters included; no I/O and no clock."""
+"""Demand by model, that for its adapters included; no I/O and no clock."""
 
 from attrs import define
 
 from finchladder.cluster.configuration.snapshot import Engine
 from finchladder.cluster.placement.demand import DemandTracker
 
-MAX_IDLE_RATE = 0.5  # requests a second: what is asked for less, and not in use, gives its place to others
+MAX_IDLE_RATE = 0.5  # requests per second, below which a model that is not in use counts as idle
 
 
 @define
 class ModelDemand:
-    """What is asked of a model, its adapters included."""
+    """Demand for one model and its adapters; rates are per second."""
 
     rate: float = 0.0
     queued: int = 0
-    running: float = 0.0
+    running: float = 0.0  # smoothed
     running_now: int = 0
     expected_rate: float = 0.0
-    expected_tokens_per_s: float = 0.0  # a second
+    expected_tokens_per_s: float = 0.0
 
     @property
     def is_idle(self) -> bool:
-        """Whether a copy may go without anybody waiting for it."""
+        """Whether a replica may be evicted without requests that wait for it."""
         return not self.queued and not self.running_now and self.rate < MAX_IDLE_RATE
 
 
 NO_DEMAND = ModelDemand()
 
 
-def demand_by_model(demand: DemandTracker, service: str, engine: Engine) -> dict[str, ModelDemand]:
-    """Demand of each model of the service that is asked for."""
-    found: dict[str, ModelDemand] = {}
-    for item in demand.tracked_keys():
-        if item.service == service and item.model in engine.models:
-            of_model = found.setdefault(item.model, ModelDemand())
-            of_model.rate += demand.rate(item)
-            of_model.queued += demand.queued(item)
-            of_model.running += demand.running(item)
-            of_model.running_now += demand.running_now(item)
-            expected = demand.expected(item)
-            of_model.expected_rate += expected.rate
-            of_model.expected_tokens_per_s += expected.tokens_per_s
-    return found
+def demand_by_model(tracker: DemandTracker, service: str, engine: Engine) -> dict[str, ModelDemand]:
+    """Sums the demand for each configured model of a service; models without any are left out."""
+    demands: dict[str, ModelDemand] = {}
+    for key in tracker.tracked_keys():
+        if key.service == service and key.model in engine.models:
+            demand = demands.setdefault(key.model, ModelDemand())
+            expected = tracker.expected(key)
+            demand.rate += tracker.rate(key)
+            demand.queued += tracker.queued(key)
+            demand.running += tracker.running(key)
+            demand.running_now += tracker.running_now(key)
+            demand.expected_rate += expected.rate
+            demand.expected_tokens_per_s += expected.tokens_per_s
+    return demands
--- /dev/null
+++ b/finchladder/cluster/placement/replica_planner.py
@@ -0,0 +1,113 @@
+"""Where another replica of a model should be loaded, and whether it is worth its evictions; no I/O.
+
+The value of the first replica is the model's request rate, and more while requests are queued for it. The
+value of a further one is the late requests that it saves. A replica is loaded where its value exceeds that of
+the evicted ones by a margin, which keeps models from replacing each other in turn; a worker that has the
+model on its local disk is preferred by the time that this saves. Further replicas of models that are not
+overloaded leave slots to rarely used models: without reserved ones, each cold start would evict a replica of
+a busy model, wait for its requests in flight, and be evicted again.
+"""
+
+from typing import NamedTuple
+
+from finchladder.cluster.placement.actions import LoadAction
+from finchladder.cluster.placement.eviction_planner import EvictionPlan, EvictionPlanner
+from finchladder.cluster.placement.planning_input import PlannerWorker
+from finchladder.cluster.placement.planning_state import PlanningState
+
+REPLACEMENT_MARGIN = 1.5  # factor by which a replica's value has to exceed the cost of its evictions
+LAST_REPLICA_COST = 0.5  # of each model whose last replica would go for a further one of another
+MIN_FIRST_REPLICA_VALUE = 0.02  # a first replica of less value is not loaded
+MIN_REPLICA_VALUE = 0.2  # the same of a further one
+OVERLOAD_UTILIZATION = 0.5  # of the least utilized replica, above which the next one may take a reserved slot
+VALUE_HORIZON_S = 10.0  # for which a replica is of use: a load of a tenth of it costs a tenth of the value
+REQUEST_RATE_COST = 0.05  # for each request per second that a worker serves already
+
+
+class ReplicaCandidate(NamedTuple):
+    """A worker that could load the replica; the lowest one is chosen."""
+
+    cost: float
+    instance: str
+    eviction_plan: EvictionPlan
+
+
+class ReplicaPlanner:
+    """Plans loads of models that are in demand."""
+
+    def __init__(self, state: PlanningState, eviction_planner: EvictionPlanner) -> None:
+        """Plans within the pass of that state."""
+        self.state = state
+        self.eviction_planner = eviction_planner
+
+    def actions(self) -> list[LoadAction]:
+        """At most one load for each model in demand, applied to the state."""
+        planned: list[LoadAction] = []
+        for model in self._models_by_urgency():
+            action = self._plan(model)
+            if action is not None:
+                self.state.apply(action)
+                planned.append(action)
+        return planned
+
+    def _models_by_urgency(self) -> list[str]:
+        """First models with queued requests and no replica; in each part by the next replica's value."""
+        state = self.state
+        values = {model: state.next_replica_value(model) for model in state.demand}
+
+        def urgency(model: str) -> tuple[bool, float, str]:
+            is_missing = state.replicas.get(model, 0) == 0 and state.demand[model].queued > 0
+            return not is_missing, -values[model], model
+
+        return sorted(values, key=urgency)
+
+    def _plan(self, model: str) -> LoadAction | None:
+        has_replica = self.state.replicas.get(model, 0) > 0
+        value = self.state.next_replica_value(model)
+        min_value = MIN_REPLICA_VALUE if has_replica else MIN_FIRST_REPLICA_VALUE
+        if value < min_value:
+            return None
+        if has_replica and self.state.is_down_to_reserved_slots and not self._is_overloaded(model):
+            return None
+        candidates = self._candidates(model, value, min_value, has_replica)
+        if not candidates:
+            return None
+        best = min(candidates)
+        return LoadAction(best.instance, model, evictions=best.eviction_plan.evictions())
+
+    def _candidates(
+        self, model: str, value: float, min_value: float, has_replica: bool
+    ) -> list[ReplicaCandidate]:
+        """Idle workers where the replica's value exceeds what it costs there. O(idle workers)."""
+        state = self.state
+        candidates: list[ReplicaCandidate] = []
+        for worker in state.idle_workers.values():
+            is_cold = model not in worker.models_on_disk
+            if model in worker.loaded_models or (is_cold and state.store_loads_left <= 0):
+                continue
+            plan = self.eviction_planner.plan_for(worker, model)
+            if plan is None:
+                continue
+            burden = state.utilization.burden(worker.instance, model) if has_replica else 0.0
+            replacement_cost = self._replacement_cost(plan, has_replica)
+            if value - burden < max(min_value, REPLACEMENT_MARGIN * replacement_cost):
+                continue
+            delay_cost = value * self._load_s(worker, model) / VALUE_HORIZON_S
+            cost = plan.cost + burden + delay_cost + REQUEST_RATE_COST * state.request_rate(worker)
+            candidates.append(ReplicaCandidate(cost, worker.instance, plan))
+        return candidates
+
+    def _replacement_cost(self, plan: EvictionPlan, has_replica: bool) -> float:
+        """Cost of evictions; for a further replica, models that would have none left cost more."""
+        if not has_replica:
+            return plan.cost
+        last_replicas = sum(self.state.loaded_replicas[model] <= 1 for model in plan.evicted_models)
+        return plan.cost + LAST_REPLICA_COST * last_replicas
+
+    def _is_overloaded(self, model: str) -> bool:
+        """Whether all replicas are busy, those that are being loaded included."""
+        return self.state.utilization.min_utilization(model) > OVERLOAD_UTILIZATION
+
+    def _load_s(self, worker: PlannerWorker, model: str) -> float:
+        fraction = self.state.inputs.warm_fraction if model in worker.models_on_disk else 1.0
+        return fraction * self.state.engine.models[model].load_s
--- a/finchladder/cluster/process/managed_worker.py
+++ b/finchladder/cluster/process/managed_worker.py
@@ -4,8 +4,9 @@
 
 from attrs import define, field
 
+from finchladder.cluster.placement.actions import Eviction, LoadAction
 from finchladder.cluster.placement.load_rate_limiter import LoadRateLimiter
-from finchladder.cluster.placement.plan import Eviction, LoadAction, PlannerWorker
+from finchladder.cluster.placement.planning_input import PlannerWorker
 from finchladder.cluster.types.worker_api import OrderRequest, WorkerReport
 from finchladder.cluster.types.workers import LoadedModel, PendingLoad, PlacementRecord
 
--- a/finchladder/cluster/process/placer.py
+++ b/finchladder/cluster/process/placer.py
@@ -14,21 +14,21 @@
     Engine,
     build_snapshot,
 )
-from finchladder.cluster.placement.demand import DemandKey, DemandTracker
-from finchladder.cluster.placement.disk_inventory import DiskInventory
-from finchladder.cluster.placement.load_durations import EVICTION_S, ColdStartOccupancy, LoadDurations
-from finchladder.cluster.placement.load_rate_limiter import AnnouncedLoadLog, LoadRateLimiter
-from finchladder.cluster.placement.plan import (
+from finchladder.cluster.placement.actions import Eviction, LoadAction
+from finchladder.cluster.placement.announced_loads import AnnouncedLoadLog
+from finchladder.cluster.placement.capacity import (
     PREFETCH_RESERVED_WORKERS_FACTOR,
     RESERVED_WORKERS_FACTOR,
-    Eviction,
-    LoadAction,
-    PlannerWorker,
-    PlanningInput,
     max_concurrent_store_loads,
     used_mb,
 )
+from finchladder.cluster.placement.cold_starts import ColdStartOccupancy
+from finchladder.cluster.placement.demand import DemandKey, DemandTracker
+from finchladder.cluster.placement.disk_inventory import DiskInventory
+from finchladder.cluster.placement.load_durations import EVICTION_S, LoadDurations
+from finchladder.cluster.placement.load_rate_limiter import LoadRateLimiter
 from finchladder.cluster.placement.planner import PlanningPass
+from finchladder.cluster.placement.planning_input import PlannerWorker, PlanningInput
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.managed_worker import ManagedWorker, StoreLoadPermit
 from finchladder.cluster.process.placer_lease import RoleService
--- a/tests/cluster/test_placement.py
+++ b/tests/cluster/test_placement.py
@@ -7,21 +7,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from finchladder.cluster.placement.demand import DemandKey, DemandTracker
-from finchladder.cluster.placement.disk_inventory import MAX_KNOWN_DISKS, DiskInventory
-from finchladder.cluster.placement.load_durations import LoadDurations
-from finchladder.cluster.placement.load_rate_limiter import RULE_EXTRA_LOADS, LoadRateLimiter
-from finchladder.cluster.placement.plan import (
+from finchladder.cluster.placement.actions import Eviction, LoadAction
+from finchladder.cluster.placement.capacity import (
     PREFETCH_RESERVED_WORKERS_FACTOR,
     RESERVED_WORKERS_FACTOR,
-    Eviction,
-    LoadAction,
-    PlannerWorker,
-    PlanningInput,
     max_concurrent_store_loads,
     used_mb,
 )
+from finchladder.cluster.placement.demand import DemandKey, DemandTracker
+from finchladder.cluster.placement.disk_inventory import MAX_KNOWN_DISKS, DiskInventory
+from finchladder.cluster.placement.load_durations import LoadDurations
+from finchladder.cluster.placement.load_rate_limiter import RULE_EXTRA_LOADS, LoadRateLimiter
 from finchladder.cluster.placement.planner import PlanningPass
+from finchladder.cluster.placement.planning_input import PlannerWorker, PlanningInput
 from finchladder.cluster.types.messages import Demand, DemandReport
 
 MODELS = {f"m{n}": Model(f"m{n}", 70.0, 5.0, 4, 1.0) for n in range(8)}
--- a/tests/cluster/test_placer.py
+++ b/tests/cluster/test_placer.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from finchladder.cluster.placement.plan import PlannerWorker
+from finchladder.cluster.placement.planning_input import PlannerWorker
 from finchladder.cluster.process.managed_worker import ManagedWorker
 from finchladder.cluster.process.placer import Placer
 from finchladder.cluster.process.tasks import Tasks
--- a/tests/cluster/test_rare_models.py
+++ b/tests/cluster/test_rare_models.py
@@ -5,20 +5,16 @@
 import pytest
 from finchladder.cluster.configuration.snapshot import Engine, Model
 
-from finchladder.cluster.placement.demand import DemandTracker
-from finchladder.cluster.placement.load_durations import (
+from finchladder.cluster.placement.actions import Eviction, LoadAction
+from finchladder.cluster.placement.capacity import reserved_model_slots
+from finchladder.cluster.placement.cold_starts import (
     FIRST_USE_S,
     OCCUPANCY_TIME_CONSTANT_S,
     ColdStartOccupancy,
 )
-from finchladder.cluster.placement.plan import (
-    Eviction,
-    LoadAction,
-    PlannerWorker,
-    PlanningInput,
-    reserved_model_slots,
-)
+from finchladder.cluster.placement.demand import DemandTracker
 from finchladder.cluster.placement.planner import PlanningPass
+from finchladder.cluster.placement.planning_input import PlannerWorker, PlanningInput
 from finchladder.cluster.types.messages import Demand, DemandReport, ModelUse
 
 MODELS = {f"m{n}": Model(f"m{n}", 70.0, 0.8, 4, 1.0) for n in range(12)}
--- a/tests/cluster/test_takeover.py
+++ b/tests/cluster/test_takeover.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from finchladder.cluster.placement.load_rate_limiter import AnnouncedLoadLog, LoadRateLimiter
+from finchladder.cluster.placement.announced_loads import AnnouncedLoadLog
+from finchladder.cluster.placement.load_rate_limiter import LoadRateLimiter
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.worker_api import OrderRequest
 from finchladder.cluster.types.workers import LoadedModel, PendingLoad, PlacementRecord
@@ -41,7 +42,7 @@
     observed = AnnouncedLoadLog(WINDOW_S)
     observed.record(10.0, [record("w1", 1, 100), record("w2", 1, 4000)])
     observed.expire(12.0)
-    assert list(observed.by_worker_and_token) == [("w1", 1)]
+    assert list(observed.by_record) == [("w1", 1)]
     assert observed.recent_loads(15.5, ["w1"]) == []
 
 
--- a/tests/cluster/test_utilization.py
+++ b/tests/cluster/test_utilization.py
@@ -7,9 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from finchladder.cluster.placement.actions import LoadAction
 from finchladder.cluster.placement.demand import DemandKey, DemandTracker
-from finchladder.cluster.placement.plan import LoadAction, PlannerWorker, PlanningInput
 from finchladder.cluster.placement.planner import PlanningPass
+from finchladder.cluster.placement.planning_input import PlannerWorker, PlanningInput
 from finchladder.cluster.placement.utilization import ExpectedLoad, FleetUtilization, late_fraction
 from finchladder.cluster.types.messages import Demand, DemandReport
 
