--- /dev/null
+++ b/finchladder/cluster/process/demand_intake.py
@@ -0,0 +1,47 @@
+"""Takes in the dispatchers' reports of demand."""
+
+from attrs import define, field
+
+from finchladder.cluster.placement.demand import DemandKey, DemandTracker
+from finchladder.cluster.process.placer_lease import RoleService
+from finchladder.cluster.process.tasks import Signal
+from finchladder.cluster.process.update_server import UpdateServer
+from finchladder.cluster.transport.peers import steady
+from finchladder.cluster.types.messages import DemandReply, DemandReport
+
+MIN_REPORT_INTERVAL_MS = 400
+MAX_REPORTS_PER_S = 150  # of all dispatchers together
+
+
+@define
+class DemandIntake:
+    """Owns the demand tracker; `demand_queued` fires when a report shows queued requests."""
+
+    role: RoleService
+    updates: UpdateServer
+    tracker: DemandTracker = field(factory=DemandTracker)
+    demand_queued: Signal = field(factory=Signal)
+    _queued_since: dict[DemandKey, float] = field(factory=dict)
+
+    def on_report(self, report: DemandReport) -> DemandReply:
+        """Folds in a dispatcher's report."""
+        self.tracker.add_report(steady(), report)
+        if any(demand.queued for demand in report.demands):
+            self._record_queued()
+            self.demand_queued.fire()
+        return DemandReply(
+            self._report_interval_ms(), self.role.holds(), self.tracker.peer_loads(report.sender)
+        )
+
+    def _report_interval_ms(self) -> int:
+        """Grows with the dispatchers, so that their reports stay within the placer's capacity."""
+        dispatchers = max(1, self.updates.dispatcher_count())
+        return max(MIN_REPORT_INTERVAL_MS, 1000 * dispatchers // MAX_REPORTS_PER_S)
+
+    def _record_queued(self) -> None:
+        now = steady()
+        self._queued_since = {key: self._queued_since.get(key, now) for key in self.tracker.queued_keys()}
+
+    def queued_for_s(self, key: DemandKey, now: float) -> float:
+        """How long requests have been queued for a model or adapter; 0 if there are none."""
+        return now - self._queued_since.get(key, now)
--- /dev/null
+++ b/finchladder/cluster/process/placer_takeover.py
@@ -0,0 +1,69 @@
+"""What a new placer learns of the loads that its predecessor began."""
+
+import asyncio
+from collections.abc import Callable
+from contextlib import suppress
+
+from attrs import define
+
+from finchladder.cluster.configuration.snapshot import ConfigurationSnapshot, Engine
+from finchladder.cluster.process.fleet_observer import FleetObserver
+from finchladder.cluster.process.log import event
+from finchladder.cluster.process.managed_worker import ManagedWorker
+from finchladder.cluster.process.managed_workers import ManagedWorkers
+from finchladder.cluster.process.store_load_budget import StoreLoadBudget
+from finchladder.cluster.process.update_server import UpdateServer
+from finchladder.cluster.process.worker_orders import WorkerOrders
+from finchladder.cluster.transport.peers import steady
+from finchladder.cluster.types.errors import PeerUnreachableError
+
+
+@define
+class PlacerTakeover:
+    """Surveys the workers at the beginning of a term."""
+
+    updates: UpdateServer
+    orders: WorkerOrders
+    workers: ManagedWorkers
+    observer: FleetObserver
+    budget: StoreLoadBudget
+    snapshot: Callable[[], ConfigurationSnapshot]
+
+    async def run(self, term: int) -> None:
+        """Asks all workers for their state, and restores the rate limiters from what they report.
+
+        A process that started within the window has not received all that was announced in it, and goes on
+        with what the rate limiters assume.
+        """
+        await asyncio.gather(*(self._survey(worker) for worker in self.workers))
+        now = steady()
+        has_seen_window = now - self.updates.started_at >= self.observer.load_window_s
+        if self.workers.term != term or not has_seen_window:
+            return
+        self.observer.record_loads()
+        for name, service in self.snapshot().services.items():
+            if service.engine is not None:
+                self._restore_loads(now, name, service.engine)
+
+    async def _survey(self, worker: ManagedWorker) -> None:
+        # a worker that does not answer counts as one unannounced order
+        with suppress(PeerUnreachableError):
+            report = await self.orders.fetch_report(worker)
+            if worker.last_report is None and worker.orders_taken_before_term is None:
+                worker.orders_taken_before_term = report.sequence
+                if worker.task is None and not report.busy:
+                    self.workers.accept_report(worker, report)
+
+    def _restore_loads(self, now: float, service: str, engine: Engine) -> None:
+        """Counts the announced loads, and each unannounced order as a load that begins now."""
+        workers = self.workers.of_service(service)
+        instances = (worker.state.instance for worker in workers)
+        recent_loads = self.observer.announced_loads.recent_loads(now, instances)
+        unannounced_orders = sum(worker.unannounced_orders() for worker in workers)
+        self.budget.restore(service, engine, [*recent_loads, *[now] * unannounced_orders])
+        event(
+            "placer.taken_over",
+            service=service,
+            recent_loads=len(recent_loads),
+            unannounced_orders=unannounced_orders,
+        )
--- a/tests/cluster/test_load_delays.py
+++ b/tests/cluster/test_load_delays.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from finchladder.cluster.process.placer import EVICTION_NOTICE_S
+from finchladder.cluster.process.action_executor import EVICTION_NOTICE_S
 from finchladder.cluster.transport.peers import steady
 from finchladder.lab.cluster.model_workers import TAKEN, StandInWorker
 from finchladder.lab.cluster.virtual import run
@@ -78,7 +78,7 @@
         scene.ask("m6")
         await scene.until_usable("m6")
         await scene.tasks.stop()
-        return list(scene.placer.rate_limiters["llm"].load_times)
+        return list(scene.placer.budget.limiters["llm"].load_times)
 
     (counted_at,) = run(work())
     (taken_at,) = [at for at, order, status in worker.log if (order.operation, status) == ("load", TAKEN)]
--- a/tests/cluster/test_takeover.py
+++ b/tests/cluster/test_takeover.py
@@ -66,7 +66,7 @@
     async def work() -> int:
         scene.tasks.spawn(scene.placer.run(), "placer")
         await asyncio.sleep(1.0)
-        ledger = scene.placer.rate_limiters["llm"]
+        ledger = scene.placer.budget.limiters["llm"]
         await scene.tasks.stop()
         return ledger.remaining(steady())
 
@@ -105,7 +105,7 @@
         await asyncio.sleep(1.0)
         scene.lease.until = 1e9
         told_s = await scene.until_usable("m1")
-        left = scene.placer.rate_limiters["llm"].remaining(steady())
+        left = scene.placer.budget.limiters["llm"].remaining(steady())
         await scene.tasks.stop()
         return left, told_s
 
