--- a/tests/cluster/test_emulator.py
+++ b/tests/cluster/test_emulator.py
@@ -1,9 +1,11 @@
 """Emulated engines and days: what they are trusted for when decisions are compared by them."""
 
 import asyncio
+from typing import Any
 
 import pytest
 
+from finchladder.cluster.process import tasks
 from finchladder.cluster.types.worker_api import OrderRequest
 from finchladder.lab.cluster.emulator import days
 from finchladder.lab.cluster.emulator.demand import arrivals
@@ -82,3 +84,11 @@
     bound = days.play_one(TINY, 2, all_held=True)
     assert bound.loads == 0
     assert 0.3 < once.credit[""] <= bound.credit[""] + 0.02
+
+
+def test_no_task_of_an_emulated_day_fails(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A failed task is logged and the day goes on, with fewer loads: its figures alone would not show it."""
+    failures: list[dict[str, Any]] = []
+    monkeypatch.setattr(tasks, "event", lambda kind, **fields: failures.append({"kind": kind, **fields}))
+    days.play_one(TINY, 2, all_held=False)
+    assert failures == []
