--- a/tests/cluster/test_placement.py
+++ b/tests/cluster/test_placement.py
@@ -3,10 +3,10 @@
 from collections import Counter
 
 from attrs import evolve
-from finchladder.cluster.configuration.snapshot import Engine, Model
 from hypothesis import given
 from hypothesis import strategies as st
 
+from finchladder.cluster.configuration.snapshot import Engine, Model
 from finchladder.cluster.placement.actions import Eviction, LoadAction
 from finchladder.cluster.placement.capacity import (
     PREFETCH_RESERVED_WORKERS_FACTOR,
--- a/tests/cluster/test_rare_models.py
+++ b/tests/cluster/test_rare_models.py
@@ -3,8 +3,8 @@
 from math import exp
 
 import pytest
-from finchladder.cluster.configuration.snapshot import Engine, Model
 
+from finchladder.cluster.configuration.snapshot import Engine, Model
 from finchladder.cluster.placement.actions import Eviction, LoadAction
 from finchladder.cluster.placement.capacity import reserved_model_slots
 from finchladder.cluster.placement.cold_starts import (
--- a/tests/cluster/test_utilization.py
+++ b/tests/cluster/test_utilization.py
@@ -3,10 +3,10 @@
 from itertools import pairwise
 
 import pytest
-from finchladder.cluster.configuration.snapshot import Engine, Model
 from hypothesis import given
 from hypothesis import strategies as st
 
+from finchladder.cluster.configuration.snapshot import Engine, Model
 from finchladder.cluster.placement.actions import LoadAction
 from finchladder.cluster.placement.demand import DemandKey, DemandTracker
 from finchladder.cluster.placement.planner import PlanningPass
