--- a/tests/cluster/test_rare_models.py
+++ b/tests/cluster/test_rare_models.py
@@ -42,13 +42,13 @@
         self.uses.append(ModelUse(name, model, requests))
 
     def plan(self, first_copies: float = 0.0) -> list[LoadAction]:
-        book = DemandTracker()
+        tracker = DemandTracker()
         for at in (0.0, 4.0, 8.0):  # what runs is smoothed
             report = DemandReport("edge", 4.0, tuple(self.demands.values()), {}, tuple(self.uses))
-            book.add_report(at, report)
+            tracker.add_report(at, report)
         workers = list(self.workers.values())
         return PlanningPass(
-            PlanningInput("llm", ENGINE, workers, book, 9, 9, 1.0, first_copies), {}
+            PlanningInput("llm", ENGINE, workers, tracker, 9, 9, 1.0, first_copies), {}
         ).actions()
 
 
@@ -133,13 +133,15 @@
 
 
 def test_uses_follow_each_dispatchers_last_report() -> None:
-    book = DemandTracker()
-    book.add_report(0.0, DemandReport("one", 0.4, (), {}, (ModelUse("w1", "m0", 2), ModelUse("w2", "m0", 1))))
-    book.add_report(0.0, DemandReport("two", 0.4, (), {}, (ModelUse("w1", "m0", 3),)))
+    tracker = DemandTracker()
+    tracker.add_report(
+        0.0, DemandReport("one", 0.4, (), {}, (ModelUse("w1", "m0", 2), ModelUse("w2", "m0", 1)))
+    )
+    tracker.add_report(0.0, DemandReport("two", 0.4, (), {}, (ModelUse("w1", "m0", 3),)))
     assert (
-        book.replica_requests("w1", "m0"),
-        book.replica_requests("w2", "m0"),
-        book.replica_requests("w1", "m1"),
+        tracker.replica_requests("w1", "m0"),
+        tracker.replica_requests("w2", "m0"),
+        tracker.replica_requests("w1", "m1"),
     ) == (5, 1, 0)
-    book.add_report(0.4, DemandReport("one", 0.4, (), {}, ()))
-    assert (book.replica_requests("w1", "m0"), book.replica_requests("w2", "m0")) == (3, 0)
+    tracker.add_report(0.4, DemandReport("one", 0.4, (), {}, ()))
+    assert (tracker.replica_requests("w1", "m0"), tracker.replica_requests("w2", "m0")) == (3, 0)
--- a/tests/cluster/test_takeover.py
+++ b/tests/cluster/test_takeover.py
@@ -46,18 +46,18 @@
     assert observed.recent_loads(15.5, ["w1"]) == []
 
 
-def test_a_ledger_that_knows_of_fewer_loads_than_may_be_allows_the_rest() -> None:
-    ledger = LoadRateLimiter(2.1, WINDOW_S, 1.1)
-    ledger.assume_exhausted(10.0)
-    ledger.restore([9.0, 8.0, 9.5])
-    assert ledger.remaining(10.0) == MOST - 3
+def test_a_limiter_that_knows_of_fewer_loads_than_may_be_allows_the_rest() -> None:
+    limiter = LoadRateLimiter(2.1, WINDOW_S, 1.1)
+    limiter.assume_exhausted(10.0)
+    limiter.restore([9.0, 8.0, 9.5])
+    assert limiter.remaining(10.0) == MOST - 3
 
 
-def test_a_ledger_that_knows_of_more_loads_than_one_placer_begins_allows_what_the_rule_leaves() -> None:
-    ledger = LoadRateLimiter(2.1, WINDOW_S, 1.1)
-    ledger.assume_exhausted(10.0)
-    ledger.restore([10.0] * 40)
-    assert ledger.remaining(10.0) == ledger.hard_max_loads - MOST
+def test_a_limiter_that_knows_of_more_loads_than_one_placer_begins_allows_what_the_rule_leaves() -> None:
+    limiter = LoadRateLimiter(2.1, WINDOW_S, 1.1)
+    limiter.assume_exhausted(10.0)
+    limiter.restore([10.0] * 40)
+    assert limiter.remaining(10.0) == limiter.hard_max_loads - MOST
 
 
 def left_after_takeover(scene: Scene) -> int:
@@ -66,9 +66,9 @@
     async def work() -> int:
         scene.tasks.spawn(scene.placer.run(), "placer")
         await asyncio.sleep(1.0)
-        ledger = scene.placer.budget.limiters["llm"]
+        limiter = scene.placer.budget.limiters["llm"]
         await scene.tasks.stop()
-        return ledger.remaining(steady())
+        return limiter.remaining(steady())
 
     return run(work())
 
--- a/tests/cluster/test_utilization.py
+++ b/tests/cluster/test_utilization.py
@@ -90,7 +90,7 @@
     """Workers, and what was asked for in the last seconds, by one dispatcher."""
 
     def __init__(self, **held: str) -> None:
-        self.book = DemandTracker()
+        self.tracker = DemandTracker()
         self.workers = [
             PlannerWorker(name, "llm", name, "z", False, False, {m: set() for m in models.split()})
             for name, models in held.items()
@@ -104,10 +104,12 @@
                 for model, rate in rates.items()
             ]
             report = DemandReport("edge", 0.4, tuple(demands), prefill_s_per_token={"llm": S_PER_TOKEN})
-            self.book.add_report(0.4 * (number + 1), report)
+            self.tracker.add_report(0.4 * (number + 1), report)
 
     def plan(self) -> list[LoadAction]:
-        return PlanningPass(PlanningInput("llm", ENGINE, self.workers, self.book, 9, 9, 0.25), {}).actions()
+        return PlanningPass(
+            PlanningInput("llm", ENGINE, self.workers, self.tracker, 9, 9, 0.25), {}
+        ).actions()
 
 
 def test_a_copy_comes_before_an_engine_is_full_and_goes_to_the_least_used_worker() -> None:
@@ -133,22 +135,22 @@
 def test_demand_that_rises_is_expected_to_rise_on() -> None:
     fleet = Fleet(w1="m0")
     fleet.asked(8.0, m0=2.5)
-    calm = fleet.book.expected(DemandKey("llm", "m0"))
+    calm = fleet.tracker.expected(DemandKey("llm", "m0"))
     for number in range(3):
         demand = Demand("llm", "m0", "", 4, 0, 1, 8000)
-        fleet.book.add_report(8.0 + 0.4 * (number + 1), DemandReport("edge", 0.4, (demand,)))
-    risen = fleet.book.expected(DemandKey("llm", "m0"))
+        fleet.tracker.add_report(8.0 + 0.4 * (number + 1), DemandReport("edge", 0.4, (demand,)))
+    risen = fleet.tracker.expected(DemandKey("llm", "m0"))
     assert risen.rate > 2 * calm.rate and risen.tokens_per_s > 2 * calm.tokens_per_s
-    assert risen.rate > fleet.book.rate(DemandKey("llm", "m0"))
+    assert risen.rate > fleet.tracker.rate(DemandKey("llm", "m0"))
 
 
 def test_the_pace_is_the_median_of_what_dispatchers_tell() -> None:
-    book = DemandTracker()
-    assert book.prefill_s_per_token("llm") == 0.0
+    tracker = DemandTracker()
+    assert tracker.prefill_s_per_token("llm") == 0.0
     for name, pace in (("one", 0.00004), ("two", 0.00005), ("three", 0.9)):
-        book.add_report(1.0, DemandReport(name, 0.4, (), prefill_s_per_token={"llm": pace}))
-    assert book.prefill_s_per_token("llm") == 0.00005
-    assert book.prefill_s_per_token("other") == 0.0
+        tracker.add_report(1.0, DemandReport(name, 0.4, (), prefill_s_per_token={"llm": pace}))
+    assert tracker.prefill_s_per_token("llm") == 0.00005
+    assert tracker.prefill_s_per_token("other") == 0.0
 
 
 def test_a_further_copy_takes_no_place_from_the_last_copy_of_another_model_for_little() -> None:
