--- a/finchladder/cluster/placement/demand.py
+++ b/finchladder/cluster/placement/demand.py
@@ -1,5 +1,7 @@
-"""Demand in the fleet by model and adapter, summed over the dispatchers' reports and decayed; times are
-passed in.
+"""Demand by model and adapter, summed over the dispatchers' reports; no I/O and no clock.
+
+Rates are exponentially decayed averages. The last report of each dispatcher is kept, so that the sums follow
+a new report in O(entries of the report) and lose those of a dispatcher that no longer reports.
 """
 
 from collections import Counter
@@ -8,22 +10,25 @@
 from statistics import median
 from typing import TypeVar
 
-from attrs import define, field
+from attrs import define, field, frozen
 
 from finchladder.cluster.types.messages import DemandReport
+from finchladder.cluster.types.replicas import ReplicaKey
 
-TIME_CONSTANT_S = 4.0
-RECENT_S = 1.0  # the same, of what tells where demand goes
-TREND = 0.5  # of what a figure has lately gained over its average, it is expected to gain again
-REPORT_FORGOTTEN_S = 3.0
-LEAST_RATE = 0.003  # below this a model counts as idle
+RATE_TIME_CONSTANT_S = 4.0
+RECENT_TIME_CONSTANT_S = 1.0  # of the short averages, which show a trend
+TREND_WEIGHT = 0.5  # share of the short average's lead over the long one that is expected to be gained again
+REPORT_EXPIRY_S = 3.0
+MIN_TRACKED_RATE = 0.003  # requests a second below which an estimate is dropped
+ESTIMATE_EXPIRY_S = 10 * RATE_TIME_CONSTANT_S  # since the last request, before which none is dropped
+NEVER = -1e9
 
-Key = TypeVar("Key", bound=Hashable)
+CounterKey = TypeVar("CounterKey", bound=Hashable)
 
 
-@define(frozen=True)
-class Item:
-    """A model, or an adapter of it."""
+@frozen
+class DemandKey:
+    """A model of a service, or an adapter of that model."""
 
     service: str
     model: str
@@ -31,169 +36,184 @@
 
 
 @define
-class Figure:
-    """Of one item. `rate`: requests a second, decayed; `waiting` and `running` as last reported."""
+class DemandEstimate:
+    """Decayed averages for one key; rates are per second."""
 
     rate: float = 0.0
-    recent_rate: float = 0.0  # the same, over a shorter time
-    tokens: float = 0.0  # a second
-    recent_tokens: float = 0.0
-    at: float = 0.0
-    running: float = 0.0  # smoothed
-    asked_at: float = -1e9
-
-    def decay(self, now: float, running: int | None = None) -> None:
-        """Brings the figures to that moment; `running`: how many run now."""
-        factor = exp(-(now - self.at) / TIME_CONSTANT_S)
+    recent_rate: float = 0.0
+    tokens_per_s: float = 0.0
+    recent_tokens_per_s: float = 0.0
+    updated_at: float = 0.0
+    running: float = 0.0  # requests in flight, smoothed
+    last_request_at: float = NEVER
+
+    def add_requests(self, now: float, requests: int, prompt_tokens: int) -> None:
+        """Adds newly arrived requests to averages that have been decayed to this moment."""
+        self.rate += requests / RATE_TIME_CONSTANT_S
+        self.tokens_per_s += prompt_tokens / RATE_TIME_CONSTANT_S
+        self.recent_rate += requests / RECENT_TIME_CONSTANT_S
+        self.recent_tokens_per_s += prompt_tokens / RECENT_TIME_CONSTANT_S
+        self.last_request_at = now
+
+    def decay(self, now: float, running: int) -> None:
+        """Decays the averages to this moment and folds in the number of requests in flight."""
+        elapsed_s = now - self.updated_at
+        factor = exp(-elapsed_s / RATE_TIME_CONSTANT_S)
+        recent_factor = exp(-elapsed_s / RECENT_TIME_CONSTANT_S)
         self.rate *= factor
-        self.tokens *= factor
-        recent_factor = exp(-(now - self.at) / RECENT_S)
+        self.tokens_per_s *= factor
         self.recent_rate *= recent_factor
-        self.recent_tokens *= recent_factor
-        if running is not None:
-            self.running += (1 - factor) * (running - self.running)
-        self.at = now
-
+        self.recent_tokens_per_s *= recent_factor
+        self.running += (1 - factor) * (running - self.running)
+        self.updated_at = now
 
-@define(frozen=True)
-class Expected:
-    """Requests and prompt tokens a second."""
-
-    rate: float
-    tokens: float
+    def is_expired(self, now: float) -> bool:
+        """Whether there has been no demand for so long that the estimate may be dropped."""
+        return self.rate < MIN_TRACKED_RATE and now - self.last_request_at > ESTIMATE_EXPIRY_S
 
 
-def _ahead(average: float, recent: float) -> float:
-    """Where a figure that rises will be when a load that begins now has ended; no lower than it was."""
-    return max(average, recent + TREND * max(0.0, recent - average))
+@frozen
+class ExpectedDemand:
+    """Requests and prompt tokens per second that are expected by the time a load could end."""
 
+    rate: float
+    tokens_per_s: float
 
-@define(frozen=True)
-class Place:
-    """A model at a worker."""
 
-    instance: str
-    model: str
+NO_EXPECTED_DEMAND = ExpectedDemand(0.0, 0.0)
 
 
 @define
 class ReportedDemand:
-    """The last report of one dispatcher."""
+    """Counts from the last report of one dispatcher, or their sums over all of them."""
 
-    at: float
-    waiting: Counter[Item] = field(factory=Counter)
-    running: Counter[Item] = field(factory=Counter)
-    loads: Counter[str] = field(factory=Counter)  # requests in flight by worker instance
-    uses: Counter[Place] = field(factory=Counter)  # those of one model, its adapters included
+    received_at: float
+    queued: Counter[DemandKey] = field(factory=Counter)
+    running: Counter[DemandKey] = field(factory=Counter)
+    worker_loads: Counter[str] = field(factory=Counter)  # requests in flight by worker instance
+    replica_requests: Counter[ReplicaKey] = field(factory=Counter)  # requests in flight, adapters included
 
 
 @define
-class DemandBook:
-    """O(items in the report) for each report: sums over the dispatchers are kept, not made anew."""
-
-    figures: dict[Item, Figure] = field(factory=dict)
-    reported: dict[str, ReportedDemand] = field(factory=dict)
-    total: ReportedDemand = field(factory=lambda: ReportedDemand(0.0))
-    paces: dict[str, dict[str, float]] = field(factory=dict)  # seconds a token, by service and dispatcher
-
-    def take(self, now: float, report: DemandReport) -> None:
-        """A dispatcher's report."""
-        uses = Counter({Place(use.instance, use.model): use.requests for use in report.model_uses})
-        reported = ReportedDemand(now, loads=Counter(report.worker_loads), uses=uses)
+class DemandTracker:
+    """Demand of all services as reported by all dispatchers."""
+
+    estimates: dict[DemandKey, DemandEstimate] = field(factory=dict)
+    reports: dict[str, ReportedDemand] = field(factory=dict)  # by dispatcher
+    totals: ReportedDemand = field(factory=lambda: ReportedDemand(0.0))
+    prefill_reports: dict[str, dict[str, float]] = field(factory=dict)  # by service and dispatcher
+
+    def add_report(self, now: float, report: DemandReport) -> None:
+        """Folds in a dispatcher's report, which replaces its last one. O(entries of the report)."""
+        reported = self._fold_in(now, report)
+        for service, s_per_token in report.prefill_s_per_token.items():
+            self.prefill_reports.setdefault(service, {})[report.sender] = s_per_token
+        self._remove_report(report.sender)
+        self.reports[report.sender] = reported
+        self.totals.queued.update(reported.queued)
+        self.totals.running.update(reported.running)
+        self.totals.worker_loads.update(reported.worker_loads)
+        self.totals.replica_requests.update(reported.replica_requests)
+
+    def _fold_in(self, now: float, report: DemandReport) -> ReportedDemand:
+        """Adds the report's new requests to the estimates and returns its counts."""
+        reported = ReportedDemand(now, worker_loads=Counter(report.worker_loads))
+        for use in report.model_uses:
+            reported.replica_requests[ReplicaKey(use.instance, use.model)] = use.requests
         for demand in report.demands:
-            item = Item(demand.service, demand.model, demand.adapter)
+            key = DemandKey(demand.service, demand.model, demand.adapter)
             if demand.requests:
-                figure = self.figures.setdefault(item, Figure(at=now))
-                figure.decay(now, self.running_now(item))
-                figure.rate += demand.requests / TIME_CONSTANT_S
-                figure.tokens += demand.prompt_tokens / TIME_CONSTANT_S
-                figure.recent_rate += demand.requests / RECENT_S
-                figure.recent_tokens += demand.prompt_tokens / RECENT_S
-                figure.asked_at = now
+                estimate = self.estimates.setdefault(key, DemandEstimate(updated_at=now))
+                estimate.decay(now, self.running_now(key))
+                estimate.add_requests(now, demand.requests, demand.prompt_tokens)
             if demand.queued:
-                reported.waiting[item] = demand.queued
+                reported.queued[key] = demand.queued
             if demand.in_flight:
-                reported.running[item] = demand.in_flight
-        for service, s_per_token in report.prefill_s_per_token.items():
-            self.paces.setdefault(service, {})[report.sender] = s_per_token
-        self._withdraw(report.sender)
-        self.reported[report.sender] = reported
-        self.total.waiting.update(reported.waiting)
-        self.total.running.update(reported.running)
-        self.total.loads.update(reported.loads)
-        self.total.uses.update(reported.uses)
-
-    def _withdraw(self, sender: str) -> None:
-        """Takes a dispatcher's last report out of the sums."""
-        reported = self.reported.pop(sender, None)
+                reported.running[key] = demand.in_flight
+        return reported
+
+    def _remove_report(self, sender: str) -> None:
+        """Subtracts a dispatcher's last report from the totals."""
+        reported = self.reports.pop(sender, None)
         if reported is not None:
-            _subtract(self.total.waiting, reported.waiting)
-            _subtract(self.total.running, reported.running)
-            _subtract(self.total.loads, reported.loads)
-            _subtract(self.total.uses, reported.uses)
-
-    def settle(self, now: float) -> None:
-        """Decays all figures and forgets idle items and silent dispatchers."""
-        for sender in [s for s, reported in self.reported.items() if now - reported.at > REPORT_FORGOTTEN_S]:
-            self._withdraw(sender)
-        for item, figure in list(self.figures.items()):
-            figure.decay(now, self.running_now(item))
-            if figure.rate < LEAST_RATE and now - figure.asked_at > 10 * TIME_CONSTANT_S:
-                del self.figures[item]
-
-    def rate(self, item: Item) -> float:
-        """Requests a second."""
-        figure = self.figures.get(item)
-        return 0.0 if figure is None else figure.rate
-
-    def expected(self, item: Item) -> "Expected":
-        """What is asked for soon."""
-        figure = self.figures.get(item)
-        if figure is None:
-            return Expected(0.0, 0.0)
-        return Expected(_ahead(figure.rate, figure.recent_rate), _ahead(figure.tokens, figure.recent_tokens))
-
-    def s_per_token(self, service: str) -> float:
-        """Seconds that an engine reads at one token of a prompt; 0: nobody knows."""
-        known = self.paces.get(service)
-        return median(known.values()) if known else 0.0
-
-    def waiting(self, item: Item) -> int:
-        """Requests that wait for it anywhere."""
-        return self.total.waiting[item]
-
-    def waited_for(self) -> list[Item]:
-        """Items for which requests wait anywhere."""
-        return list(self.total.waiting)
-
-    def running(self, item: Item) -> float:
-        """Requests of it that run anywhere, smoothed."""
-        figure = self.figures.get(item)
-        return 0.0 if figure is None else figure.running
-
-    def running_now(self, item: Item) -> int:
-        """Requests of it that run anywhere, as last reported."""
-        return self.total.running[item]
-
-    def uses(self, instance: str, model: str) -> int:
-        """Requests of that model in flight at that worker, as last reported."""
-        return self.total.uses[Place(instance, model)]
-
-    def loads_of_others(self, sender: str) -> dict[str, int]:
-        """Requests in flight by worker instance that all but one dispatcher have reported of."""
-        others = Counter(self.total.loads)
-        if sender in self.reported:
-            _subtract(others, self.reported[sender].loads)
+            _subtract(self.totals.queued, reported.queued)
+            _subtract(self.totals.running, reported.running)
+            _subtract(self.totals.worker_loads, reported.worker_loads)
+            _subtract(self.totals.replica_requests, reported.replica_requests)
+
+    def decay(self, now: float) -> None:
+        """Decays all estimates and drops expired estimates and reports."""
+        expired = [
+            sender for sender, report in self.reports.items() if now - report.received_at > REPORT_EXPIRY_S
+        ]
+        for sender in expired:
+            self._remove_report(sender)
+        for key, estimate in list(self.estimates.items()):
+            estimate.decay(now, self.running_now(key))
+            if estimate.is_expired(now):
+                del self.estimates[key]
+
+    def rate(self, key: DemandKey) -> float:
+        """Requests per second, averaged."""
+        estimate = self.estimates.get(key)
+        return 0.0 if estimate is None else estimate.rate
+
+    def expected(self, key: DemandKey) -> ExpectedDemand:
+        """Demand by the time a load that begins now could end."""
+        estimate = self.estimates.get(key)
+        if estimate is None:
+            return NO_EXPECTED_DEMAND
+        return ExpectedDemand(
+            _extrapolate(estimate.rate, estimate.recent_rate),
+            _extrapolate(estimate.tokens_per_s, estimate.recent_tokens_per_s),
+        )
+
+    def prefill_s_per_token(self, service: str) -> float:
+        """Prefill time per prompt token, the median over the dispatchers; 0 if none has reported it."""
+        by_dispatcher = self.prefill_reports.get(service)
+        return median(by_dispatcher.values()) if by_dispatcher else 0.0
+
+    def queued(self, key: DemandKey) -> int:
+        """Requests queued at any dispatcher."""
+        return self.totals.queued[key]
+
+    def queued_keys(self) -> list[DemandKey]:
+        """Keys with queued requests."""
+        return list(self.totals.queued)
+
+    def running(self, key: DemandKey) -> float:
+        """Requests in flight, smoothed."""
+        estimate = self.estimates.get(key)
+        return 0.0 if estimate is None else estimate.running
+
+    def running_now(self, key: DemandKey) -> int:
+        """Requests in flight as last reported."""
+        return self.totals.running[key]
+
+    def replica_requests(self, instance: str, model: str) -> int:
+        """Requests in flight for one model at one worker as last reported."""
+        return self.totals.replica_requests[ReplicaKey(instance, model)]
+
+    def peer_loads(self, sender: str) -> dict[str, int]:
+        """Requests in flight by worker instance, as reported by all dispatchers but this one."""
+        others = Counter(self.totals.worker_loads)
+        if sender in self.reports:
+            _subtract(others, self.reports[sender].worker_loads)
         return dict(others)
 
-    def items(self) -> set[Item]:
-        """All that is asked for, waited for or running."""
-        return set(self.figures) | set(self.total.waiting) | set(self.total.running)
+    def tracked_keys(self) -> set[DemandKey]:
+        """Keys with an estimate, queued requests or requests in flight."""
+        return set(self.estimates) | set(self.totals.queued) | set(self.totals.running)
+
+
+def _extrapolate(average: float, recent: float) -> float:
+    """Continues a rising trend; a falling one leaves the average as it is."""
+    return max(average, recent + TREND_WEIGHT * max(0.0, recent - average))
 
 
-def _subtract(sums: Counter[Key], part: Counter[Key]) -> None:
-    """Takes a part out of sums; entries that become 0 go."""
+def _subtract(totals: Counter[CounterKey], part: Counter[CounterKey]) -> None:
+    """Subtracts in place and deletes entries that become 0."""
     for key, count in part.items():
-        sums[key] -= count
-        if not sums[key]:
-            del sums[key]
+        totals[key] -= count
+        if not totals[key]:
+            del totals[key]
