--- a/finchladder/cluster/process/attempt.py
+++ b/finchladder/cluster/process/attempt.py
@@ -6,26 +6,26 @@
 from aiohttp import web
 from yarl import URL
 
-from finchladder.cluster.routing.pools import Backend
+from finchladder.cluster.routing.pools import Worker
 from finchladder.cluster.routing.requests import (
-    DEADLINE,
-    EXPECTED_INSTANCE,
-    HOP_BY_HOP,
-    LAST_EVENT_ID,
-    NOT_EXECUTED,
-    PRIORITY,
-    REQUEST_ID,
-    SIGNATURE,
-    onward_headers,
+    DEADLINE_HEADER,
+    EXPECTED_INSTANCE_HEADER,
+    HOP_BY_HOP_HEADERS,
+    LAST_EVENT_ID_HEADER,
+    NOT_EXECUTED_HEADER,
+    PRIORITY_HEADER,
+    REQUEST_ID_HEADER,
+    RESPONSE_SIGNATURE_HEADER,
+    forwarded_headers,
 )
 from finchladder.cluster.transport.exchange import FIRST_FINAL_STATUS
 from finchladder.cluster.transport.http_client import HeedingConnector
 from finchladder.cluster.transport.peers import steady
 
-CONNECT_S = 0.6
+CONNECT_TIMEOUT_S = 0.6
 MISDIRECTED = 421
 BAD_REQUEST = 400
-REDIRECTION = 300  # the first status that is no success
+FIRST_REDIRECTION_STATUS = 300  # the first status that is no success
 
 
 @dataclass(frozen=True)
@@ -56,58 +56,58 @@
 
 
 @dataclass(frozen=True)
-class Answered:
+class Responded:
     """The head of the worker's answer; its body is still to be read, and the response to be closed."""
 
     response: aiohttp.ClientResponse
 
 
-Outcome = NotSent | NotExecuted | Broken | TimedOut | Answered
+Outcome = NotSent | NotExecuted | Broken | TimedOut | Responded
 
 
 @dataclass(frozen=True)
-class Sending:
+class OutgoingRequest:
     """What every attempt of one request sends. `until`: steady seconds."""
 
-    request: web.BaseRequest
+    client_request: web.BaseRequest
     body: bytes
     request_id: str
     priority: int | None
-    until: float
+    deadline: float
 
-    def headers(self, backend: Backend, last_event_id: str) -> list[tuple[str, str]]:
+    def headers(self, worker: Worker, last_event_id: str) -> list[tuple[str, str]]:
         """Headers for that worker; `last_event_id` takes a stream up."""
-        replaced = {DEADLINE.lower(), EXPECTED_INSTANCE.lower()}
+        replaced = {DEADLINE_HEADER.lower(), EXPECTED_INSTANCE_HEADER.lower()}
         if last_event_id:
-            replaced.add(LAST_EVENT_ID.lower())
+            replaced.add(LAST_EVENT_ID_HEADER.lower())
         if self.priority is not None:
-            replaced.add(PRIORITY.lower())
-        headers = [("Host", self.request.headers.get("Host", ""))]
-        headers += onward_headers(self.request.headers, HOP_BY_HOP | replaced)
-        headers.append((DEADLINE, str(max(1, int((self.until - steady()) * 1000)))))
-        headers.append((EXPECTED_INSTANCE, backend.instance))
+            replaced.add(PRIORITY_HEADER.lower())
+        headers = [("Host", self.client_request.headers.get("Host", ""))]
+        headers += forwarded_headers(self.client_request.headers, HOP_BY_HOP_HEADERS | replaced)
+        headers.append((DEADLINE_HEADER, str(max(1, int((self.deadline - steady()) * 1000)))))
+        headers.append((EXPECTED_INSTANCE_HEADER, worker.instance))
         if last_event_id:
-            headers.append((LAST_EVENT_ID, last_event_id))
+            headers.append((LAST_EVENT_ID_HEADER, last_event_id))
         if self.priority is not None:
-            headers.append((PRIORITY, str(self.priority)))
+            headers.append((PRIORITY_HEADER, str(self.priority)))
         return headers
 
 
 async def send(
-    session: aiohttp.ClientSession, sending: Sending, backend: Backend, last_event_id: str = ""
+    session: aiohttp.ClientSession, outgoing: OutgoingRequest, worker: Worker, last_event_id: str = ""
 ) -> Outcome:
     """Sends the request and waits for the head of the answer; the caller bounds the time."""
-    left = sending.until - steady()
+    left = outgoing.deadline - steady()
     if left <= 0:
         return NotSent("its time is over")
-    timeout = aiohttp.ClientTimeout(total=None, sock_connect=min(CONNECT_S, left))
-    url = URL(f"http://{backend.address}{sending.request.raw_path}", encoded=True)
+    timeout = aiohttp.ClientTimeout(total=None, sock_connect=min(CONNECT_TIMEOUT_S, left))
+    url = URL(f"http://{worker.address}{outgoing.client_request.raw_path}", encoded=True)
     try:
         response = await session.request(
-            sending.request.method,
+            outgoing.client_request.method,
             url,
-            data=sending.body or None,
-            headers=sending.headers(backend, last_event_id),
+            data=outgoing.body or None,
+            headers=outgoing.headers(worker, last_event_id),
             allow_redirects=False,
             timeout=timeout,
         )
@@ -115,37 +115,39 @@
         return NotSent(repr(error))
     except (aiohttp.ClientError, OSError, ValueError) as error:
         return Broken(repr(error))
-    return _judge(session, response, sending)
+    return _classify_response(session, response, outgoing)
 
 
-def _judge(session: aiohttp.ClientSession, response: aiohttp.ClientResponse, sending: Sending) -> Outcome:
+def _classify_response(
+    session: aiohttp.ClientSession, response: aiohttp.ClientResponse, outgoing: OutgoingRequest
+) -> Outcome:
     headers, connector = response.headers, session.connector
     if isinstance(connector, HeedingConnector) and "Keep-Alive" in headers:
         connector.heed(headers["Keep-Alive"])
     if response.status < FIRST_FINAL_STATUS:
         response.close()
         return Broken("the connection was switched to another protocol")
-    if not _answers(response, sending):
+    if not _is_response_to(response, outgoing):
         response.close()
         return Broken("the answer belongs to another request")
-    if NOT_EXECUTED in headers or response.status == MISDIRECTED:
+    if NOT_EXECUTED_HEADER in headers or response.status == MISDIRECTED:
         response.release()
-        return NotExecuted(response.status, _retry_after(headers.get("Retry-After")))
-    if response.status < REDIRECTION and SIGNATURE not in headers:
+        return NotExecuted(response.status, _parse_retry_after_s(headers.get("Retry-After")))
+    if response.status < FIRST_REDIRECTION_STATUS and RESPONSE_SIGNATURE_HEADER not in headers:
         response.close()
         return Broken("the answer has no signature")
-    return Answered(response)
+    return Responded(response)
 
 
-def _answers(response: aiohttp.ClientResponse, sending: Sending) -> bool:
+def _is_response_to(response: aiohttp.ClientResponse, outgoing: OutgoingRequest) -> bool:
     """Whether the answer names the request; one that could not be read may be refused without its id."""
-    named = response.headers.get(REQUEST_ID)
+    named = response.headers.get(REQUEST_ID_HEADER)
     if named is None:
-        return response.status == BAD_REQUEST and NOT_EXECUTED in response.headers
-    return named == sending.request_id
+        return response.status == BAD_REQUEST and NOT_EXECUTED_HEADER in response.headers
+    return named == outgoing.request_id
 
 
-def _retry_after(text: str | None) -> float:
+def _parse_retry_after_s(text: str | None) -> float:
     try:
         return max(0.0, float(text)) if text else 0.0
     except ValueError:
--- a/finchladder/cluster/process/core_node.py
+++ b/finchladder/cluster/process/core_node.py
@@ -72,7 +72,7 @@
             peers=self.peers,
             tasks=self.tasks,
             random=self.random,
-            is_running=self.workers.is_there,
+            is_running=self.workers.is_running,
         )
         self.placer = Placer(
             self.control.role,
--- a/finchladder/cluster/process/main.py
+++ b/finchladder/cluster/process/main.py
@@ -32,9 +32,9 @@
 
         asyncio.run(_until_stopped(CoreNode(settings).run))
         return
-    from finchladder.cluster.process.dispatcher_node import EdgeNode
+    from finchladder.cluster.process.dispatcher_node import DispatcherNode
 
-    asyncio.run(_until_stopped(EdgeNode(settings).run))
+    asyncio.run(_until_stopped(DispatcherNode(settings).run))
 
 
 @click.group()
--- a/finchladder/cluster/process/placer.py
+++ b/finchladder/cluster/process/placer.py
@@ -35,7 +35,7 @@
 from finchladder.cluster.process.tasks import Signal, Tasks
 from finchladder.cluster.process.update_server import UpdateServer
 from finchladder.cluster.process.worker_orders import SETTLE_S, WorkerOrders
-from finchladder.cluster.routing.pools import effective_holdings
+from finchladder.cluster.routing.pools import usable_models
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.messages import DemandReply, DemandReport
@@ -314,7 +314,7 @@
         worker, placement = tables.workers.get(instance), tables.placements.get(instance)
         if worker is None:
             return False
-        told = effective_holdings(worker.record, None if placement is None else placement.record)
+        told = usable_models(worker.record, None if placement is None else placement.record)
         is_loading = placement is not None and placement.record.pending_load is not None
         return is_loading or told != managed.placement(steady(), self.window_s).usable_models
 
--- a/finchladder/cluster/process/router.py
+++ b/finchladder/cluster/process/router.py
@@ -17,37 +17,43 @@
     Route,
 )
 from finchladder.cluster.process.attempt import (
-    Answered,
     Broken,
     NotExecuted,
     NotSent,
     Outcome,
-    Sending,
+    OutgoingRequest,
+    Responded,
     TimedOut,
     send,
 )
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.tasks import Signal
 from finchladder.cluster.process.worker_selection import (
-    RETRY_AFTER_ABSENT_S,
-    RETRY_AFTER_FULL_S,
-    WorkerFinder,
+    RETRY_AFTER_BUSY_S,
+    RETRY_AFTER_NO_REPLICA_S,
+    RequestQueue,
 )
-from finchladder.cluster.routing.budget import RetryBudget
 from finchladder.cluster.routing.demand import DemandCounter
-from finchladder.cluster.routing.events import EventCutter
-from finchladder.cluster.routing.pools import RUNNING_LOAD, Backend, Chooser, Pools
-from finchladder.cluster.routing.requests import HOP_BY_HOP, LAST_EVENT_ID, Need, need, onward_headers
+from finchladder.cluster.routing.event_stream import EventBuffer
+from finchladder.cluster.routing.pools import DECODE_LOAD_SHARE, Pools, Worker, WorkerSelector
+from finchladder.cluster.routing.requests import (
+    HOP_BY_HOP_HEADERS,
+    LAST_EVENT_ID_HEADER,
+    ClassifiedRequest,
+    classify,
+    forwarded_headers,
+)
+from finchladder.cluster.routing.retry_budget import RetryBudget
 from finchladder.cluster.transport.peers import steady
 
-RETURN_S = 0.5  # after the time that a refused client is told to wait, it is back or has given up
-LAST_SEND_S = 0.05
+CLIENT_RETRY_GRACE_S = 0.5  # after the time that a refused client is told to wait, it is back or has given up
+SEND_AFTER_CLOSE_S = 0.05
 DOUBTFUL, ENDING, ABSENT, FULL = "doubtful", "ending", "absent", "full"  # why a request is refused
-MOST_CONNECT_FAILURES = 4
-CHUNK_HEADERS = HOP_BY_HOP | {"content-length"}
+MAX_CONNECT_FAILURES = 4
+CHUNK_HEADERS = HOP_BY_HOP_HEADERS | {"content-length"}
 
 
-class ClientGone(Exception):
+class ClientDisconnectedError(Exception):
     """The client's connection is lost; there is nobody to answer."""
 
 
@@ -56,46 +62,52 @@
     """Routes requests by the newest snapshot and pools, which are swapped whole."""
 
     session: aiohttp.ClientSession
-    chooser: Chooser
-    budget: Callable[[], RetryBudget]
-    dispatchers: Callable[[], int]
+    selector: WorkerSelector
+    make_retry_budget: Callable[[], RetryBudget]
+    dispatcher_count: Callable[[], int]
     demand: DemandCounter
-    is_doubtful: Callable[[], bool] = lambda: False  # whether a newer configuration may be in force
+    is_configuration_stale: Callable[[], bool] = (
+        lambda: False
+    )  # whether a newer configuration may be in force
     snapshot: ConfigurationSnapshot = EMPTY_SNAPSHOT
-    finder: WorkerFinder = field(init=False)
+    queue: RequestQueue = field(init=False)
     draining: bool = False
-    whole_only_from: float = inf  # what comes later is taken only if it ends before `holds_end`
-    attempts: set[asyncio.Timeout] = field(factory=set)
+    reject_unfinishable_from: float = inf  # what comes later is taken only if it ends before `holds_end`
+    open_timeouts: set[asyncio.Timeout] = field(factory=set)
     open_requests: int = 0
-    budgets: dict[str, RetryBudget] = field(factory=dict)
+    retry_budgets: dict[str, RetryBudget] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        self.finder = WorkerFinder(self.chooser, self.dispatchers, self.demand)
+        self.queue = RequestQueue(self.selector, self.dispatcher_count, self.demand)
 
     @property
     def pools(self) -> Pools:
         """The workers by what they hold."""
-        return self.finder.pools
+        return self.queue.pools
 
     @pools.setter
     def pools(self, pools: Pools) -> None:
-        self.finder.pools = pools
+        self.queue.pools = pools
 
     @property
-    def changed(self) -> Signal:
+    def pools_changed(self) -> Signal:
         """Fires when there are other pools."""
-        return self.finder.changed
+        return self.queue.pools_changed
 
-    def drain(self, whole_only_from: float, holds_end: float) -> None:
+    def drain(self, reject_unfinishable_from: float, queue_closes_at: float) -> None:
         """Connections end with their next answer; nothing waits for a worker after `holds_end`. What comes
         after `whole_only_from` and may last longer is refused: it would be cut off by the end of the process.
         """
-        self.draining, self.whole_only_from, self.finder.holds_end = True, whole_only_from, holds_end
+        self.draining, self.reject_unfinishable_from, self.queue.closes_at = (
+            True,
+            reject_unfinishable_from,
+            queue_closes_at,
+        )
 
-    def end_attempts(self) -> None:
+    def expire_open_timeouts(self) -> None:
         """The process ends: what still runs gets its last answer now."""
         now = asyncio.get_running_loop().time()
-        for attempt in self.attempts:
+        for attempt in self.open_timeouts:
             attempt.reschedule(now)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -103,7 +115,7 @@
         self.open_requests += 1
         try:
             response = await self._answer(request)
-        except (ClientGone, ConnectionError):
+        except (ClientDisconnectedError, ConnectionError):
             _abort(request)
             return web.Response(status=502)
         finally:
@@ -111,19 +123,19 @@
         return response
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        if not self.snapshot.version or self.is_doubtful():
-            return self._refuse(RETRY_AFTER_ABSENT_S, DOUBTFUL)
+        if not self.snapshot.version or self.is_configuration_stale():
+            return self._refuse(RETRY_AFTER_NO_REPLICA_S, DOUBTFUL)
         host = request.headers.get("Host", "").partition(":")[0]
         route = self.snapshot.match(host, request.raw_path.partition("?")[0])
         if route is None:
             await request.content.read()
             return self._plain(404, "no route")
-        wanted = need(request.headers, route, steady())
+        wanted = classify(request.headers, route, steady())
         body = await self._body(request)
         if body is None:
             return self._plain(413, "the body is too large")
-        if wanted.arrived >= self.whole_only_from and wanted.until > self.finder.holds_end:
-            return self._refuse(RETRY_AFTER_FULL_S, ENDING, wanted)
+        if wanted.arrived_at >= self.reject_unfinishable_from and wanted.deadline > self.queue.closes_at:
+            return self._refuse(RETRY_AFTER_BUSY_S, ENDING, wanted)
         return await self._serve(request, route, wanted, body)
 
     async def _body(self, request: web.BaseRequest) -> bytes | None:
@@ -135,45 +147,45 @@
                     return None
                 parts.append(part)
         except (web.RequestPayloadError, aiohttp.ClientError) as error:
-            raise ClientGone from error
+            raise ClientDisconnectedError from error
         return b"".join(parts)
 
     # --- finding a worker and sending ---------------------------------------------------------------------
 
     async def _serve(
-        self, request: web.BaseRequest, route: Route, wanted: Need, body: bytes
+        self, request: web.BaseRequest, route: Route, wanted: ClassifiedRequest, body: bytes
     ) -> web.StreamResponse:
         service = self.snapshot.services.get(wanted.key.service)
         priority = route.priority if service is not None and service.engine is not None else None
-        sending = Sending(request, body, wanted.request_id, priority, wanted.until)
+        sending = OutgoingRequest(request, body, wanted.request_id, priority, wanted.deadline)
         budget = self._budget(wanted.key.service)
-        budget.arrived(steady())
-        self.demand.asked(wanted)
+        budget.record_request(steady())
+        self.demand.record_request(wanted)
         sent: frozenset[str] = frozenset()
         connect_failures = 0
         while True:
-            backend = await self.finder.find(wanted, sent)
+            backend = await self.queue.select_worker(wanted, sent)
             if backend is None:
                 return self._refuse_unplaced(wanted)
-            if sent and not budget.spend(steady(), self.dispatchers()):
-                return self._refuse(RETRY_AFTER_FULL_S, FULL, wanted)
-            with Running(self.demand, wanted, backend) as running:
+            if sent and not budget.try_withdraw(steady(), self.dispatcher_count()):
+                return self._refuse(RETRY_AFTER_BUSY_S, FULL, wanted)
+            with InFlightRequest(self.demand, wanted, backend) as running:
                 outcome = await self._send(sending, backend)
-                if isinstance(outcome, Answered):
+                if isinstance(outcome, Responded):
                     if outcome.response.status == HTTPStatus.OK:
-                        running.has_begun()
-                    backend.failures = 0
+                        running.record_first_token()
+                    backend.consecutive_failures = 0
                     return await self._pass_on(route, wanted, sending, backend, outcome.response)
-            self.finder.note(backend, wanted, outcome)
+            self.queue.record_failure(backend, wanted, outcome)
             if isinstance(outcome, NotSent):
                 connect_failures += 1
-                if connect_failures >= MOST_CONNECT_FAILURES or steady() >= wanted.until:
-                    return self._refuse(RETRY_AFTER_FULL_S, FULL, wanted)
+                if connect_failures >= MAX_CONNECT_FAILURES or steady() >= wanted.deadline:
+                    return self._refuse(RETRY_AFTER_BUSY_S, FULL, wanted)
                 continue
             sent |= {backend.instance}
             if isinstance(outcome, NotExecuted):
                 if len(sent) >= route.max_attempts:
-                    return self._refuse(max(outcome.retry_after_s, RETRY_AFTER_FULL_S), FULL, wanted)
+                    return self._refuse(max(outcome.retry_after_s, RETRY_AFTER_BUSY_S), FULL, wanted)
                 continue
             if isinstance(outcome, Broken) and route.is_idempotent and len(sent) < route.max_attempts:
                 continue
@@ -183,31 +195,36 @@
     async def _limit(self, until: float) -> AsyncIterator[None]:
         """TimeoutError at `until`, or when the process ends."""
         async with asyncio.timeout(max(0.0, until - steady())) as timeout:
-            self.attempts.add(timeout)
+            self.open_timeouts.add(timeout)
             try:
                 yield
             finally:
-                self.attempts.discard(timeout)
+                self.open_timeouts.discard(timeout)
 
-    async def _send(self, sending: Sending, backend: Backend, last_event_id: str = "") -> Outcome:
-        if steady() >= min(sending.until, self.finder.holds_end + LAST_SEND_S):
+    async def _send(self, sending: OutgoingRequest, backend: Worker, last_event_id: str = "") -> Outcome:
+        if steady() >= min(sending.deadline, self.queue.closes_at + SEND_AFTER_CLOSE_S):
             return NotSent("its time is over")
         try:
-            async with self._limit(sending.until):
+            async with self._limit(sending.deadline):
                 return await send(self.session, sending, backend, last_event_id)
         except TimeoutError:
             return TimedOut()
 
     def _budget(self, service: str) -> RetryBudget:
-        found = self.budgets.get(service)
+        found = self.retry_budgets.get(service)
         if found is None:
-            found = self.budgets[service] = self.budget()
+            found = self.retry_budgets[service] = self.make_retry_budget()
         return found
 
     # --- answers ------------------------------------------------------------------------------------------
 
     async def _pass_on(
-        self, route: Route, wanted: Need, sending: Sending, backend: Backend, response: aiohttp.ClientResponse
+        self,
+        route: Route,
+        wanted: ClassifiedRequest,
+        sending: OutgoingRequest,
+        backend: Worker,
+        response: aiohttp.ClientResponse,
     ) -> web.StreamResponse:
         try:
             if route.kind is RequestKind.STREAMING and response.status == 200:
@@ -216,26 +233,31 @@
         finally:
             response.close()
 
-    async def _whole(self, wanted: Need, response: aiohttp.ClientResponse) -> web.StreamResponse:
+    async def _whole(self, wanted: ClassifiedRequest, response: aiohttp.ClientResponse) -> web.StreamResponse:
         """Reads the whole answer first, so that one that breaks off never looks complete."""
         try:
-            async with self._limit(wanted.until):
+            async with self._limit(wanted.deadline):
                 body = await response.read()
         except TimeoutError:
             return self._plain(504, "the answer did not end in time")
         except (aiohttp.ClientError, OSError):
             return self._plain(502, "the answer broke off")
-        headers = onward_headers(response.headers)
+        headers = forwarded_headers(response.headers)
         answer = web.Response(status=response.status, reason=response.reason, headers=headers, body=body)
         return self._finished(answer)
 
     async def _stream(
-        self, route: Route, wanted: Need, sending: Sending, backend: Backend, response: aiohttp.ClientResponse
+        self,
+        route: Route,
+        wanted: ClassifiedRequest,
+        sending: OutgoingRequest,
+        backend: Worker,
+        response: aiohttp.ClientResponse,
     ) -> web.StreamResponse:
         """Passes events on as they come; a resumable stream that breaks off is taken up at another worker."""
-        request = sending.request
+        request = sending.client_request
         answer = web.StreamResponse(
-            status=response.status, reason=response.reason, headers=onward_headers(response.headers)
+            status=response.status, reason=response.reason, headers=forwarded_headers(response.headers)
         )
         length = response.headers.get("Content-Length")
         if length is not None and not route.resumable:
@@ -244,14 +266,14 @@
             answer.enable_chunked_encoding()
         self._finished(answer)
         await answer.prepare(request)
-        cutter = EventCutter() if route.resumable else None
-        cutter_id = request.headers.get(LAST_EVENT_ID, "")
+        cutter = EventBuffer() if route.resumable else None
+        cutter_id = request.headers.get(LAST_EVENT_ID_HEADER, "")
         sent = frozenset({backend.instance})
         while not await self._copy(response, answer, wanted, cutter):
             again = None
             if cutter is not None and len(sent) < route.max_attempts:
-                cutter.drop_rest()
-                again = await self._take_up(wanted, sending, sent, cutter.last_id or cutter_id)
+                cutter.discard_incomplete()
+                again = await self._take_up(wanted, sending, sent, cutter.last_event_id or cutter_id)
             if again is None:
                 _abort(request)
                 return answer
@@ -266,53 +288,57 @@
         self,
         response: aiohttp.ClientResponse,
         answer: web.StreamResponse,
-        wanted: Need,
-        cutter: EventCutter | None,
+        wanted: ClassifiedRequest,
+        cutter: EventBuffer | None,
     ) -> bool:
         """Copies until the end; False if the worker broke off or its time is over."""
         try:
-            async with self._limit(wanted.until):
+            async with self._limit(wanted.deadline):
                 async for part in response.content.iter_any():
                     data = part if cutter is None else cutter.feed(part)
                     if data:
                         await self._write(answer, data)
         except (aiohttp.ClientError, TimeoutError, OSError):
             return False
-        return cutter is None or not cutter.unfinished
+        return cutter is None or not cutter.has_incomplete
 
     async def _write(self, answer: web.StreamResponse, data: bytes) -> None:
         try:
             await answer.write(data)
         except (ConnectionError, aiohttp.ClientError) as error:
-            raise ClientGone from error
+            raise ClientDisconnectedError from error
 
     async def _take_up(
-        self, wanted: Need, sending: Sending, sent: frozenset[str], last_event_id: str
-    ) -> tuple[Backend, aiohttp.ClientResponse] | None:
+        self, wanted: ClassifiedRequest, sending: OutgoingRequest, sent: frozenset[str], last_event_id: str
+    ) -> tuple[Worker, aiohttp.ClientResponse] | None:
         """Another worker that goes on with the stream after that event."""
-        backend = await self.finder.find(wanted, sent)
-        if backend is None or not self._budget(wanted.key.service).spend(steady(), self.dispatchers()):
+        backend = await self.queue.select_worker(wanted, sent)
+        if backend is None or not self._budget(wanted.key.service).try_withdraw(
+            steady(), self.dispatcher_count()
+        ):
             return None
         outcome = await self._send(sending, backend, last_event_id)
-        if not isinstance(outcome, Answered) or outcome.response.status != 200:
-            if isinstance(outcome, Answered):
+        if not isinstance(outcome, Responded) or outcome.response.status != 200:
+            if isinstance(outcome, Responded):
                 outcome.response.close()
             return None
         return backend, outcome.response
 
-    def _refuse_unplaced(self, wanted: Need) -> web.StreamResponse:
+    def _refuse_unplaced(self, wanted: ClassifiedRequest) -> web.StreamResponse:
         """No worker could take it in time. Where nobody holds what it needs, it counts as waiting until the
         client may be back: else that would be loaded for nobody, or not at all.
         """
-        retry_after_s = self.finder.retry_after_s(wanted)
-        if self.pools.pool(wanted.key).backends:
+        retry_after_s = self.queue.retry_after_s(wanted)
+        if self.pools.pool(wanted.key).workers:
             return self._refuse(retry_after_s, FULL, wanted)
-        self.demand.comes_back(wanted.key, steady() + retry_after_s + RETURN_S)
+        self.demand.expect_client_retry(wanted.key, steady() + retry_after_s + CLIENT_RETRY_GRACE_S)
         return self._refuse(retry_after_s, ABSENT, wanted)
 
-    def _refuse(self, retry_after_s: float, reason: str, wanted: Need | None = None) -> web.StreamResponse:
+    def _refuse(
+        self, retry_after_s: float, reason: str, wanted: ClassifiedRequest | None = None
+    ) -> web.StreamResponse:
         """Not run: the client may come again."""
-        waited_s = 0.0 if wanted is None else round(steady() - wanted.arrived, 2)
+        waited_s = 0.0 if wanted is None else round(steady() - wanted.arrived_at, 2)
         event(
             "request.refused", reason=reason, key="" if wanted is None else wanted.key.name, waited_s=waited_s
         )
@@ -329,32 +355,32 @@
         return response
 
 
-class Running:
+class InFlightRequest:
     """Counts a request at a worker while an attempt runs."""
 
-    def __init__(self, demand: DemandCounter, wanted: Need, backend: Backend) -> None:
-        self._demand, self._wanted, self._backend = demand, wanted, backend
-        self._load = demand.sized(wanted).load
+    def __init__(self, demand: DemandCounter, request: ClassifiedRequest, worker: Worker) -> None:
+        self._demand, self._request, self._worker = demand, request, worker
+        self._load = demand.request_cost(request).load
 
-    def __enter__(self) -> "Running":
-        self._is_alone, self._began = self._backend.load <= 0, steady()
-        self._backend.add(self._load)
-        self._demand.runs(self._wanted.key, self._backend.instance, 1)
+    def __enter__(self) -> "InFlightRequest":
+        self._was_idle, self._started_at = self._worker.load <= 0, steady()
+        self._worker.add_load(self._load)
+        self._demand.add_in_flight(self._request.key, self._worker.instance, 1)
         return self
 
-    def has_begun(self) -> None:
+    def record_first_token(self) -> None:
         """Its prompt has been read: the head of a model's answer comes with the first token."""
-        if not self._wanted.key.model:
+        if not self._request.key.model:
             return
-        if self._is_alone:
-            self._demand.began(self._wanted, steady() - self._began)
-        left = RUNNING_LOAD * self._load
-        self._backend.add(left - self._load)
+        if self._was_idle:
+            self._demand.record_time_to_first_token(self._request, steady() - self._started_at)
+        left = DECODE_LOAD_SHARE * self._load
+        self._worker.add_load(left - self._load)
         self._load = left
 
     def __exit__(self, *_: object) -> None:
-        self._backend.add(-self._load)
-        self._demand.runs(self._wanted.key, self._backend.instance, -1)
+        self._worker.add_load(-self._load)
+        self._demand.add_in_flight(self._request.key, self._worker.instance, -1)
 
 
 def _abort(request: web.BaseRequest) -> None:
--- a/finchladder/cluster/process/worker_client.py
+++ b/finchladder/cluster/process/worker_client.py
@@ -10,8 +10,8 @@
 from finchladder.cluster.types.worker_api import OrderRequest, WorkerReport, report_decoder
 
 HEALTH_PATH = "/healthz"
-INSTANCE_ID = "X-Finchladder-Instance-Id"
-TIMEOUT_S = 0.8
+INSTANCE_ID_HEADER = "X-Finchladder-Instance-Id"
+CALL_TIMEOUT_S = 0.8
 KEEPALIVE_S = 2.0
 
 
@@ -28,7 +28,9 @@
         headers = {"Content-Type": "application/json", "X-Finchladder-Expected-Instance": instance}
         data = msgspec.json.encode(body)
         url = f"http://{address}/api/order"
-        status, _ = await self._call("POST", url, "order", address, data, headers, min(timeout_s, TIMEOUT_S))
+        status, _ = await self._call(
+            "POST", url, "order", address, data, headers, min(timeout_s, CALL_TIMEOUT_S)
+        )
         return status
 
     async def report(self, address: str, instance: str) -> WorkerReport:
@@ -44,14 +46,14 @@
         except msgspec.DecodeError as error:
             raise PeerUnreachableError("report", address, f"unreadable: {error}") from None
 
-    async def is_there(self, address: str, instance: str) -> bool:
+    async def is_running(self, address: str, instance: str) -> bool:
         """Whether that very instance answers, whatever it says of its health."""
         try:
             async with (
-                asyncio.timeout(TIMEOUT_S),
+                asyncio.timeout(CALL_TIMEOUT_S),
                 self._session.get(f"http://{address}{HEALTH_PATH}") as response,
             ):
-                return response.headers.get(INSTANCE_ID) == instance
+                return response.headers.get(INSTANCE_ID_HEADER) == instance
         except (aiohttp.ClientError, TimeoutError, OSError):
             return False
 
@@ -63,7 +65,7 @@
         address: str,
         data: bytes | None,
         headers: dict[str, str],
-        timeout_s: float = TIMEOUT_S,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> tuple[int, bytes]:
         try:
             async with (
--- a/finchladder/cluster/routing/pools.py
+++ b/finchladder/cluster/routing/pools.py
@@ -24,19 +24,23 @@
 from finchladder.core.dispatch.choice import overflow, winner
 from finchladder.core.dispatch.hash_ring import Ring, key_hashes, ring_points
 
-FULL_VIEW = 16  # so many dispatchers may all compare all workers of a pool
-LEAST_COMPARED = 3
-KEYED_WAIT_S = 0.1
-FAR_COMPARED = 1  # at least so many of them are of another zone
-MOST_RANKS = 4096  # kept, of workers that there were
-ZONE_LOAD = 0.5  # requests by which a worker of another zone counts as more loaded: decides between equals
-RUNNING_LOAD = 0.02  # of a request's load that remains once its prompt is read: decides between equals
-TOLD_AGE_S = 0.2  # so old is what the others have in flight when a dispatcher is told of it
-WORKED_OFF = 0.7  # of what an engine can read in a time it gets on with so much: new prompts come meanwhile
+MAX_DISPATCHERS_COMPARING_ALL = 16  # so many dispatchers may all compare all workers of a pool
+MIN_SUBSET_SIZE = 3
+AFFINITY_QUEUE_S = 0.1
+MIN_REMOTE_ZONE_WORKERS = 1  # at least so many of them are of another zone
+MAX_CACHED_RANKS = 4096  # kept, of workers that there were
+REMOTE_ZONE_PENALTY = (
+    0.5  # requests by which a worker of another zone counts as more loaded: decides between equals
+)
+DECODE_LOAD_SHARE = 0.02  # of a request's load that remains once its prompt is read: decides between equals
+PEER_LOAD_AGE_S = 0.2  # so old is what the others have in flight when a dispatcher is told of it
+PREFILL_PROGRESS_SHARE = (
+    0.7  # of what an engine can read in a time it gets on with so much: new prompts come meanwhile
+)
 
 
 @define(eq=False)
-class Backend:
+class Worker:
     """One worker incarnation at this dispatcher; only its loads and rests change. `load`: what lies ahead of
     a new request, of all dispatchers as far as known; `own`: that of this one, `others`: that of the others
     when they were heard of. In prompt tokens where a model is asked for, else in requests.
@@ -48,36 +52,40 @@
     zone: str
     slots: int
     load: float = 0.0
-    own: float = 0.0
-    others: float = 0.0
-    heard_at: float = 0.0
-    rests_until: float = 0.0
-    failures: int = 0
-    absent: dict[str, float] = field(factory=dict)  # until when a model or adapter is known not to be there
-
-    def add(self, load: float) -> None:
+    own_load: float = 0.0
+    peer_load: float = 0.0
+    peer_load_received_at: float = 0.0
+    backoff_until: float = 0.0
+    consecutive_failures: int = 0
+    key_backoff_until: dict[str, float] = field(
+        factory=dict
+    )  # until when a model or adapter is known not to be there
+
+    def add_load(self, load: float) -> None:
         """So much has been sent to it, or is over, where it is negative."""
-        self.own += load
+        self.own_load += load
         self.load += load
 
-    def hear(self, now: float, others: float) -> None:
+    def set_peer_load(self, now: float, peer_load: float) -> None:
         """The other dispatchers have so much in flight there."""
-        self.others, self.heard_at = others, now
-        self.load = self.own + others
+        self.peer_load, self.peer_load_received_at = peer_load, now
+        self.load = self.own_load + peer_load
 
-    def work_off(self, now: float, read_s: float) -> None:
+    def decay_peer_load(self, now: float, prefill_s_per_token: float) -> None:
         """Takes off what an engine has read since the others told of it; `read_s`: of a token, 0: unknown."""
-        if read_s and self.others:
-            age_s = now - self.heard_at + TOLD_AGE_S
-            self.load = self.own + max(0.0, self.others - WORKED_OFF * age_s / read_s)
+        if prefill_s_per_token and self.peer_load:
+            age_s = now - self.peer_load_received_at + PEER_LOAD_AGE_S
+            self.load = self.own_load + max(
+                0.0, self.peer_load - PREFILL_PROGRESS_SHARE * age_s / prefill_s_per_token
+            )
 
-    def usable(self, now: float, key: str) -> bool:
+    def is_available(self, now: float, key: str) -> bool:
         """Whether it may get requests of that key at all."""
-        return now >= self.rests_until and now >= self.absent.get(key, 0.0)
+        return now >= self.backoff_until and now >= self.key_backoff_until.get(key, 0.0)
 
 
 @define
-class Chooser:
+class WorkerSelector:
     """How this dispatcher, `name`, chooses. `keyed_share`: of a worker's slots, up to which a key's two
     candidates are preferred; `keyed_wait_s`: the same at engines, as the time that they read; `dispatchers`:
     how many choose at once.
@@ -85,58 +93,61 @@
 
     name: str
     zone: str
-    keyed_share: float
+    affinity_slot_share: float
     random: Random = field(factory=Random, eq=False)
-    dispatchers: int = 1
-    keyed_wait_s: float = KEYED_WAIT_S
+    dispatcher_count: int = 1
+    affinity_queue_s: float = AFFINITY_QUEUE_S
     _ranks: dict[str, bytes] = field(factory=dict)  # by worker instance
 
     @property
-    def salt(self) -> str:
+    def candidate_salt(self) -> str:
         """What makes the two candidates of a key this dispatcher's own, where there are many."""
-        return self.name if self.dispatchers > FULL_VIEW else ""
+        return self.name if self.dispatcher_count > MAX_DISPATCHERS_COMPARING_ALL else ""
 
-    def limit(self, backend: Backend, request: "Sized") -> float:
+    def affinity_load_limit(self, worker: Worker, cost: "RequestCost") -> float:
         """The load from which a candidate gets no more of its key's requests."""
-        if not request.read_s:
-            return self.keyed_share * backend.slots * request.load
-        return self.keyed_wait_s / request.read_s
+        if not cost.prefill_s_per_token:
+            return self.affinity_slot_share * worker.slots * cost.load
+        return self.affinity_queue_s / cost.prefill_s_per_token
 
-    def compared(self, able: Sequence[Backend], request: "Sized") -> list[Backend]:
+    def subset_by_load(self, available: Sequence[Worker], cost: "RequestCost") -> list[Worker]:
         """Those of which the least loaded is taken, in the order of their loads."""
-        far = ZONE_LOAD * request.load
-        return sorted(self._subset(able), key=lambda b: b.load + (far if b.zone != self.zone else 0.0))
-
-    def _subset(self, able: Sequence[Backend]) -> Sequence[Backend]:
-        count = max(LEAST_COMPARED, ceil(len(able) * FULL_VIEW / max(1, self.dispatchers)))
-        if count >= len(able):
-            return able
-        ranked = sorted(able, key=self._rank)
-        near = [b for b in ranked if b.zone == self.zone][: count - FAR_COMPARED]
+        far = REMOTE_ZONE_PENALTY * cost.load
+        return sorted(self._subset(available), key=lambda b: b.load + (far if b.zone != self.zone else 0.0))
+
+    def _subset(self, available: Sequence[Worker]) -> Sequence[Worker]:
+        count = max(
+            MIN_SUBSET_SIZE,
+            ceil(len(available) * MAX_DISPATCHERS_COMPARING_ALL / max(1, self.dispatcher_count)),
+        )
+        if count >= len(available):
+            return available
+        ranked = sorted(available, key=self._rank)
+        near = [b for b in ranked if b.zone == self.zone][: count - MIN_REMOTE_ZONE_WORKERS]
         far = [b for b in ranked if b.zone != self.zone]
         return near + far[: count - len(near)]
 
-    def _rank(self, backend: Backend) -> bytes:
-        rank = self._ranks.get(backend.instance)
+    def _rank(self, worker: Worker) -> bytes:
+        rank = self._ranks.get(worker.instance)
         if rank is None:
-            if len(self._ranks) >= MOST_RANKS:
+            if len(self._ranks) >= MAX_CACHED_RANKS:
                 self._ranks.clear()
-            rank = blake2b(f"{self.name} {backend.instance}".encode(), digest_size=8).digest()
-            self._ranks[backend.instance] = rank
+            rank = blake2b(f"{self.name} {worker.instance}".encode(), digest_size=8).digest()
+            self._ranks[worker.instance] = rank
         return rank
 
 
 @frozen
-class Sized:
+class RequestCost:
     """What a request adds to a worker's load, and how long an engine reads at a token; 0: not known, or there
     is no engine.
     """
 
     load: float = 1.0
-    read_s: float = 0.0
+    prefill_s_per_token: float = 0.0
 
 
-ONE_REQUEST = Sized()
+UNIT_COST = RequestCost()
 
 
 @define(frozen=True)
@@ -156,67 +167,69 @@
 class Pool:
     """The ready workers that hold what a key needs. Immutable but for the loads of its workers."""
 
-    def __init__(self, name: str, backends: Iterable[Backend]) -> None:
+    def __init__(self, name: str, workers: Iterable[Worker]) -> None:
         self.name = name
-        self.backends = tuple(sorted(backends, key=lambda b: b.instance))
-        self._pairs: dict[str, tuple[Backend, ...]] = {}
+        self.workers = tuple(sorted(workers, key=lambda b: b.instance))
+        self._candidates_by_salt: dict[str, tuple[Worker, ...]] = {}
 
-    def pair(self, salt: str = "") -> tuple[Backend, ...]:
+    def candidates(self, salt: str = "") -> tuple[Worker, ...]:
         """The key's two candidates, for dispatchers with that salt; fewer where there are no two."""
-        found = self._pairs.get(salt)
+        found = self._candidates_by_salt.get(salt)
         if found is None:
-            found = self._pairs[salt] = self._owners(salt) if self.name and self.backends else ()
+            found = self._candidates_by_salt[salt] = (
+                self._hash_candidates(salt) if self.name and self.workers else ()
+            )
         return found
 
-    def _owners(self, salt: str) -> tuple[Backend, ...]:
+    def _hash_candidates(self, salt: str) -> tuple[Worker, ...]:
         key = int.from_bytes((salt + self.name).encode(), "big")
-        owners: list[Backend] = []
+        owners: list[Worker] = []
         for number, point in enumerate(key_hashes(key)):
-            ring: Ring[Backend] = Ring()
-            for backend in self.backends:
+            ring: Ring[Worker] = Ring()
+            for backend in self.workers:
                 ring.add(backend, ring_points(backend.instance, number))
             owner = ring.owner(point)
             if owner not in owners:
                 owners.append(owner)
         return tuple(owners)
 
-    def choose(
-        self, now: float, chooser: Chooser, avoid: frozenset[str], request: Sized = ONE_REQUEST
-    ) -> Backend | None:
+    def select(
+        self, now: float, selector: WorkerSelector, excluded: frozenset[str], cost: RequestCost = UNIT_COST
+    ) -> Worker | None:
         """The worker for the next request; `avoid`: instances that it was already sent to."""
-        for backend in self.backends:
-            backend.work_off(now, request.read_s)
+        for backend in self.workers:
+            backend.decay_peer_load(now, cost.prefill_s_per_token)
 
-        def able(backend: Backend) -> bool:
-            return backend.usable(now, self.name) and backend.instance not in avoid
+        def able(backend: Worker) -> bool:
+            return backend.is_available(now, self.name) and backend.instance not in excluded
 
-        def takes(backend: Backend) -> bool:
-            return backend.load < chooser.limit(backend, request) and able(backend)
+        def takes(backend: Worker) -> bool:
+            return backend.load < selector.affinity_load_limit(backend, cost) and able(backend)
 
-        chosen = winner(self.pair(chooser.salt), takes)
+        chosen = winner(self.candidates(selector.candidate_salt), takes)
         if chosen is None:
-            chosen, _ = overflow(chooser.compared([b for b in self.backends if able(b)], request), able)
+            chosen, _ = overflow(selector.subset_by_load([b for b in self.workers if able(b)], cost), able)
         return chosen
 
 
 @define(frozen=True)
-class Holder:
+class PoolMember:
     """A worker that may be sent to, and what may be used there."""
 
-    backend: Backend
-    holdings: tuple[LoadedModel, ...] = ()
+    worker: Worker
+    usable_models: tuple[LoadedModel, ...] = ()
 
-    def keys(self) -> Iterable[PoolKey]:
+    def pool_keys(self) -> Iterable[PoolKey]:
         """Of the pools that it is in."""
-        service = self.backend.service
+        service = self.worker.service
         yield PoolKey(service, "", "")
-        for holding in self.holdings:
+        for holding in self.usable_models:
             for adapter in ("", *holding.adapters):
                 yield PoolKey(service, holding.model, adapter)
 
 
 @frozen
-class LoadUnderWay:
+class ExpectedReplica:
     """What is being loaded, and when it will be there: seconds of the steady clock."""
 
     key: PoolKey
@@ -230,75 +243,75 @@
     the steady clock.
     """
 
-    holders: Mapping[str, Holder] = field(factory=dict)  # by instance
-    pending_loads: Mapping[PoolKey, float] = field(factory=dict)
-    _members: dict[PoolKey, dict[str, Backend]] = field(factory=dict)
+    members: Mapping[str, PoolMember] = field(factory=dict)  # by instance
+    replica_ready_at: Mapping[PoolKey, float] = field(factory=dict)
+    _workers_by_key: dict[PoolKey, dict[str, Worker]] = field(factory=dict)
     _pools: dict[PoolKey, Pool] = field(factory=dict)
 
-    def changed(
-        self, news: Mapping[str, Holder | None], pending_loads: Iterable[LoadUnderWay] = ()
+    def with_changes(
+        self, changes: Mapping[str, PoolMember | None], expected_replicas: Iterable[ExpectedReplica] = ()
     ) -> "Pools":
         """With the workers that have come, changed or gone (None). O(what changed and the number of keys)."""
-        holders, members, pools = dict(self.holders), dict(self._members), dict(self._pools)
-        for instance, holder in news.items():
+        holders, members, pools = dict(self.members), dict(self._workers_by_key), dict(self._pools)
+        for instance, holder in changes.items():
             before = holders.pop(instance, None)
             if holder is not None:
                 holders[instance] = holder
-            old = set(before.keys()) if before is not None else set()
-            new = set(holder.keys()) if holder is not None else set()
-            for key in old | new if _backend_of(before) is not _backend_of(holder) else old ^ new:
+            old = set(before.pool_keys()) if before is not None else set()
+            new = set(holder.pool_keys()) if holder is not None else set()
+            for key in old | new if _worker_of(before) is not _worker_of(holder) else old ^ new:
                 others = {i: b for i, b in members.get(key, {}).items() if i != instance}
                 members[key] = (
-                    others if holder is None or key not in new else others | {instance: holder.backend}
+                    others if holder is None or key not in new else others | {instance: holder.worker}
                 )
                 pools.pop(key, None)
         earliest: dict[PoolKey, float] = {}
-        for load in pending_loads:
+        for load in expected_replicas:
             earliest[load.key] = min(load.ready_at, earliest.get(load.key, load.ready_at))
         return Pools(holders, earliest, members, pools)
 
-    def hear_loads(self, now: float, others: Mapping[str, int]) -> None:
+    def set_peer_loads(self, now: float, peer_loads: Mapping[str, int]) -> None:
         """What the other dispatchers have in flight at each worker; 0 where nothing is said."""
-        for instance, holder in self.holders.items():
-            holder.backend.hear(now, others.get(instance, 0))
+        for instance, holder in self.members.items():
+            holder.worker.set_peer_load(now, peer_loads.get(instance, 0))
 
     def own_loads(self) -> dict[str, int]:
         """What the own requests add to workers' loads by instance, where there are any."""
-        backends = (holder.backend for holder in self.holders.values())
-        return {b.instance: round(b.own) for b in backends if b.own >= 1}
+        backends = (holder.worker for holder in self.members.values())
+        return {b.instance: round(b.own_load) for b in backends if b.own_load >= 1}
 
     def ready_at(self, key: PoolKey) -> float | None:
         """When somebody will hold what the key needs; None if nobody loads it."""
-        found = self.pending_loads.get(key)
+        found = self.replica_ready_at.get(key)
         if found is None and key.adapter:
-            found = self.pending_loads.get(PoolKey(key.service, key.model, ""))
+            found = self.replica_ready_at.get(PoolKey(key.service, key.model, ""))
         return found
 
     def pool(self, key: PoolKey) -> Pool:
         """Those that hold what the key needs; without a model all of the service."""
         found = self._pools.get(key)
         if found is None:
-            found = self._pools[key] = Pool(key.name, self._members.get(key, {}).values())
+            found = self._pools[key] = Pool(key.name, self._workers_by_key.get(key, {}).values())
         return found
 
 
-def effective_holdings(worker: WorkerRecord, placement: PlacementRecord | None) -> tuple[LoadedModel, ...]:
+def usable_models(worker: WorkerRecord, placement: PlacementRecord | None) -> tuple[LoadedModel, ...]:
     """What may be used at a worker: as the placer says; without its word, as the worker says itself."""
     return worker.loaded_models if placement is None else placement.usable_models
 
 
-def holder_of(
-    worker: WorkerRecord | None, placement: PlacementRecord | None, known: Holder | None
-) -> Holder | None:
+def pool_member(
+    record: WorkerRecord | None, placement: PlacementRecord | None, known_member: PoolMember | None
+) -> PoolMember | None:
     """What the tables say of a worker; None unless it is ready. Known ones keep their loads."""
-    if worker is None or worker.phase is not SessionPhase.READY:
+    if record is None or record.phase is not SessionPhase.READY:
         return None
-    if known is not None:
-        backend = known.backend
+    if known_member is not None:
+        backend = known_member.worker
     else:
-        backend = Backend(worker.instance, worker.service, worker.address, worker.zone, worker.slots)
-    return Holder(backend, effective_holdings(worker, placement))
+        backend = Worker(record.instance, record.service, record.address, record.zone, record.slots)
+    return PoolMember(backend, usable_models(record, placement))
 
 
-def _backend_of(holder: Holder | None) -> Backend | None:
-    return None if holder is None else holder.backend
+def _worker_of(member: PoolMember | None) -> Worker | None:
+    return None if member is None else member.worker
--- a/finchladder/cluster/routing/pace.py
+++ b/finchladder/cluster/routing/prefill_time.py
@@ -6,23 +6,23 @@
 
 from attrs import define
 
-QUANTILE = 0.25
-STEP = 0.1  # relative; of one observation
+TARGET_QUANTILE = 0.25
+RELATIVE_STEP = 0.1  # relative; of one observation
 
 
 @define
-class ReadingPace:
+class PrefillTimeEstimator:
     """Of one service. `s_per_token`: seconds; 0: nothing is known."""
 
     s_per_token: float = 0.0
 
-    def learn(self, tokens: int, first_event_s: float) -> None:
+    def observe(self, prompt_tokens: int, time_to_first_token_s: float) -> None:
         """A prompt of so many tokens had its first event after so long at a worker without other requests."""
-        if tokens <= 0:
+        if prompt_tokens <= 0:
             return
-        seen = first_event_s / tokens
+        seen = time_to_first_token_s / prompt_tokens
         if not self.s_per_token:
             self.s_per_token = seen
             return
         is_below = seen < self.s_per_token
-        self.s_per_token *= 1 + STEP * (QUANTILE - is_below)
+        self.s_per_token *= 1 + RELATIVE_STEP * (TARGET_QUANTILE - is_below)
--- a/finchladder/cluster/routing/requests.py
+++ b/finchladder/cluster/routing/requests.py
@@ -8,17 +8,17 @@
 from finchladder.cluster.configuration.snapshot import RequestKind, Route
 from finchladder.cluster.routing.pools import PoolKey
 
-REQUEST_ID = "X-Finchladder-Request-Id"
-DEADLINE = "X-Finchladder-Deadline-Ms"
-MODEL = "X-Finchladder-Model"
-TOKENS = "X-Finchladder-Token-Count"
-EXPECTED_INSTANCE = "X-Finchladder-Expected-Instance"
-NOT_EXECUTED = "X-Finchladder-Not-Executed"
-SIGNATURE = "X-Finchladder-Response-Signature"
-LAST_EVENT_ID = "Last-Event-Id"
-PRIORITY = "Priority"
-LEAST_SILENCE_S, SILENT_AIMS, SILENT_GAPS = 2.0, 4.0, 8.0
-HOP_BY_HOP = frozenset(
+REQUEST_ID_HEADER = "X-Finchladder-Request-Id"
+DEADLINE_HEADER = "X-Finchladder-Deadline-Ms"
+MODEL_HEADER = "X-Finchladder-Model"
+TOKEN_COUNT_HEADER = "X-Finchladder-Token-Count"
+EXPECTED_INSTANCE_HEADER = "X-Finchladder-Expected-Instance"
+NOT_EXECUTED_HEADER = "X-Finchladder-Not-Executed"
+RESPONSE_SIGNATURE_HEADER = "X-Finchladder-Response-Signature"
+LAST_EVENT_ID_HEADER = "Last-Event-Id"
+PRIORITY_HEADER = "Priority"
+MIN_STREAM_STALL_S, STREAM_STALL_LATENCY_TARGETS, STREAM_STALL_EVENT_GAPS = 2.0, 4.0, 8.0
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -37,60 +37,68 @@
 
 
 @frozen
-class Need:
+class ClassifiedRequest:
     """What one request needs and how long it may take. `until`: steady seconds; `tokens`: of the prompt."""
 
     request_id: str
     key: PoolKey
-    arrived: float
-    until: float
-    tokens: int
-    aim_s: float
-    patience_s: float  # after which a client gives up a stream that is silent
+    arrived_at: float
+    deadline: float
+    prompt_tokens: int
+    latency_target_s: float
+    client_stall_timeout_s: float  # after which a client gives up a stream that is silent
 
 
-def _number(text: str | None) -> float | None:
+def _parse_number(text: str | None) -> float | None:
     try:
         return float(text) if text else None
     except ValueError:
         return None
 
 
-def _tokens(text: str | None) -> int:
+def _parse_token_count(text: str | None) -> int:
     try:
         return int(text.split(",")[0]) if text else 0
     except ValueError:
         return 0
 
 
-def need(headers: Mapping[str, str], route: Route, now: float) -> Need:
+def classify(headers: Mapping[str, str], route: Route, now: float) -> ClassifiedRequest:
     """Reads the headers that concern routing."""
-    request_id = headers.get(REQUEST_ID, "")
-    deadline_ms = _number(headers.get(DEADLINE))
+    request_id = headers.get(REQUEST_ID_HEADER, "")
+    deadline_ms = _parse_number(headers.get(DEADLINE_HEADER))
     client_s = route.timeout_s if deadline_ms is None else deadline_ms / 1000
-    model, _, adapter = headers.get(MODEL, "").partition("/")
-    key = PoolKey(route.service_at(_point(request_id)), model, adapter)
+    model, _, adapter = headers.get(MODEL_HEADER, "").partition("/")
+    key = PoolKey(route.service_at(_split_point(request_id)), model, adapter)
     until = now + min(client_s, route.timeout_s)
-    tokens = _tokens(headers.get(TOKENS))
-    return Need(request_id, key, now, until, tokens, route.latency_target_s, _patience_s(route, client_s))
+    tokens = _parse_token_count(headers.get(TOKEN_COUNT_HEADER))
+    return ClassifiedRequest(
+        request_id, key, now, until, tokens, route.latency_target_s, _client_stall_timeout_s(route, client_s)
+    )
 
 
-def _patience_s(route: Route, client_s: float) -> float:
+def _client_stall_timeout_s(route: Route, client_timeout_s: float) -> float:
     """Clients give a stream up after a silence; source: the project's protocol page."""
     if route.kind is not RequestKind.STREAMING:
-        return client_s
+        return client_timeout_s
     return min(
-        client_s,
-        max(LEAST_SILENCE_S, SILENT_AIMS * route.latency_target_s, SILENT_GAPS * route.max_event_gap_s),
+        client_timeout_s,
+        max(
+            MIN_STREAM_STALL_S,
+            STREAM_STALL_LATENCY_TARGETS * route.latency_target_s,
+            STREAM_STALL_EVENT_GAPS * route.max_event_gap_s,
+        ),
     )
 
 
-def _point(request_id: str) -> float:
+def _split_point(request_id: str) -> float:
     """Where the request falls in a split by weights: 0 to 1, by its id."""
     return int.from_bytes(blake2b(request_id.encode(), digest_size=8).digest(), "big") / 2**64
 
 
-def onward_headers(headers: Mapping[str, str], dropped: frozenset[str] = HOP_BY_HOP) -> list[tuple[str, str]]:
+def forwarded_headers(
+    headers: Mapping[str, str], dropped: frozenset[str] = HOP_BY_HOP_HEADERS
+) -> list[tuple[str, str]]:
     """The headers that go on, in their order; what `Connection` names goes no further either."""
     named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
     return [(k, v) for k, v in headers.items() if k.lower() not in dropped and k.lower() not in named]
--- a/finchladder/cluster/routing/budget.py
+++ b/finchladder/cluster/routing/retry_budget.py
@@ -10,8 +10,8 @@
 
 from attrs import define, field
 
-KEPT_BACK = 0.5
-UNKNOWN_DISPATCHERS = 64
+WINDOW_OVERLAP_FACTOR = 0.5
+ASSUMED_DISPATCHERS = 64
 
 
 @define
@@ -21,25 +21,25 @@
     ratio: float
     slack: float
     window_s: float
-    requests: deque[float] = field(factory=deque)
-    repeats: deque[float] = field(factory=deque)
+    request_times: deque[float] = field(factory=deque)
+    retry_times: deque[float] = field(factory=deque)
 
-    def arrived(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """A request of a client came in."""
-        self._forget(now)
-        self.requests.append(now)
+        self._expire(now)
+        self.request_times.append(now)
 
-    def spend(self, now: float, dispatchers: int) -> bool:
+    def try_withdraw(self, now: float, dispatcher_count: int) -> bool:
         """Takes one repeat out of the budget; False if there is none."""
-        self._forget(now)
-        shares = dispatchers or UNKNOWN_DISPATCHERS
-        allowed = KEPT_BACK * (self.ratio * len(self.requests) + self.slack / shares)
-        if len(self.repeats) + 1 > allowed:
+        self._expire(now)
+        shares = dispatcher_count or ASSUMED_DISPATCHERS
+        allowed = WINDOW_OVERLAP_FACTOR * (self.ratio * len(self.request_times) + self.slack / shares)
+        if len(self.retry_times) + 1 > allowed:
             return False
-        self.repeats.append(now)
+        self.retry_times.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
-        for times in (self.requests, self.repeats):
+    def _expire(self, now: float) -> None:
+        for times in (self.request_times, self.retry_times):
             while times and times[0] <= now - self.window_s:
                 times.popleft()
--- a/finchladder/lab/cluster/emulator/fleet.py
+++ b/finchladder/lab/cluster/emulator/fleet.py
@@ -10,17 +10,21 @@
 
 from finchladder.cluster.configuration.snapshot import ConfigurationSnapshot, Engine, Model, Service
 from finchladder.cluster.process.attempt import MISDIRECTED, NotExecuted
-from finchladder.cluster.process.dispatcher_node import KEYED_SHARE, REPORT_S, TOGETHER_S
+from finchladder.cluster.process.dispatcher_node import (
+    AFFINITY_SLOT_SHARE,
+    REPORT_BATCH_DELAY_S,
+    REPORT_INTERVAL_S,
+)
 from finchladder.cluster.process.placer import Placer
-from finchladder.cluster.process.router import RETURN_S, Running
+from finchladder.cluster.process.router import CLIENT_RETRY_GRACE_S, InFlightRequest
 from finchladder.cluster.process.tasks import Signal, Tasks
 from finchladder.cluster.process.update_server import BATCH_INTERVAL_PER_DISPATCHER_S, MAX_BATCH_INTERVAL_S
 from finchladder.cluster.process.worker_orders import WorkerOrders
-from finchladder.cluster.process.worker_selection import WorkerFinder
+from finchladder.cluster.process.worker_selection import RequestQueue
 from finchladder.cluster.replication.lease import HeldLease
 from finchladder.cluster.routing.demand import DemandCounter
-from finchladder.cluster.routing.pools import Chooser, LoadUnderWay, PoolKey, holder_of
-from finchladder.cluster.routing.requests import Need
+from finchladder.cluster.routing.pools import ExpectedReplica, PoolKey, WorkerSelector, pool_member
+from finchladder.cluster.routing.requests import ClassifiedRequest
 from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.members import Member
@@ -104,7 +108,7 @@
     zone: str
     fleet: "Fleet"
     demand: DemandCounter
-    finder: WorkerFinder
+    finder: RequestQueue
     waited_for: Signal = field(factory=Signal)
 
     @classmethod
@@ -112,26 +116,26 @@
         """The dispatcher with that number."""
         name, zone = f"edge-{number}", f"z{number % fleet.plan.zones}"
         demand, random = DemandCounter(), Random(f"{fleet.seed} {name}")
-        chooser = Chooser(name, zone, KEYED_SHARE, random)
-        made = cls(name, zone, fleet, demand, WorkerFinder(chooser, lambda: fleet.plan.dispatchers, demand))
-        demand.on_wait = made.waited_for.fire
+        chooser = WorkerSelector(name, zone, AFFINITY_SLOT_SHARE, random)
+        made = cls(name, zone, fleet, demand, RequestQueue(chooser, lambda: fleet.plan.dispatchers, demand))
+        demand.on_queued = made.waited_for.fire
         return made
 
     async def report(self) -> None:
         """Tells the placer what is asked for; for ever."""
-        interval = REPORT_S
+        interval = REPORT_INTERVAL_S
         while True:
             await self.waited_for.wait(interval)
-            await asyncio.sleep(TOGETHER_S)
+            await asyncio.sleep(REPORT_BATCH_DELAY_S)
             now, demand = steady(), self.demand
             loads = self.finder.pools.own_loads()
-            paces = demand.seconds_per_token()
-            report = DemandReport(self.name, interval, demand.take(now), loads, demand.uses(), paces)
+            paces = demand.prefill_s_per_token()
+            report = DemandReport(self.name, interval, demand.collect(now), loads, demand.model_uses(), paces)
             await asyncio.sleep(CALL_S)
             reply = self.fleet.placer.on_demand(report)
             await asyncio.sleep(CALL_S)
             interval = reply.interval_ms / 1000
-            self.finder.pools.hear_loads(steady(), reply.peer_loads)
+            self.finder.pools.set_peer_loads(steady(), reply.peer_loads)
 
     async def serve(self, outcome: Outcome, arrived: float) -> float | None:
         """One try of a client; returns what it is told to wait, if it is refused."""
@@ -140,34 +144,34 @@
         until = arrived + kind.deadline_s
         patience_s = min(until - now, max(LEAST_SILENCE_S, SILENT_AIMS * kind.aim_s))
         key = PoolKey(SERVICE, work.model, work.adapter)
-        wanted = Need("", key, now, until, work.prompt, kind.aim_s, patience_s)
-        self.demand.asked(wanted)
+        wanted = ClassifiedRequest("", key, now, until, work.prompt, kind.aim_s, patience_s)
+        self.demand.record_request(wanted)
         sent: frozenset[str] = frozenset()
-        backend = await self.finder.find(wanted, sent)
+        backend = await self.finder.select_worker(wanted, sent)
         if backend is None:
             return self._refuse(wanted)
-        outcome.copies, outcome.worker = len(self.finder.pools.pool(key).backends), backend.instance
+        outcome.copies, outcome.worker = len(self.finder.pools.pool(key).workers), backend.instance
         outcome.waited_s = steady() - arrived
-        with Running(self.demand, wanted, backend) as running:
+        with InFlightRequest(self.demand, wanted, backend) as running:
             await asyncio.sleep(CALL_S)
             request = self.fleet.workers[backend.instance].submit(work, until)
             if request is None or not await request.first:
                 if request is not None and request.was_run:
                     return None
                 refusal = NotExecuted(MISDIRECTED if request is None else 503, 0.0)
-                self.finder.note(backend, wanted, refusal)
+                self.finder.record_failure(backend, wanted, refusal)
                 return self._refuse(wanted)
             await asyncio.sleep(CALL_S)
             outcome.first_s = steady() - arrived
-            running.has_begun()
+            running.record_first_token()
             if await request.end:
                 outcome.end_s = steady() - arrived
         return None
 
-    def _refuse(self, wanted: Need) -> float:
+    def _refuse(self, wanted: ClassifiedRequest) -> float:
         retry_after_s = self.finder.retry_after_s(wanted)
-        if not self.finder.pools.pool(wanted.key).backends:
-            self.demand.comes_back(wanted.key, steady() + retry_after_s + RETURN_S)
+        if not self.finder.pools.pool(wanted.key).workers:
+            self.demand.expect_client_retry(wanted.key, steady() + retry_after_s + CLIENT_RETRY_GRACE_S)
         return retry_after_s
 
 
@@ -311,7 +315,9 @@
     def _update(self, instances: list[str]) -> None:
         now, tables = steady(), self.tables
         loads = [
-            LoadUnderWay(PoolKey(SERVICE, pending.model, pending.adapter), now + pending.remaining_ms / 1000)
+            ExpectedReplica(
+                PoolKey(SERVICE, pending.model, pending.adapter), now + pending.remaining_ms / 1000
+            )
             for placed in tables.placements.values()
             if (pending := placed.record.pending_load) is not None
         ]
@@ -321,9 +327,9 @@
             for name in instances:
                 placed = tables.placements.get(name)
                 record = None if placed is None else placed.record
-                news[name] = holder_of(tables.workers[name].record, record, pools.holders.get(name))
-            dispatcher.finder.pools = pools.changed(news, loads)
-            dispatcher.finder.changed.fire()
+                news[name] = pool_member(tables.workers[name].record, record, pools.members.get(name))
+            dispatcher.finder.pools = pools.with_changes(news, loads)
+            dispatcher.finder.pools_changed.fire()
 
 
 @define
--- a/finchladder/lab/cluster/placement.py
+++ b/finchladder/lab/cluster/placement.py
@@ -18,8 +18,8 @@
 from finchladder.cluster.process.tasks import Tasks
 from finchladder.cluster.process.worker_orders import WorkerOrders
 from finchladder.cluster.routing.demand import DemandCounter
-from finchladder.cluster.routing.pools import PoolKey, effective_holdings
-from finchladder.cluster.routing.requests import Need
+from finchladder.cluster.routing.pools import PoolKey, usable_models
+from finchladder.cluster.routing.requests import ClassifiedRequest
 from finchladder.cluster.types.errors import ClusterError
 from finchladder.cluster.types.messages import DemandReport
 from finchladder.cluster.types.worker_api import Heartbeat, ModelReport, OrderRequest
@@ -85,8 +85,8 @@
             self._arrive(self.random.choice(BUSY), now)
 
     def _arrive(self, model: str, now: float) -> None:
-        self.demand.asked(_request(model, now))
-        self.demand.waits(_key(model), 1)
+        self.demand.record_request(_request(model, now))
+        self.demand.add_queued(_key(model), 1)
         self.waiting.append(Waiting(model, now))
 
     def _serve(self, request: Waiting, now: float) -> None:
@@ -96,7 +96,7 @@
             self.play.judge_wait(self.dispatcher, request, now)
             return
         self.waiting.remove(request)
-        self.demand.waits(_key(request.model), -1)
+        self.demand.add_queued(_key(request.model), -1)
         if request.model in RARE:
             self.play.waits.append(waited_s)
         if name is not None:
@@ -111,24 +111,24 @@
             record, placement = puller.tables.workers.get(name), puller.tables.placements.get(name)
             if record is None or record.record.phase is not SessionPhase.READY or not worker.holds(model):
                 continue
-            told = effective_holdings(record.record, None if placement is None else placement.record)
+            told = usable_models(record.record, None if placement is None else placement.record)
             if any(holding.model == model for holding in told):
                 return name
         return None
 
     async def _run(self, model: str, name: str) -> None:
-        self.demand.runs(_key(model), name, 1)
+        self.demand.add_in_flight(_key(model), name, 1)
         self.play.workers[name].in_use[model] += 1
         await asyncio.sleep(self.random.uniform(*RUN_S))
         self.play.workers[name].in_use[model] -= 1
-        self.demand.runs(_key(model), name, -1)
+        self.demand.add_in_flight(_key(model), name, -1)
 
     async def _report(self, now: float) -> None:
         puller = self.dispatcher.puller
         if puller is None or not puller.placer:
             return
         name, demand = self.dispatcher.name, self.demand
-        report = DemandReport(name, REPORT_S, demand.take(now), {}, demand.uses())
+        report = DemandReport(name, REPORT_S, demand.collect(now), {}, demand.model_uses())
         peers = SimulatedPeers(self.play.world.network, self.dispatcher.address)
         try:
             await peers.call(puller.placer, report, REPORT_TIMEOUT_S)
@@ -250,8 +250,8 @@
         return status
 
 
-def _request(model: str, now: float) -> Need:
-    return Need("", _key(model), now, now + PATIENCE_S, 100, 1.0, PATIENCE_S)
+def _request(model: str, now: float) -> ClassifiedRequest:
+    return ClassifiedRequest("", _key(model), now, now + PATIENCE_S, 100, 1.0, PATIENCE_S)
 
 
 def _key(model: str) -> PoolKey:
--- a/tests/cluster/placer_scene.py
+++ b/tests/cluster/placer_scene.py
@@ -11,7 +11,7 @@
 from finchladder.cluster.process.tasks import Signal, Tasks
 from finchladder.cluster.process.worker_orders import WorkerOrders
 from finchladder.cluster.replication.lease import HeldLease
-from finchladder.cluster.routing.pools import effective_holdings
+from finchladder.cluster.routing.pools import usable_models
 from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.members import Member
@@ -103,7 +103,7 @@
     def usable_at(self, name: str) -> list[str]:
         """Models that dispatchers may use at that worker."""
         worker, placement = self.tables.workers[name], self.tables.placements.get(name)
-        told = effective_holdings(worker.record, None if placement is None else placement.record)
+        told = usable_models(worker.record, None if placement is None else placement.record)
         return [holding.model for holding in told]
 
     def is_usable(self, model: str, adapter: str) -> bool:
--- a/tests/cluster/test_edge_node.py
+++ b/tests/cluster/test_dispatcher_node.py
@@ -8,13 +8,13 @@
 from aiohttp import web
 
 from finchladder.cluster.process import dispatcher_node
-from finchladder.cluster.process.dispatcher_node import EdgeNode
+from finchladder.cluster.process.dispatcher_node import DispatcherNode
 from finchladder.cluster.process.router import Router
 from finchladder.cluster.process.settings import Settings
 from finchladder.cluster.process.update_puller import UpdatePuller
-from finchladder.cluster.routing.budget import RetryBudget
 from finchladder.cluster.routing.demand import DemandCounter
-from finchladder.cluster.routing.pools import Backend, Chooser, Holder, Pools
+from finchladder.cluster.routing.pools import PoolMember, Pools, Worker, WorkerSelector
+from finchladder.cluster.routing.retry_budget import RetryBudget
 from finchladder.cluster.transport.http_client import make_session
 from finchladder.cluster.transport.http_server import Listener
 from finchladder.cluster.transport.peers import PeerClient
@@ -45,10 +45,14 @@
 
     async def work() -> None:
         settings = SimpleNamespace(bounds=SimpleNamespace(grace_s=5.0))
-        node = EdgeNode(cast(Settings, settings))
+        node = DispatcherNode(cast(Settings, settings))
         session = make_session(keepalive_s=5)
         node.router = Router(
-            session, Chooser("edge", "z", 0.2), lambda: RetryBudget(0.2, 50, 10), lambda: 1, DemandCounter()
+            session,
+            WorkerSelector("edge", "z", 0.2),
+            lambda: RetryBudget(0.2, 50, 10),
+            lambda: 1,
+            DemandCounter(),
         )
 
         async def slow(request: web.BaseRequest) -> web.StreamResponse:
@@ -57,7 +61,7 @@
 
         frontend = CalledLate(slow, "127.0.0.1:0")
         await frontend.start()
-        await node._wind_up(frontend)
+        await node._graceful_shutdown(frontend)
         await frontend.stop()
         assert frontend.late is not None
         reader, writer = frontend.late
@@ -73,15 +77,15 @@
 
 
 def test_loads_of_others_are_forgotten_when_nobody_tells_them_any_more() -> None:
-    node = EdgeNode(cast(Settings, SimpleNamespace()))
-    worker = Backend("a", "llm", "a:1", "z", 64)
-    node.router = cast(Router, SimpleNamespace(pools=Pools().changed({"a": Holder(worker)})))
-    worker.add(1)
-    node.router.pools.hear_loads(0.0, {"a": 7})
-    node.loads_heard_at = 10.0
-    node._forget_old_loads(12.3, interval_s=0.4)
+    node = DispatcherNode(cast(Settings, SimpleNamespace()))
+    worker = Worker("a", "llm", "a:1", "z", 64)
+    node.router = cast(Router, SimpleNamespace(pools=Pools().with_changes({"a": PoolMember(worker)})))
+    worker.add_load(1)
+    node.router.pools.set_peer_loads(0.0, {"a": 7})
+    node.peer_loads_received_at = 10.0
+    node._expire_peer_loads(12.3, interval_s=0.4)
     assert worker.load == 8
-    node._forget_old_loads(12.5, interval_s=0.4)
+    node._expire_peer_loads(12.5, interval_s=0.4)
     assert worker.load == 1
 
 
@@ -95,14 +99,14 @@
             return DemandReply(1000, True, {"b": 5})
 
     async def work() -> None:
-        node = EdgeNode(cast(Settings, SimpleNamespace(node_name="edge-1")))
-        one, two = (Backend(name, "llm", f"{name}:1", "z", 64) for name in "ab")
-        pools = Pools().changed({"a": Holder(one), "b": Holder(two)})
+        node = DispatcherNode(cast(Settings, SimpleNamespace(node_name="edge-1")))
+        one, two = (Worker(name, "llm", f"{name}:1", "z", 64) for name in "ab")
+        pools = Pools().with_changes({"a": PoolMember(one), "b": PoolMember(two)})
         node.router = cast(Router, SimpleNamespace(pools=pools))
         node.puller = cast(UpdatePuller, SimpleNamespace(placer="core-1:1"))
         node.peers = cast(PeerClient, Peers())
-        one.add(1)
-        node.tasks.repeat(node._report, "demand")
+        one.add_load(1)
+        node.tasks.repeat(node._report_demand, "demand")
         await asyncio.sleep(0.6)
         assert [(r.sender, r.worker_loads) for r in reports] == [("edge-1", {"a": 1})]
         assert (one.load, two.load) == (1, 5)
--- a/tests/cluster/test_exchange.py
+++ b/tests/cluster/test_exchange.py
@@ -14,12 +14,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from finchladder.cluster.routing.pools import Backend, Holder
+from finchladder.cluster.routing.pools import PoolMember, Worker
 from finchladder.cluster.transport.exchange import StrictResponseHandler
 from finchladder.cluster.transport.peers import PeerClient
 from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.messages import ReadState, StateReply, encoder
-from tests.cluster.test_router import Bench, Worker, bench, plain, played
+from tests.cluster.test_router import Bench, StandInWorker, bench, plain, played
 
 BODY = b"id: 1\ndata: x\n\nid: 2\ndata: y\n\n"
 HEAD = b"HTTP/1.1 200 OK\r\nX-Finchladder-Request-Id: id-1\r\nX-Finchladder-Response-Signature: s\r\n"
@@ -216,14 +216,14 @@
 
 
 async def with_scripted(
-    script: Script, others: list[Worker], work: Callable[[Bench], Awaitable[None]]
+    script: Script, others: list[StandInWorker], work: Callable[[Bench], Awaitable[None]]
 ) -> None:
     """Runs `work` before a router whose preferred worker is scripted."""
     server = await asyncio.start_server(script.serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     async with bench(*others) as b:
-        backend = Backend("i-scripted", "s", f"{host}:{port}", "z", 4, -1.0)
-        b.router.pools = b.router.pools.changed({"i-scripted": Holder(backend)})
+        backend = Worker("i-scripted", "s", f"{host}:{port}", "z", 4, -1.0)
+        b.router.pools = b.router.pools.with_changes({"i-scripted": PoolMember(backend)})
         await work(b)
     await asyncio.gather(*(task for task in script.tasks if task is not None))
     server.close()
@@ -246,13 +246,13 @@
 ) -> None:
     sent = round(share * len(framing.whole))
     script = Script(framing.whole[:sent], ending)
-    spare = Worker(plain)
+    spare = StandInWorker(plain)
 
     async def check(b: Bench) -> None:
         expected = whole_body(framing, sent, ending)
         status, body = await outcome(b, "/once/")
         assert (status, body) == (200, expected) if expected is not None else status == 502
-        assert (script.requests, spare.seen) == (1, [])
+        assert (script.requests, spare.requests) == (1, [])
 
     played(lambda: with_scripted(script, [spare], check))
 
@@ -277,13 +277,13 @@
         b"Content-Length: 0\r\n\r\n"
     )
     script = Script(refusal, "keep", reads_body=False)
-    spare = Worker(plain)
+    spare = StandInWorker(plain)
 
     async def check(b: Bench) -> None:
         b.router.snapshot = evolve(b.router.snapshot, max_body_bytes=64 << 20)
         body = b"x" * (16 << 20)
         assert (await outcome(b, "/once/", body))[0] == 200
-        assert [len(sent) for _, _, sent in spare.seen] == [len(body)]
+        assert [len(sent) for _, _, sent in spare.requests] == [len(body)]
         assert script.requests == 1
 
     played(lambda: with_scripted(script, [spare], check))
@@ -299,7 +299,7 @@
         assert (await outcome(b, "/once/"))[0] == 502
         assert script.requests == 1
 
-    played(lambda: with_scripted(script, [Worker(plain)], check))
+    played(lambda: with_scripted(script, [StandInWorker(plain)], check))
 
 
 @pytest.mark.parametrize(("code", "status"), [(400, 200), (503, 502)])
@@ -312,7 +312,7 @@
     async def check(b: Bench) -> None:
         assert (await outcome(b, "/once/"))[0] == status
 
-    played(lambda: with_scripted(script, [Worker(plain)], check))
+    played(lambda: with_scripted(script, [StandInWorker(plain)], check))
 
 
 def test_a_connection_with_a_second_answer_carries_no_other_request() -> None:
--- a/tests/cluster/test_router.py
+++ b/tests/cluster/test_router.py
@@ -12,10 +12,10 @@
 from yarl import URL
 
 from finchladder.cluster.configuration.snapshot import build_snapshot
-from finchladder.cluster.process.router import RETURN_S, Router
-from finchladder.cluster.routing.budget import RetryBudget
+from finchladder.cluster.process.router import CLIENT_RETRY_GRACE_S, Router
 from finchladder.cluster.routing.demand import DemandCounter
-from finchladder.cluster.routing.pools import Backend, Chooser, Holder, Pools
+from finchladder.cluster.routing.pools import PoolMember, Pools, Worker, WorkerSelector
+from finchladder.cluster.routing.retry_budget import RetryBudget
 from finchladder.cluster.transport.http_client import make_session
 from finchladder.cluster.transport.http_server import Listener
 from finchladder.cluster.transport.peers import steady
@@ -58,17 +58,17 @@
     return web.Response(status=status, body=body, headers=stamped)
 
 
-class Worker:
+class StandInWorker:
     """A stand-in worker; `seen` holds path, headers and body of each request."""
 
     def __init__(self, *handlers: Handler) -> None:
         self.handlers = list(handlers)
-        self.seen: list[tuple[str, dict[str, str], bytes]] = []
+        self.requests: list[tuple[str, dict[str, str], bytes]] = []
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         body = await request.content.read()
-        self.seen.append((request.raw_path, dict(request.headers), body))
-        return await self.handlers[min(len(self.seen), len(self.handlers)) - 1](request)
+        self.requests.append((request.raw_path, dict(request.headers), body))
+        return await self.handlers[min(len(self.requests), len(self.handlers)) - 1](request)
 
 
 class Bench:
@@ -84,22 +84,26 @@
 
 
 @asynccontextmanager
-async def bench(*workers: Worker, absent: bool = False) -> AsyncIterator[Bench]:
+async def bench(*workers: StandInWorker, absent: bool = False) -> AsyncIterator[Bench]:
     listeners = [Listener(w.handle, "127.0.0.1:0") for w in workers]
     for listener in listeners:
         await listener.start()
     session = make_session(keepalive_s=5)
     router = Router(
-        session, Chooser("edge", "z", 0.5), lambda: RetryBudget(0.2, 50, 10), lambda: 1, DemandCounter()
+        session,
+        WorkerSelector("edge", "z", 0.5),
+        lambda: RetryBudget(0.2, 50, 10),
+        lambda: 1,
+        DemandCounter(),
     )
     router.snapshot = build_snapshot(json.dumps(DOCUMENT).encode())
     holders = {
-        f"i-{n}": Holder(Backend(f"i-{n}", "s", listener.bound, "z", 4, float(n)))
+        f"i-{n}": PoolMember(Worker(f"i-{n}", "s", listener.bound, "z", 4, float(n)))
         for n, listener in enumerate(listeners)
     }
     if absent:
         await listeners[0].stop()
-    router.pools = Pools().changed(holders)
+    router.pools = Pools().with_changes(holders)
     front = Listener(router.handle, "127.0.0.1:0", cancels=True)
     await front.start()
     unsent = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
@@ -179,12 +183,12 @@
 
 def test_a_request_goes_on_untouched_and_its_answer_comes_back_whole() -> None:
     async def work() -> None:
-        worker = Worker(plain)
+        worker = StandInWorker(plain)
         path = URL("/once/a%2Fb?q=%20+&z", encoded=True)
         async with bench(worker) as b, b.send(path, b"\x01body", Own="1", Connection="close") as response:
             assert (response.status, await response.read()) == (200, b"\x00whole\xff")
             assert (response.headers[STAMP], response.headers["Other"]) == ("stamp", "kept")
-        ((raw_path, headers, body),) = worker.seen
+        ((raw_path, headers, body),) = worker.requests
         assert (raw_path, body) == ("/once/a%2Fb?q=%20+&z", b"\x01body")
         assert (headers["Own"], headers["Host"], headers[ID]) == ("1", "a.example", "id-1")
         assert headers["X-Finchladder-Expected-Instance"] == "i-0"
@@ -198,29 +202,29 @@
 @pytest.mark.parametrize("path", ["/once/a", "/nowhere/"])
 def test_who_may_have_an_old_configuration_refuses_all_requests(path: str) -> None:
     async def work() -> None:
-        worker = Worker(plain)
+        worker = StandInWorker(plain)
         async with bench(worker) as b:
-            b.router.is_doubtful = lambda: True
+            b.router.is_configuration_stale = lambda: True
             async with b.send(path, b"body") as response:
                 assert response.status == 503
                 assert float(response.headers["Retry-After"]) > 0
-            b.router.is_doubtful = lambda: False
+            b.router.is_configuration_stale = lambda: False
             async with b.send("/once/a", b"body") as response:
                 assert response.status == 200
-        assert len(worker.seen) == 1
+        assert len(worker.requests) == 1
 
     played(work)
 
 
 def test_without_a_route_the_answer_is_404_and_a_large_body_413() -> None:
     async def work() -> None:
-        worker = Worker(plain)
+        worker = StandInWorker(plain)
         async with bench(worker) as b:
             async with b.send("/nowhere/") as response:
                 assert response.status == 404
             async with b.send("/once/", b"x" * 1001) as response:
                 assert response.status == 413
-        assert worker.seen == []
+        assert worker.requests == []
 
     played(work)
 
@@ -244,11 +248,11 @@
     path: str, first: Handler, status: int, sent: int
 ) -> None:
     async def work() -> None:
-        one, two = Worker(first), Worker(plain)
+        one, two = StandInWorker(first), StandInWorker(plain)
         async with bench(one, two) as b, b.send(path) as response:
             assert response.status == status
             assert ("Retry-After" in response.headers) == (status == 503)
-        assert len(one.seen) + len(two.seen) == sent
+        assert len(one.requests) + len(two.requests) == sent
 
     played(work)
 
@@ -257,15 +261,15 @@
     """Else what it needs is loaded for nobody, or not at all, and its next try is refused as well."""
 
     async def work() -> None:
-        async with bench(Worker(plain)) as it:
+        async with bench(StandInWorker(plain)) as it:
             waiting = {"X-Finchladder-Model": "m9", "X-Finchladder-Deadline-Ms": "100"}
             async with it.send("/once/x", b"{}", **waiting) as response:
                 assert response.status == 503
                 back_s = float(response.headers["Retry-After"])
             now = steady()
-            assert [(d.model, d.queued) for d in it.router.demand.take(now)] == [("m9", 1)]
-            assert [(d.model, d.queued) for d in it.router.demand.take(now + back_s)] == [("m9", 1)]
-            assert it.router.demand.take(now + back_s + RETURN_S) == ()
+            assert [(d.model, d.queued) for d in it.router.demand.collect(now)] == [("m9", 1)]
+            assert [(d.model, d.queued) for d in it.router.demand.collect(now + back_s)] == [("m9", 1)]
+            assert it.router.demand.collect(now + back_s + CLIENT_RETRY_GRACE_S) == ()
 
     played(work)
 
@@ -275,26 +279,28 @@
         seen: list[tuple[str, int]] = []
 
         async def looked_at(request: web.BaseRequest) -> web.StreamResponse:
-            seen.extend((use.model, use.requests) for use in it.router.demand.uses())
+            seen.extend((use.model, use.requests) for use in it.router.demand.model_uses())
             return answer(request)
 
-        async with bench(Worker(looked_at)) as it:
-            holder = next(iter(it.router.pools.holders.values()))
-            it.router.pools = Pools().changed({"i-0": Holder(holder.backend, (LoadedModel("m1", ("a1",)),))})
+        async with bench(StandInWorker(looked_at)) as it:
+            holder = next(iter(it.router.pools.members.values()))
+            it.router.pools = Pools().with_changes(
+                {"i-0": PoolMember(holder.worker, (LoadedModel("m1", ("a1",)),))}
+            )
             async with it.send("/once/x", b"{}", **{"X-Finchladder-Model": "m1/a1"}) as response:
                 assert response.status == 200
             assert seen == [("m1", 1)]
-            assert it.router.demand.uses() == ()
+            assert it.router.demand.model_uses() == ()
 
     played(work)
 
 
 def test_a_worker_that_cannot_be_reached_costs_no_attempt() -> None:
     async def work() -> None:
-        one, two = Worker(plain), Worker(plain)
+        one, two = StandInWorker(plain), StandInWorker(plain)
         async with bench(one, two, absent=True) as b, b.send("/quick/") as response:
             assert response.status == 200
-        assert (len(one.seen), len(two.seen)) == (0, 1)
+        assert (len(one.requests), len(two.requests)) == (0, 1)
 
     played(work)
 
@@ -304,7 +310,7 @@
         return answer(request, b"oops", 500)
 
     async def work() -> None:
-        async with bench(Worker(failing)) as b, b.send("/again/") as response:
+        async with bench(StandInWorker(failing)) as b, b.send("/again/") as response:
             assert (response.status, await response.read()) == (500, b"oops")
             assert response.headers[STAMP] == "stamp"
 
@@ -313,7 +319,7 @@
 
 def test_a_stream_is_passed_on_to_its_end() -> None:
     async def work() -> None:
-        async with bench(Worker(whole_stream)) as b, b.send("/stream/") as response:
+        async with bench(StandInWorker(whole_stream)) as b, b.send("/stream/") as response:
             assert (await response.read()).count(b"id: ") == 4
 
     played(work)
@@ -321,7 +327,10 @@
 
 def test_a_stream_that_breaks_off_does_not_look_complete() -> None:
     async def work() -> None:
-        async with bench(Worker(broken_stream), Worker(whole_stream)) as b, b.send("/stream/") as response:
+        async with (
+            bench(StandInWorker(broken_stream), StandInWorker(whole_stream)) as b,
+            b.send("/stream/") as response,
+        ):
             assert response.status == 200
             with pytest.raises(aiohttp.ClientError):
                 await response.read()
@@ -339,14 +348,14 @@
             await passed_on.wait()
             return await broken(request)
 
-        one, two = Worker(breaks_later), Worker(rest_of_stream)
+        one, two = StandInWorker(breaks_later), StandInWorker(rest_of_stream)
         async with bench(one, two) as b, b.send("/resumed/") as response:
             events = [await response.content.readuntil(b"\n\n") for _ in range(2)]
             passed_on.set()
             events.append(await response.content.read())
             assert response.headers[STAMP] == "stamp-1"
         assert b"".join(events) == b"".join(b"id: %d\ndata: x\n\n" % n for n in (1, 2, 3, 4))
-        assert two.seen[0][1]["Last-Event-ID"] == "2"
+        assert two.requests[0][1]["Last-Event-ID"] == "2"
 
     played(work)
 
@@ -359,7 +368,7 @@
             began.set()
             return await silent(request)
 
-        async with bench(Worker(plain, slow)) as b:
+        async with bench(StandInWorker(plain, slow)) as b:
             async with b.send("/once/") as response:
                 assert response.status == 200
             reader, writer = await asyncio.open_connection(*b.listener.bound.split(":"))
@@ -373,7 +382,7 @@
             while await reader.readline():
                 pass
             writer.close()
-            b.router.end_attempts()
+            b.router.expire_open_timeouts()
             last = await pending
             assert (last.status, last.headers["Connection"]) == (504, "close")
 
@@ -401,12 +410,12 @@
     """A deadline of 150 ms ends before the process does, one of 2.5 s may not."""
 
     async def work() -> None:
-        worker = Worker(plain)
+        worker = StandInWorker(plain)
         async with bench(worker) as b:
             now = asyncio.get_running_loop().time()
             b.router.drain(now if late else now + left_s, now + left_s)
             async with b.send(path) as response:
                 assert (response.status, "Retry-After" in response.headers) == (status, status == 503)
-        assert len(worker.seen) == (status == 200)
+        assert len(worker.requests) == (status == 200)
 
     played(work)
--- a/tests/cluster/test_routing.py
+++ b/tests/cluster/test_routing.py
@@ -9,60 +9,60 @@
 from hypothesis import strategies as st
 
 from finchladder.cluster.configuration.snapshot import build_snapshot
-from finchladder.cluster.routing.budget import RetryBudget
-from finchladder.cluster.routing.events import EventCutter
-from finchladder.cluster.routing.pace import ReadingPace
+from finchladder.cluster.routing.event_stream import EventBuffer
 from finchladder.cluster.routing.pools import (
-    TOLD_AGE_S,
-    WORKED_OFF,
-    Backend,
-    Chooser,
-    Holder,
-    LoadUnderWay,
+    PEER_LOAD_AGE_S,
+    PREFILL_PROGRESS_SHARE,
+    ExpectedReplica,
     Pool,
     PoolKey,
+    PoolMember,
     Pools,
-    Sized,
-    effective_holdings,
-    holder_of,
+    RequestCost,
+    Worker,
+    WorkerSelector,
+    pool_member,
+    usable_models,
 )
-from finchladder.cluster.routing.requests import need, onward_headers
+from finchladder.cluster.routing.prefill_time import PrefillTimeEstimator
+from finchladder.cluster.routing.requests import classify, forwarded_headers
+from finchladder.cluster.routing.retry_budget import RetryBudget
 from finchladder.cluster.types.workers import LoadedModel, PlacementRecord, SessionPhase, WorkerRecord
 
 
-def backend(name: str, load: float = 0.0) -> Backend:
-    return Backend(name, "llm", f"{name}:1", "z", 64, load)
+def backend(name: str, load: float = 0.0) -> Worker:
+    return Worker(name, "llm", f"{name}:1", "z", 64, load)
 
 
-CHOOSER = Chooser("edge", "z", 4 / 64)  # the two candidates are preferred below a load of 4
+CHOOSER = WorkerSelector("edge", "z", 4 / 64)  # the two candidates are preferred below a load of 4
 
 # --- the choice
 
 
 def test_of_the_two_candidates_the_one_with_strictly_lower_load_wins_and_a_tie_goes_to_the_second() -> None:
     pool = Pool("m1", [backend(f"w{n}") for n in range(6)])
-    first, second = pool.pair()
-    assert pool.choose(0.0, CHOOSER, frozenset()) is second
+    first, second = pool.candidates()
+    assert pool.select(0.0, CHOOSER, frozenset()) is second
     second.load = 1
-    assert pool.choose(0.0, CHOOSER, frozenset()) is first
+    assert pool.select(0.0, CHOOSER, frozenset()) is first
 
 
 def test_load_past_the_threshold_overflows_to_the_least_loaded() -> None:
     pool = Pool("m0", [backend(f"w{n}", 3) for n in range(6)])
-    other = next(b for b in pool.backends if b not in pool.pair())
+    other = next(b for b in pool.workers if b not in pool.candidates())
     other.load = 2
-    for candidate in pool.pair():
+    for candidate in pool.candidates():
         candidate.load = 4
-    assert pool.choose(0.0, CHOOSER, frozenset()) is other
+    assert pool.select(0.0, CHOOSER, frozenset()) is other
 
 
 def test_who_rests_or_lacks_the_key_or_had_the_request_is_passed_over() -> None:
     one, two, three = (backend(name) for name in "abc")
-    one.rests_until, two.absent = 5.0, {"m0": 5.0}
+    one.backoff_until, two.key_backoff_until = 5.0, {"m0": 5.0}
     pool = Pool("m0", [one, two, three])
-    assert pool.choose(1.0, CHOOSER, frozenset()) is three
-    assert pool.choose(1.0, CHOOSER, frozenset({"c"})) is None
-    assert pool.choose(6.0, CHOOSER, frozenset({"c"})) in (one, two)
+    assert pool.select(1.0, CHOOSER, frozenset()) is three
+    assert pool.select(1.0, CHOOSER, frozenset({"c"})) is None
+    assert pool.select(6.0, CHOOSER, frozenset({"c"})) in (one, two)
 
 
 def record(name: str, phase: SessionPhase = SessionPhase.READY, *holdings: LoadedModel) -> WorkerRecord:
@@ -70,35 +70,39 @@
 
 
 def test_draining_lost_and_gone_workers_get_nothing_and_loads_outlive_a_swap() -> None:
-    old = {"a": Holder(backend("a", 3))}
+    old = {"a": PoolMember(backend("a", 3))}
     phases = {
         "a": SessionPhase.READY,
         "b": SessionPhase.DRAINING,
         "c": SessionPhase.LOST,
         "d": SessionPhase.DEREGISTERED,
     }
-    holders = {n: holder_of(record(n, phase), None, old.get(n)) for n, phase in phases.items()}
-    assert holders["a"] is not None and holders["a"].backend is old["a"].backend
+    holders = {n: pool_member(record(n, phase), None, old.get(n)) for n, phase in phases.items()}
+    assert holders["a"] is not None and holders["a"].worker is old["a"].worker
     assert [holders[name] for name in "bcd"] == [None] * 3
-    assert holder_of(None, None, old["a"]) is None
+    assert pool_member(None, None, old["a"]) is None
 
 
 def test_the_placers_word_goes_before_the_workers_own() -> None:
     worker = record("a", SessionPhase.READY, LoadedModel("m0"), LoadedModel("m1"))
-    assert effective_holdings(worker, None) == worker.loaded_models
+    assert usable_models(worker, None) == worker.loaded_models
     told = PlacementRecord("a", 1, 1, (LoadedModel("m1"),))
-    assert effective_holdings(worker, told) == (LoadedModel("m1"),)
+    assert usable_models(worker, told) == (LoadedModel("m1"),)
 
 
 def test_a_pool_has_who_holds_the_model_and_the_adapter() -> None:
     a, b, c = (backend(name) for name in "abc")
-    pools = Pools().changed(
-        {"a": Holder(a, (LoadedModel("m0", ("a1",)),)), "b": Holder(b, (LoadedModel("m0"),)), "c": Holder(c)},
-        [LoadUnderWay(PoolKey("llm", "m9", ""), 8.0), LoadUnderWay(PoolKey("llm", "m9", ""), 7.0)],
+    pools = Pools().with_changes(
+        {
+            "a": PoolMember(a, (LoadedModel("m0", ("a1",)),)),
+            "b": PoolMember(b, (LoadedModel("m0"),)),
+            "c": PoolMember(c),
+        },
+        [ExpectedReplica(PoolKey("llm", "m9", ""), 8.0), ExpectedReplica(PoolKey("llm", "m9", ""), 7.0)],
     )
-    assert pools.pool(PoolKey("llm", "m0", "")).backends == (a, b)
-    assert pools.pool(PoolKey("llm", "m0", "a1")).backends == (a,)
-    assert pools.pool(PoolKey("llm", "", "")).backends == (a, b, c)
+    assert pools.pool(PoolKey("llm", "m0", "")).workers == (a, b)
+    assert pools.pool(PoolKey("llm", "m0", "a1")).workers == (a,)
+    assert pools.pool(PoolKey("llm", "", "")).workers == (a, b, c)
     assert pools.ready_at(PoolKey("llm", "m9", "a2")) == 7.0
 
 
@@ -119,28 +123,33 @@
 )
 def test_pools_that_were_changed_step_by_step_equal_those_made_at_once(steps: Steps) -> None:
     """The oracle is a look at all holders; pools of earlier moments stay as they were."""
-    pools, holders, earlier = Pools(), dict[str, Holder](), []
+    pools, holders, earlier = Pools(), dict[str, PoolMember](), []
     for name, is_there, held in steps:
-        holder = Holder(
+        holder = PoolMember(
             backend(name), tuple(LoadedModel(m, ("a1",) if adapter else ()) for m, adapter in held)
         )
         holders.pop(name, None)
         if is_there:
             holders[name] = holder
-        pools = pools.changed({name: holder if is_there else None})
+        pools = pools.with_changes({name: holder if is_there else None})
         for key in (PoolKey("llm", m, a) for m, a in (("", ""), ("m0", ""), ("m0", "a1"), ("m1", ""))):
-            wanted = {h.backend for h in holders.values() if key in set(h.keys())}
-            assert set(pools.pool(key).backends) == wanted
+            wanted = {h.worker for h in holders.values() if key in set(h.pool_keys())}
+            assert set(pools.pool(key).workers) == wanted
             earlier.append((pools, key, wanted))
     for before, key, wanted in earlier:
-        assert set(before.pool(key).backends) == wanted
+        assert set(before.pool(key).workers) == wanted
 
 
 def test_a_change_of_others_leaves_a_pool_as_it_is() -> None:
     key = PoolKey("llm", "m0", "")
-    pools = Pools().changed({"a": Holder(backend("a"), (LoadedModel("m0"),)), "b": Holder(backend("b"))})
+    pools = Pools().with_changes(
+        {"a": PoolMember(backend("a"), (LoadedModel("m0"),)), "b": PoolMember(backend("b"))}
+    )
     pool = pools.pool(key)
-    assert pools.changed({"b": Holder(pools.holders["b"].backend, (LoadedModel("m1"),))}).pool(key) is pool
+    assert (
+        pools.with_changes({"b": PoolMember(pools.members["b"].worker, (LoadedModel("m1"),))}).pool(key)
+        is pool
+    )
 
 
 # --- many dispatchers
@@ -148,14 +157,14 @@
 
 def test_loads_that_others_told_count_with_the_own_ones() -> None:
     one, two = backend("a"), backend("b")
-    pools = Pools().changed({"a": Holder(one), "b": Holder(two)})
-    one.add(1)
-    pools.hear_loads(0.0, {"b": 5})
+    pools = Pools().with_changes({"a": PoolMember(one), "b": PoolMember(two)})
+    one.add_load(1)
+    pools.set_peer_loads(0.0, {"b": 5})
     assert (one.load, two.load, pools.own_loads()) == (1, 5, {"a": 1})
-    two.add(1)
-    one.add(-1)
+    two.add_load(1)
+    one.add_load(-1)
     assert (one.load, two.load, pools.own_loads()) == (0, 6, {"b": 1})
-    pools.hear_loads(0.0, {})
+    pools.set_peer_loads(0.0, {})
     assert (one.load, two.load) == (0, 1)
 
 
@@ -163,12 +172,12 @@
     """Requests by worker when all choose by the same old loads and their own requests."""
     counts = dict.fromkeys(range(workers), 0)
     for number in range(dispatchers):
-        chooser = Chooser(f"edge-{number}", "z", 0.2, Random(number), dispatchers)
+        chooser = WorkerSelector(f"edge-{number}", "z", 0.2, Random(number), dispatchers)
         pool = Pool("m0", [backend(f"w{n}", 5.0 + n % 3) for n in range(workers)])
         for _ in range(requests):
-            chosen = pool.choose(0.0, chooser, frozenset())
+            chosen = pool.select(0.0, chooser, frozenset())
             assert chosen is not None
-            chosen.add(1)
+            chosen.add_load(1)
             counts[int(chosen.instance[1:])] += 1
     return sorted(counts.values())
 
@@ -180,14 +189,14 @@
 
 
 def test_one_of_many_dispatchers_keeps_to_few_workers_most_of_them_near() -> None:
-    workers = [Backend(f"w{n}", "llm", f"w{n}:1", f"z{n % 5}", 64) for n in range(70)]
-    chooser = Chooser("edge-1", "z3", 0.2, Random(1), 90)
+    workers = [Worker(f"w{n}", "llm", f"w{n}:1", f"z{n % 5}", 64) for n in range(70)]
+    chooser = WorkerSelector("edge-1", "z3", 0.2, Random(1), 90)
     models = [Pool("", workers[first:]) for first in (0, 1, 2)]
     taken: Counter[str] = Counter()
     for number in range(300):
-        chosen = models[number % 3].choose(0.0, chooser, frozenset())
+        chosen = models[number % 3].select(0.0, chooser, frozenset())
         assert chosen is not None
-        chosen.hear(0.0, number % 7)
+        chosen.set_peer_load(0.0, number % 7)
         taken[chosen.instance] += 1
     assert len(taken) <= 15, "13 of 70, and hardly others in pools that hardly differ"
     assert sum(n for name, n in taken.items() if int(name[1:]) % 5 == 3) > 200
@@ -195,77 +204,83 @@
 
 def test_each_of_many_dispatchers_has_two_candidates_of_its_own_and_keeps_them() -> None:
     pool = Pool("m0", [backend(f"w{n}") for n in range(12)])
-    many = [Chooser(f"edge-{number}", "z", 0.2, Random(1), 90) for number in range(90)]
-    seconds = Counter(pool.pair(chooser.salt)[-1].instance for chooser in many)
+    many = [WorkerSelector(f"edge-{number}", "z", 0.2, Random(1), 90) for number in range(90)]
+    seconds = Counter(pool.candidates(chooser.candidate_salt)[-1].instance for chooser in many)
     assert len(seconds) == 12, "no worker is nobody's candidate"
     assert max(seconds.values()) <= 3 * 90 / 12
-    assert all(pool.pair(chooser.salt) is pool.pair(chooser.salt) for chooser in many)
-    few = [Chooser(f"edge-{number}", "z", 0.2, Random(1), 6) for number in range(6)]
-    assert {pool.pair(chooser.salt) for chooser in few} == {pool.pair()}
+    assert all(
+        pool.candidates(chooser.candidate_salt) is pool.candidates(chooser.candidate_salt) for chooser in many
+    )
+    few = [WorkerSelector(f"edge-{number}", "z", 0.2, Random(1), 6) for number in range(6)]
+    assert {pool.candidates(chooser.candidate_salt) for chooser in few} == {pool.candidates()}
 
 
 # --- loads of engines
 
 
-PROMPT = Sized(load=2000.0, read_s=0.00004)  # 80 ms to read
+PROMPT = RequestCost(load=2000.0, prefill_s_per_token=0.00004)  # 80 ms to read
 
 
 def test_a_candidate_is_preferred_up_to_the_time_that_an_engine_reads_what_it_has() -> None:
     pool = Pool("m1", [backend(f"w{n}") for n in range(6)])
-    chooser = Chooser("edge", "z", 0.2, keyed_wait_s=0.1)
-    first, second = pool.pair()
-    first.add(2400.0)
-    second.add(2450.0)
-    assert pool.choose(0.0, chooser, frozenset(), PROMPT) is first, "96 ms"
-    first.add(200.0)
-    assert pool.choose(0.0, chooser, frozenset(), PROMPT) is second, "98 ms against 104"
-    second.add(200.0)
-    assert pool.choose(0.0, chooser, frozenset(), PROMPT) not in (first, second)
+    chooser = WorkerSelector("edge", "z", 0.2, affinity_queue_s=0.1)
+    first, second = pool.candidates()
+    first.add_load(2400.0)
+    second.add_load(2450.0)
+    assert pool.select(0.0, chooser, frozenset(), PROMPT) is first, "96 ms"
+    first.add_load(200.0)
+    assert pool.select(0.0, chooser, frozenset(), PROMPT) is second, "98 ms against 104"
+    second.add_load(200.0)
+    assert pool.select(0.0, chooser, frozenset(), PROMPT) not in (first, second)
 
 
 def test_what_others_told_is_read_meanwhile_and_the_own_requests_are_not_taken_for_read() -> None:
     one = backend("a")
-    one.add(1000.0)
-    one.hear(5.0, 40_000)
-    one.work_off(5.0, PROMPT.read_s)
-    assert one.load == pytest.approx(1000 + 40_000 - WORKED_OFF * TOLD_AGE_S / PROMPT.read_s)
-    one.work_off(5.4, PROMPT.read_s)
-    assert one.load == pytest.approx(1000 + 40_000 - WORKED_OFF * (TOLD_AGE_S + 0.4) / PROMPT.read_s)
-    one.work_off(60.0, PROMPT.read_s)
+    one.add_load(1000.0)
+    one.set_peer_load(5.0, 40_000)
+    one.decay_peer_load(5.0, PROMPT.prefill_s_per_token)
+    assert one.load == pytest.approx(
+        1000 + 40_000 - PREFILL_PROGRESS_SHARE * PEER_LOAD_AGE_S / PROMPT.prefill_s_per_token
+    )
+    one.decay_peer_load(5.4, PROMPT.prefill_s_per_token)
+    assert one.load == pytest.approx(
+        1000 + 40_000 - PREFILL_PROGRESS_SHARE * (PEER_LOAD_AGE_S + 0.4) / PROMPT.prefill_s_per_token
+    )
+    one.decay_peer_load(60.0, PROMPT.prefill_s_per_token)
     assert one.load == 1000.0
-    one.hear(60.0, 40_000)
-    one.work_off(99.0, 0.0)
+    one.set_peer_load(60.0, 40_000)
+    one.decay_peer_load(99.0, 0.0)
     assert one.load == 41_000.0, "how fast it reads is not known"
 
 
 def test_the_pace_is_a_low_quantile_and_follows_a_change() -> None:
-    random, pace = Random(1), ReadingPace()
-    pace.learn(0, 1.0)
+    random, pace = Random(1), PrefillTimeEstimator()
+    pace.observe(0, 1.0)
     assert not pace.s_per_token, "a prompt of unknown size says nothing"
     for _ in range(400):
-        pace.learn(1000, 0.040 if random.random() < 0.5 else 0.5)
+        pace.observe(1000, 0.040 if random.random() < 0.5 else 0.5)
     assert pace.s_per_token == pytest.approx(0.00004, rel=0.2)
     for _ in range(400):
-        pace.learn(1000, 0.010 if random.random() < 0.5 else 0.5)
+        pace.observe(1000, 0.010 if random.random() < 0.5 else 0.5)
     assert pace.s_per_token == pytest.approx(0.00001, rel=0.2)
 
 
 def test_few_dispatchers_compare_all_workers() -> None:
     pool = Pool("", [backend(f"w{n}", 9.0) for n in range(30)])
-    pool.backends[17].load = 1.0
+    pool.workers[17].load = 1.0
     for dispatchers in (1, 16):
         assert (
-            pool.choose(0.0, Chooser("edge", "z", 0.2, Random(1), dispatchers), frozenset())
-            is pool.backends[17]
+            pool.select(0.0, WorkerSelector("edge", "z", 0.2, Random(1), dispatchers), frozenset())
+            is pool.workers[17]
         )
 
 
 def test_of_workers_as_busy_as_each_other_one_of_the_own_zone_is_taken() -> None:
-    near, far = backend("b", 2.0), Backend("a", "llm", "a:1", "far", 64, 2.0)
+    near, far = backend("b", 2.0), Worker("a", "llm", "a:1", "far", 64, 2.0)
     pool = Pool("", [near, far])
-    assert pool.choose(0.0, CHOOSER, frozenset()) is near
+    assert pool.select(0.0, CHOOSER, frozenset()) is near
     far.load = 1.0
-    assert pool.choose(0.0, CHOOSER, frozenset()) is far
+    assert pool.select(0.0, CHOOSER, frozenset()) is far
 
 
 # --- budgets
@@ -280,9 +295,9 @@
     for gap, is_request in steps:
         now += gap
         if is_request:
-            budget.arrived(now)
+            budget.record_request(now)
             requests.append(now)
-        elif budget.spend(now, dispatchers):
+        elif budget.try_withdraw(now, dispatchers):
             repeats.append(now)
     for start in repeats:
         spent = sum(start <= at < start + 10 for at in repeats)
@@ -292,8 +307,8 @@
 
 def test_a_dispatcher_that_knows_of_no_others_spends_little() -> None:
     budget = RetryBudget(ratio=0.2, slack=52, window_s=10)
-    assert not budget.spend(0.0, 0)
-    assert budget.spend(0.0, 2)
+    assert not budget.try_withdraw(0.0, 0)
+    assert budget.try_withdraw(0.0, 2)
 
 
 # --- events
@@ -304,15 +319,15 @@
     events = [b"id: %d\ndata: %s\n\n" % (n, b"x" * size) for n, size in enumerate(sizes, 1)]
     stream = b"".join(events)
     stop = data.draw(st.integers(0, len(stream)))
-    cutter, out, at = EventCutter(), b"", 0
+    cutter, out, at = EventBuffer(), b"", 0
     while at < stop:
         step = data.draw(st.integers(1, 30))
         out += cutter.feed(stream[at : min(at + step, stop)])
         at += step
     whole = [event for n, event in enumerate(events) if sum(map(len, events[: n + 1])) <= stop]
     assert out == b"".join(whole)
-    assert cutter.last_id == (str(len(whole)) if whole else "")
-    assert cutter.unfinished == (len(out) < stop)
+    assert cutter.last_event_id == (str(len(whole)) if whole else "")
+    assert cutter.has_incomplete == (len(out) < stop)
 
 
 # --- routes and headers
@@ -379,11 +394,11 @@
 def test_what_a_request_names(headers: dict[str, str], model: str, adapter: str, tokens: int) -> None:
     route = build_snapshot(json.dumps(DOCUMENT).encode()).match("a.example", "/x/y/1")
     assert route is not None
-    wanted = need({**headers, "X-Finchladder-Deadline-Ms": "9000"}, route, 100.0)
-    assert (wanted.key.model, wanted.key.adapter, wanted.tokens) == (model, adapter, tokens)
-    assert (wanted.until, wanted.patience_s) == (105.0, 3.2)
+    wanted = classify({**headers, "X-Finchladder-Deadline-Ms": "9000"}, route, 100.0)
+    assert (wanted.key.model, wanted.key.adapter, wanted.prompt_tokens) == (model, adapter, tokens)
+    assert (wanted.deadline, wanted.client_stall_timeout_s) == (105.0, 3.2)
 
 
 def test_headers_of_one_connection_go_no_further() -> None:
     headers = {"Connection": "close, X-Own", "X-Own": "1", "X-Kept": "2", "Content-Length": "3", "TE": "x"}
-    assert onward_headers(headers) == [("X-Kept", "2")]
+    assert forwarded_headers(headers) == [("X-Kept", "2")]
--- a/tests/cluster/test_worker_client.py
+++ b/tests/cluster/test_worker_client.py
@@ -5,7 +5,12 @@
 import pytest
 from aiohttp import web
 
-from finchladder.cluster.process.worker_client import HEALTH_PATH, INSTANCE_ID, TIMEOUT_S, WorkerClient
+from finchladder.cluster.process.worker_client import (
+    CALL_TIMEOUT_S,
+    HEALTH_PATH,
+    INSTANCE_ID_HEADER,
+    WorkerClient,
+)
 from finchladder.cluster.transport.http_server import Listener
 from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.worker_api import OrderRequest
@@ -16,15 +21,15 @@
 
     async def healthz(request: web.BaseRequest) -> web.StreamResponse:
         assert request.path == HEALTH_PATH
-        return web.Response(status=status, headers={INSTANCE_ID: named})
+        return web.Response(status=status, headers={INSTANCE_ID_HEADER: named})
 
     async def work() -> tuple[bool, bool]:
         worker, client = Listener(healthz, "127.0.0.1:0"), WorkerClient()
         await worker.start()
         address = worker.bound
-        there = await client.is_there(address, "i-1")
+        there = await client.is_running(address, "i-1")
         await worker.stop()
-        gone = await client.is_there(address, "i-1")
+        gone = await client.is_running(address, "i-1")
         await client.close()
         return there, gone
 
@@ -59,7 +64,7 @@
         await worker.stop()
 
     async def bounded() -> None:
-        async with asyncio.timeout(TIMEOUT_S / 2):
+        async with asyncio.timeout(CALL_TIMEOUT_S / 2):
             await work()
 
     asyncio.run(bounded())
