--- a/finchladder/cluster/process/attempt.py
+++ b/finchladder/cluster/process/attempt.py
@@ -1,30 +1,34 @@
-"""One attempt of a request at one worker: what was sent, and what can be said of it afterwards."""
+"""One attempt of a request at one worker: what is sent, and what its outcome proves."""
 
 from dataclasses import dataclass
+from http import HTTPStatus
 
 import aiohttp
 from aiohttp import web
 from yarl import URL
 
-from finchladder.cluster.routing.pools import Worker
-from finchladder.cluster.routing.requests import (
+from finchladder.cluster.configuration.snapshot import Route
+from finchladder.cluster.routing.headers import (
     DEADLINE_HEADER,
     EXPECTED_INSTANCE_HEADER,
     HOP_BY_HOP_HEADERS,
+    HOST_HEADER,
+    KEEP_ALIVE_HEADER,
     LAST_EVENT_ID_HEADER,
     NOT_EXECUTED_HEADER,
     PRIORITY_HEADER,
     REQUEST_ID_HEADER,
     RESPONSE_SIGNATURE_HEADER,
+    RETRY_AFTER_HEADER,
     forwarded_headers,
 )
+from finchladder.cluster.routing.requests import ClassifiedRequest
+from finchladder.cluster.routing.workers import Worker
 from finchladder.cluster.transport.exchange import FIRST_FINAL_STATUS
 from finchladder.cluster.transport.http_client import HeedingConnector
 from finchladder.cluster.transport.peers import steady
 
 CONNECT_TIMEOUT_S = 0.6
-MISDIRECTED = 421
-BAD_REQUEST = 400
 FIRST_REDIRECTION_STATUS = 300  # the first status that is no success
 
 
@@ -37,7 +41,7 @@
 
 @dataclass(frozen=True)
 class NotExecuted:
-    """The worker says that it has not run the request and will not."""
+    """The worker states that it has not run the request and will not."""
 
     status: int
     retry_after_s: float
@@ -45,29 +49,32 @@
 
 @dataclass(frozen=True)
 class Broken:
-    """It may have run: there is no answer to be used."""
+    """The request may have run; there is no usable response."""
 
     problem: str
 
 
 @dataclass(frozen=True)
 class TimedOut:
-    """It may have run: there was no answer in its time."""
+    """The request may have run; there was no response in time."""
 
 
 @dataclass(frozen=True)
 class Responded:
-    """The head of the worker's answer; its body is still to be read, and the response to be closed."""
+    """The head of the worker's response; the caller reads its body and closes it."""
 
     response: aiohttp.ClientResponse
 
 
-Outcome = NotSent | NotExecuted | Broken | TimedOut | Responded
+Failure = NotSent | NotExecuted | Broken | TimedOut
+Outcome = Failure | Responded
+
+DEADLINE_PASSED = NotSent("its time is over")
 
 
 @dataclass(frozen=True)
 class OutgoingRequest:
-    """What every attempt of one request sends. `until`: steady seconds."""
+    """What each attempt of one request sends. `deadline`: monotonic seconds."""
 
     client_request: web.BaseRequest
     body: bytes
@@ -76,15 +83,15 @@
     deadline: float
 
     def headers(self, worker: Worker, last_event_id: str) -> list[tuple[str, str]]:
-        """Headers for that worker; `last_event_id` takes a stream up."""
+        """Headers for that worker, in wire order; `last_event_id` resumes a stream, if not empty."""
         replaced = {DEADLINE_HEADER.lower(), EXPECTED_INSTANCE_HEADER.lower()}
         if last_event_id:
             replaced.add(LAST_EVENT_ID_HEADER.lower())
         if self.priority is not None:
             replaced.add(PRIORITY_HEADER.lower())
-        headers = [("Host", self.client_request.headers.get("Host", ""))]
+        headers = [(HOST_HEADER, self.client_request.headers.get(HOST_HEADER, ""))]
         headers += forwarded_headers(self.client_request.headers, HOP_BY_HOP_HEADERS | replaced)
-        headers.append((DEADLINE_HEADER, str(max(1, int((self.deadline - steady()) * 1000)))))
+        headers.append((DEADLINE_HEADER, str(self._remaining_ms())))
         headers.append((EXPECTED_INSTANCE_HEADER, worker.instance))
         if last_event_id:
             headers.append((LAST_EVENT_ID_HEADER, last_event_id))
@@ -92,15 +99,27 @@
             headers.append((PRIORITY_HEADER, str(self.priority)))
         return headers
 
+    def _remaining_ms(self) -> int:
+        return max(1, int((self.deadline - steady()) * 1000))
+
+
+@dataclass(frozen=True)
+class AdmittedRequest:
+    """A client's request that is sent to workers, with its route and what each attempt sends."""
+
+    route: Route
+    classified: ClassifiedRequest
+    outgoing: OutgoingRequest
+
 
 async def send(
     session: aiohttp.ClientSession, outgoing: OutgoingRequest, worker: Worker, last_event_id: str = ""
 ) -> Outcome:
-    """Sends the request and waits for the head of the answer; the caller bounds the time."""
-    left = outgoing.deadline - steady()
-    if left <= 0:
-        return NotSent("its time is over")
-    timeout = aiohttp.ClientTimeout(total=None, sock_connect=min(CONNECT_TIMEOUT_S, left))
+    """Sends the request and waits for the head of the response; the caller bounds the time."""
+    remaining_s = outgoing.deadline - steady()
+    if remaining_s <= 0:
+        return DEADLINE_PASSED
+    timeout = aiohttp.ClientTimeout(total=None, sock_connect=min(CONNECT_TIMEOUT_S, remaining_s))
     url = URL(f"http://{worker.address}{outgoing.client_request.raw_path}", encoded=True)
     try:
         response = await session.request(
@@ -115,24 +134,28 @@
         return NotSent(repr(error))
     except (aiohttp.ClientError, OSError, ValueError) as error:
         return Broken(repr(error))
-    return _classify_response(session, response, outgoing)
+    _apply_keep_alive(session, response)
+    return _classify_response(response, outgoing)
 
 
-def _classify_response(
-    session: aiohttp.ClientSession, response: aiohttp.ClientResponse, outgoing: OutgoingRequest
-) -> Outcome:
-    headers, connector = response.headers, session.connector
-    if isinstance(connector, HeedingConnector) and "Keep-Alive" in headers:
-        connector.heed(headers["Keep-Alive"])
+def _apply_keep_alive(session: aiohttp.ClientSession, response: aiohttp.ClientResponse) -> None:
+    connector = session.connector
+    if isinstance(connector, HeedingConnector) and KEEP_ALIVE_HEADER in response.headers:
+        connector.heed(response.headers[KEEP_ALIVE_HEADER])
+
+
+def _classify_response(response: aiohttp.ClientResponse, outgoing: OutgoingRequest) -> Outcome:
+    """The outcome that a response head proves; a response that is not passed on is closed or released."""
+    headers = response.headers
     if response.status < FIRST_FINAL_STATUS:
         response.close()
         return Broken("the connection was switched to another protocol")
     if not _is_response_to(response, outgoing):
         response.close()
         return Broken("the answer belongs to another request")
-    if NOT_EXECUTED_HEADER in headers or response.status == MISDIRECTED:
+    if NOT_EXECUTED_HEADER in headers or response.status == HTTPStatus.MISDIRECTED_REQUEST:
         response.release()
-        return NotExecuted(response.status, _parse_retry_after_s(headers.get("Retry-After")))
+        return NotExecuted(response.status, _parse_retry_after_s(headers.get(RETRY_AFTER_HEADER)))
     if response.status < FIRST_REDIRECTION_STATUS and RESPONSE_SIGNATURE_HEADER not in headers:
         response.close()
         return Broken("the answer has no signature")
@@ -140,11 +163,11 @@
 
 
 def _is_response_to(response: aiohttp.ClientResponse, outgoing: OutgoingRequest) -> bool:
-    """Whether the answer names the request; one that could not be read may be refused without its id."""
-    named = response.headers.get(REQUEST_ID_HEADER)
-    if named is None:
-        return response.status == BAD_REQUEST and NOT_EXECUTED_HEADER in response.headers
-    return named == outgoing.request_id
+    """Whether the response has the request's id; a worker that could not parse the request has none."""
+    request_id = response.headers.get(REQUEST_ID_HEADER)
+    if request_id is None:
+        return response.status == HTTPStatus.BAD_REQUEST and NOT_EXECUTED_HEADER in response.headers
+    return request_id == outgoing.request_id
 
 
 def _parse_retry_after_s(text: str | None) -> float:
--- /dev/null
+++ b/finchladder/cluster/process/attempt_sender.py
@@ -0,0 +1,106 @@
+"""Sends attempts within their deadlines and this dispatcher's retry budgets."""
+
+import asyncio
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager
+from http import HTTPStatus
+
+import aiohttp
+from attrs import define, field, frozen
+
+from finchladder.cluster.process.attempt import (
+    DEADLINE_PASSED,
+    AdmittedRequest,
+    Outcome,
+    OutgoingRequest,
+    Responded,
+    TimedOut,
+    send,
+)
+from finchladder.cluster.process.worker_selection import RequestQueue
+from finchladder.cluster.routing.retry_budget import RetryBudget
+from finchladder.cluster.routing.workers import Worker
+from finchladder.cluster.transport.peers import steady
+
+SEND_AFTER_QUEUE_CLOSED_S = 0.05  # for requests that got a worker just before the queue closed
+
+
+@frozen
+class ResumedStream:
+    """A stream that another worker continues after the last complete event."""
+
+    worker: Worker
+    response: aiohttp.ClientResponse
+
+
+@define
+class AttemptSender:
+    """Sends the attempts of all requests.
+
+    Attributes:
+        make_retry_budget: Makes the budget of a service at its first request.
+        dispatcher_count: How many dispatchers share the retry budgets.
+        retry_budgets: By service.
+    """
+
+    session: aiohttp.ClientSession
+    queue: RequestQueue
+    make_retry_budget: Callable[[], RetryBudget]
+    dispatcher_count: Callable[[], int]
+    retry_budgets: dict[str, RetryBudget] = field(factory=dict)
+    _open_timeouts: set[asyncio.Timeout] = field(factory=set)
+
+    def record_request(self, service: str) -> None:
+        """Counts a client's request for the retry budget of its service."""
+        self._retry_budget(service).record_request(steady())
+
+    def try_withdraw_retry(self, service: str) -> bool:
+        """Takes a retry out of the budget of that service; False if it is exhausted."""
+        return self._retry_budget(service).try_withdraw(steady(), self.dispatcher_count())
+
+    def _retry_budget(self, service: str) -> RetryBudget:
+        budget = self.retry_budgets.get(service)
+        if budget is None:
+            budget = self.retry_budgets[service] = self.make_retry_budget()
+        return budget
+
+    async def send(self, outgoing: OutgoingRequest, worker: Worker, last_event_id: str = "") -> Outcome:
+        """Sends the request and waits for the head of the response until the deadline."""
+        if steady() >= min(outgoing.deadline, self.queue.closes_at + SEND_AFTER_QUEUE_CLOSED_S):
+            return DEADLINE_PASSED
+        try:
+            async with self.timeout_at(outgoing.deadline):
+                return await send(self.session, outgoing, worker, last_event_id)
+        except TimeoutError:
+            return TimedOut()
+
+    async def resume(
+        self, request: AdmittedRequest, attempted: frozenset[str], last_event_id: str
+    ) -> ResumedStream | None:
+        """Continues a stream after that event at another worker; None if that is not possible."""
+        worker = await self.queue.select_worker(request.classified, attempted)
+        if worker is None or not self.try_withdraw_retry(request.classified.key.service):
+            return None
+        outcome = await self.send(request.outgoing, worker, last_event_id)
+        if not isinstance(outcome, Responded):
+            return None
+        if outcome.response.status != HTTPStatus.OK:
+            outcome.response.close()
+            return None
+        return ResumedStream(worker, outcome.response)
+
+    @asynccontextmanager
+    async def timeout_at(self, deadline: float) -> AsyncIterator[None]:
+        """Raises TimeoutError at the deadline, or when `expire_open_timeouts` is called."""
+        async with asyncio.timeout(max(0.0, deadline - steady())) as timeout:
+            self._open_timeouts.add(timeout)
+            try:
+                yield
+            finally:
+                self._open_timeouts.discard(timeout)
+
+    def expire_open_timeouts(self) -> None:
+        """Times out all that runs: each request still gets its response before the process ends."""
+        now = asyncio.get_running_loop().time()
+        for timeout in self._open_timeouts:
+            timeout.reschedule(now)
--- /dev/null
+++ b/finchladder/cluster/process/client_responses.py
@@ -0,0 +1,62 @@
+"""Responses that the dispatcher itself gives to clients."""
+
+from enum import Enum
+from http import HTTPStatus
+
+from aiohttp import web
+from attrs import define
+
+from finchladder.cluster.process.log import event
+from finchladder.cluster.routing.headers import RETRY_AFTER_HEADER
+from finchladder.cluster.routing.requests import ClassifiedRequest
+from finchladder.cluster.transport.peers import steady
+
+
+class RejectReason(Enum):
+    """Why a request is rejected with 503; the values stand in the log event `request.refused`."""
+
+    CONFIGURATION_STALE = "doubtful"
+    SHUTTING_DOWN = "ending"
+    NO_REPLICA = "absent"
+    NO_CAPACITY = "full"
+
+
+class ClientDisconnectedError(Exception):
+    """The client's connection is lost; there is nobody to respond to."""
+
+
+@define
+class ClientResponses:
+    """Makes responses. `draining`: connections close after their next response."""
+
+    draining: bool = False
+
+    def reject(
+        self, retry_after_s: float, reason: RejectReason, request: ClassifiedRequest | None = None
+    ) -> web.StreamResponse:
+        """A 503 with `Retry-After`: the request was not executed, the client may retry it."""
+        event(
+            "request.refused",
+            reason=reason.value,
+            key="" if request is None else request.key.name,
+            waited_s=0.0 if request is None else round(steady() - request.arrived_at, 2),
+        )
+        response = web.Response(status=HTTPStatus.SERVICE_UNAVAILABLE, text="no worker can take it now\n")
+        response.headers[RETRY_AFTER_HEADER] = f"{retry_after_s:.2f}"
+        return self.finish(response)
+
+    def error(self, status: HTTPStatus, text: str) -> web.StreamResponse:
+        """A response with that status and one line of text."""
+        return self.finish(web.Response(status=status, text=text + "\n"))
+
+    def finish(self, response: web.StreamResponse) -> web.StreamResponse:
+        """Closes the connection after the response while draining; call before its head is sent."""
+        if self.draining:
+            response.force_close()
+        return response
+
+
+def abort_connection(request: web.BaseRequest) -> None:
+    """Closes the client's connection, so that a response that was cut off never looks complete."""
+    if request.transport is not None:
+        request.transport.abort()
--- a/finchladder/cluster/process/dispatcher_node.py
+++ b/finchladder/cluster/process/dispatcher_node.py
@@ -1,8 +1,7 @@
-"""A dispatcher on the data plane: pulls what control knows, routes clients' requests, tells what it is asked
-for.
-"""
+"""A dispatcher process: wiring, configuration and pool updates, readiness, graceful shutdown."""
 
 import asyncio
+from http import HTTPStatus
 from random import Random
 
 from aiohttp import web
@@ -10,38 +9,41 @@
 
 from finchladder.cluster.configuration import snapshot
 from finchladder.cluster.configuration.compression import decompress
+from finchladder.cluster.process.demand_reporter import DemandReporter
 from finchladder.cluster.process.log import event
+from finchladder.cluster.process.pool_updater import PoolUpdater
 from finchladder.cluster.process.router import Router
 from finchladder.cluster.process.settings import Settings
-from finchladder.cluster.process.tasks import Signal, Tasks
+from finchladder.cluster.process.tasks import Tasks
 from finchladder.cluster.process.update_puller import UpdatePuller
 from finchladder.cluster.routing.demand import DemandCounter
-from finchladder.cluster.routing.pools import ExpectedReplica, PoolKey, WorkerSelector, pool_member
 from finchladder.cluster.routing.retry_budget import RetryBudget
+from finchladder.cluster.routing.selection import AFFINITY_SLOT_SHARE, WorkerSelector
 from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.transport.http_client import make_session
 from finchladder.cluster.transport.http_server import Listener
 from finchladder.cluster.transport.peers import PeerClient, steady
-from finchladder.cluster.types.errors import ClusterError
-from finchladder.cluster.types.messages import DemandReply, DemandReport, Update
+from finchladder.cluster.types.messages import Update
 
 READY_PATH = "/api/readyz"
-AFFINITY_SLOT_SHARE = 0.2  # of a worker's slots in use, above which the least loaded is looked for
-REPORT_INTERVAL_S = 0.4
-REPORT_TIMEOUT_S = 0.6
-PEER_LOADS_EXPIRY_S = 2.0  # after which the loads that others had count no more
-REPORT_BATCH_DELAY_S = 0.01  # what is waited for within this time is told at once
-WORKER_KEEPALIVE_S = 20.0  # less where the workers say so
-UNCONFIRMED_READY_AFTER_S = 4.0
+WORKER_KEEPALIVE_S = 20.0  # less where workers announce less
+UNCONFIRMED_READY_AFTER_S = 4.0  # ready without confirmation of the chain, if that has a fault
+
+# Phases of a graceful shutdown
+READINESS_PROPAGATION_S = 2.5  # until the platform sends no new connections
 SHUTDOWN_POLL_S = 0.05
-READINESS_PROPAGATION_S = 2.5  # after this no new connections come
-EXIT_MARGIN_S = 0.6
-FINAL_RESPONSES_S = 0.3  # for the answers to what can't be ended in time
+FINAL_RESPONSES_S = 0.3  # for responses to requests that were timed out
+EXIT_MARGIN_S = 0.6  # between the last response and the platform's kill
 
 
 @define
 class DispatcherNode:
-    """Wiring of a dispatcher."""
+    """The parts of a dispatcher, and their life from start to shutdown.
+
+    Attributes:
+        has_confirmed_state: Whether a state that the chain confirmed was received.
+        stopping: Whether a graceful shutdown has begun.
+    """
 
     settings: Settings
     random: Random = field(factory=Random)
@@ -49,29 +51,21 @@
     peers: PeerClient = field(init=False)
     puller: UpdatePuller = field(init=False)
     router: Router = field(init=False)
-    demand: DemandCounter = field(factory=DemandCounter)
-    demand_queued: Signal = field(factory=Signal)
+    pool_updater: PoolUpdater = field(init=False)
+    demand_reporter: DemandReporter = field(init=False)
     started_at: float = field(factory=steady)
-    expected_replicas: dict[str, ExpectedReplica] = field(factory=dict)  # by instance
-    peer_loads_received_at: float = 0.0  # when the placer last told what the others have in flight
     has_confirmed_state: bool = False
     stopping: bool = False
 
     def _build_components(self) -> None:
-        self.demand.on_queued = self.demand_queued.fire
-        settings, bounds = self.settings, self.settings.bounds
+        settings = self.settings
+        demand = DemandCounter()
         self.peers = PeerClient()
-        self.router = Router(
-            make_session(keepalive_s=WORKER_KEEPALIVE_S),
-            WorkerSelector(settings.node_name, settings.zone, AFFINITY_SLOT_SHARE, self.random),
-            lambda: RetryBudget(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s),
-            lambda: self.puller.dispatcher_count,
-            self.demand,
-            lambda: self.puller.has_core_lost_quorum(),
-        )
+        self.router = self._make_router(demand)
+        tables = ReplicatedTables(f"{settings.node_name}/{self.random.getrandbits(32):x}")
         self.puller = UpdatePuller(
             name=settings.node_name,
-            tables=ReplicatedTables(f"{settings.node_name}/{self.random.getrandbits(32):x}"),
+            tables=tables,
             peers=self.peers,
             tasks=self.tasks,
             random=self.random,
@@ -82,45 +76,47 @@
             configuration_version=lambda: self.router.snapshot.version,
             on_update=self._apply_update,
         )
+        self.pool_updater = PoolUpdater(tables)
+        self.demand_reporter = DemandReporter(
+            node_name=settings.node_name,
+            peers=self.peers,
+            placer_address=lambda: self.puller.placer,
+            demand=demand,
+            pools=lambda: self.router.pools,
+        )
+        demand.on_queued = self.demand_reporter.demand_queued.fire
+
+    def _make_router(self, demand: DemandCounter) -> Router:
+        settings = self.settings
+        bounds = settings.bounds
+        return Router(
+            session=make_session(keepalive_s=WORKER_KEEPALIVE_S),
+            selector=WorkerSelector(settings.node_name, settings.zone, AFFINITY_SLOT_SHARE),
+            make_retry_budget=lambda: RetryBudget(
+                bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s
+            ),
+            dispatcher_count=lambda: self.puller.dispatcher_count,
+            demand=demand,
+            is_configuration_stale=lambda: self.puller.has_core_lost_quorum(),
+        )
 
-    # --- what control tells -------------------------------------------------------------------------------
+    # --- updates ------------------------------------------------------------------------------------------
 
-    def _apply_update(self, update: Update, changed: list[str]) -> None:
+    def _apply_update(self, update: Update, changed_instances: list[str]) -> None:
+        """Puts a newer configuration in force and updates the pools."""
         if update.document and update.version > self.router.snapshot.version:
             self.router.snapshot = snapshot.build_snapshot(decompress(update.document))
             event("configuration.in_force", version=update.version)
-        if changed:
-            self._update_expected_replicas(changed)
-            self._update_pools(changed)
-        self.has_confirmed_state = self.has_confirmed_state or (update.chain_confirmed and update.version > 0)
-
-    def _update_expected_replicas(self, changed: list[str]) -> None:
-        """When what is being loaded will be there, by the own clock from the moment it was told."""
-        now, tables = steady(), self.puller.tables
-        for instance in changed:
-            placement, worker = tables.placements.get(instance), tables.workers.get(instance)
-            if placement is None or worker is None or placement.record.pending_load is None:
-                self.expected_replicas.pop(instance, None)
-                continue
-            pending = placement.record.pending_load
-            key = PoolKey(worker.record.service, pending.model, pending.adapter)
-            self.expected_replicas[instance] = ExpectedReplica(key, now + pending.remaining_ms / 1000)
-
-    def _update_pools(self, changed: list[str]) -> None:
-        tables, router = self.puller.tables, self.router
-        news = {}
-        for instance in changed:
-            worker, placement = tables.workers.get(instance), tables.placements.get(instance)
-            news[instance] = pool_member(
-                None if worker is None else worker.record,
-                None if placement is None else placement.record,
-                router.pools.members.get(instance),
-            )
-        router.pools = router.pools.with_changes(news, self.expected_replicas.values())
-        router.pools_changed.fire()
+        if changed_instances:
+            self.router.pools = self.pool_updater.updated_pools(self.router.pools, changed_instances)
+            self.router.pools_changed.fire()
+        if update.chain_confirmed and update.version > 0:
+            self.has_confirmed_state = True
+
+    # --- readiness ----------------------------------------------------------------------------------------
 
     def is_ready(self) -> bool:
-        """Whether clients should be sent here."""
+        """Whether the platform should send clients here."""
         if self.stopping or not self.router.snapshot.version or not self.router.pools.members:
             return False
         if self.puller.has_core_lost_quorum():
@@ -128,50 +124,20 @@
         return self.has_confirmed_state or steady() - self.started_at > UNCONFIRMED_READY_AFTER_S
 
     async def _handle_readiness(self, request: web.BaseRequest) -> web.StreamResponse:
-        ok = request.path == READY_PATH and self.is_ready()
-        return web.Response(status=200 if ok else 503)
-
-    # --- what it is asked for -----------------------------------------------------------------------------
-
-    async def _report_demand(self) -> None:
-        told_at, interval = steady(), REPORT_INTERVAL_S
-        while True:
-            await self.demand_queued.wait(interval)
-            await asyncio.sleep(REPORT_BATCH_DELAY_S)
-            now = steady()
-            self._expire_peer_loads(now, interval)
-            if not self.puller.placer:
-                continue
-            loads = self.router.pools.own_loads()
-            demands, uses = self.demand.collect(now), self.demand.model_uses()
-            paces = self.demand.prefill_s_per_token()
-            report = DemandReport(self.settings.node_name, now - told_at, demands, loads, uses, paces)
-            told_at = now
-            try:
-                reply = await self.peers.call(self.puller.placer, report, REPORT_TIMEOUT_S)
-            except ClusterError:
-                continue
-            if isinstance(reply, DemandReply):
-                interval = reply.interval_ms / 1000
-                self.peer_loads_received_at = steady()
-                self.router.pools.set_peer_loads(self.peer_loads_received_at, reply.peer_loads)
-
-    def _expire_peer_loads(self, now: float, interval_s: float) -> None:
-        """Without a placer only the own requests count: those of the others would soon be all wrong."""
-        if now - self.peer_loads_received_at > interval_s + PEER_LOADS_EXPIRY_S:
-            self.router.pools.set_peer_loads(now, {})
+        is_ready = request.path == READY_PATH and self.is_ready()
+        return web.Response(status=HTTPStatus.OK if is_ready else HTTPStatus.SERVICE_UNAVAILABLE)
 
-    # --- life ---------------------------------------------------------------------------------------------
+    # --- start and shutdown -------------------------------------------------------------------------------
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serves until `stop` is set, then ends what is open and returns."""
+        """Serves until `stop` is set; returns after a graceful shutdown."""
         self._build_components()
         frontend = Listener(self.router.handle, self.settings.frontend, cancels=True)
         readiness = Listener(self._handle_readiness, self.settings.readiness)
         await readiness.start()
         await frontend.start()
         self.tasks.repeat(self.puller.run, "sources")
-        self.tasks.repeat(self._report_demand, "demand")
+        self.tasks.repeat(self.demand_reporter.run, "demand")
         event("node.started", role="edge", address=self.settings.frontend)
         await stop.wait()
         await self._graceful_shutdown(frontend)
@@ -182,26 +148,35 @@
         await readiness.stop()
 
     async def _graceful_shutdown(self, frontend: Listener) -> None:
-        """Not ready first; when no new connections come, closes idle ones and waits for what is open. What
-        still comes until it takes no more connections is answered too.
+        """Becomes unready, waits for the end of open requests, then times out those that remain.
+
+        Requests that arrive before the listening socket closes get a response, too.
         """
-        began = steady()
-        until = began + self.settings.bounds.grace_s - EXIT_MARGIN_S
-        last = until - FINAL_RESPONSES_S
+        began_at = steady()
+        drain_deadline = began_at + self.settings.bounds.grace_s - EXIT_MARGIN_S - FINAL_RESPONSES_S
+        unready_known_at = began_at + READINESS_PROPAGATION_S
         self.stopping = True
-        self.router.drain(began + READINESS_PROPAGATION_S, last)
-        while steady() < last:
+        self.router.drain(unready_known_at, drain_deadline)
+        await self._wait_for_open_requests(frontend, unready_known_at, drain_deadline)
+        await frontend.stop_accepting()
+        await self._wait_for_connections(frontend, drain_deadline)
+        event("node.stopping", open_requests=self.router.open_requests)
+        self.router.expire_open_timeouts()
+        if frontend.connections:
+            await asyncio.sleep(FINAL_RESPONSES_S)
+
+    async def _wait_for_open_requests(
+        self, frontend: Listener, unready_known_at: float, drain_deadline: float
+    ) -> None:
+        while steady() < drain_deadline:
             await asyncio.sleep(SHUTDOWN_POLL_S)
-            if steady() - began < READINESS_PROPAGATION_S:
+            if steady() < unready_known_at:
                 continue
             frontend.close_idle()
             if not self.router.open_requests:
                 break
-        await frontend.stop_accepting()
-        while frontend.connections and steady() < last:
-            await asyncio.sleep(SHUTDOWN_POLL_S)  # what has just been sent is read first
+
+    async def _wait_for_connections(self, frontend: Listener, drain_deadline: float) -> None:
+        while frontend.connections and steady() < drain_deadline:
+            await asyncio.sleep(SHUTDOWN_POLL_S)  # a request that was just sent is read before
             frontend.close_idle()
-        event("node.stopping", open_requests=self.router.open_requests)
-        self.router.expire_open_timeouts()
-        if frontend.connections:
-            await asyncio.sleep(FINAL_RESPONSES_S)
--- /dev/null
+++ b/finchladder/cluster/process/in_flight.py
@@ -0,0 +1,37 @@
+"""Accounting of a request that runs at a worker."""
+
+from finchladder.cluster.routing.demand import DemandCounter
+from finchladder.cluster.routing.requests import ClassifiedRequest
+from finchladder.cluster.routing.workers import DECODE_LOAD_SHARE, Worker
+from finchladder.cluster.transport.peers import steady
+
+
+class InFlightRequest:
+    """Context manager that adds a request to a worker's load and to the demand while an attempt runs."""
+
+    def __init__(self, demand: DemandCounter, request: ClassifiedRequest, worker: Worker) -> None:
+        self._demand = demand
+        self._request = request
+        self._worker = worker
+        self._load = demand.request_cost(request).load
+
+    def __enter__(self) -> "InFlightRequest":
+        self._was_idle = self._worker.load <= 0
+        self._started_at = steady()
+        self._worker.add_load(self._load)
+        self._demand.add_in_flight(self._request.key, self._worker.instance, 1)
+        return self
+
+    def record_first_token(self) -> None:
+        """Reduces the load to that of decoding: the head of a model's response comes with its first token."""
+        if not self._request.key.model:
+            return
+        if self._was_idle:
+            self._demand.record_time_to_first_token(self._request, steady() - self._started_at)
+        decode_load = DECODE_LOAD_SHARE * self._load
+        self._worker.add_load(decode_load - self._load)
+        self._load = decode_load
+
+    def __exit__(self, *_: object) -> None:
+        self._worker.add_load(-self._load)
+        self._demand.add_in_flight(self._request.key, self._worker.instance, -1)
--- /dev/null
+++ b/finchladder/cluster/process/stream_relay.py
@@ -0,0 +1,93 @@
+"""Relays a streaming response to the client, and resumes it at another worker if it is cut off."""
+
+import aiohttp
+from aiohttp import web
+from attrs import define, field
+
+from finchladder.cluster.process.attempt import AdmittedRequest
+from finchladder.cluster.process.attempt_sender import AttemptSender, ResumedStream
+from finchladder.cluster.process.client_responses import (
+    ClientDisconnectedError,
+    ClientResponses,
+    abort_connection,
+)
+from finchladder.cluster.routing.event_stream import EventBuffer
+from finchladder.cluster.routing.headers import (
+    CONTENT_LENGTH_HEADER,
+    LAST_EVENT_ID_HEADER,
+    forwarded_headers,
+)
+from finchladder.cluster.routing.workers import Worker
+
+
+@define
+class StreamRelay:
+    """Relay of one stream. `events`: None unless the route's streams can be resumed."""
+
+    request: AdmittedRequest
+    sender: AttemptSender
+    responses: ClientResponses
+    events: EventBuffer | None = field(init=False)
+
+    def __attrs_post_init__(self) -> None:
+        self.events = EventBuffer() if self.request.route.resumable else None
+
+    async def relay(self, worker: Worker, response: aiohttp.ClientResponse) -> web.StreamResponse:
+        """Passes the stream on until its end; a stream that can't be resumed ends by an aborted connection.
+
+        Raises:
+            ClientDisconnectedError: The client's connection is lost.
+        """
+        client_response = self._client_response(response)
+        await client_response.prepare(self.request.outgoing.client_request)
+        attempted = frozenset({worker.instance})
+        while not await self._copy(response, client_response):
+            resumed = await self._resume(attempted)
+            if resumed is None:
+                abort_connection(self.request.outgoing.client_request)
+                return client_response
+            response.close()
+            response = resumed.response
+            attempted |= {resumed.worker.instance}
+        response.close()
+        await client_response.write_eof()
+        return client_response
+
+    def _client_response(self, response: aiohttp.ClientResponse) -> web.StreamResponse:
+        client_response = web.StreamResponse(
+            status=response.status, reason=response.reason, headers=forwarded_headers(response.headers)
+        )
+        content_length = response.headers.get(CONTENT_LENGTH_HEADER)
+        if content_length is not None and not self.request.route.resumable:
+            client_response.content_length = int(content_length)
+        else:
+            client_response.enable_chunked_encoding()
+        return self.responses.finish(client_response)
+
+    async def _copy(self, response: aiohttp.ClientResponse, client_response: web.StreamResponse) -> bool:
+        """Copies until the end; False if the worker's response was cut off or the deadline has passed."""
+        try:
+            async with self.sender.timeout_at(self.request.classified.deadline):
+                async for received in response.content.iter_any():
+                    data = received if self.events is None else self.events.feed(received)
+                    if data:
+                        await _write(client_response, data)
+        except (aiohttp.ClientError, TimeoutError, OSError):
+            return False
+        return self.events is None or not self.events.has_incomplete
+
+    async def _resume(self, attempted: frozenset[str]) -> ResumedStream | None:
+        """Continues after the last complete event; None if the stream can't be resumed."""
+        if self.events is None or len(attempted) >= self.request.route.max_attempts:
+            return None
+        self.events.discard_incomplete()
+        requested_event_id = self.request.outgoing.client_request.headers.get(LAST_EVENT_ID_HEADER, "")
+        last_event_id = self.events.last_event_id or requested_event_id
+        return await self.sender.resume(self.request, attempted, last_event_id)
+
+
+async def _write(client_response: web.StreamResponse, data: bytes) -> None:
+    try:
+        await client_response.write(data)
+    except (ConnectionError, aiohttp.ClientError) as error:
+        raise ClientDisconnectedError from error
--- /dev/null
+++ b/finchladder/cluster/process/worker_backoff.py
@@ -0,0 +1,39 @@
+"""Backoff of a worker after an attempt that failed there."""
+
+from http import HTTPStatus
+
+from finchladder.cluster.process.attempt import Failure, NotExecuted
+from finchladder.cluster.process.log import event
+from finchladder.cluster.routing.requests import ClassifiedRequest
+from finchladder.cluster.routing.workers import Worker
+from finchladder.cluster.transport.peers import steady
+
+REJECTION_BACKOFF_S = 0.1
+MAX_REJECTION_BACKOFF_S = 1.0  # where the worker itself asks for longer
+MISDIRECTED_BACKOFF_S = 0.4  # of one key, at a worker that does not have it
+MIN_FAILURE_BACKOFF_S = 0.5
+MAX_FAILURE_BACKOFF_S = 4.0
+
+
+def record_failure(worker: Worker, request: ClassifiedRequest, failure: Failure) -> None:
+    """Lets a worker back off: for the request's key if it rejected the request, else exponentially."""
+    now = steady()
+    if isinstance(failure, NotExecuted):
+        _back_off_after_rejection(worker, request, failure, now)
+        return
+    worker.consecutive_failures += 1
+    exponential_s = MIN_FAILURE_BACKOFF_S * 2 ** (worker.consecutive_failures - 1)
+    worker.backoff_until = now + min(MAX_FAILURE_BACKOFF_S, exponential_s)
+    event("attempt.failed", instance=worker.instance, address=worker.address, outcome=repr(failure))
+
+
+def _back_off_after_rejection(
+    worker: Worker, request: ClassifiedRequest, rejection: NotExecuted, now: float
+) -> None:
+    if rejection.status == HTTPStatus.MISDIRECTED_REQUEST:
+        worker.key_backoff_until[request.key.name] = now + MISDIRECTED_BACKOFF_S
+    elif request.key.model:
+        worker.key_backoff_until[request.key.name] = now + REJECTION_BACKOFF_S
+    else:
+        requested_s = min(rejection.retry_after_s, MAX_REJECTION_BACKOFF_S)
+        worker.backoff_until = now + max(REJECTION_BACKOFF_S, requested_s)
--- a/finchladder/cluster/process/worker_client.py
+++ b/finchladder/cluster/process/worker_client.py
@@ -1,53 +1,79 @@
-"""Calls of core processes to workers: orders, reports, whether they are there."""
+"""HTTP client of control processes to workers: orders, reports, whether an instance runs."""
 
 import asyncio
+from http import HTTPStatus
 
 import aiohttp
 import msgspec
+from aiohttp import hdrs
+from attrs import frozen
 
+from finchladder.cluster.routing.headers import EXPECTED_INSTANCE_HEADER, INSTANCE_ID_HEADER
 from finchladder.cluster.transport.http_client import make_session
 from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.worker_api import OrderRequest, WorkerReport, report_decoder
 
 HEALTH_PATH = "/healthz"
-INSTANCE_ID_HEADER = "X-Finchladder-Instance-Id"
+ORDER_PATH = "/api/order"
+REPORT_PATH = "/api/report"
+ORDER_STEP = "order"  # named by errors
+REPORT_STEP = "report"
 CALL_TIMEOUT_S = 0.8
 KEEPALIVE_S = 2.0
 
 
+@frozen
+class WorkerResponse:
+    """A worker's complete response."""
+
+    status: int
+    body: bytes
+
+
 class WorkerClient:
-    """One for each core process."""
+    """Calls workers over kept connections; a control process has one."""
 
     def __init__(self) -> None:
         self._session = make_session(keepalive_s=KEEPALIVE_S)
 
     async def order(self, address: str, instance: str, body: OrderRequest, timeout_s: float) -> int:
-        """The status of the answer; PeerUnreachable without one: the order may have been taken. After
-        `timeout_s` no byte of it leaves any more.
+        """Sends an order; no byte of it leaves after `timeout_s`.
+
+        Returns:
+            The status of the worker's response.
+
+        Raises:
+            PeerUnreachableError: There was no response; the worker may have taken the order.
         """
-        headers = {"Content-Type": "application/json", "X-Finchladder-Expected-Instance": instance}
-        data = msgspec.json.encode(body)
-        url = f"http://{address}/api/order"
-        status, _ = await self._call(
-            "POST", url, "order", address, data, headers, min(timeout_s, CALL_TIMEOUT_S)
+        headers = {"Content-Type": "application/json", EXPECTED_INSTANCE_HEADER: instance}
+        response = await self._call(
+            ORDER_STEP,
+            address,
+            hdrs.METH_POST,
+            ORDER_PATH,
+            headers,
+            data=msgspec.json.encode(body),
+            timeout_s=min(timeout_s, CALL_TIMEOUT_S),
         )
-        return status
+        return response.status
 
     async def report(self, address: str, instance: str) -> WorkerReport:
-        """What the worker holds; PeerUnreachable where it does not say."""
-        headers = {"X-Finchladder-Expected-Instance": instance}
-        status, body = await self._call(
-            "GET", f"http://{address}/api/report", "report", address, None, headers
-        )
-        if status != 200:
-            raise PeerUnreachableError("report", address, f"status {status}")
+        """Fetches a worker's report of its models, queue and memory.
+
+        Raises:
+            PeerUnreachableError: There was no readable report.
+        """
+        headers = {EXPECTED_INSTANCE_HEADER: instance}
+        response = await self._call(REPORT_STEP, address, hdrs.METH_GET, REPORT_PATH, headers)
+        if response.status != HTTPStatus.OK:
+            raise PeerUnreachableError(REPORT_STEP, address, f"status {response.status}")
         try:
-            return report_decoder.decode(body)
+            return report_decoder.decode(response.body)
         except msgspec.DecodeError as error:
-            raise PeerUnreachableError("report", address, f"unreadable: {error}") from None
+            raise PeerUnreachableError(REPORT_STEP, address, f"unreadable: {error}") from None
 
     async def is_running(self, address: str, instance: str) -> bool:
-        """Whether that very instance answers, whatever it says of its health."""
+        """Whether that instance responds at the address, whatever its health."""
         try:
             async with (
                 asyncio.timeout(CALL_TIMEOUT_S),
@@ -59,20 +85,22 @@
 
     async def _call(
         self,
-        method: str,
-        url: str,
         step: str,
         address: str,
-        data: bytes | None,
+        method: str,
+        path: str,
         headers: dict[str, str],
+        *,
+        data: bytes | None = None,
         timeout_s: float = CALL_TIMEOUT_S,
-    ) -> tuple[int, bytes]:
+    ) -> WorkerResponse:
+        url = f"http://{address}{path}"
         try:
             async with (
                 asyncio.timeout(timeout_s),
                 self._session.request(method, url, data=data, headers=headers) as response,
             ):
-                return response.status, await response.read()
+                return WorkerResponse(response.status, await response.read())
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise PeerUnreachableError(step, address, repr(error)) from None
 
--- a/finchladder/cluster/routing/__init__.py
+++ b/finchladder/cluster/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of a worker, budgets and stream states on the data plane."""
+"""Classification of requests, worker selection, retry budgets and event streams of the data plane."""
--- a/finchladder/cluster/routing/demand.py
+++ b/finchladder/cluster/routing/demand.py
@@ -1,21 +1,29 @@
-"""What this dispatcher was asked for, by model and adapter, since it last told the placer."""
+"""Demand by model and adapter at this dispatcher, for its reports to the placer."""
 
 from collections import Counter, deque
 from collections.abc import Callable
 
 from attrs import define, field, frozen
 
-from finchladder.cluster.routing.pools import UNIT_COST, PoolKey, RequestCost
+from finchladder.cluster.routing.pools import PoolKey
 from finchladder.cluster.routing.prefill_time import PrefillTimeEstimator
 from finchladder.cluster.routing.requests import ClassifiedRequest
+from finchladder.cluster.routing.workers import UNIT_COST, RequestCost
 from finchladder.cluster.types.messages import Demand, ModelUse
 
-DEFAULT_PROMPT_TOKENS = 1000  # of a prompt whose request does not tell its size
+DEFAULT_PROMPT_TOKENS = 1000  # of a request without a token count
 
 
 @define
 class KeyDemand:
-    """Of one model or adapter."""
+    """Demand for one model or adapter.
+
+    Attributes:
+        requests: Arrivals since the last report.
+        prompt_tokens: Their prompt tokens.
+        queued: Requests that wait for a replica now.
+        in_flight: Requests that run at workers now.
+    """
 
     requests: int = 0
     prompt_tokens: int = 0
@@ -33,7 +41,7 @@
 
 @frozen
 class ExpectedClientRetry:
-    """A refused request that counts as waiting until its client may have come back. `until`: seconds."""
+    """A rejected request that counts as queued until its client may have retried (monotonic seconds)."""
 
     key: PoolKey
     expires_at: float
@@ -41,38 +49,44 @@
 
 @define
 class DemandCounter:
-    """Times are passed in. `on_wait` is called when something begins to be waited for that nobody holds."""
+    """Counts requests by pool key; times are passed in (monotonic seconds).
+
+    Attributes:
+        in_flight: Requests by worker and model, those for adapters included.
+        prefill_estimators: By service.
+        on_queued: Called when a request begins to wait for a model that has no replica.
+    """
 
     demand_by_key: dict[PoolKey, KeyDemand] = field(factory=dict)
     in_flight: Counter[Place] = field(factory=Counter)
     expected_client_retries: deque[ExpectedClientRetry] = field(factory=deque)
-    prefill_estimators: dict[str, PrefillTimeEstimator] = field(factory=dict)  # by service
+    prefill_estimators: dict[str, PrefillTimeEstimator] = field(factory=dict)
     on_queued: Callable[[], None] = lambda: None
 
     def _demand_of(self, key: PoolKey) -> KeyDemand:
         return self.demand_by_key.setdefault(key, KeyDemand())
 
     def record_request(self, request: ClassifiedRequest) -> None:
-        """A request came in."""
+        """Counts an arrival."""
         if request.key.model:
-            count = self._demand_of(request.key)
-            count.requests += 1
-            count.prompt_tokens += request.prompt_tokens
+            demand = self._demand_of(request.key)
+            demand.requests += 1
+            demand.prompt_tokens += request.prompt_tokens
 
     def add_queued(self, key: PoolKey, change: int) -> None:
-        """A request begins (1) or ceases (-1) to wait for a holder."""
+        """Counts a request that begins (1) or ceases (-1) to wait for a replica."""
         if key.model:
             self._demand_of(key).queued += change
             if change > 0:
                 self.on_queued()
 
     def expect_client_retry(self, key: PoolKey, expires_at: float) -> None:
-        """A request was refused since nobody holds what it needs; its client was told when to come back."""
+        """Counts a request that was rejected for lack of a replica as queued until `expires_at`."""
         if key.model:
             self.expected_client_retries.append(ExpectedClientRetry(key, expires_at))
 
     def add_in_flight(self, key: PoolKey, instance: str, change: int) -> None:
-        """A request begins (1) or ceases (-1) to run at a worker."""
+        """Counts a request that begins (1) or ceases (-1) to run at a worker."""
         if not key.model:
             return
         self._demand_of(key).in_flight += change
@@ -82,42 +96,52 @@
             del self.in_flight[place]
 
     def record_time_to_first_token(self, request: ClassifiedRequest, time_to_first_token_s: float) -> None:
-        """A request had its first event after so long, at a worker where nothing else was known to run."""
+        """Records the time to first token of a request at a worker that was idle as far as known."""
         if request.prompt_tokens:
-            self.prefill_estimators.setdefault(request.key.service, PrefillTimeEstimator()).observe(
-                request.prompt_tokens, time_to_first_token_s
-            )
+            estimator = self.prefill_estimators.setdefault(request.key.service, PrefillTimeEstimator())
+            estimator.observe(request.prompt_tokens, time_to_first_token_s)
 
     def prefill_s_per_token(self) -> dict[str, float]:
-        """How long engines read at a prompt token, by service."""
-        return {service: pace.s_per_token for service, pace in self.prefill_estimators.items()}
+        """Prefill time of a prompt token in seconds, by service."""
+        return {service: estimator.s_per_token for service, estimator in self.prefill_estimators.items()}
 
     def request_cost(self, request: ClassifiedRequest) -> RequestCost:
-        """What a request adds to a worker's load."""
+        """Load that a request adds to a worker."""
         if not request.key.model:
             return UNIT_COST
-        pace = self.prefill_estimators.get(request.key.service)
-        return RequestCost(
-            float(request.prompt_tokens or DEFAULT_PROMPT_TOKENS), 0.0 if pace is None else pace.s_per_token
-        )
+        estimator = self.prefill_estimators.get(request.key.service)
+        prefill_s_per_token = 0.0 if estimator is None else estimator.s_per_token
+        return RequestCost(float(request.prompt_tokens or DEFAULT_PROMPT_TOKENS), prefill_s_per_token)
 
     def model_uses(self) -> tuple[ModelUse, ...]:
-        """What runs where now. O(models in use at workers)."""
-        return tuple(ModelUse(p.instance, p.model, requests) for p, requests in self.in_flight.items())
+        """Requests in flight by worker and model. O(models in use at workers)."""
+        return tuple(
+            ModelUse(place.instance, place.model, requests) for place, requests in self.in_flight.items()
+        )
 
     def collect(self, now: float) -> tuple[Demand, ...]:
-        """What is to be told; counts begin anew. O(keys in use + refused requests that may come back)."""
+        """The demand since the last call; arrivals are reset. O(keys in use + expected client retries)."""
         self.expected_client_retries = deque(
-            one for one in self.expected_client_retries if one.expires_at > now
+            retry for retry in self.expected_client_retries if retry.expires_at > now
         )
-        returning = Counter(one.key for one in self.expected_client_retries)
-        for key in returning:
+        retries_by_key = Counter(retry.key for retry in self.expected_client_retries)
+        for key in retries_by_key:
             self._demand_of(key)
-        told = []
-        for key, count in list(self.demand_by_key.items()):
-            figures = count.requests, count.queued + returning[key], count.in_flight, count.prompt_tokens
-            told.append(Demand(key.service, key.model, key.adapter, *figures))
-            count.requests = count.prompt_tokens = 0
-            if not count.queued and not count.in_flight:
+        demands = []
+        for key, demand in list(self.demand_by_key.items()):
+            demands.append(
+                Demand(
+                    key.service,
+                    key.model,
+                    key.adapter,
+                    demand.requests,
+                    demand.queued + retries_by_key[key],
+                    demand.in_flight,
+                    demand.prompt_tokens,
+                )
+            )
+            demand.requests = 0
+            demand.prompt_tokens = 0
+            if not demand.queued and not demand.in_flight:
                 del self.demand_by_key[key]
-        return tuple(told)
+        return tuple(demands)
--- a/finchladder/cluster/routing/prefill_time.py
+++ b/finchladder/cluster/routing/prefill_time.py
@@ -1,28 +1,28 @@
-"""How long engines take to read a prompt token, learned from first events of requests that met no others.
+"""Estimates the prefill time of a prompt token from times to first token at idle workers.
 
-What is learned is a low quantile: most of what makes a first event late is other work at the engine, which
-this dispatcher knows of only in part. Source: Robbins and Monro, "A Stochastic Approximation Method".
+The estimate is a low quantile: a late first token is mostly due to other work of the engine, which this
+dispatcher knows only in part. Source: Robbins and Monro, "A Stochastic Approximation Method".
 """
 
 from attrs import define
 
 TARGET_QUANTILE = 0.25
-RELATIVE_STEP = 0.1  # relative; of one observation
+RELATIVE_STEP = 0.1  # of the estimate, for one observation
 
 
 @define
 class PrefillTimeEstimator:
-    """Of one service. `s_per_token`: seconds; 0: nothing is known."""
+    """Prefill time of one service's engines; `s_per_token` is 0 before the first observation."""
 
     s_per_token: float = 0.0
 
     def observe(self, prompt_tokens: int, time_to_first_token_s: float) -> None:
-        """A prompt of so many tokens had its first event after so long at a worker without other requests."""
+        """Updates the estimate by one request at an idle worker; prompts of unknown size are skipped."""
         if prompt_tokens <= 0:
             return
-        seen = time_to_first_token_s / prompt_tokens
+        observed = time_to_first_token_s / prompt_tokens
         if not self.s_per_token:
-            self.s_per_token = seen
+            self.s_per_token = observed
             return
-        is_below = seen < self.s_per_token
+        is_below = observed < self.s_per_token
         self.s_per_token *= 1 + RELATIVE_STEP * (TARGET_QUANTILE - is_below)
--- a/finchladder/cluster/routing/retry_budget.py
+++ b/finchladder/cluster/routing/retry_budget.py
@@ -1,9 +1,9 @@
-"""Retry budgets: this dispatcher's share of what the fleet may repeat at each service; times are passed in.
+"""Retry budget: this dispatcher's share of the retries that the fleet may send to a service.
 
-In every window the fleet may repeat `ratio` x the requests + `slack`. A dispatcher spends at most `ratio` of
-its own requests of the last window, and an even part of the slack; while it does not know how many
-dispatchers there are it takes the number for large. Half of each is kept back for what crosses the edges of
-windows.
+In every window the fleet may retry `ratio` x its requests + `slack` times. A dispatcher spends at most
+`ratio` x its own requests of the last window, and an equal part of the slack; while the number of dispatchers
+is unknown, it assumes many. It spends half of both, since retries of two overlapping windows may fall into
+one window of the fleet.
 """
 
 from collections import deque
@@ -11,12 +11,12 @@
 from attrs import define, field
 
 WINDOW_OVERLAP_FACTOR = 0.5
-ASSUMED_DISPATCHERS = 64
+ASSUMED_DISPATCHERS = 64  # while their number is unknown
 
 
 @define
 class RetryBudget:
-    """Of one service."""
+    """Budget of one service; times are passed in (monotonic seconds)."""
 
     ratio: float
     slack: float
@@ -25,16 +25,16 @@
     retry_times: deque[float] = field(factory=deque)
 
     def record_request(self, now: float) -> None:
-        """A request of a client came in."""
+        """Counts a client's request, which earns a part of a retry."""
         self._expire(now)
         self.request_times.append(now)
 
     def try_withdraw(self, now: float, dispatcher_count: int) -> bool:
-        """Takes one repeat out of the budget; False if there is none."""
+        """Takes one retry out of the budget; False if it is exhausted. `dispatcher_count` 0: unknown."""
         self._expire(now)
-        shares = dispatcher_count or ASSUMED_DISPATCHERS
-        allowed = WINDOW_OVERLAP_FACTOR * (self.ratio * len(self.request_times) + self.slack / shares)
-        if len(self.retry_times) + 1 > allowed:
+        slack_share = self.slack / (dispatcher_count or ASSUMED_DISPATCHERS)
+        max_retries = WINDOW_OVERLAP_FACTOR * (self.ratio * len(self.request_times) + slack_share)
+        if len(self.retry_times) + 1 > max_retries:
             return False
         self.retry_times.append(now)
         return True
--- /dev/null
+++ b/finchladder/cluster/routing/selection.py
@@ -0,0 +1,85 @@
+"""Selection of a worker out of a pool, by affinity, load and zone.
+
+The algorithm is that of `finchladder.core.dispatch.choice`: of a key's two candidates by hash the one with
+the lower load, if it is below the affinity limit; else the least loaded worker.
+
+If many dispatchers all took the least loaded worker, they would take the same one. The more dispatchers
+there are, the fewer workers each of them compares (deterministic subsetting; source: Beyer and others, "Site
+Reliability Engineering", chapter 20), and each has its own two candidates for a key. Subsets are ranked by a
+hash of both names, workers of the own zone first: they stay the same from request to request and over all
+models, so that connections are reused.
+"""
+
+from collections.abc import Sequence
+from hashlib import blake2b
+from math import ceil
+
+from attrs import define, field
+
+from finchladder.cluster.routing.workers import RequestCost, Worker
+
+MAX_DISPATCHERS_COMPARING_ALL = 16  # with more dispatchers each compares a subset of a pool
+MIN_SUBSET_SIZE = 3
+MIN_REMOTE_ZONE_WORKERS = 1  # in a subset
+AFFINITY_SLOT_SHARE = 0.2  # of a worker's slots in use up to which candidates are preferred
+AFFINITY_QUEUE_S = 0.1  # prefill time queued at an engine up to which candidates are preferred
+REMOTE_ZONE_PENALTY = 0.5  # in requests, added to the load of a remote worker; decides between equals
+MAX_CACHED_RANKS = 4096
+
+
+@define
+class WorkerSelector:
+    """Selection policy of one dispatcher.
+
+    Attributes:
+        name: Name of this dispatcher.
+        affinity_slot_share: Share of a worker's slots in use up to which a key's candidates are preferred.
+        dispatcher_count: How many dispatchers select workers at the same time.
+        affinity_queue_s: Prefill time queued at an engine up to which a key's candidates are preferred.
+    """
+
+    name: str
+    zone: str
+    affinity_slot_share: float
+    dispatcher_count: int = 1
+    affinity_queue_s: float = AFFINITY_QUEUE_S
+    _ranks: dict[str, bytes] = field(factory=dict)  # by worker instance
+
+    @property
+    def candidate_salt(self) -> str:
+        """Salt of the hash that assigns a key's candidates; one's own where there are many dispatchers."""
+        return self.name if self.dispatcher_count > MAX_DISPATCHERS_COMPARING_ALL else ""
+
+    def affinity_load_limit(self, worker: Worker, cost: RequestCost) -> float:
+        """Load from which a candidate is no longer preferred."""
+        if not cost.prefill_s_per_token:
+            return self.affinity_slot_share * worker.slots * cost.load
+        return self.affinity_queue_s / cost.prefill_s_per_token
+
+    def subset_by_load(self, available: Sequence[Worker], cost: RequestCost) -> list[Worker]:
+        """The workers that this dispatcher compares, the least loaded first."""
+        penalty = REMOTE_ZONE_PENALTY * cost.load
+
+        def zone_weighted_load(worker: Worker) -> float:
+            return worker.load + (penalty if worker.zone != self.zone else 0.0)
+
+        return sorted(self._subset(available), key=zone_weighted_load)
+
+    def _subset(self, available: Sequence[Worker]) -> Sequence[Worker]:
+        dispatcher_share = len(available) * MAX_DISPATCHERS_COMPARING_ALL / max(1, self.dispatcher_count)
+        size = max(MIN_SUBSET_SIZE, ceil(dispatcher_share))
+        if size >= len(available):
+            return available
+        ranked = sorted(available, key=self._rank)
+        local = [worker for worker in ranked if worker.zone == self.zone][: size - MIN_REMOTE_ZONE_WORKERS]
+        remote = [worker for worker in ranked if worker.zone != self.zone]
+        return local + remote[: size - len(local)]
+
+    def _rank(self, worker: Worker) -> bytes:
+        rank = self._ranks.get(worker.instance)
+        if rank is None:
+            if len(self._ranks) >= MAX_CACHED_RANKS:
+                self._ranks.clear()
+            rank = blake2b(f"{self.name} {worker.instance}".encode(), digest_size=8).digest()
+            self._ranks[worker.instance] = rank
+        return rank
--- a/finchladder/lab/cluster/emulator/fleet.py
+++ b/finchladder/lab/cluster/emulator/fleet.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from collections.abc import Mapping
+from http import HTTPStatus
 from random import Random
 from types import SimpleNamespace
 from typing import Any, cast
@@ -9,22 +10,21 @@
 from attrs import define, field, frozen
 
 from finchladder.cluster.configuration.snapshot import ConfigurationSnapshot, Engine, Model, Service
-from finchladder.cluster.process.attempt import MISDIRECTED, NotExecuted
-from finchladder.cluster.process.dispatcher_node import (
-    AFFINITY_SLOT_SHARE,
-    REPORT_BATCH_DELAY_S,
-    REPORT_INTERVAL_S,
-)
+from finchladder.cluster.process.attempt import NotExecuted
+from finchladder.cluster.process.demand_reporter import REPORT_BATCH_DELAY_S, REPORT_INTERVAL_S
+from finchladder.cluster.process.in_flight import InFlightRequest
 from finchladder.cluster.process.placer import Placer
-from finchladder.cluster.process.router import CLIENT_RETRY_GRACE_S, InFlightRequest
+from finchladder.cluster.process.router import CLIENT_RETRY_GRACE_S
 from finchladder.cluster.process.tasks import Signal, Tasks
 from finchladder.cluster.process.update_server import BATCH_INTERVAL_PER_DISPATCHER_S, MAX_BATCH_INTERVAL_S
+from finchladder.cluster.process.worker_backoff import record_failure
 from finchladder.cluster.process.worker_orders import WorkerOrders
 from finchladder.cluster.process.worker_selection import RequestQueue
 from finchladder.cluster.replication.lease import HeldLease
 from finchladder.cluster.routing.demand import DemandCounter
-from finchladder.cluster.routing.pools import ExpectedReplica, PoolKey, WorkerSelector, pool_member
+from finchladder.cluster.routing.pools import ExpectedReplica, PoolKey, pool_member
 from finchladder.cluster.routing.requests import ClassifiedRequest
+from finchladder.cluster.routing.selection import AFFINITY_SLOT_SHARE, WorkerSelector
 from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.members import Member
@@ -108,16 +108,16 @@
     zone: str
     fleet: "Fleet"
     demand: DemandCounter
-    finder: RequestQueue
+    queue: RequestQueue
     waited_for: Signal = field(factory=Signal)
 
     @classmethod
     def make(cls, number: int, fleet: "Fleet") -> "Dispatcher":
         """The dispatcher with that number."""
         name, zone = f"edge-{number}", f"z{number % fleet.plan.zones}"
-        demand, random = DemandCounter(), Random(f"{fleet.seed} {name}")
-        chooser = WorkerSelector(name, zone, AFFINITY_SLOT_SHARE, random)
-        made = cls(name, zone, fleet, demand, RequestQueue(chooser, lambda: fleet.plan.dispatchers, demand))
+        demand = DemandCounter()
+        selector = WorkerSelector(name, zone, AFFINITY_SLOT_SHARE)
+        made = cls(name, zone, fleet, demand, RequestQueue(selector, lambda: fleet.plan.dispatchers, demand))
         demand.on_queued = made.waited_for.fire
         return made
 
@@ -128,14 +128,14 @@
             await self.waited_for.wait(interval)
             await asyncio.sleep(REPORT_BATCH_DELAY_S)
             now, demand = steady(), self.demand
-            loads = self.finder.pools.own_loads()
+            loads = self.queue.pools.own_loads()
             paces = demand.prefill_s_per_token()
             report = DemandReport(self.name, interval, demand.collect(now), loads, demand.model_uses(), paces)
             await asyncio.sleep(CALL_S)
             reply = self.fleet.placer.on_demand(report)
             await asyncio.sleep(CALL_S)
             interval = reply.interval_ms / 1000
-            self.finder.pools.set_peer_loads(steady(), reply.peer_loads)
+            self.queue.pools.set_peer_loads(steady(), reply.peer_loads)
 
     async def serve(self, outcome: Outcome, arrived: float) -> float | None:
         """One try of a client; returns what it is told to wait, if it is refused."""
@@ -144,23 +144,24 @@
         until = arrived + kind.deadline_s
         patience_s = min(until - now, max(LEAST_SILENCE_S, SILENT_AIMS * kind.aim_s))
         key = PoolKey(SERVICE, work.model, work.adapter)
-        wanted = ClassifiedRequest("", key, now, until, work.prompt, kind.aim_s, patience_s)
-        self.demand.record_request(wanted)
-        sent: frozenset[str] = frozenset()
-        backend = await self.finder.select_worker(wanted, sent)
-        if backend is None:
-            return self._refuse(wanted)
-        outcome.copies, outcome.worker = len(self.finder.pools.pool(key).workers), backend.instance
+        classified = ClassifiedRequest("", key, now, until, work.prompt, kind.aim_s, patience_s)
+        self.demand.record_request(classified)
+        attempted: frozenset[str] = frozenset()
+        worker = await self.queue.select_worker(classified, attempted)
+        if worker is None:
+            return self._refuse(classified)
+        outcome.copies, outcome.worker = len(self.queue.pools.pool(key).workers), worker.instance
         outcome.waited_s = steady() - arrived
-        with InFlightRequest(self.demand, wanted, backend) as running:
+        with InFlightRequest(self.demand, classified, worker) as running:
             await asyncio.sleep(CALL_S)
-            request = self.fleet.workers[backend.instance].submit(work, until)
+            request = self.fleet.workers[worker.instance].submit(work, until)
             if request is None or not await request.first:
                 if request is not None and request.was_run:
                     return None
-                refusal = NotExecuted(MISDIRECTED if request is None else 503, 0.0)
-                self.finder.record_failure(backend, wanted, refusal)
-                return self._refuse(wanted)
+                is_misdirected = request is None
+                status = HTTPStatus.MISDIRECTED_REQUEST if is_misdirected else HTTPStatus.SERVICE_UNAVAILABLE
+                record_failure(worker, classified, NotExecuted(status, 0.0))
+                return self._refuse(classified)
             await asyncio.sleep(CALL_S)
             outcome.first_s = steady() - arrived
             running.record_first_token()
@@ -168,10 +169,10 @@
                 outcome.end_s = steady() - arrived
         return None
 
-    def _refuse(self, wanted: ClassifiedRequest) -> float:
-        retry_after_s = self.finder.retry_after_s(wanted)
-        if not self.finder.pools.pool(wanted.key).workers:
-            self.demand.expect_client_retry(wanted.key, steady() + retry_after_s + CLIENT_RETRY_GRACE_S)
+    def _refuse(self, classified: ClassifiedRequest) -> float:
+        retry_after_s = self.queue.retry_after_s(classified)
+        if not self.queue.pools.pool(classified.key).workers:
+            self.demand.expect_client_retry(classified.key, steady() + retry_after_s + CLIENT_RETRY_GRACE_S)
         return retry_after_s
 
 
@@ -322,14 +323,14 @@
             if (pending := placed.record.pending_load) is not None
         ]
         for dispatcher in self.dispatchers:
-            pools = dispatcher.finder.pools
+            pools = dispatcher.queue.pools
             news = {}
             for name in instances:
                 placed = tables.placements.get(name)
                 record = None if placed is None else placed.record
                 news[name] = pool_member(tables.workers[name].record, record, pools.members.get(name))
-            dispatcher.finder.pools = pools.with_changes(news, loads)
-            dispatcher.finder.pools_changed.fire()
+            dispatcher.queue.pools = pools.with_changes(news, loads)
+            dispatcher.queue.pools_changed.fire()
 
 
 @define
--- a/tests/cluster/test_exchange.py
+++ b/tests/cluster/test_exchange.py
@@ -14,7 +14,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from finchladder.cluster.routing.pools import PoolMember, Worker
+from finchladder.cluster.routing.pools import PoolMember
+from finchladder.cluster.routing.workers import Worker
 from finchladder.cluster.transport.exchange import StrictResponseHandler
 from finchladder.cluster.transport.peers import PeerClient
 from finchladder.cluster.types.errors import PeerUnreachableError
--- a/tests/cluster/test_router.py
+++ b/tests/cluster/test_router.py
@@ -14,8 +14,10 @@
 from finchladder.cluster.configuration.snapshot import build_snapshot
 from finchladder.cluster.process.router import CLIENT_RETRY_GRACE_S, Router
 from finchladder.cluster.routing.demand import DemandCounter
-from finchladder.cluster.routing.pools import PoolMember, Pools, Worker, WorkerSelector
+from finchladder.cluster.routing.pools import PoolMember, Pools
 from finchladder.cluster.routing.retry_budget import RetryBudget
+from finchladder.cluster.routing.selection import WorkerSelector
+from finchladder.cluster.routing.workers import Worker
 from finchladder.cluster.transport.http_client import make_session
 from finchladder.cluster.transport.http_server import Listener
 from finchladder.cluster.transport.peers import steady
--- a/tests/cluster/test_routing.py
+++ b/tests/cluster/test_routing.py
@@ -10,59 +10,62 @@
 
 from finchladder.cluster.configuration.snapshot import build_snapshot
 from finchladder.cluster.routing.event_stream import EventBuffer
+from finchladder.cluster.routing.headers import forwarded_headers
 from finchladder.cluster.routing.pools import (
-    PEER_LOAD_AGE_S,
-    PREFILL_PROGRESS_SHARE,
     ExpectedReplica,
     Pool,
     PoolKey,
     PoolMember,
     Pools,
-    RequestCost,
-    Worker,
-    WorkerSelector,
     pool_member,
     usable_models,
 )
 from finchladder.cluster.routing.prefill_time import PrefillTimeEstimator
-from finchladder.cluster.routing.requests import classify, forwarded_headers
+from finchladder.cluster.routing.requests import classify
 from finchladder.cluster.routing.retry_budget import RetryBudget
+from finchladder.cluster.routing.selection import WorkerSelector
+from finchladder.cluster.routing.workers import (
+    PEER_LOAD_AGE_S,
+    PREFILL_PROGRESS_SHARE,
+    RequestCost,
+    Worker,
+)
 from finchladder.cluster.types.workers import LoadedModel, PlacementRecord, SessionPhase, WorkerRecord
 
 
-def backend(name: str, load: float = 0.0) -> Worker:
+def make_worker(name: str, load: float = 0.0) -> Worker:
     return Worker(name, "llm", f"{name}:1", "z", 64, load)
 
 
-CHOOSER = WorkerSelector("edge", "z", 4 / 64)  # the two candidates are preferred below a load of 4
+SELECTOR = WorkerSelector("edge", "z", 4 / 64)  # the two candidates are preferred below a load of 4
 
 # --- the choice
 
 
 def test_of_the_two_candidates_the_one_with_strictly_lower_load_wins_and_a_tie_goes_to_the_second() -> None:
-    pool = Pool("m1", [backend(f"w{n}") for n in range(6)])
+    pool = Pool("m1", [make_worker(f"w{n}") for n in range(6)])
     first, second = pool.candidates()
-    assert pool.select(0.0, CHOOSER, frozenset()) is second
+    assert pool.select(0.0, SELECTOR, frozenset()) is second
     second.load = 1
-    assert pool.select(0.0, CHOOSER, frozenset()) is first
+    assert pool.select(0.0, SELECTOR, frozenset()) is first
 
 
 def test_load_past_the_threshold_overflows_to_the_least_loaded() -> None:
-    pool = Pool("m0", [backend(f"w{n}", 3) for n in range(6)])
+    pool = Pool("m0", [make_worker(f"w{n}", 3) for n in range(6)])
     other = next(b for b in pool.workers if b not in pool.candidates())
     other.load = 2
     for candidate in pool.candidates():
         candidate.load = 4
-    assert pool.select(0.0, CHOOSER, frozenset()) is other
+    assert pool.select(0.0, SELECTOR, frozenset()) is other
 
 
 def test_who_rests_or_lacks_the_key_or_had_the_request_is_passed_over() -> None:
-    one, two, three = (backend(name) for name in "abc")
+    one, two, three = (make_worker(name) for name in "abc")
     one.backoff_until, two.key_backoff_until = 5.0, {"m0": 5.0}
     pool = Pool("m0", [one, two, three])
-    assert pool.select(1.0, CHOOSER, frozenset()) is three
-    assert pool.select(1.0, CHOOSER, frozenset({"c"})) is None
-    assert pool.select(6.0, CHOOSER, frozenset({"c"})) in (one, two)
+    assert pool.select(1.0, SELECTOR, frozenset()) is three
+    assert pool.select(1.0, SELECTOR, frozenset({"c"})) is None
+    assert pool.select(6.0, SELECTOR, frozenset({"c"})) in (one, two)
 
 
 def record(name: str, phase: SessionPhase = SessionPhase.READY, *holdings: LoadedModel) -> WorkerRecord:
@@ -70,7 +73,7 @@
 
 
 def test_draining_lost_and_gone_workers_get_nothing_and_loads_outlive_a_swap() -> None:
-    old = {"a": PoolMember(backend("a", 3))}
+    old = {"a": PoolMember(make_worker("a", 3))}
     phases = {
         "a": SessionPhase.READY,
         "b": SessionPhase.DRAINING,
@@ -91,7 +94,7 @@
 
 
 def test_a_pool_has_who_holds_the_model_and_the_adapter() -> None:
-    a, b, c = (backend(name) for name in "abc")
+    a, b, c = (make_worker(name) for name in "abc")
     pools = Pools().with_changes(
         {
             "a": PoolMember(a, (LoadedModel("m0", ("a1",)),)),
@@ -126,7 +129,7 @@
     pools, holders, earlier = Pools(), dict[str, PoolMember](), []
     for name, is_there, held in steps:
         holder = PoolMember(
-            backend(name), tuple(LoadedModel(m, ("a1",) if adapter else ()) for m, adapter in held)
+            make_worker(name), tuple(LoadedModel(m, ("a1",) if adapter else ()) for m, adapter in held)
         )
         holders.pop(name, None)
         if is_there:
@@ -143,7 +146,7 @@
 def test_a_change_of_others_leaves_a_pool_as_it_is() -> None:
     key = PoolKey("llm", "m0", "")
     pools = Pools().with_changes(
-        {"a": PoolMember(backend("a"), (LoadedModel("m0"),)), "b": PoolMember(backend("b"))}
+        {"a": PoolMember(make_worker("a"), (LoadedModel("m0"),)), "b": PoolMember(make_worker("b"))}
     )
     pool = pools.pool(key)
     assert (
@@ -156,7 +159,7 @@
 
 
 def test_loads_that_others_told_count_with_the_own_ones() -> None:
-    one, two = backend("a"), backend("b")
+    one, two = make_worker("a"), make_worker("b")
     pools = Pools().with_changes({"a": PoolMember(one), "b": PoolMember(two)})
     one.add_load(1)
     pools.set_peer_loads(0.0, {"b": 5})
@@ -172,8 +175,8 @@
     """Requests by worker when all choose by the same old loads and their own requests."""
     counts = dict.fromkeys(range(workers), 0)
     for number in range(dispatchers):
-        chooser = WorkerSelector(f"edge-{number}", "z", 0.2, Random(number), dispatchers)
-        pool = Pool("m0", [backend(f"w{n}", 5.0 + n % 3) for n in range(workers)])
+        chooser = WorkerSelector(f"edge-{number}", "z", 0.2, dispatchers)
+        pool = Pool("m0", [make_worker(f"w{n}", 5.0 + n % 3) for n in range(workers)])
         for _ in range(requests):
             chosen = pool.select(0.0, chooser, frozenset())
             assert chosen is not None
@@ -190,7 +193,7 @@
 
 def test_one_of_many_dispatchers_keeps_to_few_workers_most_of_them_near() -> None:
     workers = [Worker(f"w{n}", "llm", f"w{n}:1", f"z{n % 5}", 64) for n in range(70)]
-    chooser = WorkerSelector("edge-1", "z3", 0.2, Random(1), 90)
+    chooser = WorkerSelector("edge-1", "z3", 0.2, 90)
     models = [Pool("", workers[first:]) for first in (0, 1, 2)]
     taken: Counter[str] = Counter()
     for number in range(300):
@@ -203,15 +206,15 @@
 
 
 def test_each_of_many_dispatchers_has_two_candidates_of_its_own_and_keeps_them() -> None:
-    pool = Pool("m0", [backend(f"w{n}") for n in range(12)])
-    many = [WorkerSelector(f"edge-{number}", "z", 0.2, Random(1), 90) for number in range(90)]
+    pool = Pool("m0", [make_worker(f"w{n}") for n in range(12)])
+    many = [WorkerSelector(f"edge-{number}", "z", 0.2, 90) for number in range(90)]
     seconds = Counter(pool.candidates(chooser.candidate_salt)[-1].instance for chooser in many)
     assert len(seconds) == 12, "no worker is nobody's candidate"
     assert max(seconds.values()) <= 3 * 90 / 12
     assert all(
         pool.candidates(chooser.candidate_salt) is pool.candidates(chooser.candidate_salt) for chooser in many
     )
-    few = [WorkerSelector(f"edge-{number}", "z", 0.2, Random(1), 6) for number in range(6)]
+    few = [WorkerSelector(f"edge-{number}", "z", 0.2, 6) for number in range(6)]
     assert {pool.candidates(chooser.candidate_salt) for chooser in few} == {pool.candidates()}
 
 
@@ -222,7 +225,7 @@
 
 
 def test_a_candidate_is_preferred_up_to_the_time_that_an_engine_reads_what_it_has() -> None:
-    pool = Pool("m1", [backend(f"w{n}") for n in range(6)])
+    pool = Pool("m1", [make_worker(f"w{n}") for n in range(6)])
     chooser = WorkerSelector("edge", "z", 0.2, affinity_queue_s=0.1)
     first, second = pool.candidates()
     first.add_load(2400.0)
@@ -235,7 +238,7 @@
 
 
 def test_what_others_told_is_read_meanwhile_and_the_own_requests_are_not_taken_for_read() -> None:
-    one = backend("a")
+    one = make_worker("a")
     one.add_load(1000.0)
     one.set_peer_load(5.0, 40_000)
     one.decay_peer_load(5.0, PROMPT.prefill_s_per_token)
@@ -266,21 +269,20 @@
 
 
 def test_few_dispatchers_compare_all_workers() -> None:
-    pool = Pool("", [backend(f"w{n}", 9.0) for n in range(30)])
+    pool = Pool("", [make_worker(f"w{n}", 9.0) for n in range(30)])
     pool.workers[17].load = 1.0
     for dispatchers in (1, 16):
         assert (
-            pool.select(0.0, WorkerSelector("edge", "z", 0.2, Random(1), dispatchers), frozenset())
-            is pool.workers[17]
+            pool.select(0.0, WorkerSelector("edge", "z", 0.2, dispatchers), frozenset()) is pool.workers[17]
         )
 
 
 def test_of_workers_as_busy_as_each_other_one_of_the_own_zone_is_taken() -> None:
-    near, far = backend("b", 2.0), Worker("a", "llm", "a:1", "far", 64, 2.0)
+    near, far = make_worker("b", 2.0), Worker("a", "llm", "a:1", "far", 64, 2.0)
     pool = Pool("", [near, far])
-    assert pool.select(0.0, CHOOSER, frozenset()) is near
+    assert pool.select(0.0, SELECTOR, frozenset()) is near
     far.load = 1.0
-    assert pool.select(0.0, CHOOSER, frozenset()) is far
+    assert pool.select(0.0, SELECTOR, frozenset()) is far
 
 
 # --- budgets
--- a/tests/cluster/test_worker_client.py
+++ b/tests/cluster/test_worker_client.py
@@ -8,9 +8,9 @@
 from finchladder.cluster.process.worker_client import (
     CALL_TIMEOUT_S,
     HEALTH_PATH,
-    INSTANCE_ID_HEADER,
     WorkerClient,
 )
+from finchladder.cluster.routing.headers import INSTANCE_ID_HEADER
 from finchladder.cluster.transport.http_server import Listener
 from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.worker_api import OrderRequest
