--- a/tests/cluster/test_exchange.py
+++ b/tests/cluster/test_exchange.py
@@ -20,7 +20,7 @@
 from finchladder.cluster.transport.peers import PeerClient
 from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.messages import ReadState, StateReply, encoder
-from tests.cluster.test_router import Bench, StandInWorker, bench, plain, played
+from tests.cluster.test_router import RouterHarness, StandInWorker, respond, router_harness, run_with_timeout
 
 BODY = b"id: 1\ndata: x\n\nid: 2\ndata: y\n\n"
 HEAD = b"HTTP/1.1 200 OK\r\nX-Finchladder-Request-Id: id-1\r\nX-Finchladder-Response-Signature: s\r\n"
@@ -217,12 +217,12 @@
 
 
 async def with_scripted(
-    script: Script, others: list[StandInWorker], work: Callable[[Bench], Awaitable[None]]
+    script: Script, others: list[StandInWorker], work: Callable[[RouterHarness], Awaitable[None]]
 ) -> None:
     """Runs `work` before a router whose preferred worker is scripted."""
     server = await asyncio.start_server(script.serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
-    async with bench(*others) as b:
+    async with router_harness(*others) as b:
         backend = Worker("i-scripted", "s", f"{host}:{port}", "z", 4, -1.0)
         b.router.pools = b.router.pools.with_changes({"i-scripted": PoolMember(backend)})
         await work(b)
@@ -230,7 +230,7 @@
     server.close()
 
 
-async def outcome(b: Bench, path: str, body: bytes = b"{}") -> tuple[int, bytes | None]:
+async def outcome(b: RouterHarness, path: str, body: bytes = b"{}") -> tuple[int, bytes | None]:
     """Status and body as a client has them; no body if it broke off."""
     async with b.send(path, body) as response:
         try:
@@ -247,15 +247,15 @@
 ) -> None:
     sent = round(share * len(framing.whole))
     script = Script(framing.whole[:sent], ending)
-    spare = StandInWorker(plain)
+    spare = StandInWorker(respond)
 
-    async def check(b: Bench) -> None:
+    async def check(b: RouterHarness) -> None:
         expected = whole_body(framing, sent, ending)
         status, body = await outcome(b, "/once/")
         assert (status, body) == (200, expected) if expected is not None else status == 502
         assert (script.requests, spare.requests) == (1, [])
 
-    played(lambda: with_scripted(script, [spare], check))
+    run_with_timeout(lambda: with_scripted(script, [spare], check))
 
 
 @pytest.mark.parametrize(("ending", "body"), [(FIN, BODY), (RESET, None)])
@@ -265,11 +265,11 @@
 ) -> None:
     script = Script(UNFRAMED.whole, ending)
 
-    async def check(b: Bench) -> None:
+    async def check(b: RouterHarness) -> None:
         status, got = await outcome(b, path)
         assert got == body and (status == 200 or body is None)
 
-    played(lambda: with_scripted(script, [], check))
+    run_with_timeout(lambda: with_scripted(script, [], check))
 
 
 def test_a_worker_that_answers_before_the_body_is_in_gets_nothing_in_its_place() -> None:
@@ -278,16 +278,16 @@
         b"Content-Length: 0\r\n\r\n"
     )
     script = Script(refusal, "keep", reads_body=False)
-    spare = StandInWorker(plain)
+    spare = StandInWorker(respond)
 
-    async def check(b: Bench) -> None:
+    async def check(b: RouterHarness) -> None:
         b.router.snapshot = evolve(b.router.snapshot, max_body_bytes=64 << 20)
         body = b"x" * (16 << 20)
         assert (await outcome(b, "/once/", body))[0] == 200
         assert [len(sent) for _, _, sent in spare.requests] == [len(body)]
         assert script.requests == 1
 
-    played(lambda: with_scripted(script, [spare], check))
+    run_with_timeout(lambda: with_scripted(script, [spare], check))
     (rest,) = script.rested
     assert set(rest) <= set(b"x"), "another request followed on a connection with an unfinished one"
 
@@ -296,11 +296,11 @@
 def test_an_answer_that_names_no_request_is_no_answer(status: bytes) -> None:
     script = Script(b"HTTP/1.1 " + status + b"\r\nContent-Length: 0\r\n\r\n", "keep")
 
-    async def check(b: Bench) -> None:
+    async def check(b: RouterHarness) -> None:
         assert (await outcome(b, "/once/"))[0] == 502
         assert script.requests == 1
 
-    played(lambda: with_scripted(script, [StandInWorker(plain)], check))
+    run_with_timeout(lambda: with_scripted(script, [StandInWorker(respond)], check))
 
 
 @pytest.mark.parametrize(("code", "status"), [(400, 200), (503, 502)])
@@ -310,21 +310,21 @@
     head = b"HTTP/1.1 %d No\r\nX-Finchladder-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n" % code
     script = Script(head, FIN)
 
-    async def check(b: Bench) -> None:
+    async def check(b: RouterHarness) -> None:
         assert (await outcome(b, "/once/"))[0] == status
 
-    played(lambda: with_scripted(script, [StandInWorker(plain)], check))
+    run_with_timeout(lambda: with_scripted(script, [StandInWorker(respond)], check))
 
 
 def test_a_connection_with_a_second_answer_carries_no_other_request() -> None:
     script = Script(COUNTED.whole * 2, "keep")
 
-    async def check(b: Bench) -> None:
+    async def check(b: RouterHarness) -> None:
         assert await outcome(b, "/once/") == (200, BODY)
         assert await outcome(b, "/once/") == (200, BODY)
         assert script.requests == 2
 
-    played(lambda: with_scripted(script, [], check))
+    run_with_timeout(lambda: with_scripted(script, [], check))
     assert script.rested == [b"", b""]
 
 
@@ -357,4 +357,4 @@
         if framed:
             assert await call(whole[:-1]) is None
 
-    played(work)
+    run_with_timeout(work)
--- a/tests/cluster/test_router.py
+++ b/tests/cluster/test_router.py
@@ -1,4 +1,4 @@
-"""The data plane on real sockets: what reaches a worker, what comes back, and what a failure is answered."""
+"""The data plane on real sockets: forwarded requests and responses, and the response to each failure."""
 
 import asyncio
 import json
@@ -23,8 +23,8 @@
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.workers import LoadedModel
 
-ID = "X-Finchladder-Request-Id"
-STAMP = "X-Finchladder-Response-Signature"
+REQUEST_ID_HEADER = "X-Finchladder-Request-Id"
+SIGNATURE_HEADER = "X-Finchladder-Response-Signature"
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
@@ -53,15 +53,15 @@
 }
 
 
-def answer(
+def worker_response(
     request: web.BaseRequest, body: bytes = b"done", status: int = 200, **headers: str
 ) -> web.Response:
-    stamped = {ID: request.headers[ID], STAMP: "stamp", **headers}
+    stamped = {REQUEST_ID_HEADER: request.headers[REQUEST_ID_HEADER], SIGNATURE_HEADER: "stamp", **headers}
     return web.Response(status=status, body=body, headers=stamped)
 
 
 class StandInWorker:
-    """A stand-in worker; `seen` holds path, headers and body of each request."""
+    """A stand-in worker; `requests` has path, headers and body of each request."""
 
     def __init__(self, *handlers: Handler) -> None:
         self.handlers = list(handlers)
@@ -73,20 +73,27 @@
         return await self.handlers[min(len(self.requests), len(self.handlers)) - 1](request)
 
 
-class Bench:
-    """A router before stand-in workers."""
+class RouterHarness:
+    """A router with stand-in workers."""
 
     def __init__(self, router: Router, listener: Listener, client: aiohttp.ClientSession) -> None:
         self.router, self.listener, self.client = router, listener, client
 
     def send(self, path: str | URL, body: bytes | None = b"{}", **headers: str) -> Any:
-        sent = {"Host": "a.example", ID: "id-1", "X-Finchladder-Deadline-Ms": "2500", **headers}
+        sent = {
+            "Host": "a.example",
+            REQUEST_ID_HEADER: "id-1",
+            "X-Finchladder-Deadline-Ms": "2500",
+            **headers,
+        }
         url = URL(f"http://{self.listener.bound}{path}", encoded=True)
         return self.client.post(url, data=body, headers=sent)
 
 
 @asynccontextmanager
-async def bench(*workers: StandInWorker, absent: bool = False) -> AsyncIterator[Bench]:
+async def router_harness(
+    *workers: StandInWorker, is_first_unreachable: bool = False
+) -> AsyncIterator[RouterHarness]:
     listeners = [Listener(w.handle, "127.0.0.1:0") for w in workers]
     for listener in listeners:
         await listener.start()
@@ -99,25 +106,25 @@
         DemandCounter(),
     )
     router.snapshot = build_snapshot(json.dumps(DOCUMENT).encode())
-    holders = {
+    members = {
         f"i-{n}": PoolMember(Worker(f"i-{n}", "s", listener.bound, "z", 4, float(n)))
         for n, listener in enumerate(listeners)
     }
-    if absent:
+    if is_first_unreachable:
         await listeners[0].stop()
-    router.pools = Pools().with_changes(holders)
-    front = Listener(router.handle, "127.0.0.1:0", cancels=True)
-    await front.start()
+    router.pools = Pools().with_changes(members)
+    frontend = Listener(router.handle, "127.0.0.1:0", cancels=True)
+    await frontend.start()
     unsent = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
     async with aiohttp.ClientSession(skip_auto_headers=unsent) as client:
-        yield Bench(router, front, client)
-    await front.stop()
+        yield RouterHarness(router, frontend, client)
+    await frontend.stop()
     await session.close()
     for listener in listeners:
         await listener.stop()
 
 
-def played(work: Callable[[], Awaitable[None]]) -> None:
+def run_with_timeout(work: Callable[[], Awaitable[None]]) -> None:
     async def main() -> None:
         async with asyncio.timeout(20):
             await work()
@@ -125,40 +132,46 @@
     asyncio.run(main())
 
 
-async def plain(request: web.BaseRequest) -> web.StreamResponse:
-    return answer(request, b"\x00whole\xff", Other="kept")
+async def respond(request: web.BaseRequest) -> web.StreamResponse:
+    return worker_response(request, b"\x00whole\xff", Other="kept")
 
 
 def not_executed(status: int) -> Handler:
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
-        return answer(request, b"", status, **{"X-Finchladder-Not-Executed": "1", "Retry-After": "0.7"})
+        return worker_response(
+            request, b"", status, **{"X-Finchladder-Not-Executed": "1", "Retry-After": "0.7"}
+        )
 
     return handle
 
 
-async def broken(request: web.BaseRequest) -> web.StreamResponse:
+async def abort(request: web.BaseRequest) -> web.StreamResponse:
     assert request.transport is not None
     request.transport.abort()
     return web.Response()
 
 
-async def of_another(request: web.BaseRequest) -> web.StreamResponse:
-    return web.Response(body=b"not yours", headers={ID: "id-0", STAMP: "stamp"})
+async def respond_to_another_request(request: web.BaseRequest) -> web.StreamResponse:
+    return web.Response(body=b"not yours", headers={REQUEST_ID_HEADER: "id-0", SIGNATURE_HEADER: "stamp"})
 
 
-async def unsigned(request: web.BaseRequest) -> web.StreamResponse:
-    return web.Response(body=b"?", headers={ID: request.headers[ID]})
+async def respond_unsigned(request: web.BaseRequest) -> web.StreamResponse:
+    return web.Response(body=b"?", headers={REQUEST_ID_HEADER: request.headers[REQUEST_ID_HEADER]})
 
 
-async def silent(request: web.BaseRequest) -> web.StreamResponse:
+async def never_respond(request: web.BaseRequest) -> web.StreamResponse:
     await asyncio.Event().wait()
     return web.Response()
 
 
-async def streamed(
+async def stream_events(
     request: web.BaseRequest, first: int, last: int, breaks: bytes | None
 ) -> web.StreamResponse:
-    headers = {ID: request.headers[ID], STAMP: f"stamp-{first}", "Content-Type": "text/event-stream"}
+    headers = {
+        REQUEST_ID_HEADER: request.headers[REQUEST_ID_HEADER],
+        SIGNATURE_HEADER: f"stamp-{first}",
+        "Content-Type": "text/event-stream",
+    }
     response = web.StreamResponse(headers=headers)
     response.enable_chunked_encoding()
     await response.prepare(request)
@@ -171,253 +184,271 @@
     return response
 
 
-async def whole_stream(request: web.BaseRequest) -> web.StreamResponse:
-    return await streamed(request, 1, 4, None)
+async def complete_stream(request: web.BaseRequest) -> web.StreamResponse:
+    return await stream_events(request, 1, 4, None)
 
 
-async def broken_stream(request: web.BaseRequest) -> web.StreamResponse:
-    return await streamed(request, 1, 2, b"id: 3\nda")
+async def cut_off_stream(request: web.BaseRequest) -> web.StreamResponse:
+    return await stream_events(request, 1, 2, b"id: 3\nda")
 
 
-async def rest_of_stream(request: web.BaseRequest) -> web.StreamResponse:
-    return await streamed(request, int(request.headers["Last-Event-Id"]) + 1, 4, None)
+async def resumed_stream(request: web.BaseRequest) -> web.StreamResponse:
+    return await stream_events(request, int(request.headers["Last-Event-Id"]) + 1, 4, None)
 
 
-def test_a_request_goes_on_untouched_and_its_answer_comes_back_whole() -> None:
+def test_request_and_response_are_forwarded_unchanged() -> None:
     async def work() -> None:
-        worker = StandInWorker(plain)
+        worker = StandInWorker(respond)
         path = URL("/once/a%2Fb?q=%20+&z", encoded=True)
-        async with bench(worker) as b, b.send(path, b"\x01body", Own="1", Connection="close") as response:
+        async with (
+            router_harness(worker) as harness,
+            harness.send(path, b"\x01body", Own="1", Connection="close") as response,
+        ):
             assert (response.status, await response.read()) == (200, b"\x00whole\xff")
-            assert (response.headers[STAMP], response.headers["Other"]) == ("stamp", "kept")
+            assert (response.headers[SIGNATURE_HEADER], response.headers["Other"]) == ("stamp", "kept")
         ((raw_path, headers, body),) = worker.requests
         assert (raw_path, body) == ("/once/a%2Fb?q=%20+&z", b"\x01body")
-        assert (headers["Own"], headers["Host"], headers[ID]) == ("1", "a.example", "id-1")
+        assert (headers["Own"], headers["Host"], headers[REQUEST_ID_HEADER]) == ("1", "a.example", "id-1")
         assert headers["X-Finchladder-Expected-Instance"] == "i-0"
         assert 0 < int(headers["X-Finchladder-Deadline-Ms"]) <= 2500
         added = {"X-Finchladder-Expected-Instance"}
-        assert set(headers) - added == {"Host", "Own", "Content-Length", ID, "X-Finchladder-Deadline-Ms"}
+        assert set(headers) - added == {
+            "Host",
+            "Own",
+            "Content-Length",
+            REQUEST_ID_HEADER,
+            "X-Finchladder-Deadline-Ms",
+        }
 
-    played(work)
+    run_with_timeout(work)
 
 
 @pytest.mark.parametrize("path", ["/once/a", "/nowhere/"])
-def test_who_may_have_an_old_configuration_refuses_all_requests(path: str) -> None:
+def test_a_dispatcher_with_a_stale_configuration_rejects_all_requests(path: str) -> None:
     async def work() -> None:
-        worker = StandInWorker(plain)
-        async with bench(worker) as b:
-            b.router.is_configuration_stale = lambda: True
-            async with b.send(path, b"body") as response:
+        worker = StandInWorker(respond)
+        async with router_harness(worker) as harness:
+            harness.router.is_configuration_stale = lambda: True
+            async with harness.send(path, b"body") as response:
                 assert response.status == 503
                 assert float(response.headers["Retry-After"]) > 0
-            b.router.is_configuration_stale = lambda: False
-            async with b.send("/once/a", b"body") as response:
+            harness.router.is_configuration_stale = lambda: False
+            async with harness.send("/once/a", b"body") as response:
                 assert response.status == 200
         assert len(worker.requests) == 1
 
-    played(work)
+    run_with_timeout(work)
 
 
-def test_without_a_route_the_answer_is_404_and_a_large_body_413() -> None:
+def test_a_request_without_route_gets_404_and_a_large_body_413() -> None:
     async def work() -> None:
-        worker = StandInWorker(plain)
-        async with bench(worker) as b:
-            async with b.send("/nowhere/") as response:
+        worker = StandInWorker(respond)
+        async with router_harness(worker) as harness:
+            async with harness.send("/nowhere/") as response:
                 assert response.status == 404
-            async with b.send("/once/", b"x" * 1001) as response:
+            async with harness.send("/once/", b"x" * 1001) as response:
                 assert response.status == 413
         assert worker.requests == []
 
-    played(work)
+    run_with_timeout(work)
 
 
 @pytest.mark.parametrize(
     ("path", "first", "status", "sent"),
     [
-        ("/once/", plain, 200, 1),
+        ("/once/", respond, 200, 1),
         ("/once/", not_executed(503), 200, 2),
         ("/once/", not_executed(421), 200, 2),
-        ("/once/", broken, 502, 1),
-        ("/once/", of_another, 502, 1),
-        ("/once/", unsigned, 502, 1),
-        ("/quick/", silent, 504, 1),
+        ("/once/", abort, 502, 1),
+        ("/once/", respond_to_another_request, 502, 1),
+        ("/once/", respond_unsigned, 502, 1),
+        ("/quick/", never_respond, 504, 1),
         ("/quick/", not_executed(503), 503, 1),
-        ("/again/", broken, 200, 2),
-        ("/again/", of_another, 200, 2),
+        ("/again/", abort, 200, 2),
+        ("/again/", respond_to_another_request, 200, 2),
     ],
 )
-def test_what_becomes_of_a_request_whose_first_worker_fails(
+def test_status_and_attempts_after_the_first_worker_fails(
     path: str, first: Handler, status: int, sent: int
 ) -> None:
     async def work() -> None:
-        one, two = StandInWorker(first), StandInWorker(plain)
-        async with bench(one, two) as b, b.send(path) as response:
+        first_worker, second_worker = StandInWorker(first), StandInWorker(respond)
+        async with router_harness(first_worker, second_worker) as harness, harness.send(path) as response:
             assert response.status == status
             assert ("Retry-After" in response.headers) == (status == 503)
-        assert len(one.requests) + len(two.requests) == sent
+        assert len(first_worker.requests) + len(second_worker.requests) == sent
 
-    played(work)
+    run_with_timeout(work)
 
 
-def test_a_refused_client_counts_as_waiting_until_it_may_be_back() -> None:
-    """Else what it needs is loaded for nobody, or not at all, and its next try is refused as well."""
+def test_a_rejected_client_counts_as_queued_until_it_may_have_retried() -> None:
+    """Else its model is loaded for nobody, or not at all, and its retry is rejected as well."""
 
     async def work() -> None:
-        async with bench(StandInWorker(plain)) as it:
+        async with router_harness(StandInWorker(respond)) as harness:
             waiting = {"X-Finchladder-Model": "m9", "X-Finchladder-Deadline-Ms": "100"}
-            async with it.send("/once/x", b"{}", **waiting) as response:
+            async with harness.send("/once/x", b"{}", **waiting) as response:
                 assert response.status == 503
                 back_s = float(response.headers["Retry-After"])
             now = steady()
-            assert [(d.model, d.queued) for d in it.router.demand.collect(now)] == [("m9", 1)]
-            assert [(d.model, d.queued) for d in it.router.demand.collect(now + back_s)] == [("m9", 1)]
-            assert it.router.demand.collect(now + back_s + CLIENT_RETRY_GRACE_S) == ()
+            assert [(d.model, d.queued) for d in harness.router.demand.collect(now)] == [("m9", 1)]
+            assert [(d.model, d.queued) for d in harness.router.demand.collect(now + back_s)] == [("m9", 1)]
+            assert harness.router.demand.collect(now + back_s + CLIENT_RETRY_GRACE_S) == ()
 
-    played(work)
+    run_with_timeout(work)
 
 
-def test_what_runs_where_is_told_while_it_runs() -> None:
+def test_model_uses_are_reported_while_requests_are_in_flight() -> None:
     async def work() -> None:
         seen: list[tuple[str, int]] = []
 
-        async def looked_at(request: web.BaseRequest) -> web.StreamResponse:
-            seen.extend((use.model, use.requests) for use in it.router.demand.model_uses())
-            return answer(request)
+        async def record_model_uses(request: web.BaseRequest) -> web.StreamResponse:
+            seen.extend((use.model, use.requests) for use in harness.router.demand.model_uses())
+            return worker_response(request)
 
-        async with bench(StandInWorker(looked_at)) as it:
-            holder = next(iter(it.router.pools.members.values()))
-            it.router.pools = Pools().with_changes(
-                {"i-0": PoolMember(holder.worker, (LoadedModel("m1", ("a1",)),))}
+        async with router_harness(StandInWorker(record_model_uses)) as harness:
+            member = next(iter(harness.router.pools.members.values()))
+            harness.router.pools = Pools().with_changes(
+                {"i-0": PoolMember(member.worker, (LoadedModel("m1", ("a1",)),))}
             )
-            async with it.send("/once/x", b"{}", **{"X-Finchladder-Model": "m1/a1"}) as response:
+            async with harness.send("/once/x", b"{}", **{"X-Finchladder-Model": "m1/a1"}) as response:
                 assert response.status == 200
             assert seen == [("m1", 1)]
-            assert it.router.demand.model_uses() == ()
+            assert harness.router.demand.model_uses() == ()
 
-    played(work)
+    run_with_timeout(work)
 
 
-def test_a_worker_that_cannot_be_reached_costs_no_attempt() -> None:
+def test_a_connect_failure_does_not_count_as_an_attempt() -> None:
     async def work() -> None:
-        one, two = StandInWorker(plain), StandInWorker(plain)
-        async with bench(one, two, absent=True) as b, b.send("/quick/") as response:
+        first_worker, second_worker = StandInWorker(respond), StandInWorker(respond)
+        async with (
+            router_harness(first_worker, second_worker, is_first_unreachable=True) as harness,
+            harness.send("/quick/") as response,
+        ):
             assert response.status == 200
-        assert (len(one.requests), len(two.requests)) == (0, 1)
+        assert (len(first_worker.requests), len(second_worker.requests)) == (0, 1)
 
-    played(work)
+    run_with_timeout(work)
 
 
-def test_a_workers_failure_goes_back_with_its_status() -> None:
+def test_an_error_response_of_a_worker_is_forwarded() -> None:
     async def failing(request: web.BaseRequest) -> web.StreamResponse:
-        return answer(request, b"oops", 500)
+        return worker_response(request, b"oops", 500)
 
     async def work() -> None:
-        async with bench(StandInWorker(failing)) as b, b.send("/again/") as response:
+        async with router_harness(StandInWorker(failing)) as harness, harness.send("/again/") as response:
             assert (response.status, await response.read()) == (500, b"oops")
-            assert response.headers[STAMP] == "stamp"
+            assert response.headers[SIGNATURE_HEADER] == "stamp"
 
-    played(work)
+    run_with_timeout(work)
 
 
-def test_a_stream_is_passed_on_to_its_end() -> None:
+def test_a_stream_is_relayed_to_its_end() -> None:
     async def work() -> None:
-        async with bench(StandInWorker(whole_stream)) as b, b.send("/stream/") as response:
+        async with (
+            router_harness(StandInWorker(complete_stream)) as harness,
+            harness.send("/stream/") as response,
+        ):
             assert (await response.read()).count(b"id: ") == 4
 
-    played(work)
+    run_with_timeout(work)
 
 
-def test_a_stream_that_breaks_off_does_not_look_complete() -> None:
+def test_a_stream_that_is_cut_off_does_not_look_complete() -> None:
     async def work() -> None:
         async with (
-            bench(StandInWorker(broken_stream), StandInWorker(whole_stream)) as b,
-            b.send("/stream/") as response,
+            router_harness(StandInWorker(cut_off_stream), StandInWorker(complete_stream)) as harness,
+            harness.send("/stream/") as response,
         ):
             assert response.status == 200
             with pytest.raises(aiohttp.ClientError):
                 await response.read()
 
-    played(work)
+    run_with_timeout(work)
 
 
-def test_a_resumable_stream_is_taken_up_after_its_last_whole_event() -> None:
+def test_a_resumable_stream_is_resumed_after_its_last_complete_event() -> None:
     async def work() -> None:
         passed_on = asyncio.Event()
 
         async def breaks_later(request: web.BaseRequest) -> web.StreamResponse:
-            response = await streamed(request, 1, 2, None)
+            response = await stream_events(request, 1, 2, None)
             await response.write(b"id: 3\nda")
             await passed_on.wait()
-            return await broken(request)
+            return await abort(request)
 
-        one, two = StandInWorker(breaks_later), StandInWorker(rest_of_stream)
-        async with bench(one, two) as b, b.send("/resumed/") as response:
+        first_worker, second_worker = StandInWorker(breaks_later), StandInWorker(resumed_stream)
+        async with (
+            router_harness(first_worker, second_worker) as harness,
+            harness.send("/resumed/") as response,
+        ):
             events = [await response.content.readuntil(b"\n\n") for _ in range(2)]
             passed_on.set()
             events.append(await response.content.read())
-            assert response.headers[STAMP] == "stamp-1"
+            assert response.headers[SIGNATURE_HEADER] == "stamp-1"
         assert b"".join(events) == b"".join(b"id: %d\ndata: x\n\n" % n for n in (1, 2, 3, 4))
-        assert two.requests[0][1]["Last-Event-ID"] == "2"
+        assert second_worker.requests[0][1]["Last-Event-ID"] == "2"
 
-    played(work)
+    run_with_timeout(work)
 
 
-def test_a_leaving_dispatcher_closes_idle_connections_and_answers_the_others() -> None:
+def test_a_draining_dispatcher_closes_idle_connections_and_responds_on_the_others() -> None:
     async def work() -> None:
         began = asyncio.Event()
 
         async def slow(request: web.BaseRequest) -> web.StreamResponse:
             began.set()
-            return await silent(request)
+            return await never_respond(request)
 
-        async with bench(StandInWorker(plain, slow)) as b:
-            async with b.send("/once/") as response:
+        async with router_harness(StandInWorker(respond, slow)) as harness:
+            async with harness.send("/once/") as response:
                 assert response.status == 200
-            reader, writer = await asyncio.open_connection(*b.listener.bound.split(":"))
+            reader, writer = await asyncio.open_connection(*harness.listener.bound.split(":"))
             writer.write(b"GET /nowhere/ HTTP/1.1\r\nHost: a.example\r\n\r\n")
             assert b" 404 " in await reader.readline()
-            pending = asyncio.create_task(b.send("/once/").__aenter__())
+            pending = asyncio.create_task(harness.send("/once/").__aenter__())
             await began.wait()
             now = asyncio.get_running_loop().time()
-            b.router.drain(now, now)
-            b.listener.close_idle()
+            harness.router.drain(now, now)
+            harness.listener.close_idle()
             while await reader.readline():
                 pass
             writer.close()
-            b.router.expire_open_timeouts()
+            harness.router.expire_open_timeouts()
             last = await pending
             assert (last.status, last.headers["Connection"]) == (504, "close")
 
-    played(work)
+    run_with_timeout(work)
 
 
-def test_what_waits_for_a_worker_when_the_dispatcher_leaves_is_refused() -> None:
+def test_a_queued_request_is_rejected_when_the_queue_closes() -> None:
     async def work() -> None:
-        async with bench() as b:
+        async with router_harness() as harness:
             now = asyncio.get_running_loop().time()
-            b.router.drain(now, now)
-            async with b.send("/once/") as response:
+            harness.router.drain(now, now)
+            async with harness.send("/once/") as response:
                 assert (response.status, "Retry-After" in response.headers) == (503, True)
 
-    played(work)
+    run_with_timeout(work)
 
 
 @pytest.mark.parametrize(
     ("late", "left_s", "path", "status"),
     [(True, 1.0, "/quick/", 200), (True, 1.0, "/stream/", 503), (False, 1.0, "/stream/", 200)],
 )
-def test_what_comes_late_to_a_leaving_dispatcher_is_taken_only_if_it_ends_in_time(
+def test_a_late_request_during_shutdown_is_accepted_only_if_it_ends_in_time(
     late: bool, left_s: float, path: str, status: int
 ) -> None:
     """A deadline of 150 ms ends before the process does, one of 2.5 s may not."""
 
     async def work() -> None:
-        worker = StandInWorker(plain)
-        async with bench(worker) as b:
+        worker = StandInWorker(respond)
+        async with router_harness(worker) as harness:
             now = asyncio.get_running_loop().time()
-            b.router.drain(now if late else now + left_s, now + left_s)
-            async with b.send(path) as response:
+            harness.router.drain(now if late else now + left_s, now + left_s)
+            async with harness.send(path) as response:
                 assert (response.status, "Retry-After" in response.headers) == (status, status == 503)
         assert len(worker.requests) == (status == 200)
 
-    played(work)
+    run_with_timeout(work)
