--- a/finchladder/cluster/process/attempt.py
+++ b/finchladder/cluster/process/attempt.py
@@ -66,8 +66,8 @@
     response: aiohttp.ClientResponse
 
 
-Failure = NotSent | NotExecuted | Broken | TimedOut
-Outcome = Failure | Responded
+FailedAttempt = NotSent | NotExecuted | Broken | TimedOut
+Outcome = FailedAttempt | Responded
 
 DEADLINE_PASSED = NotSent("its time is over")
 
--- a/finchladder/cluster/process/in_flight.py
+++ b/finchladder/cluster/process/in_flight.py
@@ -10,12 +10,14 @@
     """Context manager that adds a request to a worker's load and to the demand while an attempt runs."""
 
     def __init__(self, demand: DemandCounter, request: ClassifiedRequest, worker: Worker) -> None:
+        """Prepares the accounting; nothing is counted before the context is entered."""
         self._demand = demand
         self._request = request
         self._worker = worker
         self._load = demand.request_cost(request).load
 
     def __enter__(self) -> "InFlightRequest":
+        """Adds the request to the worker's load and to the demand."""
         self._was_idle = self._worker.load <= 0
         self._started_at = steady()
         self._worker.add_load(self._load)
@@ -33,5 +35,6 @@
         self._load = decode_load
 
     def __exit__(self, *_: object) -> None:
+        """Removes what is left of the request's load."""
         self._worker.add_load(-self._load)
         self._demand.add_in_flight(self._request.key, self._worker.instance, -1)
--- a/finchladder/cluster/process/router.py
+++ b/finchladder/cluster/process/router.py
@@ -17,7 +17,7 @@
 from finchladder.cluster.process.attempt import (
     AdmittedRequest,
     Broken,
-    Failure,
+    FailedAttempt,
     NotExecuted,
     NotSent,
     OutgoingRequest,
@@ -60,7 +60,7 @@
     attempted: frozenset[str] = frozenset()
     connect_failures: int = 0
 
-    def record(self, worker: Worker, failure: Failure) -> None:
+    def record(self, worker: Worker, failure: FailedAttempt) -> None:
         """Adds an attempt that failed."""
         if isinstance(failure, NotSent):
             self.connect_failures += 1
@@ -94,6 +94,7 @@
     open_requests: int = 0
 
     def __attrs_post_init__(self) -> None:
+        """Makes the queue and the sender, which share this router's parts."""
         self.queue = RequestQueue(self.selector, self.dispatcher_count, self.demand)
         self.sender = AttemptSender(self.session, self.queue, self.make_retry_budget, self.dispatcher_count)
 
@@ -220,7 +221,7 @@
                 return response
 
     def _response_unless_retried(
-        self, request: AdmittedRequest, history: AttemptHistory, failure: Failure
+        self, request: AdmittedRequest, history: AttemptHistory, failure: FailedAttempt
     ) -> web.StreamResponse | None:
         """The response after a failed attempt; None if the request may be sent to another worker."""
         may_retry = len(history.attempted) < request.route.max_attempts
--- a/finchladder/cluster/process/stream_relay.py
+++ b/finchladder/cluster/process/stream_relay.py
@@ -30,6 +30,7 @@
     events: EventBuffer | None = field(init=False)
 
     def __attrs_post_init__(self) -> None:
+        """Buffers events only if the stream can be resumed."""
         self.events = EventBuffer() if self.request.route.resumable else None
 
     async def relay(self, worker: Worker, response: aiohttp.ClientResponse) -> web.StreamResponse:
--- a/finchladder/cluster/process/worker_backoff.py
+++ b/finchladder/cluster/process/worker_backoff.py
@@ -2,7 +2,7 @@
 
 from http import HTTPStatus
 
-from finchladder.cluster.process.attempt import Failure, NotExecuted
+from finchladder.cluster.process.attempt import FailedAttempt, NotExecuted
 from finchladder.cluster.process.log import event
 from finchladder.cluster.routing.requests import ClassifiedRequest
 from finchladder.cluster.routing.workers import Worker
@@ -15,7 +15,7 @@
 MAX_FAILURE_BACKOFF_S = 4.0
 
 
-def record_failure(worker: Worker, request: ClassifiedRequest, failure: Failure) -> None:
+def record_failure(worker: Worker, request: ClassifiedRequest, failure: FailedAttempt) -> None:
     """Lets a worker back off: for the request's key if it rejected the request, else exponentially."""
     now = steady()
     if isinstance(failure, NotExecuted):
--- a/finchladder/cluster/process/worker_client.py
+++ b/finchladder/cluster/process/worker_client.py
@@ -34,6 +34,7 @@
     """Calls workers over kept connections; a control process has one."""
 
     def __init__(self) -> None:
+        """Opens no connection yet; needs a running event loop."""
         self._session = make_session(keepalive_s=KEEPALIVE_S)
 
     async def order(self, address: str, instance: str, body: OrderRequest, timeout_s: float) -> int:
--- a/finchladder/cluster/routing/event_stream.py
+++ b/finchladder/cluster/routing/event_stream.py
@@ -8,6 +8,7 @@
     """Releases complete events and remembers the last event id. Memory: one incomplete event."""
 
     def __init__(self) -> None:
+        """Starts before the first byte of a stream."""
         self._incomplete = b""
         self.last_event_id = ""
 
--- a/finchladder/cluster/routing/pools.py
+++ b/finchladder/cluster/routing/pools.py
@@ -29,6 +29,7 @@
     """The ready workers that have what a key needs; immutable but for the state of its workers."""
 
     def __init__(self, name: str, workers: Iterable[Worker]) -> None:
+        """Sorts the workers by instance. `name`: of the pool key."""
         self.name = name
         self.workers = tuple(sorted(workers, key=lambda worker: worker.instance))
         self._candidates_by_salt: dict[str, tuple[Worker, ...]] = {}
--- a/tests/cluster/test_worker_client.py
+++ b/tests/cluster/test_worker_client.py
@@ -1,4 +1,4 @@
-"""What core processes ask workers, on real sockets."""
+"""The client of control processes to workers, on real sockets."""
 
 import asyncio
 
@@ -16,22 +16,22 @@
 from finchladder.cluster.types.worker_api import OrderRequest
 
 
-def asked_whether_there(status: int, named: str) -> tuple[bool, bool]:
-    """Whether i-1 is there: while a worker answers with that status and name, and once it has gone."""
+def is_running_before_and_after_stop(status: int, instance: str) -> tuple[bool, bool]:
+    """Whether i-1 runs, while a worker responds with that status and instance, and after it stopped."""
 
     async def healthz(request: web.BaseRequest) -> web.StreamResponse:
         assert request.path == HEALTH_PATH
-        return web.Response(status=status, headers={INSTANCE_ID_HEADER: named})
+        return web.Response(status=status, headers={INSTANCE_ID_HEADER: instance})
 
     async def work() -> tuple[bool, bool]:
         worker, client = Listener(healthz, "127.0.0.1:0"), WorkerClient()
         await worker.start()
         address = worker.bound
-        there = await client.is_running(address, "i-1")
+        before = await client.is_running(address, "i-1")
         await worker.stop()
-        gone = await client.is_running(address, "i-1")
+        after = await client.is_running(address, "i-1")
         await client.close()
-        return there, gone
+        return before, after
 
     async def bounded() -> tuple[bool, bool]:
         async with asyncio.timeout(20):
@@ -40,16 +40,16 @@
     return asyncio.run(bounded())
 
 
-def test_an_instance_is_there_if_it_answers_whatever_its_health() -> None:
-    assert asked_whether_there(200, "i-1") == (True, False)
-    assert asked_whether_there(503, "i-1") == (True, False)
+def test_an_instance_runs_if_it_responds_whatever_its_health() -> None:
+    assert is_running_before_and_after_stop(200, "i-1") == (True, False)
+    assert is_running_before_and_after_stop(503, "i-1") == (True, False)
 
 
-def test_another_instance_at_the_address_is_not_the_one_that_was_asked_for() -> None:
-    assert asked_whether_there(200, "i-2") == (False, False)
+def test_another_instance_at_the_address_does_not_count() -> None:
+    assert is_running_before_and_after_stop(200, "i-2") == (False, False)
 
 
-def test_an_order_is_given_up_when_its_time_is_over() -> None:
+def test_an_order_times_out() -> None:
     async def silent(request: web.BaseRequest) -> web.StreamResponse:
         await asyncio.Event().wait()
         return web.Response()
