--- a/finchladder/cluster/process/attempt_sender.py
+++ b/finchladder/cluster/process/attempt_sender.py
@@ -1,7 +1,7 @@
 """Sends attempts within their deadlines and this dispatcher's retry budgets."""
 
 import asyncio
-from collections.abc import AsyncIterator, Callable
+from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from http import HTTPStatus
 
@@ -18,7 +18,7 @@
     send,
 )
 from finchladder.cluster.process.worker_selection import RequestQueue
-from finchladder.cluster.routing.retry_budget import RetryBudget
+from finchladder.cluster.routing.retry_budget import RetryBudgets
 from finchladder.cluster.routing.workers import Worker
 from finchladder.cluster.transport.peers import steady
 
@@ -35,35 +35,13 @@
 
 @define
 class AttemptSender:
-    """Sends the attempts of all requests.
-
-    Attributes:
-        make_retry_budget: Makes the budget of a service at its first request.
-        dispatcher_count: How many dispatchers share the retry budgets.
-        retry_budgets: By service.
-    """
+    """Sends the attempts of all requests, and times them out."""
 
     session: aiohttp.ClientSession
     queue: RequestQueue
-    make_retry_budget: Callable[[], RetryBudget]
-    dispatcher_count: Callable[[], int]
-    retry_budgets: dict[str, RetryBudget] = field(factory=dict)
+    retry_budgets: RetryBudgets
     _open_timeouts: set[asyncio.Timeout] = field(factory=set)
 
-    def record_request(self, service: str) -> None:
-        """Counts a client's request for the retry budget of its service."""
-        self._retry_budget(service).record_request(steady())
-
-    def try_withdraw_retry(self, service: str) -> bool:
-        """Takes a retry out of the budget of that service; False if it is exhausted."""
-        return self._retry_budget(service).try_withdraw(steady(), self.dispatcher_count())
-
-    def _retry_budget(self, service: str) -> RetryBudget:
-        budget = self.retry_budgets.get(service)
-        if budget is None:
-            budget = self.retry_budgets[service] = self.make_retry_budget()
-        return budget
-
     async def send(self, outgoing: OutgoingRequest, worker: Worker, last_event_id: str = "") -> Outcome:
         """Sends the request and waits for the head of the response until the deadline."""
         if steady() >= min(outgoing.deadline, self.queue.closes_at + SEND_AFTER_QUEUE_CLOSED_S):
@@ -79,7 +57,9 @@
     ) -> ResumedStream | None:
         """Continues a stream after that event at another worker; None if that is not possible."""
         worker = await self.queue.select_worker(request.classified, attempted)
-        if worker is None or not self.try_withdraw_retry(request.classified.key.service):
+        if worker is None:
+            return None
+        if not self.retry_budgets.try_withdraw(request.classified.key.service, steady()):
             return None
         outcome = await self.send(request.outgoing, worker, last_event_id)
         if not isinstance(outcome, Responded):
--- a/finchladder/cluster/process/router.py
+++ b/finchladder/cluster/process/router.py
@@ -44,7 +44,7 @@
 from finchladder.cluster.routing.headers import HOST_HEADER, forwarded_headers
 from finchladder.cluster.routing.pools import Pools
 from finchladder.cluster.routing.requests import ClassifiedRequest, classify
-from finchladder.cluster.routing.retry_budget import RetryBudget
+from finchladder.cluster.routing.retry_budget import RetryBudget, RetryBudgets
 from finchladder.cluster.routing.selection import WorkerSelector
 from finchladder.cluster.routing.workers import Worker
 from finchladder.cluster.transport.peers import steady
@@ -88,15 +88,17 @@
     is_configuration_stale: Callable[[], bool] = lambda: False
     snapshot: ConfigurationSnapshot = EMPTY_SNAPSHOT
     queue: RequestQueue = field(init=False)
+    retry_budgets: RetryBudgets = field(init=False)
     sender: AttemptSender = field(init=False)
     responses: ClientResponses = field(factory=ClientResponses)
     reject_unfinishable_from: float = inf
     open_requests: int = 0
 
     def __attrs_post_init__(self) -> None:
-        """Makes the queue and the sender, which share this router's parts."""
+        """Makes the parts that share what this router was given."""
         self.queue = RequestQueue(self.selector, self.dispatcher_count, self.demand)
-        self.sender = AttemptSender(self.session, self.queue, self.make_retry_budget, self.dispatcher_count)
+        self.retry_budgets = RetryBudgets(self.make_retry_budget, self.dispatcher_count)
+        self.sender = AttemptSender(self.session, self.queue, self.retry_budgets)
 
     @property
     def pools(self) -> Pools:
@@ -134,14 +136,15 @@
         """Handles one request of a client."""
         self.open_requests += 1
         try:
-            return await self._respond(client_request)
+            return await self._process(client_request)
         except (ClientDisconnectedError, ConnectionError):
             abort_connection(client_request)
             return web.Response(status=HTTPStatus.BAD_GATEWAY)
         finally:
             self.open_requests -= 1
 
-    async def _respond(self, client_request: web.BaseRequest) -> web.StreamResponse:
+    async def _process(self, client_request: web.BaseRequest) -> web.StreamResponse:
+        """Classifies and admits a request, and serves it; the response to one that is not admitted."""
         if not self.snapshot.version or self.is_configuration_stale():
             return self.responses.reject(RETRY_AFTER_NO_REPLICA_S, RejectReason.CONFIGURATION_STALE)
         route = self._match_route(client_request)
@@ -192,7 +195,7 @@
             priority=route.priority if has_engine else None,
             deadline=classified.deadline,
         )
-        self.sender.record_request(classified.key.service)
+        self.retry_budgets.record_request(classified.key.service, steady())
         self.demand.record_request(classified)
         return AdmittedRequest(route, classified, outgoing)
 
@@ -205,7 +208,7 @@
             worker = await self.queue.select_worker(request.classified, history.attempted)
             if worker is None:
                 return self._reject_without_worker(request.classified)
-            if history.attempted and not self.sender.try_withdraw_retry(request.classified.key.service):
+            if history.attempted and not self._withdraw_retry(request):
                 return self._reject_no_capacity(request)
             with InFlightRequest(self.demand, request.classified, worker) as in_flight:
                 outcome = await self.sender.send(request.outgoing, worker)
@@ -220,6 +223,10 @@
             if response is not None:
                 return response
 
+    def _withdraw_retry(self, request: AdmittedRequest) -> bool:
+        """Withdraws a retry from the budget of the request's service."""
+        return self.retry_budgets.try_withdraw(request.classified.key.service, steady())
+
     def _response_unless_retried(
         self, request: AdmittedRequest, history: AttemptHistory, failure: FailedAttempt
     ) -> web.StreamResponse | None:
--- a/finchladder/cluster/routing/retry_budget.py
+++ b/finchladder/cluster/routing/retry_budget.py
@@ -7,6 +7,7 @@
 """
 
 from collections import deque
+from collections.abc import Callable
 
 from attrs import define, field
 
@@ -43,3 +44,31 @@
         for times in (self.request_times, self.retry_times):
             while times and times[0] <= now - self.window_s:
                 times.popleft()
+
+
+@define
+class RetryBudgets:
+    """Budgets of all services.
+
+    Attributes:
+        make_budget: Makes the budget of a service at its first request.
+        dispatcher_count: How many dispatchers share the budgets; 0: unknown.
+    """
+
+    make_budget: Callable[[], RetryBudget]
+    dispatcher_count: Callable[[], int]
+    _by_service: dict[str, RetryBudget] = field(factory=dict)
+
+    def record_request(self, service: str, now: float) -> None:
+        """Counts a client's request to that service."""
+        self._budget(service).record_request(now)
+
+    def try_withdraw(self, service: str, now: float) -> bool:
+        """Takes one retry out of the budget of that service; False if it is exhausted."""
+        return self._budget(service).try_withdraw(now, self.dispatcher_count())
+
+    def _budget(self, service: str) -> RetryBudget:
+        budget = self._by_service.get(service)
+        if budget is None:
+            budget = self._by_service[service] = self.make_budget()
+        return budget
