--- a/tests/cluster/test_requests.py
+++ b/tests/cluster/test_requests.py
@@ -6,7 +6,7 @@
 
 from finchladder.cluster.configuration.snapshot import build_snapshot
 from finchladder.cluster.routing.requests import classify
-from tests.cluster.test_routing import DOCUMENT
+from tests.cluster.test_snapshot import DOCUMENT
 
 
 @pytest.mark.parametrize(
--- a/tests/cluster/test_routing.py
+++ b/tests/cluster/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The routing snapshot of a configuration."""
+"""The configuration snapshot that requests are routed by."""
 
 import json
 
