--- a/finchladder/lab/cluster/emulator/fleet.py
+++ b/finchladder/lab/cluster/emulator/fleet.py
@@ -279,11 +279,11 @@
             self.tables.put_worker(record)
 
     def _make_placer(self, snapshot: ConfigurationSnapshot) -> None:
-        sessions = SimpleNamespace(
+        updates = SimpleNamespace(
             tables=self.tables,
             changed=self.changed,
-            edges=lambda: self.plan.dispatchers,
-            spacing_s=self._spacing_s,
+            dispatcher_count=lambda: self.plan.dispatchers,
+            batch_interval_s=self._batch_interval_s,
             state=lambda: ControlState(),
             started_at=-NEVER_S,
         )
@@ -293,11 +293,11 @@
         client = CountingClient({f"{name}:1": worker for name, worker in self.workers.items()}, self)
         orders = WorkerOrders(cast(Any, role), cast(Any, client))
         self.placer = Placer(
-            cast(Any, role), cast(Any, sessions), orders, self.tasks, STORE_WINDOW_S, STORE_OVERAGE, 3.0
+            cast(Any, role), cast(Any, updates), orders, self.tasks, STORE_WINDOW_S, STORE_OVERAGE, 3.0
         )
         self.placer.snapshot = snapshot
 
-    def _spacing_s(self) -> float:
+    def _batch_interval_s(self) -> float:
         return min(MAX_BATCH_INTERVAL_S, BATCH_INTERVAL_PER_DISPATCHER_S * self.plan.dispatchers)
 
     # --- news ---------------------------------------------------------------------------------------------
@@ -307,7 +307,7 @@
         told: dict[str, int] = {}
         while True:
             await self.changed.wait(NEVER_S)
-            await asyncio.sleep(self._spacing_s() / 2 + 2 * CALL_S)
+            await asyncio.sleep(self._batch_interval_s() / 2 + 2 * CALL_S)
             serials = {name: placed.record.serial for name, placed in self.tables.placements.items()}
             news = [name for name, serial in serials.items() if told.get(name) != serial]
             told = serials
--- a/tests/cluster/test_emulator.py
+++ b/tests/cluster/test_emulator.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from finchladder.cluster.process import tasks
 from finchladder.cluster.types.worker_api import OrderRequest
 from finchladder.lab.cluster.emulator import days
 from finchladder.lab.cluster.emulator.demand import arrivals
@@ -82,3 +83,16 @@
     bound = days.play_one(TINY, 2, all_held=True)
     assert bound.loads == 0
     assert 0.3 < once.credit[""] <= bound.credit[""] + 0.02
+
+
+def test_no_task_fails_on_a_day(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A stand-in that lacks what the placer calls would only be logged, and make the figures worthless."""
+    failures: list[dict[str, object]] = []
+
+    def record(kind: str, **fields: object) -> None:
+        if kind == "task.failed":
+            failures.append(fields)
+
+    monkeypatch.setattr(tasks, "event", record)
+    days.play_one(TINY, 2, all_held=False)
+    assert failures == []
