--- a/finchladder/cluster/process/attempt.py
+++ b/finchladder/cluster/process/attempt.py
@@ -1,31 +1,35 @@
-"""One attempt of a request at one worker: what was sent, and what can be said of it afterwards."""
+"""One attempt of a request at one worker: what is sent, and what its outcome proves."""
 
 from dataclasses import dataclass
+from http import HTTPStatus
 
 import aiohttp
 from aiohttp import web
 from yarl import URL
 
-from finchladder.cluster.routing.pools import Backend
-from finchladder.cluster.routing.requests import (
-    DEADLINE,
-    EXPECTED_INSTANCE,
-    HOP_BY_HOP,
-    LAST_EVENT_ID,
-    NOT_EXECUTED,
-    PRIORITY,
-    REQUEST_ID,
-    SIGNATURE,
-    onward_headers,
+from finchladder.cluster.configuration.snapshot import Route
+from finchladder.cluster.routing.headers import (
+    DEADLINE_HEADER,
+    EXPECTED_INSTANCE_HEADER,
+    HOP_BY_HOP_HEADERS,
+    HOST_HEADER,
+    KEEP_ALIVE_HEADER,
+    LAST_EVENT_ID_HEADER,
+    NOT_EXECUTED_HEADER,
+    PRIORITY_HEADER,
+    REQUEST_ID_HEADER,
+    RESPONSE_SIGNATURE_HEADER,
+    RETRY_AFTER_HEADER,
+    forwarded_headers,
 )
+from finchladder.cluster.routing.requests import ClassifiedRequest
+from finchladder.cluster.routing.workers import Worker
 from finchladder.cluster.transport.exchange import FIRST_FINAL_STATUS
 from finchladder.cluster.transport.http_client import HeedingConnector
 from finchladder.cluster.transport.peers import steady
 
-CONNECT_S = 0.6
-MISDIRECTED = 421
-BAD_REQUEST = 400
-REDIRECTION = 300  # the first status that is no success
+CONNECT_TIMEOUT_S = 0.6
+FIRST_REDIRECTION_STATUS = 300  # the first status that is no success
 
 
 @dataclass(frozen=True)
@@ -37,7 +41,7 @@
 
 @dataclass(frozen=True)
 class NotExecuted:
-    """The worker says that it has not run the request and will not."""
+    """The worker states that it has not run the request and will not."""
 
     status: int
     retry_after_s: float
@@ -45,69 +49,84 @@
 
 @dataclass(frozen=True)
 class Broken:
-    """It may have run: there is no answer to be used."""
+    """The request may have run; there is no usable response."""
 
     problem: str
 
 
 @dataclass(frozen=True)
 class TimedOut:
-    """It may have run: there was no answer in its time."""
+    """The request may have run; there was no response in time."""
 
 
 @dataclass(frozen=True)
-class Answered:
-    """The head of the worker's answer; its body is still to be read, and the response to be closed."""
+class Responded:
+    """The head of the worker's response; the caller reads its body and closes it."""
 
     response: aiohttp.ClientResponse
 
 
-Outcome = NotSent | NotExecuted | Broken | TimedOut | Answered
+FailedAttempt = NotSent | NotExecuted | Broken | TimedOut
+Outcome = FailedAttempt | Responded
+
+DEADLINE_PASSED = NotSent("its time is over")
 
 
 @dataclass(frozen=True)
-class Sending:
-    """What every attempt of one request sends. `until`: steady seconds."""
+class OutgoingRequest:
+    """What each attempt of one request sends. `deadline`: monotonic seconds."""
 
-    request: web.BaseRequest
+    client_request: web.BaseRequest
     body: bytes
     request_id: str
     priority: int | None
-    until: float
+    deadline: float
 
-    def headers(self, backend: Backend, last_event_id: str) -> list[tuple[str, str]]:
-        """Headers for that worker; `last_event_id` takes a stream up."""
-        replaced = {DEADLINE.lower(), EXPECTED_INSTANCE.lower()}
+    def headers(self, worker: Worker, last_event_id: str) -> list[tuple[str, str]]:
+        """Headers for that worker, in wire order; `last_event_id` resumes a stream, if not empty."""
+        replaced = {DEADLINE_HEADER.lower(), EXPECTED_INSTANCE_HEADER.lower()}
         if last_event_id:
-            replaced.add(LAST_EVENT_ID.lower())
+            replaced.add(LAST_EVENT_ID_HEADER.lower())
         if self.priority is not None:
-            replaced.add(PRIORITY.lower())
-        headers = [("Host", self.request.headers.get("Host", ""))]
-        headers += onward_headers(self.request.headers, HOP_BY_HOP | replaced)
-        headers.append((DEADLINE, str(max(1, int((self.until - steady()) * 1000)))))
-        headers.append((EXPECTED_INSTANCE, backend.instance))
+            replaced.add(PRIORITY_HEADER.lower())
+        headers = [(HOST_HEADER, self.client_request.headers.get(HOST_HEADER, ""))]
+        headers += forwarded_headers(self.client_request.headers, HOP_BY_HOP_HEADERS | replaced)
+        headers.append((DEADLINE_HEADER, str(self._remaining_ms())))
+        headers.append((EXPECTED_INSTANCE_HEADER, worker.instance))
         if last_event_id:
-            headers.append((LAST_EVENT_ID, last_event_id))
+            headers.append((LAST_EVENT_ID_HEADER, last_event_id))
         if self.priority is not None:
-            headers.append((PRIORITY, str(self.priority)))
+            headers.append((PRIORITY_HEADER, str(self.priority)))
         return headers
 
+    def _remaining_ms(self) -> int:
+        return max(1, int((self.deadline - steady()) * 1000))
+
+
+@dataclass(frozen=True)
+class AdmittedRequest:
+    """A client's request that is sent to workers, with its route and what each attempt sends."""
+
+    route: Route
+    classified: ClassifiedRequest
+    outgoing: OutgoingRequest
+
 
 async def send(
-    session: aiohttp.ClientSession, sending: Sending, backend: Backend, last_event_id: str = ""
+    session: aiohttp.ClientSession, outgoing: OutgoingRequest, worker: Worker, last_event_id: str = ""
 ) -> Outcome:
-    """Sends the request and waits for the head of the answer; the caller bounds the time."""
-    left = sending.until - steady()
-    if left <= 0:
-        return NotSent("its time is over")
-    timeout = aiohttp.ClientTimeout(total=None, sock_connect=min(CONNECT_S, left))
-    url = URL(f"http://{backend.address}{sending.request.raw_path}", encoded=True)
+    """Sends the request and waits for the head of the response; the caller bounds the time."""
+    remaining_s = outgoing.deadline - steady()
+    if remaining_s <= 0:
+        return DEADLINE_PASSED
+    timeout = aiohttp.ClientTimeout(total=None, sock_connect=min(CONNECT_TIMEOUT_S, remaining_s))
+    url = URL(f"http://{worker.address}{outgoing.client_request.raw_path}", encoded=True)
     try:
         response = await session.request(
-            sending.request.method,
+            outgoing.client_request.method,
             url,
-            data=sending.body or None,
-            headers=sending.headers(backend, last_event_id),
+            data=outgoing.body or None,
+            headers=outgoing.headers(worker, last_event_id),
             allow_redirects=False,
             timeout=timeout,
         )
@@ -115,37 +134,43 @@
         return NotSent(repr(error))
     except (aiohttp.ClientError, OSError, ValueError) as error:
         return Broken(repr(error))
-    return _judge(session, response, sending)
+    _apply_keep_alive(session, response)
+    return _classify_response(response, outgoing)
+
+
+def _apply_keep_alive(session: aiohttp.ClientSession, response: aiohttp.ClientResponse) -> None:
+    connector = session.connector
+    if isinstance(connector, HeedingConnector) and KEEP_ALIVE_HEADER in response.headers:
+        connector.heed(response.headers[KEEP_ALIVE_HEADER])
 
 
-def _judge(session: aiohttp.ClientSession, response: aiohttp.ClientResponse, sending: Sending) -> Outcome:
-    headers, connector = response.headers, session.connector
-    if isinstance(connector, HeedingConnector) and "Keep-Alive" in headers:
-        connector.heed(headers["Keep-Alive"])
+def _classify_response(response: aiohttp.ClientResponse, outgoing: OutgoingRequest) -> Outcome:
+    """The outcome that a response head proves; a response that is not passed on is closed or released."""
+    headers = response.headers
     if response.status < FIRST_FINAL_STATUS:
         response.close()
         return Broken("the connection was switched to another protocol")
-    if not _answers(response, sending):
+    if not _is_response_to(response, outgoing):
         response.close()
         return Broken("the answer belongs to another request")
-    if NOT_EXECUTED in headers or response.status == MISDIRECTED:
+    if NOT_EXECUTED_HEADER in headers or response.status == HTTPStatus.MISDIRECTED_REQUEST:
         response.release()
-        return NotExecuted(response.status, _retry_after(headers.get("Retry-After")))
-    if response.status < REDIRECTION and SIGNATURE not in headers:
+        return NotExecuted(response.status, _parse_retry_after_s(headers.get(RETRY_AFTER_HEADER)))
+    if response.status < FIRST_REDIRECTION_STATUS and RESPONSE_SIGNATURE_HEADER not in headers:
         response.close()
         return Broken("the answer has no signature")
-    return Answered(response)
+    return Responded(response)
 
 
-def _answers(response: aiohttp.ClientResponse, sending: Sending) -> bool:
-    """Whether the answer names the request; one that could not be read may be refused without its id."""
-    named = response.headers.get(REQUEST_ID)
-    if named is None:
-        return response.status == BAD_REQUEST and NOT_EXECUTED in response.headers
-    return named == sending.request_id
+def _is_response_to(response: aiohttp.ClientResponse, outgoing: OutgoingRequest) -> bool:
+    """Whether the response has the request's id; a worker that could not parse the request has none."""
+    request_id = response.headers.get(REQUEST_ID_HEADER)
+    if request_id is None:
+        return response.status == HTTPStatus.BAD_REQUEST and NOT_EXECUTED_HEADER in response.headers
+    return request_id == outgoing.request_id
 
 
-def _retry_after(text: str | None) -> float:
+def _parse_retry_after_s(text: str | None) -> float:
     try:
         return max(0.0, float(text)) if text else 0.0
     except ValueError:
--- a/finchladder/cluster/process/dispatcher_node.py
+++ b/finchladder/cluster/process/dispatcher_node.py
@@ -1,8 +1,7 @@
-"""A dispatcher on the data plane: pulls what control knows, routes clients' requests, tells what it is asked
-for.
-"""
+"""A dispatcher process: wiring, configuration and pool updates, readiness, graceful shutdown."""
 
 import asyncio
+from http import HTTPStatus
 from random import Random
 
 from aiohttp import web
@@ -10,38 +9,41 @@
 
 from finchladder.cluster.configuration import snapshot
 from finchladder.cluster.configuration.compression import decompress
+from finchladder.cluster.process.demand_reporter import DemandReporter
 from finchladder.cluster.process.log import event
+from finchladder.cluster.process.pool_updater import PoolUpdater
 from finchladder.cluster.process.router import Router
 from finchladder.cluster.process.settings import Settings
-from finchladder.cluster.process.tasks import Signal, Tasks
+from finchladder.cluster.process.tasks import Tasks
 from finchladder.cluster.process.update_puller import UpdatePuller
-from finchladder.cluster.routing.budget import RetryBudget
 from finchladder.cluster.routing.demand import DemandCounter
-from finchladder.cluster.routing.pools import Chooser, LoadUnderWay, PoolKey, holder_of
+from finchladder.cluster.routing.retry_budget import RetryBudget
+from finchladder.cluster.routing.selection import AFFINITY_SLOT_SHARE, WorkerSelector
 from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.transport.http_client import make_session
 from finchladder.cluster.transport.http_server import Listener
 from finchladder.cluster.transport.peers import PeerClient, steady
-from finchladder.cluster.types.errors import ClusterError
-from finchladder.cluster.types.messages import DemandReply, DemandReport, Update
+from finchladder.cluster.types.messages import Update
 
 READY_PATH = "/api/readyz"
-KEYED_SHARE = 0.2  # of a worker's slots in use, above which the least loaded is looked for
-REPORT_S = 0.4
-REPORT_TIMEOUT_S = 0.6
-LOADS_FORGOTTEN_S = 2.0  # after which the loads that others had count no more
-TOGETHER_S = 0.01  # what is waited for within this time is told at once
-WORKER_KEEPALIVE_S = 20.0  # less where the workers say so
-START_WITHOUT_CONFIRMATION_S = 4.0
-WIND_UP_STEP_S = 0.05
-UNREADY_S = 2.5  # after this no new connections come
-EXIT_MARGIN_S = 0.6
-LAST_ANSWERS_S = 0.3  # for the answers to what can't be ended in time
+WORKER_KEEPALIVE_S = 20.0  # less where workers announce less
+UNCONFIRMED_READY_AFTER_S = 4.0  # ready without confirmation of the chain, if that has a fault
+
+# Phases of a graceful shutdown
+READINESS_PROPAGATION_S = 2.5  # until the platform sends no new connections
+SHUTDOWN_POLL_S = 0.05
+FINAL_RESPONSES_S = 0.3  # for responses to requests that were timed out
+EXIT_MARGIN_S = 0.6  # between the last response and the platform's kill
 
 
 @define
-class EdgeNode:
-    """Wiring of a dispatcher."""
+class DispatcherNode:
+    """The parts of a dispatcher, and their life from start to shutdown.
+
+    Attributes:
+        has_confirmed_state: Whether a state that the chain confirmed was received.
+        stopping: Whether a graceful shutdown has begun.
+    """
 
     settings: Settings
     random: Random = field(factory=Random)
@@ -49,29 +51,21 @@
     peers: PeerClient = field(init=False)
     puller: UpdatePuller = field(init=False)
     router: Router = field(init=False)
-    demand: DemandCounter = field(factory=DemandCounter)
-    waited_for: Signal = field(factory=Signal)
+    pool_updater: PoolUpdater = field(init=False)
+    demand_reporter: DemandReporter = field(init=False)
     started_at: float = field(factory=steady)
-    pending_loads: dict[str, LoadUnderWay] = field(factory=dict)  # by instance
-    loads_heard_at: float = 0.0  # when the placer last told what the others have in flight
-    fresh: bool = False
+    has_confirmed_state: bool = False
     stopping: bool = False
 
-    def _wire(self) -> None:
-        self.demand.on_wait = self.waited_for.fire
-        settings, bounds = self.settings, self.settings.bounds
+    def _build_components(self) -> None:
+        settings = self.settings
+        demand = DemandCounter()
         self.peers = PeerClient()
-        self.router = Router(
-            make_session(keepalive_s=WORKER_KEEPALIVE_S),
-            Chooser(settings.node_name, settings.zone, KEYED_SHARE, self.random),
-            lambda: RetryBudget(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s),
-            lambda: self.puller.dispatcher_count,
-            self.demand,
-            lambda: self.puller.has_core_lost_quorum(),
-        )
+        self.router = self._make_router(demand)
+        tables = ReplicatedTables(f"{settings.node_name}/{self.random.getrandbits(32):x}")
         self.puller = UpdatePuller(
             name=settings.node_name,
-            tables=ReplicatedTables(f"{settings.node_name}/{self.random.getrandbits(32):x}"),
+            tables=tables,
             peers=self.peers,
             tasks=self.tasks,
             random=self.random,
@@ -80,128 +74,109 @@
             zone=settings.zone,
             seeds=tuple(settings.peer_of(seed) for seed in settings.seeds),
             configuration_version=lambda: self.router.snapshot.version,
-            on_update=self._take,
+            on_update=self._apply_update,
+        )
+        self.pool_updater = PoolUpdater(tables)
+        self.demand_reporter = DemandReporter(
+            node_name=settings.node_name,
+            peers=self.peers,
+            placer_address=lambda: self.puller.placer,
+            demand=demand,
+            pools=lambda: self.router.pools,
+        )
+        demand.on_queued = self.demand_reporter.demand_queued.fire
+
+    def _make_router(self, demand: DemandCounter) -> Router:
+        settings = self.settings
+        bounds = settings.bounds
+        return Router(
+            session=make_session(keepalive_s=WORKER_KEEPALIVE_S),
+            selector=WorkerSelector(settings.node_name, settings.zone, AFFINITY_SLOT_SHARE),
+            make_retry_budget=lambda: RetryBudget(
+                bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s
+            ),
+            dispatcher_count=lambda: self.puller.dispatcher_count,
+            demand=demand,
+            is_configuration_stale=lambda: self.puller.has_core_lost_quorum(),
         )
 
-    # --- what control tells -------------------------------------------------------------------------------
-
-    def _take(self, delta: Update, changed: list[str]) -> None:
-        if delta.document and delta.version > self.router.snapshot.version:
-            self.router.snapshot = snapshot.build_snapshot(decompress(delta.document))
-            event("configuration.activated", version=delta.version)
-        if changed:
-            self._note_pending_loads(changed)
-            self._update_pools(changed)
-        self.fresh = self.fresh or (delta.chain_confirmed and delta.version > 0)
-
-    def _note_pending_loads(self, changed: list[str]) -> None:
-        """When what is being loaded will be there, by the own clock from the moment it was told."""
-        now, tables = steady(), self.puller.tables
-        for instance in changed:
-            placement, worker = tables.placements.get(instance), tables.workers.get(instance)
-            if placement is None or worker is None or placement.record.pending_load is None:
-                self.pending_loads.pop(instance, None)
-                continue
-            pending = placement.record.pending_load
-            key = PoolKey(worker.record.service, pending.model, pending.adapter)
-            self.pending_loads[instance] = LoadUnderWay(key, now + pending.remaining_ms / 1000)
-
-    def _update_pools(self, changed: list[str]) -> None:
-        tables, router = self.puller.tables, self.router
-        news = {}
-        for instance in changed:
-            worker, placement = tables.workers.get(instance), tables.placements.get(instance)
-            news[instance] = holder_of(
-                None if worker is None else worker.record,
-                None if placement is None else placement.record,
-                router.pools.holders.get(instance),
-            )
-        router.pools = router.pools.changed(news, self.pending_loads.values())
-        router.changed.fire()
-
-    def ready(self) -> bool:
-        """Whether clients should be sent here."""
-        if self.stopping or not self.router.snapshot.version or not self.router.pools.holders:
+    # --- updates ------------------------------------------------------------------------------------------
+
+    def _apply_update(self, update: Update, changed_instances: list[str]) -> None:
+        """Activates a newer configuration and updates the pools."""
+        if update.document and update.version > self.router.snapshot.version:
+            self.router.snapshot = snapshot.build_snapshot(decompress(update.document))
+            event("configuration.activated", version=update.version)
+        if changed_instances:
+            self.router.pools = self.pool_updater.updated_pools(self.router.pools, changed_instances)
+            self.router.pools_changed.fire()
+        if update.chain_confirmed and update.version > 0:
+            self.has_confirmed_state = True
+
+    # --- readiness ----------------------------------------------------------------------------------------
+
+    def is_ready(self) -> bool:
+        """Whether the platform should send clients here."""
+        if self.stopping or not self.router.snapshot.version or not self.router.pools.members:
             return False
         if self.puller.has_core_lost_quorum():
             return False
-        return self.fresh or steady() - self.started_at > START_WITHOUT_CONFIRMATION_S
-
-    async def _on_readiness(self, request: web.BaseRequest) -> web.StreamResponse:
-        ok = request.path == READY_PATH and self.ready()
-        return web.Response(status=200 if ok else 503)
-
-    # --- what it is asked for -----------------------------------------------------------------------------
-
-    async def _report(self) -> None:
-        told_at, interval = steady(), REPORT_S
-        while True:
-            await self.waited_for.wait(interval)
-            await asyncio.sleep(TOGETHER_S)
-            now = steady()
-            self._forget_old_loads(now, interval)
-            if not self.puller.placer:
-                continue
-            loads = self.router.pools.own_loads()
-            demands, uses = self.demand.take(now), self.demand.uses()
-            paces = self.demand.seconds_per_token()
-            report = DemandReport(self.settings.node_name, now - told_at, demands, loads, uses, paces)
-            told_at = now
-            try:
-                reply = await self.peers.call(self.puller.placer, report, REPORT_TIMEOUT_S)
-            except ClusterError:
-                continue
-            if isinstance(reply, DemandReply):
-                interval = reply.interval_ms / 1000
-                self.loads_heard_at = steady()
-                self.router.pools.hear_loads(self.loads_heard_at, reply.peer_loads)
+        return self.has_confirmed_state or steady() - self.started_at > UNCONFIRMED_READY_AFTER_S
 
-    def _forget_old_loads(self, now: float, interval_s: float) -> None:
-        """Without a placer only the own requests count: those of the others would soon be all wrong."""
-        if now - self.loads_heard_at > interval_s + LOADS_FORGOTTEN_S:
-            self.router.pools.hear_loads(now, {})
+    async def _handle_readiness(self, request: web.BaseRequest) -> web.StreamResponse:
+        is_ready = request.path == READY_PATH and self.is_ready()
+        return web.Response(status=HTTPStatus.OK if is_ready else HTTPStatus.SERVICE_UNAVAILABLE)
 
-    # --- life ---------------------------------------------------------------------------------------------
+    # --- start and shutdown -------------------------------------------------------------------------------
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serves until `stop` is set, then ends what is open and returns."""
-        self._wire()
+        """Serves until `stop` is set; returns after a graceful shutdown."""
+        self._build_components()
         frontend = Listener(self.router.handle, self.settings.frontend, cancels=True)
-        readiness = Listener(self._on_readiness, self.settings.readiness)
+        readiness = Listener(self._handle_readiness, self.settings.readiness)
         await readiness.start()
         await frontend.start()
         self.tasks.repeat(self.puller.run, "sources")
-        self.tasks.repeat(self._report, "demand")
+        self.tasks.repeat(self.demand_reporter.run, "demand")
         event("node.started", role="edge", address=self.settings.frontend)
         await stop.wait()
-        await self._wind_up(frontend)
+        await self._graceful_shutdown(frontend)
         await frontend.stop()
         await self.tasks.stop()
         await self.router.session.close()
         await self.peers.close()
         await readiness.stop()
 
-    async def _wind_up(self, frontend: Listener) -> None:
-        """Not ready first; when no new connections come, closes idle ones and waits for what is open. What
-        still comes until it takes no more connections is answered too.
+    async def _graceful_shutdown(self, frontend: Listener) -> None:
+        """Becomes unready, waits for the end of open requests, then times out those that remain.
+
+        Requests that arrive before the listening socket closes get a response, too.
         """
-        began = steady()
-        until = began + self.settings.bounds.grace_s - EXIT_MARGIN_S
-        last = until - LAST_ANSWERS_S
+        began_at = steady()
+        drain_deadline = began_at + self.settings.bounds.grace_s - EXIT_MARGIN_S - FINAL_RESPONSES_S
+        unready_known_at = began_at + READINESS_PROPAGATION_S
         self.stopping = True
-        self.router.drain(began + UNREADY_S, last)
-        while steady() < last:
-            await asyncio.sleep(WIND_UP_STEP_S)
-            if steady() - began < UNREADY_S:
+        self.router.drain(unready_known_at, drain_deadline)
+        await self._wait_for_open_requests(frontend, unready_known_at, drain_deadline)
+        await frontend.stop_accepting()
+        await self._wait_for_connections(frontend, drain_deadline)
+        event("node.stopping", open_requests=self.router.open_requests)
+        self.router.expire_open_timeouts()
+        if frontend.connections:
+            await asyncio.sleep(FINAL_RESPONSES_S)
+
+    async def _wait_for_open_requests(
+        self, frontend: Listener, unready_known_at: float, drain_deadline: float
+    ) -> None:
+        while steady() < drain_deadline:
+            await asyncio.sleep(SHUTDOWN_POLL_S)
+            if steady() < unready_known_at:
                 continue
             frontend.close_idle()
             if not self.router.open_requests:
                 break
-        await frontend.stop_accepting()
-        while frontend.connections and steady() < last:
-            await asyncio.sleep(WIND_UP_STEP_S)  # what has just been sent is read first
+
+    async def _wait_for_connections(self, frontend: Listener, drain_deadline: float) -> None:
+        while frontend.connections and steady() < drain_deadline:
+            await asyncio.sleep(SHUTDOWN_POLL_S)  # a request that was just sent is read before
             frontend.close_idle()
-        event("node.stopping", open_requests=self.router.open_requests)
-        self.router.end_attempts()
-        if frontend.connections:
-            await asyncio.sleep(LAST_ANSWERS_S)
