--- a/finchladder/cluster/process/control_plane.py
+++ b/finchladder/cluster/process/control_plane.py
@@ -1,19 +1,22 @@
-"""The part of a core process that agrees, stores and decides: views, chain, changes, the placer's role.
+"""The replicated control state of a control process: views, chain, configuration and the placer's lease.
 
-Its disk and its peers are handed in: the same code runs on machines and in `finchladder.lab.cluster`.
+Disk and peers are passed in: the same code runs on machines and in `finchladder.lab.cluster`.
 """
 
 import asyncio
 from collections.abc import Awaitable, Callable
 from random import Random
+from typing import Any
 
-from attrs import define
+from attrs import define, field, frozen
 
 from finchladder.cluster.process.chain_service import ChainService
 from finchladder.cluster.process.configuration_changes import ConfigurationChanges
+from finchladder.cluster.process.failure_detection import FailureDetector
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.placer_lease import PlacerLeaseService
-from finchladder.cluster.process.view_agreement import PING_INTERVAL_S, ViewAgreement
+from finchladder.cluster.process.view_agreement import ViewAgreement
+from finchladder.cluster.process.view_proposer import ViewProposer
 from finchladder.cluster.process.worker_retirement import RetirementRecorder
 from finchladder.cluster.replication.agreement import Acceptor
 from finchladder.cluster.replication.chain import Replica
@@ -41,13 +44,15 @@
     Submit,
 )
 
-LEASE_FRACTION = 0.25  # of the bound within which two holders must not both act
+LEASE_FRACTION = 0.25  # of the window within which no two lease holders may both act
 DISK_PROBE_INTERVAL_S = 1.0
 
+Handler = Callable[[Any], Awaitable[Reply]]
 
-@define
+
+@frozen
 class RecoveredState:
-    """What the own disk held at the start."""
+    """The durable state that was found on the local disk at the start."""
 
     founder: bool
     acceptor: Acceptor
@@ -56,13 +61,16 @@
 
 @define
 class ControlPlane:
-    """One core process's control state."""
+    """The services of one control process, and which of them handles which request."""
 
     agreement: ViewAgreement
+    failure_detector: FailureDetector
+    proposer: ViewProposer
     chain: ChainService
     changes: ConfigurationChanges
     retirements: RetirementRecorder
     placer_lease: PlacerLeaseService
+    _handlers: dict[type, Handler] = field(init=False)
 
     @classmethod
     def build(
@@ -78,80 +86,84 @@
         fenced: bool,
         random: Random,
     ) -> "ControlPlane":
-        """`seeds`: peer addresses; `turn_s`: no two holders of the role may both act within so long;
-        `fenced`: whether workers refuse orders of former holders.
+        """Creates the services; none of them runs yet.
+
+        Args:
+            me: This process as a member.
+            store: The local disk.
+            peers: Calls to other processes.
+            recovered: What the disk held.
+            tolerated_losses: Disks that may be lost at once.
+            seeds: Peer addresses of the processes that form the first view.
+            exclusion_window_s: No two lease holders may both act within this time.
+            fenced: Whether workers reject orders of former lease holders.
+            random: Source of the proposers' backoff.
         """
         agreement = ViewAgreement(
             me,
             store,
             peers,
             ReplicationLimits(tolerated_losses),
-            seeds,
             recovered.founder,
             recovered.acceptor,
             recovered.replica,
-            random,
         )
+        detector = FailureDetector(agreement, peers, seeds)
+        proposer = ViewProposer(agreement, detector, peers, random)
+        agreement.adoption_listeners += [proposer.reset_turn, detector.forget_former_members]
         lease_s = exclusion_window_s * LEASE_FRACTION
         chain = ChainService(agreement, GrantedLease(lease_s, exclusion_window_s, fenced=fenced))
         return cls(
             agreement,
+            detector,
+            proposer,
             chain,
             ConfigurationChanges(chain),
             RetirementRecorder(chain),
             PlacerLeaseService(chain, HeldLease(lease_s)),
         )
 
+    @_handlers.default
+    def _handlers_by_request(self) -> dict[type, Handler]:
+        return {
+            Ping: self.failure_detector.on_ping,
+            Prepare: self.agreement.on_prepare,
+            Accept: self.agreement.on_accept,
+            Learn: self.agreement.on_learn,
+            Replicate: self.chain.on_replicate,
+            FetchReplica: self.chain.on_fetch,
+            ReadState: self.chain.on_read,
+            Submit: self.changes.on_submit,
+            RetireWorker: self.retirements.on_retire,
+            RenewLease: self.placer_lease.on_renew,
+            ClaimLease: self.placer_lease.on_claim,
+            ReleaseLease: self.placer_lease.on_release,
+        }
+
     async def handle(self, request: Request) -> Reply:
-        """The part of the internal protocol that concerns the control state."""
-        match request:
-            case Ping():
-                return await self.agreement.on_ping(request)
-            case Prepare():
-                return await self.agreement.on_prepare(request)
-            case Accept():
-                return await self.agreement.on_accept(request)
-            case Learn():
-                return await self.agreement.on_learn(request)
-            case Replicate():
-                return await self.chain.on_replicate(request)
-            case FetchReplica():
-                return await self.chain.on_fetch(request)
-            case Submit():
-                return await self.changes.on_submit(request)
-            case RetireWorker():
-                return await self.retirements.on_retire(request)
-            case ReadState():
-                return await self.chain.on_read(request)
-            case RenewLease():
-                return await self.placer_lease.on_renew(request)
-            case ClaimLease():
-                return await self.placer_lease.on_claim(request)
-            case ReleaseLease():
-                return await self.placer_lease.on_release(request)
-        return Failure(type(request).__name__, "not understood")
+        """The reply to a request of the internal protocol that concerns the control state."""
+        handler = self._handlers.get(type(request))
+        if handler is None:
+            return Failure(type(request).__name__, "not understood")
+        return await handler(request)
 
     def loops(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """What has to run all the time, by name."""
+        """The background loops of the services, by task name."""
         return {
-            "ping": self.agreement.run_pings,
-            "views": self._view_loop,
+            "ping": self.failure_detector.run_pings,
+            "views": self.proposer.run,
             "chain": self.chain.run_confirmations,
-            "disk": self._disk_loop,
+            "disk": self._probe_failed_disk,
             "role": self.placer_lease.run,
         }
 
-    async def _view_loop(self) -> None:
-        while True:
-            await self.agreement.propose_if_needed()
-            await asyncio.sleep(PING_INTERVAL_S / 2)
-
-    async def _disk_loop(self) -> None:
-        """Tries a disk that failed again."""
+    async def _probe_failed_disk(self) -> None:
+        """Writes to a disk that has failed until it takes writes again."""
+        store = self.agreement.store
         while True:
-            if self.agreement.store.failed:
+            if store.failed:
                 try:
-                    await self.agreement.store.probe()
+                    await store.probe()
                 except StorageError as error:
                     event("storage.failed", problem=str(error))
             await asyncio.sleep(DISK_PROBE_INTERVAL_S)
--- a/finchladder/cluster/process/core_sessions.py
+++ b/finchladder/cluster/process/core_sessions.py
@@ -72,7 +72,7 @@
             view=lambda: control.agreement.view,
             placer_address=lambda: placer_address(control),
             is_chain_confirmed=is_chain_confirmed,
-            is_quorum_lost=control.agreement.quorum_is_lost,
+            is_quorum_lost=control.failure_detector.quorum_is_lost,
         )
         retirements = RetirementPropagation(me.name, tables, updates, control.retirements.record)
         sessions = WorkerSessions(tables, retirements, updates.changed)
@@ -100,7 +100,7 @@
             is_dispatcher=False,
             own_address=me.peer_address,
             zone=me.zone,
-            seeds=control.agreement.seeds,
+            seeds=control.failure_detector.seeds,
             configuration_version=lambda: ANY_VERSION,
             on_update=on_update,
         )
--- /dev/null
+++ b/finchladder/cluster/process/failure_detection.py
@@ -0,0 +1,153 @@
+"""Failure detection between control processes: pings, alive members and requests to join."""
+
+import asyncio
+
+from attrs import define, field, frozen
+
+from finchladder.cluster.process.view_agreement import ViewAgreement
+from finchladder.cluster.replication.membership import MemberStatus
+from finchladder.cluster.transport.interface import Peers
+from finchladder.cluster.transport.peers import steady
+from finchladder.cluster.types.errors import ClusterError
+from finchladder.cluster.types.members import Member
+from finchladder.cluster.types.messages import Ping, Pong
+
+PING_INTERVAL_S = 0.2
+PING_TIMEOUT_S = 0.4
+SUSPICION_TIMEOUT_S = 0.75  # a member without an answer for longer is suspected to have failed
+UNKNOWN_VIEW = -1  # state view of a member that has not answered yet
+
+
+@frozen
+class PeerStatus:
+    """The last status that a member sent, and when it was received."""
+
+    pong: Pong
+    received_at: float
+
+
+@frozen
+class JoinRequest:
+    """A process that asks to join the chain, and when it last asked."""
+
+    member: Member
+    received_at: float
+
+
+@define
+class FailureDetector:
+    """Pings the other control processes and judges by their answers who is alive."""
+
+    agreement: ViewAgreement
+    peers: Peers
+    seeds: tuple[str, ...]  # peer addresses
+    peer_statuses: dict[str, PeerStatus] = field(factory=dict)  # by disk id
+    join_requests: dict[str, JoinRequest] = field(factory=dict)  # by disk id
+
+    async def on_ping(self, request: Ping) -> Pong:
+        """Replies with the status of this process, and records a request to join."""
+        if request.wants_to_join:
+            self.join_requests[request.sender.disk_id] = JoinRequest(request.sender, steady())
+        return self.agreement.pong(request.view)
+
+    def forget_former_members(self) -> None:
+        """Drops what is known of lost disks, which would grow with every disk that is replaced."""
+        view = self.agreement.view
+        members = {member.disk_id for group in (view.members(), *view.state_sources) for member in group}
+        now = steady()
+        self.peer_statuses = {
+            disk_id: status
+            for disk_id, status in self.peer_statuses.items()
+            if disk_id in members or now - status.received_at < SUSPICION_TIMEOUT_S
+        }
+        self.join_requests = {
+            disk_id: request
+            for disk_id, request in self.join_requests.items()
+            if now - request.received_at < SUSPICION_TIMEOUT_S
+        }
+
+    def ping_targets(self) -> set[str]:
+        """Peer addresses of members, seeds and processes that want to join."""
+        addresses = {member.peer_address for member in self.agreement.view.members()}
+        addresses.update(self.seeds)
+        addresses.update(member.peer_address for member in self.joining_members())
+        addresses.discard(self.agreement.me.peer_address)
+        return addresses
+
+    async def run_pings(self) -> None:
+        """Pings all targets at a fixed interval; a ping without an answer delays no other."""
+        running: set[asyncio.Task[None]] = set()
+        try:
+            while True:
+                ping = Ping(self.agreement.me, self.agreement.view.number, self.wants_to_join())
+                for address in sorted(self.ping_targets()):
+                    task = asyncio.create_task(self._ping(address, ping))
+                    running.add(task)
+                    task.add_done_callback(running.discard)
+                await asyncio.sleep(PING_INTERVAL_S)
+        finally:
+            for task in running:
+                task.cancel()
+
+    def wants_to_join(self) -> bool:
+        """Whether this process asks to join the chain."""
+        agreement = self.agreement
+        is_member = agreement.view.position(agreement.me.disk_id) is not None
+        return not is_member and agreement.is_healthy() and not agreement.shutting_down
+
+    async def _ping(self, address: str, ping: Ping) -> None:
+        try:
+            reply = await self.peers.call(address, ping, PING_TIMEOUT_S)
+            if not isinstance(reply, Pong):
+                return
+            self.peer_statuses[reply.sender.disk_id] = PeerStatus(reply, steady())
+            if reply.newer_view is not None:
+                await self.agreement.learn(reply.newer_view)
+        except ClusterError:
+            return  # an unreachable peer or a failed disk of our own: `alive_members` shows both
+
+    def alive_members(self) -> dict[str, MemberStatus]:
+        """By disk id, the members that are not suspected, this process among them."""
+        agreement = self.agreement
+        now = steady()
+        alive = {
+            disk_id: MemberStatus(
+                status.pong.sender,
+                status.pong.state_view,
+                status.pong.disk_healthy,
+                status.pong.shutting_down,
+            )
+            for disk_id, status in self.peer_statuses.items()
+            if now - status.received_at < SUSPICION_TIMEOUT_S
+        }
+        if now - agreement.adopted_at < SUSPICION_TIMEOUT_S:
+            # members of a new view have not had the time to answer
+            for member in agreement.view.chain:
+                alive.setdefault(member.disk_id, MemberStatus(member, UNKNOWN_VIEW, True))
+        alive[agreement.me.disk_id] = MemberStatus(
+            agreement.me, agreement.replica.state_view, agreement.is_healthy(), agreement.shutting_down
+        )
+        return alive
+
+    def stored_state_views(self) -> dict[str, int]:
+        """By disk id, the view in which each member had stored the state as of its last answer."""
+        return {disk_id: status.pong.state_view for disk_id, status in self.peer_statuses.items()}
+
+    def joining_members(self) -> list[Member]:
+        """Processes that asked to join within the suspicion timeout."""
+        now = steady()
+        return [
+            request.member
+            for request in self.join_requests.values()
+            if now - request.received_at < SUSPICION_TIMEOUT_S
+        ]
+
+    def quorum_is_lost(self) -> bool:
+        """Whether a majority of machines answers, but no majority of the voters: some came back without their
+        disks. The last acknowledged operations may then be known only to a voter that does not answer.
+        """
+        view = self.agreement.view
+        alive = self.alive_members()
+        names = {status.member.name for status in alive.values()}
+        alive_voters = sum(voter.disk_id in alive for voter in view.voters)
+        return 2 * len(names) > len(view.voters) > 0 and alive_voters < view.quorum
--- a/finchladder/lab/cluster/planted_faults.py
+++ b/finchladder/lab/cluster/planted_faults.py
@@ -20,8 +20,16 @@
 
 _GRANT_PROMISE = "granted = may_vote and follows and request.ballot > acceptor.promised"
 _GRANT_VOTE = "granted = may_vote and follows and request.ballot >= acceptor.promised"
-_STORE_PROMISE = "await self.store.save(acceptor=acceptor)\n                self.acceptor = acceptor"
-_STORE_VOTE = "await self.store.save(acceptor=acceptor)\n                self.acceptor, self.accepted_at"
+_STORE_PROMISE = (
+    "await self.store.save(acceptor=acceptor)\n                self.acceptor = acceptor\n"
+    "            return reply"
+)
+_STORE_VOTE = (
+    "await self.store.save(acceptor=acceptor)\n                self.acceptor = acceptor\n"
+    "                self.accepted_at"
+)
+_VOTE_IN_MEMORY = "self.acceptor = acceptor\n                self.accepted_at"
+_PROMISE_IN_MEMORY = "self.acceptor = acceptor\n            return reply"
 _STORE_VIEW = "await self.store.save(acceptor=acceptor)\n            self.acceptor = acceptor"
 _QUALIFIED = "if place < view.survivors or status.state_view == view.number:"
 _IS_TAIL = "if tail is None or tail.disk_id != agreement.me.disk_id or replica.state_view != view.number:"
@@ -188,8 +196,20 @@
         "return blake2b(head, digest_size=16).digest()",
     ),
     # losses after repairs
-    Mutant("votes not stored", 3, "process.view_agreement", _STORE_VOTE, "self.acceptor, self.accepted_at"),
-    Mutant("promises not stored", 3, "process.view_agreement", _STORE_PROMISE, "self.acceptor = acceptor"),
+    Mutant(
+        "votes not stored",
+        3,
+        "process.view_agreement",
+        _STORE_VOTE,
+        "self.acceptor = acceptor\n                self.accepted_at",
+    ),
+    Mutant(
+        "promises not stored",
+        3,
+        "process.view_agreement",
+        _STORE_PROMISE,
+        "self.acceptor = acceptor\n            return reply",
+    ),
     Mutant("view not stored", 3, "process.view_agreement", _STORE_VIEW, "self.acceptor = acceptor"),
     Mutant(
         "view learned while a vote is stored",
@@ -201,16 +221,16 @@
     Mutant(
         "majority one too small",
         3,
-        "process.view_agreement",
+        "process.view_proposer",
         "quorum = len(addresses) // 2 + 1",
         "quorum = len(addresses) // 2",
     ),
     Mutant(
         "view decided by one vote",
         3,
-        "process.view_agreement",
-        "if sum(a.granted for a in accepted) < quorum:",
-        "if sum(a.granted for a in accepted) < 1:",
+        "process.view_proposer",
+        "if sum(reply.granted for reply in accepted) < quorum:",
+        "if sum(reply.granted for reply in accepted) < 1:",
     ),
     Mutant("accepted value is not proposed", 3, "replication.agreement", "if not accepted:", "if True:"),
     Mutant(
@@ -289,8 +309,8 @@
     Mutant(
         "undecided vote is left",
         3,
-        "process.view_agreement",
-        "return self.acceptor.accepted if waited > UNDECIDED_TIMEOUT_S else None",
+        "process.view_proposer",
+        "return self.agreement.acceptor.accepted if waited_s > UNDECIDED_TIMEOUT_S else None",
         "return None",
     ),
     Mutant(
--- a/tests/cluster/test_worst_days.py
+++ b/tests/cluster/test_worst_days.py
@@ -13,7 +13,7 @@
 from finchladder.cluster.process.control_plane import ControlPlane
 from finchladder.cluster.process.placer_lease import PlacerLeaseService
 from finchladder.cluster.process.update_puller import UpdateSource
-from finchladder.cluster.process.view_agreement import ViewAgreement
+from finchladder.cluster.process.view_proposer import ViewProposer
 from finchladder.cluster.replication.agreement import Acceptor, value_to_propose
 from finchladder.cluster.replication.chain import Replica, newest
 from finchladder.cluster.replication.membership import MemberStatus, ReplicationLimits, next_view
@@ -640,15 +640,15 @@
         view = agreement.view
 
         async def ask(
-            asked: ViewAgreement, addresses: list[str], request: Prepare | Accept, quorum: int
+            asked: ViewProposer, addresses: list[str], request: Prepare | Accept, quorum: int
         ) -> list[Reply]:
             if isinstance(request, Prepare):
                 return [Promise(True, request.ballot, view)] * quorum
             granted: list[Reply] = [Accepted(True, request.ballot, view)] * votes
             return [*granted, Accepted(False, request.ballot, view)]
 
-        monkeypatch.setattr(ViewAgreement, "_request_votes", ask)
-        decided = await agreement.propose(View(view.number + 1, view.voters, view.chain[:2], 2))
+        monkeypatch.setattr(ViewProposer, "_request_votes", ask)
+        decided = await plane_of(head).proposer.propose(View(view.number + 1, view.voters, view.chain[:2], 2))
         assert decided == (votes == 2)
         assert (agreement.view.number > view.number) == decided
 
