--- a/finchladder/cluster/process/chain_service.py
+++ b/finchladder/cluster/process/chain_service.py
@@ -1,4 +1,4 @@
-"""A core process's part in the chain: stores what comes down; as head takes writes and confirms the view."""
+"""A control process in the replication chain: stores operations, takes writes as head, reads as tail."""
 
 import asyncio
 
@@ -25,8 +25,8 @@
 )
 from finchladder.cluster.types.operations import ControlState, Operation, SetConfiguration
 
-REPLICATE_TIMEOUT_S = 1.2  # for all members behind one
-MIN_BYTES_PER_S = 1_000_000  # so much longer where much is to be stored
+REPLICATE_TIMEOUT_S = 1.2  # until all successors have stored an operation
+MIN_BYTES_PER_S = 1_000_000  # extends that timeout by the size of the message
 FETCH_TIMEOUT_S = 1.0
 CONFIRM_INTERVAL_S = 0.3
 READ_TIMEOUT_S = 0.4
@@ -34,8 +34,18 @@
 
 @define
 class ChainService:
-    """`acknowledged` is the newest state that all members of a chain are known to hold; only it is shown
-    outside.
+    """Chain replication in one control process.
+
+    Attributes:
+        acknowledged: The newest state that all members of a chain are known to hold; only this one is visible
+            outside of the chain.
+        write_lock: Held by the head from the check of an operation to its end.
+        confirmed_view: As head, the view that its chain has confirmed.
+        confirmed_at: When the last successful confirmation began, here or at a predecessor.
+        last_request_view: As member, the view of the predecessor's last request.
+        last_request_at: When that request arrived.
+        started_view: As head, the last view whose confirmation has begun.
+        renewable_until: When the lease may last have been renewed before `started_view`; None: unknown.
     """
 
     agreement: ViewAgreement
@@ -43,13 +53,13 @@
     acknowledged: ControlState = field(factory=ControlState)
     changed: Signal = field(factory=Signal)
     write_lock: asyncio.Lock = field(factory=asyncio.Lock)
-    confirmed_view: int = 0  # as head: the view that its chain has confirmed
+    confirmed_view: int = 0
     last_confirm_problem: str = ""
-    confirmed_at: float = -1e9  # when a confirmation began that went through, here or above
-    last_request_view: int = 0  # as member: the view of the predecessor's last request
+    confirmed_at: float = -1e9
+    last_request_view: int = 0
     last_request_at: float = -1e9
-    started_view: int = 0  # as head: the last view whose confirmation it has begun
-    renewable_until: float | None = None  # when the lease may last have been renewed before `started_view`
+    started_view: int = 0
+    renewable_until: float | None = None
 
     @property
     def view(self) -> View:
@@ -65,7 +75,7 @@
     # --- as member ----------------------------------------------------------------------------------------
 
     async def on_replicate(self, request: Replicate) -> Replicated:
-        """A message from the predecessor."""
+        """Handles an operation, a full state or a confirmation from the predecessor."""
         agreement = self.agreement
         began = steady()
         async with agreement.lock:
@@ -94,7 +104,7 @@
         self.agreement.replica = replica
 
     async def _forward(self, view: View, replica: Replica, operation: Operation | None) -> str:
-        """Has all members behind this one store the same; empty if they did, else the problem."""
+        """Replicates to all successors; the problem, or an empty string once all of them have stored it."""
         successor = view.successor(self.agreement.me.disk_id)
         if successor is None:
             return ""
@@ -106,7 +116,7 @@
         return "" if reply.stored else reply.problem or "not stored"
 
     async def _send(self, successor: Member, request: Replicate) -> Replicated:
-        timeout_s = REPLICATE_TIMEOUT_S + _bytes_in(request) / MIN_BYTES_PER_S
+        timeout_s = REPLICATE_TIMEOUT_S + _message_bytes(request) / MIN_BYTES_PER_S
         try:
             reply = await self.agreement.call_member(successor, request, timeout_s)
         except ClusterError as error:
@@ -116,7 +126,7 @@
         return reply
 
     def _acknowledge(self, replica: Replica, view: View, began: float) -> None:
-        """All members from here to the tail hold it, and those before sent it on after storing it."""
+        """Notes that every member holds the replica: predecessors store it before they forward it."""
         self.confirmed_at = max(self.confirmed_at, began)
         if replica.state_view != view.number or replica.state.sequence < self.acknowledged.sequence:
             return
@@ -127,25 +137,22 @@
     # --- as head ------------------------------------------------------------------------------------------
 
     async def confirm(self) -> bool:
-        """Has the whole chain confirm what the head holds; True if all did."""
+        """As head, has all members confirm that they hold its state in the present view."""
         async with self.write_lock:
             return await self.confirm_locked()
 
     async def confirm_locked(self) -> bool:
-        """The same with the write lock held."""
-        agreement, began = self.agreement, steady()
-        view = agreement.view
+        """`confirm` for a caller that holds the write lock."""
+        began = steady()
+        view = self.agreement.view
         if not self.is_head:
             return False
         if self.started_view != view.number:
-            self.started_view, self.renewable_until = view.number, self._renewable_until(view)
-        beginning = await self._initial_replica(view)
-        async with agreement.lock:
-            if not self.is_head or agreement.view.number != view.number or beginning is None:
-                return False
-            if agreement.replica.state_view != view.number:
-                await self._store(chain.adopt(beginning, view.number))
-            replica = agreement.replica
+            self.renewable_until = self._renewable_until(view)
+            self.started_view = view.number
+        replica = await self._replica_as_head(view)
+        if replica is None:
+            return False
         problem = await self._forward(view, replica, None)
         if problem:
             if problem != self.last_confirm_problem:
@@ -154,16 +161,32 @@
             return False
         self._acknowledge(replica, view, began)
         if self.confirmed_view != view.number:
-            self.confirmed_view = view.number
-            self.lease.confirm(steady() if self.renewable_until is None else self.renewable_until)
-            event("chain.confirmed", view=view.number, sequence=replica.state.sequence)
+            self._note_first_confirmation(view, replica)
         return self.view.number == view.number
 
+    async def _replica_as_head(self, view: View) -> Replica | None:
+        """The head's replica, stored in the view; None if another view began or members do not answer."""
+        agreement = self.agreement
+        initial = await self._initial_replica(view)
+        async with agreement.lock:
+            if not self.is_head or agreement.view.number != view.number or initial is None:
+                return None
+            if agreement.replica.state_view != view.number:
+                await self._store(chain.adopt(initial, view.number))
+            return agreement.replica
+
+    def _note_first_confirmation(self, view: View, replica: Replica) -> None:
+        self.confirmed_view = view.number
+        self.lease.confirm(steady() if self.renewable_until is None else self.renewable_until)
+        event("chain.confirmed", view=view.number, sequence=replica.state.sequence)
+
     def _renewable_until(self, view: View) -> float | None:
-        """The last moment at which the placer's lease can have been renewed before this view, before the head
-        stores the state in it; None: unknown. Only a head renews, and only as the whole chain of its view
-        confirms it: one that was the head before knows when; a member that had stored the state in that view
-        knows when it was last asked, and has confirmed nothing since it learned of this one.
+        """The latest moment at which a former head can have renewed the placer's lease; None: unknown.
+
+        Called before the head stores the state in the new view. Only a head renews, and only after the whole
+        chain of its view has confirmed it. The former head itself knows when. A member that had stored the
+        state in the former view knows when its predecessor last asked it to confirm; since it learned of the
+        new view it has confirmed nothing.
         """
         before = view.number - 1
         if self.confirmed_view == before and self.lease.renewed_at is not None:
@@ -174,13 +197,14 @@
         return self.last_request_at if self.last_request_view == before else agreement.adopted_at
 
     async def _initial_replica(self, view: View) -> Replica | None:
-        """What the head of a view begins with: its own replica, or the newest of all members' where there are
-        no survivors; None if that can't be had.
+        """The replica that the head of a view starts from; None if a member that may hold it does not answer.
+
+        It is the head's own, or in a view without survivors the newest of all members.
         """
         own = self.agreement.replica
         if own.state_view == view.number or view.survivors:
             return own
-        others = [m for m in view.chain if m.disk_id != self.agreement.me.disk_id]
+        others = [member for member in view.chain if member.disk_id != self.agreement.me.disk_id]
         call = self.agreement.peers.call
         replies = await call_all(
             [call(m.peer_address, FetchReplica(view.number), FETCH_TIMEOUT_S) for m in others]
@@ -196,7 +220,7 @@
         return chain.newest(found)
 
     async def on_fetch(self, request: FetchReplica) -> ReplicaReply:
-        """The replica of this member, once it knows the view and stores nothing of older ones any more."""
+        """Replies with this member's replica once older views can't change it any more."""
         agreement = self.agreement
         async with agreement.lock:
             view, replica = agreement.view, agreement.replica
@@ -205,16 +229,22 @@
         return ReplicaReply(view, replica.state_view, replica.state)
 
     async def confirmed_state(self) -> ControlState | None:
-        """With the write lock held: the state that the next write builds on; None if it can't be known."""
-        held = self.agreement.replica
-        settled = self.confirmed_view == self.view.number and held.state == self.acknowledged
-        if not settled and not await self.confirm_locked():
+        """The state that the next write builds on, with the write lock held; None without confirmation."""
+        is_confirmed = (
+            self.confirmed_view == self.view.number and self.agreement.replica.state == self.acknowledged
+        )
+        if not is_confirmed and not await self.confirm_locked():
             return None
         return self.agreement.replica.state
 
     async def write(self, operation: Operation) -> bool:
-        """With the write lock held: True once the whole chain stored it; False: it may or may not last."""
-        agreement, began = self.agreement, steady()
+        """Replicates an operation, with the write lock held.
+
+        Returns:
+            True once all members have stored it; False if it may or may not survive.
+        """
+        agreement = self.agreement
+        began = steady()
         async with agreement.lock:
             view = agreement.view
             if not self.is_head or self.confirmed_view != view.number:
@@ -230,7 +260,7 @@
         return True
 
     async def run_confirmations(self) -> None:
-        """As head: confirms the chain again and again, at once when the view has changed."""
+        """As head, confirms the chain at an interval, and at once when the view changes."""
         while True:
             view = self.view
             if self.is_head and self.agreement.is_healthy():
@@ -244,7 +274,7 @@
     # --- as tail ------------------------------------------------------------------------------------------
 
     async def on_read(self, _: ReadState) -> StateReply:
-        """The newest acknowledged state, if no later view can have begun before this was asked."""
+        """As tail, replies with the newest state, unless a later view may have begun before the request."""
         agreement = self.agreement
         view, replica = agreement.view, agreement.replica
         tail = view.tail
@@ -255,39 +285,43 @@
         return StateReply(replica.state)
 
     async def _view_is_newest(self, view: View) -> bool:
-        """Asks a majority of the voters; one that has accepted a later view speaks against it."""
+        """Whether a majority of the voters knows no later view and has accepted none."""
         agreement = self.agreement
         ping = Ping(agreement.me, view.number, False)
-        others = [v.peer_address for v in view.voters if v.disk_id != agreement.me.disk_id]
-        replies = await call_all([agreement.peers.call(a, ping, READ_TIMEOUT_S) for a in others])
-        pongs = [r for r in replies if isinstance(r, Pong)]
+        others = [voter.peer_address for voter in view.voters if voter.disk_id != agreement.me.disk_id]
+        replies = await call_all([agreement.peers.call(address, ping, READ_TIMEOUT_S) for address in others])
+        pongs = [reply for reply in replies if isinstance(reply, Pong)]
         if view.has_voter(agreement.me.disk_id):
             pongs.append(agreement.pong(view.number))
-        known = {v.disk_id for v in view.voters}
+        voter_ids = {voter.disk_id for voter in view.voters}
         agreeing = {
-            p.sender.disk_id
-            for p in pongs
-            if p.sender.disk_id in known and p.view == view.number and not p.has_accepted
+            pong.sender.disk_id
+            for pong in pongs
+            if pong.sender.disk_id in voter_ids and pong.view == view.number and not pong.has_accepted
         }
         return len(agreeing) >= view.quorum
 
     async def read(self) -> ControlState:
-        """The newest acknowledged state, from the tail; ClusterError where it can't be had."""
+        """The newest acknowledged state, as the tail confirms it.
+
+        Raises:
+            ClusterError: There is no chain, or its tail can't confirm a state.
+        """
         tail = self.view.tail
         if tail is None:
             raise PeerRefusedError("ReadState", "", "there is no chain")
         if tail.disk_id == self.agreement.me.disk_id:
             reply = await self.on_read(ReadState())
         else:
-            answer = await self.agreement.call_member(tail, ReadState(), 2 * READ_TIMEOUT_S)
-            reply = answer if isinstance(answer, StateReply) else StateReply(None, "unexpected reply")
+            response = await self.agreement.call_member(tail, ReadState(), 2 * READ_TIMEOUT_S)
+            reply = response if isinstance(response, StateReply) else StateReply(None, "unexpected reply")
         if reply.state is None:
             raise PeerRefusedError("ReadState", tail.name, reply.problem)
         return reply.state
 
 
-def _bytes_in(request: Replicate) -> int:
-    """About the size of a message: that of the document in it."""
+def _message_bytes(request: Replicate) -> int:
+    """Approximate size of a message: that of the configuration document in it."""
     if request.state is not None:
         return len(request.state.document)
     return len(request.operation.document) if isinstance(request.operation, SetConfiguration) else 0
--- a/finchladder/cluster/process/configuration_changes.py
+++ b/finchladder/cluster/process/configuration_changes.py
@@ -1,6 +1,7 @@
-"""Changes of the configuration: taken by the head, forwarded to it by everybody else."""
+"""Changes of the configuration: applied by the head of the chain, forwarded to it by other processes."""
 
 import asyncio
+from functools import partial
 
 from attrs import define
 
@@ -13,24 +14,34 @@
 from finchladder.cluster.types.messages import Submit, Submitted
 from finchladder.cluster.types.operations import ControlState, SetConfiguration
 
-ACCEPTED, INVALID, CONFLICT, OUTCOME_UNKNOWN = 200, 400, 412, 503
-FORWARD_MARGIN_S = 0.05
-LARGE_BODY_BYTES = 64 << 10
+ACCEPTED = 200
+INVALID = 400
+CONFLICT = 412
+OUTCOME_UNKNOWN = 503
+FORWARD_MARGIN_S = 0.05  # of the deadline, for the way to the head and back
+LARGE_BODY_BYTES = 64 << 10  # larger ones are validated in a thread
 
 
 def outcome_unknown(problem: str) -> Submitted:
-    """The change may or may not be taken; its sender asks again."""
+    """The change may or may not be accepted; its sender retries."""
     return Submitted(OUTCOME_UNKNOWN, 0, problem)
 
 
 @define
 class ConfigurationChanges:
-    """Takes the operator's changes."""
+    """Validates, stores and acknowledges the operator's changes."""
 
     chain: ChainService
 
     async def submit(self, base: int, patch: bool, body: bytes, deadline_s: float) -> Submitted:
-        """Here if this is the head, else there. `deadline_s`: from now."""
+        """Submits a change at the head, here or on another process.
+
+        Args:
+            base: Version that the change builds on.
+            patch: Whether the body is a patch rather than a full document.
+            body: The change, JSON.
+            deadline_s: Seconds from now until the caller needs an answer.
+        """
         if self.chain.is_head:
             return await self.submit_at_head(base, patch, body, deadline_s)
         head = self.chain.view.head
@@ -44,7 +55,7 @@
         return reply if isinstance(reply, Submitted) else outcome_unknown("unexpected reply")
 
     async def on_submit(self, request: Submit) -> Submitted:
-        """Forwarded by another process; it is not forwarded again."""
+        """Handles a change that another process forwarded; it is not forwarded again."""
         if not self.chain.is_head:
             return outcome_unknown(f"{self.chain.agreement.me.name} is not the head")
         return await self.submit_at_head(
@@ -52,18 +63,18 @@
         )
 
     async def submit_at_head(self, base: int, patch: bool, body: bytes, deadline_s: float) -> Submitted:
-        """As head: checks, stores and acknowledges; the work goes on when the caller's time is over."""
-        until = steady() + deadline_s
-        work = asyncio.ensure_future(self._submit_in_order(base, patch, body, until))
+        """As head, applies a change; the work continues after the deadline of the caller."""
+        deadline = steady() + deadline_s
+        work = asyncio.ensure_future(self._submit_in_order(base, patch, body, deadline))
         try:
             outcome = await result_within(work, deadline_s)
         except ClusterError as error:
             return outcome_unknown(str(error))
         return outcome or outcome_unknown("no answer from the chain in time")
 
-    async def _submit_in_order(self, base: int, patch: bool, body: bytes, until: float) -> Submitted:
+    async def _submit_in_order(self, base: int, patch: bool, body: bytes, deadline: float) -> Submitted:
         async with self.chain.write_lock:
-            if steady() > until:
+            if steady() > deadline:
                 return outcome_unknown("waited too long for changes before it")
             return await self._apply(base, patch, body)
 
@@ -88,7 +99,7 @@
         return Submitted(ACCEPTED, candidate.version)
 
     async def _confirmed_rejection(self, outcome: Submitted) -> Submitted:
-        """A refusal counts only if no later view had begun: a head that was replaced knows an old state."""
+        """The rejection, if the chain confirms this head: a replaced head rejects by an outdated state."""
         if await self.chain.confirm_locked():
             return outcome
         return outcome_unknown("the chain does not confirm this head")
@@ -96,8 +107,8 @@
     async def _validate(
         self, state: ControlState, patch: bool, body: bytes
     ) -> changes.ValidChange | changes.InvalidChange:
-        """Large ones are checked in a thread, so that the loop goes on."""
-        arguments = state.document, state.version, patch, body
+        """The resulting document; large ones are validated in a thread so as not to stall the event loop."""
+        validate = partial(changes.validate_change, state.document, state.version, patch, body)
         if len(body) + len(state.document) < LARGE_BODY_BYTES:
-            return changes.validate_change(*arguments)
-        return await asyncio.to_thread(changes.validate_change, *arguments)
+            return validate()
+        return await asyncio.to_thread(validate)
--- a/finchladder/cluster/process/placer_lease.py
+++ b/finchladder/cluster/process/placer_lease.py
@@ -1,4 +1,4 @@
-"""The placer's role: claimed when it is vacant, renewed at the head, given up in time."""
+"""The placer's lease: granted and renewed by the head of the chain, claimed by one process."""
 
 import asyncio
 
@@ -15,18 +15,26 @@
 
 RENEW_TIMEOUT_S = 1.0
 POLL_INTERVAL_S = 0.2
-REFUSED = LeaseReply(False, 0)
+REJECTED = LeaseReply(False, 0)
 
 
 @define
 class PlacerLeaseService:
-    """Both sides of the role: this process as head grants it, as candidate claims it."""
+    """Both sides of the placer's lease in one control process.
+
+    Attributes:
+        chain: The replication chain, whose head grants the lease.
+        lease: The lease as this process holds it.
+        last_order_at: When this process last sent an order to a worker.
+        latest_token: The highest fencing token that this process has received.
+        reacquired: Whether the lease belonged to a former incarnation of this process when it was granted.
+    """
 
     chain: ChainService
     lease: HeldLease
     last_order_at: float = field(factory=steady)
-    latest_token: int = 0  # the newest that this process has heard of
-    reacquired: bool = False  # the role was held by a former life of this process when it was granted
+    latest_token: int = 0
+    reacquired: bool = False
 
     @property
     def me(self) -> Member:
@@ -34,15 +42,15 @@
         return self.chain.agreement.me
 
     def is_held(self) -> bool:
-        """Whether this process may give orders now."""
+        """Whether this process may send orders now."""
         return self.lease.is_valid(steady())
 
     # --- as head ------------------------------------------------------------------------------------------
 
     async def on_renew(self, request: RenewLease) -> LeaseReply:
-        """Keeps the lease, if the chain confirms after this was asked that no later view has begun."""
+        """Renews the lease if the chain confirms, after the request, that no later view has begun."""
         if not await self.chain.confirm():
-            return REFUSED
+            return REJECTED
         state = self.chain.acknowledged
         if state.placer != request.holder or state.fence_token != request.token:
             return LeaseReply(False, state.fence_token)
@@ -50,28 +58,28 @@
         return LeaseReply(True, state.fence_token)
 
     async def on_claim(self, request: ClaimLease) -> LeaseReply:
-        """Grants a vacant role with the next token; the holder may take its own role anew at any time."""
+        """Grants a free lease with the next token; the present holder may reacquire its own at any time."""
         async with self.chain.write_lock:
             state = await self.chain.confirmed_state()
             if state is None:
-                return REFUSED
+                return REJECTED
             wait_s = self._claim_wait_s(state.placer, request.holder)
             if wait_s is None or wait_s > 0 or request.token != state.fence_token:
                 return LeaseReply(False, state.fence_token, int((wait_s or 0) * 1000))
             if not await self.chain.write(ClaimPlacer(request.holder, state.fence_token)):
-                return REFUSED
+                return REJECTED
             self.chain.lease.renew(steady())
             return LeaseReply(True, state.fence_token + 1)
 
     def _claim_wait_s(self, holder: str, claimant: str) -> float | None:
-        """How long a claim has to wait; None: unknown. The role is free where nobody else has it."""
+        """Seconds until the claim may be granted; None: unknown. Without another holder the lease is free."""
         chain = self.chain.view.chain
         holder_left = all(member.name != holder for member in chain)
         wait_s = self.chain.lease.wait_s(steady(), holder_left=holder_left)
         return 0.0 if holder in ("", claimant) and wait_s is not None else wait_s
 
     async def on_release(self, request: ReleaseLease) -> LeaseReply:
-        """The holder ends; others need wait only until its last order is old enough."""
+        """Releases the lease: a successor waits only until the holder's last order is old enough."""
         state = self.chain.acknowledged
         if state.placer == request.holder and state.fence_token == request.token:
             self.chain.lease.release(steady(), request.idle_ms / 1000)
@@ -82,11 +90,11 @@
     async def _call_head(self, request: Request) -> LeaseReply:
         head = self.chain.view.head
         if head is None:
-            return REFUSED
+            return REJECTED
         if head.disk_id == self.me.disk_id:
             return await self._handle_locally(request)
         reply = await self.chain.agreement.call_member(head, request, RENEW_TIMEOUT_S)
-        return reply if isinstance(reply, LeaseReply) else REFUSED
+        return reply if isinstance(reply, LeaseReply) else REJECTED
 
     async def _handle_locally(self, request: Request) -> LeaseReply:
         if isinstance(request, RenewLease):
@@ -95,10 +103,10 @@
             return await self.on_claim(request)
         if isinstance(request, ReleaseLease):
             return await self.on_release(request)
-        return REFUSED
+        return REJECTED
 
     async def run(self) -> None:
-        """Keeps the role, or tries to get it when it is vacant."""
+        """Renews the lease while it is held, and otherwise tries to claim it."""
         while True:
             try:
                 await self._renew_or_claim()
@@ -109,39 +117,40 @@
             )
 
     async def _renew_or_claim(self) -> None:
-        asked_at, state = steady(), self.chain.acknowledged
+        requested_at = steady()
+        state = self.chain.acknowledged
         self.latest_token = max(self.latest_token, state.fence_token)
         if self.lease.token and state.placer == self.me.name and state.fence_token == self.lease.token:
-            await self._renew(asked_at)
+            await self._renew(requested_at)
         elif self._is_candidate():
-            await self._claim(asked_at, reacquired=state.placer == self.me.name)
-
-    async def _renew(self, asked_at: float) -> None:
-        """Also a lease that has run out goes on, as long as nobody else was given the role."""
-        granted = await self._call_head(RenewLease(self.me.name, self.lease.token))
-        if granted.granted:
-            self.lease.extend(asked_at, granted.token)
-        elif granted.token:
+            await self._claim(requested_at, reacquired=state.placer == self.me.name)
+
+    async def _renew(self, requested_at: float) -> None:
+        """Renews the lease, also after it has expired, as long as no other process was granted it."""
+        reply = await self._call_head(RenewLease(self.me.name, self.lease.token))
+        if reply.granted:
+            self.lease.extend(requested_at, reply.token)
+        elif reply.token:
             self.lease.drop()
 
-    async def _claim(self, asked_at: float, reacquired: bool) -> None:
-        granted = await self._call_head(ClaimLease(self.me.name, self.latest_token))
-        self.latest_token = max(self.latest_token, granted.token)
-        if granted.granted:
+    async def _claim(self, requested_at: float, reacquired: bool) -> None:
+        reply = await self._call_head(ClaimLease(self.me.name, self.latest_token))
+        self.latest_token = max(self.latest_token, reply.token)
+        if reply.granted:
             self.reacquired = reacquired
-            self.lease.extend(asked_at, granted.token)
-            event("placer.elected", token=granted.token)
-        elif granted.retry_after_ms:
+            self.lease.extend(requested_at, reply.token)
+            event("placer.elected", token=reply.token)
+        elif reply.retry_after_ms:
             await self.chain.agreement.changed.wait(
-                granted.retry_after_ms / 1000
+                reply.retry_after_ms / 1000
             )  # another view may shorten it
 
     def _is_candidate(self) -> bool:
-        """The last members of the chain claim first, so that head and placer are mostly two machines."""
+        """Whether this process may claim the lease: any member of the chain may."""
         return self.chain.view.position(self.me.disk_id) is not None
 
     async def release(self) -> None:
-        """Gives the role up before this process ends."""
+        """Releases the lease before this process ends."""
         if not self.is_held():
             return
         self.lease.drop()
--- a/finchladder/cluster/replication/agreement.py
+++ b/finchladder/cluster/replication/agreement.py
@@ -1,14 +1,14 @@
 """Agreement on the next view: single-decree Paxos, one instance for each view, no I/O and no clock.
 
 The acceptors of instance n + 1 are the voters of view n. A voter answers only for the instance that follows
-the newest decided view that it knows, so whoever proposes learns of newer views first.
+the newest decided view that it knows, so a proposer learns of newer views first.
 
     acceptor                 on Prepare(b)              on Accept(b, v)            on Learn(v), v newer
-    promised p, nothing yet  b > p: promise, p = b      b >= p: accept v, p = b    view = v, the rest none
-    promised p, accepted v   b > p: promise, tell of v  b >= p: accept, p = b      the same
-    not a voter              refuse                     refuse                     the same
+    promised p               b > p: promise, p = b      b >= p: accept v, p = b    view = v, the rest none
+    promised p, accepted v   b > p: promise, reply v    b >= p: accept, p = b      the same
+    not a voter              reject                     reject                     the same
 
-What a voter promises and accepts is durable before it answers; `Acceptor` is what has to be kept.
+What a voter promises and accepts is durable before it replies; `Acceptor` is this durable state.
 Source: L. Lamport, "Paxos Made Simple" (2001); views as in "Vertical Paxos" (Lamport, Malkhi, Zhou 2009).
 """
 
@@ -49,7 +49,7 @@
 
 
 def learn(acceptor: Acceptor, view: View) -> Acceptor:
-    """Takes over a decided view if it is newer; what was promised for older instances is over."""
+    """Adopts a decided view if it is newer; promises and votes of older instances are void."""
     return Acceptor(view) if view.number > acceptor.view.number else acceptor
 
 
--- a/finchladder/cluster/replication/chain.py
+++ b/finchladder/cluster/replication/chain.py
@@ -1,16 +1,17 @@
-"""A member's part in chain replication: what it stores, and when that is acknowledged; no I/O and no clock.
+"""Chain replication at one member, as a state machine without I/O and clock.
 
     on Replicate in view v, sequence s        what the member does
-    v is not its view                         refuses, tells its view
-    state with it, older than its own of v    refuses: it came late
-    state with it                             takes the state: (v, s)
+    v is not its view                         rejects it, replies with its view
+    full state, older than its own of v       rejects it: the message was delayed
+    full state                                stores the state: (v, s)
     operation, state_view = v, s = own + 1    applies it
-    state_view = v, s = own                   nothing to store: a confirmation, or a repeat
-    else                                      asks for the state
+    state_view = v, s = own                   stores nothing: a confirmation, or a retransmission
+    else                                      requests the full state
 
-It answers only after all members behind it have stored the same, so what the head hears is stored everywhere.
-`state_view` is the view in which the member last stored the state as its predecessor had it; in a new view
-the whole state goes down the chain once. Source: van Renesse, Schneider, "Chain Replication" (OSDI 2004).
+A member replies only after all its successors have stored the same, so a reply to the head means that all
+members have. `state_view` is the view in which the member last stored the state of its predecessor; in a
+new view the full state is sent down the chain once.
+Source: van Renesse, Schneider, "Chain Replication" (OSDI 2004).
 """
 
 from collections.abc import Iterable
@@ -31,33 +32,33 @@
 
 @dataclass(frozen=True)
 class StoreReplica:
-    """The replica is to be made durable, then the message goes on."""
+    """The replica has to become durable before the message is forwarded."""
 
     replica: Replica
 
 
 @dataclass(frozen=True)
 class AlreadyStored:
-    """Nothing to be stored; the message goes on."""
+    """The member holds this state already; the message is forwarded."""
 
 
 @dataclass(frozen=True)
 class Reject:
-    """The message belongs to another view."""
+    """The message belongs to another view, or was delayed."""
 
     problem: str
 
 
 @dataclass(frozen=True)
 class RequestFullState:
-    """The predecessor has to send the whole state."""
+    """The predecessor has to send the full state."""
 
 
 Outcome = StoreReplica | AlreadyStored | Reject | RequestFullState
 
 
 def receive(replica: Replica, view: int, request: Replicate) -> Outcome:
-    """What a member in view `view` does with a message from its predecessor."""
+    """Decides what a member in that view does with a message from its predecessor."""
     if request.view != view:
         return Reject(f"message of view {request.view} in view {view}")
     if request.state is not None:
@@ -74,15 +75,15 @@
 
 
 def adopt(replica: Replica, view: int) -> Replica:
-    """The head of a new view begins with the state that it has."""
+    """The replica of a head that starts a new view with its own state."""
     return msgspec.structs.replace(replica, state_view=view)
 
 
 def newest(replicas: Iterable[Replica]) -> Replica:
-    """The one stored in the latest view and there after the most operations: it has all that others have."""
+    """The replica with the latest view and sequence: it includes the operations of all others."""
     return max(replicas, key=lambda replica: (replica.state_view, replica.state.sequence))
 
 
 def execute(replica: Replica, operation: Operation) -> Replica:
-    """The head applies an operation that it has checked."""
+    """The head's replica after an operation that it has validated."""
     return msgspec.structs.replace(replica, state=apply(replica.state, operation))
--- a/finchladder/cluster/replication/lease.py
+++ b/finchladder/cluster/replication/lease.py
@@ -17,38 +17,46 @@
 
 from attrs import define
 
-RENEWALS_PER_LEASE = 3  # renewals within one lease
+RENEWALS_PER_LEASE = 3  # so that two lost renewals do not end it
 CLOCK_MARGIN_S = 0.2
 
 
 @define
 class GrantedLease:
-    """The head's side."""
+    """The lease as the head of the chain grants it.
 
-    lease_s: float  # how long a holder may act after it asked
-    exclusion_window_s: float  # how long no two holders may both have acted
-    renewed_at: float | None = None  # None: not confirmed yet in this view
-    fenced: bool = False  # whether workers refuse orders with a fencing token below one that they have seen
+    Attributes:
+        lease_s: How long a holder may act after its request.
+        exclusion_window_s: No two lease holders may both act within this time.
+        renewed_at: When the lease may last have been renewed; None: the head is not confirmed yet.
+        fenced: Whether workers reject orders with a fencing token below one that they have seen.
+    """
+
+    lease_s: float
+    exclusion_window_s: float
+    renewed_at: float | None = None
+    fenced: bool = False
 
     def confirm(self, since: float) -> None:
-        """The chain has confirmed the head for the first time in its view; no other head has renewed since
-        `since`.
-        """
+        """Records the head's first confirmation in its view; no former head renewed after `since`."""
         self.renewed_at = since
 
     def renew(self, now: float) -> None:
-        """The holder was heard and the chain has confirmed the view since."""
+        """Renews the lease; since the holder's request the chain has confirmed the view."""
         if self.renewed_at is not None:
             self.renewed_at = now
 
     def release(self, now: float, idle_s: float) -> None:
-        """The holder will not act again; its last act was `idle_s` ago."""
+        """Releases the lease; the holder last acted `idle_s` ago and will not act again."""
         if self.renewed_at is not None:
             self.renewed_at = now - idle_s - self.lease_s - CLOCK_MARGIN_S
 
     def wait_s(self, now: float, *, holder_left: bool = False) -> float | None:
-        """How long a claim of another member has to wait; 0: it may be granted; None: unknown. `holder_left`:
-        the holder is not in the chain.
+        """Seconds until a claim of another member may be granted; None: unknown.
+
+        Args:
+            now: The present time.
+            holder_left: Whether the present holder is no longer in the chain.
         """
         if self.renewed_at is None:
             return None
@@ -58,24 +66,24 @@
 
 @define
 class HeldLease:
-    """The holder's side."""
+    """The lease as its holder knows it."""
 
     lease_s: float
     token: int = 0
     expires_at: float = 0.0
 
-    def extend(self, asked_at: float, token: int) -> None:
-        """The head has granted what was asked for at `asked_at`."""
+    def extend(self, requested_at: float, token: int) -> None:
+        """Records that the head has granted or renewed the lease on a request sent at `requested_at`."""
         self.token = token
-        self.expires_at = asked_at + self.lease_s
+        self.expires_at = requested_at + self.lease_s
 
     def drop(self) -> None:
-        """The role is somebody else's."""
+        """Ends the lease: it was released, or belongs to another holder."""
         self.expires_at = 0.0
 
     @property
     def is_dropped(self) -> bool:
-        """Whether the role is known to be vacant or another's; a lease that has only run out may go on."""
+        """Whether the lease has ended for good; one that has only expired may still be renewed."""
         return self.expires_at == 0.0
 
     def is_valid(self, now: float) -> bool:
--- a/finchladder/cluster/replication/membership.py
+++ b/finchladder/cluster/replication/membership.py
@@ -1,13 +1,13 @@
-"""Which view should follow: from the present one, who is healthy, and who asks to be let in.
+"""Reconfiguration: the next view, from the present one, its healthy members and those that ask to join.
 
 A member may stay in the chain as a survivor if it was a survivor of the present view, or if it is known to
 have stored the state within the present view. Survivors keep their order, so each still holds at least what
-the members after it hold, and stand before those that join.
+its successors hold, and precede the members that join.
 
-Where no survivor answers, the state may still be had from several members together: from one that was in the
-chain of the present view, and had it if that view acknowledged anything, and from one of each group of
-sources of the present view, which have it if not. All of them are members of the next view, so none of them
-takes part in an older one any more; its head begins with the newest of their replicas, by view and sequence.
+Where no survivor answers, the state may still be recovered from several members together: one of the chain of
+the present view, which has the state if that view acknowledged any operation, and one of each group of state
+sources of the present view, which have it otherwise. All of them are members of the next view, so none takes
+part in an older one any more; its head starts from the newest of their replicas, by view and sequence.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -20,66 +20,74 @@
 
 @frozen
 class MemberStatus:
-    """What is known of a member that answers."""
+    """The status of a member that answers."""
 
     member: Member
     state_view: int  # the view in which it last stored the state
-    healthy: bool  # its disk answers
-    shutting_down: bool = False  # its process is about to end
+    healthy: bool  # its disk takes writes
+    shutting_down: bool = False
 
 
 NO_STORED_VIEWS: Mapping[str, int] = MappingProxyType({})
-MAX_STATE_SOURCES = 8  # groups of one view; beyond them it waits for a survivor
+MAX_STATE_SOURCES = 8  # groups of one view; with more, the next view waits for a survivor
 
 
 @frozen
 class ReplicationLimits:
-    """What the deployment must bear. `losses`: disks that may be lost at once."""
+    """Sizes that follow from the number of disks that may be lost at once."""
 
     tolerated_losses: int
 
     @property
     def min_chain_length(self) -> int:
-        """Fewer members could lose what was acknowledged."""
+        """A shorter chain could lose acknowledged operations."""
         return self.tolerated_losses + 1
 
     @property
     def max_voters(self) -> int:
-        """So many that a majority is left after `losses`."""
+        """The number of voters that leaves a majority after the tolerated losses."""
         return 2 * self.tolerated_losses + 1
 
 
 def survivors(view: View, alive: Mapping[str, MemberStatus]) -> list[Member]:
-    """Members of the chain that hold all that was acknowledged and that answer, in their order."""
-    kept = []
-    for place, member in enumerate(view.chain):
+    """Healthy members of the chain that hold all acknowledged state, in chain order."""
+    surviving = []
+    for position, member in enumerate(view.chain):
         status = alive.get(member.disk_id)
         if status is None or not _is_healthy(member, alive):
             continue
-        if place < view.survivors or status.state_view == view.number:
-            kept.append(member)
-    return kept
+        if position < view.survivors or status.state_view == view.number:
+            surviving.append(member)
+    return surviving
 
 
 def next_voters(
     view: View, alive: Mapping[str, MemberStatus], chain: Sequence[Member], limits: ReplicationLimits
 ) -> list[Member]:
-    """The voters of the next view: members of its chain replace former incarnations, then the silent, then
-    fill up.
+    """The voters of the next view, after members of its chain have become voters.
+
+    A member replaces its own former incarnation, else takes a free seat, else replaces a voter that does not
+    answer or shuts down.
     """
     voters = list(view.voters)
     known = {voter.disk_id for voter in voters}
     for member in chain:
         if member.disk_id in known:
             continue
-        former = [v for v in voters if v.name == member.name or v.peer_address == member.peer_address]
-        silent = [v for v in voters if v.disk_id not in alive or alive[v.disk_id].shutting_down]
+        former = [
+            voter
+            for voter in voters
+            if voter.name == member.name or voter.peer_address == member.peer_address
+        ]
+        unavailable = [
+            voter for voter in voters if voter.disk_id not in alive or alive[voter.disk_id].shutting_down
+        ]
         if former:
             voters[voters.index(former[0])] = member
         elif len(voters) < limits.max_voters:
             voters.append(member)
-        elif silent:
-            voters[voters.index(silent[0])] = member
+        elif unavailable:
+            voters[voters.index(unavailable[0])] = member
     return voters
 
 
@@ -90,55 +98,63 @@
     limits: ReplicationLimits,
     stored: Mapping[str, int] = NO_STORED_VIEWS,
 ) -> View | None:
-    """The view to propose; None if the present one is good, or no safe one can be made.
-
-    `alive`: by disk id, the members that answer. `joining`: members that ask to be let in. `stored`: by disk
-    id, the view in which a member is known to have stored the state, also of those that are silent now.
+    """The view to propose; None if no change is needed, or no safe view is possible.
+
+    Args:
+        view: The present view.
+        alive: Members that answer, by disk id.
+        joining: Processes that ask to join.
+        limits: Minimum chain length and number of voters.
+        stored: By disk id, the view in which a member last reported to have stored the state, also of members
+            that do not answer now.
     """
-    kept = survivors(view, alive)
-    if not kept:
+    surviving = survivors(view, alive)
+    if not surviving:
         return _collecting_view(view, alive, limits)
-    present = [m for m in view.chain if m not in kept and _is_healthy(m, alive)]
-    newcomers = _newcomers([*kept, *present], alive, joining)
-    settled = all(alive[m.disk_id].state_view == view.number for m in (*kept, *present))
-    if not settled and len(kept) + len(present) >= limits.min_chain_length:
-        newcomers = []
-    chain = (*kept, *present, *newcomers)
-    return _checked_view(view, alive, chain, len(kept), (_state_holders(view, kept, stored),), limits)
+    syncing = [member for member in view.chain if member not in surviving and _is_healthy(member, alive)]
+    staying = [*surviving, *syncing]
+    newcomers = _newcomers(staying, alive, joining)
+    all_stored = all(alive[member.disk_id].state_view == view.number for member in staying)
+    if not all_stored and len(staying) >= limits.min_chain_length:
+        newcomers = []  # they join once the present chain has stored the state
+    chain = (*surviving, *syncing, *newcomers)
+    sources = (_state_holders(view, surviving, stored),)
+    return _checked_view(view, alive, chain, len(surviving), sources, limits)
 
 
 def _checked_view(
     view: View,
     alive: Mapping[str, MemberStatus],
     chain: tuple[Member, ...],
-    kept: int,
+    survivor_count: int,
     sources: tuple[tuple[Member, ...], ...],
     limits: ReplicationLimits,
 ) -> View | None:
-    """The view with that chain, unless it is the present one, too short, or its voters do not answer."""
+    """The view with that chain; None if it is the present one, too short, or lacks a majority of voters."""
     voters = tuple(next_voters(view, alive, chain, limits))
     if len(chain) < limits.min_chain_length:
         return None
     if chain == view.chain and voters == view.voters:
         return None
-    if sum(v.disk_id in alive for v in voters) <= len(voters) // 2:
+    if sum(voter.disk_id in alive for voter in voters) <= len(voters) // 2:
         return None
-    return View(view.number + 1, voters, chain, kept, sources)
+    return View(view.number + 1, voters, chain, survivor_count, sources)
 
 
-def _state_holders(view: View, kept: Sequence[Member], stored: Mapping[str, int]) -> tuple[Member, ...]:
-    """Members of the chain, silent ones too, of which each alone has all that was acknowledged."""
+def _state_holders(view: View, surviving: Sequence[Member], stored: Mapping[str, int]) -> tuple[Member, ...]:
+    """Members of the chain, reachable or not, each of which holds all acknowledged state."""
     return tuple(
         member
-        for place, member in enumerate(view.chain)
-        if member in kept or place < view.survivors or stored.get(member.disk_id) == view.number
+        for position, member in enumerate(view.chain)
+        if member in surviving or position < view.survivors or stored.get(member.disk_id) == view.number
     )
 
 
 def _collecting_view(view: View, alive: Mapping[str, MemberStatus], limits: ReplicationLimits) -> View | None:
-    """A view without survivors, whose members have the state together; None if too few of them answer."""
-    groups = (view.chain, *(g for g in view.source_groups if set(g) != set(view.chain)))
-    answering = [[m for m in group if _is_healthy(m, alive)] for group in groups]
+    """A view without survivors, whose members hold the state together; None if too few answer."""
+    other_sources = (group for group in view.source_groups if set(group) != set(view.chain))
+    groups = (view.chain, *other_sources)
+    answering = [[member for member in group if _is_healthy(member, alive)] for group in groups]
     if not all(answering) or len(groups) > MAX_STATE_SOURCES:
         return None
     chain = tuple(dict.fromkeys(member for group in reversed(answering) for member in group))
@@ -155,16 +171,22 @@
 def _newcomers(
     staying: Sequence[Member], alive: Mapping[str, MemberStatus], joining: Collection[Member]
 ) -> list[Member]:
-    """Who may join behind those that stay; nobody that shares a name with one of them."""
+    """Healthy members to append to the chain; none that shares a name with a staying one."""
     names = {member.name for member in staying}
     answering = {status.member for status in alive.values()}
-    wanted = {m for m in {*answering, *joining} if m.name not in names and _is_healthy(m, alive)}
-    return sorted(wanted, key=lambda m: (m.name, m.disk_id))
+    candidates = {
+        member for member in {*answering, *joining} if member.name not in names and _is_healthy(member, alive)
+    }
+    return sorted(candidates, key=_by_name)
 
 
 def first_view(members: Sequence[Member], limits: ReplicationLimits) -> View | None:
-    """The first view of a new system, from those that were told to found it."""
+    """The first view of a new system, from the seeds that answer; None if they are too few."""
     if len(members) < limits.min_chain_length:
         return None
-    chain = tuple(sorted(members, key=lambda m: (m.name, m.disk_id)))
+    chain = tuple(sorted(members, key=_by_name))
     return View(1, chain[: limits.max_voters], chain, len(chain))
+
+
+def _by_name(member: Member) -> tuple[str, str]:
+    return member.name, member.disk_id
--- a/finchladder/lab/cluster/planted_faults.py
+++ b/finchladder/lab/cluster/planted_faults.py
@@ -31,12 +31,12 @@
 _VOTE_IN_MEMORY = "self.acceptor = acceptor\n                self.accepted_at"
 _PROMISE_IN_MEMORY = "self.acceptor = acceptor\n            return reply"
 _STORE_VIEW = "await self.store.save(acceptor=acceptor)\n            self.acceptor = acceptor"
-_QUALIFIED = "if place < view.survivors or status.state_view == view.number:"
+_QUALIFIED = "if position < view.survivors or status.state_view == view.number:"
 _IS_TAIL = "if tail is None or tail.disk_id != agreement.me.disk_id or replica.state_view != view.number:"
 _CHAIN_ANSWER = "if problem:\n            return Replicated(False, agreement.view, problem=problem)"
 _LEASE_WAIT = "return max(0.0, self.renewed_at + self.lease_s + exclusion_s + CLOCK_MARGIN_S - now)"
 _EXTEND = (
-    "if granted.granted:\n            self.lease.extend(asked_at, granted.token)\n        elif granted.token:"
+    "if reply.granted:\n            self.lease.extend(requested_at, reply.token)\n        elif reply.token:"
 )
 
 MUTANTS: tuple[Mutant, ...] = (
@@ -59,7 +59,7 @@
         "read although a voter has accepted a later view",
         1,
         "process.chain_service",
-        " and not p.has_accepted",
+        " and not pong.has_accepted",
         "",
     ),
     Mutant(
@@ -115,7 +115,7 @@
         "write on what is not confirmed",
         1,
         "process.chain_service",
-        "if not settled and not await self.confirm_locked():",
+        "if not is_confirmed and not await self.confirm_locked():",
         "if False:",
     ),
     Mutant(
@@ -160,7 +160,7 @@
         1,
         "process.placer_lease",
         _EXTEND,
-        _EXTEND.replace("asked_at", "steady()"),
+        _EXTEND.replace("requested_at", "steady()"),
     ),
     Mutant(
         "token that does not rise",
@@ -289,14 +289,14 @@
         "collection without the present chain",
         3,
         "replication.membership",
-        "groups = (view.chain, *(g for g",
-        "groups = (*(), *(g for g",
+        "groups = (view.chain, *other_sources)",
+        "groups = (*other_sources,)",
     ),
     Mutant(
         "collection without the sources",
         3,
         "replication.membership",
-        "groups = (view.chain, *(g for g in view.source_groups if set(g) != set(view.chain)))",
+        "groups = (view.chain, *other_sources)",
         "groups = (view.chain,)",
     ),
     Mutant(
@@ -333,22 +333,22 @@
         "joiner counts as survivor",
         4,
         "replication.membership",
-        "return _checked_view(view, alive, chain, len(kept),",
+        "return _checked_view(view, alive, chain, len(surviving),",
         "return _checked_view(view, alive, chain, len(chain),",
     ),
     Mutant(
         "joiner leads",
         4,
         "replication.membership",
-        "chain = (*kept, *present, *newcomers)",
-        "chain = (*newcomers, *kept, *present)",
+        "chain = (*surviving, *syncing, *newcomers)",
+        "chain = (*newcomers, *surviving, *syncing)",
     ),
     Mutant(
         "survivors in another order",
         4,
         "replication.membership",
-        "    return kept\n",
-        "    return kept[::-1]\n",
+        "    return surviving\n",
+        "    return surviving[::-1]\n",
     ),
     Mutant(
         "late state is stored",
