--- a/finchladder/cluster/process/control_api.py
+++ b/finchladder/cluster/process/control_api.py
@@ -1,4 +1,4 @@
-"""The public control API: the operator's configuration and the workers' heartbeats."""
+"""The public HTTP API of a control process: the operator's configuration and the workers' heartbeats."""
 
 from collections.abc import Awaitable
 
@@ -19,8 +19,8 @@
 
 CONFIG_PATH = "/api/config"
 INSTANCES_PREFIX = "/api/instances/"
-RESPONSE_DEADLINE_S = 0.9  # callers move on after a second of silence
-MIN_BYTES_PER_S = 1_000_000  # so much longer for large bodies
+RESPONSE_DEADLINE_S = 0.9  # callers try another process after a second without an answer
+MIN_BYTES_PER_S = 1_000_000  # extends that deadline by the size of the body
 MAX_BODY_BYTES = 64 << 20
 
 
@@ -29,20 +29,20 @@
 
 
 class ProblemResponse(msgspec.Struct):
-    """Body of an answer that refuses."""
+    """Body of a response to a rejected call."""
 
     problem: str
     version: int = 0
 
 
 class ConfigurationAccepted(msgspec.Struct):
-    """Body of an answer that takes a configuration."""
+    """Body of a response to an accepted configuration."""
 
     version: int
 
 
 class HeartbeatResponse(msgspec.Struct):
-    """Body of an answer to a heartbeat."""
+    """Body of a response to a heartbeat."""
 
     heartbeat_url: str
 
@@ -53,11 +53,14 @@
     def __init__(
         self, changes: ConfigurationChanges, chain: ChainService, sessions: WorkerSessions, address: str
     ) -> None:
-        self._changes, self._chain, self._sessions = changes, chain, sessions
+        """Creates the handlers; `address` is the control address that workers are to call."""
+        self._changes = changes
+        self._chain = chain
+        self._sessions = sessions
         self._address = address
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """One call."""
+        """Routes one call by method and path."""
         path, method = request.path, request.method
         if path == CONFIG_PATH and method in ("PUT", "PATCH"):
             return await self._put_configuration(request)
@@ -111,8 +114,9 @@
 
 
 async def _read_body(request: web.BaseRequest) -> bytes | None:
-    """The body; None if it broke off or is too large."""
-    parts, size = [], 0
+    """The complete body; None if the connection broke or the body is too large."""
+    parts: list[bytes] = []
+    size = 0
     try:
         async for part in request.content.iter_any():
             size += len(part)
--- a/finchladder/cluster/process/core_node.py
+++ b/finchladder/cluster/process/core_node.py
@@ -1,6 +1,4 @@
-"""A process of the core: votes, stores, keeps sessions, serves control, and places models when it has the
-role.
-"""
+"""A control process: replicated state, worker sessions, the public control API, and the placer."""
 
 import asyncio
 from contextlib import suppress
@@ -24,13 +22,13 @@
 from finchladder.cluster.types.members import Member
 from finchladder.cluster.types.messages import DemandReport, PullUpdates, Reply, Request
 
-SHUTDOWN_LINGER_S = 0.3
-LEAVE_CHAIN_TIMEOUT_S = 1.5  # for the others to go on without this process
+SHUTDOWN_LINGER_S = 0.3  # peers may still fetch updates before the listeners close
+LEAVE_CHAIN_TIMEOUT_S = 1.5  # until the others have adopted a view without this process
 
 
 @define
 class CoreNode:
-    """Wiring of a core process."""
+    """Creates, runs and shuts down the services of a control process."""
 
     settings: Settings
     random: Random = field(factory=Random)
@@ -43,29 +41,10 @@
 
     def _build(self) -> None:
         settings = self.settings
-        self.peers, self.workers = PeerClient(), WorkerClient()
-        store = LmdbStore(settings.data_dir, settings.disk_bytes)
-        founder = settings.bootstrap and store.was_empty and settings.control in settings.seeds
-        disk_id = f"{SystemRandom().getrandbits(64):016x}"
-        identity, acceptor, replica = store.load(lambda: Identity(disk_id, founder))
-        if store.moved_aside:
-            event("storage.corrupted", moved_to=store.moved_aside)
-        me = Member(
-            settings.node_name, identity.disk_id, settings.zone, settings.peer_address, settings.control
-        )
-        seeds = tuple(settings.peer_address_of(seed) for seed in settings.seeds)
-        self.control = ControlPlane.build(
-            me,
-            store,
-            self.peers,
-            RecoveredState(identity.founder, acceptor, replica),
-            tolerated_losses=settings.tolerated_losses,
-            seeds=seeds,
-            exclusion_window_s=settings.bounds.lease_s,
-            fenced=settings.bounds.fencing,
-            random=self.random,
-        )
         bounds = settings.bounds
+        self.peers = PeerClient()
+        self.workers = WorkerClient()
+        self.control = self._build_control_plane()
         self.core_sessions = CoreSessions.build(
             self.control,
             heartbeat_s=settings.heartbeat_s,
@@ -84,8 +63,32 @@
             0.0 if bounds.fencing else bounds.lease_s,
         )
 
+    def _build_control_plane(self) -> ControlPlane:
+        """Opens the disk and creates the control plane from what it holds."""
+        settings = self.settings
+        store = LmdbStore(settings.data_dir, settings.disk_bytes)
+        founder = settings.bootstrap and store.was_empty and settings.control in settings.seeds
+        disk_id = f"{SystemRandom().getrandbits(64):016x}"
+        identity, acceptor, replica = store.load(lambda: Identity(disk_id, founder))
+        if store.moved_aside:
+            event("storage.corrupted", moved_to=store.moved_aside)
+        me = Member(
+            settings.node_name, identity.disk_id, settings.zone, settings.peer_address, settings.control
+        )
+        return ControlPlane.build(
+            me,
+            store,
+            self.peers,
+            RecoveredState(identity.founder, acceptor, replica),
+            tolerated_losses=settings.tolerated_losses,
+            seeds=tuple(settings.peer_address_of(seed) for seed in settings.seeds),
+            exclusion_window_s=settings.bounds.lease_s,
+            fenced=settings.bounds.fencing,
+            random=self.random,
+        )
+
     async def handle(self, request: Request) -> Reply:
-        """The internal protocol."""
+        """The reply to a request of the internal protocol."""
         match request:
             case PullUpdates():
                 return await self.core_sessions.updates.on_pull(request)
--- a/finchladder/cluster/process/log.py
+++ b/finchladder/cluster/process/log.py
@@ -1,4 +1,4 @@
-"""Logs of a process by eliot: one JSON object a line on standard error, at a bounded rate."""
+"""Structured logs by eliot: one JSON object per line on standard error, at a bounded rate."""
 
 import json
 import sys
@@ -8,22 +8,24 @@
 import eliot
 from eliot import log_message
 
-BURST_LINES = 200  # lines that may come at once
+BURST_LINES = 200  # capacity of the token bucket
 LINES_PER_S = 20.0
 
 
 class TokenBucket:
-    """A token bucket over all lines of a process."""
+    """Rate limit over all log lines of a process."""
 
     def __init__(self) -> None:
-        self._tokens, self._at = float(BURST_LINES), time.monotonic()
+        """Creates a full bucket."""
+        self._tokens = float(BURST_LINES)
+        self._refilled_at = time.monotonic()
         self._dropped = 0
 
     def take(self) -> tuple[bool, int]:
-        """Whether a line may go out, and how many were left out before it."""
+        """Whether a line may be written, and how many were dropped before it."""
         now = time.monotonic()
-        self._tokens = min(float(BURST_LINES), self._tokens + (now - self._at) * LINES_PER_S)
-        self._at = now
+        self._tokens = min(float(BURST_LINES), self._tokens + (now - self._refilled_at) * LINES_PER_S)
+        self._refilled_at = now
         if self._tokens < 1:
             self._dropped += 1
             return False, 0
@@ -36,7 +38,7 @@
 
 
 def start(node: str) -> None:
-    """Begins logging for that node."""
+    """Starts logging; every line carries the name of the node."""
 
     def write(message: dict[str, Any]) -> None:
         message["node"] = node
--- a/finchladder/cluster/process/main.py
+++ b/finchladder/cluster/process/main.py
@@ -16,15 +16,16 @@
 
 
 async def _run_until_signalled(run: Callable[[asyncio.Event], Awaitable[None]]) -> None:
-    stop, loop = asyncio.Event(), asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # nothing in the file may change within one life
+    stop = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
+    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # settings are read only at the start
     await run(stop)
 
 
 def _serve(settings: Settings) -> None:
-    """Runs what the settings ask for: control, or clients' traffic."""
+    """Runs a control process or a dispatcher, as the settings say."""
     log.start(settings.node_name)
     gc.freeze()
     if settings.control:
--- a/finchladder/cluster/process/settings.py
+++ b/finchladder/cluster/process/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: read, checked, with what follows from it."""
+"""The settings file of a process: parsed, validated and with units in the names."""
 
 import os
 import tomllib
@@ -38,7 +38,7 @@
 
 @frozen
 class Bounds:
-    """Figures of the rules in force; seconds where the name says so."""
+    """Bounds of the operators' rules; names ending in `_s` are seconds."""
 
     drain_s: float
     grace_s: float
@@ -69,7 +69,7 @@
     heartbeat_s: float
     data_dir: str
     disk_bytes: int
-    tolerated_losses: int  # of machines with a disk, to be borne at once
+    tolerated_losses: int  # disks that may be lost at once
     frontend: str
     readiness: str
     control: str
@@ -77,11 +77,11 @@
 
     @property
     def peer_address(self) -> str:
-        """Where this process listens for others."""
+        """The address of the internal protocol of this process."""
         return f"{self.ip}:{self.peer_port}"
 
     def peer_address_of(self, control_address: str) -> str:
-        """The internal address of the process with that control address; ports are alike on all machines."""
+        """The peer address of the process with that control address; all machines use the same ports."""
         return f"{control_address.rpartition(':')[0]}:{self.peer_port}"
 
 
@@ -106,7 +106,15 @@
 
 
 def parse_settings(text: str, source: str) -> Settings:
-    """Settings from the text of a file; SettingsInvalid names the first finding. `place`: for the message."""
+    """Settings from the text of a file.
+
+    Args:
+        text: Content of the file, TOML.
+        source: Where it comes from, for error messages.
+
+    Raises:
+        InvalidSettingsError: With the first problem of the file.
+    """
     try:
         value = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -136,7 +144,11 @@
 
 
 def load_settings() -> Settings:
-    """Settings from the file that the environment names."""
+    """Settings from the file named by the environment.
+
+    Raises:
+        InvalidSettingsError: The file can't be read, or with its first problem.
+    """
     path = os.environ.get(FILE_VARIABLE, "")
     try:
         with open(path, encoding="utf-8") as file:
--- a/finchladder/cluster/process/tasks.py
+++ b/finchladder/cluster/process/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of a process: kept alive, named, ended together."""
+"""Background tasks of a process: named, restarted after errors, cancelled together."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -12,38 +12,40 @@
 
 
 class Tasks:
-    """Owns tasks; a loop that fails is logged and run again."""
+    """Owns the background tasks of a process; a loop that fails is logged and restarted."""
 
     def __init__(self) -> None:
+        """Creates an owner without tasks."""
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
-        """Runs something once; its error is logged."""
+        """Runs a coroutine once; an error is logged."""
         task = asyncio.create_task(work, name=name)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
         return task
 
     def repeat(self, work: Callable[[], Awaitable[None]], name: str) -> asyncio.Task[Any]:
-        """Runs a loop for ever; after an error it is entered anew."""
+        """Runs a loop until `stop`; after an error or a return it is restarted."""
 
         async def guarded() -> None:
             while True:
                 try:
                     await work()
+                # any error: a process without one of its loops would be half dead
                 except Exception as error:
                     event("task.failed", task=name, error=repr(error))
                 await asyncio.sleep(RESTART_DELAY_S)
 
         return self.spawn(guarded(), name)
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             event("task.failed", task=task.get_name(), error=repr(task.exception()))
 
     async def stop(self) -> None:
-        """Cancels all tasks and waits for their ends."""
+        """Cancels all tasks and waits until they have ended."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -51,8 +53,9 @@
 
 
 async def result_within(work: "asyncio.Future[T]", timeout_s: float) -> T | None:
-    """The result, or the error; None once the time is over: the work goes on, and how it ends is of no
-    concern any more.
+    """The result of the work, or its error raised; None after the timeout.
+
+    Work that has timed out continues; its later result or error is ignored.
     """
     done, _ = await asyncio.wait({work}, timeout=timeout_s)
     if done:
@@ -62,25 +65,27 @@
 
 
 def _retrieve_exception(work: "asyncio.Future[Any]") -> None:
+    # asyncio logs errors that nobody has retrieved
     if not work.cancelled():
         work.exception()
 
 
 class Signal:
-    """Wakes all that wait for the next change, in the order in which they began to wait."""
+    """Notifies all waiters of the next change, in the order in which they began to wait."""
 
     def __init__(self) -> None:
+        """Creates a signal without waiters."""
         self._waiting: dict[asyncio.Future[None], None] = {}
 
     def fire(self) -> None:
-        """Wakes whoever waits now."""
+        """Notifies all present waiters."""
         waiting, self._waiting = self._waiting, {}
         for future in waiting:
             if not future.done():
                 future.set_result(None)
 
     async def wait(self, timeout_s: float) -> bool:
-        """True when it was fired within that time."""
+        """Waits for the next `fire`; False after the timeout."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting[future] = None
         try:
--- a/finchladder/cluster/storage/__init__.py
+++ b/finchladder/cluster/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives a process, on the disk of a core machine."""
+"""Durable state of control processes."""
--- a/finchladder/cluster/storage/interface.py
+++ b/finchladder/cluster/storage/interface.py
@@ -1,4 +1,4 @@
-"""What the control state needs of a disk."""
+"""The interface of durable storage."""
 
 from typing import Protocol
 
@@ -7,21 +7,21 @@
 
 
 class DurableStore(Protocol):
-    """A disk; `save` returns once the values would survive a loss of power."""
+    """A disk; `save` returns once the values would survive a power failure."""
 
     @property
     def failed(self) -> bool:
-        """Whether the last write was refused."""
+        """Whether the last write failed."""
         ...
 
     def stalled_s(self) -> float:
-        """How long the oldest unfinished write has waited, seconds."""
+        """Age of the oldest pending write in seconds; 0 without one."""
         ...
 
     async def save(self, *, acceptor: Acceptor | None = None, replica: Replica | None = None) -> None:
-        """Makes the values durable; StorageFailed if the disk refuses them."""
+        """Makes the values durable; StorageError if the disk rejects the write."""
         ...
 
     async def probe(self) -> None:
-        """Writes something small; StorageFailed if the disk refuses it."""
+        """Writes a few bytes; StorageError if the disk rejects the write."""
         ...
--- a/finchladder/cluster/storage/lmdb_store.py
+++ b/finchladder/cluster/storage/lmdb_store.py
@@ -1,9 +1,8 @@
-"""Durable state of a core process in LMDB, written by one thread of its own.
+"""Durable state of a control process in LMDB, written by a dedicated thread.
 
-Each value is a format number, a checksum and MessagePack. A write has returned only after the file was synced
-twice: by the commit, and by a forced sync that also covers the page that names the last transaction, whose
-own write asks for durability with O_DSYNC only. What can't be read is moved aside, and the disk then counts
-as empty.
+Each value is a format version, a checksum and MessagePack. A write returns only after the file was synced
+twice: by the commit, and by a forced sync that also covers the meta page of the transaction, which LMDB
+itself writes with O_DSYNC only. A corrupted state is moved aside, and the disk then counts as empty.
 """
 
 import asyncio
@@ -24,7 +23,7 @@
 
 FORMAT_VERSION = 1
 CHECKSUM_BYTES = 8
-MAP_FRACTION = 0.4  # of the disk: pages of old transactions come on top of the data
+MAP_FRACTION = 0.4  # of the disk, as pages of old transactions need space besides the data
 MIN_MAP_BYTES = 8 << 20
 
 T = TypeVar("T")
@@ -34,25 +33,25 @@
     """A value does not match its checksum or format."""
 
 
-# a disk that is full or refuses to be read is no reason to give up what is on it
+# a full or unreadable disk is not among these: its state must not be abandoned
 CORRUPTION_ERRORS = (StorageCorruptedError, lmdb.InvalidError, lmdb.CorruptedError, lmdb.VersionMismatchError)
 
 
 class Identity(msgspec.Struct, frozen=True, array_like=True):
-    """Of this disk. `founder`: it was empty when the whole system started for the first time."""
+    """Identity of a disk; `founder`: it was empty when the system was bootstrapped."""
 
     disk_id: str
     founder: bool
 
 
 def encode_record(value: object) -> bytes:
-    """Bytes of a value with format number and checksum."""
+    """Encodes a value with format version and checksum."""
     payload = msgspec.msgpack.encode(value)
     return bytes([FORMAT_VERSION]) + blake2b(payload, digest_size=CHECKSUM_BYTES).digest() + payload
 
 
 def decode_record(data: bytes, kind: type[T]) -> T:
-    """The value of those bytes; Damaged where they are not what `seal` made."""
+    """Decodes what `encode_record` made; StorageCorruptedError for anything else."""
     payload = data[1 + CHECKSUM_BYTES :]
     checksum = blake2b(payload, digest_size=CHECKSUM_BYTES).digest()
     if data[:1] != bytes([FORMAT_VERSION]) or data[1 : 1 + CHECKSUM_BYTES] != checksum:
@@ -64,14 +63,26 @@
 
 
 class LmdbStore:
-    """The disk of one core process. `clock`: seconds of the steady clock."""
+    """The disk of one control process; implements `DurableStore`.
+
+    Attributes:
+        was_empty: Whether the disk held no state before.
+        moved_aside: Where a corrupted state was moved and why; empty if none was.
+    """
 
     def __init__(self, folder: str, disk_bytes: int, clock: Callable[[], float] = time.monotonic) -> None:
+        """Opens the state below `folder`, or creates it.
+
+        Args:
+            folder: Data directory of the process.
+            disk_bytes: Space that the process may use.
+            clock: Seconds of a steady clock.
+        """
         self._folder = os.path.join(folder, "state")
         self._map_bytes = max(MIN_MAP_BYTES, int(disk_bytes * MAP_FRACTION))
         self._clock = clock
         self._executor = ThreadPoolExecutor(max_workers=1, thread_name_prefix="disk")
-        self._pending: dict[int, float] = {}
+        self._pending: dict[int, float] = {}  # start times of unfinished writes
         self._serial = 0
         self._failed = False
         self.was_empty = not os.path.exists(self._folder)
@@ -107,7 +118,7 @@
         return None if data is None else decode_record(bytes(data), kind)
 
     def load(self, new: Callable[[], Identity]) -> tuple[Identity, Acceptor, Replica]:
-        """What was stored; a disk without an identity gets the one that `new` makes."""
+        """Identity, acceptor and replica as stored; an empty disk gets the identity that `new` returns."""
         identity = self._get(b"identity", Identity)
         if identity is None:
             identity = new()
@@ -125,13 +136,13 @@
                     transaction.put(key, value)
             self._environment.sync(True)
         except lmdb.PanicError:
-            # after a page that names a transaction was refused, LMDB refuses everything until opened anew
+            # after a failed write of a meta page LMDB rejects all writes until it is reopened
             self._environment.close()
             self._environment = self._open_environment()
             raise
 
     async def save(self, *, acceptor: Acceptor | None = None, replica: Replica | None = None) -> None:
-        """Returns once the values are durable; StorageFailed if the disk refuses them."""
+        """Makes the values durable; StorageError if the disk rejects the write."""
         values: dict[bytes, bytes] = {}
         if acceptor is not None:
             values[b"acceptor"] = encode_record(acceptor)
@@ -140,7 +151,7 @@
         await self._write_in_thread(values)
 
     async def probe(self) -> None:
-        """Writes something small, to learn whether a disk that failed has come back."""
+        """Writes a few bytes, to find out whether a failed disk has recovered."""
         await self._write_in_thread({b"probe": b"\x00"})
 
     async def _write_in_thread(self, values: dict[bytes, bytes]) -> None:
@@ -157,22 +168,22 @@
             del self._pending[serial]
 
     def close(self) -> None:
-        """Ends the thread and closes the file."""
+        """Stops the thread and closes the file."""
         self._executor.shutdown()
         self._environment.close()
 
     @property
     def failed(self) -> bool:
-        """Whether the last write was refused."""
+        """Whether the last write failed."""
         return self._failed
 
     def stalled_s(self) -> float:
-        """How long the oldest unfinished write has waited."""
+        """Age of the oldest pending write in seconds; 0 without one."""
         return self._clock() - min(self._pending.values()) if self._pending else 0.0
 
 
 def _sync_folder(path: str) -> None:
-    """Makes new names in a folder durable."""
+    """Makes new directory entries durable."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/finchladder/cluster/transport/__init__.py
+++ b/finchladder/cluster/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP on both sides; it decides nothing."""
+"""HTTP client and server, and the internal protocol on top of them."""
--- a/finchladder/cluster/transport/exchange.py
+++ b/finchladder/cluster/transport/exchange.py
@@ -1,21 +1,21 @@
-"""What ends an exchange with an HTTP server: aiohttp's client protocol, made strict about broken connections.
+"""aiohttp's client protocol, made strict about how an exchange with an HTTP server ends.
 
-An exchange begins when a request is written and has one final answer. What the protocol makes of each ending:
+An exchange begins when a request is written and has one final response. Outcome of each ending:
 
-    what came of the answer   FIN                 reset or time-out   more bytes than the answer
+    received of the response  FIN                 reset or time-out   more bytes than the response
     nothing                   error               error               -
     a part of its head        error               error               -
-    1xx alone                 error               error               the final answer is waited for
+    1xx alone                 error               error               the final response is awaited
     head, counted body, part  error               error               -
-    head, counted body, all   whole               whole               whole; the connection is not used again
+    head, counted body, all   complete            complete            complete; connection not reused
     head, chunks, not the 0   error               error               -
-    head, chunks, the last    whole               whole               whole; the connection is not used again
-    head, body without length whole               error               part of the body
+    head, chunks, the last    complete            complete            complete; connection not reused
+    head, body without length complete            error               part of the body
 
-More bytes that come before the answer was read may make it an error; they never become a part of it.
-An error reaches whoever reads the body, also when bytes of it are still unread. A final answer that arrives
-while a part of the request is unsent is passed on, and the connection is not used again: the rest of the
-request would be followed by the next one, or left out.
+Surplus bytes that arrive before the response was read may make it an error; they never become a part of it.
+An error is raised to the reader of the body, also when bytes of it are still unread. A final response that
+arrives while a part of the request is unsent is delivered, and the connection is not reused: the next request
+would follow an incomplete one.
 """
 
 from functools import partial
@@ -31,31 +31,31 @@
 class StrictResponseHandler(ResponseHandler):
     """One connection to a server; at most one exchange at a time."""
 
-    _final_answers = 0  # heads of final answers since the exchange began
+    _final_responses = 0  # heads of final responses since the exchange began
 
     def set_response_params(self, **parameters: Any) -> None:
-        """An exchange begins. Bytes that came before belong to none: they end the connection."""
+        """Begins an exchange; bytes received before it belong to none and end the connection."""
         if self._tail or self._buffer:
             self._discard()
-        self._final_answers = 0
+        self._final_responses = 0
         super().set_response_params(**parameters)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of an answer, or of none where the exchange has ended; none: a pause of reading ends."""
+        """Feeds received bytes to the parser; empty data resumes reading after a pause."""
         if not data:
             super().data_received(data)
-        elif self._parser is None or self._is_answered():
+        elif self._parser is None or self._is_complete():
             self._discard()
         else:
             super().data_received(data)
 
     def feed_data(self, data: Any, size: int = 0) -> None:
-        """A head has been read; it is queued for the reader unless the exchange has its final answer."""
+        """Queues a parsed head for the reader, unless the exchange already has its final response."""
         message, _ = data
         is_final = message.code >= FIRST_FINAL_STATUS or message.code == SWITCHING_PROTOCOLS
         if is_final:
-            self._final_answers += 1
-        if self._final_answers > 1:
+            self._final_responses += 1
+        if self._final_responses > 1:
             self.force_close()
             return
         if is_final and self._has_unsent_bytes():
@@ -63,28 +63,28 @@
         super().feed_data(data, size)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """A body without a length is whole only if the server closed the connection in order."""
+        """Fails an unfinished body unless the server closed the connection in order."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(ClientPayloadError(f"the connection broke within the answer: {exc!r}"), exc)
         super().connection_lost(exc)
 
     def close(self) -> None:
-        """Ends the connection; what is still unsent of a request does not leave."""
+        """Closes the connection; unsent bytes of a request are dropped."""
         if self._has_unsent_bytes():
             self.abort()
         else:
             super().close()
 
-    def _is_answered(self) -> bool:
+    def _is_complete(self) -> bool:
         payload = self._payload
-        return self._final_answers > 0 and payload is not None and payload.is_eof()
+        return self._final_responses > 0 and payload is not None and payload.is_eof()
 
     def _has_unsent_bytes(self) -> bool:
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def _discard(self) -> None:
-        """The server has sent what nobody asked for: nothing of it is used, nor the connection again."""
+        """Drops bytes that belong to no exchange, and closes the connection."""
         self._tail = b""
         self._buffer.clear()
         self.force_close()
@@ -93,5 +93,5 @@
 
 
 def strict_protocols(loop: Any) -> Any:
-    """What an aiohttp connector calls for the protocol of a new connection."""
+    """The protocol factory of an aiohttp connector."""
     return partial(StrictResponseHandler, loop=loop)
--- a/finchladder/cluster/transport/http_server.py
+++ b/finchladder/cluster/transport/http_server.py
@@ -1,6 +1,4 @@
-"""Listening sockets by aiohttp's low-level server: one handler for all paths, nothing added to what it
-answers.
-"""
+"""HTTP listeners on aiohttp's low-level server: one handler for all paths, responses sent unchanged."""
 
 from collections.abc import Awaitable, Callable
 
@@ -16,7 +14,14 @@
     def __init__(
         self, handler: Handler, address: str, *, keepalive_s: float = 75.0, cancel_on_disconnect: bool = False
     ) -> None:
-        """`cancels`: a client that leaves cancels its handler."""
+        """Creates a listener that is not started.
+
+        Args:
+            handler: Handles every request.
+            address: `host:port` to listen on.
+            keepalive_s: How long idle connections stay open.
+            cancel_on_disconnect: Whether a client that disconnects cancels its handler.
+        """
         self._server = web.Server(
             handler,
             handler_cancellation=cancel_on_disconnect,
@@ -30,7 +35,7 @@
         self._site: web.TCPSite | None = None
 
     async def start(self) -> None:
-        """Begins to listen; OSError if the address is taken."""
+        """Starts to listen; OSError if the address is in use."""
         await self._runner.setup()
         host, port = split_address(self._address)
         self._site = web.TCPSite(self._runner, host, port, backlog=BACKLOG, reuse_address=True)
@@ -38,31 +43,31 @@
 
     @property
     def bound_address(self) -> str:
-        """The address that it listens on, where the port was left to the system."""
+        """The address that it listens on, with the port that the system chose for port 0."""
         host, port = self._runner.addresses[0][:2]
         return f"{host}:{port}"
 
     @property
     def connection_count(self) -> int:
-        """Open connections."""
+        """Number of open connections."""
         return len(self._server.connections)
 
     async def stop_accepting(self) -> None:
-        """Takes no new connections; those that are open go on."""
+        """Stops accepting connections; open ones continue."""
         if self._site is not None:
             await self._site.stop()
             self._site = None
 
     def close_idle(self) -> None:
-        """Closes connections on which no request is open; the others close after their answer."""
+        """Closes connections without an open request; the others close after their response."""
         for connection in self._server.connections:
-            # aiohttp's own close() of an idle connection ends its reader and leaves the socket open
+            # aiohttp's close() of an idle connection ends its reader but leaves the socket open
             waiter = connection._waiter
             if waiter is not None and not waiter.done():
                 connection.force_close()
 
     async def stop(self) -> None:
-        """Stops listening and closes what is open."""
+        """Stops listening and closes all connections."""
         await self._runner.cleanup()
 
 
--- a/finchladder/cluster/transport/interface.py
+++ b/finchladder/cluster/transport/interface.py
@@ -1,4 +1,4 @@
-"""What the control state needs of the network."""
+"""The interface of calls between processes."""
 
 from typing import Protocol
 
@@ -9,5 +9,10 @@
     """Calls other processes."""
 
     async def call(self, address: str, request: Request, timeout_s: float) -> Reply:
-        """The peer's reply; PeerUnreachable without one in time, PeerRefused where it could not do it."""
+        """Sends a request and returns the reply.
+
+        Raises:
+            PeerUnreachableError: No reply within the timeout.
+            PeerRefusedError: The peer could not carry out the request.
+        """
         ...
--- a/finchladder/cluster/transport/peers.py
+++ b/finchladder/cluster/transport/peers.py
@@ -1,4 +1,4 @@
-"""The internal protocol over HTTP: one POST for each request, MessagePack both ways."""
+"""The internal protocol over HTTP: one POST per request, MessagePack in both directions."""
 
 import asyncio
 import time
@@ -27,14 +27,18 @@
 
 
 class PeerClient:
-    """Calls other processes."""
+    """Client of the internal protocol; implements `Peers`."""
 
     def __init__(self) -> None:
+        """Creates a client without connections; needs a running event loop."""
         self._session = make_session(keepalive_s=KEEPALIVE_TIMEOUT_S)
 
     async def call(self, address: str, request: Request, timeout_s: float) -> Reply:
-        """Sends one request; PeerUnreachable without an answer in time, PeerRefused if the peer could not do
-        it.
+        """Sends one request and returns the reply; never retries.
+
+        Raises:
+            PeerUnreachableError: No reply within the timeout, or the connection failed.
+            PeerRefusedError: The peer could not carry out the request, or its reply is malformed.
         """
         step = type(request).__name__
         timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=min(CONNECT_TIMEOUT_S, timeout_s))
@@ -60,8 +64,10 @@
         await self._session.close()
 
 
-def peer_handler(answer: RequestHandler) -> Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]:
-    """The HTTP handler of the internal protocol."""
+def peer_handler(
+    handle_request: RequestHandler,
+) -> Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]:
+    """An HTTP handler that decodes requests of the internal protocol and encodes the replies."""
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         try:
@@ -69,7 +75,7 @@
         except msgspec.DecodeError as error:
             return web.Response(status=400, text=f"unreadable: {error}\n")
         try:
-            reply: Reply = await answer(message)
+            reply: Reply = await handle_request(message)
         except ClusterError as error:
             reply = Failure(error.step, str(error))
         return web.Response(body=encoder.encode(reply))
@@ -78,7 +84,7 @@
 
 
 async def result_or_error(awaitable: Awaitable[Reply]) -> Reply | ClusterError:
-    """The reply, or the error in its place: for calls that go to many."""
+    """The reply, or the error as a value, for calls to several peers."""
     try:
         return await awaitable
     except ClusterError as error:
@@ -86,7 +92,7 @@
 
 
 def steady() -> float:
-    """Seconds of the steady clock: that of the running loop, which is the system's own outside of tests."""
+    """Seconds of the event loop's steady clock, which simulations replace by a virtual one."""
     try:
         return asyncio.get_running_loop().time()
     except RuntimeError:
@@ -94,5 +100,5 @@
 
 
 async def call_all(calls: Sequence[Awaitable[Reply]]) -> list[Reply | ClusterError]:
-    """Makes all calls at once."""
+    """Awaits all calls concurrently; each result is a reply or an error, in the order of the calls."""
     return list(await asyncio.gather(*(result_or_error(call) for call in calls)))
--- a/finchladder/cluster/types/errors.py
+++ b/finchladder/cluster/types/errors.py
@@ -1,12 +1,21 @@
-"""Errors of the system: each says at which step and with which peer it arose."""
+"""Errors of the system; each names the step and the peer at which it arose."""
 
 
 class ClusterError(Exception):
-    """Base of all errors that pass between parts of the system."""
+    """Base class of the system's errors.
+
+    Attributes:
+        step: Name of the request or of the step that failed.
+        peer: Address, name or file that was involved; empty if there was none.
+        problem: The cause.
+    """
 
     def __init__(self, step: str, peer: str, problem: str) -> None:
+        """Creates the error with a message of all three."""
         super().__init__(f"{step} with {peer or 'nobody'}: {problem}")
-        self.step, self.peer, self.problem = step, peer, problem
+        self.step = step
+        self.peer = peer
+        self.problem = problem
 
 
 class PeerUnreachableError(ClusterError):
@@ -14,12 +23,12 @@
 
 
 class PeerRefusedError(ClusterError):
-    """The peer answered that it could not do it."""
+    """The peer replied that it could not carry out the request, or its reply is malformed."""
 
 
 class StorageError(ClusterError):
-    """The disk refused a write or did not answer."""
+    """The disk rejected a write or did not complete it."""
 
 
 class InvalidSettingsError(ClusterError):
-    """The settings file can't be used."""
+    """The settings file can't be read or is invalid."""
--- a/finchladder/cluster/types/members.py
+++ b/finchladder/cluster/types/members.py
@@ -1,13 +1,13 @@
-"""Who takes part in control: members of the core, views of the chain, ballots."""
+"""Control members, views of the replication chain, and ballots."""
 
 import msgspec
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """One incarnation of a core process's disk.
+    """One incarnation of a control process's disk.
 
-    `disk_id` is drawn when a disk is first used, so that a machine that returns with an empty disk is another
-    member and cannot vote with promises that it has forgotten.
+    `disk_id` is drawn at random when a disk is first used. A machine that restarts with an empty disk is
+    another member, so it can't vote in place of one whose promises are lost.
     """
 
     name: str
@@ -23,9 +23,9 @@
     `voters` decide the view that follows this one; `chain` stores the state, head first. The first
     `survivors` members of the chain held all acknowledged state before this view began; the rest join in it.
 
-    `sources` tells where that state is, also outside of the chain: whoever has the newest replicas of one
-    member of each group has all of it, as long as this view has acknowledged nothing. A view without
-    survivors begins with such a collection.
+    `state_sources` names groups of members, also outside of the chain. The newest replica among one member of
+    each group holds all acknowledged state, as long as this view has acknowledged no operation. A view
+    without survivors starts from such a collection.
     """
 
     number: int
@@ -36,12 +36,12 @@
 
     @property
     def source_groups(self) -> tuple[tuple[Member, ...], ...]:
-        """`sources`; of a view that names none, its survivors."""
+        """The state sources; the survivors, if the view names none."""
         return self.state_sources or (self.chain[: self.survivors],)
 
     @property
     def quorum(self) -> int:
-        """How many voters are a majority."""
+        """The number of voters that is a majority."""
         return len(self.voters) // 2 + 1
 
     @property
@@ -51,22 +51,22 @@
 
     @property
     def tail(self) -> Member | None:
-        """The member that answers reads."""
+        """The member that serves reads."""
         return self.chain[-1] if self.chain else None
 
     def position(self, disk_id: str) -> int | None:
-        """The place of a member in the chain; None if it is not in it."""
-        for place, member in enumerate(self.chain):
+        """The index of a member in the chain; None if it is not in it."""
+        for index, member in enumerate(self.chain):
             if member.disk_id == disk_id:
-                return place
+                return index
         return None
 
     def successor(self, disk_id: str) -> Member | None:
         """The next member down the chain; None for the tail and for others."""
-        place = self.position(disk_id)
-        if place is None or place + 1 >= len(self.chain):
+        index = self.position(disk_id)
+        if index is None or index + 1 >= len(self.chain):
             return None
-        return self.chain[place + 1]
+        return self.chain[index + 1]
 
     def has_voter(self, disk_id: str) -> bool:
         """Whether that member may vote on the next view."""
@@ -79,7 +79,7 @@
 
 
 class Ballot(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Number of a proposal; unique by its proposer."""
+    """Ballot number of a proposal, made unique by the proposer's disk id."""
 
     round: int
     proposer: str
--- a/finchladder/cluster/types/operations.py
+++ b/finchladder/cluster/types/operations.py
@@ -1,17 +1,17 @@
-"""What is replicated down the chain: the control state and the operations that change it."""
+"""The replicated control state and the operations that change it."""
 
 import msgspec
 
 
 class Revision(msgspec.Struct, frozen=True, array_like=True):
-    """A configuration that was taken: by its digest, so that the same order sent again is recognised."""
+    """An accepted change of the configuration; the digest identifies retries of the same change."""
 
     version: int
     digest: bytes
 
 
 class WorkerRetirement(msgspec.Struct, frozen=True, array_like=True):
-    """A worker incarnation whose drain (`left` false) or end was told. `sequence`: of its last call."""
+    """A worker incarnation that is draining or deregistered; `sequence` is that of its last call."""
 
     instance: str
     sequence: int
@@ -19,19 +19,19 @@
 
 
 class ControlState(msgspec.Struct, frozen=True, array_like=True):
-    """All replicated state. `sequence` counts the operations that made it."""
+    """All replicated state; `sequence` counts the operations applied."""
 
     sequence: int = 0
     version: int = 0  # of the configuration; 0: none yet
     document: bytes = b""  # the configuration, JSON
     accepted_revisions: tuple[Revision, ...] = ()  # the newest last, at most MAX_REVISIONS
-    fence_token: int = 0  # last one given out
-    placer: str = ""  # name of the member that holds the placer's role
+    fence_token: int = 0  # the last one granted
+    placer: str = ""  # name of the member that holds the placer's lease
     retirements: tuple[WorkerRetirement, ...] = ()  # the newest last, at most MAX_RETIREMENTS
 
 
 class SetConfiguration(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Replaces the configuration. `document` is the whole resulting one."""
+    """Replaces the configuration by `document`, the full resulting one."""
 
     base: int
     version: int
@@ -40,25 +40,25 @@
 
 
 class ClaimPlacer(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Gives the placer's role and the next fencing token to `holder`, if `token` is still the last one."""
+    """Grants the placer's lease and the token after `token` to `holder`; `token` is the last one granted."""
 
     holder: str
     token: int
 
 
 class RecordRetirements(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Keeps drains and ends of workers."""
+    """Records workers that are draining or deregistered."""
 
     retirements: tuple[WorkerRetirement, ...]
 
 
 Operation = SetConfiguration | ClaimPlacer | RecordRetirements
 MAX_REVISIONS = 1024
-MAX_RETIREMENTS = 1024  # by the time of so many later ones, a worker has long ended
+MAX_RETIREMENTS = 1024  # a worker has stopped long before so many others retire
 
 
 def apply(state: ControlState, operation: Operation) -> ControlState:
-    """The state after the operation; the caller has checked that it may be applied."""
+    """The state after an operation that the caller has validated."""
     if isinstance(operation, SetConfiguration):
         revision = Revision(operation.version, operation.digest)
         return msgspec.structs.replace(
@@ -83,7 +83,7 @@
 
 
 def is_retired(state: ControlState, retirement: WorkerRetirement) -> bool:
-    """Whether the state tells that drain or end already."""
+    """Whether the state records that drain or deregistration already."""
     return any(
         known.instance == retirement.instance and known.deregistered >= retirement.deregistered
         for known in state.retirements
@@ -93,9 +93,9 @@
 def _merge_retirements(
     known: tuple[WorkerRetirement, ...], retirements: tuple[WorkerRetirement, ...]
 ) -> tuple[WorkerRetirement, ...]:
-    """Each instance once, in its final form."""
-    by_instance = {end.instance: end for end in known}
-    for end in retirements:
-        former = by_instance.pop(end.instance, end)
-        by_instance[end.instance] = former if former.deregistered else end
+    """Both sets, each instance once; deregistered supersedes draining."""
+    by_instance = {retirement.instance: retirement for retirement in known}
+    for retirement in retirements:
+        former = by_instance.pop(retirement.instance, retirement)
+        by_instance[retirement.instance] = former if former.deregistered else retirement
     return tuple(by_instance.values())[-MAX_RETIREMENTS:]
