--- a/finchladder/cluster/process/failure_detection.py
+++ b/finchladder/cluster/process/failure_detection.py
@@ -143,8 +143,10 @@
         ]
 
     def quorum_is_lost(self) -> bool:
-        """Whether a majority of machines answers, but no majority of the voters: some came back without their
-        disks. The last acknowledged operations may then be known only to a voter that does not answer.
+        """Whether a majority of machines answers, but no majority of the voters.
+
+        Some machines then restarted without their disks, and the last acknowledged operations may be known
+        only to a voter that does not answer.
         """
         view = self.agreement.view
         alive = self.alive_members()
--- /dev/null
+++ b/tests/cluster/test_settings.py
@@ -0,0 +1,41 @@
+"""The settings file of a process: values, defaults and the first problem."""
+
+import pytest
+
+from finchladder.cluster.process.settings import parse_settings
+from finchladder.cluster.types.errors import InvalidSettingsError
+
+SETTINGS = """
+node_name = "core-1"
+ip = "10.0.0.1"
+zone = "z"
+port_range = [7000, 7015]
+seeds = ["10.0.0.1:80", "10.0.0.2:80"]
+later_field = 5
+[listen]
+control_plane = "10.0.0.1:80"
+[bounds]
+lease_ms = 1500
+"""
+
+
+def test_a_settings_file_is_read_and_what_is_unknown_is_skipped() -> None:
+    settings = parse_settings(SETTINGS, "boot.toml")
+    assert settings.peer_address == "10.0.0.1:7000"
+    assert settings.peer_address_of("10.0.0.2:80") == "10.0.0.2:7000"
+    assert settings.bounds.lease_s == 1.5
+    assert settings.bounds.drain_s == 2.0
+
+
+@pytest.mark.parametrize(
+    ("change", "named"),
+    [
+        (('zone = "z"', ""), "zone"),
+        (("[7000, 7015]", "7000"), "port_range"),
+        (('seeds = ["10.0.0.1:80"', 'seeds = ["nowhere"'), "seeds"),
+        (('zone = "z"', "zone = "), "read settings"),
+    ],
+)
+def test_a_settings_file_that_cannot_be_used_says_where(change: tuple[str, str], named: str) -> None:
+    with pytest.raises(InvalidSettingsError, match=named):
+        parse_settings(SETTINGS.replace(*change), "boot.toml")
