--- a/finchladder/cluster/process/chain_service.py
+++ b/finchladder/cluster/process/chain_service.py
@@ -126,7 +126,7 @@
         return reply
 
     def _acknowledge(self, replica: Replica, view: View, began: float) -> None:
-        """Notes that every member holds the replica: predecessors store it before they forward it."""
+        """Records that every member holds the replica: predecessors store it before they forward it."""
         self.confirmed_at = max(self.confirmed_at, began)
         if replica.state_view != view.number or replica.state.sequence < self.acknowledged.sequence:
             return
@@ -161,7 +161,7 @@
             return False
         self._acknowledge(replica, view, began)
         if self.confirmed_view != view.number:
-            self._note_first_confirmation(view, replica)
+            self._record_first_confirmation(view, replica)
         return self.view.number == view.number
 
     async def _replica_as_head(self, view: View) -> Replica | None:
@@ -175,7 +175,7 @@
                 await self._store(chain.adopt(initial, view.number))
             return agreement.replica
 
-    def _note_first_confirmation(self, view: View, replica: Replica) -> None:
+    def _record_first_confirmation(self, view: View, replica: Replica) -> None:
         self.confirmed_view = view.number
         self.lease.confirm(steady() if self.renewable_until is None else self.renewable_until)
         event("chain.confirmed", view=view.number, sequence=replica.state.sequence)
@@ -207,7 +207,7 @@
         others = [member for member in view.chain if member.disk_id != self.agreement.me.disk_id]
         call = self.agreement.peers.call
         replies = await call_all(
-            [call(m.peer_address, FetchReplica(view.number), FETCH_TIMEOUT_S) for m in others]
+            [call(member.peer_address, FetchReplica(view.number), FETCH_TIMEOUT_S) for member in others]
         )
         found = [own]
         for reply in replies:
--- a/finchladder/cluster/process/configuration_changes.py
+++ b/finchladder/cluster/process/configuration_changes.py
@@ -95,7 +95,7 @@
         operation = SetConfiguration(base, candidate.version, digest, candidate.document)
         if not await self.chain.write(operation):
             return outcome_unknown("the chain did not store it in time")
-        event("configuration.accepted", version=candidate.version, base=base, bytes=len(candidate.document))
+        event("configuration.committed", version=candidate.version, base=base, bytes=len(candidate.document))
         return Submitted(ACCEPTED, candidate.version)
 
     async def _confirmed_rejection(self, outcome: Submitted) -> Submitted:
--- a/finchladder/cluster/process/core_node.py
+++ b/finchladder/cluster/process/core_node.py
@@ -115,9 +115,8 @@
         }
         for name, loop in loops.items():
             self.tasks.repeat(loop, name)
-        event(
-            "node.started", role="core", address=self.settings.control, disk=self.control.agreement.me.disk_id
-        )
+        disk_id = self.control.agreement.me.disk_id
+        event("node.started", role="core", address=self.settings.control, disk=disk_id)
         await stop.wait()
         await self._shut_down(listeners)
 
