--- a/finchladder/cluster/process/attempt.py
+++ b/finchladder/cluster/process/attempt.py
@@ -25,7 +25,7 @@
 from finchladder.cluster.routing.requests import ClassifiedRequest
 from finchladder.cluster.routing.workers import Worker
 from finchladder.cluster.transport.exchange import FIRST_FINAL_STATUS
-from finchladder.cluster.transport.http_client import HeedingConnector
+from finchladder.cluster.transport.http_client import KeepAliveConnector
 from finchladder.cluster.transport.peers import steady
 
 CONNECT_TIMEOUT_S = 0.6
@@ -140,8 +140,8 @@
 
 def _apply_keep_alive(session: aiohttp.ClientSession, response: aiohttp.ClientResponse) -> None:
     connector = session.connector
-    if isinstance(connector, HeedingConnector) and KEEP_ALIVE_HEADER in response.headers:
-        connector.heed(response.headers[KEEP_ALIVE_HEADER])
+    if isinstance(connector, KeepAliveConnector) and KEEP_ALIVE_HEADER in response.headers:
+        connector.apply_keep_alive(response.headers[KEEP_ALIVE_HEADER])
 
 
 def _classify_response(response: aiohttp.ClientResponse, outgoing: OutgoingRequest) -> Outcome:
--- a/finchladder/cluster/process/demand_intake.py
+++ b/finchladder/cluster/process/demand_intake.py
@@ -3,7 +3,7 @@
 from attrs import define, field
 
 from finchladder.cluster.placement.demand import DemandKey, DemandTracker
-from finchladder.cluster.process.placer_lease import RoleService
+from finchladder.cluster.process.placer_lease import PlacerLeaseService
 from finchladder.cluster.process.tasks import Signal
 from finchladder.cluster.process.update_server import UpdateServer
 from finchladder.cluster.transport.peers import steady
@@ -17,7 +17,7 @@
 class DemandIntake:
     """Owns the demand tracker; `demand_queued` fires when a report shows queued requests."""
 
-    role: RoleService
+    role: PlacerLeaseService
     updates: UpdateServer
     tracker: DemandTracker = field(factory=DemandTracker)
     demand_queued: Signal = field(factory=Signal)
@@ -30,7 +30,7 @@
             self._record_queued()
             self.demand_queued.fire()
         return DemandReply(
-            self._report_interval_ms(), self.role.holds(), self.tracker.peer_loads(report.sender)
+            self._report_interval_ms(), self.role.is_held(), self.tracker.peer_loads(report.sender)
         )
 
     def _report_interval_ms(self) -> int:
--- a/finchladder/cluster/process/dispatcher_node.py
+++ b/finchladder/cluster/process/dispatcher_node.py
@@ -72,7 +72,7 @@
             is_dispatcher=True,
             own_address=settings.peer_address,
             zone=settings.zone,
-            seeds=tuple(settings.peer_of(seed) for seed in settings.seeds),
+            seeds=tuple(settings.peer_address_of(seed) for seed in settings.seeds),
             configuration_version=lambda: self.router.snapshot.version,
             on_update=self._apply_update,
         )
@@ -132,7 +132,7 @@
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until `stop` is set; returns after a graceful shutdown."""
         self._build_components()
-        frontend = Listener(self.router.handle, self.settings.frontend, cancels=True)
+        frontend = Listener(self.router.handle, self.settings.frontend, cancel_on_disconnect=True)
         readiness = Listener(self._handle_readiness, self.settings.readiness)
         await readiness.start()
         await frontend.start()
@@ -162,7 +162,7 @@
         await self._wait_for_connections(frontend, drain_deadline)
         event("node.stopping", open_requests=self.router.open_requests)
         self.router.expire_open_timeouts()
-        if frontend.connections:
+        if frontend.connection_count:
             await asyncio.sleep(FINAL_RESPONSES_S)
 
     async def _wait_for_open_requests(
@@ -177,6 +177,6 @@
                 break
 
     async def _wait_for_connections(self, frontend: Listener, drain_deadline: float) -> None:
-        while frontend.connections and steady() < drain_deadline:
+        while frontend.connection_count and steady() < drain_deadline:
             await asyncio.sleep(SHUTDOWN_POLL_S)  # a request that was just sent is read before
             frontend.close_idle()
--- a/finchladder/cluster/process/main.py
+++ b/finchladder/cluster/process/main.py
@@ -9,32 +9,33 @@
 import click
 
 from finchladder.cluster.process import log
-from finchladder.cluster.process.settings import Settings, load
+from finchladder.cluster.process.settings import Settings, load_settings
 from finchladder.cluster.types.errors import InvalidSettingsError
 
-UNUSABLE_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 
-async def _until_stopped(run: Callable[[asyncio.Event], Awaitable[None]]) -> None:
-    stop, loop = asyncio.Event(), asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # nothing in the file may change within one life
+async def _run_until_signalled(run: Callable[[asyncio.Event], Awaitable[None]]) -> None:
+    stop = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
+    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # settings are read only at the start
     await run(stop)
 
 
 def _serve(settings: Settings) -> None:
-    """Runs what the settings ask for: control, or clients' traffic."""
+    """Runs a control process or a dispatcher, as the settings say."""
     log.start(settings.node_name)
     gc.freeze()
     if settings.control:
         from finchladder.cluster.process.core_node import CoreNode
 
-        asyncio.run(_until_stopped(CoreNode(settings).run))
+        asyncio.run(_run_until_signalled(CoreNode(settings).run))
         return
     from finchladder.cluster.process.dispatcher_node import DispatcherNode
 
-    asyncio.run(_until_stopped(DispatcherNode(settings).run))
+    asyncio.run(_run_until_signalled(DispatcherNode(settings).run))
 
 
 @click.group()
@@ -46,8 +47,8 @@
 def node() -> None:
     """Run one process of the system, as FINCHLADDER_NODE_FILE says."""
     try:
-        settings = load()
+        settings = load_settings()
     except InvalidSettingsError as error:
         click.echo(f"finchladder: {error}", err=True)
-        sys.exit(UNUSABLE_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     _serve(settings)
--- a/finchladder/cluster/process/managed_workers.py
+++ b/finchladder/cluster/process/managed_workers.py
@@ -12,6 +12,7 @@
 from finchladder.cluster.process.managed_worker import ManagedWorker
 from finchladder.cluster.process.update_server import UpdateServer
 from finchladder.cluster.process.worker_orders import WORKER_RETRY_DELAY_S, WorkerOrders
+from finchladder.cluster.routing.pools import usable_models
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.worker_api import WorkerReport
@@ -122,8 +123,8 @@
         placement = None if stamped is None else stamped.record
         if placement is not None and placement.pending_load is not None:
             return True
-        usable_models = worker.placement_record(steady(), self.load_window_s).usable_models
-        return usable_models(session.record, placement) != usable_models
+        record = worker.placement_record(steady(), self.load_window_s)
+        return usable_models(session.record, placement) != record.usable_models
 
     def announce(self, worker: ManagedWorker) -> None:
         """Publishes the worker's placement record to the dispatchers, if it has changed."""
--- a/finchladder/cluster/process/placer.py
+++ b/finchladder/cluster/process/placer.py
@@ -7,7 +7,7 @@
 from finchladder.cluster.process.demand_intake import DemandIntake
 from finchladder.cluster.process.fleet_observer import FleetObserver
 from finchladder.cluster.process.managed_workers import ManagedWorkers
-from finchladder.cluster.process.placer_lease import RoleService
+from finchladder.cluster.process.placer_lease import PlacerLeaseService
 from finchladder.cluster.process.placer_takeover import PlacerTakeover
 from finchladder.cluster.process.service_planner import ServicePlanner
 from finchladder.cluster.process.store_load_budget import StoreLoadBudget
@@ -28,7 +28,7 @@
     it.
     """
 
-    role: RoleService
+    role: PlacerLeaseService
     updates: UpdateServer
     orders: WorkerOrders
     tasks: Tasks
@@ -70,7 +70,7 @@
             if not self.workers.term:
                 self.observer.record_disks()
             self.observer.record_loads()
-            if self.role.holds():
+            if self.role.is_held():
                 self._begin_term()
                 self._plan()
             elif self.workers.term and self.role.lease.is_dropped:
@@ -83,7 +83,7 @@
         if token == self.workers.term:
             return
         self.workers.begin_term(token)
-        self.budget.begin_term(token, steady(), is_reelected=self.role.was_own)
+        self.budget.begin_term(token, steady(), is_reelected=self.role.reacquired)
         self.workers.follow_sessions(self.snapshot)
         if token > 1:
             self.tasks.spawn(self.takeover.run(token), "survey of the workers")
--- a/finchladder/cluster/process/worker_orders.py
+++ b/finchladder/cluster/process/worker_orders.py
@@ -12,7 +12,7 @@
 
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.managed_worker import ManagedWorker
-from finchladder.cluster.process.placer_lease import RoleService
+from finchladder.cluster.process.placer_lease import PlacerLeaseService
 from finchladder.cluster.process.store_load_budget import StoreLoadPermit
 from finchladder.cluster.process.worker_client import WorkerClient
 from finchladder.cluster.transport.peers import steady
@@ -39,7 +39,7 @@
 class WorkerOrders:
     """Sends orders while the process holds the placer's lease."""
 
-    role: RoleService
+    role: PlacerLeaseService
     client: WorkerClient
 
     async def fetch_report(self, worker: ManagedWorker) -> WorkerReport:
@@ -86,7 +86,7 @@
             PeerUnreachableError: The worker does not answer.
         """
         submitted_at = steady()
-        while worker.last_report is not None and self._is_in_term(worker) and self.role.holds():
+        while worker.last_report is not None and self._is_in_term(worker) and self.role.is_held():
             if store_permit is not None and not store_permit.acquire(steady()):
                 await asyncio.sleep(MIN_POLL_INTERVAL_S)
                 continue
@@ -116,7 +116,7 @@
         accepted_at = steady()
         await asyncio.sleep(expected_s)
         while self._is_in_term(worker):
-            if not self.role.holds():
+            if not self.role.is_held():
                 await asyncio.sleep(MIN_POLL_INTERVAL_S)  # a lease that has run out may be renewed
                 continue
             status = await self._send(worker, LOAD, model, adapter)
@@ -144,7 +144,7 @@
         """Sends an order, at most until the lease ends; the order counts as sent until its call has ended."""
         body = worker.order_request(operation, model, adapter, self.role.me.name)
         address = worker.state.address
-        timeout_s = self.role.lease.until - steady()
+        timeout_s = self.role.lease.expires_at - steady()
         self.role.last_order_at = steady()
         try:
             status = await self.client.order(address, worker.state.instance, body, timeout_s)
--- a/finchladder/lab/cluster/planted_faults.py
+++ b/finchladder/lab/cluster/planted_faults.py
@@ -20,15 +20,23 @@
 
 _GRANT_PROMISE = "granted = may_vote and follows and request.ballot > acceptor.promised"
 _GRANT_VOTE = "granted = may_vote and follows and request.ballot >= acceptor.promised"
-_STORE_PROMISE = "await self.store.save(acceptor=acceptor)\n                self.acceptor = acceptor"
-_STORE_VOTE = "await self.store.save(acceptor=acceptor)\n                self.acceptor, self.accepted_at"
+_STORE_PROMISE = (
+    "await self.store.save(acceptor=acceptor)\n                self.acceptor = acceptor\n"
+    "            return reply"
+)
+_STORE_VOTE = (
+    "await self.store.save(acceptor=acceptor)\n                self.acceptor = acceptor\n"
+    "                self.accepted_at"
+)
+_VOTE_IN_MEMORY = "self.acceptor = acceptor\n                self.accepted_at"
+_PROMISE_IN_MEMORY = "self.acceptor = acceptor\n            return reply"
 _STORE_VIEW = "await self.store.save(acceptor=acceptor)\n            self.acceptor = acceptor"
-_QUALIFIED = "if place < view.survivors or status.state_view == view.number:"
-_IS_TAIL = "if tail is None or tail.disk_id != voting.me.disk_id or replica.state_view != view.number:"
-_CHAIN_ANSWER = "if problem:\n            return Replicated(False, voting.view, problem=problem)"
-_LEASE_WAIT = "return max(0.0, self.renewed_at + self.lease_s + turn_s + CLOCK_MARGIN_S - now)"
+_QUALIFIED = "if position < view.survivors or status.state_view == view.number:"
+_IS_TAIL = "if tail is None or tail.disk_id != agreement.me.disk_id or replica.state_view != view.number:"
+_CHAIN_ANSWER = "if problem:\n            return Replicated(False, agreement.view, problem=problem)"
+_LEASE_WAIT = "return max(0.0, self.renewed_at + self.lease_s + exclusion_s + CLOCK_MARGIN_S - now)"
 _EXTEND = (
-    "if granted.granted:\n            self.lease.extend(asked_at, granted.token)\n        elif granted.token:"
+    "if reply.granted:\n            self.lease.extend(requested_at, reply.token)\n        elif reply.token:"
 )
 
 MUTANTS: tuple[Mutant, ...] = (
@@ -51,7 +59,7 @@
         "read although a voter has accepted a later view",
         1,
         "process.chain_service",
-        " and not p.has_accepted",
+        " and not pong.has_accepted",
         "",
     ),
     Mutant(
@@ -107,22 +115,22 @@
         "write on what is not confirmed",
         1,
         "process.chain_service",
-        "if not settled and not await self.confirm_locked():",
+        "if not is_confirmed and not await self.confirm_locked():",
         "if False:",
     ),
     Mutant(
         "write acknowledged by the head alone",
         1,
         "process.chain_service",
-        'if problem:\n            event("chain.write_unclear"',
-        'if False:\n            event("chain.write_unclear"',
+        "if problem:\n            sequence = replica.state.sequence\n",
+        "if False:\n            sequence = replica.state.sequence\n",
     ),
     Mutant(
         "member answers for those behind it",
         1,
         "process.chain_service",
         _CHAIN_ANSWER,
-        "if False:\n            return Replicated(False, voting.view, problem=problem)",
+        "if False:\n            return Replicated(False, agreement.view, problem=problem)",
     ),
     Mutant("message of another view", 1, "replication.chain", "if request.view != view:", "if False:"),
     Mutant(
@@ -137,8 +145,8 @@
         "turn not waited for",
         1,
         "replication.lease",
-        "turn_s = 0.0 if self.fenced and holder_left else self.turn_s",
-        "turn_s = 0.0",
+        "exclusion_s = 0.0 if self.fenced and holder_left else self.exclusion_window_s",
+        "exclusion_s = 0.0",
     ),
     Mutant(
         "new head takes the lease for old",
@@ -152,7 +160,7 @@
         1,
         "process.placer_lease",
         _EXTEND,
-        _EXTEND.replace("asked_at", "steady()"),
+        _EXTEND.replace("requested_at", "steady()"),
     ),
     Mutant(
         "token that does not rise",
@@ -173,8 +181,8 @@
         "order sent again is answered with another version",
         2,
         "process.configuration_changes",
-        "return Submitted(TAKEN, revision.version)",
-        "return Submitted(TAKEN, state.version)",
+        "return Submitted(ACCEPTED, revision.version)",
+        "return Submitted(ACCEPTED, state.version)",
     ),
     Mutant(
         "base is not looked at", 2, "process.configuration_changes", "if base != state.version:", "if False:"
@@ -188,8 +196,20 @@
         "return blake2b(head, digest_size=16).digest()",
     ),
     # losses after repairs
-    Mutant("votes not stored", 3, "process.view_agreement", _STORE_VOTE, "self.acceptor, self.accepted_at"),
-    Mutant("promises not stored", 3, "process.view_agreement", _STORE_PROMISE, "self.acceptor = acceptor"),
+    Mutant(
+        "votes not stored",
+        3,
+        "process.view_agreement",
+        _STORE_VOTE,
+        "self.acceptor = acceptor\n                self.accepted_at",
+    ),
+    Mutant(
+        "promises not stored",
+        3,
+        "process.view_agreement",
+        _STORE_PROMISE,
+        "self.acceptor = acceptor\n            return reply",
+    ),
     Mutant("view not stored", 3, "process.view_agreement", _STORE_VIEW, "self.acceptor = acceptor"),
     Mutant(
         "view learned while a vote is stored",
@@ -201,16 +221,16 @@
     Mutant(
         "majority one too small",
         3,
-        "process.view_agreement",
+        "process.view_proposer",
         "quorum = len(addresses) // 2 + 1",
         "quorum = len(addresses) // 2",
     ),
     Mutant(
         "view decided by one vote",
         3,
-        "process.view_agreement",
-        "if sum(a.granted for a in accepted) < quorum:",
-        "if sum(a.granted for a in accepted) < 1:",
+        "process.view_proposer",
+        "if sum(reply.granted for reply in accepted) < quorum:",
+        "if sum(reply.granted for reply in accepted) < 1:",
     ),
     Mutant("accepted value is not proposed", 3, "replication.agreement", "if not accepted:", "if True:"),
     Mutant(
@@ -269,14 +289,14 @@
         "collection without the present chain",
         3,
         "replication.membership",
-        "groups = (view.chain, *(g for g",
-        "groups = (*(), *(g for g",
+        "groups = (view.chain, *other_sources)",
+        "groups = (*other_sources,)",
     ),
     Mutant(
         "collection without the sources",
         3,
         "replication.membership",
-        "groups = (view.chain, *(g for g in view.source_groups if set(g) != set(view.chain)))",
+        "groups = (view.chain, *other_sources)",
         "groups = (view.chain,)",
     ),
     Mutant(
@@ -289,15 +309,15 @@
     Mutant(
         "undecided vote is left",
         3,
-        "process.view_agreement",
-        "return self.acceptor.accepted if waited > UNDECIDED_S else None",
+        "process.view_proposer",
+        "return self.agreement.acceptor.accepted if waited_s > UNDECIDED_TIMEOUT_S else None",
         "return None",
     ),
     Mutant(
         "leaving is not told",
         3,
         "process.view_agreement",
-        "shutting_down=self.leaving,",
+        "shutting_down=self.shutting_down,",
         "shutting_down=False,",
     ),
     # members that were away
@@ -313,22 +333,22 @@
         "joiner counts as survivor",
         4,
         "replication.membership",
-        "return _checked_view(view, alive, chain, len(kept),",
+        "return _checked_view(view, alive, chain, len(surviving),",
         "return _checked_view(view, alive, chain, len(chain),",
     ),
     Mutant(
         "joiner leads",
         4,
         "replication.membership",
-        "chain = (*kept, *present, *newcomers)",
-        "chain = (*newcomers, *kept, *present)",
+        "chain = (*surviving, *syncing, *newcomers)",
+        "chain = (*newcomers, *surviving, *syncing)",
     ),
     Mutant(
         "survivors in another order",
         4,
         "replication.membership",
-        "    return kept\n",
-        "    return kept[::-1]\n",
+        "    return surviving\n",
+        "    return surviving[::-1]\n",
     ),
     Mutant(
         "late state is stored",
@@ -364,21 +384,21 @@
         4,
         "process.chain_service",
         "await self._store(outcome.replica)",
-        "voting.replica = outcome.replica",
+        "agreement.replica = outcome.replica",
     ),
     Mutant(
         "head keeps the write in memory",
         4,
         "process.chain_service",
-        "await self._store(chain.execute(voting.replica, operation))",
-        "voting.replica = chain.execute(voting.replica, operation)",
+        "await self._store(chain.execute(agreement.replica, operation))",
+        "agreement.replica = chain.execute(agreement.replica, operation)",
     ),
     Mutant(
         "state shown before those behind have it",
         4,
         "process.chain_service",
-        "self.voting.replica = replica\n",
-        "self.voting.replica = replica\n        self.acknowledged = replica.state\n",
+        "self.agreement.replica = replica\n",
+        "self.agreement.replica = replica\n        self.acknowledged = replica.state\n",
     ),
     Mutant(
         "state shown goes back",
--- a/tests/cluster/test_dispatcher_node.py
+++ b/tests/cluster/test_dispatcher_node.py
@@ -26,9 +26,9 @@
     late_connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def stop_accepting(self) -> None:
-        reader, writer = await asyncio.open_connection(*self.bound.split(":"))
+        reader, writer = await asyncio.open_connection(*self.bound_address.split(":"))
         writer.write(b"GET / HTTP/1.1\r\nHost: a.example\r\nConnection: close\r\n\r\n")
-        while not self.connections:
+        while not self.connection_count:
             await asyncio.sleep(0)
         self.late_connection = reader, writer
         await super().stop_accepting()
--- a/tests/cluster/test_router.py
+++ b/tests/cluster/test_router.py
@@ -86,7 +86,7 @@
             "X-Finchladder-Deadline-Ms": "2500",
             **headers,
         }
-        url = URL(f"http://{self.listener.bound}{path}", encoded=True)
+        url = URL(f"http://{self.listener.bound_address}{path}", encoded=True)
         return self.client.post(url, data=body, headers=sent)
 
 
@@ -107,13 +107,13 @@
     )
     router.snapshot = build_snapshot(json.dumps(DOCUMENT).encode())
     members = {
-        f"i-{n}": PoolMember(Worker(f"i-{n}", "s", listener.bound, "z", 4, float(n)))
+        f"i-{n}": PoolMember(Worker(f"i-{n}", "s", listener.bound_address, "z", 4, float(n)))
         for n, listener in enumerate(listeners)
     }
     if is_first_unreachable:
         await listeners[0].stop()
     router.pools = Pools().with_changes(members)
-    frontend = Listener(router.handle, "127.0.0.1:0", cancels=True)
+    frontend = Listener(router.handle, "127.0.0.1:0", cancel_on_disconnect=True)
     await frontend.start()
     unsent = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
     async with aiohttp.ClientSession(skip_auto_headers=unsent) as client:
@@ -404,7 +404,7 @@
         async with router_harness(StandInWorker(respond, slow)) as harness:
             async with harness.send("/once/") as response:
                 assert response.status == 200
-            reader, writer = await asyncio.open_connection(*harness.listener.bound.split(":"))
+            reader, writer = await asyncio.open_connection(*harness.listener.bound_address.split(":"))
             writer.write(b"GET /nowhere/ HTTP/1.1\r\nHost: a.example\r\n\r\n")
             assert b" 404 " in await reader.readline()
             pending = asyncio.create_task(harness.send("/once/").__aenter__())
--- a/tests/cluster/test_worker_client.py
+++ b/tests/cluster/test_worker_client.py
@@ -26,7 +26,7 @@
     async def work() -> tuple[bool, bool]:
         worker, client = Listener(healthz, "127.0.0.1:0"), WorkerClient()
         await worker.start()
-        address = worker.bound
+        address = worker.bound_address
         before = await client.is_running(address, "i-1")
         await worker.stop()
         after = await client.is_running(address, "i-1")
@@ -59,7 +59,7 @@
         await worker.start()
         body = OrderRequest("load", "m", "core-1", 7)
         with pytest.raises(PeerUnreachableError):
-            await client.order(worker.bound, "i-1", body, 0.01)
+            await client.order(worker.bound_address, "i-1", body, 0.01)
         await client.close()
         await worker.stop()
 
--- a/tests/cluster/test_worker_retirement.py
+++ b/tests/cluster/test_worker_retirement.py
@@ -54,16 +54,16 @@
         world.start(world.add(True))
     await asyncio.sleep(4.0)
     by_name = {m.name: m.plane for m in world.running() if m.plane is not None}
-    return [by_name[m.name] for m in next(iter(by_name.values())).voting.view.chain]
+    return [by_name[m.name] for m in next(iter(by_name.values())).agreement.view.chain]
 
 
 def test_any_control_process_has_the_full_chain_store_a_retirement() -> None:
     async def work() -> None:
         for number, plane in enumerate(members := await control_planes(World(3))):
             assert await plane.retirements.record(drain(f"i-{number}"))
-            assert all(m.voting.replica.state.retirements[-1].instance == f"i-{number}" for m in members)
+            assert all(m.agreement.replica.state.retirements[-1].instance == f"i-{number}" for m in members)
             assert await plane.retirements.record(drain(f"i-{number}"))
-            assert len(members[0].voting.replica.state.retirements) == number + 1, "it is written once"
+            assert len(members[0].agreement.replica.state.retirements) == number + 1, "it is written once"
 
     run(work())
 
@@ -71,12 +71,12 @@
 def test_concurrent_retirements_are_stored_in_few_operations() -> None:
     async def work() -> None:
         head, second, _ = await control_planes(World(4))
-        before = head.voting.replica.state.sequence
+        before = head.agreement.replica.state.sequence
         retirements = [drain(f"i-{number}") for number in range(60)]
         assert all(
             await asyncio.gather(*(second.retirements.record(retirement) for retirement in retirements))
         )
-        state = head.voting.replica.state
+        state = head.agreement.replica.state
         assert {retirement.instance for retirement in state.retirements} == {
             retirement.instance for retirement in retirements
         }
@@ -91,8 +91,8 @@
         world = World(5)
         head, second, _ = await control_planes(world)
         for other in world.machines.values():
-            world.network.cut |= {(head.voting.me.peer_address, other.address)}
-            world.network.cut |= {(other.address, head.voting.me.peer_address)}
+            world.network.cut |= {(head.agreement.me.peer_address, other.address)}
+            world.network.cut |= {(other.address, head.agreement.me.peer_address)}
         calls = head.retirements.record(drain("i-1")), second.retirements.record(drain("i-2"))
         assert list(await asyncio.gather(*calls)) == [False, False]
         await asyncio.sleep(3.0)
@@ -106,12 +106,12 @@
     async def work() -> None:
         world = World(6)
         head, second, tail = await control_planes(world)
-        disk = world.machines[tail.voting.me.name].disk
+        disk = world.machines[tail.agreement.me.name].disk
         assert disk is not None
         disk.stalled_until = asyncio.get_running_loop().time() + 0.8
         assert not await head.retirements.record(drain("i-1"))
         await asyncio.sleep(3.0)
         assert await head.retirements.record(drain("i-1"))
-        assert [retirement.instance for retirement in head.voting.replica.state.retirements] == ["i-1"]
+        assert [retirement.instance for retirement in head.agreement.replica.state.retirements] == ["i-1"]
 
     run(work())
