--- a/finchladder/features/snapshot.py
+++ b/finchladder/features/snapshot.py
@@ -10,7 +10,9 @@
 from collections import OrderedDict
 from collections.abc import Callable, Generator, Iterable, Mapping
 from copy import copy
+from functools import reduce
 from itertools import chain, repeat
+from operator import attrgetter
 from random import Random
 from typing import Any, NamedTuple
 
@@ -67,23 +69,40 @@
 SLICE, PIECE, DEEP = 64, 512, 64  # records, items, and items that are containers, written at a time
 encode = msgspec.json.Encoder().encode
 WHOLE: tuple[type, ...] = (Route, Queue, WorkerPool, Request, RequestLimits)  # values that are never changed
-FOLLOWS = {
-    "s",
-    "classes",
-    "sweep",
-    "start_grace",
-    "stall",
-    "handlers",
-    "actions",
-    "tenants",
-    "fleet",
-    "agenda",
-    "split",
-    "spill",
-    "cold",
+# Stored name of each field of the dispatcher that is stored, and the path of the attribute that holds it.
+# Captures outlive names: a field that moves or is renamed changes its path here and keeps its stored name.
+DISPATCHER_FIELDS = {
+    "random": "random",
+    "run": "run",
+    "workers": "workers",
+    "jobs": "jobs",
+    "held": "held",
+    "health": "health",
+    "key_counts": "key_counts",
+    "crowd": "crowd",
+    "tell_at": "tell_at",
+    "scan_at": "scan_at",
+    "strain": "strain",
+    "told": "told",
+    "warm_rate": "warm_rate",
+    "warm_done": "warm_done",
+    "warm_since": "warm_since",
+    "retry_tokens": "retry_tokens",
+    "asking": "asking",
+    "now": "now",
+    "seen": "seen",
+    "unseen": "unseen",
+    "timer_due": "timer_due",
+    "serial": "serial",
+}
+# The same for what only a dispatcher with zone spillover has. A state without it is restored all the same,
+# and the spillover then begins anew.
+ZONE_FIELDS = {
+    "spills": "spills",
+    "counts": "counts",
+    "look_at": "look_at",
+    "draws": "draws",
 }
-# of zones.py, which a dispatcher has if zone spill is on; what is new begins anew, as a door's table does
-ZONED = {"spills", "counts", "look_at", "draws"}
 ROUND = {"s", "handlers", "inner", "margin_s", "freed"}  # the same of what stands round the Dispatcher
 RANDOM = "<625I"
 
@@ -175,7 +194,7 @@
         self.numbers = dict(zip(map(id, many), range(len(many)), strict=True))
         for record in many:
             record.__class__ = self.watch[type(record)]
-        fields = {name: self._freeze(v) for name, v in vars(dispatcher).items() if name not in FOLLOWS}
+        fields = {name: self._freeze(attrgetter(path)(dispatcher)) for name, path in _stored(dispatcher)}
         tenants = {n: [t.own, t.peers, t.count, t.credit] for n, t in dispatcher.tenants.items()}
         parts: dict[str, Any] = {"fields": fields, "tenants": encode(tenants)}
         if isinstance(decisions, Guarded):
@@ -403,18 +422,31 @@
         raise e if isinstance(e, StateError) else StateError(f"it can't be read: {e}") from None
 
 
+def _stored(dispatcher: Dispatcher) -> Iterable[tuple[str, str]]:
+    """The stored name and the attribute's path of each field that this dispatcher has."""
+    zone_fields = ZONE_FIELDS if dispatcher.split else {}
+    return chain(zone_fields.items(), DISPATCHER_FIELDS.items())
+
+
+def _set(dispatcher: Dispatcher, path: str, value: Any) -> None:
+    *parts, name = path.split(".")
+    holder = reduce(getattr, parts, dispatcher)
+    setattr(holder, name, value)
+
+
 def _restore(state: State, decisions: Dispatcher | Guarded) -> None:
     dispatcher = decisions.inner if isinstance(decisions, Guarded) else decisions
     reader = Reader(state["records"], state.get("wholes", []), dispatcher.classes)
-    known = set(vars(dispatcher)) - FOLLOWS
-    if known ^ set(state["fields"]) not in (set(), ZONED):
+    paths = dict(_stored(dispatcher))
+    if paths.keys() ^ state["fields"].keys() not in (set(), ZONE_FIELDS.keys()):
         raise StateError("it is of another version of the decisions")
-    fields = {name: reader.get(value) for name, value in state["fields"].items() if name in known}
+    fields = {name: reader.get(value) for name, value in state["fields"].items() if name in paths}
     for name in ("held", "run"):  # by class: those that the configuration has now
-        now = getattr(dispatcher, name)
+        now = attrgetter(paths[name])(dispatcher)
         kept = {n: v for n, v in fields[name].items() if (n if name == "run" else n[1]) in dispatcher.classes}
         fields[name] = kept | {n: v for n, v in now.items() if n not in kept}
-    vars(dispatcher).update(fields)
+    for name, value in fields.items():
+        _set(dispatcher, paths[name], value)
     for part in (dispatcher.key_counts, dispatcher.crowd, dispatcher.crowd.untold):
         part.s = dispatcher.s  # of the configuration of now
     for n, (own, peers, count, credit) in state["tenants"].items():
