--- a/benchmarks/fleet_index.py
+++ b/benchmarks/fleet_index.py
@@ -122,7 +122,7 @@
     def ends(self) -> Iterator[Callable[[], object]]:
         """An end while 1,000 jobs wait and no worker has room for a second one."""
         for w in self.d.workers.values():
-            w.t = 1.0
+            w.load_threshold = 1.0
         sent = []
         for n in range(len(self.fleet) + 1000):
             name = f"e{n}"
--- a/benchmarks/peers_virtual.py
+++ b/benchmarks/peers_virtual.py
@@ -69,9 +69,9 @@
     from finchladder.core.health import slow_start as module
     from tests.core import test_cold
 
-    own = module.place
+    own = module.van_der_corput
     for told in (None, *(n / 10 for n in range(10))):
-        module.place = own if told is None else lambda index, told=told: told
+        module.van_der_corput = own if told is None else lambda index, told=told: told
         play, rates = test_cold.Play(200, 2000, False), [1.0] * 200
         play.until(0.0, test_cold.BORN, rates)
         play.joins(test_cold.BORN)
--- a/benchmarks/spread_table.py
+++ b/benchmarks/spread_table.py
@@ -39,9 +39,9 @@
         getattr(found, constant)  # AttributeError: there is none to be changed
         setattr(found, constant, float(value))
     if args.even_homes:
-        from finchladder.core.dispatch.worker_index import Pool
+        from finchladder.core.dispatch.worker_index import PoolIndex
 
-        Pool.portion = lambda self, w: 1.0  # type: ignore[method-assign]
+        PoolIndex.key_share = lambda self, w: 1.0  # type: ignore[method-assign]
     from finchladder.lab import decisions
     from finchladder.lab.check import load
 
--- a/finchladder/cluster/routing/pools.py
+++ b/finchladder/cluster/routing/pools.py
@@ -21,7 +21,7 @@
 from attrs import define, field, frozen
 
 from finchladder.cluster.types.workers import LoadedModel, PlacementRecord, SessionPhase, WorkerRecord
-from finchladder.core.dispatch.choice import overflow, winner
+from finchladder.core.dispatch.choice import choose_of_pair, first_accepting
 from finchladder.core.dispatch.hash_ring import Ring, key_hashes, ring_points
 
 FULL_VIEW = 16  # so many dispatchers may all compare all workers of a pool
@@ -193,9 +193,11 @@
         def takes(backend: Backend) -> bool:
             return backend.load < chooser.limit(backend, request) and able(backend)
 
-        chosen = winner(self.pair(chooser.salt), takes)
+        chosen = choose_of_pair(self.pair(chooser.salt), takes)
         if chosen is None:
-            chosen, _ = overflow(chooser.compared([b for b in self.backends if able(b)], request), able)
+            chosen, _ = first_accepting(
+                chooser.compared([b for b in self.backends if able(b)], request), able
+            )
         return chosen
 
 
--- a/finchladder/config/options.py
+++ b/finchladder/config/options.py
@@ -14,7 +14,7 @@
 
 from finchladder.config.addresses import Endpoint, parse_address, parse_url
 from finchladder.core import api
-from finchladder.core.dispatch.zone_spillover import SpillSettings
+from finchladder.core.dispatch.zone_spillover import SpilloverSettings
 from finchladder.core.membership.aperture import Aperture, ApertureSettings
 from finchladder.core.overload.controller import OverloadSettings
 
@@ -99,8 +99,8 @@
     def __post_init__(self) -> None:
         self.settings()
 
-    def settings(self) -> SpillSettings:
-        return SpillSettings(**msgspec.structs.asdict(self))
+    def settings(self) -> SpilloverSettings:
+        return SpilloverSettings(**msgspec.structs.asdict(self))
 
 
 class MembershipOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -225,7 +225,7 @@
     peers: PeersOptions | None = None
     judgement: JudgementOptions | None = None
 
-    def spilling(self) -> SpillSettings | None:
+    def spilling(self) -> SpilloverSettings | None:
         return self.spill.settings() if self.spill is not None else None
 
     def memory(self) -> int:
--- a/finchladder/core/dispatch/attempt_stages.py
+++ b/finchladder/core/dispatch/attempt_stages.py
@@ -29,7 +29,7 @@
     END = "end"
 
 
-class GiveUp(Enum):
+class AbandonAction(Enum):
     """What is done about a job that nobody wants any more."""
 
     NOTHING = "nothing"
@@ -37,7 +37,7 @@
     DELETE = "delete"  # asks the real server to stop it
 
 
-TABLE = {
+TRANSITIONS = {
     (Stage.WAITING, Step.WRITE): Stage.WRITTEN,
     (Stage.WAITING, Step.END): Stage.ENDED,
     (Stage.WRITTEN, Step.BREAK): Stage.WAITING,
@@ -49,21 +49,21 @@
 }
 
 
-class Meaning(NamedTuple):
-    told: bool  # whether a call-back can be about it
-    broken: Ending  # what it ends as when its connection fails
-    give_up: GiveUp
+class StageRules(NamedTuple):
+    accepts_callbacks: bool  # whether a call-back can be about it
+    ending_if_broken: Ending  # what it ends as when its connection fails
+    on_abandon: AbandonAction
 
 
-MEANINGS = {
-    Stage.WAITING: Meaning(False, Ending.UNREACHABLE, GiveUp.NOTHING),
-    Stage.WRITTEN: Meaning(True, Ending.BROKEN, GiveUp.CLOSE),
-    Stage.ACCEPTED: Meaning(True, Ending.BROKEN, GiveUp.DELETE),
+STAGE_RULES = {
+    Stage.WAITING: StageRules(False, Ending.UNREACHABLE, AbandonAction.NOTHING),
+    Stage.WRITTEN: StageRules(True, Ending.BROKEN, AbandonAction.CLOSE),
+    Stage.ACCEPTED: StageRules(True, Ending.BROKEN, AbandonAction.DELETE),
 }
 
 
-def follow(stage: Stage, step: Step) -> Stage:
+def next_stage(stage: Stage, step: Step) -> Stage:
     try:
-        return TABLE[stage, step]
+        return TRANSITIONS[stage, step]
     except KeyError:
         raise ValueError(f"an attempt that is {stage.value} can't {step.value}") from None
--- a/finchladder/core/dispatch/choice.py
+++ b/finchladder/core/dispatch/choice.py
@@ -10,16 +10,16 @@
 from typing import Protocol, TypeVar
 
 
-class Loaded(Protocol):
+class HasLoad(Protocol):
     """Whoever can be chosen. `load`: own slots in flight."""
 
     load: float
 
 
-Candidate = TypeVar("Candidate", bound=Loaded)
+Candidate = TypeVar("Candidate", bound=HasLoad)
 
 
-def least(able: Iterable[Candidate]) -> list[Candidate]:
+def least_loaded(able: Iterable[Candidate]) -> list[Candidate]:
     """Those of them with the lowest load, in their order, each once."""
     found: list[Candidate] = []
     for candidate in able:
@@ -30,13 +30,13 @@
     return found
 
 
-def winner(pair: Sequence[Candidate], takes: Callable[[Candidate], bool]) -> Candidate | None:
+def choose_of_pair(pair: Sequence[Candidate], takes: Callable[[Candidate], bool]) -> Candidate | None:
     """Of a key's pair the one with strictly lower load, the second in a tie; None if nobody takes it."""
-    able = least(candidate for candidate in pair if takes(candidate))
+    able = least_loaded(candidate for candidate in pair if takes(candidate))
     return able[-1] if able else None
 
 
-def overflow(
+def first_accepting(
     by_load: Iterable[Candidate], takes: Callable[[Candidate], bool]
 ) -> tuple[Candidate | None, list[Candidate]]:
     """The first that takes it, the lowest load first; and those that were passed over."""
--- a/finchladder/core/dispatch/job_schedule.py
+++ b/finchladder/core/dispatch/job_schedule.py
@@ -8,41 +8,47 @@
 from collections.abc import Iterable, Mapping
 
 from finchladder.core.dispatch.records import Job
-from finchladder.core.timing_wheel import Wheel
+from finchladder.core.timing_wheel import TimingWheel
 
 
-class Agenda:
+class JobSchedule:
     def __init__(self, classes: Iterable[str], width_s: float) -> None:
-        self.width_s = width_s
-        self.watched: Wheel[Job] = Wheel(width_s)  # by the next time at which something of it can be due
+        self.slot_width_s = width_s
+        self.by_due_time: TimingWheel[Job] = TimingWheel(
+            width_s
+        )  # by the next time at which something of it can be due
         # held jobs by arrival: how long a class may wait is learned, and moves for all of its jobs at once
-        self.waiting: dict[str, Wheel[Job]] = {name: Wheel(width_s) for name in classes}
-        self.spent: dict[int, Job] = {}  # held jobs that may have run: they depend on the retries left
+        self.queued_by_class: dict[str, TimingWheel[Job]] = {name: TimingWheel(width_s) for name in classes}
+        self.queued_retries: dict[
+            int, Job
+        ] = {}  # held jobs that may have run: they depend on the retries left
 
-    def watch(self, job: Job, at: float) -> None:
+    def schedule(self, job: Job, at: float) -> None:
         """Look at it at `at` (seconds) at the latest."""
-        self.watched.put(job.serial, job, at)
+        self.by_due_time.put(job.serial, job, at)
 
-    def hold(self, job: Job) -> None:
-        self.waiting[job.cls.name].put(job.serial, job, job.arrived)
+    def add_queued(self, job: Job) -> None:
+        self.queued_by_class[job.job_class.name].put(job.serial, job, job.arrived_at)
         if any(job.may_have_run()):
-            self.spent[job.serial] = job
+            self.queued_retries[job.serial] = job
 
-    def unhold(self, job: Job) -> None:
-        self.waiting[job.cls.name].drop(job.serial)
-        self.spent.pop(job.serial, None)
+    def remove_queued(self, job: Job) -> None:
+        self.queued_by_class[job.job_class.name].drop(job.serial)
+        self.queued_retries.pop(job.serial, None)
 
-    def drop(self, job: Job) -> None:
-        self.watched.drop(job.serial)
+    def remove(self, job: Job) -> None:
+        self.by_due_time.drop(job.serial)
 
-    def due(self, now: float, waits: Mapping[str, float], no_retries: bool) -> list[Job]:
+    def pop_due(self, now: float, waits: Mapping[str, float], no_retries: bool) -> list[Job]:
         """`waits`: seconds that a held job of each class may be old. Watches none of them any more."""
-        found = {job.serial: job for job in self.watched.due(now)}
+        found = {job.serial: job for job in self.by_due_time.pop_due(now)}
         for name, wait in waits.items():
             # a slot more than due: now - wait may round to less than what arrived + wait is compared with
-            for job in self.waiting[name].due(now - wait + self.width_s):
-                self.waiting[name].put(job.serial, job, job.arrived)  # held until the caller says otherwise
+            for job in self.queued_by_class[name].pop_due(now - wait + self.slot_width_s):
+                self.queued_by_class[name].put(
+                    job.serial, job, job.arrived_at
+                )  # held until the caller says otherwise
                 found[job.serial] = job
         if no_retries:
-            found.update(self.spent)
+            found.update(self.queued_retries)
         return [found[serial] for serial in sorted(found)]
--- a/finchladder/core/dispatch/key_frequency.py
+++ b/finchladder/core/dispatch/key_frequency.py
@@ -16,89 +16,93 @@
 from finchladder.core.api import Settings
 from finchladder.core.membership.watch_backoff import FEW
 
-FADE = 0.1  # part that a count loses with each turn; at 1 - FADE it is forgotten
-HOT_MIN = 50.0  # requests seen before a key's share of them is believed
-ENOUGH = 50.0  # requests, for counts of one among many to fade: they hold what the last 500 asked for
-UNSEEN = 25.0  # requests for no key of note that one among many counts as seen before
-SPREAD = 8.0  # a home of a hot key gets an eighth of what it can do from it: other keys live there, too
-GOLDEN = (5**0.5 - 1) / 2
-MOST = 16384  # keys counted at once, about 300 bytes each: beyond it a new key counts as not seen
-
-
-def faded(count: float, turns: int) -> float:
+DECAY = 0.1  # part that a count loses with each turn; at 1 - FADE it is forgotten
+MIN_REQUESTS = 50.0  # requests seen before a key's share of them is believed
+REQUESTS_PER_DECAY = (
+    50.0  # requests, for counts of one among many to fade: they hold what the last 500 asked for
+)
+PRIOR_REQUESTS = 25.0  # requests for no key of note that one among many counts as seen before
+HOT_KEY_SPREAD = (
+    8.0  # a home of a hot key gets an eighth of what it can do from it: other keys live there, too
+)
+GOLDEN_RATIO = (5**0.5 - 1) / 2
+MAX_KEYS = 16384  # keys counted at once, about 300 bytes each: beyond it a new key counts as not seen
+
+
+def decayed(count: float, turns: int) -> float:
     for _ in range(turns):
-        if count <= 1 - FADE:
+        if count <= 1 - DECAY:
             return 0.0
-        count *= 1 - FADE
+        count *= 1 - DECAY
     return count
 
 
-class KeyCounts:
+class KeyFrequency:
     """Costs: add, count O(log count); fade O(1), where fading all at once would cost O(keys)."""
 
-    __slots__ = ("seen", "total", "turn", "s", "fresh", "turn_at")
+    __slots__ = ("counts", "total", "epoch", "settings", "added_since_decay", "pair_phase")
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.s = settings
-        self.fresh = 0.0  # seen since the last turn
+        self.settings = settings
+        self.added_since_decay = 0.0  # seen since the last turn
         # among the homes of a hot key, 0 to 1, see `homes`; not from the number, that all may be told alike
-        self.turn_at = Random(f"{seed}/homes").random() if self.many else 0.0
-        self.seen: OrderedDict[int, tuple[float, int]] = OrderedDict()  # the count, and as of which turn
-        self.total, self.turn = 0.0, 0
+        self.pair_phase = Random(f"{seed}/homes").random() if self.is_large_fleet else 0.0
+        self.counts: OrderedDict[int, tuple[float, int]] = OrderedDict()  # the count, and as of which turn
+        self.total, self.epoch = 0.0, 0
 
     @property
-    def many(self) -> bool:
-        return self.s.dispatchers > FEW and not self.s.weights_report_load
+    def is_large_fleet(self) -> bool:
+        return self.settings.dispatchers > FEW and not self.settings.weights_report_load
 
     def add(self, key: int) -> None:
         self.total += 1
-        self.fresh += 1
-        if (held := self.seen.get(key)) is None:
-            self._tidy()
-            if len(self.seen) < MOST:
-                self.seen[key] = 1.0, self.turn
+        self.added_since_decay += 1
+        if (held := self.counts.get(key)) is None:
+            self._evict_decayed()
+            if len(self.counts) < MAX_KEYS:
+                self.counts[key] = 1.0, self.epoch
             return
         count, turn = held
-        self.seen[key] = faded(count, self.turn - turn) + 1, self.turn
+        self.counts[key] = decayed(count, self.epoch - turn) + 1, self.epoch
 
-    def _tidy(self) -> None:
+    def _evict_decayed(self) -> None:
         """Looks at two others for each that comes, so that the table shrinks again."""
-        for _ in range(min(2, len(self.seen))):
-            oldest, (count, turn) = self.seen.popitem(last=False)
-            if faded(count, self.turn - turn):
-                self.seen[oldest] = count, turn
+        for _ in range(min(2, len(self.counts))):
+            oldest, (count, turn) = self.counts.popitem(last=False)
+            if decayed(count, self.epoch - turn):
+                self.counts[oldest] = count, turn
 
     def count(self, key: int) -> float:
-        count, turn = self.seen.get(key, (0.0, self.turn))
-        return faded(count, self.turn - turn)
+        count, turn = self.counts.get(key, (0.0, self.epoch))
+        return decayed(count, self.epoch - turn)
 
     def share(self, key: int) -> float:
         return self.count(key) / self.total if self.total else 0.0
 
-    def homes(self, key: int, workers: int) -> tuple[int, int]:
+    def next_pair(self, key: int, workers: int) -> tuple[int, int]:
         """How many pairs of workers the key's traffic needs, and the one whose turn it is.
 
         Each node sees only its own few jobs of a hot key, so all would find its one pair calm and bury it;
         but each sees what share of the traffic the key has, and comes to much the same number of homes. They
         are the first ones round the key's rings, so one that takes it for hotter only adds some.
         """
-        if not self.many:
-            part = self.share(key) if self.total > HOT_MIN else 0.0
+        if not self.is_large_fleet:
+            part = self.share(key) if self.total > MIN_REQUESTS else 0.0
             homes = int(part * workers) or 1
             return homes, int(self.count(key)) % homes if homes > 1 else 0
-        part = max(0.0, self.count(key) - 1) / (self.total + UNSEEN)
+        part = max(0.0, self.count(key) - 1) / (self.total + PRIOR_REQUESTS)
         # no more than there surely are: who begins past the last pair begins with the first, as all would
-        homes = min(int(SPREAD * part * workers), workers // 2)
+        homes = min(int(HOT_KEY_SPREAD * part * workers), workers // 2)
         if homes < 2:
             return 1, 0
         # counts come to rest at the same figure at all: each goes round in steps that fill the whole evenly,
         # from a place of its own
-        self.turn_at = (self.turn_at + GOLDEN) % 1.0
-        return homes, int(self.turn_at * homes)
+        self.pair_phase = (self.pair_phase + GOLDEN_RATIO) % 1.0
+        return homes, int(self.pair_phase * homes)
 
-    def fade(self) -> None:
-        if self.many and self.fresh < ENOUGH:
+    def decay(self) -> None:
+        if self.is_large_fleet and self.added_since_decay < REQUESTS_PER_DECAY:
             return
-        self.fresh = 0.0
-        self.turn += 1
-        self.total *= 1 - FADE
+        self.added_since_decay = 0.0
+        self.epoch += 1
+        self.total *= 1 - DECAY
--- a/finchladder/core/dispatch/worker_load.py
+++ b/finchladder/core/dispatch/worker_load.py
@@ -22,95 +22,122 @@
 
 from finchladder.core.api import JobClass, Settings, WorkerEntry, WorkerStatus
 from finchladder.core.dispatch.records import Worker
-from finchladder.core.dispatch.worker_capacity import Portions, Sizes, Usual, one_of
-
-ONE = 0.25  # the next job, in requests a core: no setting tells of cores, four are the usual
-FAR = 0.3  # a crossing between zones counts as so much of a mean run
-LOOK_EVERY_S = 0.25
-LOOK_AT = 256  # workers at most, evenly through the fleet
-FETCH = 2.0  # in runs of a mean job: what a job has to wait for where its key is not kept
-COMMON, STEP = 0.4, 0.1  # the percentile of running times that is taken for common, and how fast it moves
-BEST = 0.25  # the part of the fleet whose worst is taken as what can be had elsewhere
-NEVER = float("inf")
-
-
-class Crowd:
-    __slots__ = ("sizes", "top", "mean", "elsewhere", "look_at", "runs", "s", "untold", "usual")
+from finchladder.core.dispatch.worker_capacity import KeyShares, UsualWeight, WorkerCapacity, weighted_choice
+
+NEXT_JOB_LOAD = 0.25  # the next job, in requests a core: no setting tells of cores, four are the usual
+CROSSING_COST_RUNS = 0.3  # a crossing between zones counts as so much of a mean run
+SURVEY_INTERVAL_S = 0.25
+MAX_SURVEYED = 256  # workers at most, evenly through the fleet
+FETCH_COST_RUNS = 2.0  # in runs of a mean job: what a job has to wait for where its key is not kept
+COMMON_PERCENTILE, RUN_TIME_STEP = (
+    0.4,
+    0.1,
+)  # the percentile of running times that is taken for common, and how fast it moves
+BETTER_SHARE = 0.25  # the part of the fleet whose worst is taken as what can be had elsewhere
+NEVER_FINISHES = float("inf")
+
+
+class WorkerLoad:
+    __slots__ = (
+        "capacities",
+        "max_capacity",
+        "mean_capacity",
+        "finish_elsewhere",
+        "next_survey_at",
+        "common_run_times_s",
+        "settings",
+        "learned_capacity",
+        "usual_weight",
+    )
 
     def __init__(self, settings: Settings) -> None:
-        self.s = settings
-        self.usual = Usual()  # what is far larger is unusable: it would make all others look full for good
-        self.untold = Sizes(settings)  # what ties go by where the weights are not live
-        self.sizes: dict[str, float] = {}  # by kind: the largest weight that was told
-        self.top = 0.0  # of all kinds
-        self.mean = 0.0  # of the warm ones, by what sizes their kinds have; 0: not known
-        self.elsewhere = NEVER  # what the better workers offer, as a `finish`
-        self.look_at = 0.0
-        self.runs: dict[str, float] = {}  # by class: a common running time on the largest, without a fetch
+        self.settings = settings
+        self.usual_weight = (
+            UsualWeight()
+        )  # what is far larger is unusable: it would make all others look full for good
+        self.learned_capacity = WorkerCapacity(settings)  # what ties go by where the weights are not live
+        self.capacities: dict[str, float] = {}  # by kind: the largest weight that was told
+        self.max_capacity = 0.0  # of all kinds
+        self.mean_capacity = 0.0  # of the warm ones, by what sizes their kinds have; 0: not known
+        self.finish_elsewhere = NEVER_FINISHES  # what the better workers offer, as a `finish`
+        self.next_survey_at = 0.0
+        self.common_run_times_s: dict[
+            str, float
+        ] = {}  # by class: a common running time on the largest, without a fetch
 
     @property
-    def draws(self) -> bool:
+    def draws_ties(self) -> bool:
         """Whether ties are drawn: own slots tell too little of how full the workers are."""
-        return self.top > 0 or self.untold.draws
+        return self.max_capacity > 0 or self.learned_capacity.draws_ties
 
-    def ran(self, w: Worker, cls: JobClass, took_s: float) -> None:
+    def record_run(self, w: Worker, cls: JobClass, took_s: float) -> None:
         """A job that fetched took longer than most: a low percentile is hardly moved by it."""
-        self.untold.ran(w, cls, took_s)
+        self.learned_capacity.record_run(w, cls, took_s)
         if w.weight:
-            took_s *= self.sizes[w.kind] / self.top
-            run = self.runs.get(cls.name, cls.latency_target_s)
-            self.runs[cls.name] = run * (1 + STEP * (COMMON if took_s > run else COMMON - 1))
-
-    def in_time(self, w: Worker, cls: JobClass, waited_s: float, mean_run_s: float, fetch: float) -> bool:
+            took_s *= self.capacities[w.kind] / self.max_capacity
+            run = self.common_run_times_s.get(cls.name, cls.latency_target_s)
+            self.common_run_times_s[cls.name] = run * (
+                1 + RUN_TIME_STEP * (COMMON_PERCENTILE if took_s > run else COMMON_PERCENTILE - 1)
+            )
+
+    def finishes_in_time(
+        self, w: Worker, cls: JobClass, waited_s: float, mean_run_s: float, fetch: float
+    ) -> bool:
         """Whether a job would be done within its aim there, and not much later than elsewhere.
 
         `fetch`: mean runs that it takes longer, as the worker does not keep what it needs.
         """
         if not w.weight:
             return True
-        if w.finish > self.elsewhere + FETCH:
+        if w.expected_finish > self.finish_elsewhere + FETCH_COST_RUNS:
             return False
-        run = self.runs.get(cls.name, cls.latency_target_s)
-        slow = self.top / self.sizes[w.kind]
+        run = self.common_run_times_s.get(cls.name, cls.latency_target_s)
+        slow = self.max_capacity / self.capacities[w.kind]
         return (
-            waited_s + (w.finish - slow + fetch) * mean_run_s + run * slow
+            waited_s + (w.expected_finish - slow + fetch) * mean_run_s + run * slow
             <= cls.latency_target_s + cls.run_time_allowance * run
         )
 
-    def told(self, workers: dict[str, Worker], entries: Sequence[WorkerEntry]) -> None:
-        if not self.s.weights_report_load:
-            return self.untold.told(workers, entries)
-        self.usual.told(entries)
+    def update_weights(self, workers: dict[str, Worker], entries: Sequence[WorkerEntry]) -> None:
+        if not self.settings.weights_report_load:
+            return self.learned_capacity.update_weights(workers, entries)
+        self.usual_weight.update(entries)
         for e in entries:
-            larger = e.weight > self.sizes.get(e.kind, 0.0) and e.state is not WorkerStatus.REMOVED
-            if larger and self.usual.believes(e.weight):
-                self.sizes[e.kind] = e.weight
-                self.top = max(self.top, e.weight)
+            larger = e.weight > self.capacities.get(e.kind, 0.0) and e.state is not WorkerStatus.REMOVED
+            if larger and self.usual_weight.is_plausible(e.weight):
+                self.capacities[e.kind] = e.weight
+                self.max_capacity = max(self.max_capacity, e.weight)
         for e in entries:
             if (w := workers.get(e.worker)) is None:
                 continue
-            w.weight, w.finish = 0.0, 1.0  # an unusable weight must not leave that of another kind behind
-            if self.usual.believes(e.weight) and (size := self.sizes.get(e.kind)):
-                w.weight, w.finish = e.weight, max(1.0, size / e.weight - 1 + ONE) * self.top / size
-
-    def look(self, now: float, workers: dict[str, Worker], fit: Callable[[Worker], bool]) -> None:
+            w.weight, w.expected_finish = (
+                0.0,
+                1.0,
+            )  # an unusable weight must not leave that of another kind behind
+            if self.usual_weight.is_plausible(e.weight) and (size := self.capacities.get(e.kind)):
+                w.weight, w.expected_finish = (
+                    e.weight,
+                    max(1.0, size / e.weight - 1 + NEXT_JOB_LOAD) * self.max_capacity / size,
+                )
+
+    def survey(self, now: float, workers: dict[str, Worker], fit: Callable[[Worker], bool]) -> None:
         """With each list: says anew what can be had elsewhere, if that is due."""
-        if now < self.look_at:
+        if now < self.next_survey_at:
             return
-        self.look_at = now + LOOK_EVERY_S
-        step = max(1, len(workers) // LOOK_AT)
+        self.next_survey_at = now + SURVEY_INTERVAL_S
+        step = max(1, len(workers) // MAX_SURVEYED)
         fits = [w for w in islice(workers.values(), 0, None, step) if fit(w)]
-        found = sorted(w.finish for w in fits)
-        self.elsewhere = found[int(BEST * len(found))] if found else NEVER
-        sizes = [self.sizes[w.kind] for w in fits if w.weight]
-        self.mean = sum(sizes) / len(sizes) if sizes else self.mean
+        found = sorted(w.expected_finish for w in fits)
+        self.finish_elsewhere = found[int(BETTER_SHARE * len(found))] if found else NEVER_FINISHES
+        sizes = [self.capacities[w.kind] for w in fits if w.weight]
+        self.mean_capacity = sum(sizes) / len(sizes) if sizes else self.mean_capacity
 
-    def size(self, w: Worker) -> float:
+    def relative_capacity(self, w: Worker) -> float:
         """Its full size over the mean of the warm ones; 1 where that is not known."""
-        return self.sizes[w.kind] / self.mean if w.weight and self.mean else 1.0
+        return self.capacities[w.kind] / self.mean_capacity if w.weight and self.mean_capacity else 1.0
 
     def draw(
-        self, able: Sequence[Worker], zone: str, random: Random, homes: Portions | None = None
+        self, able: Sequence[Worker], zone: str, random: Random, homes: KeyShares | None = None
     ) -> Worker:
         """One of workers whose loads are alike. Without weights the last one, those in the own zone first.
 
@@ -118,9 +145,9 @@
         """
         if len(able) == 1:
             return able[0]
-        if self.untold.draws:
-            return self.untold.draw(able, random, homes)
-        if not self.top:
+        if self.learned_capacity.draws_ties:
+            return self.learned_capacity.draw(able, random, homes)
+        if not self.max_capacity:
             return [w for w in able if w.zone == zone or all(other.zone != zone for other in able)][-1]
-        chances = [1.0 / (w.finish + FAR * (w.zone != zone)) ** 2 for w in able]
-        return one_of(able, chances, random)
+        chances = [1.0 / (w.expected_finish + CROSSING_COST_RUNS * (w.zone != zone)) ** 2 for w in able]
+        return weighted_choice(able, chances, random)
--- a/finchladder/core/dispatch/zone_spillover.py
+++ b/finchladder/core/dispatch/zone_spillover.py
@@ -9,34 +9,34 @@
 from enum import Enum
 from typing import NamedTuple
 
-AGAIN_MOST = 8.0  # times that a change waits longer when the last one was soon undone
+MAX_WAIT_FACTOR = 8.0  # times that a change waits longer when the last one was soon undone
 
 
-class State(Enum):
+class SpilloverState(Enum):
     HOME = "home"
     SPILLING = "spilling"
     RETURNING = "returning"
 
 
-class Sign(Enum):
-    FULL = "full"  # home has been full for full_s, and another zone has room
-    ROOM = "room"  # home has had room for all of it for back_s
-    DONE = "done"  # nothing is sent away any more
-    NOWHERE = "nowhere"  # no other zone has had room for full_s
+class SpilloverEvent(Enum):
+    HOME_FULL = "full"  # home has been full for full_s, and another zone has room
+    HOME_HAS_CAPACITY = "room"  # home has had room for all of it for back_s
+    RETURNED = "done"  # nothing is sent away any more
+    NO_TARGET = "nowhere"  # no other zone has had room for full_s
 
 
 TRANSITIONS = {
-    (State.HOME, Sign.FULL): State.SPILLING,
-    (State.SPILLING, Sign.ROOM): State.RETURNING,
-    (State.SPILLING, Sign.NOWHERE): State.HOME,
-    (State.RETURNING, Sign.FULL): State.SPILLING,
-    (State.RETURNING, Sign.DONE): State.HOME,
-    (State.RETURNING, Sign.NOWHERE): State.HOME,
+    (SpilloverState.HOME, SpilloverEvent.HOME_FULL): SpilloverState.SPILLING,
+    (SpilloverState.SPILLING, SpilloverEvent.HOME_HAS_CAPACITY): SpilloverState.RETURNING,
+    (SpilloverState.SPILLING, SpilloverEvent.NO_TARGET): SpilloverState.HOME,
+    (SpilloverState.RETURNING, SpilloverEvent.HOME_FULL): SpilloverState.SPILLING,
+    (SpilloverState.RETURNING, SpilloverEvent.RETURNED): SpilloverState.HOME,
+    (SpilloverState.RETURNING, SpilloverEvent.NO_TARGET): SpilloverState.HOME,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class SpillSettings:
+class SpilloverSettings:
     full_at: float = 0.05  # free part of a zone's slots at which it is full
     back_at: float = 0.2  # free part that home must have, with all that is away counted in
     refused_at: float = 0.1  # part of the sends that a zone's real servers turned away at which it is full
@@ -54,7 +54,7 @@
                 raise ValueError(f"spill: {name} must be from 0.1 to 600")
 
 
-class Zone(NamedTuple):
+class ZoneLoad(NamedTuple):
     """What is seen of a zone: slots of its ready real servers, those free, and sends since the last look.
 
     `open`: slots of those real servers that would take a job now, busy ones among them. Where slots are only
@@ -64,109 +64,139 @@
     slots: float
     free: float
     sent: int = 0
-    refused: int = 0
-    open: float | None = None
+    rejected: int = 0
+    open_slots: float | None = None
 
     @property
-    def free_part(self) -> float:
+    def free_share(self) -> float:
         return self.free / self.slots if self.slots > 0 else 0.0
 
     @property
-    def open_part(self) -> float:
-        return self.free_part if self.open is None else self.open / self.slots if self.slots > 0 else 0.0
+    def open_share(self) -> float:
+        return (
+            self.free_share
+            if self.open_slots is None
+            else self.open_slots / self.slots
+            if self.slots > 0
+            else 0.0
+        )
 
 
-class Spill:
+class ZoneSpillover:
     """To be told of all zones every 100 ms or so; asked for each job that home would get."""
 
     __slots__ = (
-        "s",
+        "settings",
         "state",
         "target",
-        "part",
+        "share_away",
         "credit",
         "full_since",
-        "room_since",
-        "none_since",
-        "wait",
+        "capacity_since",
+        "no_target_since",
+        "wait_factor",
         "changed_at",
-        "looked_at",
+        "observed_at",
     )
 
-    def __init__(self, settings: SpillSettings) -> None:
-        self.s = settings
-        self.state = State.HOME
+    def __init__(self, settings: SpilloverSettings) -> None:
+        self.settings = settings
+        self.state = SpilloverState.HOME
         self.target: str | None = None
-        self.part = 0.0  # of the work that goes away
+        self.share_away = 0.0  # of the work that goes away
         self.credit = 0.0
         self.full_since: float | None = None
-        self.room_since: float | None = None
-        self.none_since: float | None = None  # since then no other zone has room
-        self.wait = 1.0  # times that full_s and back_s count
+        self.capacity_since: float | None = None
+        self.no_target_since: float | None = None  # since then no other zone has room
+        self.wait_factor = 1.0  # times that full_s and back_s count
         self.changed_at: float | None = None  # when home was last left, or spilling begun anew
-        self.looked_at = 0.0
+        self.observed_at = 0.0
 
-    def observe(self, now: float, home: Zone, others: Mapping[str, Zone], away: float = 0.0) -> None:
+    def observe(self, now: float, home: ZoneLoad, others: Mapping[str, ZoneLoad], away: float = 0.0) -> None:
         """`away`: slots that work of this zone takes elsewhere. Ties go to the zone first by name."""
-        took, self.looked_at = max(0.0, now - self.looked_at), now
+        took, self.observed_at = max(0.0, now - self.observed_at), now
         full = self._is_full(home)
-        room = not full and home.slots > 0 and (home.free - away) / home.slots >= self.s.back_at
+        room = not full and home.slots > 0 and (home.free - away) / home.slots >= self.settings.back_at
         self.full_since = (now if self.full_since is None else self.full_since) if full else None
-        self.room_since = (now if self.room_since is None else self.room_since) if room else None
+        self.capacity_since = (now if self.capacity_since is None else self.capacity_since) if room else None
         target = others.get(self.target) if self.target is not None else None
-        if self.state is State.HOME or target is None or self._is_full(target):
-            open_ = [z for z in sorted(others) if others[z].open_part >= self.s.back_at]
-            self.target = max(open_, key=lambda z: others[z].open_part * others[z].slots, default=None)
+        if self.state is SpilloverState.HOME or target is None or self._is_full(target):
+            open_ = [z for z in sorted(others) if others[z].open_share >= self.settings.back_at]
+            self.target = max(open_, key=lambda z: others[z].open_share * others[z].slots, default=None)
         lacking = self.target is None
-        self.none_since = (now if self.none_since is None else self.none_since) if lacking else None
-        if (sign := self._sign(now)) is not None:
-            self._go(sign, now)
-        if self.state is State.SPILLING and lacking:
-            self.part *= max(0.0, 1 - took / self.s.full_s)  # it was too much for the others
-        elif self.state is State.SPILLING and full:
-            self.part = min(1.0, self.part + max(0.1, self.part) * took / self.s.full_s)
-        elif self.state is State.SPILLING and home.free_part >= self.s.back_at:
-            self.part *= max(0.0, 1 - took / self.s.ramp_s)  # more goes away than must
-        elif self.state is State.RETURNING:
-            self.part = max(0.0, self.part - took / self.s.ramp_s)
-
-    def away(self) -> str | None:
+        self.no_target_since = (
+            (now if self.no_target_since is None else self.no_target_since) if lacking else None
+        )
+        if (sign := self._due_event(now)) is not None:
+            self._change_state(sign, now)
+        if self.state is SpilloverState.SPILLING and lacking:
+            self.share_away *= max(0.0, 1 - took / self.settings.full_s)  # it was too much for the others
+        elif self.state is SpilloverState.SPILLING and full:
+            self.share_away = min(
+                1.0, self.share_away + max(0.1, self.share_away) * took / self.settings.full_s
+            )
+        elif self.state is SpilloverState.SPILLING and home.free_share >= self.settings.back_at:
+            self.share_away *= max(0.0, 1 - took / self.settings.ramp_s)  # more goes away than must
+        elif self.state is SpilloverState.RETURNING:
+            self.share_away = max(0.0, self.share_away - took / self.settings.ramp_s)
+
+    def next_zone(self) -> str | None:
         """The zone that the next job goes to; None: home. Evenly, so many of each hundred."""
         if self.target is None:
             return None
-        self.credit += self.part
+        self.credit += self.share_away
         if self.credit < 1 - 1e-9:
             return None
         self.credit -= 1
         return self.target
 
-    def _is_full(self, zone: Zone) -> bool:
-        return zone.open_part <= self.s.full_at or zone.refused > self.s.refused_at * max(zone.sent, 1)
+    def _is_full(self, zone: ZoneLoad) -> bool:
+        return zone.open_share <= self.settings.full_at or zone.rejected > self.settings.refused_at * max(
+            zone.sent, 1
+        )
 
-    def _soon(self, now: float) -> bool:
+    def _changed_recently(self, now: float) -> bool:
         """Whether the change before was so near that it is to be waited for longer."""
-        return self.changed_at is not None and now - self.changed_at < 2 * AGAIN_MOST * self.s.back_s
-
-    def _sign(self, now: float) -> Sign | None:
-        nowhere = self.none_since is not None and now - self.none_since >= self.s.full_s
-        if self.state is not State.HOME and nowhere:
-            return Sign.NOWHERE
-        if not self._soon(now):
-            self.wait = 1.0
-        wait = self.wait if self.state is State.HOME else 1.0  # the way back to a zone that was left is short
-        if self.full_since is not None and now - self.full_since >= self.s.full_s * wait:
-            return Sign.FULL if self.state is not State.SPILLING and self.target is not None else None
-        if self.state is State.SPILLING and self.room_since is not None:
-            return Sign.ROOM if now - self.room_since >= self.s.back_s * self.wait else None
-        return Sign.DONE if self.state is State.RETURNING and self.part <= 0 else None
-
-    def _go(self, sign: Sign, now: float) -> None:
+        return (
+            self.changed_at is not None and now - self.changed_at < 2 * MAX_WAIT_FACTOR * self.settings.back_s
+        )
+
+    def _due_event(self, now: float) -> SpilloverEvent | None:
+        nowhere = self.no_target_since is not None and now - self.no_target_since >= self.settings.full_s
+        if self.state is not SpilloverState.HOME and nowhere:
+            return SpilloverEvent.NO_TARGET
+        if not self._changed_recently(now):
+            self.wait_factor = 1.0
+        wait = (
+            self.wait_factor if self.state is SpilloverState.HOME else 1.0
+        )  # the way back to a zone that was left is short
+        if self.full_since is not None and now - self.full_since >= self.settings.full_s * wait:
+            return (
+                SpilloverEvent.HOME_FULL
+                if self.state is not SpilloverState.SPILLING and self.target is not None
+                else None
+            )
+        if self.state is SpilloverState.SPILLING and self.capacity_since is not None:
+            return (
+                SpilloverEvent.HOME_HAS_CAPACITY
+                if now - self.capacity_since >= self.settings.back_s * self.wait_factor
+                else None
+            )
+        return (
+            SpilloverEvent.RETURNED
+            if self.state is SpilloverState.RETURNING and self.share_away <= 0
+            else None
+        )
+
+    def _change_state(self, sign: SpilloverEvent, now: float) -> None:
         self.state = TRANSITIONS[self.state, sign]
-        if sign is Sign.FULL:
-            self.wait = min(AGAIN_MOST, 2 * self.wait) if self._soon(now) else 1.0
+        if sign is SpilloverEvent.HOME_FULL:
+            self.wait_factor = (
+                min(MAX_WAIT_FACTOR, 2 * self.wait_factor) if self._changed_recently(now) else 1.0
+            )
             self.changed_at = now
-            self.part = max(self.part, 0.1)
-            self.room_since = None
-        elif self.state is State.HOME:
-            self.part = self.credit = 0.0
+            self.share_away = max(self.share_away, 0.1)
+            self.capacity_since = None
+        elif self.state is SpilloverState.HOME:
+            self.share_away = self.credit = 0.0
             self.full_since = None  # from home, home must be full for full_s again
--- a/finchladder/core/health/detection/detector.py
+++ b/finchladder/core/health/detection/detector.py
@@ -29,7 +29,7 @@
 from finchladder.core.api import Effect, JobClass, LoopStall, OperatorOverrides, PeerReports, Settings
 from finchladder.core.dispatch.dispatcher import Dispatcher
 from finchladder.core.dispatch.records import Job, Worker
-from finchladder.core.dispatch.worker_index import Fleet
+from finchladder.core.dispatch.worker_index import WorkerIndex
 from finchladder.core.health.detection.aggregation import NOTHING, SILENT_S, Sum, Word, merged, weigh
 from finchladder.core.health.detection.evidence import HALF, WEIGHTS, Case, Rate, Usual, weights
 from finchladder.core.health.detection.reports import (
@@ -43,7 +43,12 @@
     zone_number,
 )
 from finchladder.core.health.detection.verdicts import LONGEST_S, SHARES, Facts, State, Verdict, condemn, step
-from finchladder.core.health.outlier_ejection import EJECT_SHARE, LONGEST, Health, Sign
+from finchladder.core.health.outlier_ejection import (
+    MAX_DOUBLINGS,
+    MAX_EJECTED_SHARE,
+    AttemptSignal,
+    OutlierEjection,
+)
 
 LOOK_S = 0.1  # between looks at what is open
 ALONE_FROM = 6.0  # own evidence from which on it is put out by oneself: two bad endings of few
@@ -80,7 +85,7 @@
     why: str
 
 
-class Judging(Health):
+class Judging(OutlierEjection):
     __slots__ = (
         "own",
         "rules",
@@ -153,14 +158,21 @@
 
     # --- own evidence
 
-    def ended(
-        self, now: float, w: Worker, cls: JobClass, sign: Sign, sent: float, ran: float, fleet: Fleet
+    def record_ending(
+        self,
+        now: float,
+        w: Worker,
+        cls: JobClass,
+        sign: AttemptSignal,
+        sent: float,
+        ran: float,
+        fleet: WorkerIndex,
     ) -> None:
-        cold = fleet.is_cold(w, now)
+        cold = fleet.is_slow_starting(w, now)
         weight = WEIGHTS.get(sign, 0.0)
-        if sign is Sign.GOOD and not cold and self.usual.slow(cls.name, w.kind, ran):
+        if sign is AttemptSignal.GOOD and not cold and self.usual.slow(cls.name, w.kind, ran):
             weight = HALF
-        elif cold and sign in (Sign.SILENT, Sign.OVERTAKEN):
+        elif cold and sign in (AttemptSignal.SILENT, AttemptSignal.OVERTAKEN):
             return  # it is slow for another cause
         bad = weight > 0
         verdict = self.verdicts.get(w.address, {}).get(cls.name)
@@ -178,7 +190,7 @@
         cases = self.cases.get(w.address, {})
         case = cases.get(cls.name)
         if case is None:
-            open_ = bad or (self.words and subject(w.address, w.born, cls.name) in self.words)
+            open_ = bad or (self.words and subject(w.address, w.started_at, cls.name) in self.words)
             if not open_ and not cases:
                 return
             case = self.cases.setdefault(w.address, {})[cls.name] = Case(now)
@@ -206,7 +218,7 @@
                     case.bad, case.link, case.good = min(case.bad, 1.0), 0.0, case.good
         elif held is not None or self._score_alone(now, w.address, job_class) >= ALONE_FROM:
             times = held[1] + 1 if held is not None else 1
-            until = now + self.period * 2 ** min(times, LONGEST)
+            until = now + self.base_ejection_s * 2 ** min(times, MAX_DOUBLINGS)
             self.alone.setdefault(w.address, {})[job_class] = until, times
 
     def _rate(self) -> float:
@@ -250,7 +262,7 @@
                 if max(counts) < 0.05 and not (left or stage):
                     continue
                 worst, link, good = (min(MOST_COUNT, c) for c in counts)
-                number = subject(address, w.born, name)
+                number = subject(address, w.started_at, name)
                 found.append(Said(number, worst, link, good, min(MOST_S, opened), min(MOST_S, left), stage))
         found.sort(key=lambda s: (-(s.left_s > 0), -(s.bad + s.link), s.subject))
         return tuple(found[:MOST_SAYS])
@@ -259,7 +271,7 @@
         """Whether there is a bad ending to be told at once."""
         return self.untold
 
-    def hear(self, now: float, e: PeerReports, fleet: Fleet) -> None:
+    def hear(self, now: float, e: PeerReports, fleet: WorkerIndex) -> None:
         self.alive, self.unwell = max(1, e.dispatchers), e.is_degraded
         self.witnesses = e.attempts, e.bad_attempts
         new = []
@@ -298,8 +310,8 @@
         self.strange.update(n for n in numbers if n not in self.index)
         if self.strange and now >= self.index_at:
             self.index_at = now + FIND_S
-            names = [c.name for c in self.s.classes]
-            self.index = {subject(w.address, w.born, n): (w.address, n) for w in workers for n in names}
+            names = [c.name for c in self.settings.classes]
+            self.index = {subject(w.address, w.started_at, n): (w.address, n) for w in workers for n in names}
             numbers = [*numbers, *self.strange]
             # a list that comes later may know them
             self.strange = {n for n in self.strange if n not in self.index and n in self.words}
@@ -309,7 +321,7 @@
 
     # --- judging
 
-    def look(self, now: float, fleet: Fleet, only: Worker | None = None) -> None:
+    def look(self, now: float, fleet: WorkerIndex, only: Worker | None = None) -> None:
         """At all that is open, or at what has just changed of one."""
         if now < self.look_at and only is None:
             return
@@ -320,7 +332,7 @@
         if now >= self.ready_at:
             self.ready_at, self.ready = now + COUNT_S, {}
             for w in fleet.workers.values():
-                if w.ready:
+                if w.is_ready:
                     self.ready[self._group(w)] = self.ready.get(self._group(w), 0) + 1
         open_: dict[str, None] = dict.fromkeys(self.cases) | dict.fromkeys(self.verdicts)
         open_ |= dict.fromkeys(self.alone)
@@ -341,9 +353,9 @@
     def _scores(self, now: float, w: Worker, bad: float, good: float, doubtful: bool) -> dict[str, Sum]:
         """By class: its own words, and those of classes that go badly there unless its own go well."""
         spoken: dict[str, list[Word]] = {}
-        for name in [c.name for c in self.s.classes]:
+        for name in [c.name for c in self.settings.classes]:
             case = self.cases.get(w.address, {}).get(name)
-            heard = self.words.get(subject(w.address, w.born, name), {}).values() if self.words else ()
+            heard = self.words.get(subject(w.address, w.started_at, name), {}).values() if self.words else ()
             if case is None and not heard:
                 continue
             v = self.verdicts.get(w.address, {}).get(name)
@@ -364,7 +376,7 @@
         sums = {name: weigh(words, self.zone, self.zones, bad, good) for name, words in spoken.items()}
         badly = [name for name, s in sums.items() if s.score > 0]
         found: dict[str, Sum] = {}
-        for name in [c.name for c in self.s.classes]:
+        for name in [c.name for c in self.settings.classes]:
             own = sums.get(name, NOTHING)
             others = [w for other in badly if other != name for w in spoken[other]]
             if own.score >= SPARED and others:
@@ -383,7 +395,7 @@
         ready = self.ready.get(group, 0)
         return min(max(1, int(self.rules.most_out * ready)), ready - 1)
 
-    def _out(self, group: tuple[str, str], fleet: Fleet) -> list[str]:
+    def _out(self, group: tuple[str, str], fleet: WorkerIndex) -> list[str]:
         return [
             a
             for a, held in self.verdicts.items()
@@ -392,7 +404,7 @@
             and any(v.state in (State.CONDEMNED, State.TRIAL) for v in held.values())
         ]
 
-    def _masses(self, now: float, fleet: Fleet, scores: dict[str, dict[str, Sum]]) -> None:
+    def _masses(self, now: float, fleet: WorkerIndex, scores: dict[str, dict[str, Sum]]) -> None:
         groups: dict[tuple[str, str], int] = {}
         worst: dict[tuple[str, str], list[float]] = {}
         for a, of in scores.items():
@@ -415,15 +427,15 @@
             else:
                 self.mass_at.pop(group, None)
 
-    def _judge(self, now: float, w: Worker, of: dict[str, Sum], fleet: Fleet) -> None:
-        if not w.ready:
+    def _judge(self, now: float, w: Worker, of: dict[str, Sum], fleet: WorkerIndex) -> None:
+        if not w.is_ready:
             return
         held = self.verdicts.get(w.address, {})
         group = self._group(w)
         needed = 2 if self.alive < 6 else 3
         order = self._order(now, w.address)
         plain = {name: s.score for name, s in of.items()}
-        for name in [c.name for c in self.s.classes]:
+        for name in [c.name for c in self.settings.classes]:
             s, v = of.get(name, NOTHING), held.get(name)
             if s is NOTHING and v is None and order is None and not of:
                 continue
@@ -466,7 +478,7 @@
         """Enough others hold it out already: who has just started need not be hurt first."""
         left = sorted(
             word.said.left_s - (word.age_s + now - came)
-            for came, word in self.words.get(subject(w.address, w.born, job_class), {}).values()
+            for came, word in self.words.get(subject(w.address, w.started_at, job_class), {}).values()
             if word.age_s + now - came < FRESH_S and word.said.left_s > word.age_s + now - came
         )
         if len(left) >= max(needed, min(5, ceil(0.1 * self.alive))):
@@ -485,7 +497,7 @@
         elif before is State.TRIAL and v.state is State.CLEAR:
             self.log(f"{w.address} is back for {job_class}")
 
-    def _mark(self, now: float, w: Worker, plain: dict[str, float], fleet: Fleet) -> None:
+    def _mark(self, now: float, w: Worker, plain: dict[str, float], fleet: WorkerIndex) -> None:
         """Puts what is held where the decisions look."""
         out = any(v.state is State.CONDEMNED for v in self.verdicts.get(w.address, {}).values())
         alone = self.alone.get(w.address)
@@ -495,27 +507,27 @@
         if out:
             until = max(until, *(v.until for v in self.verdicts[w.address].values()))
         w.ejected_until = until
-        if until and w.ready:
+        if until and w.is_ready:
             self.ejected[w.address] = w
         else:
             self.ejected.pop(w.address, None)
         suspect = w.address in self.verdicts or any(
             self._score_alone(now, w.address, c) > SUSPECT_FROM for c in self.cases.get(w.address, ())
         )
-        w.sick = 1.0 if until or w.address in self.verdicts else 0.3 if suspect else 0.0
-        fleet.judged(w)
+        w.failure_share = 1.0 if until or w.address in self.verdicts else 0.3 if suspect else 0.0
+        fleet.update_suspect(w)
 
     # --- the decisions ask
 
-    def fit(self, now: float, job: Job, w: Worker, fleet: Fleet) -> bool:
+    def may_receive(self, now: float, job: Job, w: Worker, fleet: WorkerIndex) -> bool:
         """Asked of those that are marked: a mark may be older than what is held now."""
         if now >= self.look_at:
             self.look(now, fleet)
         order = self._order(now, w.address)
         if order is not None and not order.out:
             return True  # own evidence counts as little as others'
-        name = job.cls.name
-        unsafe = job.cls.effect is Effect.UNSAFE and self.spares_unsafe
+        name = job.job_class.name
+        unsafe = job.job_class.effect is Effect.UNSAFE and self.spares_unsafe
         v = self.verdicts.get(w.address, {}).get(name)
         if v is not None and v.state is State.CONDEMNED:
             return False
@@ -523,23 +535,23 @@
             if unsafe and v.stage < len(SHARES):
                 return False
             return w.load == 0 and self._turn(w, v)
-        if len(self.ejected) > EJECT_SHARE * len(fleet.workers):
+        if len(self.ejected) > MAX_EJECTED_SHARE * len(fleet.workers):
             return True
         if (held := self.alone.get(w.address, {}).get(name)) is not None:
             if unsafe:  # no trial; what speaks against it fades
                 return now >= held[0] and self._score_alone(now, w.address, name) <= SUSPECT_FROM
             return now >= held[0] and w.load == 0
         if unsafe and (v is not None or self._score_alone(now, w.address, name) > SUSPECT_FROM):
-            return len(fleet.suspects) > EJECT_SHARE * len(fleet.workers)
+            return len(fleet.suspects) > MAX_EJECTED_SHARE * len(fleet.workers)
         return True
 
     def _turn(self, w: Worker, v: Verdict) -> bool:
         share = max(SHARES[v.stage - 1], min(1.0, 2 / self.alive))
-        place = crc32(f"{self.own}/{w.address}/{w.born:.3f}/{v.term_s:g}".encode()) / (1 << 32)
+        place = crc32(f"{self.own}/{w.address}/{w.started_at:.3f}/{v.term_s:g}".encode()) / (1 << 32)
         return place < share
 
-    def drop(self, w: Worker) -> None:
-        super().drop(w)
+    def forget(self, w: Worker) -> None:
+        super().forget(w)
         self._forget(w.address)
 
     def _forget(self, address: str) -> None:
@@ -548,7 +560,7 @@
 
     # --- the operator
 
-    def order(self, now: float, e: OperatorOverrides, fleet: Fleet) -> None:
+    def order(self, now: float, e: OperatorOverrides, fleet: WorkerIndex) -> None:
         """These hold and no others; who is not named is left to the evidence."""
         for address, order in self.orders.items():
             if order.out and address not in e.overrides:  # it is let back as after a judgement, on trial
@@ -576,7 +588,7 @@
         found = []
         for address, held in sorted(self.verdicts.items()):
             for name, v in sorted(held.items()):
-                born = workers[address].born if address in workers else 0.0
+                born = workers[address].started_at if address in workers else 0.0
                 words = self.words.get(subject(address, born, name), {}).values()
                 found.append(
                     {
@@ -618,16 +630,16 @@
     d: Dispatcher, own: str, rules: Rules, now: float, log: Callable[[str], None] = lambda text: None
 ) -> Judging:
     """Has these decisions judge by evidence; without it they are as ever."""
-    judging = d.health = Judging(d.s, d.health.period, own, rules, now, log)
+    judging = d.health = Judging(d.settings, d.health.base_ejection_s, own, rules, now, log)
 
     def unseen(e: LoopStall) -> None:
         judging.late(d.now, e.duration_s)
 
     def heard(e: PeerReports) -> None:
-        judging.hear(d.now, e, d.fleet)
+        judging.hear(d.now, e, d.worker_index)
 
     def ordered(e: OperatorOverrides) -> None:
-        judging.order(d.now, e, d.fleet)
+        judging.order(d.now, e, d.worker_index)
 
     d.handlers[LoopStall] = unseen
     d.handlers[PeerReports] = heard
--- a/finchladder/core/health/detection/evidence.py
+++ b/finchladder/core/health/detection/evidence.py
@@ -16,7 +16,7 @@
 
 from math import exp, log
 
-from finchladder.core.health.outlier_ejection import Sign
+from finchladder.core.health.outlier_ejection import AttemptSignal
 
 LEAST_RATE, MOST_RATE = 0.01, 0.6  # of bad endings, as the fleet's own
 FADE_S, EACH = 8.0, 0.98
@@ -25,7 +25,12 @@
 SLOW = 5.0  # times the usual running time of its class and kind: from there on a job was too slow
 HALF = 0.5
 # silence may be a queue: who sends it little hears nothing of its other jobs
-WEIGHTS = {Sign.FAILED: 1.0, Sign.SILENT: HALF, Sign.LINK: 1.0, Sign.OVERTAKEN: HALF}
+WEIGHTS = {
+    AttemptSignal.FAILED: 1.0,
+    AttemptSignal.SILENT: HALF,
+    AttemptSignal.LINK: 1.0,
+    AttemptSignal.OVERTAKEN: HALF,
+}
 STEP = 0.05  # how far one running time moves the usual one
 MOST_USUAL = 256  # the list may name any kind
 CLIP = 3.0  # a running time counts as so many usual ones at the most
@@ -51,12 +56,12 @@
         by = each * exp((self.at - now) / FADE_S)
         self.bad, self.link, self.good, self.at = self.bad * by, self.link * by, self.good * by, now
 
-    def add(self, now: float, sign: Sign, weight: float) -> None:
+    def add(self, now: float, sign: AttemptSignal, weight: float) -> None:
         self.fade(now, EACH)
-        if sign is Sign.GOOD:
+        if sign is AttemptSignal.GOOD:
             self.good += 1.0 - weight
             self.bad += weight
-        elif sign is Sign.LINK:
+        elif sign is AttemptSignal.LINK:
             self.link += weight
         else:
             self.bad += weight
--- a/finchladder/core/health/outlier_ejection.py
+++ b/finchladder/core/health/outlier_ejection.py
@@ -15,17 +15,19 @@
 
 from finchladder.core.api import Effect, Ending, JobClass, Settings
 from finchladder.core.dispatch.records import Job, Worker
-from finchladder.core.dispatch.worker_index import Fleet
+from finchladder.core.dispatch.worker_index import WorkerIndex
 
-LEARN = 0.3
-SICK = 0.5  # ejected when the moving share of bad endings passes this
-SUSPECT = 0.15  # above this it gets no job that may not be repeated: what fails there is lost for good
-BACK = 0.4  # the share after a trial that went well: one good ending is no proof yet
-EJECT_SHARE = 0.5  # more sick workers than this share of the ready: the signal is wrong, not the fleet
-LONGEST = 4  # times that an ejection is doubled
+FAILURE_SMOOTHING = 0.3
+EJECT_THRESHOLD = 0.5  # ejected when the moving share of bad endings passes this
+SUSPECT_THRESHOLD = (
+    0.15  # above this it gets no job that may not be repeated: what fails there is lost for good
+)
+MAX_READMITTED_SHARE = 0.4  # the share after a trial that went well: one good ending is no proof yet
+MAX_EJECTED_SHARE = 0.5  # more sick workers than this share of the ready: the signal is wrong, not the fleet
+MAX_DOUBLINGS = 4  # times that an ejection is doubled
 
 
-class Sign(Enum):
+class AttemptSignal(Enum):
     """What an attempt says of its worker."""
 
     GOOD = "good"
@@ -35,50 +37,57 @@
     OVERTAKEN = "overtaken"  # a copy that was sent later ended before it
 
 
-SIGNS = {
-    Ending.OK: Sign.GOOD,
-    Ending.ERROR: Sign.FAILED,
-    Ending.TIMED_OUT: Sign.SILENT,
-    Ending.UNREACHABLE: Sign.LINK,
-    Ending.BROKEN: Sign.LINK,
+SIGNAL_BY_ENDING = {
+    Ending.OK: AttemptSignal.GOOD,
+    Ending.ERROR: AttemptSignal.FAILED,
+    Ending.TIMED_OUT: AttemptSignal.SILENT,
+    Ending.UNREACHABLE: AttemptSignal.LINK,
+    Ending.BROKEN: AttemptSignal.LINK,
 }
 
 
-class Health:
-    __slots__ = ("s", "ejected", "period", "spares_unsafe")
+class OutlierEjection:
+    __slots__ = ("settings", "ejected", "base_ejection_s", "spares_unsafe")
 
     def __init__(self, settings: Settings, period: float) -> None:
         """`period`: seconds of the shortest ejection, halved."""
-        self.s, self.period = settings, period
+        self.settings, self.base_ejection_s = settings, period
         self.ejected: dict[str, Worker] = {}
         self.spares_unsafe = any(c.effect is not Effect.UNSAFE for c in settings.classes)
 
-    def ended(
-        self, now: float, w: Worker, cls: JobClass, sign: Sign, sent: float, ran: float, fleet: Fleet
+    def record_ending(
+        self,
+        now: float,
+        w: Worker,
+        cls: JobClass,
+        sign: AttemptSignal,
+        sent: float,
+        ran: float,
+        fleet: WorkerIndex,
     ) -> None:
         """`sent`: when the attempt was; `ran`: how long it ran there, 0 if that is not known."""
-        bad = sign is not Sign.GOOD
-        w.sick += LEARN * (bad - w.sick)
+        bad = sign is not AttemptSignal.GOOD
+        w.failure_share += FAILURE_SMOOTHING * (bad - w.failure_share)
         if not bad and w.ejected_until:
-            w.ejected_until, w.sick = 0.0, min(w.sick, BACK)
+            w.ejected_until, w.failure_share = 0.0, min(w.failure_share, MAX_READMITTED_SHARE)
             self.ejected.pop(w.address, None)
         elif not bad:
-            w.ejections = 0 if w.sick <= SUSPECT else w.ejections
-        elif w.sick > SICK or w.ejected_until:
-            w.ejected_until = now + self.period * 2 ** min(w.ejections + 1, LONGEST)
-            w.ejections += 1
-            if w.ready:
+            w.ejection_count = 0 if w.failure_share <= SUSPECT_THRESHOLD else w.ejection_count
+        elif w.failure_share > EJECT_THRESHOLD or w.ejected_until:
+            w.ejected_until = now + self.base_ejection_s * 2 ** min(w.ejection_count + 1, MAX_DOUBLINGS)
+            w.ejection_count += 1
+            if w.is_ready:
                 self.ejected[w.address] = w
-        fleet.judged(w)
+        fleet.update_suspect(w)
 
-    def fit(self, now: float, job: Job, w: Worker, fleet: Fleet) -> bool:
+    def may_receive(self, now: float, job: Job, w: Worker, fleet: WorkerIndex) -> bool:
         """Asked of those whose share is above SUSPECT. A job that may not be repeated is no trial."""
-        if len(self.ejected) > EJECT_SHARE * len(fleet.workers):
+        if len(self.ejected) > MAX_EJECTED_SHARE * len(fleet.workers):
             return True
-        if job.cls.effect is Effect.UNSAFE and self.spares_unsafe:
-            return len(fleet.suspects) > EJECT_SHARE * len(fleet.workers)
+        if job.job_class.effect is Effect.UNSAFE and self.spares_unsafe:
+            return len(fleet.suspects) > MAX_EJECTED_SHARE * len(fleet.workers)
         return not w.ejected_until or (now >= w.ejected_until and w.load == 0)
 
-    def drop(self, w: Worker) -> None:
+    def forget(self, w: Worker) -> None:
         """It is not ready any more, or has started anew."""
         self.ejected.pop(w.address, None)
--- a/finchladder/core/health/slow_start.py
+++ b/finchladder/core/health/slow_start.py
@@ -22,12 +22,12 @@
 from finchladder.core.api import Settings
 from finchladder.core.dispatch.records import Worker
 from finchladder.core.membership.watch_backoff import FEW
-from finchladder.core.timing_wheel import Wheel
+from finchladder.core.timing_wheel import TimingWheel
 
-PART = 0.3  # of the rule's allowance
+ALLOWANCE_SHARE = 0.3  # of the rule's allowance
 
 
-def place(index: int) -> float:
+def van_der_corput(index: int) -> float:
     """Where a dispatcher stands among all, 0 to 1: its number with the bits turned round (van der Corput).
 
     Any run of numbers is spread evenly: those of a zone may stand together, and see more traffic than others.
@@ -38,38 +38,42 @@
     return at
 
 
-class Cold:
-    __slots__ = ("s", "many", "place")
+class SlowStart:
+    __slots__ = ("settings", "is_large_fleet", "phase")
 
     def __init__(self, settings: Settings) -> None:
-        self.s = settings
-        self.many = settings.dispatchers > FEW
-        self.place = place(max(0, settings.index))
+        self.settings = settings
+        self.is_large_fleet = settings.dispatchers > FEW
+        self.phase = van_der_corput(max(0, settings.index))
 
-    def first(self, worker: str, born: float, most: float, random: Random) -> float:
+    def initial_credit_s(self, worker: str, born: float, most: float, random: Random) -> float:
         """Credit at a start. `most`: what a job with its fetch costs; each start has turns of its own."""
-        if not self.many:
+        if not self.is_large_fleet:
             return -random.random() * most
         digest = blake2b(f"{worker}/{born}".encode(), digest_size=4).digest()
-        return -((self.place + int.from_bytes(digest, "big") / 2**32) % 1.0) * most
+        return -((self.phase + int.from_bytes(digest, "big") / 2**32) % 1.0) * most
 
     def allows(self, w: Worker, now: float, warm_rate: float, most: float, cost: Callable[[], float]) -> bool:
         """`warm_rate`: work that it has a warm worker do (among many: of like size), in seconds a second."""
-        since = max(w.credit_at, w.born)
+        since = max(w.credit_updated_at, w.started_at)
         # one of many asks seldom, and what the worker can do grows meanwhile: half of that time counts
-        age = since - w.born + ((now - since) / 2 if self.many else 0.0)
+        age = since - w.started_at + ((now - since) / 2 if self.is_large_fleet else 0.0)
         part = (
-            self.s.slow_start_initial_share
-            + (1 - self.s.slow_start_initial_share) * age / self.s.slow_start_s
+            self.settings.slow_start_initial_share
+            + (1 - self.settings.slow_start_initial_share) * age / self.settings.slow_start_s
         )
-        rate = PART * self.s.overload_multiple * part * warm_rate
-        saved = max(most, rate * self.s.overload_window_s) - (most if self.many else 0.0)
-        w.cold_credit, w.credit_at = min(w.cold_credit + rate * (now - since), saved), now
-        return w.cold_credit >= (0.0 if self.many else cost())
+        rate = ALLOWANCE_SHARE * self.settings.overload_multiple * part * warm_rate
+        saved = max(most, rate * self.settings.overload_window_s) - (most if self.is_large_fleet else 0.0)
+        w.slow_start_credit, w.credit_updated_at = min(w.slow_start_credit + rate * (now - since), saved), now
+        return w.slow_start_credit >= (0.0 if self.is_large_fleet else cost())
 
-    def some(self, cold: Wheel[Worker], most: int, random: Random) -> list[Worker]:
+    def sample(self, cold: TimingWheel[Worker], most: int, random: Random) -> list[Worker]:
         """So many of the cold ones, from a place that is drawn; none for a few dispatchers.
 
         A turn at one of many would mostly pass unused: a dispatcher has few jobs whose home it is.
         """
-        return cold.some(random.randrange(max(1, len(cold) - most + 1)), most) if self.many and cold else []
+        return (
+            cold.slice_of(random.randrange(max(1, len(cold) - most + 1)), most)
+            if self.is_large_fleet and cold
+            else []
+        )
--- a/finchladder/core/peers/loads.py
+++ b/finchladder/core/peers/loads.py
@@ -19,7 +19,7 @@
 from finchladder.core.api import PeerLoads
 from finchladder.core.dispatch.dispatcher import Dispatcher
 from finchladder.core.dispatch.records import Worker
-from finchladder.core.dispatch.worker_capacity import Portions, Sizes, one_of
+from finchladder.core.dispatch.worker_capacity import KeyShares, WorkerCapacity, weighted_choice
 
 SHARP = 8.0
 GONE_S = 3.0
@@ -41,36 +41,36 @@
     return counts
 
 
-class Loads(Sizes):
+class Loads(WorkerCapacity):
     """Takes the place of the decisions' Sizes."""
 
     __slots__ = ("told_counts", "told_at", "now", "numbers")
 
-    def __init__(self, before: Sizes) -> None:
-        super().__init__(before.s)
+    def __init__(self, before: WorkerCapacity) -> None:
+        super().__init__(before.settings)
         self.told_counts: dict[int, float] = {}
         self.told_at = -GONE_S  # as of when the counts are, by the decisions' clock
         self.now = 0.0
         self.numbers: dict[str, int] = {}
 
     @property
-    def draws(self) -> bool:
-        return not self.s.weights_report_load  # few dispatchers too: they hear of all
+    def draws_ties(self) -> bool:
+        return not self.settings.weights_report_load  # few dispatchers too: they hear of all
 
     def hear(self, now: float, e: PeerLoads) -> None:
         self.told_counts, self.told_at, self.now = e.slots_in_flight, now - e.age_s, now
 
-    def draw(self, able: Sequence[Worker], random: Random, homes: Portions | None = None) -> Worker:
+    def draw(self, able: Sequence[Worker], random: Random, homes: KeyShares | None = None) -> Worker:
         fresh = 1 - (self.now - self.told_at) / GONE_S
         if fresh <= 0 or len(able) == 1:
             return super().draw(able, random, homes)
         chances = []
         for w in able:
             load = 1.0 + w.load + self.told_counts.get(self._number(w.address), 0.0)
-            if w.zone != self.s.zone:
+            if w.zone != self.settings.zone:
                 load *= FAR
-            chances.append((self.of(w) / load) ** (SHARP * fresh))
-        return one_of(able, chances, random)
+            chances.append((self.capacity_of(w) / load) ** (SHARP * fresh))
+        return weighted_choice(able, chances, random)
 
     def _number(self, worker: str) -> int:
         found = self.numbers.get(worker)
@@ -83,8 +83,8 @@
 
 def attach(d: Dispatcher) -> Loads:
     """Has these decisions heed Held; without it they are as ever."""
-    loads = Loads(d.crowd.untold)
-    d.crowd.untold = loads
+    loads = Loads(d.worker_load.learned_capacity)
+    d.worker_load.learned_capacity = loads
     handle = d.handlers
 
     def heard(e: PeerLoads) -> None:
--- a/finchladder/core/routing/limited_dispatcher.py
+++ b/finchladder/core/routing/limited_dispatcher.py
@@ -46,7 +46,7 @@
     WorkerPool,
 )
 from finchladder.core.dispatch.dispatcher import Dispatcher
-from finchladder.core.dispatch.zone_spillover import SpillSettings
+from finchladder.core.dispatch.zone_spillover import SpilloverSettings
 from finchladder.core.routing.concurrency_limit import Limiter
 from finchladder.core.routing.hedging import Allowance, Times
 from finchladder.core.routing.retry_budget import Budget
@@ -128,11 +128,13 @@
     share: "Share | None" = None  # a part of a budget that all dispatchers have together; None: each its own
 
     def __init__(self, inner: Dispatcher, routes: Routes, seed: int, share: "Share | None" = None) -> None:
-        self.inner, self.s = inner, inner.s
+        self.inner, self.settings = inner, inner.settings
         if share is not None:
             self.share = share
         self.random = Random(f"{seed}/routes")  # apart: the Dispatcher's own draws stay as they are
-        self.margin_s = inner.sweep + 2 * inner.s.clock_tick_s  # what is not sent by then is answered
+        self.margin_s = (
+            inner.sweep_interval_s + 2 * inner.settings.clock_tick_s
+        )  # what is not sent by then is answered
         self.scopes: dict[Key, Scope] = {}
         self.gone: list[Scope] = []  # of routes that hold no more, while jobs go by them
         self.runs: dict[str, Run] = {}
@@ -159,8 +161,8 @@
             limiter = self.freed.pop()
             while (id := limiter.next()) is not None:
                 actions += self._hand_on(self.runs[id])
-        if self.alarms.at:
-            due = self.alarms.next()
+        if self.alarms.due_at:
+            due = self.alarms.next_due_at()
             if self.timer_at is None or due < self.timer_at:
                 self.timer_at = due
                 actions.append(SetTimer(max(0.0, due - now), GUARD))
@@ -222,7 +224,7 @@
         if self.timer_at is not None and self.now >= self.timer_at - EARLY_S:
             self.timer_at = None
         actions: list[Action] = []
-        while (id := self.alarms.due(self.now + EARLY_S)) is not None:
+        while (id := self.alarms.pop_due(self.now + EARLY_S)) is not None:
             actions += self._alarm(self.runs[id])
         return actions
 
@@ -342,7 +344,7 @@
     def _refuse(self, run: Run) -> list[Action]:
         """It was not sent to anyone."""
         self._close(run)
-        return [Reject(run.id, self.s.max_retry_after_s)]
+        return [Reject(run.id, self.settings.max_retry_after_s)]
 
     def _close(self, run: Run) -> None:
         """It is answered, or nobody waits for an answer."""
@@ -376,7 +378,7 @@
         """These hold for what comes; counts go on where the setting is the same. O(routes, runs, workers)."""
         old, self.scopes = self.scopes, {}
         for route in routes.all:
-            most = min(route.attempts or self.s.max_attempts, self.s.max_attempts)
+            most = min(route.attempts or self.settings.max_attempts, self.settings.max_attempts)
             own = RequestLimits(most, route.priority, self._pool(route))
             self.scopes[route.name, route.job_class] = Scope(route, own)
         self._limiters()
@@ -387,8 +389,8 @@
         self.gone = list({run.scope: None for run in self.runs.values() if run.scope not in held})
         needed = {scope.own.pool for scope in self.scopes.values()}
         needed |= {run.own.pool for run in self.runs.values()}
-        fleet = self.inner.fleet
-        fleet.drop([p for p in fleet.pools if isinstance(p, WorkerPool) and p not in needed])
+        fleet = self.inner.worker_index
+        fleet.drop_pools([p for p in fleet.pools if isinstance(p, WorkerPool) and p not in needed])
         for pool in needed - {None}:
             fleet.pool(pool)
 
@@ -401,7 +403,7 @@
                 scope.limiter = made.setdefault(key, Limiter(route.concurrency, route.queue))
 
     def _counters(self, old: dict[Key, Scope]) -> None:
-        cls, s = self.inner.classes, self.s
+        cls, s = self.inner.classes, self.settings
         budgets: dict[tuple[str, RetryBudget], Budget] = {}
         hedges: dict[tuple[str, float], Allowance] = {}
         for key, scope in self.scopes.items():
@@ -461,7 +463,7 @@
 class Decisions(Protocol):
     """What an actor hands its events to: a Dispatcher as it is, or Guarded."""
 
-    s: Settings
+    settings: Settings
 
     def handle(self, now: float, event: Any) -> list[Action]: ...
 
@@ -470,7 +472,7 @@
     settings: Settings,
     seed: int,
     routes: Routes | None,
-    spill: SpillSettings | None = None,
+    spill: SpilloverSettings | None = None,
     share: "Share | None" = None,
 ) -> Dispatcher | Guarded:
     """`routes` None: there is no file that could have them, now or later. `spill` None: zones are as one.
@@ -480,7 +482,7 @@
     if spill is None:
         dispatcher = Dispatcher(settings, seed)
     else:
-        from finchladder.core.dispatch.zone_dispatcher import Zoned  # what is off need not be loaded
+        from finchladder.core.dispatch.zone_dispatcher import ZoneDispatcher  # what is off need not be loaded
 
-        dispatcher = Zoned(settings, seed, spill)
+        dispatcher = ZoneDispatcher(settings, seed, spill)
     return dispatcher if routes is None else Guarded(dispatcher, routes, seed, share)
--- a/finchladder/features/snapshot.py
+++ b/finchladder/features/snapshot.py
@@ -21,14 +21,13 @@
 from finchladder.core.alarms import Alarms
 from finchladder.core.api import Ending, JobClass, Request, RequestLimits, WorkerPool
 from finchladder.core.dispatch.dispatcher import Dispatcher
-from finchladder.core.dispatch.key_frequency import KeyCounts
+from finchladder.core.dispatch.key_frequency import KeyFrequency
 from finchladder.core.dispatch.records import Attempt, Job, Worker
-from finchladder.core.dispatch.tenant_rates import Told
-from finchladder.core.dispatch.worker_capacity import Sizes, Usual
-from finchladder.core.dispatch.worker_load import Crowd
-from finchladder.core.dispatch.zone_spillover import Spill
-from finchladder.core.dispatch.zone_spillover import State as SpillState
-from finchladder.core.health.outlier_ejection import Health
+from finchladder.core.dispatch.tenant_rates import PeerTenantRates
+from finchladder.core.dispatch.worker_capacity import UsualWeight, WorkerCapacity
+from finchladder.core.dispatch.worker_load import WorkerLoad
+from finchladder.core.dispatch.zone_spillover import SpilloverState, ZoneSpillover
+from finchladder.core.health.outlier_ejection import OutlierEjection
 from finchladder.core.membership.subscription import Asking
 from finchladder.core.routing.concurrency_limit import Limiter
 from finchladder.core.routing.hedging import Allowance, Times
@@ -43,9 +42,9 @@
     Worker,
     Attempt,
     Job,
-    KeyCounts,
+    KeyFrequency,
     Asking,
-    Told,
+    PeerTenantRates,
     Run,
     Scope,
     Limiter,
@@ -53,14 +52,14 @@
     Allowance,
     Times,
     Alarms,
-    Spill,
-    Crowd,
-    Sizes,
-    Usual,
-    Health,
+    ZoneSpillover,
+    WorkerLoad,
+    WorkerCapacity,
+    UsualWeight,
+    OutlierEjection,
 )
 IN_PLACE: dict[type, tuple[str, ...]] = {  # records of which there are many, and their containers
-    Worker: ("unstarted", "fetched"),
+    Worker: ("unstarted_attempts", "fetched_keys"),
     Job: ("attempts",),
     Run: (),
 }
@@ -73,16 +72,16 @@
 # Captures outlive names: a field that moves or is renamed changes its path here and keeps its stored name.
 DISPATCHER_FIELDS = {
     "random": "random",
-    "run": "run",
+    "run": "mean_run_times_s",
     "workers": "workers",
     "jobs": "jobs",
-    "held": "held",
+    "held": "queues",
     "health": "health",
-    "key_counts": "key_counts",
-    "crowd": "crowd",
+    "key_counts": "key_frequency",
+    "crowd": "worker_load",
     "tell_at": "tell_at",
     "scan_at": "scan_at",
-    "strain": "strain",
+    "strain": "full_share",
     "told": "told",
     "warm_rate": "warm_rate",
     "warm_done": "warm_done",
@@ -98,12 +97,12 @@
 # The same for what only a dispatcher with zone spillover has. A state without it is restored all the same,
 # and the spillover then begins anew.
 ZONE_FIELDS = {
-    "spills": "spills",
-    "counts": "counts",
-    "look_at": "look_at",
-    "draws": "draws",
+    "spills": "spillovers",
+    "counts": "send_counts",
+    "look_at": "next_observation_at",
+    "draws": "zone_random",
 }
-ROUND = {"s", "handlers", "inner", "margin_s", "freed"}  # the same of what stands round the Dispatcher
+ROUND = {"settings", "handlers", "inner", "margin_s", "freed"}  # the same of what stands round the Dispatcher
 RANDOM = "<625I"
 
 State = dict[str, Any]
@@ -114,7 +113,7 @@
 
 
 def fields_of(kind: type) -> list[str]:
-    anew = ("level", "pools", "s")  # by Dispatcher.reindex
+    anew = ("load_level", "pools", "settings")  # by Dispatcher.reindex
     return [name for name in kind.__slots__ if name not in anew]  # type: ignore[attr-defined]
 
 
@@ -195,7 +194,9 @@
         for record in many:
             record.__class__ = self.watch[type(record)]
         fields = {name: self._freeze(attrgetter(path)(dispatcher)) for name, path in _stored(dispatcher)}
-        tenants = {n: [t.own, t.peers, t.count, t.credit] for n, t in dispatcher.tenants.items()}
+        tenants = {
+            n: [t.own_rps, t.peers_rps, t.request_count, t.credit] for n, t in dispatcher.tenants.items()
+        }
         parts: dict[str, Any] = {"fields": fields, "tenants": encode(tenants)}
         if isinstance(decisions, Guarded):
             kept = {name: v for name, v in vars(decisions).items() if name not in ROUND}
@@ -296,7 +297,7 @@
     @property
     def still(self) -> set[type]:
         """Types of which nothing need be copied."""
-        return {*SCALARS, tuple, Ending, JobClass, SpillState, *WHOLE, *self.plain}
+        return {*SCALARS, tuple, Ending, JobClass, SpilloverState, *WHOLE, *self.plain}
 
     def _put(self, value: Any) -> Any:
         kind = type(value)
@@ -319,7 +320,7 @@
             return {"tuple": [self._put(v) for v in value]}
         if kind is Ending:
             return {"ending": value.value}
-        if kind is SpillState:
+        if kind is SpilloverState:
             return {"spill": value.value}
         if kind is JobClass:
             return {"class": value.name}
@@ -373,7 +374,7 @@
             for name, value in zip(fields_of(RECORDS[kind]), values, strict=True):
                 setattr(record, name, self.get(value))
             if isinstance(record, Worker):  # also one that only a job still knows
-                record.level, record.pools = None, ()
+                record.load_level, record.pools = None, ()
 
     def get(self, value: Any) -> Any:
         if isinstance(value, list):
@@ -392,7 +393,7 @@
         if kind == "ending":
             return Ending(held)
         if kind == "spill":
-            return SpillState(held)
+            return SpilloverState(held)
         if kind == "tuple":
             return tuple(self.get(v) for v in held)
         if kind == "random":
@@ -424,7 +425,7 @@
 
 def _stored(dispatcher: Dispatcher) -> Iterable[tuple[str, str]]:
     """The stored name and the attribute's path of each field that this dispatcher has."""
-    zone_fields = ZONE_FIELDS if dispatcher.split else {}
+    zone_fields = ZONE_FIELDS if dispatcher.pool_zones else {}
     return chain(zone_fields.items(), DISPATCHER_FIELDS.items())
 
 
@@ -447,11 +448,11 @@
         fields[name] = kept | {n: v for n, v in now.items() if n not in kept}
     for name, value in fields.items():
         _set(dispatcher, paths[name], value)
-    for part in (dispatcher.key_counts, dispatcher.crowd, dispatcher.crowd.untold):
-        part.s = dispatcher.s  # of the configuration of now
+    for part in (dispatcher.key_frequency, dispatcher.worker_load, dispatcher.worker_load.learned_capacity):
+        part.settings = dispatcher.settings  # of the configuration of now
     for n, (own, peers, count, credit) in state["tenants"].items():
         if (t := dispatcher.tenants.get(n)) is not None:
-            t.own, t.peers, t.count, t.credit = own, peers, count, credit
+            t.own_rps, t.peers_rps, t.request_count, t.credit = own, peers, count, credit
     dispatcher.reindex()
     if isinstance(decisions, Guarded):
         routes = Routes(scope.route for scope in decisions.scopes.values())  # of the configuration of now
--- a/finchladder/lab/decisions.py
+++ b/finchladder/lab/decisions.py
@@ -105,7 +105,7 @@
         rest = floor.arrivals(self.e)
         by_zone: dict[str, list[_Node]] = {}
         for node in self.nodes:
-            by_zone.setdefault(node.d.s.zone, []).append(node)
+            by_zone.setdefault(node.d.settings.zone, []).append(node)
         zones, shares = self.e.zones, self.e.load.zone_shares or [1.0] * len(self.e.zones)
 
         def arrive() -> None:
--- a/finchladder/net/flows.py
+++ b/finchladder/net/flows.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple, Protocol
 
 from finchladder.core import api
-from finchladder.core.dispatch.attempt_stages import Stage, Step, follow
+from finchladder.core.dispatch.attempt_stages import Stage, Step, next_stage
 from finchladder.features.status import JobStatus
 
 REMEMBERED = 4096  # ids of ended flows at the least: a request sent again under its id must not run again
@@ -63,7 +63,7 @@
         return self.stage is Stage.ENDED
 
     def step(self, step: Step) -> None:
-        self.stage = follow(self.stage, step)
+        self.stage = next_stage(self.stage, step)
 
 
 @dataclass(slots=True, eq=False)
--- a/finchladder/net/module.py
+++ b/finchladder/net/module.py
@@ -8,7 +8,7 @@
 from tornado.ioloop import IOLoop
 
 from finchladder.core import api
-from finchladder.core.dispatch.dispatcher import SWEEP
+from finchladder.core.dispatch.dispatcher import SWEEP_TIMER
 from finchladder.core.routing.limited_dispatcher import Decisions, NewRoutes
 from finchladder.net.actor import Actor
 from finchladder.net.flows import Answer, Attempt, Flow, Flows
@@ -101,7 +101,7 @@
             self._carry_out(action, now)
 
     def _due(self, timer: api.Timer) -> None:
-        if timer.token == SWEEP:
+        if timer.token == SWEEP_TIMER:
             self._look(self.clock())
             self.beat = math.inf
         self.tell(timer)
@@ -129,7 +129,7 @@
             if (flow := self.flows.by_id.get(action.request)) is not None:
                 self._for_flow(flow, action, now)
         elif isinstance(action, api.SetTimer):
-            if action.token == SWEEP:
+            if action.token == SWEEP_TIMER:
                 self.beat = now + action.delay_s
             IOLoop.current().call_later(max(0.0, action.delay_s), self._due, api.Timer(action.token))
         elif isinstance(action, api.Log):
@@ -169,4 +169,4 @@
         if flow is not None:
             self.flows.finish(flow, Answer("failed"))
         if isinstance(item, api.Timer):  # the module lives on its timers: one lost would leave it deaf
-            IOLoop.current().call_later(self.dispatcher.s.clock_tick_s, self.tell, item)
+            IOLoop.current().call_later(self.dispatcher.settings.clock_tick_s, self.tell, item)
--- a/finchladder/net/servers.py
+++ b/finchladder/net/servers.py
@@ -11,7 +11,7 @@
 from finchladder.core import api
 from finchladder.core.api import Ending as E
 from finchladder.core.connections.idle_timeout import Trust
-from finchladder.core.dispatch.attempt_stages import MEANINGS, GiveUp, Step
+from finchladder.core.dispatch.attempt_stages import STAGE_RULES, AbandonAction, Step
 from finchladder.net import http1
 from finchladder.net.actor import Actor
 from finchladder.net.flows import Answer, Attempt, Flows
@@ -76,7 +76,7 @@
         ending = outcome(head)
         if ending is None:
             s.step(Step.ACCEPT)
-            if not self.server.module.dispatcher.s.reports_start:
+            if not self.server.module.dispatcher.settings.reports_start:
                 self.server.begun(s)
         else:
             self.server.end(s, ending, load_report(head))
@@ -172,7 +172,7 @@
     def _called_back(self, c: CallBack) -> None:
         """Matched by id and sender: it may come before the 202, again, or about a job nobody knows here."""
         s = self.live.get(c.id)
-        if s is not None and not MEANINGS[s.stage].told:
+        if s is not None and not STAGE_RULES[s.stage].accepts_callbacks:
             return
         if self.flows.status is not None:  # is told also of one given up here
             self.flows.status.told(self.clock(), c.id, self.server, c.state, c.share)
@@ -223,7 +223,7 @@
 
     def broke(self, s: Attempt) -> None:
         if not s.ended:
-            self.end(s, MEANINGS[s.stage].broken)
+            self.end(s, STAGE_RULES[s.stage].ending_if_broken)
 
     def _host(self) -> str:
         host, port = self.address
@@ -233,7 +233,7 @@
         """Every attempt ends here, and only its first end counts."""
         if s.ended:
             return
-        give_up = MEANINGS[s.stage].give_up
+        give_up = STAGE_RULES[s.stage].on_abandon
         s.step(Step.END)
         if self.flows.status is not None:
             self.flows.status.ended(s.flow.id, self.server, ending)
@@ -244,18 +244,18 @@
             self.flows.finish(s.flow, Answer("served", result))
         ended = Ending(s, ending, self.clock() - s.sent, report)
         if ending in (E.CANCELLED, E.TIMED_OUT):
-            if give_up is GiveUp.DELETE:
+            if give_up is AbandonAction.DELETE:
                 if s.flow.answer is None and self._alone() and self.clock() < s.flow.deadline:
                     self.spawn(self._give_up_first(ended))
                     return
                 self.spawn(self._give_up(s.flow.id))
-            elif give_up is GiveUp.CLOSE and s.connection is not None:
+            elif give_up is AbandonAction.CLOSE and s.connection is not None:
                 s.connection.close()
         self._told(ended)
 
     def _alone(self) -> bool:
         """Whether no two attempts of one job may be out together."""
-        return not self.module.dispatcher.s.may_hedge
+        return not self.module.dispatcher.settings.may_hedge
 
     def _told(self, ended: Ending) -> None:
         self.module.tell(ended)
--- a/finchladder/net/timers.py
+++ b/finchladder/net/timers.py
@@ -5,7 +5,7 @@
 from loguru import logger
 from tornado.ioloop import IOLoop
 
-from finchladder.core.timing_wheel import Wheel
+from finchladder.core.timing_wheel import TimingWheel
 
 WIDTH = 0.01  # seconds: a call comes so much later than it was due, at the most
 
@@ -15,7 +15,7 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self.wheel: Wheel[tuple[float, Hashable, Callable[[], object]]] = Wheel(WIDTH)
+        self.wheel: TimingWheel[tuple[float, Hashable, Callable[[], object]]] = TimingWheel(WIDTH)
         self.turning = False
 
     def put(self, key: Hashable, at: float, call: Callable[[], object]) -> None:
@@ -30,7 +30,7 @@
 
     def _turn(self) -> None:
         now = self.clock()
-        for at, key, call in self.wheel.due(now):
+        for at, key, call in self.wheel.pop_due(now):
             if at > now:  # its slot has begun, or it was further ahead than the wheel goes
                 self.wheel.put(key, (at, key, call), max(at, now + WIDTH))
                 continue
--- a/finchladder/sim/coverage.py
+++ b/finchladder/sim/coverage.py
@@ -52,7 +52,7 @@
     def stage(self, s: "Attempt", jobs: dict[str, Job]) -> str:
         job = jobs.get(s.flow.id)
         attempts = job.attempts[s.number :] if job is not None else []
-        if s.stage is Stage.ACCEPTED and attempts and attempts[0].started is not None:
+        if s.stage is Stage.ACCEPTED and attempts and attempts[0].started_at is not None:
             return STARTED
         return str(s.stage.value)
 
--- a/finchladder/sim/inner.py
+++ b/finchladder/sim/inner.py
@@ -158,7 +158,7 @@
             "drilled flows": len(node.intake.held),
             "sends without an end": list(self.tap.out),
             "jobs of the decisions": list(module.jobs),
-            "held jobs": [j for groups in module.held.values() for jobs in groups.values() for j in jobs],
+            "held jobs": [j for groups in module.queues.values() for jobs in groups.values() for j in jobs],
             "timers": len(node.timers.wheel),
             "bytes for bodies": self.room - node.bodies.free,
             "places in use": self.places - node.servers.all_in_use.free,
@@ -171,7 +171,7 @@
         fading = [name for name, actor in node.servers.fading.items() if actor.at_rest]
         left["real servers that are gone for long"] = fading
         if isinstance(guarded := node.module.dispatcher, Guarded):
-            left["jobs under routes"] = [*guarded.runs, *guarded.alarms.at]
+            left["jobs under routes"] = [*guarded.runs, *guarded.alarms.due_at]
         if node.flows.status is not None:
             left["jobs whose status is open"] = list(node.flows.status.open)
         for what, value in left.items():
--- a/finchladder/sim/judged.py
+++ b/finchladder/sim/judged.py
@@ -191,7 +191,7 @@
         r, n = self.job_random, int(a.worker[1:])
         job = process.d.jobs[a.request]
         attempt = len(job.attempts) - 1
-        bad, unsafe = self.bad(n), job.cls.effect is api.Effect.UNSAFE
+        bad, unsafe = self.bad(n), job.job_class.effect is api.Effect.UNSAFE
         if bad is not None and bad.kind in ("all", "refuse"):
             self._met(n)
         ending, took = api.Ending.OK, RUN_S * r.uniform(0.5, 1.5)
@@ -262,7 +262,7 @@
             return
         for p in self.alive.values():
             assert isinstance(p, Process)
-            p.judging.look(p.clock(), p.d.fleet)
+            p.judging.look(p.clock(), p.d.worker_index)
             held = {
                 a: h
                 for a, h in p.judging.verdicts.items()
--- a/tests/core/judging/test_judging.py
+++ b/tests/core/judging/test_judging.py
@@ -318,7 +318,7 @@
     for _ in range(60):
         b.run_until(b.now + 1.0)
         hear(b, {})
-    assert not j.cases and not j.alone and not b.d.workers["w3"].sick and not j.ejected
+    assert not j.cases and not j.alone and not b.d.workers["w3"].failure_share and not j.ejected
     assert "w3" in sent_to(b, "unsafe", 300)
 
 
--- a/tests/core/judging/test_tables.py
+++ b/tests/core/judging/test_tables.py
@@ -12,7 +12,7 @@
 from finchladder.core.health.detection.overrides import MOST, Order, Orders
 from finchladder.core.health.detection.reports import Said, flaw, subject
 from finchladder.core.health.detection.verdicts import ENOUGH, SHARES, Facts, State, Verdict, condemn, step
-from finchladder.core.health.outlier_ejection import Sign
+from finchladder.core.health.outlier_ejection import AttemptSignal
 
 
 @pytest.mark.parametrize(
@@ -31,13 +31,13 @@
 
 def test_a_case_fades_by_time_and_by_endings() -> None:
     c = Case(0.0)
-    c.add(0.0, Sign.FAILED, 1.0)
+    c.add(0.0, AttemptSignal.FAILED, 1.0)
     c.fade(FADE_S)
     assert c.bad == pytest.approx(0.368, abs=0.001)
     for _ in range(100):
-        c.add(FADE_S, Sign.GOOD, 0.0)
+        c.add(FADE_S, AttemptSignal.GOOD, 0.0)
     assert c.bad < 0.06 and 40 < c.good < 50 and c.link == 0
-    c.add(FADE_S, Sign.LINK, 1.0)
+    c.add(FADE_S, AttemptSignal.LINK, 1.0)
     assert c.link == 1.0
 
 
--- a/tests/core/oracle.py
+++ b/tests/core/oracle.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from finchladder.core.api import Settings
-from finchladder.core.dispatch.dispatcher import SAMPLE, SMOOTH, Dispatcher
-from finchladder.core.dispatch.job_schedule import Agenda
-from finchladder.core.dispatch.key_frequency import KeyCounts
+from finchladder.core.dispatch.dispatcher import MAX_CANDIDATES, SMOOTHING, Dispatcher
+from finchladder.core.dispatch.job_schedule import JobSchedule
+from finchladder.core.dispatch.key_frequency import KeyFrequency
 from finchladder.core.dispatch.records import Job, Worker
-from finchladder.core.dispatch.worker_index import Fleet, Needed, Pool
-from finchladder.core.health.outlier_ejection import SUSPECT
+from finchladder.core.dispatch.worker_index import NeededPool, PoolIndex, WorkerIndex
+from finchladder.core.health.outlier_ejection import SUSPECT_THRESHOLD
 
 POINTS = 32
 
@@ -55,67 +55,71 @@
 
     def sample(self) -> list[Worker]:
         n = len(self.workers)
-        return [self.workers[(self.at + i) % n] for i in range(SAMPLE)] if n > SAMPLE else self.workers
+        return (
+            [self.workers[(self.at + i) % n] for i in range(MAX_CANDIDATES)]
+            if n > MAX_CANDIDATES
+            else self.workers
+        )
 
 
-class ScanPool(Pool):
+class ScanPool(PoolIndex):
     workers: dict[str, Worker]
-    kind: Needed
+    kind: NeededPool
     zone: str
     built: OldPool = OldPool([])
 
     def ready(self) -> list[Worker]:
-        return [w for w in self.workers.values() if w.ready and self.kind in (None, w.kind)]
+        return [w for w in self.workers.values() if w.is_ready and self.kind in (None, w.kind)]
 
     def old(self) -> OldPool:
         if self.built.workers != (ready := self.ready()):
             self.built = OldPool(ready)
         return self.built
 
-    def walk(self, key: int, count: int, first: int = 0) -> Iterator[list[Worker]]:
+    def walk_pairs(self, key: int, count: int, first: int = 0) -> Iterator[list[Worker]]:
         pairs = self.old().pairs(key, count)
         return iter(pairs[first:] + pairs[:first])
 
     def by_load(self, most: int) -> Iterator[Worker]:
-        return islice(sorted(self.ready(), key=lambda w: (w.load, w.zone != self.zone, w.turn)), most)
+        return islice(sorted(self.ready(), key=lambda w: (w.load, w.zone != self.zone, w.position)), most)
 
-    def anyone(self, random: Random, most: int) -> Iterator[Worker]:
+    def random_workers(self, random: Random, most: int) -> Iterator[Worker]:
         points, owners = self.old().rings[0]
         for _ in range(most):
             yield owners[bisect_right(points, random.getrandbits(64)) % len(owners)]
 
 
-class ScanFleet(Fleet):
+class ScanFleet(WorkerIndex):
     @property  # type: ignore[override]
     def suspects(self) -> list[Worker]:
-        return [w for w in self.workers.values() if w.sick > SUSPECT]
+        return [w for w in self.workers.values() if w.failure_share > SUSPECT_THRESHOLD]
 
     @suspects.setter
     def suspects(self, value: Any) -> None:
         pass
 
-    def judged(self, w: Worker) -> None:
+    def update_suspect(self, w: Worker) -> None:
         pass
 
-    def warm(self, now: float) -> int:
-        return sum(w.ready and not self.is_cold(w, now) for w in self.workers.values())
+    def count_warm(self, now: float) -> int:
+        return sum(w.is_ready and not self.is_slow_starting(w, now) for w in self.workers.values())
 
-    def forget(self) -> None:
-        for w in [w for w in self.workers.values() if not w.ready and not w.load]:
+    def remove_departed(self) -> None:
+        for w in [w for w in self.workers.values() if not w.is_ready and not w.load]:
             del self.workers[w.address]
 
 
-class ScanAgenda(Agenda):
+class ScanAgenda(JobSchedule):
     jobs: dict[str, Job]
 
-    def due(self, now: float, waits: Mapping[str, float], no_retries: bool) -> list[Job]:
+    def pop_due(self, now: float, waits: Mapping[str, float], no_retries: bool) -> list[Job]:
         return list(self.jobs.values())
 
 
-class AllCounts(KeyCounts):
+class AllCounts(KeyFrequency):
     def __init__(self, settings: Settings) -> None:
         self.all: dict[int, float] = {}
-        self.s = settings
+        self.settings = settings
         self.total = 0.0
 
     def add(self, key: int) -> None:
@@ -125,9 +129,9 @@
     def count(self, key: int) -> float:
         return self.all.get(key, 0.0)
 
-    def fade(self) -> None:
-        self.all = {k: n * (1 - SMOOTH) for k, n in self.all.items() if n > 1 - SMOOTH}
-        self.total *= 1 - SMOOTH
+    def decay(self) -> None:
+        self.all = {k: n * (1 - SMOOTHING) for k, n in self.all.items() if n > 1 - SMOOTHING}
+        self.total *= 1 - SMOOTHING
 
 
 class Scanning(Dispatcher):
@@ -135,12 +139,12 @@
 
     def reindex(self) -> None:
         super().reindex()
-        self.fleet.__class__ = ScanFleet
-        for kind, pool in self.fleet.pools.items():
+        self.worker_index.__class__ = ScanFleet
+        for kind, pool in self.worker_index.pools.items():
             pool.__class__ = ScanPool
             assert isinstance(pool, ScanPool)
-            pool.workers, pool.kind, pool.zone = self.workers, kind, self.s.zone
-        self.agenda.__class__ = ScanAgenda
-        assert isinstance(self.agenda, ScanAgenda)
-        self.agenda.jobs = self.jobs
-        self.key_counts = AllCounts(self.s)
+            pool.workers, pool.kind, pool.zone = self.workers, kind, self.settings.zone
+        self.job_schedule.__class__ = ScanAgenda
+        assert isinstance(self.job_schedule, ScanAgenda)
+        self.job_schedule.jobs = self.jobs
+        self.key_frequency = AllCounts(self.settings)
--- a/tests/core/peers/test_loads.py
+++ b/tests/core/peers/test_loads.py
@@ -22,7 +22,7 @@
     bench = Bench(workers(2), dispatchers=dispatchers)
     attach(bench.d)
     if busy:
-        bench.d.fleet.add_load(bench.d.workers[busy], 1.0)
+        bench.d.worker_index.add_load(bench.d.workers[busy], 1.0)
     found: Counter[str] = Counter()
     for n in range(200):
         if counts:
--- a/tests/core/routes.py
+++ b/tests/core/routes.py
@@ -33,4 +33,4 @@
         """Nothing is held of any job."""
         g = self.g
         limiters = [s.limiter for s in g.scopes.values() if s.limiter is not None]
-        return not (g.runs or g.alarms.at or g.inner.jobs or any(x.open or x.order for x in limiters))
+        return not (g.runs or g.alarms.due_at or g.inner.jobs or any(x.open or x.order for x in limiters))
--- a/tests/core/test_aperture.py
+++ b/tests/core/test_aperture.py
@@ -7,12 +7,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from finchladder.core.dispatch.zone_spillover import TRANSITIONS, Sign, Spill, SpillSettings, State, Zone
+from finchladder.core.dispatch.zone_spillover import (
+    TRANSITIONS,
+    SpilloverEvent,
+    SpilloverSettings,
+    SpilloverState,
+    ZoneLoad,
+    ZoneSpillover,
+)
 from finchladder.core.membership.aperture import Aperture, ApertureSettings, place, width, window
 
 SETTINGS = ApertureSettings(server_connections=240, connections_each=24)  # a real server serves ten
 HOME = ("a", "m")
-ROUND = (State.SPILLING, State.RETURNING, State.HOME)
+ROUND = (SpilloverState.SPILLING, SpilloverState.RETURNING, SpilloverState.HOME)
 
 
 def subsets(names: list[str], dispatchers: int) -> list[set[str]]:
@@ -85,12 +92,14 @@
         Aperture(40, 40, SETTINGS)
 
 
-def walk(demand_of: list[float], other_free: list[float]) -> tuple[Spill, list[tuple[float, State]]]:
+def walk(
+    demand_of: list[float], other_free: list[float]
+) -> tuple[ZoneSpillover, list[tuple[float, SpilloverState]]]:
     """A home of 100 slots, looked at each 0.1 s; what goes away leaves its slots free."""
-    spill, seen, now = Spill(SpillSettings()), [(0.0, State.HOME)], 0.0
+    spill, seen, now = ZoneSpillover(SpilloverSettings()), [(0.0, SpilloverState.HOME)], 0.0
     for demand, free in zip(demand_of, other_free, strict=True):
-        away = demand * spill.part if spill.target else 0.0
-        spill.observe(now, Zone(100, max(0.0, 100 - (demand - away))), {"b": Zone(100, free)}, away)
+        away = demand * spill.share_away if spill.target else 0.0
+        spill.observe(now, ZoneLoad(100, max(0.0, 100 - (demand - away))), {"b": ZoneLoad(100, free)}, away)
         if spill.state is not seen[-1][1]:
             seen.append((now, spill.state))
         now += 0.1
@@ -100,23 +109,38 @@
 @pytest.mark.parametrize(
     ("demand", "free", "states", "part"),
     [
-        ([60.0] * 600, 50.0, [State.HOME], (0, 0)),
-        ([130.0] * 600, 90.0, [State.HOME, State.SPILLING], (0.2, 0.45)),
-        ([130.0] * 300 + [105.0] * 300, 90.0, [State.HOME, State.SPILLING], (0.05, 0.26)),  # what must
-        ([130.0] * 300 + [85.0] * 300, 90.0, [State.HOME, State.SPILLING], (0, 0.1)),  # home nearly full
-        ([130.0] * 600, 10.0, [State.HOME], (0, 0)),  # the other zone has no room either
-        ([*([60.0] * 20 + [130.0] * 4) * 25], 90.0, [State.HOME], (0, 0)),  # bursts shorter than full_s
-        ([130.0] * 300 + [60.0] * 300, 90.0, [State.HOME, *ROUND], (0, 0)),
+        ([60.0] * 600, 50.0, [SpilloverState.HOME], (0, 0)),
+        ([130.0] * 600, 90.0, [SpilloverState.HOME, SpilloverState.SPILLING], (0.2, 0.45)),
+        (
+            [130.0] * 300 + [105.0] * 300,
+            90.0,
+            [SpilloverState.HOME, SpilloverState.SPILLING],
+            (0.05, 0.26),
+        ),  # what must
+        (
+            [130.0] * 300 + [85.0] * 300,
+            90.0,
+            [SpilloverState.HOME, SpilloverState.SPILLING],
+            (0, 0.1),
+        ),  # home nearly full
+        ([130.0] * 600, 10.0, [SpilloverState.HOME], (0, 0)),  # the other zone has no room either
+        (
+            [*([60.0] * 20 + [130.0] * 4) * 25],
+            90.0,
+            [SpilloverState.HOME],
+            (0, 0),
+        ),  # bursts shorter than full_s
+        ([130.0] * 300 + [60.0] * 300, 90.0, [SpilloverState.HOME, *ROUND], (0, 0)),
     ],
 )
 def test_spills_and_comes_back(
-    demand: list[float], free: float, states: list[State], part: tuple[float, float]
+    demand: list[float], free: float, states: list[SpilloverState], part: tuple[float, float]
 ) -> None:
     spill, seen = walk(demand, [free] * len(demand))
     assert [s for _, s in seen] == states
-    assert part[0] <= spill.part <= part[1]
-    sent = [spill.away() for _ in range(1000)]
-    assert sent.count("b") == pytest.approx(1000 * spill.part, abs=1)
+    assert part[0] <= spill.share_away <= part[1]
+    sent = [spill.next_zone() for _ in range(1000)]
+    assert sent.count("b") == pytest.approx(1000 * spill.share_away, abs=1)
 
 
 @pytest.mark.parametrize("step", [1.0, 5.0, 20.0])
@@ -131,23 +155,25 @@
             demands.append(demand)
             frees.append(free)
         _, seen = walk(demands, frees)
-        begun = [t for t, s in seen if s is State.SPILLING]
+        begun = [t for t, s in seen if s is SpilloverState.SPILLING]
         soon = sum(b - a < 4 for a, b in zip(begun, begun[1:], strict=False))
         assert (len(begun), soon) <= ((6, 0) if other_step == 0 else (32, 3)) and soon <= 3
 
 
 def test_refusals_make_a_zone_full_and_a_zone_that_is_full_gets_nothing() -> None:
-    spill, others = Spill(SpillSettings()), {"b": Zone(100, 50), "c": Zone(100, 80)}
+    spill, others = ZoneSpillover(SpilloverSettings()), {"b": ZoneLoad(100, 50), "c": ZoneLoad(100, 80)}
     for i in range(7):
-        spill.observe(i / 10, Zone(100, 50, sent=20, refused=3), others)
-    assert spill.state is State.SPILLING and spill.target == "c"
-    spill.observe(0.8, Zone(100, 50, 20, 3), others | {"c": Zone(100, 60, sent=20, refused=5)}, 10)
+        spill.observe(i / 10, ZoneLoad(100, 50, sent=20, rejected=3), others)
+    assert spill.state is SpilloverState.SPILLING and spill.target == "c"
+    spill.observe(0.8, ZoneLoad(100, 50, 20, 3), others | {"c": ZoneLoad(100, 60, sent=20, rejected=5)}, 10)
     assert spill.target == "c" or spill.target == "b"
-    spill.observe(0.9, Zone(100, 50, 20, 3), {"b": Zone(100, 2), "c": Zone(100, 60, 20, 5)}, 10)
-    assert spill.away() != "b"
+    spill.observe(0.9, ZoneLoad(100, 50, 20, 3), {"b": ZoneLoad(100, 2), "c": ZoneLoad(100, 60, 20, 5)}, 10)
+    assert spill.next_zone() != "b"
 
 
 def test_spill_states_and_signs_are_all_in_the_table() -> None:
-    assert {s for s, _ in TRANSITIONS} == set(State) and {s for _, s in TRANSITIONS} == set(Sign)
+    assert {s for s, _ in TRANSITIONS} == set(SpilloverState) and {s for _, s in TRANSITIONS} == set(
+        SpilloverEvent
+    )
     with pytest.raises(ValueError, match="full_at"):
-        SpillSettings(full_at=0.3, back_at=0.2)
+        SpilloverSettings(full_at=0.3, back_at=0.2)
--- a/tests/core/test_cold.py
+++ b/tests/core/test_cold.py
@@ -5,9 +5,9 @@
 import pytest
 
 from finchladder import Dispatcher, api
-from finchladder.core.dispatch.dispatcher import SWEEP
-from finchladder.core.dispatch.worker_load import FETCH
-from finchladder.core.health.slow_start import PART, place
+from finchladder.core.dispatch.dispatcher import SWEEP_TIMER
+from finchladder.core.dispatch.worker_load import FETCH_COST_RUNS
+from finchladder.core.health.slow_start import ALLOWANCE_SHARE, van_der_corput
 from finchladder.core.membership.watch_backoff import FEW
 from tests.helpers import entry, settings, workers
 
@@ -61,7 +61,7 @@
                 job = d.jobs[a.request]
                 n = len(job.attempts) - 1
                 if a.worker == "cold":
-                    self.cold.append((now, RUN_S * (1 + FETCH), d))
+                    self.cold.append((now, RUN_S * (1 + FETCH_COST_RUNS), d))
                     if self.refuses:
                         self.ends.append((now + 0.01, d, a.request, -1 - n))
                         continue
@@ -83,7 +83,7 @@
                 self.feed(now, d, api.Ended(name, n if n >= 0 else -1 - n, ending, n >= 0, RUN_S))
             if round(now / step) % 5 == 0:
                 for d in self.fleet:
-                    self.feed(now, d, api.Timer(SWEEP))
+                    self.feed(now, d, api.Timer(SWEEP_TIMER))
             now += step
 
     def joins(self, now: float) -> None:
@@ -166,7 +166,7 @@
 @pytest.mark.parametrize("first", [0, 37, 128])
 @pytest.mark.parametrize("run", [8, 40])
 def test_any_run_of_numbers_is_spread_evenly_over_a_job(first: int, run: int) -> None:
-    places = sorted(place(i) for i in range(first, first + run))
+    places = sorted(van_der_corput(i) for i in range(first, first + run))
     gaps = [b - a for a, b in zip([places[-1] - 1, *places], places, strict=False)]
     assert max(gaps) <= 3 / run
 
@@ -184,10 +184,15 @@
     gained = {}
     for kind in sizes:
         w = d.workers[f"cold-{kind}"]
-        w.cold_credit, w.credit_at = -1.0, 101.0
+        w.slow_start_credit, w.credit_updated_at = -1.0, 101.0
         d.now = 102.0
         assert not d._cold_may_take(d.jobs["r"], w)
-        gained[kind] = w.cold_credit + 1.0
-    mean = rule.overload_multiple * PART * 0.01 * (0.3 + 0.7 * (1.5 if dispatchers > FEW else 1.0) / 8.5)
+        gained[kind] = w.slow_start_credit + 1.0
+    mean = (
+        rule.overload_multiple
+        * ALLOWANCE_SHARE
+        * 0.01
+        * (0.3 + 0.7 * (1.5 if dispatchers > FEW else 1.0) / 8.5)
+    )
     assert gained["slow"] == pytest.approx(slow_gets * mean)
     assert gained["fast"] == pytest.approx((2 - slow_gets) * mean)
--- a/tests/core/test_crowd.py
+++ b/tests/core/test_crowd.py
@@ -43,7 +43,7 @@
         pair = pair_of(b, key := key_with_pair(b, 2))
         told(b, {})
         for w, load in zip(pair, loads, strict=True):
-            b.d.fleet.add_load(b.d.workers[w], load)
+            b.d.worker_index.add_load(b.d.workers[w], load)
         got.add(pair.index(b.ask(key=key)[1][0].worker))
     assert got == gets
 
@@ -75,7 +75,7 @@
     told(b, {})
     told(b, {w: 4 / (1 + held) for w in workers(8)})
     job = b.d.classes["safe"]
-    assert b.d.crowd.in_time(b.d.workers["w1"], job, waited, 1.0, 0.0) is taken
+    assert b.d.worker_load.finishes_in_time(b.d.workers["w1"], job, waited, 1.0, 0.0) is taken
 
 
 @pytest.mark.parametrize(
@@ -94,11 +94,14 @@
     b = Bench(workers(8), weights_report_load=True)
     told(b, {})
     key = key_with_pair(b, 2)
-    own = [w.address for pair in b.d.fleet.pools[None].pairs(key, 2) for w in pair]
-    b.d.crowd.runs["safe"], b.d.run = 0.1, dict.fromkeys(b.d.run, mean_run)
+    own = [w.address for pair in b.d.worker_index.pools[None].pairs(key, 2) for w in pair]
+    b.d.worker_load.common_run_times_s["safe"], b.d.mean_run_times_s = (
+        0.1,
+        dict.fromkeys(b.d.mean_run_times_s, mean_run),
+    )
     b.patch(*(entry(w, **({"weight": CALM} | homes)) for w in own))
     strangers = {a.worker for a in b.ask(key=key)[1]} - set(own)
-    assert bool(strangers) is sent and bool(b.d.held[0, "safe"]) is not sent
+    assert bool(strangers) is sent and bool(b.d.queues[0, "safe"]) is not sent
 
 
 def test_a_fetch_does_not_make_a_job_s_own_time_longer() -> None:
@@ -106,8 +109,8 @@
     told(b, {})
     w, cls = b.d.workers["w1"], b.d.classes["safe"]
     for n in range(400):
-        b.d.crowd.ran(w, cls, 3.0 if n % 3 == 0 else 0.5)
-    assert 0.3 < b.d.crowd.runs["safe"] < 1.0
+        b.d.worker_load.record_run(w, cls, 3.0 if n % 3 == 0 else 0.5)
+    assert 0.3 < b.d.worker_load.common_run_times_s["safe"] < 1.0
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0])
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -15,12 +15,12 @@
 from finchladder.config.options import Options
 from finchladder.core import api
 from finchladder.core.api import Effect, Ending, JobClass, ListKind, Settings, WorkerStatus
-from finchladder.core.dispatch.dispatcher import SAMPLE, Dispatcher
-from finchladder.core.dispatch.job_schedule import Agenda
-from finchladder.core.dispatch.key_frequency import MOST, KeyCounts
+from finchladder.core.dispatch.dispatcher import MAX_CANDIDATES, Dispatcher
+from finchladder.core.dispatch.job_schedule import JobSchedule
+from finchladder.core.dispatch.key_frequency import MAX_KEYS, KeyFrequency
 from finchladder.core.dispatch.records import Attempt, Job, Worker
-from finchladder.core.dispatch.worker_index import Fleet, Ring
-from finchladder.core.timing_wheel import SLOTS, Wheel
+from finchladder.core.dispatch.worker_index import Ring, WorkerIndex
+from finchladder.core.timing_wheel import MAX_SLOTS_AHEAD, TimingWheel
 from finchladder.features import snapshot
 from finchladder.features.arrivals import Arrivals
 from tests.core.oracle import OldPool, Scanning
@@ -157,19 +157,19 @@
 
 def check_index(d: Dispatcher) -> None:
     """Each index holds what a scan finds, in its order, and nothing more."""
-    for kind, pool in d.fleet.pools.items():
-        able = [w for w in d.workers.values() if w.ready and kind in (None, w.kind)]
-        far = d.s.zone
-        assert list(pool.by_load(999)) == sorted(able, key=lambda w: (w.load, w.zone != far, w.turn))
+    for kind, pool in d.worker_index.pools.items():
+        able = [w for w in d.workers.values() if w.is_ready and kind in (None, w.kind)]
+        far = d.settings.zone
+        assert list(pool.by_load(999)) == sorted(able, key=lambda w: (w.load, w.zone != far, w.position))
         assert pool.size == len(able) and all(pool.levels.values())
         for ring, (points, owners) in zip(pool.rings, OldPool(able).rings, strict=True):
             assert [p for marks, _ in ring.arcs for p in marks] == points
             assert [w for _, row in ring.arcs for w in row] == owners
-    open_jobs = [job for job in d.jobs.values() if not job.done]
-    assert d.agenda.watched.where.keys() == {job.serial for job in open_jobs}
-    held = {job.serial for groups in d.held.values() for jobs in groups.values() for job in jobs.values()}
-    assert {serial for wheel in d.agenda.waiting.values() for serial in wheel.where} == held
-    assert d.agenda.spent.keys() <= held
+    open_jobs = [job for job in d.jobs.values() if not job.is_done]
+    assert d.job_schedule.by_due_time.slot_of.keys() == {job.serial for job in open_jobs}
+    held = {job.serial for groups in d.queues.values() for jobs in groups.values() for job in jobs.values()}
+    assert {serial for wheel in d.job_schedule.queued_by_class.values() for serial in wheel.slot_of} == held
+    assert d.job_schedule.queued_retries.keys() <= held
 
 
 @pytest.mark.parametrize(("most", "steps"), [(12, 1200), (60, 1500)])
@@ -179,17 +179,19 @@
     choose = d._least_loaded
 
     def checked(job: Job, pool: object) -> Worker | None:
-        able = [w for w in d.workers.values() if w.ready and job.cls.kind in (None, w.kind)]
-        ordered = sorted(able, key=lambda w: (w.load, w.zone != d.s.zone, w.turn))
+        able = [w for w in d.workers.values() if w.is_ready and job.job_class.kind in (None, w.kind)]
+        ordered = sorted(able, key=lambda w: (w.load, w.zone != d.settings.zone, w.position))
         fit = [w for w in ordered if d._under_t(w) and d._permitted(job, w)]
-        found = choose(job, d.fleet.pools[job.cls.kind])
+        found = choose(job, d.worker_index.pools[job.job_class.kind])
         if found is None:
-            assert len(able) > SAMPLE or not fit
-        elif len(able) <= SAMPLE or fit[0] in ordered[:SAMPLE]:
+            assert len(able) > MAX_CANDIDATES or not fit
+        elif len(able) <= MAX_CANDIDATES or fit[0] in ordered[:MAX_CANDIDATES]:
             assert found is fit[0]
         else:
             assert found in fit
-        before = [w for w in OldPool(able, seen["asked"] * SAMPLE % (len(able) or 1)).sample() if w in fit]
+        before = [
+            w for w in OldPool(able, seen["asked"] * MAX_CANDIDATES % (len(able) or 1)).sample() if w in fit
+        ]
         seen["asked"] += 1
         for name, choice in (("", [found] if found else []), ("before: ", before)):
             load = min((w.load for w in choice), default=None)
@@ -204,7 +206,7 @@
     for _ in range(steps):
         day.step()
     poor, poor_before = (seen[which + "missed"] + seen[which + "other"] for which in ("", "before: "))
-    assert seen["best"] > 50 and (poor < poor_before if most > SAMPLE else not poor), seen
+    assert seen["best"] > 50 and (poor < poor_before if most > MAX_CANDIDATES else not poor), seen
 
 
 def test_the_same_day_under_another_hash_seed() -> None:
@@ -231,16 +233,16 @@
     name, [sent] = b.ask("safe")
     old = b.d.workers[sent.worker]
     b.end(name, Ending.ERROR)
-    assert list(b.d.fleet.suspects) == [old]
+    assert list(b.d.worker_index.suspects) == [old]
     other, _ = b.ask("unsafe", key=1), b.patch(*(entry(n, WorkerStatus.REMOVED) for n in "ab"))
     kept = [w for w in b.d.workers.values()]
-    assert len(kept) == 1 and kept[0].load == 1 and not b.d.fleet.pools[None].size
+    assert len(kept) == 1 and kept[0].load == 1 and not b.d.worker_index.pools[None].size
     b.end(other[0], Ending.ERROR)
     assert list(b.d.workers) == [kept[0].address]
     b.patch(entry("c"))
-    assert list(b.d.workers) == ["c"] and not b.d.fleet.suspects and not b.d.fleet.leaving
-    b.d.fleet.add_load(kept[0], 1.0)  # news of a job that was taken for lost
-    b.d.fleet.add_load(kept[0], -1.0)
+    assert list(b.d.workers) == ["c"] and not b.d.worker_index.suspects and not b.d.worker_index.departed
+    b.d.worker_index.add_load(kept[0], 1.0)  # news of a job that was taken for lost
+    b.d.worker_index.add_load(kept[0], -1.0)
     b.patch(entry(kept[0].address))
     assert b.d.workers[kept[0].address] is not kept[0] and kept[0].pools == ()
 
@@ -248,7 +250,9 @@
 def test_an_entry_of_another_weight_touches_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     b = fleet_of("a", "b")
     for change in ("update", "enter"):
-        monkeypatch.setattr(Fleet, change, lambda *a: pytest.fail("touched") if list(a[1:]) != [[]] else None)
+        monkeypatch.setattr(
+            WorkerIndex, change, lambda *a: pytest.fail("touched") if list(a[1:]) != [[]] else None
+        )
     b.patch(entry("a", weight=9.0))
     b.feed(api.WorkerList(ListKind.FULL, (entry("b", weight=2.0), entry("a"))))
 
@@ -266,8 +270,8 @@
 def test_pairs_are_counted_exactly_up_to_far_off_and_by_marks_beyond(first: int) -> None:
     d = fleet_of(*(f"w{i}" for i in range(150))).d
     pairs = OldPool(list(d.workers.values())).pairs(8, 65)
-    assert list(d.fleet.pools[None].walk(8, 65, first)) == pairs[first:] + pairs[:first]
-    far = list(d.fleet.pools[None].walk(8, 75, 65))
+    assert list(d.worker_index.pools[None].walk_pairs(8, 65, first)) == pairs[first:] + pairs[:first]
+    far = list(d.worker_index.pools[None].walk_pairs(8, 75, 65))
     assert len(far) == 75 and far[10:] == pairs  # the ten by marks first
     again = Counter(w.address for pair in far[:10] for w in pair)
     assert max(again.values()) == 1
@@ -277,7 +281,7 @@
     """All that are cold and out of credit have no load; the others are found behind them."""
     b = Bench([entry(f"w{i}") for i in range(200)])
     for w in list(b.d.workers.values())[:150]:
-        w.rest_until = 1e9
+        w.backoff_until = 1e9
     used = [b.ask()[1] for _ in range(50)]
     assert sum(map(len, used)) >= 45 and len({s.worker for sent in used for s in sent}) >= 30
 
@@ -297,43 +301,43 @@
 
 
 def test_held_jobs_that_may_have_run_are_due_once_no_retry_is_left() -> None:
-    agenda, waits = Agenda(["safe"], 0.05), {"safe": 9.0}
+    agenda, waits = JobSchedule(["safe"], 0.05), {"safe": 9.0}
     for serial in range(2):
         job = Job(api.Request(f"r{serial}", "safe", 9.0), CLASSES[0], 100.0, serial, 3)
         job.attempts += [Attempt(Worker(entry("w"), 2.0), 100.0, 100.0)] * serial
-        agenda.hold(job)
-    agenda.due(100.5, waits, no_retries=False)  # a first look may be early for all
-    assert [job.serial for job in agenda.due(101.0, waits, no_retries=True)] == [1]
-    assert agenda.due(101.1, waits, no_retries=False) == []
-    agenda.unhold(job)
-    assert agenda.due(101.2, waits, no_retries=True) == []
+        agenda.add_queued(job)
+    agenda.pop_due(100.5, waits, no_retries=False)  # a first look may be early for all
+    assert [job.serial for job in agenda.pop_due(101.0, waits, no_retries=True)] == [1]
+    assert agenda.pop_due(101.1, waits, no_retries=False) == []
+    agenda.remove_queued(job)
+    assert agenda.pop_due(101.2, waits, no_retries=True) == []
 
 
 def test_key_counts_stay_bounded_and_forget_what_is_no_longer_asked_for() -> None:
     settings = Settings(classes=(JobClass("safe", Effect.SAFE, latency_target_s=1.0, deadline_s=5.0),))
-    counts, largest = KeyCounts(settings, 1), 0
+    counts, largest = KeyFrequency(settings, 1), 0
     for n in range(30_000):
         counts.add(n)
         if n % 1000 == 0:
-            counts.fade()
-        largest = max(largest, len(counts.seen))
+            counts.decay()
+        largest = max(largest, len(counts.counts))
     assert largest < 4000  # each is remembered for two turns of 1000
-    for n in range(2 * MOST):
+    for n in range(2 * MAX_KEYS):
         counts.add(-n)
-    assert len(counts.seen) == MOST and counts.count(1 - 2 * MOST) == 0
+    assert len(counts.counts) == MAX_KEYS and counts.count(1 - 2 * MAX_KEYS) == 0
     for _ in range(3):
-        counts.fade()
-    for n in range(MOST):
+        counts.decay()
+    for n in range(MAX_KEYS):
         counts.add(1 + n % 10)
-        counts.add(-3 * MOST - n % 3)
-    assert len(counts.seen) <= MOST - 8 and counts.count(1) == MOST // 10 + 1
-    for n in range(MOST - 10):
+        counts.add(-3 * MAX_KEYS - n % 3)
+    assert len(counts.counts) <= MAX_KEYS - 8 and counts.count(1) == MAX_KEYS // 10 + 1
+    for n in range(MAX_KEYS - 10):
         counts.add(n)
-    assert all(counts.count(n) for n in range(MOST - 10))
+    assert all(counts.count(n) for n in range(MAX_KEYS - 10))
 
 
 def test_a_wheel_hands_out_in_time_and_keeps_few_slots() -> None:
-    wheel, random, held = Wheel[int](0.5), Random(4), dict[int, float]()
+    wheel, random, held = TimingWheel[int](0.5), Random(4), dict[int, float]()
     for n in range(4000):
         at = n / 10 + random.choice([0.1, 3.0, 1e5, float("inf")]) * random.random()
         wheel.put(n % 700, n, at)
@@ -343,10 +347,10 @@
             held.pop(n % 500, None)
         if n % 10 == 0:
             due = [key for key, at in held.items() if at <= n / 10]
-            out = {thing % 700 for thing in wheel.due(n / 10)}
+            out = {thing % 700 for thing in wheel.pop_due(n / 10)}
             assert out.issuperset(due)
             for key in out - set(due):
                 wheel.put(key, key, held[key])
             for key in due:
                 del held[key]
-        assert len(wheel) == len(held) and len(wheel.slots) == len(wheel.order) <= SLOTS + 2
+        assert len(wheel) == len(held) and len(wheel.slots) == len(wheel.slot_heap) <= MAX_SLOTS_AHEAD + 2
--- a/tests/core/test_guarded.py
+++ b/tests/core/test_guarded.py
@@ -145,10 +145,10 @@
     b = bench(1, backoff=Backoff(1.0, 1.0, 1.0))
     name, _ = b.ask()
     b.end(name, E.OVERLOADED)
-    b.g.inner.workers["w0"].rest_until = 0.0
-    assert not loads(b) and 0 < b.g.alarms.next() - START < 1 and b.ask()[1]
+    b.g.inner.workers["w0"].backoff_until = 0.0
+    assert not loads(b) and 0 < b.g.alarms.next_due_at() - START < 1 and b.ask()[1]
     b.g.inner.reindex()  # as after a state was restored
-    assert not any(len(wheel) for wheel in b.g.inner.agenda.waiting.values())
+    assert not any(len(wheel) for wheel in b.g.inner.job_schedule.queued_by_class.values())
 
 
 # --- retry budget -------------------------------------------------------------------------------------------
@@ -179,12 +179,12 @@
     b = bench(3, retry_budget=RetryBudget(0.3, 0.0))
     names = [b.ask()[0] for _ in range(4)]
     for w in b.g.inner.workers.values():
-        w.t = 0.0
+        w.load_threshold = 0.0
     for name in names:
         b.end(name, E.OVERLOADED)
     b.run_until(START + 0.1)
     for w in b.g.inner.workers.values():
-        w.t, w.rest_until = 100.0, 0.0
+        w.load_threshold, w.backoff_until = 100.0, 0.0
     b.run_until(START + 0.3)
     assert sum(len(b.sends(name)) for name in names) == 5
 
@@ -197,7 +197,7 @@
     name, _ = both.ask()
     both.run_until(START + 0.5)
     both.end(name, E.ERROR, 0)  # its copy is out, which was paid for
-    assert not both.g.alarms.at
+    assert not both.g.alarms.due_at
     assert [s.spent for s in (scope(once).budget, scope(both).budget) if s] == [0, 1]
     both.end(name, E.ERROR, 1)
     both.run_until(START + 2)
@@ -264,16 +264,16 @@
     name, [send] = b.ask()
     b.run_until(START + 1)
     b.end(name, E.OK, winner)
-    suspects = [w.address for w in b.g.inner.fleet.suspects]
+    suspects = [w.address for w in b.g.inner.worker_index.suspects]
     assert suspects == ([send.worker] if winner else [])
     assert all(s.worker not in suspects for _ in range(5) for s in b.ask("unsafe")[1])
     name, [send] = b.ask()
     b.now += 0.1
     b.end(name, E.ERROR)
-    sick = b.g.inner.workers[send.worker].sick
+    sick = b.g.inner.workers[send.worker].failure_share
     b.now += 0.1
     b.end(name, E.OK, 1)  # a resend overtook nobody
-    assert b.g.inner.workers[send.worker].sick == sick
+    assert b.g.inner.workers[send.worker].failure_share == sick
 
 
 def test_of_two_copies_each_is_judged_by_what_is_told_of_it() -> None:
@@ -286,7 +286,7 @@
         b.feed(api.Progress(name, 1, 0.1 * second))
     silent, told = (b.g.inner.workers[s.worker] for s in b.sends(name))
     assert done(b, name) == "send 0, send 0.3, cancel 0"
-    assert (silent.load, told.load) == (0, 1) and silent.sick and not told.sick
+    assert (silent.load, told.load) == (0, 1) and silent.failure_share and not told.failure_share
     b.end(name, E.ERROR, 1)  # no copy is out that anything is expected of, and the slots stay freed
     b.run_until(START + 9.4)
     assert told.load == 0 and silent.load == 0
@@ -406,7 +406,7 @@
     b = bench(1, hedge=HEDGE)
     name, _ = b.ask()
     b.end(name, E.OVERLOADED)
-    assert not b.g.alarms.at and not b.answers(name)
+    assert not b.g.alarms.due_at and not b.answers(name)
     b = queued(concurrency=1)
     monkeypatch.setattr(b.g.inner, "classes", {})
     with pytest.raises(KeyError):
@@ -430,7 +430,7 @@
     routes = Routes([Route("safe", "safe", pool=pool)])
     fleet = [entry(f"w{n}", zone="ab"[n % 2], kind=("fast", "slow")[n // 2]) for n in range(4)]
     b = RouteBench(routes, fleet)
-    made = b.g.inner.fleet.pools[pool]  # before the first job, as its making takes long
+    made = b.g.inner.worker_index.pools[pool]  # before the first job, as its making takes long
     for key in (None, *range(9)):
         name, [send] = b.ask(key=key)
         assert send.worker in held
@@ -443,23 +443,25 @@
     b.run_until(100.1)
     assert [s.worker for s in b.sends(name)] == ["w1"]
     b.renew(routes)
-    assert b.g.inner.fleet.pools[pool] is made
+    assert b.g.inner.worker_index.pools[pool] is made
     b.renew(Routes())
-    assert pool in b.g.inner.fleet.pools  # a job under way still needs it
+    assert pool in b.g.inner.worker_index.pools  # a job under way still needs it
     b.serve(name)
     b.renew(Routes())
-    assert pool not in b.g.inner.fleet.pools and all(len(w.pools) == 1 for w in b.g.inner.workers.values())
+    assert pool not in b.g.inner.worker_index.pools and all(
+        len(w.pools) == 1 for w in b.g.inner.workers.values()
+    )
 
 
 def test_of_held_jobs_the_highest_priority_goes_first_whatever_it_is_worth() -> None:
     routes = [Route("low", "safe", priority=-1), Route("high", "unsafe", priority=2)]
     b = RouteBench(Routes(routes), ["w"])
-    b.g.inner.workers["w"].t = 1.0
+    b.g.inner.workers["w"].load_threshold = 1.0
     running, _ = b.ask()
     held = [b.ask("safe", route="low")[0], b.ask("safe")[0], b.ask("unsafe", route="high")[0]]
     b.run_until(100.6)
     for n in (2, 1, 0):
-        b.g.inner.workers["w"].t = 1.0
+        b.g.inner.workers["w"].load_threshold = 1.0
         b.end(running, E.OK)
         running = held[n]
         assert [len(b.sends(name)) for name in held] == [int(m >= n) for m in range(3)]
--- a/tests/core/test_guarded_replay.py
+++ b/tests/core/test_guarded_replay.py
@@ -122,7 +122,7 @@
     def rich() -> bool:
         runs = g.runs.values()
         both = any(r.waiting is not None for r in runs) and any(r.copies for r in runs)
-        return both and bool(g.alarms.at and g.gone) and len({id(r.rules) for r in runs}) > 3
+        return both and bool(g.alarms.due_at and g.gone) and len({id(r.rules) for r in runs}) > 3
 
     while not (tries % 2 and rich()):  # while OTHER holds
         play.feed(NewRoutes((OTHER, ROUTES)[tries % 2]))  # type: ignore[arg-type]
@@ -142,5 +142,5 @@
     )
     replay.run(b"".join(data).splitlines(keepends=True))
     assert (said, warned) == ([], []) and replay.compared > 1000
-    inner = Dispatcher(g.s, 9)  # of one whose file has no routes any more
+    inner = Dispatcher(g.settings, 9)  # of one whose file has no routes any more
     assert snapshot.restore(carried, inner, Arrivals(FEATURES, 5)) == [] and inner.jobs
--- a/tests/core/test_limits.py
+++ b/tests/core/test_limits.py
@@ -142,8 +142,8 @@
             alarms.drop(key)
         else:
             now += random.random() / 10
-            while (due := alarms.due(now)) is not None:
+            while (due := alarms.pop_due(now)) is not None:
                 assert right.pop(due) <= now
             assert all(at > now for at in right.values())
-        assert alarms.next() == min(right.values(), default=inf) and alarms.at == right
+        assert alarms.next_due_at() == min(right.values(), default=inf) and alarms.due_at == right
         assert len(alarms.heap) <= 2 * len(right) + 17
--- a/tests/core/test_members.py
+++ b/tests/core/test_members.py
@@ -51,14 +51,14 @@
 
     @property
     def ready(self) -> set[str]:
-        return {w.address for w in self.bench.d.workers.values() if w.ready}
+        return {w.address for w in self.bench.d.workers.values() if w.is_ready}
 
 
 def test_both_homes_of_a_key_are_inside_and_what_is_outside_is_not_known() -> None:
     b = Behind()
     inside = {name for name in b.names if name in b.members.aperture}
     assert b.ready == inside and len(inside) == 50  # a quarter in each zone
-    pool = b.bench.d.fleet.pools[None]
+    pool = b.bench.d.worker_index.pools[None]
     for key in range(300):
         assert {w.address for w in pool.pairs(key, 1)[0]} <= inside
         name, [sent] = b.bench.ask(key=key)
@@ -203,5 +203,5 @@
 
 
 def test_off_there_is_neither_filter_nor_split() -> None:
-    assert Dispatcher(settings(), 1).fleet.pools[None].parts == {}
+    assert Dispatcher(settings(), 1).worker_index.pools[None].by_zone == {}
     assert ServiceActor(AT, lambda *a: None, lambda names: None, http1.connect).subset is None
--- a/tests/core/test_routes_model.py
+++ b/tests/core/test_routes_model.py
@@ -50,8 +50,8 @@
 
     def play(self, path: list[tuple[int, int]]) -> None:
         for w in self.g.inner.workers.values():
-            w.restart(w.born, 100.0, 0.0)
-            self.g.inner.fleet.judged(w)
+            w.restart(w.started_at, 100.0, 0.0)
+            self.g.inner.worker_index.update_suspect(w)
         self.g.inner.health.ejected.clear()
         self.g.inner.retry_tokens = 10.0
         self.sent: list[Sent] = []
@@ -118,7 +118,7 @@
     def judge(self, a: api.Send) -> None:
         """The four rules' part, then the route's."""
         assert not (self.answered or self.left) and a.worker not in [s.worker for s in self.sent]
-        assert len(self.sent) < min(self.d.s.max_attempts, self.route.attempts or 99)
+        assert len(self.sent) < min(self.d.settings.max_attempts, self.route.attempts or 99)
         assert a.timeout_s == (self.route.attempt_timeout_s or 0.0)
         known = self.g.inner.workers
         for n, s in enumerate(self.sent):
@@ -134,7 +134,9 @@
                 assert self.ended[n] in self.route.resend_on
                 self.resends += 1
             else:
-                assert self.d.s.may_hedge and self.d.s.may_cancel and self.route.hedge is not None
+                assert (
+                    self.d.settings.may_hedge and self.d.settings.may_cancel and self.route.hedge is not None
+                )
                 assert len(self.out()) == 1 and self.now >= s.at + (self.route.hedge.after_s or 0) - 1e-3
                 self.copies += 1
 
--- a/tests/core/test_sizes.py
+++ b/tests/core/test_sizes.py
@@ -8,10 +8,10 @@
 
 from finchladder import api
 from finchladder.config.options import Options
-from finchladder.core.dispatch.key_frequency import KeyCounts
+from finchladder.core.dispatch.key_frequency import KeyFrequency
 from finchladder.core.dispatch.records import Worker
-from finchladder.core.dispatch.worker_capacity import LEAST_FACTOR, MOST_KINDS, Sizes
-from finchladder.core.dispatch.worker_index import Pool, Ring, ring_points
+from finchladder.core.dispatch.worker_capacity import MAX_KINDS, MIN_SPEED, WorkerCapacity
+from finchladder.core.dispatch.worker_index import PoolIndex, Ring, ring_points
 from finchladder.features import snapshot
 from finchladder.features.arrivals import Arrivals
 from tests.helpers import Bench, entry, settings, workers
@@ -33,7 +33,7 @@
     got = 0
     for seed in range(draws):
         b = bench(seed, {workers(8).index(second): weight}, dispatchers)
-        b.d.fleet.add_load(b.d.workers[second], load)
+        b.d.worker_index.add_load(b.d.workers[second], load)
         got += b.ask(key=key)[1][0].worker == second
     return got / draws
 
@@ -61,8 +61,8 @@
 @pytest.mark.parametrize("weight", [nan, inf, 0.0, -1.0, 1e300, 17.0])
 def test_an_unusable_weight_counts_as_one_and_harms_no_other(weight: float) -> None:
     b = bench(1, {0: weight})
-    sizes = b.d.crowd.untold
-    assert [sizes.of(b.d.workers[w]) for w in workers(8)] == [1.0] * 8
+    sizes = b.d.worker_load.learned_capacity
+    assert [sizes.capacity_of(b.d.workers[w]) for w in workers(8)] == [1.0] * 8
 
 
 def test_an_absurd_live_weight_leaves_the_others_as_they_are() -> None:
@@ -70,7 +70,7 @@
     b.patch(*(entry(w, weight=4.0) for w in workers(8)))
     b.patch(entry("w3", weight=1e12))
     b.patch(*(entry(w, weight=4.0) for w in workers(8) if w != "w3"))
-    finish = {w: b.d.workers[w].finish for w in workers(8)}
+    finish = {w: b.d.workers[w].expected_finish for w in workers(8)}
     assert len(set(finish.values())) == 1 and b.d.workers["w3"].weight == 0.0
 
 
@@ -81,14 +81,14 @@
     for _ in range(6):
         b.patch(*(entry(w, weight=4.0) for w in workers(30)))
     w = b.d.workers["w7"]
-    assert w.weight == 4.0 if live else w.size == 4.0
+    assert w.weight == 4.0 if live else w.nominal_capacity == 4.0
 
 
 def test_kinds_whose_speed_is_learned_are_bounded() -> None:
-    sizes = Sizes(settings(dispatchers=MANY))
+    sizes = WorkerCapacity(settings(dispatchers=MANY))
     for n in range(1000):
-        sizes.ran(Worker(entry(f"w{n}", kind=f"k{n}"), 2.0), SAFE, 0.2)
-    assert len(sizes.kinds) == MOST_KINDS
+        sizes.record_run(Worker(entry(f"w{n}", kind=f"k{n}"), 2.0), SAFE, 0.2)
+    assert len(sizes.samples_by_kind) == MAX_KINDS
 
 
 SAFE = api.JobClass("safe", api.Effect.SAFE, latency_target_s=1.0, deadline_s=5.0)
@@ -96,14 +96,14 @@
 
 def learned(slow: dict[str, float], jobs: int, kinds: dict[str, str]) -> dict[str, float]:
     """Sizes after so many jobs at each worker; `slow`: how long a job takes there, 0.2 elsewhere."""
-    sizes = Sizes(settings(dispatchers=MANY))
+    sizes = WorkerCapacity(settings(dispatchers=MANY))
     found = {name: Worker(entry(name, kind=kind), 2.0) for name, kind in kinds.items()}
     for name in list(found)[::-1][:5]:  # so that a usual run time is known
-        sizes.ran(found[name], SAFE, slow.get(name, 0.2))
+        sizes.record_run(found[name], SAFE, slow.get(name, 0.2))
     for _ in range(jobs):
         for name, w in found.items():
-            sizes.ran(w, SAFE, slow.get(name, 0.2))
-    return {name: sizes.of(w) for name, w in found.items()}
+            sizes.record_run(w, SAFE, slow.get(name, 0.2))
+    return {name: sizes.capacity_of(w) for name, w in found.items()}
 
 
 TEN = {f"w{n}": "" for n in range(10)}
@@ -124,37 +124,37 @@
 
 def test_a_factor_is_bounded_and_a_restart_forgets_it() -> None:
     sizes = learned({"w0": 1e9}, 50, TEN)
-    assert sizes["w0"] >= LEAST_FACTOR**2
+    assert sizes["w0"] >= MIN_SPEED**2
     w = Worker(entry("w0"), 2.0)
-    known = Sizes(settings(dispatchers=MANY))
+    known = WorkerCapacity(settings(dispatchers=MANY))
     other = Worker(entry("w1"), 2.0)
     for _ in range(20):
-        known.ran(other, SAFE, 0.2)
-        known.ran(w, SAFE, 2.0)
-    slow = known.of(w)
+        known.record_run(other, SAFE, 0.2)
+        known.record_run(w, SAFE, 2.0)
+    slow = known.capacity_of(w)
     w.restart(5.0, 2.0, 0.0)
-    assert known.of(w) > 1.5 * slow
+    assert known.capacity_of(w) > 1.5 * slow
 
 
 # --- homes of hot keys
 
 
-def counts(seed: int, index: int = 0) -> KeyCounts:
-    return KeyCounts(settings(dispatchers=MANY, index=index), seed)
+def counts(seed: int, index: int = 0) -> KeyFrequency:
+    return KeyFrequency(settings(dispatchers=MANY, index=index), seed)
 
 
-def ask(c: KeyCounts, rng: random.Random, n: int, share: float, hot: int = 7) -> list[tuple[int, int]]:
+def ask(c: KeyFrequency, rng: random.Random, n: int, share: float, hot: int = 7) -> list[tuple[int, int]]:
     """The homes of each request for the hot key among n, the others being for keys of their own."""
     found = []
     for i in range(n):
         key = hot if rng.random() < share else 1000 + rng.randrange(10**9)
         c.add(key)
         if key == hot:
-            found.append(c.homes(key, 60))
+            found.append(c.next_pair(key, 60))
         else:
-            assert c.homes(key, 60) == (1, 0)  # seen once: no hot key
+            assert c.next_pair(key, 60) == (1, 0)  # seen once: no hot key
         if i % 5 == 0:
-            c.fade()
+            c.decay()
     return found
 
 
@@ -176,13 +176,13 @@
 
 def test_a_key_that_would_need_all_is_not_left_to_its_first_pair() -> None:
     """Of 60 workers a key has some 45 pairs: who begins past the last begins with the first, as all would."""
-    pool, got = Pool(), Counter[str]()
+    pool, got = PoolIndex(), Counter[str]()
     for name in workers(60):
         w = Worker(entry(name), 2.0)
-        pool.change(w, True, (ring_points(name, 0), ring_points(name, 1)))
+        pool.update_rings(w, True, (ring_points(name, 0), ring_points(name, 1)))
     for seed in range(60):
         for homes, first in ask(counts(seed), random.Random(seed), 120, 0.5):
-            pair = next(iter(pool.walk(7, homes, first)))
+            pair = next(iter(pool.walk_pairs(7, homes, first)))
             got.update({w.address: 2 // len(pair) for w in pair})
     assert max(got.values()) < 4 * sum(got.values()) / 60, got.most_common(3)
 
@@ -201,7 +201,7 @@
     c, rng = counts(1), random.Random(2)
     ask(c, rng, 600, 0.1, hot=1)
     ask(c, rng, 2500, 0.1, hot=2)
-    assert c.homes(1, 60) == (1, 0) and c.homes(2, 60)[0] > 20
+    assert c.next_pair(1, 60) == (1, 0) and c.next_pair(2, 60)[0] > 20
 
 
 # --- what of the ring is whose
@@ -226,12 +226,16 @@
             for i, (p, name) in enumerate(marks):
                 want[name] += (p - marks[i - 1][0]) % 2**64 if len(marks) > 1 else 2**64
             for name, w in there.items():
-                assert ring.portion(w) == pytest.approx(want[name] / 2**64 * len(there))
-    assert ring.portion(Worker(entry("other"), 2.0)) == 1.0
+                assert ring.key_share(w) == pytest.approx(want[name] / 2**64 * len(there))
+    assert ring.key_share(Worker(entry("other"), 2.0)) == 1.0
 
 
 def test_a_state_taken_up_goes_by_the_settings_of_now() -> None:
     before = Bench(workers(8), dispatchers=MANY, zone="a").d
     few = Bench([], dispatchers=3, zone="b").d
     snapshot.restore(snapshot.take(before, Arrivals(Options(), 1)), few, Arrivals(Options(), 1))
-    assert not few.crowd.draws and not few.key_counts.many and few.crowd.untold.s.zone == "b"
+    assert (
+        not few.worker_load.draws_ties
+        and not few.key_frequency.is_large_fleet
+        and few.worker_load.learned_capacity.settings.zone == "b"
+    )
--- a/tests/core/test_zones.py
+++ b/tests/core/test_zones.py
@@ -10,8 +10,8 @@
 from finchladder.config.options import CaptureOptions, Options, SpillOptions
 from finchladder.config.settings import read_seed
 from finchladder.core.api import Ending, ListKind, WorkerPool, WorkerStatus
-from finchladder.core.dispatch.zone_dispatcher import LINGER, LOOK_AT, Zoned
-from finchladder.core.dispatch.zone_spillover import SpillSettings
+from finchladder.core.dispatch.zone_dispatcher import HOME_ONLY_SHARE, MAX_OBSERVED_WORKERS, ZoneDispatcher
+from finchladder.core.dispatch.zone_spillover import SpilloverSettings
 from finchladder.core.routing.limited_dispatcher import Guarded, decisions
 from finchladder.core.routing.routes import NO_ROUTES
 from finchladder.features import snapshot
@@ -21,7 +21,7 @@
 from tests.helpers import Bench, entry, settings
 from tests.test_capture import replayed
 
-SPILL = SpillSettings()
+SPILL = SpilloverSettings()
 TWO: dict[str, object] = {"zones": ("a", "b"), "zone": "a"}
 NO_TENANTS: dict[str, object] = {"tenants": (), "may_message_peers": False}
 
@@ -31,7 +31,7 @@
 
     def __init__(self, home: int, other: int, room: int = 4, **changes: object) -> None:
         super().__init__(seed=1)
-        self.d: Zoned = Zoned(settings(**(TWO | changes)), 1, SPILL)
+        self.d: ZoneDispatcher = ZoneDispatcher(settings(**(TWO | changes)), 1, SPILL)
         self.room = room
         self.busy = Counter[str]()
         self.ends: list[tuple[float, str, str]] = []
@@ -99,12 +99,12 @@
 
 def test_a_job_that_finds_no_room_at_home_waits_a_part_of_its_aim_and_is_then_sent_anywhere() -> None:
     z = Zones(1, 1)
-    z.d.workers["a0"].rest_until = 1e9
+    z.d.workers["a0"].backoff_until = 1e9
     name, sent = z.ask("safe")
     assert sent == []
-    z.run_until(z.now + LINGER * 0.9)
+    z.run_until(z.now + HOME_ONLY_SHARE * 0.9)
     assert z.went(name) == []
-    z.run_until(z.now + LINGER * 0.3)
+    z.run_until(z.now + HOME_ONLY_SHARE * 0.3)
     assert z.went(name) == ["b"]
 
 
@@ -123,24 +123,24 @@
     assert sent.worker == "b0"
 
 
-@pytest.mark.parametrize("size", [6, LOOK_AT + 40])
+@pytest.mark.parametrize("size", [6, MAX_OBSERVED_WORKERS + 40])
 def test_a_zone_is_seen_in_slots_and_who_is_cold_or_resting_is_not_open(size: int) -> None:
     z = Zones(size, 2)
-    part = z.d.fleet.pool(None).parts["a"]
-    seen, load = z.d._seen(part, None, "a")
-    assert [seen.slots, seen.free, seen.open] == pytest.approx([2 * size] * 3) and load == 0
+    part = z.d.worker_index.pool(None).by_zone["a"]
+    seen, load = z.d._measure_zone(part, None, "a")
+    assert [seen.slots, seen.free, seen.open_slots] == pytest.approx([2 * size] * 3) and load == 0
     for w in z.d.workers.values():
-        w.rest_until = 1e9
-    assert z.d._seen(part, None, "a")[0].open_part == 0
+        w.backoff_until = 1e9
+    assert z.d._measure_zone(part, None, "a")[0].open_share == 0
     for w in z.d.workers.values():
-        w.rest_until, w.t = 0.0, 20.0
-        z.d.fleet.add_load(w, 19.5)
-    seen, load = z.d._seen(part, None, "a")  # a threshold that follows the load up is no full house
-    assert [seen.free_part, seen.open_part] == pytest.approx([0.025, 1])
+        w.backoff_until, w.load_threshold = 0.0, 20.0
+        z.d.worker_index.add_load(w, 19.5)
+    seen, load = z.d._measure_zone(part, None, "a")  # a threshold that follows the load up is no full house
+    assert [seen.free_share, seen.open_share] == pytest.approx([0.025, 1])
     assert load == pytest.approx(19.5 * size)
     for name in z.zone:
         z.patch(entry(name, zone=z.zone[name], started_at=z.now))
-    assert z.d._seen(part, None, "a")[0].slots == 0
+    assert z.d._measure_zone(part, None, "a")[0].slots == 0
 
 
 def test_refusals_alone_make_home_full() -> None:
@@ -151,15 +151,15 @@
             z.end(name, Ending.OVERLOADED)
         z.end(name, Ending.OK, len(z.sends(name)) - 1)
         for w in z.d.workers.values():
-            w.rest_until = 0.0
+            w.backoff_until = 0.0
         z.run_until(z.now + 0.05)
-    assert z.states() == ["spilling"] and z.d.spills[None].target == "b"
+    assert z.states() == ["spilling"] and z.d.spillovers[None].target == "b"
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_day_with_spill_replays_from_the_seed_and_from_a_state_in_the_middle(seed: int) -> None:
     zoned = decisions(DAY, 5, NO_ROUTES if seed else None, SPILL)
-    assert isinstance(zoned.inner if isinstance(zoned, Guarded) else zoned, Zoned)
+    assert isinstance(zoned.inner if isinstance(zoned, Guarded) else zoned, ZoneDispatcher)
     day = History(Random(seed), 20, zoned)  # type: ignore[arg-type]
     day.begin()
     for step in range(600):
@@ -177,7 +177,7 @@
 
 def test_a_capture_with_spill_on_replays_by_the_operators_file() -> None:
     z, arrivals = Zones(3, 3), Arrivals(Options(), 1)
-    z.d = Zoned(settings(**TWO), read_seed("5"), SPILL)
+    z.d = ZoneDispatcher(settings(**TWO), read_seed("5"), SPILL)
     capture = Capture(CaptureOptions(ring_bytes=150_000), "5", snapshot.Taking(z.d, arrivals))
     handle = z.d.handle
 
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -150,12 +150,14 @@
     play.play(4000)
     state = snapshot.take(play.d, play.arrivals)
     text = msgspec.json.encode(state)
-    assert play.d.jobs and play.d.health.ejected and play.d.key_counts and state["door"] and state["drills"]
-    other, arrivals = Dispatcher(play.d.s, 5), Arrivals(FEATURES, 5)
+    assert (
+        play.d.jobs and play.d.health.ejected and play.d.key_frequency and state["door"] and state["drills"]
+    )
+    other, arrivals = Dispatcher(play.d.settings, 5), Arrivals(FEATURES, 5)
     assert snapshot.restore(msgspec.json.decode(text), other, arrivals) == []
     assert msgspec.json.encode(snapshot.take(other, arrivals)) == text
     plain = [{n: v for n, v in vars(d).items() if isinstance(v, int | float)} for d in (other, play.d)]
-    assert plain[0] == plain[1] and plain[0].keys() >= {"retry_tokens", "strain", "warm_rate"}
+    assert plain[0] == plain[1] and plain[0].keys() >= {"retry_tokens", "full_share", "warm_rate"}
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -208,7 +210,7 @@
 
 
 def test_a_field_that_is_changed_in_place_must_be_watched(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(snapshot.IN_PLACE, Worker, ("fetched",))
+    monkeypatch.setitem(snapshot.IN_PLACE, Worker, ("fetched_keys",))
     play = Play()
     with pytest.raises(snapshot.StateError, match="Worker.unstarted"):
         play.play(5000)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -9,7 +9,7 @@
 
 
 def pair_of(b: Bench, key: int) -> list[str]:
-    return [w.address for w in b.d.fleet.pools[None].pairs(key, 2)[0]]
+    return [w.address for w in b.d.worker_index.pools[None].pairs(key, 2)[0]]
 
 
 def key_with_pair(b: Bench, size: int) -> int:
@@ -52,10 +52,10 @@
     b = Bench(workers(8))
     key = key_with_pair(b, 2)
     for address in pair_of(b, key):
-        b.d.workers[address].t = 1.0
+        b.d.workers[address].load_threshold = 1.0
     used = [b.ask(key=key)[1][0].worker for _ in range(3)]
     assert set(used[:2]) == set(pair_of(b, key))
-    assert used[2] in [w.address for w in b.d.fleet.pools[None].pairs(key, 2)[1]]
+    assert used[2] in [w.address for w in b.d.worker_index.pools[None].pairs(key, 2)[1]]
 
 
 def test_without_a_key_the_least_loaded_ready_worker_gets_it() -> None:
@@ -128,7 +128,7 @@
 
 def test_a_held_job_is_given_up_once_it_cannot_end_in_time() -> None:
     b = Bench(["only"])
-    b.d.workers["only"].t = 1.0
+    b.d.workers["only"].load_threshold = 1.0
     b.ask("unsafe")
     name, sent = b.ask("safe")
     assert not sent
@@ -142,10 +142,10 @@
     cheap = api.JobClass("cheap", api.Effect.SAFE, latency_target_s=5.0, deadline_s=10.0, value=1.0)
     dear = api.JobClass("dear", api.Effect.SAFE, latency_target_s=5.0, deadline_s=10.0, value=12.0)
     b = Bench(["only"], classes=(cheap, dear))
-    b.d.workers["only"].t = 1.0
+    b.d.workers["only"].load_threshold = 1.0
     running, _ = b.ask("cheap", key=1)
     b.start(running)
-    b.d.workers["only"].t = 1.0
+    b.d.workers["only"].load_threshold = 1.0
     waiting = [b.ask("cheap", key=2)[0], b.ask("dear", key=3)[0]]
     b.run_until(100.5)
     b.end(running, api.Ending.OK)
@@ -183,7 +183,7 @@
     b.run_until(100.2)  # a fifth of the shortest aim
     assert b.ask()[1]  # nor does it before its start is known
     b.start(name)
-    assert b.d.workers["w"].t >= 2.0
+    assert b.d.workers["w"].load_threshold >= 2.0
     b.run_until(100.55)
     assert b.ask()[1] == []  # the second job has not started yet, in more than that
 
@@ -196,12 +196,16 @@
     b.end(name, api.Ending.ERROR)
     assert all(s.worker != suspect for _ in range(4) for s in b.ask("unsafe")[1])
     w = b.d.workers[suspect]
-    w.sick, w.ejected_until, b.d.health.ejected[suspect] = 0.9, b.now, w  # ejected, and due for its trial
+    w.failure_share, w.ejected_until, b.d.health.ejected[suspect] = (
+        0.9,
+        b.now,
+        w,
+    )  # ejected, and due for its trial
     assert all(s.worker != suspect for s in b.ask("unsafe")[1])
     name, sent = b.ask("safe")
     assert sent[0].worker == suspect
     b.serve(name)
-    assert not w.ejected_until and w.sick > 0.3  # back, but one good job is no proof
+    assert not w.ejected_until and w.failure_share > 0.3  # back, but one good job is no proof
     assert all(s.worker != suspect for s in b.ask("unsafe")[1])
 
 
@@ -212,7 +216,7 @@
     assert api.Cancel(name, 0) in b.run_until(103.5) and api.Cancel(other, 0) not in [a for _, a in b.log]
     b.end(name, api.Ending.CANCELLED)
     assert [s.worker for s in b.sends(name)] == [sent[0].worker, "w2" if sent[0].worker == "w1" else "w1"]
-    assert b.d.workers[sent[0].worker].sick > 0
+    assert b.d.workers[sent[0].worker].failure_share > 0
     busy = Bench(["w1"])
     (name, _), (other, _) = busy.ask("safe"), busy.ask("safe")
     busy.start(name)
@@ -260,12 +264,12 @@
 def test_a_start_is_late_only_by_what_the_worker_can_be_blamed_for() -> None:
     b, name = unseen_bench()
     b.feed(api.LoopStall(0.9))
-    t = b.d.workers["w1"].t
+    t = b.d.workers["w1"].load_threshold
     b.start(name)
-    assert b.d.workers["w1"].t >= t and not b.d.workers["w1"].rests
+    assert b.d.workers["w1"].load_threshold >= t and not b.d.workers["w1"].backoff_count
     b, name = unseen_bench()  # the same second, and the loop was there to look
     b.start(name)
-    assert b.d.workers["w1"].rests == 1
+    assert b.d.workers["w1"].backoff_count == 1
 
 
 def test_a_pause_of_the_dispatcher_makes_no_worker_look_full_or_silent() -> None:
@@ -273,7 +277,7 @@
     b.now += 9.0
     b.feed(api.LoopStall(9.9))
     b.feed(api.Timer(0))
-    assert b.d._under_t(b.d.workers["w1"]) and not b.d.workers["w1"].sick
+    assert b.d._under_t(b.d.workers["w1"]) and not b.d.workers["w1"].failure_share
     b.now += 5.0  # and now it was looked for
     b.feed(api.Timer(0))
-    assert b.d.workers["w1"].sick
+    assert b.d.workers["w1"].failure_share
