--- a/benchmarks/spread_table.py
+++ b/benchmarks/spread_table.py
@@ -2,7 +2,7 @@
 
     .venv-lab/bin/python benchmarks/spread_table.py benchmarks/spread.toml --dispatchers 3,40,200,300
     .venv-lab/bin/python benchmarks/spread_table.py benchmarks/spread.toml --seeds 6 \
-        --change dispatch.key_frequency.SPREAD=2
+        --change dispatch.key_frequency.HOT_KEY_SPREAD=2
 
 At virtual time, a decision module for each dispatcher (finchladder/lab/decisions.py): means over the seeds.
 `--set` is the lab's; `--change MODULE.NAME=NUMBER` gives a constant of finchladder/core another value;
