--- a/finchladder/features/snapshot.py
+++ b/finchladder/features/snapshot.py
@@ -10,7 +10,9 @@
 from collections import OrderedDict
 from collections.abc import Callable, Generator, Iterable, Mapping
 from copy import copy
+from functools import reduce
 from itertools import chain, repeat
+from operator import attrgetter
 from random import Random
 from typing import Any, NamedTuple
 
@@ -19,14 +21,13 @@
 from finchladder.core.alarms import Alarms
 from finchladder.core.api import Ending, JobClass, Request, RequestLimits, WorkerPool
 from finchladder.core.dispatch.dispatcher import Dispatcher
-from finchladder.core.dispatch.key_frequency import KeyCounts
+from finchladder.core.dispatch.key_frequency import KeyFrequency
 from finchladder.core.dispatch.records import Attempt, Job, Worker
-from finchladder.core.dispatch.tenant_rates import Told
-from finchladder.core.dispatch.worker_capacity import Sizes, Usual
-from finchladder.core.dispatch.worker_load import Crowd
-from finchladder.core.dispatch.zone_spillover import Spill
-from finchladder.core.dispatch.zone_spillover import State as SpillState
-from finchladder.core.health.outlier_ejection import Health
+from finchladder.core.dispatch.tenant_rates import PeerTenantRates
+from finchladder.core.dispatch.worker_capacity import UsualWeight, WorkerCapacity
+from finchladder.core.dispatch.worker_load import WorkerLoad
+from finchladder.core.dispatch.zone_spillover import SpilloverState, ZoneSpillover
+from finchladder.core.health.outlier_ejection import OutlierEjection
 from finchladder.core.membership.subscription import Asking
 from finchladder.core.routing.concurrency_limit import Limiter
 from finchladder.core.routing.hedging import Allowance, Times
@@ -41,9 +42,9 @@
     Worker,
     Attempt,
     Job,
-    KeyCounts,
+    KeyFrequency,
     Asking,
-    Told,
+    PeerTenantRates,
     Run,
     Scope,
     Limiter,
@@ -51,14 +52,14 @@
     Allowance,
     Times,
     Alarms,
-    Spill,
-    Crowd,
-    Sizes,
-    Usual,
-    Health,
+    ZoneSpillover,
+    WorkerLoad,
+    WorkerCapacity,
+    UsualWeight,
+    OutlierEjection,
 )
 IN_PLACE: dict[type, tuple[str, ...]] = {  # records of which there are many, and their containers
-    Worker: ("unstarted", "fetched"),
+    Worker: ("unstarted_attempts", "fetched_keys"),
     Job: ("attempts",),
     Run: (),
 }
@@ -67,24 +68,41 @@
 SLICE, PIECE, DEEP = 64, 512, 64  # records, items, and items that are containers, written at a time
 encode = msgspec.json.Encoder().encode
 WHOLE: tuple[type, ...] = (Route, Queue, WorkerPool, Request, RequestLimits)  # values that are never changed
-FOLLOWS = {
-    "s",
-    "classes",
-    "sweep",
-    "start_grace",
-    "stall",
-    "handlers",
-    "actions",
-    "tenants",
-    "fleet",
-    "agenda",
-    "split",
-    "spill",
-    "cold",
+# Stored name of each field of the dispatcher that is stored, and the path of the attribute that holds it.
+# Captures outlive names: a field that moves or is renamed changes its path here and keeps its stored name.
+DISPATCHER_FIELDS = {
+    "random": "random",
+    "run": "mean_run_times_s",
+    "workers": "workers",
+    "jobs": "jobs",
+    "held": "queues",
+    "health": "health",
+    "key_counts": "key_frequency",
+    "crowd": "worker_load",
+    "tell_at": "tell_at",
+    "scan_at": "scan_at",
+    "strain": "full_share",
+    "told": "told",
+    "warm_rate": "warm_rate",
+    "warm_done": "warm_done",
+    "warm_since": "warm_since",
+    "retry_tokens": "retry_tokens",
+    "asking": "asking",
+    "now": "now",
+    "seen": "seen",
+    "unseen": "unseen",
+    "timer_due": "timer_due",
+    "serial": "serial",
 }
-# of zones.py, which a dispatcher has if zone spill is on; what is new begins anew, as a door's table does
-ZONED = {"spills", "counts", "look_at", "draws"}
-ROUND = {"s", "handlers", "inner", "margin_s", "freed"}  # the same of what stands round the Dispatcher
+# The same for what only a dispatcher with zone spillover has. A state without it is restored all the same,
+# and the spillover then begins anew.
+ZONE_FIELDS = {
+    "spills": "spillovers",
+    "counts": "send_counts",
+    "look_at": "next_observation_at",
+    "draws": "zone_random",
+}
+ROUND = {"settings", "handlers", "inner", "margin_s", "freed"}  # the same of what stands round the Dispatcher
 RANDOM = "<625I"
 
 State = dict[str, Any]
@@ -95,7 +113,7 @@
 
 
 def fields_of(kind: type) -> list[str]:
-    anew = ("level", "pools", "s")  # by Dispatcher.reindex
+    anew = ("load_level", "pools", "settings")  # by Dispatcher.reindex
     return [name for name in kind.__slots__ if name not in anew]  # type: ignore[attr-defined]
 
 
@@ -175,8 +193,10 @@
         self.numbers = dict(zip(map(id, many), range(len(many)), strict=True))
         for record in many:
             record.__class__ = self.watch[type(record)]
-        fields = {name: self._freeze(v) for name, v in vars(dispatcher).items() if name not in FOLLOWS}
-        tenants = {n: [t.own, t.peers, t.count, t.credit] for n, t in dispatcher.tenants.items()}
+        fields = {name: self._freeze(attrgetter(path)(dispatcher)) for name, path in _stored(dispatcher)}
+        tenants = {
+            n: [t.own_rps, t.peers_rps, t.request_count, t.credit] for n, t in dispatcher.tenants.items()
+        }
         parts: dict[str, Any] = {"fields": fields, "tenants": encode(tenants)}
         if isinstance(decisions, Guarded):
             kept = {name: v for name, v in vars(decisions).items() if name not in ROUND}
@@ -277,7 +297,7 @@
     @property
     def still(self) -> set[type]:
         """Types of which nothing need be copied."""
-        return {*SCALARS, tuple, Ending, JobClass, SpillState, *WHOLE, *self.plain}
+        return {*SCALARS, tuple, Ending, JobClass, SpilloverState, *WHOLE, *self.plain}
 
     def _put(self, value: Any) -> Any:
         kind = type(value)
@@ -300,7 +320,7 @@
             return {"tuple": [self._put(v) for v in value]}
         if kind is Ending:
             return {"ending": value.value}
-        if kind is SpillState:
+        if kind is SpilloverState:
             return {"spill": value.value}
         if kind is JobClass:
             return {"class": value.name}
@@ -354,7 +374,7 @@
             for name, value in zip(fields_of(RECORDS[kind]), values, strict=True):
                 setattr(record, name, self.get(value))
             if isinstance(record, Worker):  # also one that only a job still knows
-                record.level, record.pools = None, ()
+                record.load_level, record.pools = None, ()
 
     def get(self, value: Any) -> Any:
         if isinstance(value, list):
@@ -373,7 +393,7 @@
         if kind == "ending":
             return Ending(held)
         if kind == "spill":
-            return SpillState(held)
+            return SpilloverState(held)
         if kind == "tuple":
             return tuple(self.get(v) for v in held)
         if kind == "random":
@@ -403,23 +423,36 @@
         raise e if isinstance(e, StateError) else StateError(f"it can't be read: {e}") from None
 
 
+def _stored(dispatcher: Dispatcher) -> Iterable[tuple[str, str]]:
+    """The stored name and the attribute's path of each field that this dispatcher has."""
+    zone_fields = ZONE_FIELDS if dispatcher.pool_zones else {}
+    return chain(zone_fields.items(), DISPATCHER_FIELDS.items())
+
+
+def _set(dispatcher: Dispatcher, path: str, value: Any) -> None:
+    *parts, name = path.split(".")
+    holder = reduce(getattr, parts, dispatcher)
+    setattr(holder, name, value)
+
+
 def _restore(state: State, decisions: Dispatcher | Guarded) -> None:
     dispatcher = decisions.inner if isinstance(decisions, Guarded) else decisions
     reader = Reader(state["records"], state.get("wholes", []), dispatcher.classes)
-    known = set(vars(dispatcher)) - FOLLOWS
-    if known ^ set(state["fields"]) not in (set(), ZONED):
+    paths = dict(_stored(dispatcher))
+    if paths.keys() ^ state["fields"].keys() not in (set(), ZONE_FIELDS.keys()):
         raise StateError("it is of another version of the decisions")
-    fields = {name: reader.get(value) for name, value in state["fields"].items() if name in known}
+    fields = {name: reader.get(value) for name, value in state["fields"].items() if name in paths}
     for name in ("held", "run"):  # by class: those that the configuration has now
-        now = getattr(dispatcher, name)
+        now = attrgetter(paths[name])(dispatcher)
         kept = {n: v for n, v in fields[name].items() if (n if name == "run" else n[1]) in dispatcher.classes}
         fields[name] = kept | {n: v for n, v in now.items() if n not in kept}
-    vars(dispatcher).update(fields)
-    for part in (dispatcher.key_counts, dispatcher.crowd, dispatcher.crowd.untold):
-        part.s = dispatcher.s  # of the configuration of now
+    for name, value in fields.items():
+        _set(dispatcher, paths[name], value)
+    for part in (dispatcher.key_frequency, dispatcher.worker_load, dispatcher.worker_load.learned_capacity):
+        part.settings = dispatcher.settings  # of the configuration of now
     for n, (own, peers, count, credit) in state["tenants"].items():
         if (t := dispatcher.tenants.get(n)) is not None:
-            t.own, t.peers, t.count, t.credit = own, peers, count, credit
+            t.own_rps, t.peers_rps, t.request_count, t.credit = own, peers, count, credit
     dispatcher.reindex()
     if isinstance(decisions, Guarded):
         routes = Routes(scope.route for scope in decisions.scopes.values())  # of the configuration of now
