--- a/benchmarks/etcd_drains.py
+++ b/benchmarks/etcd_drains.py
@@ -23,7 +23,7 @@
     """The dispatcher, with a note of when each real server was no more ready."""
     from finchladder.__main__ import main as serve
     from finchladder.core import api
-    from finchladder.net.servers import RealServers
+    from finchladder.net.workers import WorkerPool
 
     sys.argv.remove("node")
     seen: dict[str, float] = {}
@@ -34,7 +34,7 @@
             seen[name] = time.monotonic()
             file.write(f"{name} {seen[name]}\n")
 
-    update, retire = RealServers.update, RealServers.retire
+    update, retire = WorkerPool.update, WorkerPool.retire
 
     def updated(self: Any, workers: api.WorkerList, addresses: Any) -> None:
         update(self, workers, addresses)
@@ -47,7 +47,7 @@
         for name in names:
             note(name)
 
-    RealServers.update, RealServers.retire = updated, retired  # type: ignore[method-assign]
+    WorkerPool.update, WorkerPool.retire = updated, retired  # type: ignore[method-assign]
     serve()
 
 
--- a/finchladder/cli/calls.py
+++ b/finchladder/cli/calls.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from finchladder.config.addresses import parse_address
-from finchladder.features.drills import Order
+from finchladder.features.fault_injection import Order
 
 PIECE = 64 * 1024
 KEY = "NODE_DRILL_KEY"  # not an argument: every user of the machine can read those
--- a/finchladder/cli/drill.py
+++ b/finchladder/cli/drill.py
@@ -8,7 +8,7 @@
 from finchladder.cli import calls
 from finchladder.cli.front import fail, takes_config
 from finchladder.config.option_files import read_options
-from finchladder.features.drills import Order
+from finchladder.features.fault_injection import Order
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
--- a/finchladder/cli/serve.py
+++ b/finchladder/cli/serve.py
@@ -17,8 +17,8 @@
 from finchladder.config.option_files import read_options
 from finchladder.config.options import Options, is_toml
 from finchladder.config.platform import DispatcherSetup, read_setup
-from finchladder.net.machine import Machine, Selector
-from finchladder.net.node import Node, OperatorFile
+from finchladder.net.host_environment import HostEnvironment, Selector
+from finchladder.net.node import DispatcherNode, OperatorFile
 
 THRESHOLDS = 5000, 10, 8  # of the third generation: a full look after some 400,000 more objects, 50 MB
 
@@ -49,22 +49,22 @@
 
 
 async def serve(
-    setup: DispatcherSetup, options: Options, file: OperatorFile | None, machine: Machine
+    setup: DispatcherSetup, options: Options, file: OperatorFile | None, machine: HostEnvironment
 ) -> None:
     # jobs leave no cycles, so the collector finds next to nothing, but each full look at 10,000 real servers
     # would hold up the loop for 100 ms and more: it comes seldom, and not at what stays
     gc.set_threshold(*THRESHOLDS)
-    node = Node(setup, options, partial(read_setup, os.environ), machine, file=file)
+    node = DispatcherNode(setup, options, partial(read_setup, os.environ), machine, file=file)
     machine.keep()
     await node.serve()
 
 
 def play(setup: DispatcherSetup, options: Options, file: OperatorFile | None) -> None:
     if options.overload is None:
-        asyncio.run(serve(setup, options, file, Machine(keep=gc.freeze)))
+        asyncio.run(serve(setup, options, file, HostEnvironment(keep=gc.freeze)))
         return
     selector = Selector()
-    machine = Machine(idle=selector.idle, keep=gc.freeze)
+    machine = HostEnvironment(idle=selector.idle, keep=gc.freeze)
     with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
         runner.run(serve(setup, options, file, machine))
 
--- a/finchladder/features/capture.py
+++ b/finchladder/features/capture.py
@@ -15,8 +15,8 @@
 from finchladder.core import api
 from finchladder.core.api import Ending
 from finchladder.core.routing.limited_dispatcher import NewRoutes
-from finchladder.features.arrivals import Verdict
-from finchladder.features.drills import Order
+from finchladder.features.fault_injection import Order
+from finchladder.features.request_admission import Verdict
 
 PARTS = 8  # segments in a full ring: what is lost at once when the oldest goes
 OPENING = 256  # bytes kept free for the first line of a dump
--- a/finchladder/features/replay.py
+++ b/finchladder/features/replay.py
@@ -13,9 +13,9 @@
 from finchladder.core.routing.limited_dispatcher import Decisions, Guarded, NewRoutes, decisions
 from finchladder.core.routing.routes import Route, Routes
 from finchladder.features import snapshot
-from finchladder.features.arrivals import Arrivals
 from finchladder.features.capture import STATES, Line, decided_lines, encode, judged_lines, ordered_lines
-from finchladder.features.drills import Order
+from finchladder.features.fault_injection import Order
+from finchladder.features.request_admission import Arrivals
 
 ENDINGS = {state: ending for ending, state in STATES.items()}
 
@@ -161,7 +161,7 @@
     out: str | None = None
 
 
-class BrokenLine(ValueError):
+class MalformedLineError(ValueError):
     def __init__(self, number: int, why: object) -> None:
         super().__init__(f"line {number}: {why}")
 
@@ -177,7 +177,7 @@
         raise ValueError("it is empty")
     try:
         last = _read(*held)
-    except BrokenLine as e:
+    except MalformedLineError as e:
         if held[1].endswith(b"\n") or not held[1].strip():
             raise
         warn(f"{e}; the last line was cut, and is skipped")
@@ -191,10 +191,10 @@
         if peek.out is not None and peek.in_ is None:
             return number, msgspec.json.decode(line, type=Line)
         if peek.in_ not in INPUTS:
-            raise BrokenLine(number, "it is no record of a capture")
+            raise MalformedLineError(number, "it is no record of a capture")
         return number, msgspec.json.decode(line, type=INPUTS[peek.in_])
     except (msgspec.MsgspecError, UnicodeDecodeError) as e:
-        raise BrokenLine(number, e) from None
+        raise MalformedLineError(number, e) from None
 
 
 class Replay:
@@ -221,17 +221,17 @@
         for number, record in read_lines(lines, self.warn):
             if isinstance(record, dict):
                 if not self.inputs:
-                    raise BrokenLine(number, "a decision without the input before it")
+                    raise MalformedLineError(number, "a decision without the input before it")
                 self.recorded.append((number, record))
                 continue
             self._compare(last=False)
             self.at = number
             if self.opening is None and not isinstance(record, Opening):
-                raise BrokenLine(number, "a capture begins with its seed")
+                raise MalformedLineError(number, "a capture begins with its seed")
             try:
                 self._take(number, record)
             except ValueError as e:
-                raise e if isinstance(e, BrokenLine) else BrokenLine(number, e) from None
+                raise e if isinstance(e, MalformedLineError) else MalformedLineError(number, e) from None
         self._compare(last=True)
         self._end_of_capture()
 
--- a/finchladder/features/arrivals.py
+++ b/finchladder/features/request_admission.py
@@ -3,8 +3,8 @@
 from typing import NamedTuple, Protocol
 
 from finchladder.config.options import Options
-from finchladder.features.door import Door
-from finchladder.features.drills import Drills, Effect, Order
+from finchladder.features.admission_limits import Door
+from finchladder.features.fault_injection import Drills, Effect, Order
 
 
 class Verdict(NamedTuple):
--- a/finchladder/features/snapshot.py
+++ b/finchladder/features/snapshot.py
@@ -33,8 +33,8 @@
 from finchladder.core.routing.limited_dispatcher import Guarded, Run, Scope
 from finchladder.core.routing.retry_budget import Budget
 from finchladder.core.routing.routes import Queue, Route, Routes
-from finchladder.features.arrivals import Arrivals
-from finchladder.features.drills import Order
+from finchladder.features.fault_injection import Order
+from finchladder.features.request_admission import Arrivals
 
 ADDRESSES = 1000  # of the door's table; a larger one is not carried, and a replay says so
 RECORDS: tuple[type, ...] = (
--- a/finchladder/net/actor.py
+++ b/finchladder/net/actor.py
@@ -14,7 +14,7 @@
 R = TypeVar("R")
 
 
-class Full(Exception):
+class MailboxFullError(Exception):
     """A mailbox is full."""
 
 
@@ -41,7 +41,7 @@
         return logger.bind(actor=self.name)
 
     @property
-    def waiting(self) -> int:
+    def backlog(self) -> int:
         return len(self.box) if self.box is not None else 0
 
     def post(self, item: T) -> None:
@@ -50,7 +50,7 @@
         if self.box is None:
             self.box = deque()
         if len(self.box) >= self.room:
-            raise Full(f"{self.name}: {self.room} items wait")
+            raise MailboxFullError(f"{self.name}: {self.room} items wait")
         self.box.append(item)
 
     def spawn(self, work: Coroutine[Any, Any, R]) -> asyncio.Task[R]:
--- a/finchladder/net/gate.py
+++ b/finchladder/net/admission.py
@@ -24,7 +24,7 @@
 from finchladder.core.connections.client_connections import Worth
 from finchladder.core.overload.controller import TICK_S, Overload, OverloadSettings, State
 from finchladder.core.overload.loop_lag import LagMeter
-from finchladder.net.edge import FIRST_WITHIN, EdgeConnection
+from finchladder.net.client_connection import FIRST_MESSAGE_TIMEOUT_S, ClientConnection
 
 LOOK = 4096  # bytes received at once; a message that is longer goes to the parser, never turned away raw
 AT_ONCE = 128  # connections looked at, and turns of the control, in one turn of the loop
@@ -81,7 +81,7 @@
     def wall(self) -> float: ...
 
 
-class Gate:
+class Admission:
     def __init__(
         self,
         classes: Iterable[JobClass],
@@ -95,15 +95,17 @@
         self.clock, self.known, self.times = clock, known, times
         classes = tuple(classes)
         self.names = {c.name.encode(): c.name for c in classes}
-        self.control: Overload[EdgeConnection] = Overload(classes, settings, seed)
+        self.control: Overload[ClientConnection] = Overload(classes, settings, seed)
         self.meter = LagMeter(clock(), times.cpu(), times.idle(), TICK_S)
         self.starts: list[float] = []  # seconds that jobs took to start since the last tick
         self.poll = select.epoll()
-        self.edges: dict[int, EdgeConnection] = {}  # by descriptor
-        self.silent: dict[EdgeConnection, None] = {}  # nothing has come on them yet; the oldest is the first
+        self.edges: dict[int, ClientConnection] = {}  # by descriptor
+        self.silent: dict[
+            ClientConnection, None
+        ] = {}  # nothing has come on them yet; the oldest is the first
         # set by their owner: begins to read one, and closes one
-        self.opens: Callable[[EdgeConnection], None] = lambda edge: None
-        self.ends: Callable[[EdgeConnection], None] = lambda edge: None
+        self.opens: Callable[[ClientConnection], None] = lambda edge: None
+        self.ends: Callable[[ClientConnection], None] = lambda edge: None
         self.opened = False  # for good: the dispatcher leaves
         self.asks_again = False
         self.late, self.polled_at = True, 0.0
@@ -127,24 +129,24 @@
 
     # --- connections
 
-    def begin(self, edge: EdgeConnection) -> None:
+    def begin(self, edge: ClientConnection) -> None:
         self.edges[edge.descriptor] = edge
         self.silent[edge] = None
         self.poll.register(edge.descriptor, NEWS)
 
-    def wait(self, edge: EdgeConnection) -> None:
+    def wait(self, edge: ClientConnection) -> None:
         """It waits for its next message: `edge.came` is told of it."""
-        if edge.stirred and edge.waits:
+        if edge.stirred and edge.is_waiting:
             self._look(edge)
 
-    def drop(self, edge: EdgeConnection) -> None:
+    def drop(self, edge: ClientConnection) -> None:
         """It is closed; its descriptor may be another's by now."""
         if self.edges.get(edge.descriptor) is edge:
             del self.edges[edge.descriptor]
         self.silent.pop(edge, None)
         self.control.drop(edge)
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """What waits is let in now, and answered while there is time."""
         self.opened = True
         for edge in list(self.control.unread.places):
@@ -167,7 +169,7 @@
             if (edge := self.edges.get(descriptor)) is None or edge.closed:
                 continue
             edge.stirred = True
-            if edge.waits:
+            if edge.is_waiting:
                 self._look(edge)
             if what & ENDED and not edge.closed:
                 edge.over = edge.stirred = True  # what came before is still read, unless it is a job
@@ -179,7 +181,7 @@
         self.polled_at = self.clock()
         self.control.turned_away(self.polled_at - began)
 
-    def _look(self, edge: EdgeConnection) -> None:
+    def _look(self, edge: ClientConnection) -> None:
         edge.stirred, age_s = False, 0.0
         try:
             if self.late:
@@ -201,10 +203,10 @@
         if self.opened or not self.control.gated or not self._keep(edge, data, now):
             self._hand_on(edge, data)
 
-    def _hand_on(self, edge: EdgeConnection, data: bytes) -> None:
+    def _hand_on(self, edge: ClientConnection, data: bytes) -> None:
         """To be read now."""
         if edge.opened:
-            return edge.came(data)
+            return edge.received(data)
         edge.message, edge.first = b"", data
         self.opens(edge)
 
@@ -216,7 +218,7 @@
         age = self.times.wall() - seconds - nanoseconds / 1e9
         return age if OLD_S < age < OLD_MOST_S else 0.0
 
-    def _keep(self, edge: EdgeConnection, data: bytes, now: float) -> bool:
+    def _keep(self, edge: ClientConnection, data: bytes, now: float) -> bool:
         """False: it is not to wait here."""
         if (job := plain_job(data)) is None:
             return False
@@ -243,7 +245,7 @@
         self.starts.clear()
         if self.control.state is not before:
             self._say(now, sample.busy)
-        while self.silent and (edge := next(iter(self.silent))).since + FIRST_WITHIN <= now:
+        while self.silent and (edge := next(iter(self.silent))).since + FIRST_MESSAGE_TIMEOUT_S <= now:
             self.ends(edge)
         IOLoop.current().call_later(TICK_S, self._tick)
 
@@ -294,11 +296,11 @@
         self._drain()
         self.control.turned_away(self.clock() - began)
 
-    def _let_in(self, edge: EdgeConnection) -> None:
+    def _let_in(self, edge: ClientConnection) -> None:
         edge.passed = True
         self._hand_on(edge, edge.message)
 
-    def _turn_away(self, edge: EdgeConnection, now: float) -> None:
+    def _turn_away(self, edge: ClientConnection, now: float) -> None:
         if self.known(edge.job_id.decode("ascii")):
             return self._hand_on(edge, edge.message)  # the parser's answer to it is no refusal
         self.refused += 1
--- a/finchladder/net/disk.py
+++ b/finchladder/net/capture_files.py
@@ -9,8 +9,8 @@
 from loguru import logger
 
 STANDARD_OUTPUT = "-"  # in place of a folder: one file without end, for machines without a disk that stays
-TURN = 0.1  # seconds between two looks at what has come: many small blocks make one write
-LAST_WORDS = 1.0  # seconds at the end for what is not yet written
+WRITE_INTERVAL_S = 0.1  # seconds between two looks at what has come: many small blocks make one write
+CLOSE_TIMEOUT_S = 1.0  # seconds at the end for what is not yet written
 
 
 class CaptureFiles(threading.Thread):
@@ -46,10 +46,10 @@
 
     def close(self) -> None:
         self.closing.set()
-        self.join(LAST_WORDS)
+        self.join(CLOSE_TIMEOUT_S)
 
     def run(self) -> None:
-        while not self.closing.wait(TURN):
+        while not self.closing.wait(WRITE_INTERVAL_S):
             self._work()
         self._work()
         self._end_file()
--- a/finchladder/net/recorder.py
+++ b/finchladder/net/capture_recorder.py
@@ -7,12 +7,12 @@
 
 from finchladder.core import api
 from finchladder.core.routing.limited_dispatcher import NewRoutes
-from finchladder.features.arrivals import Verdict
 from finchladder.features.capture import Capture
-from finchladder.features.drills import Order
+from finchladder.features.fault_injection import Order
+from finchladder.features.request_admission import Verdict
 
 
-class Recorder:
+class CaptureRecorder:
     def __init__(self, capture: Capture) -> None:
         self.capture = capture
         self.told = self.told_large = False
--- a/finchladder/net/edge.py
+++ b/finchladder/net/client_connection.py
@@ -15,9 +15,9 @@
     MAX_HEAD,
     PIECE,
     READ,
-    BadMessage,
     Channel,
     Head,
+    MalformedMessageError,
     Parser,
     Stream,
     StreamClosedError,
@@ -27,34 +27,36 @@
     write_head,
     write_response,
 )
-from finchladder.net.intake import Intake
+from finchladder.net.job_intake import JobIntake
 from finchladder.net.messages import limit_of
 
-FIRST_WITHIN = 2.0  # from a connection's start to its first message's last byte; 3 s are owed
-MESSAGE_WITHIN = 2.0  # from a message's first byte to its last
-ANSWER_WITHIN = 10.0  # a client must read
-AHEAD = MAX_HEAD + MAX_BODY  # of a next message, while one is worked on: behind it the client may leave
-LINGER = 0.5  # for what a client still sends on a connection that is closed to it
+FIRST_MESSAGE_TIMEOUT_S = 2.0  # from a connection's start to its first message's last byte; 3 s are owed
+MESSAGE_TIMEOUT_S = 2.0  # from a message's first byte to its last
+WRITE_TIMEOUT_S = 10.0  # a client must read
+MAX_READ_AHEAD = (
+    MAX_HEAD + MAX_BODY
+)  # of a next message, while one is worked on: behind it the client may leave
+LINGER_S = 0.5  # for what a client still sends on a connection that is closed to it
 
 
-class Gatekeeper(Protocol):
+class AdmissionQueue(Protocol):
     """Watches connections for what comes, and hands it on when it is to be read: `EdgeConnection.came`."""
 
-    def wait(self, edge: "EdgeConnection") -> None: ...
+    def wait(self, edge: "ClientConnection") -> None: ...
 
 
-class Desk(Protocol):
+class MessageHandler(Protocol):
     """Knows what is answered to a message. BadMessage: it can't be used, and its connection is closed."""
 
-    intake: Intake
+    intake: JobIntake
 
     @property
-    def keeper(self) -> Gatekeeper | None: ...
+    def admission(self) -> AdmissionQueue | None: ...
 
-    async def answer(self, edge: "EdgeConnection", head: Head, body: bytes) -> Reply: ...
+    async def answer(self, edge: "ClientConnection", head: Head, body: bytes) -> Reply: ...
 
 
-class EdgeConnection:
+class ClientConnection:
     """Reads messages one after another, and writes what is answered. Its mailbox brings flows' answers.
 
     It begins as a bare socket: one that is turned away or closed before anything is read costs little.
@@ -66,8 +68,8 @@
         self,
         connection: socket.socket,
         client: str,
-        desk: Desk,
-        table: "EdgeTable[EdgeConnection]",
+        desk: MessageHandler,
+        table: "EdgeTable[ClientConnection]",
         body: Reservation,
     ) -> None:
         self.socket, self.descriptor, self.opened = connection, connection.fileno(), False
@@ -95,8 +97,8 @@
     def open(self) -> None:
         """To be called once, before anything is read."""
         stream = Stream(self.socket, max_buffer_size=4 * PIECE, read_chunk_size=READ)
-        stream.watched = self.desk.keeper is not None
-        stream.attends = 0 if stream.watched else AHEAD
+        stream.watched = self.desk.admission is not None
+        stream.attends = 0 if stream.watched else MAX_READ_AHEAD
         self.channel = Channel(stream, Parser(parse_request, limit_of))
         self.opened = True
         stream.set_close_callback(self._closed)
@@ -152,7 +154,7 @@
     # --- what the gate asks and tells
 
     @property
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Whether it waits for a message of which nothing is there."""
         if not self.opened:
             return not (self.first or self.message)
@@ -163,7 +165,7 @@
         """For how long what is being read lay unread."""
         return self.clock() - self.came_at if self.came_at else 0.0
 
-    def came(self, data: bytes) -> None:
+    def received(self, data: bytes) -> None:
         """Is to be read now."""
         self.message = b""
         if self.waiter is not None and not self.waiter.done():
@@ -171,27 +173,27 @@
 
     def quiet(self) -> bool:
         """Whether it waits, and nothing has come that was not yet read."""
-        if self.desk.keeper is None:
+        if self.desk.admission is None:
             return self.channel.quiet()
-        return self.waits and not self.stirred and silent(self.socket)
+        return self.is_waiting and not self.stirred and silent(self.socket)
 
     async def serve(self) -> None:
         try:
             if self.first:
                 self.channel.parser.feed(self.first)
                 self.first = b""
-            async with asyncio.timeout(max(0.0, self.since + FIRST_WITHIN - self.clock())):
+            async with asyncio.timeout(max(0.0, self.since + FIRST_MESSAGE_TIMEOUT_S - self.clock())):
                 message = await self._read()
             while await self._work(*message):
                 message = await self._read()
             await self._linger()
-        except BadMessage as e:
+        except MalformedMessageError as e:
             await self._turn_away(e)
         except OutOfBodyMemoryError:
-            await self._turn_away(BadMessage(503, "too much is being sent at once"))
+            await self._turn_away(MalformedMessageError(503, "too much is being sent at once"))
         except TimeoutError:
             if self.busy:  # a connection on which nothing came is closed without a word
-                await self._turn_away(BadMessage(408, "the request took too long to come"))
+                await self._turn_away(MalformedMessageError(408, "the request took too long to come"))
         except (StreamClosedError, OSError):
             pass
         finally:
@@ -209,24 +211,24 @@
             self.body.hold(self.channel.parser.most)
             message = self.channel.parser.poll()
         if head is None or message is None:  # most come whole, and then no timer is set
-            async with asyncio.timeout(MESSAGE_WITHIN):
+            async with asyncio.timeout(MESSAGE_TIMEOUT_S):
                 head = await self.channel.head()
                 self.body.hold(self.channel.parser.most)
                 message = await self.channel.message()
-            if self.desk.keeper is not None:
+            if self.desk.admission is not None:
                 self.channel.stream.apart()
         self.table.work(self)
         return message
 
     async def _first_bytes(self) -> None:
         self.passed, self.came_at = False, 0.0
-        if self.desk.keeper is None or not self.channel.stream.apart():
+        if self.desk.admission is None or not self.channel.stream.apart():
             return await self.channel.fill()
         if self.channel.stream.closed():
             raise StreamClosedError()
         self.waiter = asyncio.get_running_loop().create_future()
         try:
-            self.desk.keeper.wait(self)
+            self.desk.admission.wait(self)
             self.channel.parser.feed(await self.waiter)
         finally:
             self.waiter = None
@@ -243,7 +245,7 @@
         else:
             rest = self._dump(reply, reply.dump, close)
         try:
-            async with asyncio.timeout(ANSWER_WITHIN):
+            async with asyncio.timeout(WRITE_TIMEOUT_S):
                 await rest
         except TimeoutError:
             raise StreamClosedError() from None  # no second answer may follow half of the first
@@ -260,7 +262,7 @@
     def _closes(self, head: Head) -> bool:
         return not head.keeps or (self.intake.leaving.closing(self.clock()) and not self.calls_back)
 
-    async def _turn_away(self, e: BadMessage) -> None:
+    async def _turn_away(self, e: MalformedMessageError) -> None:
         """The connection is closed: whoever sends again as soon as it is turned away has to connect again."""
         self.worth = Worth.NEW
         self.body.hold(0)
@@ -280,6 +282,6 @@
         self.table.wait(self, Worth.NEW)
         with suppress(StreamClosedError, OSError, TimeoutError):
             stream.socket.shutdown(socket.SHUT_WR)
-            async with asyncio.timeout(LINGER):
+            async with asyncio.timeout(LINGER_S):
                 for _ in range(64):
                     await stream.read_bytes(65536, partial=True)
--- a/finchladder/net/clients.py
+++ b/finchladder/net/client_listener.py
@@ -11,20 +11,22 @@
 
 from finchladder.core.connections.body_memory import BodyMemory, Reservation
 from finchladder.core.connections.client_connections import EdgeTable
-from finchladder.net.edge import EdgeConnection
-from finchladder.net.front import Front
-from finchladder.net.gate import STAMPS
+from finchladder.net.admission import STAMPS
+from finchladder.net.client_connection import ClientConnection
+from finchladder.net.request_handler import RequestHandler
 
-EDGE = 0.55  # part of all sockets: edge connections; more than open flows, as call-backs need the rest
+CLIENT_SOCKET_SHARE = (
+    0.55  # part of all sockets: edge connections; more than open flows, as call-backs need the rest
+)
 JUST_CAME = 0.25
 # accepted in one turn of the loop; looked again for room after so many seconds, and so often without a gate
-ACCEPTED, REST_S, LOOKS = 64, 0.025, 20
+MAX_ACCEPTED_AT_ONCE, REST_S, LOOKS = 64, 0.025, 20
 
 
-class Clients:
-    def __init__(self, front: Front, bodies: BodyMemory, sockets: int) -> None:
+class ClientListener:
+    def __init__(self, front: RequestHandler, bodies: BodyMemory, sockets: int) -> None:
         self.front, self.bodies, self.clock = front, bodies, front.intake.clock
-        self.edges: EdgeTable[EdgeConnection] = EdgeTable(int(EDGE * sockets))
+        self.edges: EdgeTable[ClientConnection] = EdgeTable(int(CLIENT_SOCKET_SHARE * sockets))
         self.tasks: set[asyncio.Task[None]] = set()
         self.listening: list[socket.socket] = []
         self.stops: list[Callable[[], None]] = []
@@ -63,7 +65,7 @@
         Those just accepted are not yet looked at, and can't be told from those that have sent something: a
         crowd that comes at once must not have a call-back among it closed unread.
         """
-        for n in range(ACCEPTED):
+        for n in range(MAX_ACCEPTED_AT_ONCE):
             if self.edges.full and n:
                 return  # nobody is closed before it is known that another is there
             if self.edges.full and not self._closes_one() and self._waits():
@@ -94,20 +96,20 @@
             connection.close()
             return
         self.looks = 0
-        edge = EdgeConnection(connection, str(address[0]), self.front, self.edges, Reservation(self.bodies))
+        edge = ClientConnection(connection, str(address[0]), self.front, self.edges, Reservation(self.bodies))
         self.edges.begin(self.clock(), edge)
         if self.front.gate is None:
             self._begin(edge)
         else:
             self.front.gate.begin(edge)
 
-    def _begin(self, edge: EdgeConnection) -> None:
+    def _begin(self, edge: ClientConnection) -> None:
         edge.open()
         task = asyncio.get_running_loop().create_task(self._serve(edge))
         self.tasks.add(task)  # the loop alone would let go of it
         task.add_done_callback(self.tasks.discard)
 
-    async def _serve(self, edge: EdgeConnection) -> None:
+    async def _serve(self, edge: ClientConnection) -> None:
         try:
             await edge.serve()
         except Exception:
@@ -116,13 +118,13 @@
         finally:
             self._drop(edge)
 
-    def _drop(self, edge: EdgeConnection) -> None:
+    def _drop(self, edge: ClientConnection) -> None:
         edge.body.hold(0)
         self.edges.drop(edge)
         if self.front.gate is not None:
             self.front.gate.drop(edge)
 
-    def _end(self, edge: EdgeConnection) -> None:
+    def _end(self, edge: ClientConnection) -> None:
         edge.close()
         if not edge.opened:  # else its own task clears up
             self._drop(edge)
@@ -138,9 +140,9 @@
     async def leave(self) -> None:
         """After SIGTERM: listens on, answers all that was taken, closes what is idle, returns when done."""
         intake = self.front.intake
-        intake.leave()
+        intake.shut_down()
         if self.front.gate is not None:
-            self.front.gate.leave()
+            self.front.gate.shut_down()
         await asyncio.sleep(intake.leaving.stays_s)
         while True:
             over, stays = not intake.flows.open, False
--- a/finchladder/net/reload.py
+++ b/finchladder/net/config_reload.py
@@ -12,10 +12,10 @@
 if TYPE_CHECKING:  # at run time only who has a file in TOML needs its reader
     from finchladder.config.operator_file import Loaded
 
-MOST_TOLD = 20  # findings of an unusable file in the log
+MAX_LOGGED_FINDINGS = 20  # findings of an unusable file in the log
 
 
-class Reload:
+class ConfigReloader:
     """`read` gives the file as it is now, or raises ValueError with a line for each finding.
 
     It is read and checked aside, on a thread, as a large file takes long; one at a time, and once more if it
@@ -45,9 +45,11 @@
                 self._take(await self.aside(self.read))
             except ValueError as e:
                 lines = str(e).splitlines()
-                for line in lines[:MOST_TOLD]:
+                for line in lines[:MAX_LOGGED_FINDINGS]:
                     logger.error("SIGHUP: {}", line)
-                more = f" ({len(lines) - MOST_TOLD} more)" if len(lines) > MOST_TOLD else ""
+                more = (
+                    f" ({len(lines) - MAX_LOGGED_FINDINGS} more)" if len(lines) > MAX_LOGGED_FINDINGS else ""
+                )
                 logger.error("SIGHUP: routes: version {} stays in force{}", self.loaded.version, more)
 
     def _take(self, new: "Loaded") -> None:
--- a/finchladder/net/control.py
+++ b/finchladder/net/control.py
@@ -9,12 +9,12 @@
 from msgspec import Meta
 
 from finchladder.config.options import Options
-from finchladder.features.arrivals import Arrivals
 from finchladder.features.capture import Capture, pieces
-from finchladder.features.drills import Order
+from finchladder.features.fault_injection import Order
+from finchladder.features.request_admission import Arrivals
 from finchladder.features.status import JobStatus
-from finchladder.net.http1 import BadMessage, Head
-from finchladder.net.module import Clock
+from finchladder.net.decision_actor import Clock
+from finchladder.net.http1 import Head, MalformedMessageError
 
 STATUS, DRILL, METRICS, CAPTURE, PEERS = "/_status/", "/_drill", "/_metrics", "/_capture", "/_peers"
 JUDGE = "/_judge"
@@ -32,22 +32,22 @@
         return pieces(self.lines)
 
 
-class Shown(Protocol):
+class Reportable(Protocol):
     """What the other dispatchers are known by."""
 
     def show(self) -> dict[str, Any]: ...
 
 
-class Judges(Protocol):
+class OutlierControls(Protocol):
     """What is held of real servers, and what the operator says of them."""
 
     key: str | None
 
     def show(self) -> list[dict[str, Any]]: ...
-    def say(self, order: "JudgeOrder") -> dict[str, Any]: ...
+    def apply_override(self, order: "OverrideRequest") -> dict[str, Any]: ...
 
 
-class JudgeOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class OverrideRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     server: Annotated[str, Meta(min_length=1, max_length=64)]
     stance: Literal["out", "in", "let"]
     for_s: Annotated[float, Meta(gt=0, le=86_400)] = 600.0
@@ -61,7 +61,7 @@
     dump: Dump | None = None  # in place of the body
 
 
-class Controls:
+class ControlCalls:
     """Knows the features that are on; a path that belongs to none of them is none of its business."""
 
     def __init__(
@@ -75,8 +75,8 @@
     ) -> None:
         self.clock, self.classes = clock, classes
         self.status, self.arrivals, self.capture = status, arrivals, capture
-        self.peers: Shown | None = None
-        self.bench: Judges | None = None
+        self.peers: Reportable | None = None
+        self.bench: OutlierControls | None = None
         self.dumping = False
         self.key = options.drill.key if options.drill is not None else None
 
@@ -103,7 +103,7 @@
 
     def _by_get(self, head: Head, answer: Callable[[], Reply]) -> Reply:
         if head.method != "GET":
-            raise BadMessage(405, "this is asked for by GET", allow="GET")
+            raise MalformedMessageError(405, "this is asked for by GET", allow="GET")
         return answer()
 
     def _status(self, id: str) -> Reply:
@@ -136,17 +136,17 @@
     def _dumped(self) -> None:
         self.dumping = False
 
-    def _judge(self, bench: Judges, head: Head, body: bytes) -> Reply:
+    def _judge(self, bench: OutlierControls, head: Head, body: bytes) -> Reply:
         if head.method != "POST":
-            raise BadMessage(405, "this is asked for by GET, and said by POST", allow="GET, POST")
+            raise MalformedMessageError(405, "this is asked for by GET, and said by POST", allow="GET, POST")
         given = (head.headers.get("x-judge-key") or "").encode()
         if bench.key is None or not compare_digest(given, bench.key.encode()):
             return Reply(403, b"no word without the key\n")
         try:
-            said = bench.say(msgspec.json.decode(body, type=JudgeOrder))
+            said = bench.apply_override(msgspec.json.decode(body, type=OverrideRequest))
             return Reply(200, msgspec.json.encode(said) + b"\n", (JSON,))
         except msgspec.MsgspecError as e:
-            raise BadMessage(400, f"judge: {e}") from None
+            raise MalformedMessageError(400, f"judge: {e}") from None
         except ValueError as e:
             return Reply(409, f"{e}\n".encode())
 
@@ -158,9 +158,11 @@
         try:
             order = msgspec.json.decode(body, type=Order)
         except msgspec.MsgspecError as e:
-            raise BadMessage(400, f"drill: {e}") from None
+            raise MalformedMessageError(400, f"drill: {e}") from None
         if order.job_class not in self.classes:
-            raise BadMessage(400, f"drill: no such class; there are {', '.join(sorted(self.classes))}")
+            raise MalformedMessageError(
+                400, f"drill: no such class; there are {', '.join(sorted(self.classes))}"
+            )
         order = msgspec.structs.replace(order, abort_share=order.aborts)
         self.arrivals.order(self.clock(), order)
         return Reply(200, msgspec.json.encode(order) + b"\n", (JSON,))
--- a/finchladder/net/module.py
+++ b/finchladder/net/decision_actor.py
@@ -11,9 +11,9 @@
 from finchladder.core.dispatch.dispatcher import SWEEP
 from finchladder.core.routing.limited_dispatcher import Decisions, NewRoutes
 from finchladder.net.actor import Actor
-from finchladder.net.flows import Answer, Attempt, Flow, Flows
+from finchladder.net.flows import Answer, Attempt, Flow, FlowTable
 
-ROOM = 16384
+MAILBOX_SIZE = 16384
 
 
 class Clock:
@@ -29,14 +29,14 @@
         return self.offset + self.monotonic()
 
 
-class Carrier(Protocol):
+class AttemptSender(Protocol):
     """Where sends and cancels go."""
 
     def send(self, attempt: Attempt) -> None: ...
     def withdraw(self, attempt: Attempt) -> None: ...
 
 
-class Tap(Protocol):
+class DecisionRecorder(Protocol):
     """Is told of each event and of what was decided on it."""
 
     def decided(
@@ -60,15 +60,15 @@
 Item = api.Event | NewRoutes | Flow | Ending
 
 
-LATE = 0.005  # seconds: less than so much is no lateness of the loop
+MIN_LATENESS_S = 0.005  # seconds: less than so much is no lateness of the loop
 
 
-class ModuleActor(Actor[Item]):
-    def __init__(self, dispatcher: Decisions, flows: Flows, clock: Clock) -> None:
-        super().__init__("module", ROOM)
+class DecisionActor(Actor[Item]):
+    def __init__(self, dispatcher: Decisions, flows: FlowTable, clock: Clock) -> None:
+        super().__init__("module", MAILBOX_SIZE)
         self.dispatcher, self.flows, self.clock = dispatcher, flows, clock
-        self.carrier: Carrier | None = None
-        self.tap: Tap | None = None
+        self.carrier: AttemptSender | None = None
+        self.tap: DecisionRecorder | None = None
         self.starts: Callable[[float], None] | None = None  # told how many seconds a job took to its start
         self.lists = 0  # of those that wait in the mailbox
         self.beat = math.inf  # when the module's own timer is due: later than that, the loop is late
@@ -108,7 +108,7 @@
 
     def _look(self, now: float) -> None:
         """What came while the loop was late could not be looked at: the real servers must not be blamed."""
-        if now > self.beat + LATE:
+        if now > self.beat + MIN_LATENESS_S:
             lost, self.beat = now - self.beat, now
             for action in self._decide(now, api.LoopStall(lost)):
                 self._carry_out(action, now)
--- a/finchladder/net/service.py
+++ b/finchladder/net/endpoint_watcher.py
@@ -20,15 +20,15 @@
 from finchladder.core.membership.watch_backoff import Recalls
 from finchladder.net import http1
 from finchladder.net.actor import Actor
-from finchladder.net.http1 import BadMessage, Channel, Connect, StreamClosedError
+from finchladder.net.http1 import Channel, Connect, MalformedMessageError, StreamClosedError
 
 if TYPE_CHECKING:
     from finchladder.core.membership.subset_filter import Members
 
-PATH = "/catalog/members"
-MAX_LINE = 8 * 1024 * 1024
-ROOM = 64
-LONG = 48 * 1024  # bytes: some 350 entries; a shorter line is read and applied at once
+WATCH_PATH = "/catalog/members"
+MAX_LINE_BYTES = 8 * 1024 * 1024
+MAILBOX_SIZE = 64
+LONG_LIST_BYTES = 48 * 1024  # bytes: some 350 entries; a shorter line is read and applied at once
 # entries of a longer one in one turn of the loop: some 2 ms each
 READ_AT_ONCE, SIFT_AT_ONCE, APPLY_AT_ONCE = 512, 256, 16
 SETTLES = 1000  # entries of long lists
@@ -39,7 +39,7 @@
 _TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')  # JSON's strings: a brace in one is none
 
 
-class Lines:
+class LineSplitter:
     """JSON objects out of pieces that end anywhere. Each mostly stands on one line, and may be indented.
 
     An empty line between them is handed on as it is; what no object begins with, too, as a line.
@@ -52,7 +52,7 @@
 
     def feed(self, piece: bytes) -> list[bytes]:
         self.rest += piece
-        if len(self.rest) + self.held > MAX_LINE:
+        if len(self.rest) + self.held > MAX_LINE_BYTES:
             raise ValueError("line too long")
         if b"\n" not in piece:
             return []
@@ -84,7 +84,7 @@
     return api.WorkerList(api.ListKind.PATCH, entries), found
 
 
-class ServiceActor(Actor[EndpointUpdate]):
+class EndpointWatcher(Actor[EndpointUpdate]):
     """Keeps the version of the list last read, and watches for what comes after it.
 
     A long list is read and applied in slices, so that no turn of the loop waits for it: what drains or is
@@ -101,7 +101,7 @@
         connect: Connect,
         subset: "Members | None" = None,
     ) -> None:
-        super().__init__("service list", ROOM)
+        super().__init__("service list", MAILBOX_SIZE)
         self.address, self.apply, self.retire, self.connect = address, apply, retire, connect
         self.index = 0
         self.rules = Watching(shared=False)
@@ -139,7 +139,7 @@
 
     async def take(self, line: bytes, known: bool = False) -> None:
         """A line of the watch, or the list as it was last known. ValueError: it can't be used."""
-        if len(line) <= LONG:
+        if len(line) <= LONG_LIST_BYTES:
             news = read_list(line, api.ListKind.STALE if known else None)
             if known or self._takes(news.version, news.workers.kind is api.ListKind.FULL):
                 self.post(news)
@@ -240,7 +240,7 @@
             try:
                 await self._watch()
                 why = "ended"
-            except (StreamClosedError, OSError, TimeoutError, BadMessage, ValueError) as e:
+            except (StreamClosedError, OSError, TimeoutError, MalformedMessageError, ValueError) as e:
                 why = f"{type(e).__name__}: {e}"
             except Exception:  # whatever a peer sent, the list must be watched again
                 self.log.exception("service list: the watch died")
@@ -258,23 +258,25 @@
         try:
             async with asyncio.timeout(self.rules.opens_within_s):
                 channel = await self.connect(self.address)
-                channel.parser.limit = lambda head: MAX_LINE
+                channel.parser.limit = lambda head: MAX_LINE_BYTES
                 await channel.write(
-                    http1.write_request("GET", f"{PATH}?stream=1&index={index}", [("Host", self._host())])
+                    http1.write_request(
+                        "GET", f"{WATCH_PATH}?stream=1&index={index}", [("Host", self._host())]
+                    )
                 )
                 head = await channel.head()
             if head.status != 200:
-                raise BadMessage(502, f"discovery answered {head.status}")
+                raise MalformedMessageError(502, f"discovery answered {head.status}")
             self.established = True
             said = loop.call_later(NOTHING_NEW_S, self.spoken.set)
-            lines, last = Lines(), loop.time()
+            lines, last = LineSplitter(), loop.time()
             asked_whole = not index
             while True:
                 for line in lines.feed(channel.parser.take_piece()):
                     if line:
                         await self.take(line)
                     else:
-                        self.heard()
+                        self.source_is_alive()
                     last = loop.time()
                     self.spoken.set()
                     if self.rules.renumbered(last) and not asked_whole:
@@ -289,7 +291,7 @@
             if channel is not None:
                 channel.close()
 
-    def heard(self) -> None:
+    def source_is_alive(self) -> None:
         """There is nothing new."""
 
     def _host(self) -> str:
--- a/finchladder/net/etcd/client.py
+++ b/finchladder/net/etcd/client.py
@@ -9,7 +9,7 @@
 from finchladder.net import http1
 from finchladder.net.etcd import messages
 from finchladder.net.etcd.messages import Answer, Item
-from finchladder.net.etcd.wire import TROUBLE, Aside, Link, NoLogin, Wires, why
+from finchladder.net.etcd.wire import TROUBLE, Aside, Link, LoginError, Wires, why
 
 PAGE = 256
 AT_ONCE = 100  # keys of one transaction; etcd takes 128
@@ -41,8 +41,8 @@
                 reason = answer.refusal.text
                 if answer.refusal.final:
                     raise EtcdError(f"{endpoint}: {reason}")
-            except (*TROUBLE, NoLogin) as e:
-                reason = str(e) if isinstance(e, NoLogin) else why(e)
+            except (*TROUBLE, LoginError) as e:
+                reason = str(e) if isinstance(e, LoginError) else why(e)
             said.append(f"{endpoint}: {reason}")
             self.close()
             self.endpoints.append(self.endpoints.pop(0))
--- a/finchladder/net/etcd/follow.py
+++ b/finchladder/net/etcd/follow.py
@@ -38,7 +38,7 @@
     Wait,
     Watch,
 )
-from finchladder.net.etcd.wire import TROUBLE, Aside, Link, NoLogin, Wires, refused_by_tls, why
+from finchladder.net.etcd.wire import TROUBLE, Aside, Link, LoginError, Wires, refused_by_tls, why
 from finchladder.net.http1 import Connect
 
 ROOM = 64
@@ -146,7 +146,7 @@
         try:
             await work
             return
-        except NoLogin as e:
+        except LoginError as e:
             event = Failed(Kind.REFUSED, str(e))
         except TimeoutError:
             event = Failed(Kind.SILENT, "no answer in time")
--- a/finchladder/net/etcd/messages.py
+++ b/finchladder/net/etcd/messages.py
@@ -19,7 +19,7 @@
 _TOKEN_WORDS = ("invalid auth token", "user name is empty", "revision of auth store is old")
 
 
-class BadAnswer(Exception):
+class MalformedAnswerError(Exception):
     """No answer of an etcd, or one beyond all bounds."""
 
 
@@ -218,14 +218,14 @@
     def end(self) -> Answer:
         """Of a call: its body is whole."""
         if self.apart is not None:
-            raise BadAnswer("an answer broke off")
+            raise MalformedAnswerError("an answer broke off")
         return self._plain(bytes(self.buffer))
 
     def _plain(self, data: bytes) -> Answer:
         try:
             found = _decode(data)
         except msgspec.MsgspecError as e:
-            raise BadAnswer(f"unreadable answer: {e}") from None
+            raise MalformedAnswerError(f"unreadable answer: {e}") from None
         if found.result is not None:
             return _answer(found, [_item(e) for e in found.result.events])
         return _answer(found, [Item(kv.key, kv.mod_revision, kv.value) for kv in found.kvs])
@@ -286,18 +286,18 @@
         if self.item is None:
             self.frame += part if not self.among else b""  # the commas between items would be left over
             if len(self.frame) > MOST_FRAME:
-                raise BadAnswer("an answer beyond all bounds")
+                raise MalformedAnswerError("an answer beyond all bounds")
             return
         self.length += len(part)
         self.item += part[: max(0, MOST_ITEM - len(self.item))]
 
     def _take(self, data: bytes) -> None:
         if len(self.items) >= MOST_ITEMS:
-            raise BadAnswer("an answer with too many keys")
+            raise MalformedAnswerError("an answer with too many keys")
         if self.length > MOST_ITEM:
             key, created, mod = (found.search(data[:HEAD]) for found in (_KEY, _CREATED, _MOD))
             if key is None or created is None or mod is None:
-                raise BadAnswer("a key longer than any")
+                raise MalformedAnswerError("a key longer than any")
             self.items.append(Item(b64decode(key[1]), int(mod[1]), None, False, created[1] == mod[1]))
             return
         try:
@@ -307,13 +307,13 @@
                 kv = _decode_kv(data)
                 self.items.append(Item(kv.key, kv.mod_revision, kv.value))
         except msgspec.MsgspecError as e:
-            raise BadAnswer(f"unreadable answer: {e}") from None
+            raise MalformedAnswerError(f"unreadable answer: {e}") from None
 
     def answer(self) -> Answer:
         try:
             return _answer(_decode(bytes(self.frame)), self.items)
         except msgspec.MsgspecError as e:
-            raise BadAnswer(f"unreadable answer: {e}") from None
+            raise MalformedAnswerError(f"unreadable answer: {e}") from None
 
 
 # --- what is asked
--- a/finchladder/net/etcd/wire.py
+++ b/finchladder/net/etcd/wire.py
@@ -13,8 +13,8 @@
 from finchladder.config.addresses import Endpoint
 from finchladder.config.options import EtcdOptions
 from finchladder.net import http1
-from finchladder.net.etcd.messages import Answer, BadAnswer, Header, Reader, Refusal, login
-from finchladder.net.http1 import BadMessage, Channel, Connect, Stream, StreamClosedError
+from finchladder.net.etcd.messages import Answer, Header, MalformedAnswerError, Reader, Refusal, login
+from finchladder.net.http1 import Channel, Connect, MalformedMessageError, Stream, StreamClosedError
 
 MOST_BODY = 1 << 30  # bytes of an answer, which is never held whole
 ANSWER_S = 1.0  # for a connection with its handshake, or for the next piece of an answer
@@ -28,10 +28,10 @@
 PASSWORD_BYTES = 4096
 
 Aside = Callable[[Callable[[], Any]], Awaitable[Any]]
-TROUBLE = (StreamClosedError, OSError, TimeoutError, BadMessage, BadAnswer)
+TROUBLE = (StreamClosedError, OSError, TimeoutError, MalformedMessageError, MalformedAnswerError)
 
 
-class NoLogin(Exception):
+class LoginError(Exception):
     """User and password, or what they are read from, can't be used."""
 
 
@@ -146,10 +146,10 @@
         try:
             password = await self.aside(self._password)
         except (OSError, ValueError) as e:
-            raise NoLogin(f"{self.options.password_file} can't be read: {why(e)}") from None
+            raise LoginError(f"{self.options.password_file} can't be read: {why(e)}") from None
         answer = await self._call("auth/authenticate", login(self.options.user, password))
         if answer.refusal is not None:
-            raise NoLogin(f"refused user {self.options.user}: {answer.refusal.text}")
+            raise LoginError(f"refused user {self.options.user}: {answer.refusal.text}")
         self.token = answer.token
         self.logins += 1
 
@@ -211,7 +211,7 @@
         channel.parser.head = channel.parser.body = None
         try:
             answer = found[0] if found else reader.end()
-        except BadAnswer:
+        except MalformedAnswerError:
             if head.status == 200:
                 raise
             answer = Answer(Header(), [])
--- a/finchladder/net/flows.py
+++ b/finchladder/net/flows.py
@@ -10,7 +10,7 @@
 from finchladder.core.dispatch.attempt_stages import Stage, Step, follow
 from finchladder.features.status import JobStatus
 
-REMEMBERED = 4096  # ids of ended flows at the least: a request sent again under its id must not run again
+MAX_ENDED_IDS = 4096  # ids of ended flows at the least: a request sent again under its id must not run again
 
 
 class Answer(NamedTuple):
@@ -21,7 +21,7 @@
     retry_after: float = 0.0
 
 
-class Message(Protocol):
+class JobMessage(Protocol):
     """What a client handed in, as the side of its own protocol read it."""
 
     def request(self, host: str, time_left_s: float) -> bytes:
@@ -74,7 +74,7 @@
     job_class: str
     key: int | None
     facts: dict[str, float]
-    message: Message
+    message: JobMessage
     deadline: float
     deliver: Callable[[Answer], None]
     route: str | None = None  # whose limits it comes under
@@ -99,14 +99,14 @@
         )
 
 
-class Flows:
+class FlowTable:
     """All flows that are open or have an attempt out, by the id of their request."""
 
     def __init__(
         self, status: JobStatus | None = None, clock: Callable[[], float] = time.monotonic, sockets: int = 0
     ) -> None:
         self.status, self.clock = status, clock  # the status is told of each step, where it is on
-        self.remembered = max(REMEMBERED, 4 * sockets)
+        self.remembered = max(MAX_ENDED_IDS, 4 * sockets)
         self.by_id: dict[str, Flow] = {}
         self.open = 0  # flows without their final answer
         self.ended: dict[str, None] = {}
--- a/finchladder/net/machine.py
+++ b/finchladder/net/host_environment.py
@@ -18,11 +18,11 @@
 
 from finchladder.config.options import CaptureOptions
 from finchladder.features.capture import Sink
-from finchladder.net.disk import CaptureFiles
+from finchladder.net.capture_files import CaptureFiles
 from finchladder.net.http1 import Connect, connect
 
 if TYPE_CHECKING:
-    from finchladder.net.membership import File
+    from finchladder.net.membership_actor import ListFile
 
 BACKLOG, BACKLOG_PART = 1024, 1 / 4  # connections not yet accepted: at the least, and of all sockets
 
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Machine:
+class HostEnvironment:
     """The real one, unless parts of it are given. Times are seconds."""
 
     wall: Callable[[], float] = time.time
@@ -100,6 +100,6 @@
     connect: Connect = connect
     datagrams: Callable[[tuple[str, int]], socket.socket] = datagrams
     files: Callable[[CaptureOptions, str, int], Disk | None] = capture_files
-    last_good: "Callable[[str], File] | None" = None  # None: a file on the machine's own disk
+    last_good: "Callable[[str], ListFile] | None" = None  # None: a file on the machine's own disk
     keep: Callable[[], None] = lambda: None  # what has been made will stay: the collector may leave it out
     aside: Callable[[Callable[[], Any]], Awaitable[Any]] = asyncio.to_thread  # what would hold up the loop
--- a/finchladder/net/http1.py
+++ b/finchladder/net/http1.py
@@ -48,7 +48,7 @@
 _CHUNK = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\r\n]*)?")
 
 
-class BadMessage(Exception):
+class MalformedMessageError(Exception):
     """The peer's bytes are no message; `status` is what a client is answered, with 405 what is allowed."""
 
     def __init__(self, status: int, why: str, allow: str = "POST") -> None:
@@ -112,16 +112,16 @@
     """Name and value. `plain`: as a request's fields are passed on, they must be visible ASCII."""
     m = _FIELD.fullmatch(line)
     if m is None:
-        raise BadMessage(400, "malformed header field")
+        raise MalformedMessageError(400, "malformed header field")
     value = m[2].decode("latin-1").strip(" \t")
     if plain and not _PLAIN.fullmatch(value):
-        raise BadMessage(400, "a header field holds what is not visible ASCII")
+        raise MalformedMessageError(400, "a header field holds what is not visible ASCII")
     return m[1].decode("ascii"), value
 
 
 def _headers(lines: list[bytes], plain: bool) -> Headers:
     if len(lines) > MAX_FIELDS:
-        raise BadMessage(431, "too many header fields")
+        raise MalformedMessageError(431, "too many header fields")
     if _FIELDS.fullmatch(b"\r\n".join(lines)):  # the rule, that is: all at once costs a third of one by one
         parts = [line.decode("ascii").partition(":") for line in lines]
         return Headers([(name, value.strip(" \t")) for name, _, value in parts])
@@ -141,7 +141,7 @@
     start, *lines = head.split(b"\r\n")
     m = _REQUEST.fullmatch(start)
     if m is None:
-        raise BadMessage(400, "malformed request line")
+        raise MalformedMessageError(400, "malformed request line")
     return Head(int(m[3]), _headers(lines, plain=True), m[1].decode(), m[2].decode())
 
 
@@ -149,7 +149,7 @@
     start, *lines = head.split(b"\r\n")
     m = _STATUS.fullmatch(start)
     if m is None:
-        raise BadMessage(400, "malformed status line")
+        raise MalformedMessageError(400, "malformed status line")
     return Head(int(m[1]), _headers(lines, plain=False), status=int(m[2]))
 
 
@@ -160,11 +160,13 @@
 def frame_of(head: Head) -> Frame:
     codings, lengths = head.headers.all("transfer-encoding"), set(head.headers.all("content-length"))
     if codings and (lengths or not head.minor or [c.lower() for c in codings] != ["chunked"]):
-        raise BadMessage(400, "unusable transfer coding")  # two framings: peers would differ on the end
+        raise MalformedMessageError(
+            400, "unusable transfer coding"
+        )  # two framings: peers would differ on the end
     if lengths:
         length = lengths.pop()
         if lengths or not _LENGTH.fullmatch(length):
-            raise BadMessage(400, "unusable content length")
+            raise MalformedMessageError(400, "unusable content length")
         return Frame(False, int(length), False)
     ends = head.status and head.status not in (204, 304) and head.status >= 200
     return Frame(bool(codings), 0, bool(ends and not codings))
@@ -214,20 +216,20 @@
             data = max(0, self.left - 2)
             out += part[:data]
             if any(c != want for c, want in zip(part[data:], b"\r\n"[-min(2, self.left) :], strict=False)):
-                raise BadMessage(400, "chunk without its end")
+                raise MalformedMessageError(400, "chunk without its end")
             self.left -= len(part)
             return not self.left
         end = buffer.find(b"\r\n")
         if end < 0 or end > MAX_HEAD:
             if len(buffer) > MAX_HEAD:
-                raise BadMessage(400, "chunk head too long")
+                raise MalformedMessageError(400, "chunk head too long")
             return False
         line = bytes(buffer[:end])
         del buffer[: end + 2]
         if self.trailer:
             self._take_trailer(line)
         elif (m := _CHUNK.fullmatch(line)) is None:
-            raise BadMessage(400, "malformed chunk head")
+            raise MalformedMessageError(400, "malformed chunk head")
         else:
             size = int(m[1], 16)
             self.trailer, self.left = not size, size + 2 if size else 0
@@ -240,7 +242,7 @@
             return
         self.trailers, self.trailer_bytes = self.trailers + 1, self.trailer_bytes + len(line) + 2
         if self.trailers > MAX_FIELDS or self.trailer_bytes > MAX_HEAD:
-            raise BadMessage(400, "too many trailers")
+            raise MalformedMessageError(400, "too many trailers")
         _field(line, self.plain)
 
 
@@ -282,12 +284,12 @@
         end = self.buffer.find(b"\r\n\r\n", 0, MAX_HEAD + 4)
         if end < 0:
             if len(self.buffer) > MAX_HEAD:
-                raise BadMessage(431, "head too long")
+                raise MalformedMessageError(431, "head too long")
             return None
         head = self.parse(bytes(self.buffer[:end]))
         self.body = Body(head)
         if self.body.left > self.limit(head):
-            raise BadMessage(413, "body too long")
+            raise MalformedMessageError(413, "body too long")
         del self.buffer[: end + 4]
         self.head = head
         return head
@@ -309,7 +311,7 @@
             return head, got
         self.got += self.take_piece()
         if len(self.got) > self.limit(head):
-            raise BadMessage(413, "body too long")
+            raise MalformedMessageError(413, "body too long")
         if not body.done:
             return None
         message = head, bytes(self.got)
@@ -480,7 +482,7 @@
     "MAX_BODY",
     "PIECE",
     "READ",
-    "BadMessage",
+    "MalformedMessageError",
     "Body",
     "Channel",
     "Connect",
--- a/finchladder/net/intake.py
+++ b/finchladder/net/job_intake.py
@@ -8,16 +8,16 @@
 from finchladder.core import api
 from finchladder.core.connections.graceful_shutdown import Leaving
 from finchladder.core.routing.routes import NO_ROUTES
-from finchladder.features.arrivals import Arrivals, Verdict
-from finchladder.features.drills import Effect
-from finchladder.net.flows import Answer, Flow, Flows
-from finchladder.net.module import ModuleActor
+from finchladder.features.fault_injection import Effect
+from finchladder.features.request_admission import Arrivals, Verdict
+from finchladder.net.decision_actor import DecisionActor
+from finchladder.net.flows import Answer, Flow, FlowTable
 from finchladder.net.timers import Timers
 
-OPEN = 1 / 3  # part of all sockets: open flows
+OPEN_FLOW_SHARE = 1 / 3  # part of all sockets: open flows
 
 
-class Repeated(Exception):
+class DuplicateRequestError(Exception):
     """A job of this id has come already."""
 
 
@@ -25,12 +25,12 @@
     return {"id": flow.id, "class": flow.job_class}
 
 
-class Intake:
+class JobIntake:
     def __init__(
         self,
         classes: set[str],
-        flows: Flows,
-        module: ModuleActor,
+        flows: FlowTable,
+        module: DecisionActor,
         timers: Timers,
         arrivals: Arrivals,
         leaving: Leaving,
@@ -38,14 +38,14 @@
     ) -> None:
         self.classes, self.flows, self.module, self.clock = classes, flows, module, module.clock
         self.timers, self.arrivals, self.leaving = timers, arrivals, leaving
-        self.most_open = int(OPEN * sockets)
+        self.most_open = int(OPEN_FLOW_SHARE * sockets)
         self.held: dict[Flow, Effect] = {}  # by a drill
         self.routes = NO_ROUTES
 
     def arrive(self, client: str, id: str, job_class: str, left_s: float) -> Verdict:
         """Before there is a flow: what the door and the drills say."""
         if self.flows.known(id):
-            raise Repeated
+            raise DuplicateRequestError
         return self.arrivals.judge(self.clock(), client, id, job_class, left_s)
 
     def deadline(self, left_s: float) -> float:
@@ -54,7 +54,7 @@
 
     def take(self, flow: Flow, drill: Effect | None = None) -> None:
         if self.flows.known(flow.id):
-            raise Repeated
+            raise DuplicateRequestError
         self.flows.add(flow)
         flow.since = self.clock()
         if self.flows.open > self.most_open:
@@ -72,7 +72,7 @@
         if self.flows.finish(flow, Answer("left")):
             self.module.tell(api.ClientDisconnected(flow.id))
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         now = self.clock()
         self.leaving.begin(now)
         self.arrivals.leave(now)
--- a/finchladder/net/membership.py
+++ b/finchladder/net/membership_actor.py
@@ -28,16 +28,21 @@
 )
 from finchladder.core.membership.watch import LINE_S
 from finchladder.net.actor import Actor
+from finchladder.net.endpoint_watcher import LONG_LIST_BYTES, READ_AT_ONCE, EndpointWatcher
 from finchladder.net.http1 import Connect
-from finchladder.net.service import LONG, READ_AT_ONCE, ServiceActor
-from finchladder.store.lastgood import LastGood, LastGoodFile
+from finchladder.store.last_good_list import LastGood, LastGoodFile
 
 DISCOVERY, LAST_GOOD = "discovery", "last good list"
-ROOM = 64
-QUIET = LINE_S  # seconds: a watch that fell silent is begun again before its source counts as lost
-READ_WITHIN = 2.0  # seconds for the file at a start: a disk that hangs must not keep a dispatcher away
-WRITE_AFTER, WRITE_EVERY = 5.0, 60.0  # seconds from a change, and without one: then its time is renewed
-LINE_EVERY = 1.0  # seconds between two lines of the log about the same kind of fact
+MAILBOX_SIZE = 64
+SILENCE_TIMEOUT_S = (
+    LINE_S  # seconds: a watch that fell silent is begun again before its source counts as lost
+)
+READ_TIMEOUT_S = 2.0  # seconds for the file at a start: a disk that hangs must not keep a dispatcher away
+WRITE_DELAY_S, WRITE_INTERVAL_S = (
+    5.0,
+    60.0,
+)  # seconds from a change, and without one: then its time is renewed
+LOG_INTERVAL_S = 1.0  # seconds between two lines of the log about the same kind of fact
 
 LINES: dict[What, tuple[str, str]] = {
     What.LEADS: ("INFO", "{f.source} leads, with {f.number} entries"),
@@ -57,7 +62,7 @@
 }
 
 
-class Applying(Protocol):
+class EndpointConsumer(Protocol):
     """Where the believed list goes."""
 
     def tell(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None: ...
@@ -69,7 +74,7 @@
 Found = tuple[LastGood, EndpointUpdate]
 
 
-class File(Protocol):
+class ListFile(Protocol):
     """As store.lastgood.LastGoodFile."""
 
     def begin(self, found: Callable[[Found | None], None]) -> None: ...
@@ -85,12 +90,12 @@
         sources: Sequence[Source],
         rules: MembershipSettings,
         clock: Callable[[], float],
-        applying: Applying,
+        applying: EndpointConsumer,
         at_once: int,
-        file: File | None = None,
+        file: ListFile | None = None,
     ) -> None:
         """`at_once`: so many entries are applied in one turn of the loop."""
-        super().__init__("membership", ROOM)
+        super().__init__("membership", MAILBOX_SIZE)
         past = [Source(LAST_GOOD, past=True)] if file is not None else []
         self.membership = Membership([*sources, *past], rules)
         self.clock, self.applying, self.at_once, self.file = clock, applying, at_once, file
@@ -109,7 +114,7 @@
     def report(self, report: Report) -> None:
         self.post(report)
 
-    def heard(self, source: str, in_step: bool = True) -> None:
+    def source_is_alive(self, source: str, in_step: bool = True) -> None:
         self._do(self.membership.heard(self.clock(), source, in_step))
 
     def _ring(self) -> None:
@@ -125,7 +130,7 @@
         elif entries:
             self.applying.tell(decided.workers, decided.addresses)
         if entries and self.file is not None:
-            self._save_after(WRITE_AFTER)
+            self._save_after(WRITE_DELAY_S)
         due = self.membership.next_due
         if due < self.due:  # one that rings too early does no harm
             if self.timer is not None:
@@ -136,7 +141,7 @@
     def _say(self, f: Fact) -> None:
         now = self.clock()
         last, kept_back = self.said.get(f.what, (-inf, 0))
-        if now < last + LINE_EVERY:
+        if now < last + LOG_INTERVAL_S:
             self.said[f.what] = last, kept_back + 1
             return
         self.said[f.what] = now, 0
@@ -164,10 +169,10 @@
 
         self.file.begin(tell)
         try:
-            async with asyncio.timeout(READ_WITHIN):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 found = await read
         except TimeoutError:
-            self.log.error("membership: the last good list can't be read within {:g} s", READ_WITHIN)
+            self.log.error("membership: the last good list can't be read within {:g} s", READ_TIMEOUT_S)
             return known
         if found is not None:
             self._take(*found, version_of(known) if known else -1)
@@ -192,7 +197,7 @@
     def _save(self) -> None:
         self.saving = None
         self._put()
-        self._save_after(WRITE_EVERY)
+        self._save_after(WRITE_INTERVAL_S)
 
     def _put(self) -> None:
         lead = self.membership.lead
@@ -223,7 +228,7 @@
 
 async def read_in_slices(line: bytes, kind: api.ListKind | None = None) -> EndpointUpdate:
     """ValueError: it can't be used."""
-    if len(line) <= LONG:
+    if len(line) <= LONG_LIST_BYTES:
         return read_list(line, kind)
     reading = read_long(line, READ_AT_ONCE, kind)
     while True:
@@ -235,10 +240,10 @@
         await asyncio.sleep(0)
 
 
-class Through:
+class EndpointApplier:
     """The slices of an actor that watches nothing."""
 
-    def __init__(self, actor: ServiceActor) -> None:
+    def __init__(self, actor: EndpointWatcher) -> None:
         self.actor = actor
 
     def tell(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
@@ -248,7 +253,7 @@
         self.actor._changed(EndpointChange(0, list(entries), addresses), known=False)
 
 
-class DiscoverySource(ServiceActor):
+class DiscoverySource(EndpointWatcher):
     """Discovery's watch as one source of several: its lists are reported, not applied."""
 
     def __init__(self, address: tuple[str, int], members: MembershipActor, connect: Connect) -> None:
@@ -262,8 +267,8 @@
     async def take(self, line: bytes, known: bool = False) -> None:
         self.post(await read_in_slices(line, api.ListKind.STALE if known else None))
 
-    def heard(self) -> None:
-        self.members.heard(DISCOVERY)
+    def source_is_alive(self) -> None:
+        self.members.source_is_alive(DISCOVERY)
 
 
 def last_good_file(path: str) -> LastGoodFile[EndpointUpdate]:
--- a/finchladder/net/messages.py
+++ b/finchladder/net/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from finchladder.net.http1 import MAX_BODY, BadMessage, Head, Headers, write_request
+from finchladder.net.http1 import MAX_BODY, Head, Headers, MalformedMessageError, write_request
 
 CALL_BACK = "/v1/job-events"
 MAX_CALL_BACK = 6 * MAX_BODY + 16 * 1024  # a result of full length in which JSON escapes every byte
@@ -78,7 +78,7 @@
 def read_id(head: Head) -> str:
     value = head.headers.get("x-correlation-id")
     if value is None or not _ID.fullmatch(value):
-        raise BadMessage(400, "X-Correlation-Id is missing, repeated or unusable")
+        raise MalformedMessageError(400, "X-Correlation-Id is missing, repeated or unusable")
     return value
 
 
@@ -86,7 +86,7 @@
     value = head.headers.get("x-time-left") or ""
     left = float(value) if _TIME_LEFT.fullmatch(value) else 0.0
     if left <= 0:
-        raise BadMessage(400, "X-Time-Left is missing, repeated or unusable")
+        raise MalformedMessageError(400, "X-Time-Left is missing, repeated or unusable")
     return left
 
 
@@ -107,9 +107,9 @@
         try:
             facts[name] = float(value)
         except ValueError:
-            raise BadMessage(400, f"X-Facts: {name} is no number") from None
+            raise MalformedMessageError(400, f"X-Facts: {name} is no number") from None
         if not (math.isfinite(facts[name]) and 0 <= facts[name] < 1e6):
-            raise BadMessage(400, f"X-Facts: {name} can't be used")
+            raise MalformedMessageError(400, f"X-Facts: {name} can't be used")
     return facts
 
 
@@ -117,7 +117,7 @@
     try:
         return _call_backs.decode(body)
     except msgspec.MsgspecError as e:
-        raise BadMessage(400, str(e)) from None
+        raise MalformedMessageError(400, str(e)) from None
 
 
 _call_backs = msgspec.json.Decoder(CallBack)
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -18,22 +18,22 @@
 from finchladder.core.routing.limited_dispatcher import Guarded, NewRoutes, decisions
 from finchladder.core.routing.routes import Routes
 from finchladder.features import snapshot
-from finchladder.features.arrivals import Arrivals
 from finchladder.features.capture import Capture
+from finchladder.features.request_admission import Arrivals
 from finchladder.features.status import JobStatus
-from finchladder.net.clients import Clients
-from finchladder.net.control import Controls
-from finchladder.net.flows import Flows
-from finchladder.net.front import Front
-from finchladder.net.gate import Gate
-from finchladder.net.intake import Intake
-from finchladder.net.machine import Disk, Machine
-from finchladder.net.module import Clock, ModuleActor
-from finchladder.net.recorder import Recorder
-from finchladder.net.reload import Reload, count
-from finchladder.net.servers import IN_USE_EACH, RealServers
-from finchladder.net.service import APPLY_AT_ONCE, ServiceActor
+from finchladder.net.admission import Admission
+from finchladder.net.capture_recorder import CaptureRecorder
+from finchladder.net.client_listener import ClientListener
+from finchladder.net.config_reload import ConfigReloader, count
+from finchladder.net.control import ControlCalls
+from finchladder.net.decision_actor import Clock, DecisionActor
+from finchladder.net.endpoint_watcher import APPLY_AT_ONCE, EndpointWatcher
+from finchladder.net.flows import FlowTable
+from finchladder.net.host_environment import Disk, HostEnvironment
+from finchladder.net.job_intake import JobIntake
+from finchladder.net.request_handler import RequestHandler
 from finchladder.net.timers import Timers
+from finchladder.net.workers import IN_USE_EACH, WorkerPool
 
 if TYPE_CHECKING:
     from finchladder.config.operator_file import Loaded
@@ -41,7 +41,7 @@
     from finchladder.core.peers.bucket import Bucket
     from finchladder.core.peers.exchange import Peers
     from finchladder.net.etcd.follow import EtcdActor
-    from finchladder.net.membership import MembershipActor
+    from finchladder.net.membership_actor import MembershipActor
     from finchladder.net.peers.actor import PeersActor
 
 
@@ -52,7 +52,7 @@
     read: Callable[[], "Loaded"]
 
 
-class Node:
+class DispatcherNode:
     """To be made and run on the loop that its dispatcher lives on. `reread` reads its configuration again."""
 
     def __init__(
@@ -60,15 +60,15 @@
         setup: DispatcherSetup,
         options: Options,
         reread: Callable[[], DispatcherSetup],
-        machine: Machine | None = None,
+        machine: HostEnvironment | None = None,
         file: OperatorFile | None = None,
     ) -> None:
         self.setup, self.options, self.reread = setup, options, reread
-        self.machine = machine = machine or Machine()
+        self.machine = machine = machine or HostEnvironment()
         self.clock = clock = Clock(machine.wall, machine.monotonic)
         sockets = setup.limits.sockets
         status = JobStatus(options.status) if options.status is not None else None
-        self.flows = Flows(status, clock, sockets)
+        self.flows = FlowTable(status, clock, sockets)
         seed = read_seed(setup.seed)
         routes = file.loaded.routes if file is not None else None
         joined = self._join(options.peers, seed) if options.peers is not None else None
@@ -76,7 +76,7 @@
         decided = decisions(setup.settings, seed, routes, options.spilling(), share)
         arrivals = Arrivals(options, seed)
         self.dispatcher = decided.inner if isinstance(decided, Guarded) else decided
-        self.module = ModuleActor(decided, self.flows, clock)
+        self.module = DecisionActor(decided, self.flows, clock)
         self.judging: Judging | None = None
         if options.judgement is not None:
             self._judge(options.judgement, joined)
@@ -90,7 +90,7 @@
             states = snapshot.Taking(decided, arrivals)
             self.capture = Capture(options.capture, setup.seed, states, self.files)
             self.capture.begin(clock())
-            self.module.tap = arrivals.tap = recorder = Recorder(self.capture)
+            self.module.tap = arrivals.tap = recorder = CaptureRecorder(self.capture)
             self.capture.soon = recorder.soon
         self.timers = Timers(clock)
         caps = setup.caps
@@ -100,7 +100,7 @@
 
             aperture, own = options.aperture.settings(), setup.settings
             subset, each = Members(own.index, own.dispatchers, aperture), aperture.connections_each
-        self.servers = RealServers(
+        self.servers = WorkerPool(
             self.flows,
             self.module,
             self.timers,
@@ -111,7 +111,7 @@
             each,
         )
         self.module.carrier = self.servers
-        self.service = ServiceActor(
+        self.service = EndpointWatcher(
             setup.discovery, self.servers.update, self.servers.retire, machine.connect, subset
         )
         self.service.settled = machine.keep
@@ -127,30 +127,30 @@
         self.service.recalls = Recalls(callers, drawn, rules.away_s, rules.retry_s)
         classes = {c.name for c in setup.settings.classes}
         leaving = Leaving(max(c.deadline_s for c in setup.settings.classes))
-        self.intake = Intake(classes, self.flows, self.module, self.timers, arrivals, leaving, sockets)
-        self.reload: Reload | None = None
+        self.intake = JobIntake(classes, self.flows, self.module, self.timers, arrivals, leaving, sockets)
+        self.reload: ConfigReloader | None = None
         if file is not None:
-            self.reload = Reload(file.loaded, file.read, machine.aside, self._hold)
+            self.reload = ConfigReloader(file.loaded, file.read, machine.aside, self._hold)
             self.intake.routes = file.loaded.routes
-        controls = Controls(clock, classes, options, self.flows.status, arrivals, self.capture)
+        controls = ControlCalls(clock, classes, options, self.flows.status, arrivals, self.capture)
         controls.peers = self.peers
         if options.judgement is not None and self.judging is not None:
-            from finchladder.net.bench import Bench
+            from finchladder.net.outlier_control import OutlierControl
 
-            controls.bench = Bench(
+            controls.bench = OutlierControl(
                 options.judgement.key, self.judging, self.dispatcher, clock, self.module.tell, joined
             )
             if self.peers is not None:
                 self.peers.judged = controls.bench.show
-        self.gate: Gate | None = None
+        self.gate: Admission | None = None
         if options.overload is not None:
             limits = options.overload.limits(setup.settings.max_retry_after_s)
-            self.gate = Gate(setup.settings.classes, limits, seed, clock, self.flows.known, machine)
+            self.gate = Admission(setup.settings.classes, limits, seed, clock, self.flows.known, machine)
             self.module.starts = self.gate.started
         lists = self.members or self.service
-        front = Front(self.intake, controls, lambda: lists.up, self.servers.called_back, self.gate)
+        front = RequestHandler(self.intake, controls, lambda: lists.up, self.servers.called_back, self.gate)
         self.bodies = BodyMemory(setup.limits.memory_mb * 1024 * 1024, options.memory())
-        self.clients = Clients(front, self.bodies, sockets)
+        self.clients = ClientListener(front, self.bodies, sockets)
 
     def _join(self, options: PeersOptions, seed: int) -> "Peers":
         """This one's place among the dispatchers."""
@@ -186,7 +186,7 @@
 
     def _speak(self, options: Options, joined: "Peers", arrivals: Arrivals) -> None:
         from finchladder.core.peers.loads import attach
-        from finchladder.features.shared_door import SharedBuckets
+        from finchladder.features.shared_admission_limits import SharedBuckets
         from finchladder.net.peers.actor import PeersActor
 
         assert options.peers is not None
@@ -212,24 +212,31 @@
         """Lists are believed by the rules of membership, and no more as they come."""
         # only a dispatcher that is to do so loads them
         from finchladder.core.membership.decisions import Source
-        from finchladder.net import membership
+        from finchladder.net import membership_actor
 
         own, machine = options.membership or MembershipOptions(), self.machine
-        sources = [Source(membership.DISCOVERY, membership.QUIET)]
+        sources = [Source(membership_actor.DISCOVERY, membership_actor.SILENCE_TIMEOUT_S)]
         if options.etcd is not None:
             from finchladder.net.etcd import follow, state
 
             sources.insert(0 if own.lead == state.SOURCE else 1, Source(state.SOURCE, state.QUIET_S))
-        file = (machine.last_good or membership.last_good_file)(own.last_good) if own.last_good else None
-        self.members = members = membership.MembershipActor(
-            sources, own.rules(), self.clock, membership.Through(self.service), APPLY_AT_ONCE, file
+        file = (
+            (machine.last_good or membership_actor.last_good_file)(own.last_good) if own.last_good else None
         )
-        self.service = membership.DiscoverySource(self.setup.discovery, members, machine.connect)
+        self.members = members = membership_actor.MembershipActor(
+            sources,
+            own.rules(),
+            self.clock,
+            membership_actor.EndpointApplier(self.service),
+            APPLY_AT_ONCE,
+            file,
+        )
+        self.service = membership_actor.DiscoverySource(self.setup.discovery, members, machine.connect)
         if options.etcd is not None:
             self.etcd = follow.EtcdActor(
                 options.etcd,
                 members.report,
-                members.heard,
+                members.source_is_alive,
                 machine.connect,
                 machine.aside,
                 machine.monotonic,
--- a/finchladder/net/bench.py
+++ b/finchladder/net/outlier_control.py
@@ -7,13 +7,13 @@
 from finchladder.core.dispatch.dispatcher import Dispatcher
 from finchladder.core.health.detection.detector import Judging
 from finchladder.core.health.detection.overrides import Orders
-from finchladder.net.control import JudgeOrder
+from finchladder.net.control import OverrideRequest
 
 if TYPE_CHECKING:
     from finchladder.core.peers.exchange import Peers
 
 
-class Bench:
+class OutlierControl:
     def __init__(
         self,
         key: str | None,
@@ -41,7 +41,7 @@
         ]
         return self.judging.show(now, self.d.workers) + words
 
-    def say(self, order: JudgeOrder) -> dict[str, Any]:
+    def apply_override(self, order: OverrideRequest) -> dict[str, Any]:
         """ValueError says in one line why not."""
         if order.server not in self.d.workers:
             raise ValueError(f"no real server {order.server} is known here")
--- a/finchladder/net/peers/actor.py
+++ b/finchladder/net/peers/actor.py
@@ -13,7 +13,7 @@
 
 from finchladder.core.api import OperatorOverrides, PeerLoads, PeerReports
 from finchladder.core.peers.exchange import Packets, Peers
-from finchladder.net.peers.datagrams import MOST, Unusable, decode, encode
+from finchladder.net.peers.datagrams import MOST, MalformedDatagramError, decode, encode
 
 EACH = 64  # datagrams read in one turn of the loop
 AGAIN_S = 5.0  # until a socket is tried again
@@ -128,7 +128,7 @@
     def _take(self, data: bytes, source: Address) -> None:
         try:
             packet = decode(self.fleet, data)
-        except Unusable as e:
+        except MalformedDatagramError as e:
             return self._drop(str(e))
         if self.addresses.get(packet.sender) != source:
             return self._drop("unlisted" if packet.sender not in self.addresses else "address")
--- a/finchladder/net/peers/datagrams.py
+++ b/finchladder/net/peers/datagrams.py
@@ -124,7 +124,7 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-class Unusable(ValueError):
+class MalformedDatagramError(ValueError):
     """A datagram that is to be dropped; the message is one of a few words, by which it is counted."""
 
 
@@ -158,15 +158,15 @@
 def decode(fleet: str, data: bytes) -> Packet:
     """Unusable: too long, of another version or fleet, or not as it has to be. Figures are not looked at."""
     if len(data) > MOST:
-        raise Unusable("too long")
+        raise MalformedDatagramError("too long")
     try:
         d = _decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
-        raise Unusable(_why(data)) from None
+        raise MalformedDatagramError(_why(data)) from None
     if d.version != VERSION:
-        raise Unusable("version")
+        raise MalformedDatagramError("version")
     if d.fleet != fleet:
-        raise Unusable("fleet")
+        raise MalformedDatagramError("fleet")
     return Packet(
         Kind(d.kind),
         d.sender,
@@ -232,7 +232,7 @@
 def _part(p: _Part) -> Part:
     n, rest = divmod(len(p.counts), EACH)
     if rest:
-        raise Unusable("malformed")
+        raise MalformedDatagramError("malformed")
     found = struct.unpack(f"<{n}I{n}H", p.counts)
     counts = tuple(zip(found[:n], [eighths / EIGHTH for eighths in found[n:]], strict=True))
     return Part(p.level, p.wave, p.members, p.age_s, counts)
--- a/finchladder/net/front.py
+++ b/finchladder/net/request_handler.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable
 
 from finchladder.core.connections.client_connections import Worth
-from finchladder.net.control import Controls, Reply
-from finchladder.net.edge import EdgeConnection
+from finchladder.net.admission import Admission
+from finchladder.net.client_connection import ClientConnection
+from finchladder.net.control import ControlCalls, Reply
 from finchladder.net.flows import Answer, Flow
-from finchladder.net.gate import Gate
-from finchladder.net.http1 import BadMessage, Head, StreamClosedError
-from finchladder.net.intake import Intake, Repeated
+from finchladder.net.http1 import Head, MalformedMessageError, StreamClosedError
+from finchladder.net.job_intake import DuplicateRequestError, JobIntake
 from finchladder.net.messages import (
     CALL_BACK,
     CallBack,
@@ -21,7 +21,7 @@
     read_time_left,
 )
 
-HEALTH = "/_health"
+HEALTH_PATH = "/_health"
 
 
 def reply_of(answer: Answer) -> Reply:
@@ -33,34 +33,34 @@
     return Reply(502, b"failed\n")
 
 
-class Front:
+class RequestHandler:
     """`ready` says whether a list of real servers is up; `called_back` takes what they tell."""
 
     def __init__(
         self,
-        intake: Intake,
-        controls: Controls,
+        intake: JobIntake,
+        controls: ControlCalls,
         ready: Callable[[], bool],
         called_back: Callable[[CallBack], None],
-        gate: Gate | None = None,
+        gate: Admission | None = None,
     ) -> None:
         self.intake, self.controls, self.gate = intake, controls, gate
         self.ready, self.called_back = ready, called_back
 
     @property
-    def keeper(self) -> Gate | None:
+    def admission(self) -> Admission | None:
         return self.gate
 
-    async def answer(self, edge: EdgeConnection, head: Head, body: bytes) -> Reply:
+    async def answer(self, edge: ClientConnection, head: Head, body: bytes) -> Reply:
         path = head.target.partition("?")[0]
         if path == CALL_BACK:
             edge.calls_back = True
             if head.method != "POST":
-                raise BadMessage(405, "call-backs come by POST")
+                raise MalformedMessageError(405, "call-backs come by POST")
             self.called_back(read_call_back(body))
             edge.used(Worth.OF_USE)
             return Reply(204)
-        if path == HEALTH:
+        if path == HEALTH_PATH:
             up = self.ready() and not self.intake.leaving.begun
             edge.used(Worth.ASKED)
             return Reply(200, b"up\n") if up else Reply(503, b"not up\n")
@@ -69,14 +69,14 @@
             return reply
         return await self._job(edge, head, body)
 
-    async def _job(self, edge: EdgeConnection, head: Head, body: bytes) -> Reply:
+    async def _job(self, edge: ClientConnection, head: Head, body: bytes) -> Reply:
         job_class, key = read_target(head.target)
         if job_class not in self.intake.classes:
-            raise BadMessage(404, "no such class")
+            raise MalformedMessageError(404, "no such class")
         if head.method != "POST":
-            raise BadMessage(405, "jobs come by POST")
+            raise MalformedMessageError(405, "jobs come by POST")
         if edge.channel.parser.more:  # what follows unasked may be a request hidden in this one's body
-            raise BadMessage(400, "one request at a time")
+            raise MalformedMessageError(400, "one request at a time")
         id, facts, left_s = read_id(head), read_facts(head), read_time_left(head)
         if edge.came_at:
             left_s = max(0.0, left_s - edge.waited_s)
@@ -101,6 +101,8 @@
             if route is not None:
                 flow.route, flow.repeat = route.name, read_repeat(head)
             self.intake.take(flow, verdict.drill)
-        except Repeated:
-            raise BadMessage(400, "a request with this X-Correlation-Id has come already") from None
+        except DuplicateRequestError:
+            raise MalformedMessageError(
+                400, "a request with this X-Correlation-Id has come already"
+            ) from None
         return reply_of(await edge.answer_to(flow))
--- a/finchladder/net/places.py
+++ b/finchladder/net/slots.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 
-class Places:
+class Slots:
     """So many may be taken at once. Whoever waits is served in turn; nobody overtakes."""
 
     def __init__(self, count: int) -> None:
@@ -16,26 +16,26 @@
         """Whether one can be taken without waiting."""
         return self.free > 0 and not self.queue
 
-    def take(self) -> None:
+    def acquire(self) -> None:
         """Only where `open`."""
         self.free -= 1
 
     async def wait(self) -> None:
         """Takes one, once it is this caller's turn."""
         if self.open:
-            return self.take()
+            return self.acquire()
         turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.queue.append(turn)
         try:
             await turn
         except BaseException:
             if turn.done() and not turn.cancelled():
-                self.give()  # its turn had come as it gave up waiting
+                self.release()  # its turn had come as it gave up waiting
             else:
                 self.queue.remove(turn)
             raise
 
-    def give(self) -> None:
+    def release(self) -> None:
         while self.queue:
             turn = self.queue.popleft()
             if not turn.done():
--- a/finchladder/net/timers.py
+++ b/finchladder/net/timers.py
@@ -7,7 +7,7 @@
 
 from finchladder.core.timing_wheel import Wheel
 
-WIDTH = 0.01  # seconds: a call comes so much later than it was due, at the most
+RESOLUTION_S = 0.01  # seconds: a call comes so much later than it was due, at the most
 
 
 class Timers:
@@ -15,7 +15,7 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self.wheel: Wheel[tuple[float, Hashable, Callable[[], object]]] = Wheel(WIDTH)
+        self.wheel: Wheel[tuple[float, Hashable, Callable[[], object]]] = Wheel(RESOLUTION_S)
         self.turning = False
 
     def put(self, key: Hashable, at: float, call: Callable[[], object]) -> None:
@@ -23,7 +23,7 @@
         self.wheel.put(key, (at, key, call), at)
         if not self.turning:
             self.turning = True
-            IOLoop.current().call_later(WIDTH, self._turn)
+            IOLoop.current().call_later(RESOLUTION_S, self._turn)
 
     def drop(self, key: Hashable) -> None:
         self.wheel.drop(key)
@@ -32,7 +32,7 @@
         now = self.clock()
         for at, key, call in self.wheel.due(now):
             if at > now:  # its slot has begun, or it was further ahead than the wheel goes
-                self.wheel.put(key, (at, key, call), max(at, now + WIDTH))
+                self.wheel.put(key, (at, key, call), max(at, now + RESOLUTION_S))
                 continue
             try:
                 call()
@@ -40,4 +40,4 @@
                 logger.exception("a timer died")
         self.turning = len(self.wheel) > 0
         if self.turning:
-            IOLoop.current().call_later(WIDTH, self._turn)
+            IOLoop.current().call_later(RESOLUTION_S, self._turn)
--- a/finchladder/net/lines.py
+++ b/finchladder/net/worker_connection.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from finchladder.net.http1 import BadMessage, Channel, Head, StreamClosedError
+from finchladder.net.http1 import Channel, Head, MalformedMessageError, StreamClosedError
 
-SETTLE_WITHIN = 1.0  # seconds from an answer's head to its last byte
+BODY_TIMEOUT_S = 1.0  # seconds from an answer's head to its last byte
 
 
 class Exchange(Protocol):
@@ -15,19 +15,22 @@
 
     def answered(self, head: Head) -> None: ...
 
-    def broke(self, written: bool) -> None:
+    def connection_failed(self, written: bool) -> None:
         """The line ended before the answer's head came. `written`: the request's last byte may have gone."""
         ...
 
 
-class Line:
+class WorkerConnection:
     """Begins free. It is free again after a whole exchange, and gone after all else.
 
     What comes while it is free was not asked for, and ends it: the next exchange would take it for its own.
     """
 
     def __init__(
-        self, channel: Channel, free: Callable[["Line"], None], gone: Callable[["Line"], None]
+        self,
+        channel: Channel,
+        free: Callable[["WorkerConnection"], None],
+        gone: Callable[["WorkerConnection"], None],
     ) -> None:
         self.channel, self.free, self.gone = channel, free, gone
         self.since = 0.0  # it is free since then
@@ -60,7 +63,7 @@
                 await self.channel.fill()
                 if not self.busy or not await self._take():
                     return
-        except (StreamClosedError, OSError, BadMessage):
+        except (StreamClosedError, OSError, MalformedMessageError):
             pass
         finally:
             self._end()
@@ -76,7 +79,7 @@
             return False
         if self.channel.parser.poll() is None:
             try:
-                async with asyncio.timeout(SETTLE_WITHIN):
+                async with asyncio.timeout(BODY_TIMEOUT_S):
                     await self.channel.message()
             except TimeoutError:
                 return False
@@ -95,11 +98,11 @@
         if exchange is not None:
             # a write that is known to have broken before its last byte never ran; when unsure, it may have
             w = self.writing
-            exchange.broke(self.begun and (w is None or (w.done() and not w.exception())))
+            exchange.connection_failed(self.begun and (w is None or (w.done() and not w.exception())))
         self.gone(self)
 
 
-class KeptLines:
+class IdleConnections:
     """The free lines to all real servers, the one free for longest first. Beyond `most`, that one goes.
 
     Times are in seconds of the caller's clock. All is O(1), or O(what is closed).
@@ -107,15 +110,15 @@
 
     def __init__(self, most: int) -> None:
         self.most = most
-        self.lines: OrderedDict[Line, None] = OrderedDict()
+        self.lines: OrderedDict[WorkerConnection, None] = OrderedDict()
 
-    def put(self, line: Line, now: float) -> None:
+    def put(self, line: WorkerConnection, now: float) -> None:
         line.since = now
         self.lines[line] = None
         if len(self.lines) > self.most:
             self.lines.popitem(last=False)[0].close()
 
-    def drop(self, line: Line) -> None:
+    def drop(self, line: WorkerConnection) -> None:
         self.lines.pop(line, None)
 
     def close_before(self, since: float, most: int) -> None:
--- a/finchladder/net/servers.py
+++ b/finchladder/net/workers.py
@@ -14,24 +14,24 @@
 from finchladder.core.dispatch.attempt_stages import MEANINGS, GiveUp, Step
 from finchladder.net import http1
 from finchladder.net.actor import Actor
-from finchladder.net.flows import Answer, Attempt, Flows
+from finchladder.net.decision_actor import DecisionActor, Ending
+from finchladder.net.flows import Answer, Attempt, FlowTable
 from finchladder.net.http1 import Connect, Head, StreamClosedError
-from finchladder.net.lines import KeptLines, Line
 from finchladder.net.messages import CallBack
-from finchladder.net.module import Ending, ModuleActor
-from finchladder.net.places import Places
+from finchladder.net.slots import Slots
 from finchladder.net.timers import Timers
+from finchladder.net.worker_connection import IdleConnections, WorkerConnection
 
 if TYPE_CHECKING:
     from loguru import Logger
 
-ROOM = 8192
+MAILBOX_SIZE = 8192
 IN_USE, KEPT = 0.23, 0.11  # parts of all sockets, for busy and idle connections to the real servers together
 IN_USE_EACH = 24  # a silent real server must not take the connections of the rest
 IDLE_PART = 0.6  # of the time after which a real server closes: a request must never cross its closing
 REAP_AT_ONCE = 200  # idle connections, and real servers that have left, in one turn of the loop: some 2 ms
-ANSWER_WITHIN = 1.0  # for a DELETE
-GIVE_UP_EVERY = 0.25  # seconds between two tries of one on which a further attempt hangs
+DELETE_TIMEOUT_S = 1.0  # for a DELETE
+CANCEL_RETRY_INTERVAL_S = 0.25  # seconds between two tries of one on which a further attempt hangs
 
 
 class Withdrawal(NamedTuple):
@@ -62,12 +62,12 @@
 CALL_BACK_ENDS = {"done": E.OK, "failed": E.ERROR, "returned": E.OVERLOADED, "lost": E.BROKEN}
 
 
-class Order:
+class JobExchange:
     """A job on its way to a real server, from the line's point of view."""
 
     __slots__ = ("server", "attempt", "line")
 
-    def __init__(self, server: "RealServer", attempt: Attempt, line: Line) -> None:
+    def __init__(self, server: "WorkerActor", attempt: Attempt, line: WorkerConnection) -> None:
         self.server, self.attempt, self.line = server, attempt, line
 
     def answered(self, head: Head) -> None:
@@ -81,7 +81,7 @@
         else:
             self.server.end(s, ending, load_report(head))
 
-    def broke(self, written: bool) -> None:
+    def connection_failed(self, written: bool) -> None:
         s = self.attempt
         s.connection = None
         if not written:
@@ -91,41 +91,41 @@
         self.server.broke(s)  # nothing is sent again here
 
 
-class GivingUp:
+class CancelExchange:
     """A job is given up at its real server. Nothing hangs on the answer."""
 
     def answered(self, head: Head) -> None:
         pass
 
-    def broke(self, written: bool) -> None:
+    def connection_failed(self, written: bool) -> None:
         pass
 
 
-class RealServer(Actor[Attempt | Withdrawal | CallBack]):
+class WorkerActor(Actor[Attempt | Withdrawal | CallBack]):
     def __init__(
         self,
         name: str,
         address: tuple[str, int],
-        flows: Flows,
-        module: ModuleActor,
+        flows: FlowTable,
+        module: DecisionActor,
         timers: Timers,
         connect_timeout: float,
         trust: Trust,
-        all_in_use: Places,
-        kept: KeptLines,
+        all_in_use: Slots,
+        kept: IdleConnections,
         connect: Connect,
         each: int,
     ) -> None:
-        super().__init__(f"real server {name}", ROOM)
+        super().__init__(f"real server {name}", MAILBOX_SIZE)
         self.connect = connect
         self.server, self.address = name, address
         self.flows, self.module, self.clock, self.timers = flows, module, module.clock, timers
         self.connect_timeout, self.trust, self.kept = connect_timeout, trust, kept
         self.ready = True
         self.live: dict[str, Attempt] = {}
-        self.idle: list[Line] = []  # the one used last is the last
+        self.idle: list[WorkerConnection] = []  # the one used last is the last
         self.busy = 0
-        self.in_use, self.all_in_use = Places(each), all_in_use
+        self.in_use, self.all_in_use = Slots(each), all_in_use
 
     @property
     def log(self) -> "Logger":
@@ -134,7 +134,7 @@
     @property
     def at_rest(self) -> bool:
         """Whether nothing is under way with it."""
-        return not (self.live or self.busy or self.waiting or self.tasks)
+        return not (self.live or self.busy or self.backlog or self.tasks)
 
     # --- what the mailbox brings --------------------------------------------------------------------------
 
@@ -209,7 +209,7 @@
             line.close()
             self.broke(s)
 
-    def _write(self, s: Attempt, line: Line) -> None:
+    def _write(self, s: Attempt, line: WorkerConnection) -> None:
         if s.ended:
             return self._free(line)
         # looked at again right before the write: waiting for a connection took time
@@ -219,7 +219,7 @@
         request = s.flow.message.request(self._host(), max(0.0, s.until - self.clock()))
         s.connection = line
         s.step(Step.WRITE)
-        line.begin(Order(self, s, line), request)
+        line.begin(JobExchange(self, s, line), request)
 
     def broke(self, s: Attempt) -> None:
         if not s.ended:
@@ -266,17 +266,17 @@
         elsewhere, once its DELETE is written. A real server that can't be reached may still run it."""
         flow = ended.attempt.flow
         while not await self._give_up(flow.id) and flow.answer is None and self.clock() < flow.deadline:
-            await asyncio.sleep(GIVE_UP_EVERY)
+            await asyncio.sleep(CANCEL_RETRY_INTERVAL_S)
         self._told(ended)
 
     async def _give_up(self, id: str) -> bool:
         """Whether the DELETE was written."""
         path = f"/jobs/{quote(id, safe='')}"  # an id is the client's text: it must not make another path
         try:
-            async with asyncio.timeout(ANSWER_WITHIN):
+            async with asyncio.timeout(DELETE_TIMEOUT_S):
                 line = await self._line()
-                self.timers.put(line, self.clock() + ANSWER_WITHIN, line.close)
-                line.begin(GivingUp(), http1.write_request("DELETE", path, [("Host", self._host())]))
+                self.timers.put(line, self.clock() + DELETE_TIMEOUT_S, line.close)
+                line.begin(CancelExchange(), http1.write_request("DELETE", path, [("Host", self._host())]))
                 if line.writing is not None:
                     await line.writing
         except (StreamClosedError, OSError, TimeoutError):
@@ -285,30 +285,30 @@
 
     # --- lines --------------------------------------------------------------------------------------------
 
-    def _line_at_once(self) -> Line | None:
+    def _line_at_once(self) -> WorkerConnection | None:
         """A kept line, if one can be had without waiting for a place."""
         if not (self.idle and self.in_use.open and self.all_in_use.open) or (line := self._kept()) is None:
             return None
-        self.in_use.take()
-        self.all_in_use.take()
+        self.in_use.acquire()
+        self.all_in_use.acquire()
         return self._held(line)
 
-    async def _line(self) -> Line:
+    async def _line(self) -> WorkerConnection:
         """A line for one exchange, kept or new. It holds its places until it is free again, or gone."""
         async with asyncio.timeout(self.connect_timeout), AsyncExitStack() as places:
             for place in (self.in_use, self.all_in_use):
                 await place.wait()
-                places.callback(place.give)
-            line = self._kept() or Line(await self.connect(self.address), self._free, self._gone)
+                places.callback(place.release)
+            line = self._kept() or WorkerConnection(await self.connect(self.address), self._free, self._gone)
             places.pop_all()
         return self._held(line)
 
-    def _held(self, line: Line) -> Line:
+    def _held(self, line: WorkerConnection) -> WorkerConnection:
         line.held = True
         self.busy += 1
         return line
 
-    def _kept(self) -> Line | None:
+    def _kept(self) -> WorkerConnection | None:
         while self.idle:
             line = self.idle.pop()
             self.kept.drop(line)
@@ -319,14 +319,14 @@
             line.close()
         return None
 
-    def _let_go(self, line: Line) -> None:
+    def _let_go(self, line: WorkerConnection) -> None:
         line.held = False
         self.busy -= 1
         self.timers.drop(line)
-        self.in_use.give()
-        self.all_in_use.give()
+        self.in_use.release()
+        self.all_in_use.release()
 
-    def _free(self, line: Line) -> None:
+    def _free(self, line: WorkerConnection) -> None:
         self._let_go(line)
         if self.ready:
             self.idle.append(line)
@@ -334,7 +334,7 @@
         else:
             line.close()
 
-    def _gone(self, line: Line) -> None:
+    def _gone(self, line: WorkerConnection) -> None:
         if line.held:
             self._let_go(line)
         elif line in self.idle:
@@ -346,13 +346,13 @@
             line.close()
 
 
-class RealServers:
+class WorkerPool:
     """The actors of all real servers that were ever named and still matter. Costs grow with what changes."""
 
     def __init__(
         self,
-        flows: Flows,
-        module: ModuleActor,
+        flows: FlowTable,
+        module: DecisionActor,
         timers: Timers,
         connect_timeout: float,
         conn_idle: float,
@@ -364,11 +364,11 @@
         self.flows, self.module, self.clock, self.timers = flows, module, module.clock, timers
         self.connect, self.each = connect, each
         self.connect_timeout, self.trust = connect_timeout, Trust(self.clock(), conn_idle * IDLE_PART)
-        self.actors: dict[str, RealServer] = {}
+        self.actors: dict[str, WorkerActor] = {}
         self.starts: dict[str, float] = {}
-        self.fading: dict[str, RealServer] = {}  # not ready: they go once nothing is under way with them
-        self.all_in_use = Places(int(IN_USE * sockets))
-        self.kept = KeptLines(int(KEPT * sockets))
+        self.fading: dict[str, WorkerActor] = {}  # not ready: they go once nothing is under way with them
+        self.all_in_use = Slots(int(IN_USE * sockets))
+        self.kept = IdleConnections(int(KEPT * sockets))
         self.reaper = PeriodicCallback(self._reap, 1000)
 
     def start(self) -> None:
@@ -398,15 +398,15 @@
             if (actor := self.actors.get(name)) is not None:
                 self._set_ready(actor, False)
 
-    def _set_ready(self, actor: RealServer, ready: bool) -> None:
+    def _set_ready(self, actor: WorkerActor, ready: bool) -> None:
         actor.ready = ready
         if ready:
             self.fading.pop(actor.server, None)
         else:
             self.fading[actor.server] = actor
 
-    def _add(self, name: str, address: tuple[str, int]) -> RealServer:
-        actor = self.actors[name] = RealServer(
+    def _add(self, name: str, address: tuple[str, int]) -> WorkerActor:
+        actor = self.actors[name] = WorkerActor(
             name,
             address,
             self.flows,
--- a/finchladder/sim/inner.py
+++ b/finchladder/sim/inner.py
@@ -7,10 +7,10 @@
 from finchladder.core.dispatch.attempt_stages import Stage
 from finchladder.core.routing.limited_dispatcher import Guarded, NewRoutes
 from finchladder.features.replay import Replay
-from finchladder.net.lines import Line
-from finchladder.net.node import Node
-from finchladder.net.recorder import Recorder
-from finchladder.net.servers import IN_USE_EACH
+from finchladder.net.capture_recorder import CaptureRecorder
+from finchladder.net.node import DispatcherNode
+from finchladder.net.worker_connection import WorkerConnection
+from finchladder.net.workers import IN_USE_EACH
 
 if TYPE_CHECKING:
     from finchladder.sim.process import Process
@@ -25,7 +25,7 @@
 class Tap:
     """Between the module's actor and what it tells: each send has one end, no end comes without a send."""
 
-    def __init__(self, inner: "Inner", further: Recorder | None) -> None:
+    def __init__(self, inner: "Inner", further: CaptureRecorder | None) -> None:
         self.inner, self.further = inner, further
         self.out: dict[tuple[str, int], str] = {}
         self.sent: dict[str, int] = {}
@@ -58,10 +58,10 @@
 class Inner:
     """Of one start of one dispatcher."""
 
-    def __init__(self, process: "Process", node: Node) -> None:
+    def __init__(self, process: "Process", node: DispatcherNode) -> None:
         self.process, self.node, self.run = process, node, process.run
         further = node.module.tap
-        self.tap = Tap(self, further if isinstance(further, Recorder) else None)
+        self.tap = Tap(self, further if isinstance(further, CaptureRecorder) else None)
         node.module.tap = self.tap
         self.loaded = node.reload.loaded if node.reload is not None else None  # as of the start
         self.sockets = node.setup.limits.sockets
@@ -86,8 +86,8 @@
         for key in unwanted:
             if key in self.tap.out:
                 self.found("not given up", f"{key} was given up by the decisions, and is still out")
-        if node.module.waiting:
-            self.found("mailbox", f"{node.module.waiting} items wait for the module though it rests")
+        if node.module.backlog:
+            self.found("mailbox", f"{node.module.backlog} items wait for the module though it rests")
         if node.flows.open > node.intake.most_open:
             self.found("bounds", f"{node.flows.open} flows are open, {node.intake.most_open} may be")
         if len(node.clients.edges) > node.clients.edges.most:
@@ -133,7 +133,7 @@
                 self.found("tables", f"{flow.id} is over and still in the table")
         for actor in node.servers.actors.values():
             for id, s in actor.live.items():
-                if isinstance(s.connection, Line) and s.connection.over:
+                if isinstance(s.connection, WorkerConnection) and s.connection.over:
                     self.found("tables", f"{actor.name}: {id} waits on a line that is gone")
                 if s.stage is Stage.WAITING and not self.run.was_stopped(self.process):
                     waits = node.clock() - s.sent
--- a/finchladder/sim/process.py
+++ b/finchladder/sim/process.py
@@ -15,8 +15,8 @@
 from finchladder.core.routing.routes import NO_ROUTES
 from finchladder.lab.settings import config_file
 from finchladder.net import http1
-from finchladder.net.machine import Disk, Machine
-from finchladder.net.node import Node, OperatorFile
+from finchladder.net.host_environment import Disk, HostEnvironment
+from finchladder.net.node import DispatcherNode, OperatorFile
 from finchladder.sim.draws import stream
 from finchladder.sim.loop import VirtualLoop
 from finchladder.sim.sockets import VirtualSocket
@@ -65,13 +65,13 @@
         self.wall_off = 0.0
         self.sluggish = 1.0
         self.loop: VirtualLoop | None = None
-        self.node: Node | None = None
+        self.node: DispatcherNode | None = None
         self.main: asyncio.Task[None] | None = None
-        self.machine = Machine()
+        self.machine = HostEnvironment()
         self.buried: list[VirtualLoop] = []
         self.left_at = 0.0
         self.on_exit: Callable[[], None] = lambda: None
-        self.made: Callable[[Node], None] = lambda node: None
+        self.made: Callable[[DispatcherNode], None] = lambda node: None
 
     @property
     def address(self) -> tuple[str, int]:
@@ -101,7 +101,7 @@
         loop.fired = partial(run.step, "timer", self.name)
         since = 1000.0 * random.random()  # no two machines count alike
         kernel, wall = run.kernel, run.plan.world.wall
-        self.machine = Machine(
+        self.machine = HostEnvironment(
             wall=lambda: wall + kernel.now + self.wall_off,
             cpu=lambda: 0.0,  # a turn takes no time
             aside=self._aside,
@@ -138,7 +138,7 @@
         if texts:
             first = load(texts[0], "routes.toml", setup.settings)
             file = OperatorFile(first if isinstance(first, Loaded) else EMPTY, read)
-        self.node = node = Node(setup, options, self.setup, self.machine, file)
+        self.node = node = DispatcherNode(setup, options, self.setup, self.machine, file)
         self.made(node)
         await node.serve()
 
--- a/finchladder/sim/run.py
+++ b/finchladder/sim/run.py
@@ -24,7 +24,7 @@
 from finchladder.lab import records
 from finchladder.lab.judge import Finding
 from finchladder.lab.models.kernel import Kernel
-from finchladder.net.node import Node
+from finchladder.net.node import DispatcherNode
 from finchladder.sim.clients import Clients, Try
 from finchladder.sim.coverage import Coverage
 from finchladder.sim.faults import Faults, Who
@@ -253,7 +253,7 @@
             self.found("died", text, node=process.name)
         process.exited()
 
-    def made(self, process: Process, node: Node) -> None:
+    def made(self, process: Process, node: DispatcherNode) -> None:
         self.inner[process.name] = Inner(process, node)
 
     # --- the run
--- a/finchladder/store/lastgood.py
+++ b/finchladder/store/last_good_list.py
@@ -18,10 +18,10 @@
 
 T = TypeVar("T")
 
-MOST_BYTES = 16 * 1024 * 1024  # some 100,000 entries
+MAX_BYTES = 16 * 1024 * 1024  # some 100,000 entries
 HEAD_BYTES = 1024
-LAST_WORDS = 1.0  # seconds at the end for what is not yet written
-ASIDE = ".set-aside"
+CLOSE_TIMEOUT_S = 1.0  # seconds at the end for what is not yet written
+SET_ASIDE_SUFFIX = ".set-aside"
 
 
 class Head(msgspec.Struct, forbid_unknown_fields=True):
@@ -41,7 +41,7 @@
     body: bytes
 
 
-class Unusable(ValueError):
+class UnusableListError(ValueError):
     """There is a file, and it can't be used; the message says why."""
 
 
@@ -64,11 +64,11 @@
     try:
         head = msgspec.json.decode(line[:HEAD_BYTES], type=Head)
     except (msgspec.MsgspecError, UnicodeDecodeError):
-        raise Unusable("it is no list of this program") from None
+        raise UnusableListError("it is no list of this program") from None
     if len(body) != head.size:
-        raise Unusable(f"it has {len(body)} bytes of a list of {head.size}")
+        raise UnusableListError(f"it has {len(body)} bytes of a list of {head.size}")
     if hashlib.sha256(body).hexdigest() != head.sha256:
-        raise Unusable("its checksum is wrong")
+        raise UnusableListError("its checksum is wrong")
     return LastGood(head.source, head.version, head.time_s, body)
 
 
@@ -76,25 +76,25 @@
     """None: there is none. Raises Unusable, and OSError where it can't be read."""
     try:
         with path.open("rb") as file:
-            data = file.read(MOST_BYTES + HEAD_BYTES + 1)
+            data = file.read(MAX_BYTES + HEAD_BYTES + 1)
     except FileNotFoundError:
         return None
-    if len(data) > MOST_BYTES + HEAD_BYTES:
-        raise Unusable(f"it is larger than {MOST_BYTES} bytes")
+    if len(data) > MAX_BYTES + HEAD_BYTES:
+        raise UnusableListError(f"it is larger than {MAX_BYTES} bytes")
     return decode(data)
 
 
 def set_aside(path: Path) -> Path:
     """Out of the way of the next one; what was set aside before is overwritten. Raises OSError."""
-    to = path.with_name(path.name + ASIDE)
+    to = path.with_name(path.name + SET_ASIDE_SUFFIX)
     os.replace(path, to)
     return to
 
 
 def write(path: Path, found: LastGood) -> None:
     """Raises OSError, and ValueError for one that is too large; the file is as it was then."""
-    if len(found.body) > MOST_BYTES:
-        raise ValueError(f"the list has {len(found.body)} bytes, and {MOST_BYTES} is the most")
+    if len(found.body) > MAX_BYTES:
+        raise ValueError(f"the list has {len(found.body)} bytes, and {MAX_BYTES} is the most")
     path.parent.mkdir(parents=True, exist_ok=True)
     new = path.with_name(path.name + ".new")
     try:
@@ -126,7 +126,7 @@
         self.found: Callable[[tuple[LastGood, T] | None], None] = lambda found: None
         self.wake, self.lock, self.closing = threading.Event(), threading.Lock(), False
         self.waiting: Callable[[], LastGood] | None = None
-        self.told = False  # a failing disk is told of once, until it works again
+        self.failure_logged = False  # a failing disk is told of once, until it works again
 
     def begin(self, found: Callable[[tuple[LastGood, T] | None], None]) -> None:
         """`found` is called on the thread, with None where there is no file that can be used."""
@@ -144,7 +144,7 @@
             self.closing = True
         self.wake.set()
         if self.is_alive():
-            self.join(LAST_WORDS)
+            self.join(CLOSE_TIMEOUT_S)
 
     def run(self) -> None:
         self.found(self._read())
@@ -177,11 +177,11 @@
         try:
             write(self.path, made())
         except (OSError, ValueError) as e:
-            if not self.told:
-                self.told = True
+            if not self.failure_logged:
+                self.failure_logged = True
                 why = getattr(e, "strerror", None) or e
                 logger.error("last good list: {} can't be written: {}", self.path, why)
             return
-        if self.told:
-            self.told = False
+        if self.failure_logged:
+            self.failure_logged = False
             logger.info("last good list: {} can be written again", self.path)
--- a/tests/core/peers/test_loads.py
+++ b/tests/core/peers/test_loads.py
@@ -13,7 +13,7 @@
 from finchladder.core.peers.messages import Grant, Kind, Packet, Row, Want
 from finchladder.core.peers.retries import SharedBudget
 from finchladder.core.routing.routes import RetryBudget
-from finchladder.features.shared_door import MOST_WAIT_S, SharedBuckets
+from finchladder.features.shared_admission_limits import MOST_WAIT_S, SharedBuckets
 from tests.helpers import Bench, workers
 
 
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -22,7 +22,7 @@
 from finchladder.core.dispatch.worker_index import Fleet, Ring
 from finchladder.core.timing_wheel import SLOTS, Wheel
 from finchladder.features import snapshot
-from finchladder.features.arrivals import Arrivals
+from finchladder.features.request_admission import Arrivals
 from tests.core.oracle import OldPool, Scanning
 from tests.helpers import Bench, entry, settings
 
--- a/tests/core/test_guarded_replay.py
+++ b/tests/core/test_guarded_replay.py
@@ -13,9 +13,9 @@
 from finchladder.core.routing.limited_dispatcher import Guarded, NewRoutes
 from finchladder.core.routing.routes import Backoff, Hedge, Queue, RetryBudget, Route, Routes
 from finchladder.features import snapshot
-from finchladder.features.arrivals import Arrivals
 from finchladder.features.capture import Capture, block_of
 from finchladder.features.replay import Replay
+from finchladder.features.request_admission import Arrivals
 from tests.helpers import settings
 from tests.test_capture import FEATURES, SEED, TENANTS, Play
 
--- a/tests/core/test_members.py
+++ b/tests/core/test_members.py
@@ -16,8 +16,8 @@
 from finchladder.core.api import ListKind, WorkerStatus
 from finchladder.core.membership.aperture import Aperture, ApertureSettings
 from finchladder.core.membership.subset_filter import Members
-from finchladder.net import http1, service
-from finchladder.net.service import ServiceActor
+from finchladder.net import endpoint_watcher, http1
+from finchladder.net.endpoint_watcher import EndpointWatcher
 from tests.helpers import Bench, entry, settings
 
 TEN = ApertureSettings(server_connections=240, connections_each=24)  # a real server serves ten dispatchers
@@ -142,15 +142,15 @@
     """Half read, it would have another subset, whose real servers would come and go."""
 
     async def play() -> None:
-        monkeypatch.setattr(service, "LONG", 2000)
-        monkeypatch.setattr(service, "SIFT_AT_ONCE", 16)
+        monkeypatch.setattr(endpoint_watcher, "LONG", 2000)
+        monkeypatch.setattr(endpoint_watcher, "SIFT_AT_ONCE", 16)
         applied: list[api.WorkerEntry] = []
         members = Members(7, 40, TEN)
 
         def apply(workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
             applied.extend(workers.entries)
 
-        actor = ServiceActor(AT, apply, lambda names: None, http1.connect, members)
+        actor = EndpointWatcher(AT, apply, lambda names: None, http1.connect, members)
         whole = [entry(name) for name in names(200)]
         await actor.take(line(whole, True, 1))
         while not members.listed:
@@ -204,4 +204,4 @@
 
 def test_off_there_is_neither_filter_nor_split() -> None:
     assert Dispatcher(settings(), 1).fleet.pools[None].parts == {}
-    assert ServiceActor(AT, lambda *a: None, lambda names: None, http1.connect).subset is None
+    assert EndpointWatcher(AT, lambda *a: None, lambda names: None, http1.connect).subset is None
--- a/tests/core/test_sizes.py
+++ b/tests/core/test_sizes.py
@@ -13,7 +13,7 @@
 from finchladder.core.dispatch.worker_capacity import LEAST_FACTOR, MOST_KINDS, Sizes
 from finchladder.core.dispatch.worker_index import Pool, Ring, ring_points
 from finchladder.features import snapshot
-from finchladder.features.arrivals import Arrivals
+from finchladder.features.request_admission import Arrivals
 from tests.helpers import Bench, entry, settings, workers
 from tests.test_mechanism import key_with_pair, pair_of
 
--- a/tests/core/test_zones.py
+++ b/tests/core/test_zones.py
@@ -15,8 +15,8 @@
 from finchladder.core.routing.limited_dispatcher import Guarded, decisions
 from finchladder.core.routing.routes import NO_ROUTES
 from finchladder.features import snapshot
-from finchladder.features.arrivals import Arrivals
 from finchladder.features.capture import Capture
+from finchladder.features.request_admission import Arrivals
 from tests.core.test_fleet import DAY, History
 from tests.helpers import Bench, entry, settings
 from tests.test_capture import replayed
--- a/tests/etcd/test_messages.py
+++ b/tests/etcd/test_messages.py
@@ -6,7 +6,7 @@
 import pytest
 
 from finchladder.lab.etcd.gateway import base64
-from finchladder.net.etcd.messages import MOST_FRAME, MOST_ITEM, BadAnswer, Reader, Refusal
+from finchladder.net.etcd.messages import MOST_FRAME, MOST_ITEM, MalformedAnswerError, Reader, Refusal
 
 HEADER = {"cluster_id": "18446744073709551615", "revision": "9", "raft_term": "2"}
 
@@ -71,5 +71,5 @@
     ids=["html", "number", "base64", "frame", "key"],
 )
 def test_what_is_no_answer_ends_the_connection(data: bytes) -> None:
-    with pytest.raises(BadAnswer):
+    with pytest.raises(MalformedAnswerError):
         Reader(True).feed(data + b"{" * 70_000)
--- a/tests/sim/test_network.py
+++ b/tests/sim/test_network.py
@@ -9,8 +9,8 @@
 import pytest
 
 from finchladder.lab.models.kernel import Kernel
+from finchladder.net.host_environment import listen
 from finchladder.net.http1 import Channel, Stream, StreamClosedError, connect, server_parser
-from finchladder.net.machine import listen
 from finchladder.sim.draws import stream
 from finchladder.sim.loop import VirtualLoop
 from finchladder.sim.network import AGAIN_S, End, Handler, Manners, Network
--- a/tests/test_believing.py
+++ b/tests/test_believing.py
@@ -18,9 +18,9 @@
 from finchladder.core.membership.decisions import MembershipSettings, Report, Source
 from finchladder.lab.etcd.server import Etcd
 from finchladder.lab.etcd.store import Put
-from finchladder.net.membership import Found, MembershipActor, last_good_file
-from finchladder.store import lastgood
-from finchladder.store.lastgood import LastGood, LastGoodFile
+from finchladder.net.membership_actor import Found, MembershipActor, last_good_file
+from finchladder.store import last_good_list
+from finchladder.store.last_good_list import LastGood, LastGoodFile
 from tests.peers import HEALTH, ROOT, RealServer, exchange, list_line, node, run
 
 R, D, G = api.WorkerStatus.READY, api.WorkerStatus.DRAINING, api.WorkerStatus.REMOVED
@@ -59,8 +59,8 @@
 def test_a_list_is_written_whole_and_read_back(tmp_path: Path) -> None:
     path = tmp_path / "new" / "last"
     assert read(path) == (None, "")
-    lastgood.write(path, GOOD)
-    lastgood.write(path, GOOD._replace(version=8))
+    last_good_list.write(path, GOOD)
+    last_good_list.write(path, GOOD._replace(version=8))
     found, said = read(path)
     assert found is not None
     assert (found[0].version, said) == (8, "")
@@ -69,7 +69,7 @@
     assert os.listdir(path.parent) == ["last"]
 
 
-WHOLE = lastgood.encode(GOOD)
+WHOLE = last_good_list.encode(GOOD)
 HEAD, _, BODY = WHOLE.partition(b"\n")
 
 
@@ -84,8 +84,8 @@
         (WHOLE[:-9], "bytes of a list of"),
         (WHOLE + b"{}", "bytes of a list of"),
         (WHOLE.replace(b'"a"', b'"c"'), "checksum is wrong"),
-        (lastgood.encode(GOOD._replace(body=b'{"index":1}')), "missing required field"),
-        (b" " * (lastgood.MOST_BYTES + 2000), "larger than"),
+        (last_good_list.encode(GOOD._replace(body=b'{"index":1}')), "missing required field"),
+        (b" " * (last_good_list.MAX_BYTES + 2000), "larger than"),
     ],
     ids=range(10),
 )
@@ -109,13 +109,13 @@
     said = log_of(lambda: file._write(lambda: GOOD._replace(version=9)))[1]
     said += log_of(lambda: file._write(lambda: GOOD._replace(version=9)))[1]
     assert said.count("can't be written") == 1
-    assert lastgood.decode(path.read_bytes()).version == 7
+    assert last_good_list.decode(path.read_bytes()).version == 7
     (tmp_path / "last.new").rmdir()
-    too_large = GOOD._replace(body=b" " * (lastgood.MOST_BYTES + 1))
+    too_large = GOOD._replace(body=b" " * (last_good_list.MAX_BYTES + 1))
     said = log_of(lambda: file._write(lambda: GOOD))[1] + log_of(lambda: file._write(lambda: too_large))[1]
     assert "can be written again" in said
     assert "16777216 is the most" in said
-    assert lastgood.decode(path.read_bytes()).version == 7
+    assert last_good_list.decode(path.read_bytes()).version == 7
 
 
 def test_the_thread_reads_first_and_writes_the_newest_before_it_ends(tmp_path: Path) -> None:
@@ -126,7 +126,7 @@
     file.begin(found.append)
     file.close()
     assert found == [None]
-    assert lastgood.decode(path.read_bytes()).version == 4
+    assert last_good_list.decode(path.read_bytes()).version == 4
 
 
 def test_the_page_has_the_settings_as_they_are() -> None:
@@ -191,7 +191,7 @@
         applied, now = Applied(), [100.0]
         sources = [Source("discovery", 0.0), Source("etcd", 60.0)]
         actor = MembershipActor(sources, MembershipSettings(), lambda: now[0], applied, 16)
-        actor.heard("etcd")
+        actor.source_is_alive("etcd")
         actor.report(whole({f"w{n}": D if n < 9 else R for n in range(600)}))
         assert actor.up
         assert applied.calls == [("change", 9 + 256)]
@@ -225,7 +225,7 @@
     used: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("finchladder.net.membership.READ_WITHIN", 0.02)
+    monkeypatch.setattr("finchladder.net.membership_actor.READ_WITHIN", 0.02)
 
     async def play() -> None:
         good = LastGood(source, version, 1000.0 - age, GOOD.body)
@@ -294,7 +294,7 @@
             assert await n.process.wait() == 0
         log = (tmp_path / "log").read_text()
         assert "membership: 1 entries vanished within 10 s (w1), and stay" in log
-        assert lastgood.decode((tmp_path / "last").read_bytes())[:2] == ("discovery", 5)
+        assert last_good_list.decode((tmp_path / "last").read_bytes())[:2] == ("discovery", 5)
         async with node(tmp_path, one, ini=ini, known=None) as n:  # known to nobody but the file
             assert (await exchange(n.port, HEALTH)).status == 200
             assert (await n.ask("b1")).body == b"w1 ran b1"
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -19,15 +19,15 @@
 from finchladder.core.api import Ending as E
 from finchladder.core.dispatch.records import Job, Worker
 from finchladder.features import snapshot
-from finchladder.features.arrivals import Arrivals
 from finchladder.features.capture import OPENING, PARTS, Capture, Ring, Sink, in_line, pieces
-from finchladder.features.drills import Order
+from finchladder.features.fault_injection import Order
 from finchladder.features.replay import EventIn, ListIn, Replay, RequestIn
-from finchladder.net.control import Controls
-from finchladder.net.disk import CaptureFiles
+from finchladder.features.request_admission import Arrivals
+from finchladder.net.capture_files import CaptureFiles
+from finchladder.net.capture_recorder import CaptureRecorder
+from finchladder.net.control import ControlCalls
+from finchladder.net.decision_actor import Clock
 from finchladder.net.http1 import Head, Headers
-from finchladder.net.module import Clock
-from finchladder.net.recorder import Recorder
 from tests.core.test_fleet import DAY, History
 from tests.helpers import Bench, entry, settings
 from tests.peers import ROOT, SETTINGS, Node, RealServer, exchange, node, run
@@ -390,7 +390,7 @@
 
 def test_what_cant_be_recorded_is_a_gap_and_harms_nobody() -> None:
     play = Play()
-    recorder = Recorder(play.capture)
+    recorder = CaptureRecorder(play.capture)
     play.play(50)
     recorder.decided(play.now, api.HealthChecked("w", E.OK, 0.1), [])  # has no line
     play.play(2000)
@@ -459,7 +459,7 @@
     """What is being sent is held until it is sent, though the ring goes on: a second would be held too."""
     play = Play()
     play.play(2000)
-    controls = Controls(Clock(), set(), FEATURES, None, play.arrivals, play.capture)
+    controls = ControlCalls(Clock(), set(), FEATURES, None, play.arrivals, play.capture)
     head = Head(1, Headers([]), "GET", "/_capture")
     first, second = controls.answer(head, b""), controls.answer(head, b"")
     assert first and first.dump and second and (second.status, second.dump) == (503, None)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,9 +18,9 @@
 
 from finchladder.core.connections.body_memory import BodyMemory
 from finchladder.core.connections.graceful_shutdown import Leaving
-from finchladder.net import clients, edge
+from finchladder.net import client_connection, client_listener
 from finchladder.net.control import Reply
-from finchladder.net.front import Front
+from finchladder.net.request_handler import RequestHandler
 from tests.peers import (
     ACCEPT,
     HEALTH,
@@ -158,7 +158,7 @@
             reader, writer = await opened(n)
             writer.write(request("a1", "/u/k1", left="300"))
             await until(lambda: server.got)
-            writer.write(b"x" * (2 * edge.AHEAD))
+            writer.write(b"x" * (2 * client_connection.MAX_READ_AHEAD))
             await until(lambda: server.deleted)
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await reader.readexactly(1)
@@ -590,7 +590,9 @@
 
     async def play() -> None:
         listening = listener()
-        parts = clients.Clients(cast(Front, Desk(lambda: raw.sendall(HEALTH))), BodyMemory(1 << 20, 0), 128)
+        parts = client_listener.ClientListener(
+            cast(RequestHandler, Desk(lambda: raw.sendall(HEALTH))), BodyMemory(1 << 20, 0), 128
+        )
         parts.add_socket(listening)
         raw = socket.create_connection(listening.getsockname())
         raw.sendall(HEALTH.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
@@ -615,7 +617,7 @@
 
     async def play() -> None:
         listening, desk = listener(), Large()
-        parts = clients.Clients(cast(Front, desk), BodyMemory(1 << 20, 0), 128)
+        parts = client_listener.ClientListener(cast(RequestHandler, desk), BodyMemory(1 << 20, 0), 128)
         parts.add_socket(listening)
         reader, writer = await asyncio.open_connection(*listening.getsockname(), limit=4096)
         writer.write(HEALTH)
@@ -648,7 +650,7 @@
     async def play() -> None:
         desk = Desk()
         desk.flows = Open()
-        parts = clients.Clients(cast(Front, desk), BodyMemory(1 << 20, 0), 128)
+        parts = client_listener.ClientListener(cast(RequestHandler, desk), BodyMemory(1 << 20, 0), 128)
         parts.add_socket(listening)
         await parts.leave()
         reader, writer = await asyncio.open_connection(sock=raw[0])
@@ -670,7 +672,7 @@
 
     async def play() -> None:
         listening = listener()
-        parts = clients.Clients(cast(Front, Desk()), BodyMemory(1 << 20, 0), 128)
+        parts = client_listener.ClientListener(cast(RequestHandler, Desk()), BodyMemory(1 << 20, 0), 128)
         crowd = [socket.create_connection(listening.getsockname()) for _ in range(parts.edges.most + 20)]
         raw = socket.create_connection(listening.getsockname())
         raw.sendall(HEALTH)
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -31,7 +31,7 @@
     flaw,
 )
 from finchladder.net.peers.actor import PeersActor
-from finchladder.net.peers.datagrams import MOST, VERSION, Unusable, decode, encode
+from finchladder.net.peers.datagrams import MOST, VERSION, MalformedDatagramError, decode, encode
 
 NAME = st.text("abcdefgh.-_0123456789", min_size=1, max_size=32)
 INT, FIGURE = st.integers(0, MOST_INCARNATION), st.floats(0, 1e9)
@@ -138,7 +138,7 @@
     p, before = made(), state(made())
     try:
         packet = decode("f", data)
-    except Unusable:
+    except MalformedDatagramError:
         assert state(p) == before
         return
     if flaw(packet) is not None or packet.sender not in ("n2", "n3"):
@@ -223,7 +223,7 @@
     ],
 )
 def test_why_a_datagram_is_dropped(data: bytes, why: str) -> None:
-    with pytest.raises(Unusable, match=why):
+    with pytest.raises(MalformedDatagramError, match=why):
         decode("f", data)
 
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -6,7 +6,7 @@
 import pytest
 
 from finchladder.config.options import DoorOptions, Options
-from finchladder.features.door import Buckets, Door
+from finchladder.features.admission_limits import Buckets, Door
 from tests.peers import HEALTH, RealServer, exchange, node, read_message, request, run
 
 
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -13,14 +13,14 @@
 from finchladder import Dispatcher
 from finchladder.config.options import OFF, DrillOptions, Options
 from finchladder.core.connections.graceful_shutdown import Leaving
-from finchladder.features.arrivals import Arrivals
-from finchladder.features.drills import Drills, Effect, Order
-from finchladder.net.control import Controls
-from finchladder.net.flows import Answer, Flow, Flows
-from finchladder.net.http1 import BadMessage, Head, Headers
-from finchladder.net.intake import Intake
+from finchladder.features.fault_injection import Drills, Effect, Order
+from finchladder.features.request_admission import Arrivals
+from finchladder.net.control import ControlCalls
+from finchladder.net.decision_actor import Clock, DecisionActor
+from finchladder.net.flows import Answer, Flow, FlowTable
+from finchladder.net.http1 import Head, Headers, MalformedMessageError
+from finchladder.net.job_intake import JobIntake
 from finchladder.net.messages import HttpMessage
-from finchladder.net.module import Clock, ModuleActor
 from finchladder.net.timers import Timers
 from tests.helpers import settings
 from tests.peers import ROOT, Node, RealServer, exchange, node, request, run
@@ -213,8 +213,8 @@
 def test_an_unusable_order_is_refused(body: bytes) -> None:
     options = Options(drill=DrillOptions(KEY))
     arrivals = Arrivals(options, 1)
-    controls = Controls(Clock(), {"u"}, options, None, arrivals, None)
-    with pytest.raises(BadMessage) as e:
+    controls = ControlCalls(Clock(), {"u"}, options, None, arrivals, None)
+    with pytest.raises(MalformedMessageError) as e:
         controls.answer(Head(1, Headers([("X-Drill-Key", KEY)]), "POST", "/_drill"), body)
     assert arrivals.drills is not None
     assert (e.value.status, arrivals.drills.running) == (400, {})
@@ -222,10 +222,10 @@
 
 def test_nothing_is_held_of_a_flow_whose_client_has_left() -> None:
     async def play() -> None:
-        flows = Flows()
-        module, seen = ModuleActor(Dispatcher(settings(), 1), flows, Clock()), list[object]()
+        flows = FlowTable()
+        module, seen = DecisionActor(Dispatcher(settings(), 1), flows, Clock()), list[object]()
         module.tell = seen.append  # type: ignore[assignment]
-        intake = Intake({"u"}, flows, module, Timers(Clock()), Arrivals(OFF, 1), Leaving(3.0), 128)
+        intake = JobIntake({"u"}, flows, module, Timers(Clock()), Arrivals(OFF, 1), Leaving(3.0), 128)
         message = HttpMessage("POST", "/u", Headers([]), b"")
         flow = Flow("a", "u", None, {}, message, Clock()() + 900, lambda answer: None)
         intake.take(flow, Effect(600.0))
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -21,14 +21,14 @@
 from finchladder.core.connections.body_memory import BodyMemory
 from finchladder.core.dispatch.attempt_stages import Stage
 from finchladder.core.overload.controller import OverloadSettings, State
-from finchladder.net import clients, edge, gate, http1, messages, servers
-from finchladder.net.control import Controls
-from finchladder.net.flows import Answer, Attempt, Flow, Flows
-from finchladder.net.front import Front
-from finchladder.net.gate import Gate, plain_job
+from finchladder.net import admission, client_connection, client_listener, http1, messages, workers
+from finchladder.net.admission import Admission, plain_job
+from finchladder.net.control import ControlCalls
+from finchladder.net.decision_actor import Clock, DecisionActor
+from finchladder.net.flows import Answer, Attempt, Flow, FlowTable
+from finchladder.net.host_environment import HostEnvironment, Selector
 from finchladder.net.http1 import Parser
-from finchladder.net.machine import Machine, Selector
-from finchladder.net.module import Clock, ModuleActor
+from finchladder.net.request_handler import RequestHandler
 from finchladder.net.timers import Timers
 from tests.helpers import KEYED, SAFE, UNSAFE, entry
 from tests.helpers import settings as facts
@@ -44,23 +44,25 @@
     """Clients, a front and a gate that sheds: nothing is let in but by `let_in`. Jobs wait in `taken`."""
 
     def __init__(self, sockets: int = 128, memory: int = 1 << 25) -> None:
-        flows = Flows()
-        self.module = ModuleActor(Dispatcher(facts(), 1), flows, Clock())
+        flows = FlowTable()
+        self.module = DecisionActor(Dispatcher(facts(), 1), flows, Clock())
         self.told: list[object] = []
         self.module.tell = self.told.append  # type: ignore[assignment]
         self.intake = intake(flows, self.module)
         self.intake.classes = {"safe"}
-        self.gate = Gate((SAFE, UNSAFE, KEYED), OverloadSettings(), 1, Clock(), flows.known, Machine())
+        self.gate = Admission(
+            (SAFE, UNSAFE, KEYED), OverloadSettings(), 1, Clock(), flows.known, HostEnvironment()
+        )
         self.control = self.gate.control
         self.control.state, self.control.spare = State.SHED, True  # what comes late may be read as well
         for band in self.control.bands:
             band.share = 0.0  # what does not wait is refused
         self.gate._tick = lambda: None  # type: ignore[method-assign]
         self.let(0)
-        controls = Controls(self.intake.clock, self.intake.classes, OFF, None, self.intake.arrivals, None)
-        front = Front(self.intake, controls, lambda: True, self.told.append, self.gate)
+        controls = ControlCalls(self.intake.clock, self.intake.classes, OFF, None, self.intake.arrivals, None)
+        front = RequestHandler(self.intake, controls, lambda: True, self.told.append, self.gate)
         self.bodies = BodyMemory(memory)
-        self.clients = clients.Clients(front, self.bodies, sockets)
+        self.clients = client_listener.ClientListener(front, self.bodies, sockets)
         self.listening = socket.create_server(("127.0.0.1", 0))
         self.listening.setblocking(False)
         self.port: int = self.listening.getsockname()[1]
@@ -136,7 +138,7 @@
     request().replace(b"X-Correlation-Id", b"x-CORRELATION-id"),
 ]
 NOT_PLAIN = [
-    *(data for data, _ in BAD if len(data) < gate.LOOK and not data.startswith(b"POST /nosuch")),
+    *(data for data, _ in BAD if len(data) < admission.LOOK and not data.startswith(b"POST /nosuch")),
     CALL_BACK,
     HEALTH,
     JOB[:-1],
@@ -266,9 +268,9 @@
                 else:
                     p.turn_away()
                 assert [(await read_message(reader)).status for _ in range(2)] == [200 if let else 503, 200]
-            body = b"x" * (gate.LOOK - len(request("b1", "/safe/k", body=b"x" * 1000)) + 1000)
+            body = b"x" * (admission.LOOK - len(request("b1", "/safe/k", body=b"x" * 1000)) + 1000)
             whole = request("b1", "/safe/k", body=body)  # is received at once, and no more
-            assert len(whole) == gate.LOOK
+            assert len(whole) == admission.LOOK
             writer.write(whole + HEALTH)
             await p.wait(1)
             p.let(1)
@@ -305,7 +307,7 @@
 
 @pytest.mark.parametrize(("data", "status"), BAD)
 def test_bad_input_is_answered_as_ever(data: bytes, status: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(edge, "MESSAGE_WITHIN", 0.1)
+    monkeypatch.setattr(client_connection, "MESSAGE_WITHIN", 0.1)
 
     async def play() -> None:
         async with place() as p:
@@ -354,8 +356,8 @@
 
 def test_only_the_first_silence_is_closed_for(monkeypatch: pytest.MonkeyPatch) -> None:
     """A client that has sent its job in time waits for the gate, and that is not its fault."""
-    monkeypatch.setattr(edge, "FIRST_WITHIN", 0.1)
-    monkeypatch.setattr(gate, "FIRST_WITHIN", 0.1)
+    monkeypatch.setattr(client_connection, "FIRST_WITHIN", 0.1)
+    monkeypatch.setattr(admission, "FIRST_WITHIN", 0.1)
 
     async def play() -> None:
         async with place() as p:
@@ -456,7 +458,7 @@
 
 def test_with_all_connections_taken_others_are_heard_in_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     """Some that wait are turned away, worst first; call-backs and better jobs come in from outside."""
-    monkeypatch.setattr(gate, "ROOM_MADE", 1)
+    monkeypatch.setattr(admission, "ROOM_MADE", 1)
 
     async def play() -> None:
         async with place(sockets=8) as p:
@@ -537,7 +539,7 @@
                 p.gate.started(took_s)
             for _ in range(100):
                 p.gate.started(9.0)
-            assert len(p.gate.starts) == gate.STARTS
+            assert len(p.gate.starts) == admission.STARTS
             p.gate.starts = p.gate.starts[:3]
             p.gate._tick()
             p.gate.meter.at -= 2.0
@@ -570,10 +572,10 @@
 def test_the_first_news_of_a_job_tells_how_long_it_took_to_start(tells_start: bool) -> None:
     async def play() -> None:
         listener = await asyncio.start_server(lambda r, w: w.write(b"HTTP/1.1 202 A\r\n\r\n"), "127.0.0.1", 0)
-        flows, took = Flows(), list[float]()
-        module = ModuleActor(Dispatcher(facts(reports_start=tells_start), 1), flows, Clock())
+        flows, took = FlowTable(), list[float]()
+        module = DecisionActor(Dispatcher(facts(reports_start=tells_start), 1), flows, Clock())
         module.tell, module.starts = lambda item: None, took.append  # type: ignore[method-assign]
-        group = servers.RealServers(flows, module, Timers(Clock()), 5, 30.0, 128, http1.connect)
+        group = workers.WorkerPool(flows, module, Timers(Clock()), 5, 30.0, 128, http1.connect)
         address = {"w1": listener.sockets[0].getsockname()[:2]}
         group.update(api.WorkerList(api.ListKind.FULL, (entry("w1"),)), address)
         for number, id in enumerate(("r1", "r1", "r2")):
@@ -622,5 +624,5 @@
 
 def test_off_there_is_none_of_it() -> None:
     assert OFF.overload is None
-    assert Machine().idle() >= 0
+    assert HostEnvironment().idle() >= 0
     assert OverloadOptions().limits(100.0) == OverloadSettings(retry_after_s=60.0)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -10,9 +10,9 @@
 
 from finchladder.core.connections.body_memory import BodyMemory
 from finchladder.core.connections.graceful_shutdown import Leaving
-from finchladder.net import clients
+from finchladder.net import client_listener
 from finchladder.net.control import Reply
-from finchladder.net.front import Front
+from finchladder.net.request_handler import RequestHandler
 from tests.peers import HEALTH, read_message
 
 
@@ -38,7 +38,7 @@
     """Whatever the age of its kept connection; and all are closed when the dispatcher may end."""
 
     async def play() -> None:
-        parts = clients.Clients(cast(Front, Desk()), BodyMemory(1 << 20, 0), 128)
+        parts = client_listener.ClientListener(cast(RequestHandler, Desk()), BodyMemory(1 << 20, 0), 128)
         with socket.create_server(("127.0.0.1", 0)) as listening:
             listening.setblocking(False)
             parts.add_socket(listening)
@@ -54,5 +54,5 @@
             assert await used[0].read() == await idle[0].read() == b""
             parts.stop()
 
-    monkeypatch.setattr(clients, "JUST_CAME", 60.0 if young else 0.0)
+    monkeypatch.setattr(client_listener, "JUST_CAME", 60.0 if young else 0.0)
     asyncio.run(asyncio.wait_for(play(), 20))
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -7,8 +7,8 @@
 
 from finchladder.config.endpoint_list import EndpointChange, EndpointTable, read_list
 from finchladder.core import api
-from finchladder.net import http1, service
-from finchladder.net.service import ServiceActor
+from finchladder.net import endpoint_watcher, http1
+from finchladder.net.endpoint_watcher import EndpointWatcher
 
 R, D, G = api.WorkerStatus.READY, api.WorkerStatus.DRAINING, api.WorkerStatus.REMOVED
 
@@ -79,11 +79,11 @@
 
 class Slices:
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr(service, "LONG", 0)
-        monkeypatch.setattr(service, "APPLY_AT_ONCE", 2)
+        monkeypatch.setattr(endpoint_watcher, "LONG", 0)
+        monkeypatch.setattr(endpoint_watcher, "APPLY_AT_ONCE", 2)
         self.applied: list[tuple[list[str], set[str]]] = []
         self.retired: list[str] = []
-        self.actor = ServiceActor(("127.0.0.1", 1), self.apply, self.retired.extend, http1.connect)
+        self.actor = EndpointWatcher(("127.0.0.1", 1), self.apply, self.retired.extend, http1.connect)
 
     def apply(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
         self.applied.append(([e.worker for e in workers.entries], set(addresses)))
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -14,15 +14,15 @@
 from finchladder.core.connections.body_memory import BodyMemory
 from finchladder.core.connections.graceful_shutdown import Leaving
 from finchladder.core.dispatch.attempt_stages import Step
-from finchladder.features.arrivals import Arrivals
-from finchladder.net import clients, http1, messages, servers, service
-from finchladder.net.control import Controls
-from finchladder.net.flows import Answer, Attempt, Flow, Flows
-from finchladder.net.front import Front
-from finchladder.net.http1 import BadMessage, Head, Headers, Parser
-from finchladder.net.intake import Intake, Repeated
+from finchladder.features.request_admission import Arrivals
+from finchladder.net import client_listener, endpoint_watcher, http1, messages, workers
+from finchladder.net.control import ControlCalls
+from finchladder.net.decision_actor import Clock, DecisionActor, Ending
+from finchladder.net.flows import Answer, Attempt, Flow, FlowTable
+from finchladder.net.http1 import Head, Headers, MalformedMessageError, Parser
+from finchladder.net.job_intake import DuplicateRequestError, JobIntake
 from finchladder.net.messages import HttpMessage
-from finchladder.net.module import Clock, Ending, ModuleActor
+from finchladder.net.request_handler import RequestHandler
 from finchladder.net.timers import Timers
 from tests.helpers import entry, settings
 from tests.peers import exchange, request
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("size", [11, 100000])
 @pytest.mark.parametrize(("data", "status"), NO_MESSAGES)
 def test_no_messages(data: bytes, status: int, size: int) -> None:
-    with pytest.raises(BadMessage) as e:
+    with pytest.raises(MalformedMessageError) as e:
         messages_of(request_parser(), data, size)
     assert e.value.status == status
 
@@ -114,7 +114,7 @@
 )
 def test_outcomes(data: bytes, ending: api.Ending | None) -> None:
     [(head, _)] = messages_of(http1.server_parser(), data, 5)
-    assert servers.outcome(head) is ending
+    assert workers.outcome(head) is ending
 
 
 @pytest.mark.parametrize(
@@ -127,7 +127,7 @@
     ],
 )
 def test_load_reports(value: str, report: dict[str, float] | None) -> None:
-    assert servers.load_report(Head(1, Headers([("X-Backend-Load", value)]))) == report
+    assert workers.load_report(Head(1, Headers([("X-Backend-Load", value)]))) == report
 
 
 @pytest.mark.parametrize(
@@ -156,7 +156,7 @@
     for value in good:
         read(Head(1, Headers([(name, value)])))
     for value in bad:
-        with pytest.raises(BadMessage):
+        with pytest.raises(MalformedMessageError):
             read(Head(1, Headers([(name, value)])))
 
 
@@ -204,7 +204,7 @@
 
 @pytest.mark.parametrize("size", [1, 3, 100])
 def test_lines_end_anywhere(size: int) -> None:
-    lines, data = service.Lines(), b"one\n\ntwo\nrest"
+    lines, data = endpoint_watcher.LineSplitter(), b"one\n\ntwo\nrest"
     found = [line for at in range(0, len(data), size) for line in lines.feed(data[at : at + size])]
     assert found == [b"one", b"", b"two"]
 
@@ -212,20 +212,22 @@
 # --- actors -------------------------------------------------------------------------------------------------
 
 
-def flow_of(flows: Flows, answers: list[Answer], deadline: float = 1e12) -> Flow:
+def flow_of(flows: FlowTable, answers: list[Answer], deadline: float = 1e12) -> Flow:
     message = HttpMessage("POST", "/unsafe/k", Headers([]), b"")
     flow = Flow("r1", "unsafe", 1, {}, message, deadline, answers.append)
     flows.add(flow)
     return flow
 
 
-def intake(flows: Flows, module: ModuleActor, sockets: int = 128) -> Intake:
-    return Intake({"s", "unsafe"}, flows, module, Timers(Clock()), Arrivals(OFF, 0), Leaving(3.0), sockets)
+def intake(flows: FlowTable, module: DecisionActor, sockets: int = 128) -> JobIntake:
+    return JobIntake({"s", "unsafe"}, flows, module, Timers(Clock()), Arrivals(OFF, 0), Leaving(3.0), sockets)
 
 
-def listener(taking: Intake, bodies: BodyMemory) -> clients.Clients:
-    controls = Controls(taking.clock, taking.classes, OFF, None, taking.arrivals, None)
-    return clients.Clients(Front(taking, controls, lambda: True, lambda c: None), bodies, 128)
+def listener(taking: JobIntake, bodies: BodyMemory) -> client_listener.ClientListener:
+    controls = ControlCalls(taking.clock, taking.classes, OFF, None, taking.arrivals, None)
+    return client_listener.ClientListener(
+        RequestHandler(taking, controls, lambda: True, lambda c: None), bodies, 128
+    )
 
 
 class Watched(Attempt):
@@ -245,9 +247,9 @@
 
 def test_an_error_in_the_decisions_is_loud_and_leaves_no_flow_hanging() -> None:
     async def play() -> None:
-        flows, answers, log = Flows(), list[Answer](), list[str]()
+        flows, answers, log = FlowTable(), list[Answer](), list[str]()
         sink = logger.add(log.append, format="{message}")
-        module = ModuleActor(Broken(settings(), 1), flows, Clock())
+        module = DecisionActor(Broken(settings(), 1), flows, Clock())
         module.tell(flow_of(flows, answers))
         await asyncio.sleep(0.01)
         logger.remove(sink)
@@ -271,7 +273,7 @@
             seen.append(event)
             return []
 
-    module = ModuleActor(Watcher(settings(), 1), Flows(), Clock())
+    module = DecisionActor(Watcher(settings(), 1), FlowTable(), Clock())
     module.tell(api.Timer(0))
     assert seen == [api.Timer(0), first, second, api.Timer(1), api.Timer(2)]
 
@@ -280,8 +282,8 @@
 def test_a_drain_before_the_write_ends_it_as_never_run(connecting: bool) -> None:
     async def play() -> None:
         listener = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
-        flows, told = Flows(), list[object]()
-        module = ModuleActor(Dispatcher(settings(), 1), flows, Clock())
+        flows, told = FlowTable(), list[object]()
+        module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
         module.tell = told.append  # type: ignore[assignment]
         address = {"w1": listener.sockets[0].getsockname()[:2]}
 
@@ -295,7 +297,7 @@
             drain()
             return channel
 
-        group = servers.RealServers(flows, module, Timers(Clock()), 5, 30.0, 128, connect_late)
+        group = workers.WorkerPool(flows, module, Timers(Clock()), 5, 30.0, 128, connect_late)
         group.update(api.WorkerList(api.ListKind.FULL, (entry("w1"),)), address)
         attempt = Watched(flow_of(flows, []), 0, "w1", 0.0, 1e12)
         group.send(attempt)
@@ -313,10 +315,10 @@
 
 def test_a_scheduling_ends_once_and_a_flow_is_answered_once() -> None:
     async def play() -> None:
-        flows, told, answers = Flows(), list[object](), list[Answer]()
-        module = ModuleActor(Dispatcher(settings(), 1), flows, Clock())
+        flows, told, answers = FlowTable(), list[object](), list[Answer]()
+        module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
         module.tell = told.append  # type: ignore[assignment]
-        group = servers.RealServers(flows, module, Timers(Clock()), 1, 1, 128, http1.connect)
+        group = workers.WorkerPool(flows, module, Timers(Clock()), 1, 1, 128, http1.connect)
         server = group._add("w1", ("127.0.0.1", 9))
         flow = flow_of(flows, answers)
         attempt = Attempt(flow, 0, "w1", 0.0, 1e12)
@@ -341,12 +343,12 @@
     """At its deadline, should the module never answer; at once, when more are open than sockets allow."""
 
     async def play() -> None:
-        flows, answers, seen = Flows(), list[Answer](), list[str]()
+        flows, answers, seen = FlowTable(), list[Answer](), list[str]()
         sink = logger.add(seen.append, format="{message}", level="ERROR")
-        module = ModuleActor(Dispatcher(settings(), 1), flows, Clock())
+        module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
         module.tell = lambda item: None  # type: ignore[method-assign]
         taking = intake(flows, module, sockets)
-        flow = flow_of(Flows(), answers, Clock()() + 0.02)
+        flow = flow_of(FlowTable(), answers, Clock()() + 0.02)
         taking.take(flow)
         while not answers:
             await asyncio.sleep(0.01)
@@ -354,7 +356,7 @@
         assert [a.kind for a in answers] == [kind]
         assert not flows.by_id
         assert [line[: len(want)] for line, want in zip(seen, log, strict=True)] == log
-        with pytest.raises(Repeated):
+        with pytest.raises(DuplicateRequestError):
             taking.take(flow)  # its id stays known: what may have run must not run again
 
     asyncio.run(play())
@@ -364,8 +366,8 @@
     """Beyond it a body is turned away before it is read, with word when to come back."""
 
     async def play() -> None:
-        flows = Flows()
-        module = ModuleActor(Dispatcher(settings(), 1), flows, Clock())
+        flows = FlowTable()
+        module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
         bodies = BodyMemory(32 * 1024 * 1024)
         assert bodies.free == 8 * 1024 * 1024
         bodies.free = 10
@@ -385,8 +387,8 @@
 
 def test_a_repeated_id_that_is_turned_away_leaves_the_first_request_alone() -> None:
     async def play() -> None:
-        flows, told = Flows(), list[object]()
-        module = ModuleActor(Dispatcher(settings(), 1), flows, Clock())
+        flows, told = FlowTable(), list[object]()
+        module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
         module.tell = told.append  # type: ignore[assignment]
         edge = listener(intake(flows, module), BodyMemory(32 * 1024 * 1024))
         [sock] = bind_sockets(0, "127.0.0.1")
@@ -409,15 +411,15 @@
 
 
 def test_a_scheduling_that_dies_is_loud_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: servers.RealServer, s: Attempt) -> None:
+    def broken(self: workers.WorkerActor, s: Attempt) -> None:
         raise RuntimeError("broken")
 
     async def play() -> None:
-        flows, told, log = Flows(), list[object](), list[str]()
+        flows, told, log = FlowTable(), list[object](), list[str]()
         sink = logger.add(log.append, format="{message}")
-        module = ModuleActor(Dispatcher(settings(), 1), flows, Clock())
+        module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
         module.tell = told.append  # type: ignore[assignment]
-        group = servers.RealServers(flows, module, Timers(Clock()), 1, 1, 128, http1.connect)
+        group = workers.WorkerPool(flows, module, Timers(Clock()), 1, 1, 128, http1.connect)
         server = group._add("w1", ("127.0.0.1", 9))
         server.post(Attempt(flow_of(flows, []), 0, "w1", 0.0, 1e12))
         while not told:
@@ -427,7 +429,7 @@
         assert told[0].ending is api.Ending.UNREACHABLE
         assert any("died on Attempt" in line for line in log)
 
-    monkeypatch.setattr(servers.RealServer, "_begin", broken)
+    monkeypatch.setattr(workers.WorkerActor, "_begin", broken)
     asyncio.run(play())
 
 
@@ -443,7 +445,7 @@
     async def play() -> None:
         now = [100.0]
         clock = Clock(lambda: now[0], lambda: now[0])
-        module = ModuleActor(Watcher(settings(), 1), Flows(), clock)
+        module = DecisionActor(Watcher(settings(), 1), FlowTable(), clock)
         module.tell(api.WorkerList(api.ListKind.FULL, (entry("w1"),)))  # its sweep is due in 0.05 s
         now[0] += 0.05 + late
         module.tell(api.ClientDisconnected("x"))
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -10,7 +10,7 @@
 from finchladder.config.operator_file import Loaded
 from finchladder.config.options import Options
 from finchladder.core.routing.routes import Routes
-from finchladder.net.reload import Reload
+from finchladder.net.config_reload import ConfigReloader
 from tests.peers import Message, Node, RealServer, node, run
 
 HEDGED = """
@@ -174,7 +174,7 @@
             return reads[-1]
 
         held = list[Routes]()
-        reload = Reload(old, lambda: old, aside, held.append)
+        reload = ConfigReloader(old, lambda: old, aside, held.append)
         for _ in range(3):
             reload.ask()
             await asyncio.sleep(0)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -16,7 +16,7 @@
 from finchladder.cluster.types.messages import encoder, reply_decoder, request_decoder
 from finchladder.cluster.types.operations import WorkerRetirement
 from finchladder.sim import trace
-from finchladder.store import lastgood
+from finchladder.store import last_good_list
 
 STORED = Path(__file__).parent / "fixtures" / "stored"
 DISK_BYTES = 32 << 20
@@ -68,11 +68,11 @@
 
 
 def test_a_last_good_list_of_the_version_before_is_read() -> None:
-    found = lastgood.read(STORED / "last-good-list")
+    found = last_good_list.read(STORED / "last-good-list")
     assert found is not None
     assert (found.source, found.version, found.time_s) == ("discovery", 7, 1764700000.5)
     assert json.loads(found.body)["servers"][0]["name"] == "w1"
-    assert lastgood.encode(found) == (STORED / "last-good-list").read_bytes()
+    assert last_good_list.encode(found) == (STORED / "last-good-list").read_bytes()
 
 
 def test_a_simulation_trace_of_the_version_before_plays_the_same() -> None:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -19,8 +19,8 @@
     TOLD_WITHIN_S,
     Watching,
 )
+from finchladder.net.endpoint_watcher import EndpointWatcher, LineSplitter
 from finchladder.net.http1 import connect
-from finchladder.net.service import Lines, ServiceActor
 from tests.peers import (
     HEALTH,
     ROOT,
@@ -98,7 +98,7 @@
     def __init__(self, shared: bool = False) -> None:
         self.states: dict[str, api.WorkerStatus] = {}
         self.news = asyncio.Event()
-        self.actor = ServiceActor(("127.0.0.1", 0), self.apply, lambda names: None, connect)
+        self.actor = EndpointWatcher(("127.0.0.1", 0), self.apply, lambda names: None, connect)
         self.actor.rules = Watching(shared)
 
     def apply(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
@@ -205,7 +205,7 @@
     indent: int | None, size: int
 ) -> None:
     text = json.dumps(json.loads(list_line(7, [entry('w"{1'), entry("w2}", zone="}{")], True)), indent=indent)
-    data, lines = f"\n{text}\n\n{text}\n".encode(), Lines()
+    data, lines = f"\n{text}\n\n{text}\n".encode(), LineSplitter()
     found = [line for at in range(0, len(data), size) for line in lines.feed(data[at : at + size])]
     assert [json.loads(line) if line else None for line in found] == [None, json.loads(text)] * 2
 
