--- a/tests/test_stored_state.py
+++ b/tests/test_stored_state.py
@@ -14,8 +14,8 @@
 from finchladder.core.routing.limited_dispatcher import Guarded, decisions
 from finchladder.core.routing.routes import Backoff, Hedge, Queue, RetryBudget, Route, Routes
 from finchladder.features import snapshot
-from finchladder.features.arrivals import Arrivals
 from finchladder.features.replay import Replay
+from finchladder.features.request_admission import Arrivals
 from tests.helpers import settings
 from tests.test_capture import canonical
 
