--- /dev/null
+++ b/finchladder/core/dispatch/placement.py
@@ -0,0 +1,140 @@
+"""The choice of a worker for a job.
+
+The published choice comes first: two hashes of a job's key name two ready workers of the needed kind; the one
+with fewer of this dispatcher's own slots in flight wins (a tie goes to the second) and gets the job if it is
+under its load threshold. Otherwise, or without a key, the job goes to the least loaded ready worker. Where a
+key has several pairs, the next ones come before the overflow; where the fleet is large, ties are drawn.
+"""
+
+from collections.abc import Callable, Iterable, Iterator
+from itertools import islice
+
+from finchladder.core.dispatch.choice import first_accepting, least_loaded
+from finchladder.core.dispatch.records import Job, Worker
+from finchladder.core.dispatch.rules import SendingRules
+from finchladder.core.dispatch.state import DispatcherState
+from finchladder.core.dispatch.work_estimates import WorkEstimates
+from finchladder.core.dispatch.worker_index import PoolIndex
+from finchladder.core.dispatch.worker_load import FETCH_COST_RUNS
+
+MAX_CANDIDATES = 12  # workers, pairs or queued keys examined in one choice: its cost stays flat as all grows
+MIN_PAIRS = (
+    2  # a key's pair and the next round its rings: more would evict other keys from the workers' caches
+)
+
+
+class Placement:
+    """Chooses workers; it decides nothing about whether a job may be sent, see `SendingRules`."""
+
+    def __init__(
+        self,
+        state: DispatcherState,
+        rules: SendingRules,
+        estimates: WorkEstimates,
+        pools_of: Callable[[Job], Iterable[PoolIndex]],
+    ) -> None:
+        """`pools_of`: the pools that a job may go to, in the order in which they are tried."""
+        self.state = state
+        self.rules = rules
+        self.estimates = estimates
+        self.pools_of = pools_of
+
+    def choose(self, job: Job) -> Worker | None:
+        """The worker that gets the job now; None: it may not be sent, or no worker can take it."""
+        if not self.rules.is_resend_allowed(job):
+            return None
+        for pool in self.pools_of(job):
+            if (worker := self._choose_from(pool, job)) is not None:
+                return worker
+        return None
+
+    def _choose_from(self, pool: PoolIndex, job: Job) -> Worker | None:
+        if job.key is None:
+            return self._choose_least_loaded(job, pool)
+        # Overflow of a key goes round its own rings first: every dispatcher finds the same few workers, which
+        # then cache what the key needs; scattered over the fleet each overflow would cost a fetch.
+        state = self.state
+        rejecting: list[Worker] = []
+        for pair in self._pairs(pool, job.key):
+            if candidates := least_loaded(w for w in pair if self._accepts(job, w)):
+                return state.worker_load.draw(candidates, state.settings.zone, state.random, pool)
+            rejecting += pair
+        starting = self._slow_starting(job, pool)
+        if starting:
+            return state.worker_load.draw(starting, state.settings.zone, state.random)
+        if any(self.rules.is_permitted(job, w) for w in rejecting):
+            return None  # worth the wait: elsewhere it would fetch, and evict what other keys need
+        return self._choose_least_loaded(job, pool)
+
+    def _choose_least_loaded(self, job: Job, pool: PoolIndex) -> Worker | None:
+        """From the lowest load up; where the first few may not get it, the best of a few others."""
+        if self.state.worker_load.draws_ties:
+            return self._draw_least_loaded(job, pool)
+        by_load = pool.by_load(MAX_CANDIDATES)
+        chosen, rejecting = first_accepting(
+            by_load, lambda w: self.is_under_threshold(w) and self.rules.is_permitted(job, w)
+        )
+        if pool.size > MAX_CANDIDATES:
+            self.state.worker_index.defer(rejecting)
+            if chosen is None:
+                chosen = self._choose_of_random(job, pool)
+        return chosen
+
+    def _choose_of_random(self, job: Job, pool: PoolIndex) -> Worker | None:
+        zone = self.state.settings.zone
+        others = pool.random_workers(self.state.random, MAX_CANDIDATES)
+        candidates = [w for w in others if self.is_under_threshold(w) and self.rules.is_permitted(job, w)]
+        return min(candidates, key=lambda w: (w.load, w.zone != zone), default=None)
+
+    def _draw_least_loaded(self, job: Job, pool: PoolIndex) -> Worker | None:
+        state = self.state
+        starting = self._slow_starting(job, pool) if job.key is None else []
+        by_load = pool.by_load(MAX_CANDIDATES)
+        others = pool.random_workers(state.random, MAX_CANDIDATES)
+        fetch_runs = 0.0 if job.key is None else FETCH_COST_RUNS
+        seen = [*by_load, *others, *starting]
+        candidates = least_loaded(w for w in seen if self._accepts(job, w, fetch_runs))
+        if not candidates:
+            return None
+        return state.worker_load.draw(candidates, state.settings.zone, state.random)
+
+    def _slow_starting(self, job: Job, pool: PoolIndex) -> list[Worker]:
+        """Workers in slow start where it is this dispatcher's turn; they cache nothing yet to be evicted."""
+        state = self.state
+        if not state.worker_load.max_capacity:
+            return []
+        sampled = state.slow_start.sample(state.worker_index.slow_starting, MAX_CANDIDATES, state.random)
+        allowed = (w for w in sampled if self.rules.slow_start_allows(job, w) and pool in w.pools)
+        return least_loaded(w for w in allowed if self._accepts(job, w, FETCH_COST_RUNS))
+
+    def _accepts(self, job: Job, worker: Worker, fetch_runs: float = 0.0) -> bool:
+        """Whether it may get the job now, and would end it in time as far as the list's weights tell.
+
+        `fetch_runs`: mean running times that it takes longer, where the key is not cached.
+        """
+        if not (self.is_under_threshold(worker) and self.rules.is_permitted(job, worker)):
+            return False
+        state = self.state
+        waited_s = state.now - job.arrived_at
+        mean_run_time_s = self.estimates.mean_run_time_s()
+        return state.worker_load.finishes_in_time(
+            worker, job.job_class, waited_s, mean_run_time_s, fetch_runs
+        )
+
+    def _pairs(self, pool: PoolIndex, key: int) -> Iterator[list[Worker]]:
+        """The key's pair, then the next ones on its rings; a hot key has as many pairs as it needs."""
+        pairs, first = self.state.key_frequency.next_pair(key, pool.size)
+        return islice(pool.walk_pairs(key, max(MIN_PAIRS, pairs), first), MAX_CANDIDATES)
+
+    def is_under_threshold(self, worker: Worker) -> bool:
+        """Whether its load is below its threshold, and it is not known to be full.
+
+        It is full while it is in backoff, or while it has been late to start an attempt.
+        """
+        state = self.state
+        if worker.load >= worker.load_threshold or state.now < worker.backoff_until:
+            return False
+        if worker.unstarted_attempts and state.settings.reports_start:
+            oldest_sent_at = next(iter(worker.unstarted_attempts.values()))
+            return state.observed_now - oldest_sent_at <= state.start_grace_s
+        return True
--- /dev/null
+++ b/finchladder/core/dispatch/rules.py
@@ -0,0 +1,108 @@
+"""The rules of sending: whether a job may be sent again, and whether to this worker.
+
+A job runs as often as its effect class allows: UNSAFE never once it may have run, KEYED only within its
+deduplication window and among the workers that drop its repeats.
+"""
+
+from functools import partial
+
+from finchladder.core.api import NEVER_RAN, DeduplicationScope, Effect
+from finchladder.core.dispatch.records import Attempt, Job, Worker
+from finchladder.core.dispatch.state import DispatcherState
+from finchladder.core.dispatch.work_estimates import WorkEstimates
+from finchladder.core.dispatch.worker_load import FETCH_COST_RUNS
+from finchladder.core.health.outlier_ejection import SUSPECT_THRESHOLD
+
+RETRY_TOKENS_PER_REQUEST = 0.2  # retries of what may have run are a share of the requests
+MAX_RETRY_TOKENS = 10.0  # saved up at the most, so that a first failure after a calm time may be retried
+
+
+class SendingRules:
+    """What the effect classes, limits and the workers' health permit. Every send passes through it."""
+
+    def __init__(self, state: DispatcherState, estimates: WorkEstimates) -> None:
+        self.state = state
+        self.estimates = estimates
+        self.retry_tokens = MAX_RETRY_TOKENS
+
+    def earn_retry_token(self) -> None:
+        """A new request has come: its share of a retry is saved up."""
+        self.retry_tokens = min(self.retry_tokens + RETRY_TOKENS_PER_REQUEST, MAX_RETRY_TOKENS)
+
+    def is_resend_allowed(self, job: Job) -> bool:
+        """Whether the job may be sent (again) at all, to whichever worker."""
+        state = self.state
+        if len(job.attempts) >= job.max_attempts:
+            return False
+        if state.now >= job.deadline - 2 * state.settings.clock_tick_s:
+            return False
+        effect = job.job_class.effect
+        for attempt in job.may_have_run():
+            if self.retry_tokens < 1:  # a fleet that fails much must not be sent everything again
+                return False
+            if effect is Effect.UNSAFE or (attempt.ending is None and not state.settings.may_hedge):
+                return False
+            if effect is Effect.KEYED and state.now >= self.deduplication_end(job, attempt):
+                return False
+        return True
+
+    def is_permitted(self, job: Job, worker: Worker) -> bool:
+        """Whether the rules and the worker's health let this job go there at all."""
+        state = self.state
+        if not worker.is_ready:
+            return False
+        if job.attempts and not all(self._may_follow(job, attempt, worker) for attempt in job.attempts):
+            return False
+        if worker.failure_share > SUSPECT_THRESHOLD and not state.health.may_receive(
+            state.now, job, worker, state.worker_index
+        ):
+            return False
+        return not state.worker_index.is_slow_starting(worker, state.now) or self.slow_start_allows(
+            job, worker
+        )
+
+    def slow_start_allows(self, job: Job, worker: Worker) -> bool:
+        """Whether this dispatcher's part of what a worker in slow start can do suffices for the job."""
+        state = self.state
+        capacity = state.worker_load.relative_capacity(worker) if state.slow_start.is_large_fleet else 1.0
+        rate = self.estimates.warm_rate * capacity
+        max_cost_s = self.estimates.mean_run_time_s() * (1 + FETCH_COST_RUNS)
+        cost_s = partial(self.estimates.slow_start_cost_s, job, worker)
+        return state.slow_start.allows(worker, state.now, rate, max_cost_s, cost_s)
+
+    def _may_follow(self, job: Job, attempt: Attempt, worker: Worker) -> bool:
+        """Never twice to one worker; what may have run stays among the workers that drop its repeats."""
+        if attempt.worker is worker:
+            return False
+        if attempt.ending in NEVER_RAN or job.job_class.effect is not Effect.KEYED:
+            return True
+        scope = job.job_class.deduplication_scope
+        if scope is DeduplicationScope.ALL:
+            return True
+        if scope is DeduplicationScope.ZONE:
+            return attempt.worker.zone == worker.zone
+        return attempt.worker.cell == worker.cell
+
+    def deduplication_end(self, job: Job, attempt: Attempt) -> float:
+        """When a KEYED job must not be sent again any more, as workers may have forgotten that attempt."""
+        window_s = job.job_class.deduplication_window_s
+        return attempt.sent_at + window_s - 2 * self.state.settings.clock_tick_s
+
+    def start_within_s(self, job: Job) -> float:
+        """How long a send may wait for a connection; 0: as long as it is wanted.
+
+        A repeat of a KEYED job must not start past the window of what may have run before it.
+        """
+        if job.job_class.effect is not Effect.KEYED:
+            return 0.0
+        now = self.state.now
+        return min((self.deduplication_end(job, a) - now for a in job.may_have_run()), default=0.0)
+
+    def is_client_retry_harmless(self, job: Job) -> bool:
+        """Whether the client may be answered that it can send the job again."""
+        job_class = job.job_class
+        if job_class.effect is Effect.SAFE:
+            return True
+        if job_class.effect is Effect.KEYED and job_class.deduplication_scope is DeduplicationScope.ALL:
+            return True
+        return not any(job.may_have_run())
--- a/finchladder/core/dispatch/zone_dispatcher.py
+++ b/finchladder/core/dispatch/zone_dispatcher.py
@@ -68,7 +68,7 @@
         return actions
 
     def _count_rejection(self, e: Ended) -> None:
-        attempt = self._attempt(e.request, e.attempt)
+        attempt = self.state.attempt(e.request, e.attempt)
         if attempt is not None and attempt.ending is None:
             self._count(self.jobs[e.request], attempt.worker)[1] += 1
 
@@ -110,14 +110,14 @@
             load += w.load
             if not w.ejected_until and not self.worker_index.is_slow_starting(w, self.now):
                 slots += w.load_threshold
-                if self._under_t(w):
+                if self.placement.is_under_threshold(w):
                     free += w.load_threshold - w.load
                     open_ += w.load_threshold
         scale = part.size / len(looked) if looked else 0.0
         sent, refused = self.send_counts.get((kind, zone), (0, 0))
         return ZoneLoad(slots * scale, free * scale, sent, refused, open_ * scale), load * scale
 
-    def _pools(self, job: Job) -> Iterable[PoolIndex]:
+    def _pools_of(self, job: Job) -> Iterable[PoolIndex]:
         whole = self.worker_index.pool(job.needed_pool)
         home = whole.by_zone.get(self.settings.zone)
         if home is None or not home.size or job.attempts:
--- a/finchladder/core/health/detection/detector.py
+++ b/finchladder/core/health/detection/detector.py
@@ -630,7 +630,7 @@
     d: Dispatcher, own: str, rules: Rules, now: float, log: Callable[[str], None] = lambda text: None
 ) -> Judging:
     """Has these decisions judge by evidence; without it they are as ever."""
-    judging = d.health = Judging(d.settings, d.health.base_ejection_s, own, rules, now, log)
+    judging = d.state.health = Judging(d.settings, d.state.health.base_ejection_s, own, rules, now, log)
 
     def unseen(e: LoopStall) -> None:
         judging.late(d.now, e.duration_s)
--- a/finchladder/core/routing/limited_dispatcher.py
+++ b/finchladder/core/routing/limited_dispatcher.py
@@ -133,7 +133,7 @@
             self.share = share
         self.random = Random(f"{seed}/routes")  # apart: the Dispatcher's own draws stay as they are
         self.margin_s = (
-            inner.sweep_interval_s + 2 * inner.settings.clock_tick_s
+            inner.state.sweep_interval_s + 2 * inner.settings.clock_tick_s
         )  # what is not sent by then is answered
         self.scopes: dict[Key, Scope] = {}
         self.gone: list[Scope] = []  # of routes that hold no more, while jobs go by them
--- a/finchladder/features/snapshot.py
+++ b/finchladder/features/snapshot.py
@@ -71,27 +71,27 @@
 # Stored name of each field of the dispatcher that is stored, and the path of the attribute that holds it.
 # Captures outlive names: a field that moves or is renamed changes its path here and keeps its stored name.
 DISPATCHER_FIELDS = {
-    "random": "random",
-    "run": "mean_run_times_s",
-    "workers": "workers",
-    "jobs": "jobs",
-    "held": "queues",
-    "health": "health",
-    "key_counts": "key_frequency",
-    "crowd": "worker_load",
-    "tell_at": "tell_at",
-    "scan_at": "scan_at",
-    "strain": "full_share",
-    "told": "told",
-    "warm_rate": "warm_rate",
-    "warm_done": "warm_done",
-    "warm_since": "warm_since",
-    "retry_tokens": "retry_tokens",
-    "asking": "asking",
-    "now": "now",
-    "seen": "seen",
-    "unseen": "unseen",
-    "timer_due": "timer_due",
+    "random": "state.random",
+    "run": "estimates.mean_run_times_s",
+    "workers": "state.workers",
+    "jobs": "state.jobs",
+    "held": "queues.by_class",
+    "health": "state.health",
+    "key_counts": "state.key_frequency",
+    "crowd": "state.worker_load",
+    "tell_at": "tenants.next_report_at",
+    "scan_at": "scan.next_at",
+    "strain": "outcomes.full_share",
+    "told": "tenants.peer_rates",
+    "warm_rate": "estimates.warm_rate",
+    "warm_done": "estimates.warm_work_s",
+    "warm_since": "estimates.window_start",
+    "retry_tokens": "rules.retry_tokens",
+    "asking": "endpoint_list.subscription",
+    "now": "state.now",
+    "seen": "state.observed_now",
+    "unseen": "state.stalled_s",
+    "timer_due": "is_timer_set",
     "serial": "serial",
 }
 # The same for what only a dispatcher with zone spillover has. A state without it is restored all the same,
@@ -195,7 +195,8 @@
             record.__class__ = self.watch[type(record)]
         fields = {name: self._freeze(attrgetter(path)(dispatcher)) for name, path in _stored(dispatcher)}
         tenants = {
-            n: [t.own_rps, t.peers_rps, t.request_count, t.credit] for n, t in dispatcher.tenants.items()
+            n: [t.own_rps, t.peers_rps, t.request_count, t.credit]
+            for n, t in dispatcher.tenants.by_tenant.items()
         }
         parts: dict[str, Any] = {"fields": fields, "tenants": encode(tenants)}
         if isinstance(decisions, Guarded):
@@ -448,10 +449,11 @@
         fields[name] = kept | {n: v for n, v in now.items() if n not in kept}
     for name, value in fields.items():
         _set(dispatcher, paths[name], value)
-    for part in (dispatcher.key_frequency, dispatcher.worker_load, dispatcher.worker_load.learned_capacity):
+    worker_load = dispatcher.worker_load
+    for part in (dispatcher.state.key_frequency, worker_load, worker_load.learned_capacity):
         part.settings = dispatcher.settings  # of the configuration of now
     for n, (own, peers, count, credit) in state["tenants"].items():
-        if (t := dispatcher.tenants.get(n)) is not None:
+        if (t := dispatcher.tenants.by_tenant.get(n)) is not None:
             t.own_rps, t.peers_rps, t.request_count, t.credit = own, peers, count, credit
     dispatcher.reindex()
     if isinstance(decisions, Guarded):
--- a/finchladder/sim/inner.py
+++ b/finchladder/sim/inner.py
@@ -158,7 +158,9 @@
             "drilled flows": len(node.intake.held),
             "sends without an end": list(self.tap.out),
             "jobs of the decisions": list(module.jobs),
-            "held jobs": [j for groups in module.queues.values() for jobs in groups.values() for j in jobs],
+            "held jobs": [
+                j for queue in module.queues.by_class.values() for jobs in queue.values() for j in jobs
+            ],
             "timers": len(node.timers.wheel),
             "bytes for bodies": self.room - node.bodies.free,
             "places in use": self.places - node.servers.all_in_use.free,
--- a/tests/core/judging/test_judging.py
+++ b/tests/core/judging/test_judging.py
@@ -33,7 +33,7 @@
     b: Bench, says: dict[str, tuple[Said, ...]], alive: int = 40, zone: str = "", unwell: bool = False
 ) -> None:
     """All that others say now; who said something before and is not in it takes it back."""
-    judging = b.d.health
+    judging = b.d.state.health
     assert isinstance(judging, Judging)
     whole = {n: () for n in judging.tellers if n not in says} | says
     witnesses = tuple(Witness(name, zone_number(zone), 0.0, said) for name, said in whole.items())
--- a/tests/core/oracle.py
+++ b/tests/core/oracle.py
@@ -9,10 +9,12 @@
 from typing import Any
 
 from finchladder.core.api import Settings
-from finchladder.core.dispatch.dispatcher import MAX_CANDIDATES, SMOOTHING, Dispatcher
+from finchladder.core.dispatch.dispatcher import Dispatcher
 from finchladder.core.dispatch.job_schedule import JobSchedule
 from finchladder.core.dispatch.key_frequency import KeyFrequency
+from finchladder.core.dispatch.placement import MAX_CANDIDATES
 from finchladder.core.dispatch.records import Job, Worker
+from finchladder.core.dispatch.work_estimates import SMOOTHING
 from finchladder.core.dispatch.worker_index import NeededPool, PoolIndex, WorkerIndex
 from finchladder.core.health.outlier_ejection import SUSPECT_THRESHOLD
 
@@ -144,7 +146,8 @@
             pool.__class__ = ScanPool
             assert isinstance(pool, ScanPool)
             pool.workers, pool.kind, pool.zone = self.workers, kind, self.settings.zone
-        self.job_schedule.__class__ = ScanAgenda
-        assert isinstance(self.job_schedule, ScanAgenda)
-        self.job_schedule.jobs = self.jobs
-        self.key_frequency = AllCounts(self.settings)
+        job_schedule = self.state.job_schedule
+        job_schedule.__class__ = ScanAgenda
+        assert isinstance(job_schedule, ScanAgenda)
+        job_schedule.jobs = self.jobs
+        self.state.key_frequency = AllCounts(self.settings)
--- a/tests/core/test_cold.py
+++ b/tests/core/test_cold.py
@@ -179,14 +179,14 @@
     warm = [entry(f"{kind}{n}", kind=kind, weight=size) for kind, size in sizes.items() for n in range(4)]
     cold = [entry(f"cold-{kind}", kind=kind, weight=size, started_at=100.0) for kind, size in sizes.items()]
     d.handle(100.0, api.WorkerList(api.ListKind.FULL, (*warm, *cold)))
-    d.warm_rate = 0.01
+    d.estimates.warm_rate = 0.01
     d.handle(101.0, api.Request("r", "safe", 10.0))
     gained = {}
     for kind in sizes:
         w = d.workers[f"cold-{kind}"]
         w.slow_start_credit, w.credit_updated_at = -1.0, 101.0
-        d.now = 102.0
-        assert not d._cold_may_take(d.jobs["r"], w)
+        d.state.now = 102.0
+        assert not d.rules.slow_start_allows(d.jobs["r"], w)
         gained[kind] = w.slow_start_credit + 1.0
     mean = (
         rule.overload_multiple
--- a/tests/core/test_crowd.py
+++ b/tests/core/test_crowd.py
@@ -95,13 +95,13 @@
     told(b, {})
     key = key_with_pair(b, 2)
     own = [w.address for pair in b.d.worker_index.pools[None].pairs(key, 2) for w in pair]
-    b.d.worker_load.common_run_times_s["safe"], b.d.mean_run_times_s = (
+    b.d.worker_load.common_run_times_s["safe"], b.d.estimates.mean_run_times_s = (
         0.1,
-        dict.fromkeys(b.d.mean_run_times_s, mean_run),
+        dict.fromkeys(b.d.estimates.mean_run_times_s, mean_run),
     )
     b.patch(*(entry(w, **({"weight": CALM} | homes)) for w in own))
     strangers = {a.worker for a in b.ask(key=key)[1]} - set(own)
-    assert bool(strangers) is sent and bool(b.d.queues[0, "safe"]) is not sent
+    assert bool(strangers) is sent and bool(b.d.queues.by_class[0, "safe"]) is not sent
 
 
 def test_a_fetch_does_not_make_a_job_s_own_time_longer() -> None:
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -15,9 +15,10 @@
 from finchladder.config.options import Options
 from finchladder.core import api
 from finchladder.core.api import Effect, Ending, JobClass, ListKind, Settings, WorkerStatus
-from finchladder.core.dispatch.dispatcher import MAX_CANDIDATES, Dispatcher
+from finchladder.core.dispatch.dispatcher import Dispatcher
 from finchladder.core.dispatch.job_schedule import JobSchedule
 from finchladder.core.dispatch.key_frequency import MAX_KEYS, KeyFrequency
+from finchladder.core.dispatch.placement import MAX_CANDIDATES
 from finchladder.core.dispatch.records import Attempt, Job, Worker
 from finchladder.core.dispatch.worker_index import Ring, WorkerIndex
 from finchladder.core.timing_wheel import MAX_SLOTS_AHEAD, TimingWheel
@@ -166,22 +167,29 @@
             assert [p for marks, _ in ring.arcs for p in marks] == points
             assert [w for _, row in ring.arcs for w in row] == owners
     open_jobs = [job for job in d.jobs.values() if not job.is_done]
-    assert d.job_schedule.by_due_time.slot_of.keys() == {job.serial for job in open_jobs}
-    held = {job.serial for groups in d.queues.values() for jobs in groups.values() for job in jobs.values()}
-    assert {serial for wheel in d.job_schedule.queued_by_class.values() for serial in wheel.slot_of} == held
-    assert d.job_schedule.queued_retries.keys() <= held
+    assert d.state.job_schedule.by_due_time.slot_of.keys() == {job.serial for job in open_jobs}
+    held = {
+        job.serial
+        for groups in d.queues.by_class.values()
+        for jobs in groups.values()
+        for job in jobs.values()
+    }
+    assert {
+        serial for wheel in d.state.job_schedule.queued_by_class.values() for serial in wheel.slot_of
+    } == held
+    assert d.state.job_schedule.queued_retries.keys() <= held
 
 
 @pytest.mark.parametrize(("most", "steps"), [(12, 1200), (60, 1500)])
 def test_the_least_loaded_is_as_little_loaded_as_the_one_that_a_scan_finds(most: int, steps: int) -> None:
     """Up to SAMPLE workers always; beyond, whenever one of the first SAMPLE by load may have the job."""
     d, seen = Dispatcher(DAY, 5), Counter[str]()
-    choose = d._least_loaded
+    choose = d.placement._choose_least_loaded
 
     def checked(job: Job, pool: object) -> Worker | None:
         able = [w for w in d.workers.values() if w.is_ready and job.job_class.kind in (None, w.kind)]
         ordered = sorted(able, key=lambda w: (w.load, w.zone != d.settings.zone, w.position))
-        fit = [w for w in ordered if d._under_t(w) and d._permitted(job, w)]
+        fit = [w for w in ordered if d.placement.is_under_threshold(w) and d.rules.is_permitted(job, w)]
         found = choose(job, d.worker_index.pools[job.job_class.kind])
         if found is None:
             assert len(able) > MAX_CANDIDATES or not fit
@@ -199,7 +207,7 @@
             seen[name + (outcome if fit else "none")] += 1
         return found
 
-    d._least_loaded = checked  # type: ignore[method-assign]
+    d.placement._choose_least_loaded = checked  # type: ignore[method-assign]
     day = History(Random(most), most, d)
     day.names = [f"w{i}" for i in range(most)]
     day.begin()
--- a/tests/core/test_guarded.py
+++ b/tests/core/test_guarded.py
@@ -148,7 +148,7 @@
     b.g.inner.workers["w0"].backoff_until = 0.0
     assert not loads(b) and 0 < b.g.alarms.next_due_at() - START < 1 and b.ask()[1]
     b.g.inner.reindex()  # as after a state was restored
-    assert not any(len(wheel) for wheel in b.g.inner.job_schedule.queued_by_class.values())
+    assert not any(len(wheel) for wheel in b.g.inner.state.job_schedule.queued_by_class.values())
 
 
 # --- retry budget -------------------------------------------------------------------------------------------
@@ -408,7 +408,7 @@
     b.end(name, E.OVERLOADED)
     assert not b.g.alarms.due_at and not b.answers(name)
     b = queued(concurrency=1)
-    monkeypatch.setattr(b.g.inner, "classes", {})
+    monkeypatch.setattr(b.g.inner.state, "classes", {})
     with pytest.raises(KeyError):
         b.g.handle(b.now, api.Request("x", "safe", 5.0, route="all"))
     limiter = scope(b, "all", "dear").limiter
--- a/tests/core/test_routes_model.py
+++ b/tests/core/test_routes_model.py
@@ -52,8 +52,8 @@
         for w in self.g.inner.workers.values():
             w.restart(w.started_at, 100.0, 0.0)
             self.g.inner.worker_index.update_suspect(w)
-        self.g.inner.health.ejected.clear()
-        self.g.inner.retry_tokens = 10.0
+        self.g.inner.state.health.ejected.clear()
+        self.g.inner.rules.retry_tokens = 10.0
         self.sent: list[Sent] = []
         self.ended: dict[int, Ending] = {}
         self.answered = self.left = False
--- a/tests/core/test_sizes.py
+++ b/tests/core/test_sizes.py
@@ -236,6 +236,6 @@
     snapshot.restore(snapshot.take(before, Arrivals(Options(), 1)), few, Arrivals(Options(), 1))
     assert (
         not few.worker_load.draws_ties
-        and not few.key_frequency.is_large_fleet
+        and not few.state.key_frequency.is_large_fleet
         and few.worker_load.learned_capacity.settings.zone == "b"
     )
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -38,6 +38,50 @@
 TENANTS = (api.Tenant("t1", 0.5), api.Tenant("t2", 5.0))
 OUTCOMES = (E.OK, E.OK, E.OK, E.ERROR, E.OVERLOADED, E.BROKEN, E.UNREACHABLE, E.TIMED_OUT, E.VOID)
 
+PARTS_OF_DISPATCHER = (
+    "state",
+    "estimates",
+    "rules",
+    "placement",
+    "queues",
+    "scan",
+    "outcomes",
+    "endpoint_list",
+    "tenants",
+)
+DERIVED = {  # from the settings, from the records, or of one event
+    "endpoint_list.estimates",
+    "endpoint_list.state",
+    "estimates.state",
+    "handlers",
+    "outcomes.estimates",
+    "outcomes.state",
+    "placement.estimates",
+    "placement.pools_of",
+    "placement.rules",
+    "placement.state",
+    "queues.estimates",
+    "queues.state",
+    "rules.estimates",
+    "rules.state",
+    "scan.estimates",
+    "scan.rules",
+    "scan.state",
+    "settings",
+    "state.actions",
+    "state.classes",
+    "state.job_schedule",
+    "state.pool_zones",
+    "state.settings",
+    "state.slow_start",
+    "state.stall_timeout_s",
+    "state.start_grace_s",
+    "state.sweep_interval_s",
+    "state.worker_index",
+    "tenants.by_tenant",
+    "tenants.settings",
+}
+
 
 class Play(Bench):
     """A day with trouble of every kind, all of it recorded."""
@@ -151,13 +195,33 @@
     state = snapshot.take(play.d, play.arrivals)
     text = msgspec.json.encode(state)
     assert (
-        play.d.jobs and play.d.health.ejected and play.d.key_frequency and state["door"] and state["drills"]
+        play.d.jobs
+        and play.d.state.health.ejected
+        and play.d.state.key_frequency
+        and state["door"]
+        and state["drills"]
     )
     other, arrivals = Dispatcher(play.d.settings, 5), Arrivals(FEATURES, 5)
     assert snapshot.restore(msgspec.json.decode(text), other, arrivals) == []
     assert msgspec.json.encode(snapshot.take(other, arrivals)) == text
-    plain = [{n: v for n, v in vars(d).items() if isinstance(v, int | float)} for d in (other, play.d)]
-    assert plain[0] == plain[1] and plain[0].keys() >= {"retry_tokens", "full_share", "warm_rate"}
+    plain = [{n: v for n, v in attributes(d).items() if isinstance(v, int | float)} for d in (other, play.d)]
+    assert plain[0] == plain[1]
+    assert plain[0].keys() >= {"rules.retry_tokens", "outcomes.full_share", "estimates.warm_rate"}
+
+
+def attributes(dispatcher: Dispatcher) -> dict[str, Any]:
+    """All attributes of the dispatcher and its parts, by their paths."""
+    found = vars(dispatcher).copy()
+    for name in PARTS_OF_DISPATCHER:
+        found |= {f"{name}.{field}": value for field, value in vars(found.pop(name)).items()}
+    return found
+
+
+def test_each_attribute_of_a_dispatcher_is_stored_or_derived() -> None:
+    """One that is new must be put into one of the two tables."""
+    stored = set(snapshot.DISPATCHER_FIELDS.values())
+    assert attributes(Dispatcher(settings(), 1)).keys() == stored | DERIVED
+    assert not stored & DERIVED and len(stored) == len(snapshot.DISPATCHER_FIELDS)
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -196,7 +196,7 @@
     b.end(name, api.Ending.ERROR)
     assert all(s.worker != suspect for _ in range(4) for s in b.ask("unsafe")[1])
     w = b.d.workers[suspect]
-    w.failure_share, w.ejected_until, b.d.health.ejected[suspect] = (
+    w.failure_share, w.ejected_until, b.d.state.health.ejected[suspect] = (
         0.9,
         b.now,
         w,
@@ -277,7 +277,7 @@
     b.now += 9.0
     b.feed(api.LoopStall(9.9))
     b.feed(api.Timer(0))
-    assert b.d._under_t(b.d.workers["w1"]) and not b.d.workers["w1"].failure_share
+    assert b.d.placement.is_under_threshold(b.d.workers["w1"]) and not b.d.workers["w1"].failure_share
     b.now += 5.0  # and now it was looked for
     b.feed(api.Timer(0))
     assert b.d.workers["w1"].failure_share
--- a/tests/test_stored_state.py
+++ b/tests/test_stored_state.py
@@ -167,17 +167,21 @@
     guarded, _ = restored()
     dispatcher = guarded.inner
     assert (dispatcher.now, dispatcher.serial) == (255.10085987775585, 1156)
-    assert dispatcher.mean_run_times_s == {
+    assert dispatcher.estimates.mean_run_times_s == {
         "safe": 0.9877661192264197,
         "unsafe": 0.8337945484260804,
         "keyed": 0.535893529398934,
     }
-    assert (dispatcher.full_share, dispatcher.retry_tokens) == (0.6235986540538337, 9.999999999999996)
-    assert (dispatcher.warm_rate, dispatcher.scan_at) == (0.17246340386069328, 255.15000000002726)
-    assert (dispatcher.tenants["t1"].own_rps, dispatcher.tenants["t1"].request_count) == (
-        1.6476487921726444,
-        3,
+    assert (dispatcher.outcomes.full_share, dispatcher.rules.retry_tokens) == (
+        0.6235986540538337,
+        9.999999999999996,
     )
+    assert (dispatcher.estimates.warm_rate, dispatcher.scan.next_at) == (
+        0.17246340386069328,
+        255.15000000002726,
+    )
+    quota = dispatcher.tenants.by_tenant["t1"]
+    assert (quota.own_rps, quota.request_count) == (1.6476487921726444, 3)
     assert list(dispatcher.jobs)[:3] == ["r1254", "r1262", "r1265"]
     assert WORKERS
     for address, values in WORKERS.items():
@@ -188,7 +192,7 @@
         sent = tuple((a.worker.address, a.sent_at, a.ending) for a in j.attempts)
         assert (j.key, j.tenant, j.arrived_at, j.deadline, j.queue_key, j.outstanding, sent) == values
     assert {
-        line: [list(jobs) for jobs in by_key.values()] for line, by_key in dispatcher.queues.items()
+        line: [list(jobs) for jobs in by_key.values()] for line, by_key in dispatcher.queues.by_class.items()
     } == HELD
 
 
