--- a/finchladder/cli/benchlink.py
+++ b/finchladder/cli/benchlink.py
@@ -116,15 +116,39 @@
     return f"SLEEP\t{i}\t{a.delay_s:.6f}\t{a.token}\n"
 
 
+def write_cancel(i: str, a: api.Cancel) -> str:
+    return f"UNDO_SEND\t{i}\t{a.request}\t{a.attempt}\n"
+
+
+def write_reject(i: str, a: api.Reject) -> str:
+    return f"REJECT\t{i}\t{a.request}\t{a.retry_after_s:.6f}\n"
+
+
+def write_fail(i: str, a: api.Fail) -> str:
+    return f"FINISH_ERROR\t{i}\t{a.request}\n"
+
+
+def write_subscribe(i: str, a: api.Subscribe) -> str:
+    return f"WATCH\t{i}\t{int(a.on)}\n"
+
+
+def write_broadcast(i: str, a: api.Broadcast) -> str:
+    return f"BROADCAST_TO\t{i}\tall\t{base64.b64encode(a.data).decode()}\n"
+
+
+def write_log(i: str, a: api.Log) -> str:
+    return f"LOG\t{i}\t{a.text}\n"
+
+
 WRITERS: dict[type, Callable[[str, Any], str]] = {
     api.Send: write_send,
     api.SetTimer: write_timer,
-    api.Cancel: lambda i, a: f"UNDO_SEND\t{i}\t{a.request}\t{a.attempt}\n",
-    api.Reject: lambda i, a: f"REJECT\t{i}\t{a.request}\t{a.retry_after:.6f}\n",
-    api.Fail: lambda i, a: f"FINISH_ERROR\t{i}\t{a.request}\n",
-    api.Subscribe: lambda i, a: f"WATCH\t{i}\t{int(a.on)}\n",
-    api.Broadcast: lambda i, a: f"BROADCAST_TO\t{i}\tall\t{base64.b64encode(a.data).decode()}\n",
-    api.Log: lambda i, a: f"LOG\t{i}\t{a.text}\n",
+    api.Cancel: write_cancel,
+    api.Reject: write_reject,
+    api.Fail: write_fail,
+    api.Subscribe: write_subscribe,
+    api.Broadcast: write_broadcast,
+    api.Log: write_log,
 }
 
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -7,6 +7,9 @@
 
 import pytest
 
+from finchladder.cli.benchlink import WRITERS
+from finchladder.core import api
+
 ROOT = Path(__file__).resolve().parent.parent
 FACTS = {
     "accounts": [{"name": "t1", "quotaRps": 10.0, "portion": 1.0}],
@@ -123,3 +126,20 @@
     )
     assert "FATAL\t3\tRuntimeError: two lines\n" in done.stdout
     assert done.stdout.endswith("EOR\n")
+
+
+@pytest.mark.parametrize(
+    ("action", "line"),
+    [
+        (api.Send("r1", "w1", timeout_s=0.5), "DISPATCH\t7\tr1\t0.500000\tw1\n"),
+        (api.SetTimer(0.25, 1), "SLEEP\t7\t0.250000\t1\n"),
+        (api.Cancel("r1", 2), "UNDO_SEND\t7\tr1\t2\n"),
+        (api.Reject("r1", 1.5), "REJECT\t7\tr1\t1.500000\n"),
+        (api.Fail("r1"), "FINISH_ERROR\t7\tr1\n"),
+        (api.Subscribe(False), "WATCH\t7\t0\n"),
+        (api.Broadcast(b"ab"), "BROADCAST_TO\t7\tall\tYWI=\n"),
+        (api.Log("text"), "LOG\t7\ttext\n"),
+    ],
+)
+def test_each_action_has_its_line(action: api.Action, line: str) -> None:
+    assert WRITERS[type(action)]("7", action) == line
