--- a/tests/cluster/test_agreement.py
+++ b/tests/cluster/test_agreement.py
@@ -77,9 +77,11 @@
 def test_who_may_not_vote_promises_and_accepts_nothing() -> None:
     acceptor = Acceptor(View(1, (member("a"),), (member("a"),), 1))
     after, promise = agreement.prepare(acceptor, False, Prepare(2, Ballot(1, "a")))
-    assert after == acceptor and not promise.granted
+    assert after == acceptor
+    assert not promise.granted
     after, accepted = agreement.accept(acceptor, False, Accept(Ballot(1, "a"), View(2, (), (), 0)))
-    assert after == acceptor and not accepted.granted
+    assert after == acceptor
+    assert not accepted.granted
 
 
 def test_a_vote_is_only_for_the_view_that_follows() -> None:
--- a/tests/cluster/test_chain_model.py
+++ b/tests/cluster/test_chain_model.py
@@ -24,7 +24,8 @@
 
 def test_no_order_of_views_writes_and_a_lost_disk_loses_a_change() -> None:
     found = searched()
-    assert found.complete and found.broken is None
+    assert found.complete
+    assert found.broken is None
 
 
 def test_the_command_tells_how_far_it_went() -> None:
--- a/tests/cluster/test_comparing.py
+++ b/tests/cluster/test_comparing.py
@@ -43,10 +43,14 @@
     varies = read_variant([write(tmp_path / "c", [0.7, 0.6, 0.9, 0.4, 0.65])])
     by_measure = {d.measure: d.interval for d in compare(before, gains) if d.group == "s"}
     figure = by_measure[FIGURE]
-    assert figure is not None and figure.is_told_apart and figure.mean == pytest.approx(0.032)
-    assert by_measure["price: orders"] is not None and by_measure["price: orders"].mean == 0.0
+    assert figure is not None
+    assert figure.is_told_apart
+    assert figure.mean == pytest.approx(0.032)
+    assert by_measure["price: orders"] is not None
+    assert by_measure["price: orders"].mean == 0.0
     (interval,) = [d.interval for d in compare(before, varies) if d.group == "s" and d.measure == FIGURE]
-    assert interval is not None and not interval.is_told_apart
+    assert interval is not None
+    assert not interval.is_told_apart
     assert any("not told apart" in line for line in lines(compare(before, varies)))
 
 
@@ -65,7 +69,8 @@
         d for d in compare(before, read_variant(again)) if d.group == "s" and d.measure == CREDIT
     ]
     assert difference.pairs == 4
-    assert difference.interval is not None and difference.interval.mean == pytest.approx(0.1)
+    assert difference.interval is not None
+    assert difference.interval.mean == pytest.approx(0.1)
 
 
 def test_small_twins_are_no_pairs_of_full_days(tmp_path: Path) -> None:
@@ -99,10 +104,12 @@
     call = ["compare", "--before", str(before), "--after", str(after), "--plot", str(plot)]
     result = CliRunner().invoke(main, call)
     assert result.exit_code == 0, result.output
-    assert "s: 4 pairs" in result.output and plot.read_bytes().startswith(b"\x89PNG")
+    assert "s: 4 pairs" in result.output
+    assert plot.read_bytes().startswith(b"\x89PNG")
     write(after, [0.6], rules={"ONE": 1})
     result = CliRunner().invoke(main, call)
-    assert result.exit_code == 1 and "broken, after: s mix --seed 0: ONE broken 1 times" in result.output
+    assert result.exit_code == 1
+    assert "broken, after: s mix --seed 0: ONE broken 1 times" in result.output
 
 
 def test_a_file_that_is_no_entry_is_named(tmp_path: Path) -> None:
--- a/tests/cluster/test_configuration.py
+++ b/tests/cluster/test_configuration.py
@@ -75,7 +75,8 @@
 )
 def test_an_invalid_configuration_is_rejected(value: object) -> None:
     outcome = put(value)
-    assert isinstance(outcome, InvalidChange) and outcome.problem
+    assert isinstance(outcome, InvalidChange)
+    assert outcome.problem
 
 
 @pytest.mark.parametrize(
@@ -94,7 +95,8 @@
     second = {**ROUTE, "name": "r2", "path_prefix": "/y/"}
     added = document(patch({"version": 7, "upsert": {"routes": [{**ROUTE, "timeout_ms": 9}, second]}}))
     assert [(r["name"], r["timeout_ms"]) for r in added["routes"]] == [("r1", 9), ("r2", 100)]
-    assert added["more"] == [1] and added["version"] == 7
+    assert added["more"] == [1]
+    assert added["version"] == 7
     removed = document(patch({"version": 8, "remove": {"routes": ["r1", "absent"]}}))
     assert removed["routes"] == []
 
--- a/tests/cluster/test_configuration_changes.py
+++ b/tests/cluster/test_configuration_changes.py
@@ -53,7 +53,8 @@
     async def work() -> None:
         head, middle, _ = await settled(World(2))
         assert await submitted(middle, 0, 1) == ACCEPTED
-        assert head.disk is not None and head.plane is not None
+        assert head.disk is not None
+        assert head.plane is not None
         head.disk.refuses = True
         head.disk.failed = True
         await asyncio.sleep(3.0)
@@ -72,7 +73,8 @@
         assert await submitted(head, 0, 1) == ACCEPTED
         for other in (head, middle):
             world.network.cut |= {(tail.address, other.address), (other.address, tail.address)}
-        assert tail.plane is not None and head.plane is not None
+        assert tail.plane is not None
+        assert head.plane is not None
         with pytest.raises(ClusterError):
             await tail.plane.chain.read()
         await asyncio.sleep(3.0)
--- a/tests/cluster/test_control_world.py
+++ b/tests/cluster/test_control_world.py
@@ -98,7 +98,8 @@
         ).stdout
         for hash_seed in ("1", "2")
     ]
-    assert traces[0] == traces[1] and len(traces[0].splitlines()) > 20
+    assert traces[0] == traces[1]
+    assert len(traces[0].splitlines()) > 20
 
 
 def test_a_seed_gives_the_same_run_again() -> None:
@@ -157,10 +158,12 @@
         world = World(5, overlaps=True)
         await start_three(world)
         one, two, _ = world.running()
-        assert world.may_lose_disk(one) and world.may_lose_disk(two)
+        assert world.may_lose_disk(one)
+        assert world.may_lose_disk(two)
         world.kill(one, power=True)
         world.wipe(one)
-        assert world.may_lose_disk(one) and not world.may_lose_disk(two)
+        assert world.may_lose_disk(one)
+        assert not world.may_lose_disk(two)
         world.restart(one)
         assert not world.may_lose_disk(two)
         await asyncio.sleep(3.0)
--- a/tests/cluster/test_emulator.py
+++ b/tests/cluster/test_emulator.py
@@ -31,7 +31,8 @@
 
     async def one(asked: Work) -> float:
         request = engine.submit(asked, began + 60)
-        assert request is not None and await request.first
+        assert request is not None
+        assert await request.first
         return loop.time() - began
 
     found = await asyncio.gather(*map(one, works))
--- a/tests/cluster/test_exchange.py
+++ b/tests/cluster/test_exchange.py
@@ -267,7 +267,8 @@
 
     async def check(b: RouterHarness) -> None:
         status, got = await outcome(b, path)
-        assert got == body and (status == 200 or body is None)
+        assert got == body
+        assert status == 200 or body is None
 
     run_with_timeout(lambda: with_scripted(script, [], check))
 
--- a/tests/cluster/test_lease_model.py
+++ b/tests/cluster/test_lease_model.py
@@ -26,7 +26,8 @@
 
 def test_in_no_state_two_members_act_within_a_turn() -> None:
     found = search()
-    assert found.complete and found.broken is None
+    assert found.complete
+    assert found.broken is None
     assert found.states == 114_787
 
 
@@ -93,7 +94,8 @@
 
 def test_where_workers_check_fences_in_no_state_two_members_hold_the_role() -> None:
     found = search_fenced()
-    assert found.complete and found.broken is None
+    assert found.complete
+    assert found.broken is None
 
 
 @pytest.mark.parametrize(
--- a/tests/cluster/test_lmdb_store.py
+++ b/tests/cluster/test_lmdb_store.py
@@ -75,7 +75,8 @@
     store.close()
     (tmp_path / "state" / "data.mdb").write_bytes(b"\x13" * 70_000)
     again = LmdbStore(str(tmp_path), DISK_BYTES)
-    assert again.moved_aside and not again.was_empty
+    assert again.moved_aside
+    assert not again.was_empty
     assert again.load(lambda: identity("second")) == (identity("second"), Acceptor(), Replica())
     assert list(tmp_path.glob("state.damaged-*"))
 
--- a/tests/cluster/test_load_delays.py
+++ b/tests/cluster/test_load_delays.py
@@ -82,7 +82,8 @@
 
     (counted_at,) = run(work())
     (taken_at,) = [at for at, order, status in worker.log if (order.operation, status) == ("load", TAKEN)]
-    assert taken_at > 6.0 and counted_at == pytest.approx(taken_at, abs=0.01)
+    assert taken_at > 6.0
+    assert counted_at == pytest.approx(taken_at, abs=0.01)
     (placement,) = scene.tables.placements.values()
     (age_ms,) = placement.record.load_ages_ms
     assert age_ms == pytest.approx(1000 * LOAD_S, abs=50)
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -29,7 +29,8 @@
 def test_a_member_whose_disk_does_not_answer_is_left_out_and_goes_on_voting() -> None:
     view = next_view(VIEW, alive(A, B, C, sick=(B,)), [], ONE)
     assert chain_of(view) == (A, C)
-    assert view is not None and B in view.voters
+    assert view is not None
+    assert B in view.voters
 
 
 def test_a_chain_is_never_shorter_than_what_a_loss_of_disks_asks_for() -> None:
@@ -40,7 +41,8 @@
     wiped = member("a", "a2")
     view = next_view(VIEW, alive(B, C, wiped), [wiped], ONE)
     assert chain_of(view) == (B, C, wiped)
-    assert view is not None and view.survivors == 2
+    assert view is not None
+    assert view.survivors == 2
     assert set(view.voters) == {B, C, wiped}
 
 
@@ -81,4 +83,6 @@
 def test_the_first_view_needs_as_many_as_a_loss_asks_for() -> None:
     assert first_view([A], ONE) is None
     first = first_view([B, A], ONE)
-    assert first is not None and first.chain == (A, B) and first.survivors == 2
+    assert first is not None
+    assert first.chain == (A, B)
+    assert first.survivors == 2
--- a/tests/cluster/test_mutants.py
+++ b/tests/cluster/test_mutants.py
@@ -17,7 +17,8 @@
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
 def test_what_a_mutant_replaces_stands_in_its_module_once(mutant: Mutant) -> None:
     spec = find_spec(f"finchladder.cluster.{mutant.module}")
-    assert spec is not None and spec.origin is not None
+    assert spec is not None
+    assert spec.origin is not None
     text = Path(spec.origin).read_text()
     assert text.count(mutant.old) == 1
     compile(text.replace(mutant.old, mutant.new), spec.origin, "exec")
@@ -27,7 +28,8 @@
 def test_names_differ_and_each_point_has_two_or_more() -> None:
     assert len({mutant.name for mutant in MUTANTS}) == len(MUTANTS)
     points = [mutant.point for mutant in MUTANTS]
-    assert set(points) == POINTS and all(points.count(point) >= 2 for point in POINTS)
+    assert set(points) == POINTS
+    assert all(points.count(point) >= 2 for point in POINTS)
 
 
 def test_the_command_finds_a_head_that_acknowledges_alone() -> None:
--- a/tests/cluster/test_placer_lease.py
+++ b/tests/cluster/test_placer_lease.py
@@ -46,8 +46,10 @@
         await asyncio.sleep(1.0)
         world.start(machine)
         again = await wait_for_holder(world, 2.0)
-        assert again is machine and again.plane is not None
-        assert again.plane.placer_lease.lease.token > token and again.plane.placer_lease.reacquired
+        assert again is machine
+        assert again.plane is not None
+        assert again.plane.placer_lease.lease.token > token
+        assert again.plane.placer_lease.reacquired
         assert world.violation is None
 
     run(work())
@@ -61,7 +63,8 @@
         world.kill(machine, power=True)
         died = loop.time()
         other = await wait_for_holder(world, 8.0, machine.name)
-        assert other.plane is not None and not other.plane.placer_lease.reacquired
+        assert other.plane is not None
+        assert not other.plane.placer_lease.reacquired
         assert TURN_S <= loop.time() - died <= TURN_S + 3.0
         assert world.violation is None
 
@@ -76,7 +79,8 @@
         world.kill(other, power=True)
         await asyncio.sleep(4.0)
         assert machine.plane is not None
-        assert machine.plane.placer_lease.is_held() and machine.plane.placer_lease.lease.token == token
+        assert machine.plane.placer_lease.is_held()
+        assert machine.plane.placer_lease.lease.token == token
 
     run(work())
 
@@ -86,7 +90,8 @@
     assert granted.wait_s(0.0) is None
     granted.confirm(10.0)
     held.extend(9.5, 1)
-    assert held.is_valid(10.4) and not held.is_valid(10.5)
+    assert held.is_valid(10.4)
+    assert not held.is_valid(10.5)
     assert granted.wait_s(10.0) == pytest.approx(4.0 + CLOCK_MARGIN_S)
     assert granted.wait_s(14.0 + CLOCK_MARGIN_S) == 0.0
 
@@ -141,7 +146,8 @@
         world.kill(machine, power=True)
         died = loop.time()
         other = await wait_for_holder(world, 8.0, machine.name)
-        assert other.plane is not None and other.plane.placer_lease.lease.token > token
+        assert other.plane is not None
+        assert other.plane.placer_lease.lease.token > token
         assert loop.time() - died <= SUSPECTED_S + CALLS_S, (
             "the lease expired before the failure was detected"
         )
--- a/tests/cluster/test_pools.py
+++ b/tests/cluster/test_pools.py
@@ -28,7 +28,8 @@
         "d": SessionPhase.DEREGISTERED,
     }
     members = {n: pool_member(record(n, phase), None, old.get(n)) for n, phase in phases.items()}
-    assert members["a"] is not None and members["a"].worker is old["a"].worker
+    assert members["a"] is not None
+    assert members["a"].worker is old["a"].worker
     assert [members[name] for name in "bcd"] == [None] * 3
     assert pool_member(None, None, old["a"]) is None
 
--- a/tests/cluster/test_replicated_tables.py
+++ b/tests/cluster/test_replicated_tables.py
@@ -116,7 +116,8 @@
             now += 5.0
             steady_one.expire_origins(now)
             other.expire_origins(now)
-        assert not steady_one.is_ahead(other.vector) and not other.is_ahead(steady_one.vector)
+        assert not steady_one.is_ahead(other.vector)
+        assert not other.is_ahead(steady_one.vector)
     assert len(steady_one.vector) <= 6
     assert steady_one.workers["i-1"].record.sequence == 99
 
@@ -138,7 +139,8 @@
         exchange(one, other)
         one.expire_origins(now)
         other.expire_origins(now + 17.0)
-    assert "gone" not in one.vector and "gone" not in other.vector
+    assert "gone" not in one.vector
+    assert "gone" not in other.vector
 
 
 def test_a_worker_that_came_back_does_not_expire_for_its_earlier_loss() -> None:
@@ -149,4 +151,5 @@
     assert tables.expire_ended_workers(100.0) == []
     tables.put_worker(msgspec.structs.replace(worker("i-1", "a", SessionPhase.LOST), sequence=3))
     assert tables.expire_ended_workers(101.0) == []
-    assert tables.expire_ended_workers(170.0) == ["i-1"] and not tables.workers
+    assert tables.expire_ended_workers(170.0) == ["i-1"]
+    assert not tables.workers
--- a/tests/cluster/test_snapshot.py
+++ b/tests/cluster/test_snapshot.py
@@ -52,4 +52,5 @@
 
 def test_a_request_of_unknown_kind_is_not_retried() -> None:
     route = build_snapshot(json.dumps(DOCUMENT).encode()).match("b.example", "/q")
-    assert route is not None and not route.is_idempotent
+    assert route is not None
+    assert not route.is_idempotent
--- a/tests/cluster/test_utilization.py
+++ b/tests/cluster/test_utilization.py
@@ -25,7 +25,8 @@
     assert all(before < after for before, after in pairwise(shares))
     slopes = [100 * (after - before) for before, after in pairwise(shares)]
     assert all(before <= after + 1e-9 for before, after in pairwise(slopes)), "it grows ever faster"
-    assert late_fraction(0.3) < 0.02 and late_fraction(1.0) == pytest.approx(0.4)
+    assert late_fraction(0.3) < 0.02
+    assert late_fraction(1.0) == pytest.approx(0.4)
 
 
 def test_a_models_reading_falls_evenly_on_its_copies_and_those_on_their_way_count() -> None:
@@ -129,7 +130,8 @@
     fleet = Fleet(w1="m0 m1", w2="m2 m3")
     fleet.asked(12.0, m0=7.5, m1=7.5)
     (action,) = fleet.plan()
-    assert action.instance == "w2" and action.model in ("m0", "m1")
+    assert action.instance == "w2"
+    assert action.model in ("m0", "m1")
 
 
 def test_demand_that_rises_is_expected_to_rise_on() -> None:
@@ -140,7 +142,8 @@
         demand = Demand("llm", "m0", "", 4, 0, 1, 8000)
         fleet.tracker.add_report(8.0 + 0.4 * (number + 1), DemandReport("edge", 0.4, (demand,)))
     risen = fleet.tracker.expected(DemandKey("llm", "m0"))
-    assert risen.rate > 2 * calm.rate and risen.tokens_per_s > 2 * calm.tokens_per_s
+    assert risen.rate > 2 * calm.rate
+    assert risen.tokens_per_s > 2 * calm.tokens_per_s
     assert risen.rate > fleet.tracker.rate(DemandKey("llm", "m0"))
 
 
--- a/tests/cluster/test_worker_expiry.py
+++ b/tests/cluster/test_worker_expiry.py
@@ -67,7 +67,8 @@
         await scene.updates.on_pull(pull({}))
         await scene.sessions.on_deregister("i-1")
         await scene.updates.on_pull(pull(dict(scene.tables.vector), 1))
-        assert await scene.sessions.on_deregister("i-1") and scene.retirements.acknowledged
+        assert await scene.sessions.on_deregister("i-1")
+        assert scene.retirements.acknowledged
         for _ in range(30):
             await asyncio.sleep(5.0)
             scene.expiry.expire_own_workers()
--- a/tests/cluster/test_worker_retirement.py
+++ b/tests/cluster/test_worker_retirement.py
@@ -45,7 +45,8 @@
     state = ControlState()
     for number in range(MAX_RETIREMENTS + 3):
         state = apply(state, RecordRetirements((drain(f"i-{number}"),)))
-    assert len(state.retirements) == MAX_RETIREMENTS and state.retirements[0].instance == "i-3"
+    assert len(state.retirements) == MAX_RETIREMENTS
+    assert state.retirements[0].instance == "i-3"
 
 
 async def control_planes(world: World) -> list[ControlPlane]:
--- a/tests/cluster/test_worst_days.py
+++ b/tests/cluster/test_worst_days.py
@@ -590,7 +590,8 @@
         await agreement.learn(following)
         assert (await vote).granted  # for the instance that it was asked for, and of no use any more
         stored = tail.platter.read()[0]
-        assert stored.view == agreement.view and stored.view.number >= following.number
+        assert stored.view == agreement.view
+        assert stored.view.number >= following.number
         assert stored.accepted is None
 
     played(work)
@@ -785,9 +786,11 @@
 def test_a_joiner_that_was_heard_to_have_the_state_is_a_source_when_it_is_silent() -> None:
     view = View(3, (A, B, C), (A, B, C), 1)
     following = next_view(view, alive(a=3, c=3), [], ONE, {B.disk_id: 3})
-    assert following is not None and following.state_sources == ((A, B, C),)
+    assert following is not None
+    assert following.state_sources == ((A, B, C),)
     unheard = next_view(view, alive(a=3, c=3), [], ONE, {B.disk_id: 2})
-    assert unheard is not None and unheard.state_sources == ((A, C),)
+    assert unheard is not None
+    assert unheard.state_sources == ((A, C),)
 
 
 @pytest.mark.parametrize(
@@ -821,4 +824,5 @@
 
     old: Any = [[4, [], [], 2], [0, ""], [0, ""], None]
     acceptor = msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=Acceptor)
-    assert acceptor.view.state_sources == () and acceptor.view.number == 4
+    assert acceptor.view.state_sources == ()
+    assert acceptor.view.number == 4
