--- a/finchladder/core/dispatch/records.py
+++ b/finchladder/core/dispatch/records.py
@@ -1,15 +1,23 @@
-"""What a dispatcher remembers of a worker, an attempt and a job. Records only: policy.py decides."""
+"""What a dispatcher knows of a worker, an attempt and a job: records without decisions.
+
+The order of `__slots__` is stored data: captures hold records by position, see `features.snapshot`.
+"""
 
 from collections import OrderedDict
 from collections.abc import Iterator
-from typing import Any
+from typing import TYPE_CHECKING
 
 from finchladder.core.api import NEVER_RAN, Ending, JobClass, Request, WorkerEntry, WorkerPool
 
-QueueKey = tuple[int, str]  # priority and class: jobs that wait for the same room
+if TYPE_CHECKING:
+    from finchladder.core.dispatch.worker_index import PoolIndex
+
+QueueKey = tuple[int, str]  # priority and class of jobs that wait for the same workers
 
 
 class Worker:
+    """What is known of one worker."""
+
     __slots__ = (
         "address",
         "zone",
@@ -38,37 +46,47 @@
         "run_time_samples",
     )
 
-    def __init__(self, e: WorkerEntry, t: float) -> None:
-        self.address, self.zone, self.kind, self.cell = e.worker, e.zone, e.kind, e.cell
-        self.last_report_at = 0.0  # when it last told of any job
-        self.load = 0.0  # own slots in flight
-        self.unstarted_attempts: dict[Attempt, float] = {}  # attempts sent and not known to have started
+    def __init__(self, entry: WorkerEntry, load_threshold: float) -> None:
+        """`load_threshold`: slots that it is taken to bear before anything is known of it."""
+        self.address = entry.worker
+        self.zone = entry.zone
+        self.kind = entry.kind
+        self.cell = entry.cell
         self.is_ready = False
-        self.weight, self.expected_finish = (
-            0.0,
-            1.0,
-        )  # see crowd.py; 0: not told, or it does not tell how full it is
-        self.nominal_capacity = 1.0  # as the list tells it once for all; see sizes.py
-        self.position = 0  # its place among those with the same load
-        # kept by fleet.py: the pools that it is in, and its level there
+        self.load = 0.0  # own slots in flight
+        self.last_report_at = 0.0  # when it last reported on any job
+        self.unstarted_attempts: dict[Attempt, float] = {}  # not known to have started; when they were sent
+        # by worker_load; weight 0: none was given, or it does not say how full the worker is
+        self.weight = 0.0
+        self.expected_finish = 1.0  # how long a mean job takes there, in runs of one on the largest worker
+        self.nominal_capacity = 1.0  # by worker_capacity, as the list says it once for all
+        # by worker_index
+        self.position = 0  # among those with the same load
         self.load_level: tuple[float, bool] | None = None
-        self.pools: tuple[Any, ...] = ()
-        self.restart(e.started_at, t, 0.0)
-
-    def restart(self, born: float, t: float, credit: float) -> None:
-        """Nothing learned of the process before counts for the new one."""
-        self.started_at = born
-        self.load_threshold, self.backoff_until, self.backoff_count = t, 0.0, 0
-        self.failure_share, self.ejected_until, self.ejection_count = 0.0, 0.0, 0
-        self.slow_start_credit, self.credit_updated_at = credit, born
-        self.run_time_samples = (
-            0.0,
-            0.0,
-        )  # jobs that ran there, and how long against the usual; see sizes.py
-        self.fetched_keys: dict[int | None, None] = {}  # keys sent while cold: what they need is there
+        self.pools: tuple[PoolIndex, ...] = ()
+        self.restart(entry.started_at, load_threshold, 0.0)
+
+    def restart(self, started_at: float, load_threshold: float, credit: float) -> None:
+        """A new process at that address: nothing learned of the one before counts for it."""
+        self.started_at = started_at
+        self.load_threshold = load_threshold
+        self.backoff_until = 0.0
+        self.backoff_count = 0
+        self.failure_share = 0.0  # moving share of bad endings
+        self.ejected_until = 0.0
+        self.ejection_count = 0
+        self.slow_start_credit = credit  # seconds of work that it may be sent
+        self.credit_updated_at = started_at
+        self.run_time_samples = (0.0, 0.0)  # jobs that ran there, and the sum of their ratios to usual ones
+        self.fetched_keys: dict[int | None, None] = {}  # sent during slow start: what they need is cached
 
 
 class Attempt:
+    """One send of a job to a worker.
+
+    All times but `sent_at` are by `DispatcherState.observed_now`, which leaves out the event loop's stalls.
+    """
+
     __slots__ = (
         "worker",
         "sent_at",
@@ -79,20 +97,19 @@
         "observed_sent_at",
     )
 
-    def __init__(self, worker: Worker, sent: float, seen: float) -> None:
-        self.worker, self.sent_at, self.observed_sent_at = (
-            worker,
-            sent,
-            seen,
-        )  # `seen`: sent, by the clock that follows
-        # the next two go by a clock that stands still while the dispatcher can't look at what comes
+    def __init__(self, worker: Worker, sent_at: float, observed_sent_at: float) -> None:
+        self.worker = worker
+        self.sent_at = sent_at
+        self.observed_sent_at = observed_sent_at
         self.started_at: float | None = None
         self.ending: Ending | None = None
-        self.is_stalled = False  # given up for lost: nothing more is told of it
-        self.last_report_at = seen  # when anything was last told of it
+        self.is_stalled = False  # taken for lost, as it is not reported on any more
+        self.last_report_at = observed_sent_at
 
 
 class Job:
+    """An open request."""
+
     __slots__ = (
         "id",
         "job_class",
@@ -112,24 +129,33 @@
         "needed_pool",
     )
 
-    def __init__(self, r: Request, cls: JobClass, now: float, serial: int, most: int) -> None:
-        """`most`: the settings' limit of attempts."""
-        self.serial = serial  # jobs in their order of arrival
-        self.id, self.job_class, self.key, self.tenant = r.id, cls, r.key, r.tenant
-        self.slots = r.slots if r.slots > 0 else 1.0
-        self.work_hint_s, self.arrived_at, self.deadline = r.work_hint, now, now + r.timeout_s
+    def __init__(
+        self, request: Request, job_class: JobClass, now: float, serial: int, max_attempts: int
+    ) -> None:
+        """`serial`: numbers jobs in their order of arrival; `max_attempts`: the settings' limit."""
+        limits = request.limits
+        self.serial = serial
+        self.id = request.id
+        self.job_class = job_class
+        self.key = request.key
+        self.tenant = request.tenant
+        self.slots = request.slots if request.slots > 0 else 1.0
+        self.work_hint_s = request.work_hint
+        self.arrived_at = now
+        self.deadline = now + request.timeout_s
         self.attempts: list[Attempt] = []
         self.is_done = False
-        self.outstanding = 0  # attempts outstanding
-        self.max_attempts = most if r.limits is None else min(most, r.limits.max_sends)
-        self.must_wait = False  # must not be sent again yet, by its own limits
-        self.queue_key: QueueKey = (0 if r.limits is None else r.limits.priority, cls.name)
-        self.needed_pool: str | WorkerPool | None = (
-            cls.kind if r.limits is None else r.limits.pool or cls.kind
-        )
+        self.outstanding = 0  # attempts in flight
+        self.max_attempts = max_attempts if limits is None else min(max_attempts, limits.max_sends)
+        self.must_wait = False  # not to be sent again yet, by its own limits
+        self.queue_key: QueueKey = (0 if limits is None else limits.priority, job_class.name)
+        self.needed_pool: str | WorkerPool | None = job_class.kind
+        if limits is not None and limits.pool:
+            self.needed_pool = limits.pool
 
     def may_have_run(self) -> Iterator[Attempt]:
+        """Its attempts, but for those that are known not to have run."""
         return (a for a in self.attempts if a.ending not in NEVER_RAN)
 
 
-QueuedJobs = OrderedDict[int | None, dict[str, Job]]  # the jobs of a line that wait, by key and id
+QueuedJobs = OrderedDict[int | None, dict[str, Job]]  # the jobs of one queue, by key and id
--- a/finchladder/core/dispatch/zone_dispatcher.py
+++ b/finchladder/core/dispatch/zone_dispatcher.py
@@ -1,4 +1,4 @@
-"""A Dispatcher whose jobs stay in its own zone; spill.py says when a part of them goes to another one.
+"""A Dispatcher whose jobs stay in its own zone; `zone_spillover` says when a part goes to another one.
 
 | a job | is asked for in turn |
 | --- | --- |
@@ -6,14 +6,14 @@
 | has come, otherwise | home |
 | waits, while work goes away | home, the other zone |
 | waits, while none does | home |
-| has waited for LINGER | home, all zones |
+| has waited for HOME_ONLY_SHARE of its latency target | home, all zones |
 | was sent before, or may not run at home | all zones |
 
-So no job is refused for want of room at home while another zone has some. All of it holds within the kinds
+So no job is rejected because home is full while another zone is not. All of it holds within the kinds
 and zones that the job's own pool allows.
 """
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from random import Random
 
 from finchladder.core.api import Action, Ended, Ending, Event, Log, Send, Settings
@@ -28,108 +28,120 @@
 )
 
 OBSERVATION_INTERVAL_S = 0.1
-MAX_OBSERVED_WORKERS = (
-    128  # of a zone's workers at most: of more, at random points of its ring; a look costs 0.1 ms each
-)
-HOME_ONLY_SHARE = 0.25  # part of its aim for which a job waits for home alone
+MAX_OBSERVED_WORKERS = 128  # of a zone; of more, random ones: an observation of so many takes 0.1 ms
+HOME_ONLY_SHARE = 0.25  # share of its latency target for which a job waits for its home zone alone
 
 
 class ZoneDispatcher(Dispatcher):
-    """Costs beside a Dispatcher's: a look at up to LOOK_AT workers of each zone and kind every 100 ms.
+    """A Dispatcher with zone spillover.
 
-    Memory: one more place in the index for each ready worker and needed kind.
+    Costs beside a Dispatcher's: up to MAX_OBSERVED_WORKERS of each zone and kind are examined every 100 ms.
+    Memory: one more entry in the index for each ready worker and needed kind.
     """
 
-    def __init__(self, settings: Settings, seed: int, spill: SpilloverSettings) -> None:
-        self.pool_zones, self.spillover_settings = settings.zones, spill
+    def __init__(self, settings: Settings, seed: int, spillover_settings: SpilloverSettings) -> None:
+        """`seed`: of all random draws."""
+        self.pool_zones = settings.zones
+        self.spillover_settings = spillover_settings
         kinds = {c.kind for c in settings.classes}
         # by needed kind, as a kind may be full where others are not
-        self.spillovers = {kind: ZoneSpillover(spill) for kind in sorted(kinds, key=lambda kind: kind or "")}
-        self.send_counts: dict[tuple[str | None, str], list[int]] = {}  # by kind and zone: sent, refused
+        sorted_kinds = sorted(kinds, key=lambda kind: kind or "")
+        self.spillovers = {kind: ZoneSpillover(spillover_settings) for kind in sorted_kinds}
+        self.send_counts: dict[tuple[str | None, str], list[int]] = {}  # by kind and zone: sent, rejected
         self.next_observation_at = 0.0
         self.zone_random = Random(f"{seed}/zones")  # apart: the Dispatcher's own draws stay as they are
         super().__init__(settings, seed)
 
     def reindex(self) -> None:
+        """As that of a Dispatcher; the spillovers follow the settings as they are now."""
         super().reindex()
-        for spill in self.spillovers.values():
-            spill.settings = self.spillover_settings
+        for spillover in self.spillovers.values():
+            spillover.settings = self.spillover_settings
 
     def handle(self, now: float, event: Event) -> list[Action]:
+        """As that of a Dispatcher; the zones are observed at intervals."""
         if isinstance(event, Ended) and event.ending is Ending.OVERLOADED:
             self._count_rejection(event)
         actions = super().handle(now, event)
-        for a in actions:
-            if isinstance(a, Send) and (job := self.jobs.get(a.request)) is not None:
+        for action in actions:
+            if isinstance(action, Send) and (job := self.jobs.get(action.request)) is not None:
                 self._count(job, job.attempts[-1].worker)[0] += 1
         if now >= self.next_observation_at:
             self.next_observation_at = now + OBSERVATION_INTERVAL_S
             actions += self._observe_zones()
         return actions
 
-    def _count_rejection(self, e: Ended) -> None:
-        attempt = self.state.attempt(e.request, e.attempt)
+    def _count_rejection(self, event: Ended) -> None:
+        attempt = self.state.attempt(event.request, event.attempt)
         if attempt is not None and attempt.ending is None:
-            self._count(self.jobs[e.request], attempt.worker)[1] += 1
+            self._count(self.jobs[event.request], attempt.worker)[1] += 1
 
-    def _count(self, job: Job, w: Worker) -> list[int]:
-        return self.send_counts.setdefault((job.job_class.kind, w.zone), [0, 0])
+    def _count(self, job: Job, worker: Worker) -> list[int]:
+        return self.send_counts.setdefault((job.job_class.kind, worker.zone), [0, 0])
 
     def _observe_zones(self) -> list[Action]:
-        told: list[Action] = []
-        home = self.settings.zone
-        for kind, spill in self.spillovers.items():
-            parts = self.worker_index.pool(kind).by_zone
-            if home not in parts:
-                continue
-            seen = {zone: self._measure_zone(part, kind, zone) for zone, part in parts.items()}
-            away = sum(load for zone, (_, load) in seen.items() if zone != home)
-            others = {zone: found for zone, (found, _) in seen.items() if zone != home}
-            before, before_target = spill.state, spill.target
-            spill.observe(self.now, seen[home][0], others, away)
-            if spill.state is not before:
-                where = spill.target if spill.state is SpilloverState.SPILLING else before_target
-                of = f" of kind {kind!r}" if kind is not None else ""
-                told.append(Log(f"zone spill{of}: {spill.state.value}, {where!r} beside {home!r}"))
+        changes: list[Action] = []
+        for kind, spillover in self.spillovers.items():
+            by_zone = self.worker_index.pool(kind).by_zone
+            if self.settings.zone in by_zone:
+                changes += self._observe_kind(kind, spillover, by_zone)
         self.send_counts.clear()
-        return told
+        return changes
 
-    def _measure_zone(self, part: PoolIndex, kind: str | None, zone: str) -> tuple[ZoneLoad, float]:
-        """The zone in slots, as far as they are known: thresholds; and this dispatcher's own load there.
-
-        Who is ejected or cold counts as not there: it takes next to nothing.
+    def _observe_kind(
+        self, kind: str | None, spillover: ZoneSpillover, by_zone: Mapping[str, PoolIndex]
+    ) -> list[Action]:
+        """Returns a log line if the spillover changes its state."""
+        home = self.settings.zone
+        measured = {zone: self._measure_zone(pool, kind, zone) for zone, pool in by_zone.items()}
+        load_away = sum(own_load for zone, (_, own_load) in measured.items() if zone != home)
+        others = {zone: zone_load for zone, (zone_load, _) in measured.items() if zone != home}
+        state_before = spillover.state
+        target_before = spillover.target
+        spillover.observe(self.now, measured[home][0], others, load_away)
+        if spillover.state is state_before:
+            return []
+        target = spillover.target if spillover.state is SpilloverState.SPILLING else target_before
+        of_kind = f" of kind {kind!r}" if kind is not None else ""
+        return [Log(f"zone spill{of_kind}: {spillover.state.value}, {target!r} beside {home!r}")]
+
+    def _measure_zone(self, pool: PoolIndex, kind: str | None, zone: str) -> tuple[ZoneLoad, float]:
+        """The zone's slots as far as they are known, by load thresholds; and the own load there, in slots.
+
+        Ejected workers and those in slow start are left out: they take next to nothing.
         """
-        few = part.size <= MAX_OBSERVED_WORKERS
-        looked = list(
-            part.by_load(MAX_OBSERVED_WORKERS)
-            if few
-            else part.random_workers(self.zone_random, MAX_OBSERVED_WORKERS)
-        )
-        slots = free = open_ = load = 0.0
-        for w in looked:
-            load += w.load
-            if not w.ejected_until and not self.worker_index.is_slow_starting(w, self.now):
-                slots += w.load_threshold
-                if self.placement.is_under_threshold(w):
-                    free += w.load_threshold - w.load
-                    open_ += w.load_threshold
-        scale = part.size / len(looked) if looked else 0.0
-        sent, refused = self.send_counts.get((kind, zone), (0, 0))
-        return ZoneLoad(slots * scale, free * scale, sent, refused, open_ * scale), load * scale
+        if pool.size <= MAX_OBSERVED_WORKERS:
+            observed = list(pool.by_load(MAX_OBSERVED_WORKERS))
+        else:
+            observed = list(pool.random_workers(self.zone_random, MAX_OBSERVED_WORKERS))
+        slots = free = open_slots = own_load = 0.0
+        for worker in observed:
+            own_load += worker.load
+            if worker.ejected_until or self.worker_index.is_slow_starting(worker, self.now):
+                continue
+            slots += worker.load_threshold
+            if self.placement.is_under_threshold(worker):
+                free += worker.load_threshold - worker.load
+                open_slots += worker.load_threshold
+        scale = pool.size / len(observed) if observed else 0.0
+        sent, rejected = self.send_counts.get((kind, zone), (0, 0))
+        zone_load = ZoneLoad(slots * scale, free * scale, sent, rejected, open_slots * scale)
+        return zone_load, own_load * scale
 
     def _pools_of(self, job: Job) -> Iterable[PoolIndex]:
-        whole = self.worker_index.pool(job.needed_pool)
-        home = whole.by_zone.get(self.settings.zone)
+        all_zones = self.worker_index.pool(job.needed_pool)
+        home = all_zones.by_zone.get(self.settings.zone)
         if home is None or not home.size or job.attempts:
-            return (whole,)
-        waited = self.now - job.arrived_at
-        if waited >= HOME_ONLY_SHARE * job.job_class.latency_target_s:
-            return home, whole
-        spill = self.spillovers[job.job_class.kind]
-        zone = spill.target if spill.state is not SpilloverState.HOME else None
-        if not waited:
-            zone = spill.next_zone()
-        away = whole.by_zone.get(zone) if zone is not None else None
+            return (all_zones,)
+        waited_s = self.now - job.arrived_at
+        if waited_s >= HOME_ONLY_SHARE * job.job_class.latency_target_s:
+            return home, all_zones
+        spillover = self.spillovers[job.job_class.kind]
+        if not waited_s:
+            zone = spillover.next_zone()
+        else:
+            zone = spillover.target if spillover.state is not SpilloverState.HOME else None
+        away = all_zones.by_zone.get(zone) if zone is not None else None
         if away is None or not away.size:
             return (home,)
-        return (home, away) if waited else (away, home)
+        return (home, away) if waited_s else (away, home)
--- a/finchladder/core/health/slow_start.py
+++ b/finchladder/core/health/slow_start.py
@@ -1,18 +1,18 @@
-"""What one dispatcher of many may send to a cold worker: its part of what the rule leaves to all of them.
+"""Slow start: what one dispatcher of many may send to a worker that has just started.
 
-A worker that has just started falls over if all dispatchers together send it more than `fall_multiple` times
-what it can do at that moment, for `fall_within` seconds. Each judges the worker by what it has served by a
-warm one, which is its own traffic's part of that; the sum over the fleet is what all of them do there. Of the
-rule's multiple PART is used; the rest is for skew and stale views. Credit is work in seconds.
+Such a worker fails if all dispatchers together send it more than `overload_multiple` times its capacity at
+that moment, for `overload_window_s` seconds. Each judges its own part by the work that it has a warm worker
+do; the sum over all dispatchers is what all of them do there. Of the multiple ALLOWANCE_SHARE is used; the
+rest is for skew and stale views. Credit is work in seconds.
 
 | how many share the fleet | credit at a start | a job may go if the credit is |
 | --- | --- | --- |
-| up to FEW | down to a whole job with its fetch below 0, drawn | at least its cost: saved up before |
-| more | as far below 0 as this dispatcher's place says | 0 or more: its cost is then owed |
+| up to FEW | down to one job with its fetch below 0, drawn | at least its cost: saved up before |
+| more | as far below 0 as this dispatcher's phase says | 0 or more: its cost is then owed |
 
-Among many a part is worth far less than one job while the worker is cold, so to save one up first would mean
-that nobody ever sends it anything. With places spread evenly over the length of a job, the sends of all come
-to what all parts add up to, each at its turn, whatever the traffic of each is.
+Among many a part is worth far less than one job during slow start, so to save one up first would mean that
+nobody ever sends anything. With phases spread evenly over the length of a job, the sends of all add up to the
+sum of all parts, each at its turn, whatever the traffic of each is.
 """
 
 from collections.abc import Callable
@@ -24,56 +24,73 @@
 from finchladder.core.membership.watch_backoff import FEW
 from finchladder.core.timing_wheel import TimingWheel
 
-ALLOWANCE_SHARE = 0.3  # of the rule's allowance
+ALLOWANCE_SHARE = 0.3  # of what `overload_multiple` allows
 
 
 def van_der_corput(index: int) -> float:
-    """Where a dispatcher stands among all, 0 to 1: its number with the bits turned round (van der Corput).
+    """The van der Corput sequence, 0 to 1: the number with its bits reversed, behind the binary point.
 
     Any run of numbers is spread evenly: those of a zone may stand together, and see more traffic than others.
     """
-    at, step = 0.0, 0.5
+    found = 0.0
+    step = 0.5
     while index:
-        at, step, index = at + step * (index & 1), step / 2, index >> 1
-    return at
+        found += step * (index & 1)
+        step /= 2
+        index >>= 1
+    return found
 
 
 class SlowStart:
+    """The credit of workers in slow start; it is kept in their records."""
+
     __slots__ = ("settings", "is_large_fleet", "phase")
 
     def __init__(self, settings: Settings) -> None:
+        """`settings.index`: gives this dispatcher's turns among all."""
         self.settings = settings
         self.is_large_fleet = settings.dispatchers > FEW
         self.phase = van_der_corput(max(0, settings.index))
 
-    def initial_credit_s(self, worker: str, born: float, most: float, random: Random) -> float:
-        """Credit at a start. `most`: what a job with its fetch costs; each start has turns of its own."""
+    def initial_credit_s(self, worker: str, started_at: float, max_cost_s: float, random: Random) -> float:
+        """Credit at a start. `max_cost_s`: of a job with its fetch; each start has turns of its own."""
         if not self.is_large_fleet:
-            return -random.random() * most
-        digest = blake2b(f"{worker}/{born}".encode(), digest_size=4).digest()
-        return -((self.phase + int.from_bytes(digest, "big") / 2**32) % 1.0) * most
-
-    def allows(self, w: Worker, now: float, warm_rate: float, most: float, cost: Callable[[], float]) -> bool:
-        """`warm_rate`: work that it has a warm worker do (among many: of like size), in seconds a second."""
-        since = max(w.credit_updated_at, w.started_at)
-        # one of many asks seldom, and what the worker can do grows meanwhile: half of that time counts
-        age = since - w.started_at + ((now - since) / 2 if self.is_large_fleet else 0.0)
-        part = (
-            self.settings.slow_start_initial_share
-            + (1 - self.settings.slow_start_initial_share) * age / self.settings.slow_start_s
-        )
-        rate = ALLOWANCE_SHARE * self.settings.overload_multiple * part * warm_rate
-        saved = max(most, rate * self.settings.overload_window_s) - (most if self.is_large_fleet else 0.0)
-        w.slow_start_credit, w.credit_updated_at = min(w.slow_start_credit + rate * (now - since), saved), now
-        return w.slow_start_credit >= (0.0 if self.is_large_fleet else cost())
-
-    def sample(self, cold: TimingWheel[Worker], most: int, random: Random) -> list[Worker]:
-        """So many of the cold ones, from a place that is drawn; none for a few dispatchers.
-
-        A turn at one of many would mostly pass unused: a dispatcher has few jobs whose home it is.
+            return -random.random() * max_cost_s
+        digest = blake2b(f"{worker}/{started_at}".encode(), digest_size=4).digest()
+        return -((self.phase + int.from_bytes(digest, "big") / 2**32) % 1.0) * max_cost_s
+
+    def allows(
+        self, worker: Worker, now: float, warm_rate: float, max_cost_s: float, cost_s: Callable[[], float]
+    ) -> bool:
+        """Adds what was earned since the last call; whether the credit suffices for a job.
+
+        Args:
+            worker: one in slow start.
+            now: seconds.
+            warm_rate: work that this dispatcher has a warm worker do, in seconds a second; in a large fleet
+                one of like size.
+            max_cost_s: of a job with its fetch.
+            cost_s: of this job; called only where it is needed.
+        """
+        settings = self.settings
+        since = max(worker.credit_updated_at, worker.started_at)
+        # one of many asks seldom, and the worker's capacity grows meanwhile: half of that time counts
+        age_s = since - worker.started_at + ((now - since) / 2 if self.is_large_fleet else 0.0)
+        initial_share = settings.slow_start_initial_share
+        capacity_share = initial_share + (1 - initial_share) * age_s / settings.slow_start_s
+        rate = ALLOWANCE_SHARE * settings.overload_multiple * capacity_share * warm_rate
+        max_credit_s = max(max_cost_s, rate * settings.overload_window_s)
+        max_credit_s -= max_cost_s if self.is_large_fleet else 0.0
+        worker.slow_start_credit = min(worker.slow_start_credit + rate * (now - since), max_credit_s)
+        worker.credit_updated_at = now
+        return worker.slow_start_credit >= (0.0 if self.is_large_fleet else cost_s())
+
+    def sample(self, slow_starting: TimingWheel[Worker], count: int, random: Random) -> list[Worker]:
+        """So many workers in slow start, from a drawn position on; none if few dispatchers share the fleet.
+
+        One of many has few jobs whose pair such a worker is in: most of its turns would pass unused.
         """
-        return (
-            cold.slice_of(random.randrange(max(1, len(cold) - most + 1)), most)
-            if self.is_large_fleet and cold
-            else []
-        )
+        if not self.is_large_fleet or not slow_starting:
+            return []
+        first = random.randrange(max(1, len(slow_starting) - count + 1))
+        return slow_starting.slice_of(first, count)
