--- a/finchladder/core/dispatch/worker_capacity.py
+++ b/finchladder/core/dispatch/worker_capacity.py
@@ -40,22 +40,26 @@
 
 
 class KeyShares(Protocol):
-    def key_share(self, w: Worker) -> float: ...
+    """A pool that knows how many keys each worker is in the pairs of."""
+
+    def key_share(self, worker: Worker) -> float:
+        """The worker's part of the keys over an even part."""
 
 
 class UsualWeight:
     """The usual weight of the list's entries: their median at first, then followed entry by entry. O(1) each.
 
-    Not that of the first list for good: one that was told while the fleet was overloaded holds low live
-    weights, and all later ones would be taken for absurd.
+    Not that of the first list for good: one that came while the fleet was overloaded holds low live weights,
+    and all later ones would be taken for implausible.
     """
 
     __slots__ = ("weight",)
 
     def __init__(self) -> None:
-        self.weight = 0.0  # 0: none was told yet
+        self.weight = 0.0  # 0: none was given yet
 
     def update(self, entries: Iterable[WorkerEntry]) -> None:
+        """Takes in the entries of a list."""
         weights = [e.weight for e in entries if 0 < e.weight < inf and e.state is not WorkerStatus.REMOVED]
         if not self.weight and weights:
             self.weight = sorted(weights)[len(weights) // 2]
@@ -64,20 +68,22 @@
                 self.weight *= USUAL_WEIGHT_STEP if weight > self.weight else 1 / USUAL_WEIGHT_STEP
 
     def is_plausible(self, weight: float) -> bool:
+        """Whether a weight is near enough to the usual one to be used."""
         return 0 < weight <= MAX_WEIGHT_RATIO * self.weight
 
 
 class WorkerCapacity:
+    """Learned capacities, unitless, and the draw of ties by them."""
+
     __slots__ = ("settings", "usual_weight", "samples_by_kind", "run_times")
 
     def __init__(self, settings: Settings) -> None:
-        self.settings, self.usual_weight = settings, UsualWeight()
-        self.samples_by_kind: dict[
-            str, list[float]
-        ] = {}  # jobs seen, and the sum of their ratios; both decayed
-        self.run_times: dict[
-            str, tuple[float, float]
-        ] = {}  # by class: the next one's weight, the mean at size 1
+        self.settings = settings
+        self.usual_weight = UsualWeight()
+        # jobs that ran, and the sum of their run time ratios; both decay
+        self.samples_by_kind: dict[str, list[float]] = {}
+        # by class: the weight of the next run, and the mean in seconds at capacity 1
+        self.run_times: dict[str, tuple[float, float]] = {}
 
     @property
     def draws_ties(self) -> bool:
@@ -85,67 +91,70 @@
         return self.settings.dispatchers > FEW and not self.settings.weights_report_load
 
     def update_weights(self, workers: dict[str, Worker], entries: Sequence[WorkerEntry]) -> None:
+        """Takes in the weights of a list."""
         if not self.draws_ties:
             return
         self.usual_weight.update(entries)
-        for e in entries:
-            if (w := workers.get(e.worker)) is not None:
-                w.nominal_capacity = e.weight if self.usual_weight.is_plausible(e.weight) else 1.0
-
-    def record_run(self, w: Worker, cls: JobClass, took_s: float) -> None:
-        """A job of that class was served there, and took so long from its start."""
-        if not self.draws_ties or took_s <= 0:
+        for entry in entries:
+            if (worker := workers.get(entry.worker)) is not None:
+                is_plausible = self.usual_weight.is_plausible(entry.weight)
+                worker.nominal_capacity = entry.weight if is_plausible else 1.0
+
+    def record_run(self, worker: Worker, job_class: JobClass, run_time_s: float) -> None:
+        """A job of that class has run to its end at that worker."""
+        if not self.draws_ties or run_time_s <= 0:
             return
-        kind = self.samples_by_kind.get(w.kind, [0.0, 0.0])
+        kind_samples = self.samples_by_kind.get(worker.kind, [0.0, 0.0])
         if len(self.samples_by_kind) < MAX_KINDS:
-            self.samples_by_kind[w.kind] = kind
-        of_kind = _speed(kind, KIND_PRIOR_JOBS)
-        at_one = took_s * w.nominal_capacity * of_kind
-        step, mean = self.run_times.get(cls.name, (1.0, at_one))
-        mean += step * (min(at_one, MAX_RUN_TIME_RATIO * mean) - mean)
-        self.run_times[cls.name] = max(MIN_MEAN_STEP, step / (1 + step)), mean
-        ratio = min(MAX_RUN_TIME_RATIO, took_s * w.nominal_capacity / mean)
-        kind[0], kind[1] = kind[0] * KIND_DECAY + 1, kind[1] * KIND_DECAY + ratio
-        seen, ratios = w.run_time_samples
-        w.run_time_samples = (
-            seen * WORKER_DECAY + 1,
-            ratios * WORKER_DECAY + min(MAX_RUN_TIME_RATIO, at_one / mean),
-        )
-
-    def capacity_of(self, w: Worker) -> float:
-        """Its size by all that is known; unitless, to be set against others'."""
-        kind = self.samples_by_kind.get(w.kind)
-        return (
-            w.nominal_capacity
-            * (_speed(kind, KIND_PRIOR_JOBS) if kind else 1.0)
-            * _speed(w.run_time_samples, WORKER_PRIOR_JOBS)
-        )
-
-    def draw(self, able: Sequence[Worker], random: Random, homes: "KeyShares | None" = None) -> Worker:
-        """One of workers whose loads are alike, so that over all ties each gets work by its size.
-
-        Of two the larger wins more often than its size says, as it meets its like, too; of many it need not.
-        `homes`: in a pool that has them as homes of a key; who is home to more keys wins less often.
+            self.samples_by_kind[worker.kind] = kind_samples
+        kind_speed = _speed(kind_samples, KIND_PRIOR_JOBS)
+        normalised_s = run_time_s * worker.nominal_capacity * kind_speed
+        step, mean_s = self.run_times.get(job_class.name, (1.0, normalised_s))
+        mean_s += step * (min(normalised_s, MAX_RUN_TIME_RATIO * mean_s) - mean_s)
+        self.run_times[job_class.name] = max(MIN_MEAN_STEP, step / (1 + step)), mean_s
+        kind_ratio = min(MAX_RUN_TIME_RATIO, run_time_s * worker.nominal_capacity / mean_s)
+        kind_samples[0] = kind_samples[0] * KIND_DECAY + 1
+        kind_samples[1] = kind_samples[1] * KIND_DECAY + kind_ratio
+        jobs, ratios = worker.run_time_samples
+        worker_ratio = min(MAX_RUN_TIME_RATIO, normalised_s / mean_s)
+        worker.run_time_samples = (jobs * WORKER_DECAY + 1, ratios * WORKER_DECAY + worker_ratio)
+
+    def capacity_of(self, worker: Worker) -> float:
+        """Its capacity by all that is known; unitless, to be compared with others'."""
+        kind_samples = self.samples_by_kind.get(worker.kind)
+        kind_speed = _speed(kind_samples, KIND_PRIOR_JOBS) if kind_samples else 1.0
+        return worker.nominal_capacity * kind_speed * _speed(worker.run_time_samples, WORKER_PRIOR_JOBS)
+
+    def draw(
+        self, candidates: Sequence[Worker], random: Random, key_shares: "KeyShares | None" = None
+    ) -> Worker:
+        """One of workers whose loads are alike, so that over all ties each gets work by its capacity.
+
+        Of two the larger wins more often than its capacity says, as it meets its like, too; of many it need
+        not.
+        `key_shares`: the pool, if they are a key's pair; who is in more pairs wins less often.
         """
-        power = 1 + 1 / (len(able) - 1)
+        power = 1 + 1 / (len(candidates) - 1)
         chances = []
-        for w in able:
-            size = self.capacity_of(w) / (homes.key_share(w) if homes is not None else 1.0)
-            chances.append(size**power * (1.0 if w.zone == self.settings.zone else OTHER_ZONE_CHANCE))
-        return weighted_choice(able, chances, random)
-
-
-def weighted_choice(able: Sequence[Worker], chances: Sequence[float], random: Random) -> Worker:
-    """One by chance, in proportion to its own."""
-    at = random.random() * sum(chances)
-    for w, chance in zip(able, chances, strict=True):
-        at -= chance
-        if at < 0:
-            return w
-    return able[-1]
-
-
-def _speed(seen: Iterable[float], before: float) -> float:
-    """How fast, 1 being usual: the inverse of the mean ratio, drawn to 1 where few were seen."""
-    jobs, ratios = seen
-    return min(1 / MIN_SPEED, max(MIN_SPEED, (before + jobs) / (before + ratios)))
+        for worker in candidates:
+            key_share = key_shares.key_share(worker) if key_shares is not None else 1.0
+            capacity = self.capacity_of(worker) / key_share
+            is_near = worker.zone == self.settings.zone
+            chances.append(capacity**power * (1.0 if is_near else OTHER_ZONE_CHANCE))
+        return weighted_choice(candidates, chances, random)
+
+
+def weighted_choice(candidates: Sequence[Worker], chances: Sequence[float], random: Random) -> Worker:
+    """One of them, drawn in proportion to its chance."""
+    remaining = random.random() * sum(chances)
+    for worker, chance in zip(candidates, chances, strict=True):
+        remaining -= chance
+        if remaining < 0:
+            return worker
+    return candidates[-1]
+
+
+def _speed(samples: Iterable[float], prior_jobs: float) -> float:
+    """How fast, 1 being usual: the inverse of the mean ratio, drawn to 1 where few jobs ran."""
+    jobs, ratios = samples
+    return min(1 / MIN_SPEED, max(MIN_SPEED, (prior_jobs + jobs) / (prior_jobs + ratios)))
