--- a/finchladder/core/dispatch/zone_spillover.py
+++ b/finchladder/core/dispatch/zone_spillover.py
@@ -1,6 +1,6 @@
-"""Zone spill: a part of the work goes to another zone while its own is full, and comes back without flapping.
+"""Zone spillover: a share of the work goes to another zone while its own is full, without flapping.
 
-Room at home is reckoned with what runs away from home as if it ran there: slots that spilling itself frees
+Free capacity at home is reckoned as if what runs in other zones ran there: slots that spilling itself frees
 are no reason to end it. Every change waits out a time, longer if it is soon undone; the return goes by steps.
 """
 
@@ -13,16 +13,20 @@
 
 
 class SpilloverState(Enum):
+    """Where the work goes."""
+
     HOME = "home"
     SPILLING = "spilling"
     RETURNING = "returning"
 
 
 class SpilloverEvent(Enum):
-    HOME_FULL = "full"  # home has been full for full_s, and another zone has room
-    HOME_HAS_CAPACITY = "room"  # home has had room for all of it for back_s
+    """What changes the state, see TRANSITIONS."""
+
+    HOME_FULL = "full"  # home has been full for full_s, and another zone is not
+    HOME_HAS_CAPACITY = "room"  # home has had capacity for all of it for back_s
     RETURNED = "done"  # nothing is sent away any more
-    NO_TARGET = "nowhere"  # no other zone has had room for full_s
+    NO_TARGET = "nowhere"  # all other zones have been full for full_s
 
 
 TRANSITIONS = {
@@ -69,21 +73,19 @@
 
     @property
     def free_share(self) -> float:
+        """The part of its slots that is free, 0 to 1."""
         return self.free / self.slots if self.slots > 0 else 0.0
 
     @property
     def open_share(self) -> float:
-        return (
-            self.free_share
-            if self.open_slots is None
-            else self.open_slots / self.slots
-            if self.slots > 0
-            else 0.0
-        )
+        """The part of its slots at workers that would take a job now, 0 to 1."""
+        if self.open_slots is None:
+            return self.free_share
+        return self.open_slots / self.slots if self.slots > 0 else 0.0
 
 
 class ZoneSpillover:
-    """To be told of all zones every 100 ms or so; asked for each job that home would get."""
+    """Decides for one dispatcher and kind of machine how much of its work goes to which other zone."""
 
     __slots__ = (
         "settings",
@@ -107,38 +109,54 @@
         self.credit = 0.0
         self.full_since: float | None = None
         self.capacity_since: float | None = None
-        self.no_target_since: float | None = None  # since then no other zone has room
+        self.no_target_since: float | None = None  # since then all other zones are full
         self.wait_factor = 1.0  # times that full_s and back_s count
         self.changed_at: float | None = None  # when home was last left, or spilling begun anew
         self.observed_at = 0.0
 
-    def observe(self, now: float, home: ZoneLoad, others: Mapping[str, ZoneLoad], away: float = 0.0) -> None:
-        """`away`: slots that work of this zone takes elsewhere. Ties go to the zone first by name."""
-        took, self.observed_at = max(0.0, now - self.observed_at), now
-        full = self._is_full(home)
-        room = not full and home.slots > 0 and (home.free - away) / home.slots >= self.settings.back_at
-        self.full_since = (now if self.full_since is None else self.full_since) if full else None
-        self.capacity_since = (now if self.capacity_since is None else self.capacity_since) if room else None
-        target = others.get(self.target) if self.target is not None else None
-        if self.state is SpilloverState.HOME or target is None or self._is_full(target):
-            open_ = [z for z in sorted(others) if others[z].open_share >= self.settings.back_at]
-            self.target = max(open_, key=lambda z: others[z].open_share * others[z].slots, default=None)
-        lacking = self.target is None
-        self.no_target_since = (
-            (now if self.no_target_since is None else self.no_target_since) if lacking else None
+    def observe(
+        self, now: float, home: ZoneLoad, others: Mapping[str, ZoneLoad], load_away: float = 0.0
+    ) -> None:
+        """Takes in the loads of all zones; to be called every 100 ms or so.
+
+        `load_away`: slots that work of this zone takes elsewhere. Ties go to the zone first by name.
+        """
+        elapsed_s = max(0.0, now - self.observed_at)
+        self.observed_at = now
+        is_full = self._is_full(home)
+        has_capacity = (
+            not is_full and home.slots > 0 and (home.free - load_away) / home.slots >= self.settings.back_at
         )
-        if (sign := self._due_event(now)) is not None:
-            self._change_state(sign, now)
-        if self.state is SpilloverState.SPILLING and lacking:
-            self.share_away *= max(0.0, 1 - took / self.settings.full_s)  # it was too much for the others
-        elif self.state is SpilloverState.SPILLING and full:
-            self.share_away = min(
-                1.0, self.share_away + max(0.1, self.share_away) * took / self.settings.full_s
-            )
-        elif self.state is SpilloverState.SPILLING and home.free_share >= self.settings.back_at:
-            self.share_away *= max(0.0, 1 - took / self.settings.ramp_s)  # more goes away than must
-        elif self.state is SpilloverState.RETURNING:
-            self.share_away = max(0.0, self.share_away - took / self.settings.ramp_s)
+        self.full_since = _since(self.full_since, is_full, now)
+        self.capacity_since = _since(self.capacity_since, has_capacity, now)
+        self._choose_target(others)
+        self.no_target_since = _since(self.no_target_since, self.target is None, now)
+        event = self._due_event(now)
+        if event is not None:
+            self._change_state(event, now)
+        self._adapt_share(elapsed_s, home, is_full)
+
+    def _choose_target(self, others: Mapping[str, ZoneLoad]) -> None:
+        """The other zone with the most open slots, unless the present one still does."""
+        target = others.get(self.target) if self.target is not None else None
+        if self.state is not SpilloverState.HOME and target is not None and not self._is_full(target):
+            return
+        candidates = [zone for zone in sorted(others) if others[zone].open_share >= self.settings.back_at]
+        self.target = max(candidates, key=lambda z: others[z].open_share * others[z].slots, default=None)
+
+    def _adapt_share(self, elapsed_s: float, home: ZoneLoad, is_full: bool) -> None:
+        settings = self.settings
+        if self.state is SpilloverState.RETURNING:
+            self.share_away = max(0.0, self.share_away - elapsed_s / settings.ramp_s)
+        if self.state is not SpilloverState.SPILLING:
+            return
+        if self.target is None:  # it was too much for the others
+            self.share_away *= max(0.0, 1 - elapsed_s / settings.full_s)
+        elif is_full:
+            step = max(0.1, self.share_away) * elapsed_s / settings.full_s
+            self.share_away = min(1.0, self.share_away + step)
+        elif home.free_share >= settings.back_at:  # more goes away than must
+            self.share_away *= max(0.0, 1 - elapsed_s / settings.ramp_s)
 
     def next_zone(self) -> str | None:
         """The zone that the next job goes to; None: home. Evenly, so many of each hundred."""
@@ -200,3 +218,10 @@
         elif self.state is SpilloverState.HOME:
             self.share_away = self.credit = 0.0
             self.full_since = None  # from home, home must be full for full_s again
+
+
+def _since(since: float | None, holds: bool, now: float) -> float | None:
+    """Since when a condition has held without a break; None: it does not hold."""
+    if not holds:
+        return None
+    return now if since is None else since
