--- a/finchladder/net/actor.py
+++ b/finchladder/net/actor.py
@@ -38,13 +38,20 @@
 
     @property
     def log(self) -> "Logger":
+        """The logger, bound to this actor's name."""
         return logger.bind(actor=self.name)
 
     @property
     def backlog(self) -> int:
+        """The number of items that wait in the mailbox."""
         return len(self.box) if self.box is not None else 0
 
     def post(self, item: T) -> None:
+        """Handles the item now, or queues it while another is being handled.
+
+        Raises:
+            MailboxFullError: The mailbox already holds its maximum of items.
+        """
         if not self.at_work:
             return self._live(item)
         if self.box is None:
@@ -54,6 +61,7 @@
         self.box.append(item)
 
     def spawn(self, work: Coroutine[Any, Any, R]) -> asyncio.Task[R]:
+        """Starts a task that belongs to this actor; an error that ends it is logged."""
         task = asyncio.get_running_loop().create_task(work, name=self.name)
         self.tasks.add(task)
         task.add_done_callback(self._over)
@@ -65,6 +73,7 @@
             self.log.opt(exception=error).critical("{}: a task died", self.name)
 
     def stop(self) -> None:
+        """Cancels all tasks of this actor."""
         for task in self.tasks:
             task.cancel()
 
@@ -88,7 +97,8 @@
                 self.log.exception("{}: could not clear up", self.name)
 
     def receive(self, item: T) -> None:
+        """Handles one item; subclasses define how."""
         raise NotImplementedError
 
     def failed(self, item: T) -> None:
-        """Ends what hung on an item that could not be handled."""
+        """Releases what depended on an item that could not be handled."""
--- a/finchladder/net/admission.py
+++ b/finchladder/net/admission.py
@@ -69,19 +69,27 @@
 
 
 def refusal_bytes(retry_after_s: float) -> bytes:
+    """Returns a complete 503 response; `retry_after_s` in seconds, no Retry-After header at 0."""
     after = b"Retry-After: %.3g\r\n" % retry_after_s if retry_after_s > 0 else b""
     return b"HTTP/1.1 503 Service Unavailable\r\n%bContent-Length: 8\r\n\r\nrefused\n" % after
 
 
 class Times(Protocol):
-    """Of the machine, in seconds: CPU time so far, time that the loop has waited for events, Unix time."""
+    """Clocks of the host, in seconds."""
 
-    def cpu(self) -> float: ...
-    def idle(self) -> float: ...
-    def wall(self) -> float: ...
+    def cpu(self) -> float:
+        """CPU time that the process has used so far."""
+
+    def idle(self) -> float:
+        """Time that the event loop has waited for events so far."""
+
+    def wall(self) -> float:
+        """Unix time."""
 
 
 class Admission:
+    """Admission control: reads plain jobs off idle connections and admits, delays or refuses them."""
+
     def __init__(
         self,
         classes: Iterable[JobClass],
@@ -113,11 +121,12 @@
         self.refused = 0  # since that was last said
 
     def start(self) -> None:
+        """Starts polling the connections and measuring the lag of the event loop."""
         asyncio.get_running_loop().add_reader(self.poll.fileno(), self._ready)
         IOLoop.current().call_later(TICK_S, self._tick)
 
     def started(self, took_s: float) -> None:
-        """A job was told to have started so long after it was let in."""
+        """Records that a job started `took_s` seconds after it was admitted."""
         if len(self.starts) < STARTS:
             self.starts.append(took_s)
 
@@ -130,31 +139,35 @@
     # --- connections
 
     def begin(self, edge: ClientConnection) -> None:
+        """Registers a new connection; its descriptor is polled from now on."""
         self.edges[edge.descriptor] = edge
         self.silent[edge] = None
         self.poll.register(edge.descriptor, NEWS)
 
     def wait(self, edge: ClientConnection) -> None:
-        """It waits for its next message: `edge.came` is told of it."""
+        """Registers that the connection waits for its next message.
+
+        The message is passed on by `ClientConnection.received`.
+        """
         if edge.stirred and edge.is_waiting:
             self._look(edge)
 
     def drop(self, edge: ClientConnection) -> None:
-        """It is closed; its descriptor may be another's by now."""
+        """Removes a closed connection; its descriptor may have been reused already."""
         if self.edges.get(edge.descriptor) is edge:
             del self.edges[edge.descriptor]
         self.silent.pop(edge, None)
         self.control.drop(edge)
 
     def shut_down(self) -> None:
-        """What waits is let in now, and answered while there is time."""
+        """Admits all waiting jobs now, while there is time to answer them."""
         self.opened = True
         for edge in list(self.control.unread.places):
             self.control.drop(edge)
             self._let_in(edge)
 
     def make_room(self) -> None:
-        """All connections are taken, and nobody new can be heard: some that wait here are turned away."""
+        """Refuses some waiting jobs, as the connection table is full and no new client can be accepted."""
         for _ in range(ROOM_MADE):
             if (edge := self.control.worst()) is None:
                 return
--- a/finchladder/net/capture_files.py
+++ b/finchladder/net/capture_files.py
@@ -14,7 +14,7 @@
 
 
 class CaptureFiles(threading.Thread):
-    """Writes blocks in the order in which they come, and keeps the newest files. Nothing waits for it."""
+    """A thread that writes blocks in order and deletes the oldest files; callers never block on it."""
 
     def __init__(self, folder: str, name: str, start_ms: int, keep: int, room: int) -> None:
         super().__init__(name="capture files", daemon=True)
@@ -28,11 +28,13 @@
         self.file: FileIO | None = None
 
     def open(self, data: bytes) -> bool:
+        """Queues the first block of a new file and clears an earlier failure; False if it was not queued."""
         with self.lock:
             self.failed = False
         return self._put(True, data)
 
     def write(self, data: bytes) -> bool:
+        """Queues a block for the current file; False if the disk has failed or is too slow."""
         return self._put(False, data)
 
     def _put(self, new: bool, data: bytes) -> bool:
@@ -45,10 +47,12 @@
             return not self.failed
 
     def close(self) -> None:
+        """Asks the thread to write what is queued and end, and waits for it up to CLOSE_TIMEOUT_S."""
         self.closing.set()
         self.join(CLOSE_TIMEOUT_S)
 
     def run(self) -> None:
+        """Writes what is queued, every WRITE_INTERVAL_S, until `close`."""
         while not self.closing.wait(WRITE_INTERVAL_S):
             self._work()
         self._work()
--- a/finchladder/net/capture_recorder.py
+++ b/finchladder/net/capture_recorder.py
@@ -13,12 +13,14 @@
 
 
 class CaptureRecorder:
+    """Passes the inputs and outputs of the decisions to the capture; an error here never reaches them."""
+
     def __init__(self, capture: Capture) -> None:
         self.capture = capture
         self.told = self.told_large = False
 
     def soon(self, work: Callable[[], None]) -> None:
-        """What the capture does a little later."""
+        """Runs work of the capture in a later iteration of the event loop."""
         asyncio.get_running_loop().call_soon(self._guard, work)
 
     def decided(
@@ -28,17 +30,21 @@
         actions: Sequence[api.Action],
         error: Exception | None = None,
     ) -> None:
+        """Records an event and the actions, or the error, that it led to; `t` in seconds."""
         self._guard(lambda: self.capture.decided(t, event, actions, error))
 
     def judged(
         self, t: float, client: str, id: str, job_class: str, patience: float, verdict: Verdict
     ) -> None:
+        """Records a request and the verdict of rate limits and fault injection; times in seconds."""
         self._guard(lambda: self.capture.judged(t, client, id, job_class, patience, verdict))
 
     def ordered(self, t: float, order: Order, until: float | None) -> None:
+        """Records an operator's order for fault injection, which ends at `until` (seconds)."""
         self._guard(lambda: self.capture.ordered(t, order, until))
 
     def left(self, t: float) -> None:
+        """Records that the dispatcher has begun to shut down."""
         self._guard(lambda: self.capture.left(t))
 
     def _guard(self, record: Callable[[], None]) -> None:
--- a/finchladder/net/client_connection.py
+++ b/finchladder/net/client_connection.py
@@ -40,26 +40,33 @@
 
 
 class AdmissionQueue(Protocol):
-    """Watches connections for what comes, and hands it on when it is to be read: `EdgeConnection.came`."""
+    """Watches idle connections and passes on their next message by `ClientConnection.received`."""
 
-    def wait(self, edge: "ClientConnection") -> None: ...
+    def wait(self, edge: "ClientConnection") -> None:
+        """Registers that the connection waits for its next message."""
 
 
 class MessageHandler(Protocol):
-    """Knows what is answered to a message. BadMessage: it can't be used, and its connection is closed."""
+    """Produces the response to each message of a client connection."""
 
     intake: JobIntake
 
     @property
-    def admission(self) -> AdmissionQueue | None: ...
+    def admission(self) -> AdmissionQueue | None:
+        """Admission control, or None where it is off."""
 
-    async def answer(self, edge: "ClientConnection", head: Head, body: bytes) -> Reply: ...
+    async def answer(self, edge: "ClientConnection", head: Head, body: bytes) -> Reply:
+        """Returns the response to one message.
+
+        Raises:
+            MalformedMessageError: The message can't be used, and its connection is closed.
+        """
 
 
 class ClientConnection:
-    """Reads messages one after another, and writes what is answered. Its mailbox brings flows' answers.
+    """A client's connection: reads messages one after another and writes their responses.
 
-    It begins as a bare socket: one that is turned away or closed before anything is read costs little.
+    It starts as a bare socket: one that is refused or closed before anything is read costs little.
     """
 
     channel: Channel  # once it is opened
@@ -95,7 +102,7 @@
         self.passed = False  # the gate has let in what is being read
 
     def open(self) -> None:
-        """To be called once, before anything is read."""
+        """Creates the stream and its parser; to be called once, before anything is read."""
         stream = Stream(self.socket, max_buffer_size=4 * PIECE, read_chunk_size=READ)
         stream.watched = self.desk.admission is not None
         stream.attends = 0 if stream.watched else MAX_READ_AHEAD
@@ -105,29 +112,36 @@
 
     @property
     def closed(self) -> bool:
+        """Whether the connection is closed on this side."""
         return self.channel.stream.closed() if self.opened else self.socket.fileno() < 0
 
     def departed(self) -> bool:
-        """Whether its client has closed it, though nobody was told yet: asked before a job is taken."""
+        """Whether the client has closed the connection, even if no event has reported it yet."""
         return self.over or self.channel.stream.closed() or departed(self.channel.stream.socket)
 
     def close(self) -> None:
+        """Closes the stream, or the bare socket."""
         if self.opened:
             self.channel.close()
         else:
             self.socket.close()
 
     def used(self, worth: Worth) -> None:
+        """Raises the connection's worth, which decides whether it is closed for a new one."""
         self.worth = max(self.worth, worth)
 
     def deliver(self, answer: Answer) -> None:
-        """Takes the answer of the one flow that is open here."""
+        """Receives the answer of the one flow that is open here."""
         self.given = answer
         if self.wanted is not None and not self.wanted.done():
             self.wanted.set_result(None)
 
     async def answer_to(self, flow: Flow) -> Answer:
-        """Waits for the answer of a flow that was taken."""
+        """Waits for the answer of an accepted flow.
+
+        Raises:
+            StreamClosedError: The client has closed the connection.
+        """
         self.flow = flow  # no sooner: this closing must not end another flow with its id
         if self.over:
             self.channel.close()
@@ -155,29 +169,30 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether it waits for a message of which nothing is there."""
+        """Whether the connection waits for a message of which no byte has arrived."""
         if not self.opened:
             return not (self.first or self.message)
         return self.waiter is not None and not self.waiter.done() and not self.message
 
     @property
     def waited_s(self) -> float:
-        """For how long what is being read lay unread."""
+        """For how many seconds the current message lay unread in the socket."""
         return self.clock() - self.came_at if self.came_at else 0.0
 
     def received(self, data: bytes) -> None:
-        """Is to be read now."""
+        """Receives the first bytes of the next message from admission control."""
         self.message = b""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(data)
 
     def quiet(self) -> bool:
-        """Whether it waits, and nothing has come that was not yet read."""
+        """Whether the connection is idle and its socket holds no unread bytes."""
         if self.desk.admission is None:
             return self.channel.quiet()
         return self.is_waiting and not self.stirred and silent(self.socket)
 
     async def serve(self) -> None:
+        """Serves messages until either side closes; protocol errors get an error response first."""
         try:
             if self.first:
                 self.channel.parser.feed(self.first)
--- a/finchladder/net/client_listener.py
+++ b/finchladder/net/client_listener.py
@@ -24,6 +24,8 @@
 
 
 class ClientListener:
+    """Accepts client connections, serves each in a task, and drains them at shutdown."""
+
     def __init__(self, front: RequestHandler, bodies: BodyMemory, sockets: int) -> None:
         self.front, self.bodies, self.clock = front, bodies, front.intake.clock
         self.edges: EdgeTable[ClientConnection] = EdgeTable(int(CLIENT_SOCKET_SHARE * sockets))
@@ -35,6 +37,7 @@
             front.gate.opens, front.gate.ends = self._begin, self._end
 
     def add_socket(self, listening: socket.socket) -> None:
+        """Starts accepting connections from a listening socket."""
         self.listening.append(listening)
         if self.front.gate is not None:
             with suppress(OSError):  # then a message counts as new when it is looked at
@@ -42,7 +45,7 @@
         self.stops.append(self._listen(listening))
 
     def stop(self) -> None:
-        """Accepts no more. What was accepted goes on."""
+        """Stops accepting connections; those accepted continue."""
         for stop in self.stops:
             stop()
         self.stops.clear()
@@ -138,7 +141,7 @@
         return True
 
     async def leave(self) -> None:
-        """After SIGTERM: listens on, answers all that was taken, closes what is idle, returns when done."""
+        """Drains after SIGTERM: accepts for a while, closes idle connections, waits for the answers."""
         intake = self.front.intake
         intake.shut_down()
         if self.front.gate is not None:
--- a/finchladder/net/config_reload.py
+++ b/finchladder/net/config_reload.py
@@ -34,6 +34,7 @@
         self.again = False
 
     def ask(self) -> None:
+        """Requests a reload; one that is asked for during another runs after it."""
         self.again = True
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self._work())
@@ -72,5 +73,6 @@
 
 
 def count(routes: Routes) -> str:
+    """Returns the number of distinct route names as text for the log."""
     names = len({route.name for route in routes.all})
     return "1 route" if names == 1 else f"{names} routes"
--- a/finchladder/net/control.py
+++ b/finchladder/net/control.py
@@ -22,32 +22,43 @@
 
 
 class Dump:
-    """The ring as it was when it was asked for. It is held until it is sent, so there is one at a time."""
+    """A snapshot of the capture ring. It holds memory until it is sent, so only one exists at a time."""
 
     def __init__(self, lines: list[bytes], over: Callable[[], None]) -> None:
         self.lines, self.over = lines, over
         self.size = sum(map(len, lines))
 
     def pieces(self) -> Iterator[bytes]:
+        """Yields the dump in pieces of bounded size."""
         return pieces(self.lines)
 
 
 class Reportable(Protocol):
-    """What the other dispatchers are known by."""
+    """Something whose state `GET /_peers` shows."""
 
-    def show(self) -> dict[str, Any]: ...
+    def show(self) -> dict[str, Any]:
+        """Returns the state as a JSON object."""
 
 
 class OutlierControls(Protocol):
-    """What is held of real servers, and what the operator says of them."""
+    """The outlier detector's state, and the operator's overrides of it."""
 
     key: str | None
 
-    def show(self) -> list[dict[str, Any]]: ...
-    def apply_override(self, order: "OverrideRequest") -> dict[str, Any]: ...
+    def show(self) -> list[dict[str, Any]]:
+        """Returns one JSON object for each worker with evidence and for each override."""
+
+    def apply_override(self, order: "OverrideRequest") -> dict[str, Any]:
+        """Applies an override and returns it as a JSON object.
+
+        Raises:
+            ValueError: The override can't be applied; the message is one line.
+        """
 
 
 class OverrideRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The body of `POST /_judge`; `for_s` in seconds."""
+
     server: Annotated[str, Meta(min_length=1, max_length=64)]
     stance: Literal["out", "in", "let"]
     for_s: Annotated[float, Meta(gt=0, le=86_400)] = 600.0
@@ -55,6 +66,8 @@
 
 
 class Reply(NamedTuple):
+    """A response; `fields` are complete header lines."""
+
     status: int
     body: bytes = b""
     fields: tuple[str, ...] = ()
@@ -62,7 +75,7 @@
 
 
 class ControlCalls:
-    """Knows the features that are on; a path that belongs to none of them is none of its business."""
+    """Serves the control endpoints of the features that are on."""
 
     def __init__(
         self,
@@ -81,7 +94,11 @@
         self.key = options.drill.key if options.drill is not None else None
 
     def answer(self, head: Head, body: bytes) -> Reply | None:
-        """None: no control call. BadMessage: one that can't be used."""
+        """Returns the response, or None for a path that is no control endpoint.
+
+        Raises:
+            MalformedMessageError: The request can't be used.
+        """
         path = head.target.partition("?")[0]
         if self.status is not None and path.startswith(STATUS):
             return self._by_get(head, lambda: self._status(unquote(path.removeprefix(STATUS))))
--- a/finchladder/net/decision_actor.py
+++ b/finchladder/net/decision_actor.py
@@ -17,7 +17,10 @@
 
 
 class Clock:
-    """Wall time at the start plus what the monotonic clock has gone since: a start in `since_ms` compares."""
+    """Unix time at the start plus the progress of the monotonic clock since, in seconds.
+
+    It never goes back, and compares with the start times of workers (`since_ms`).
+    """
 
     def __init__(
         self, wall: Callable[[], float] = time.time, monotonic: Callable[[], float] = time.monotonic
@@ -26,18 +29,22 @@
         self.offset = wall() - monotonic()
 
     def __call__(self) -> float:
+        """Returns the time in seconds."""
         return self.offset + self.monotonic()
 
 
 class AttemptSender(Protocol):
-    """Where sends and cancels go."""
+    """Sends attempts to workers and cancels them."""
+
+    def send(self, attempt: Attempt) -> None:
+        """Sends an attempt to its worker."""
 
-    def send(self, attempt: Attempt) -> None: ...
-    def withdraw(self, attempt: Attempt) -> None: ...
+    def withdraw(self, attempt: Attempt) -> None:
+        """Cancels an attempt."""
 
 
 class DecisionRecorder(Protocol):
-    """Is told of each event and of what was decided on it."""
+    """Records each event and the actions decided on it."""
 
     def decided(
         self,
@@ -45,11 +52,12 @@
         event: api.Event | NewRoutes,
         actions: Sequence[api.Action],
         error: Exception | None = None,
-    ) -> None: ...
+    ) -> None:
+        """Records one event with its actions, or the error raised; `t` in seconds."""
 
 
 class Ending:
-    """An attempt's end on its way to the module; whether the flow is finished shows when it is handled."""
+    """An attempt's end on its way to the decisions; whether its flow is finished is read on handling."""
 
     __slots__ = ("attempt", "ending", "took", "report")
 
@@ -64,6 +72,8 @@
 
 
 class DecisionActor(Actor[Item]):
+    """The only caller of `Decisions.handle`: turns events into actions and carries them out."""
+
     def __init__(self, dispatcher: Decisions, flows: FlowTable, clock: Clock) -> None:
         super().__init__("module", MAILBOX_SIZE)
         self.dispatcher, self.flows, self.clock = dispatcher, flows, clock
@@ -75,7 +85,7 @@
         self.subscribe: Callable[[bool], None] = lambda on: None  # where the list must be asked for
 
     def tell(self, item: Item) -> None:
-        """The list goes ahead of queued work: nothing is to be decided on a list known to be old."""
+        """Posts an event; a worker list overtakes queued work, which is then decided on the new list."""
         self.post(item)
         if self.box and self.box[-1] is item and isinstance(item, api.WorkerList):
             self.box.pop()
@@ -83,6 +93,7 @@
             self.lists += 1
 
     def receive(self, item: Item) -> None:
+        """Decides on one event and carries out the actions."""
         now = self.clock()
         self._look(now)
         if isinstance(item, Flow):
@@ -160,7 +171,7 @@
             self.flows.finish(flow, Answer("failed"))
 
     def failed(self, item: Item) -> None:
-        """An error inside the decisions must not leave the flow that it concerns without an answer."""
+        """Fails the flow of an event that raised an error, so that its client still gets an answer."""
         flow = item if isinstance(item, Flow) else None
         if isinstance(item, Ending):
             flow = item.attempt.flow
--- a/finchladder/net/endpoint_watcher.py
+++ b/finchladder/net/endpoint_watcher.py
@@ -40,9 +40,9 @@
 
 
 class LineSplitter:
-    """JSON objects out of pieces that end anywhere. Each mostly stands on one line, and may be indented.
+    """Splits a byte stream into JSON objects, each on one line or indented over several.
 
-    An empty line between them is handed on as it is; what no object begins with, too, as a line.
+    Empty lines between objects are returned as they are, and so is a line that starts no object.
     """
 
     def __init__(self) -> None:
@@ -51,6 +51,11 @@
         self.depth = self.held = 0
 
     def feed(self, piece: bytes) -> list[bytes]:
+        """Returns the objects that are now complete.
+
+        Raises:
+            ValueError: More than MAX_LINE_BYTES arrived without the end of an object.
+        """
         self.rest += piece
         if len(self.rest) + self.held > MAX_LINE_BYTES:
             raise ValueError("line too long")
@@ -85,12 +90,12 @@
 
 
 class EndpointWatcher(Actor[EndpointUpdate]):
-    """Keeps the version of the list last read, and watches for what comes after it.
+    """Watches service discovery from the version of the list last read.
 
-    A long list is read and applied in slices, so that no turn of the loop waits for it: what drains or is
-    gone first, and with `retire` even ahead of that. News that come meanwhile overtake the slices to come.
-    Where only a `subset` of the list is used, a long one is told to it whole before any of it is applied:
-    the subset must not follow a list that is half read.
+    A long list is read and applied in slices, so that it never blocks the event loop for long: draining and
+    removed workers first, and `retire` is called even before them. Updates that arrive meanwhile overtake the
+    remaining slices. Where only a `subset` of the list is used, the subset filter gets all of a long list
+    before any of it is applied: the subset must not follow a partial list.
     """
 
     def __init__(
@@ -122,6 +127,7 @@
         self.applying: asyncio.Task[None] | None = None
 
     def receive(self, news: EndpointUpdate) -> None:
+        """Applies a list at once; it supersedes queued entries of the same workers."""
         workers, addresses = news.workers, news.addresses
         for e in workers.entries:
             self._drop(e.worker)
@@ -138,7 +144,11 @@
         self.up = self.up or bool(news.workers.entries) or news.workers.kind is not api.ListKind.STALE
 
     async def take(self, line: bytes, known: bool = False) -> None:
-        """A line of the watch, or the list as it was last known. ValueError: it can't be used."""
+        """Reads a line of the watch, or the saved list (`known`).
+
+        Raises:
+            ValueError: The line can't be used.
+        """
         if len(line) <= LONG_LIST_BYTES:
             news = read_list(line, api.ListKind.STALE if known else None)
             if known or self._takes(news.version, news.workers.kind is api.ListKind.FULL):
@@ -213,17 +223,17 @@
         self.addresses.pop(name, None)
 
     def start(self, known: bytes = b"") -> None:
-        """`known`: the list as it was last known, which was found usable."""
+        """Starts the watch. `known`: the saved list, already validated."""
         self.watching = self.spawn(self._watch_on(known))
 
     async def first_word(self) -> None:
-        """Until discovery has said what it holds, for a while: a list from before may name what is gone."""
+        """Waits for the first update, up to FIRST_WORD_S: a saved list may name workers that are gone."""
         with suppress(TimeoutError):
             async with asyncio.timeout(FIRST_WORD_S):
                 await self.spoken.wait()
 
     def follow(self, address: tuple[str, int]) -> None:
-        """Watches at another address from the version last applied; the list stays in use meanwhile."""
+        """Continues the watch at another address; the list stays in use meanwhile."""
         if address != self.address:
             self.address = address
             # whatever the old watch waits for, a silent connection or the next try, must not delay the new
@@ -292,7 +302,7 @@
                 channel.close()
 
     def source_is_alive(self) -> None:
-        """There is nothing new."""
+        """Handles a heartbeat of discovery; does nothing here."""
 
     def _host(self) -> str:
         return f"{self.address[0]}:{self.address[1]}"
--- a/finchladder/net/flows.py
+++ b/finchladder/net/flows.py
@@ -22,21 +22,22 @@
 
 
 class JobMessage(Protocol):
-    """What a client handed in, as the side of its own protocol read it."""
+    """A client's job in the form of the protocol that carried it."""
 
     def request(self, host: str, time_left_s: float) -> bytes:
-        """The same job as a whole request to the real server at `host`."""
+        """Returns the job as a complete request to the worker at `host`."""
         ...
 
 
 class Connection(Protocol):
-    """What a job is being written on. Closing it withdraws a job that was not accepted yet."""
+    """The connection that a job is sent on; closing it cancels a job that is not accepted yet."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes the connection."""
 
 
 class Attempt:
-    """One attempt of a flow at one real server. It ends exactly once, in servers.py."""
+    """One attempt of a flow at one worker. It ends exactly once, in workers.py."""
 
     __slots__ = (
         "flow",
@@ -60,9 +61,11 @@
 
     @property
     def ended(self) -> bool:
+        """Whether the attempt has ended."""
         return self.stage is Stage.ENDED
 
     def step(self, step: Step) -> None:
+        """Advances the attempt's stage by the state table of `attempt_stages`."""
         self.stage = next_stage(self.stage, step)
 
 
@@ -85,6 +88,7 @@
     timer: Callable[[], None] | None = None
 
     def request(self, now: float) -> api.Request:
+        """Returns the request as the decisions see it; `now` in seconds of the clock."""
         slots, memory = self.facts.get("slots", 1.0), self.facts.get("memory", 0.0)
         left = self.deadline - now
         return api.Request(
@@ -112,16 +116,18 @@
         self.ended: dict[str, None] = {}
 
     def known(self, id: str) -> bool:
+        """Whether a request of this id is open or has ended recently."""
         return id in self.by_id or id in self.ended
 
     def add(self, flow: Flow) -> None:
+        """Adds a new flow."""
         self.by_id[flow.id] = flow
         self.open += 1
         if self.status is not None:
             self.status.taken(self.clock(), flow.id, flow.job_class)
 
     def finish(self, flow: Flow, answer: Answer) -> bool:
-        """Takes the first final answer and passes it to the client's side; whatever comes later is void."""
+        """Delivers the first final answer to the client; False for any later one, which is ignored."""
         if flow.answer is not None:
             return False
         flow.answer = answer
@@ -133,6 +139,7 @@
         return True
 
     def forget_if_over(self, flow: Flow) -> None:
+        """Removes a flow that is answered and has no running attempt, and remembers its id."""
         if flow.answer is None:
             return
         for s in flow.attempts:
--- a/finchladder/net/host_environment.py
+++ b/finchladder/net/host_environment.py
@@ -45,9 +45,11 @@
     idle_s = 0.0
 
     def idle(self) -> float:
+        """Time spent waiting for events so far, in seconds."""
         return self.idle_s
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
+        """Waits for events as its base class does, and measures for how long."""
         if timeout is not None and timeout <= 0:
             return super().select(timeout)
         began = time.monotonic()
@@ -75,7 +77,8 @@
 class Disk(Sink, Protocol):
     """A sink that is to be closed at the end."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Writes what is queued, within a time limit, and closes the sink."""
 
 
 def capture_files(options: CaptureOptions, name: str, start_ms: int) -> Disk | None:
--- a/finchladder/net/http1.py
+++ b/finchladder/net/http1.py
@@ -49,7 +49,12 @@
 
 
 class MalformedMessageError(Exception):
-    """The peer's bytes are no message; `status` is what a client is answered, with 405 what is allowed."""
+    """The peer's bytes are no valid message.
+
+    Attributes:
+        status: The status code for the response to a client.
+        allow: The methods of the Allow header with status 405.
+    """
 
     def __init__(self, status: int, why: str, allow: str = "POST") -> None:
         super().__init__(why)
@@ -57,7 +62,7 @@
 
 
 class Frame(NamedTuple):
-    """How the end of a message's body is told."""
+    """How the end of a message's body is determined."""
 
     chunked: bool
     length: int
@@ -77,6 +82,7 @@
             self._values.setdefault(name.lower(), []).append(value)
 
     def all(self, name: str) -> list[str]:
+        """Returns all values of a field, in order."""
         return self._values.get(name, [])
 
     def get(self, name: str) -> str | None:
@@ -85,6 +91,7 @@
         return values[0] if len(values) == 1 else None
 
     def words(self, name: str) -> set[str]:
+        """Returns the comma-separated tokens of a field, in lower case."""
         return {part.strip().lower() for v in self._values.get(name, ()) for part in v.split(",")}
 
 
@@ -99,6 +106,7 @@
 
     @property
     def keeps(self) -> bool:
+        """Whether the peer keeps the connection open after this message."""
         if not self.minor or self.headers.all("connection"):
             return self._says_so()
         return True
@@ -130,10 +138,20 @@
 
 def parse_request(head: bytes) -> Head:
     # a real server's call-backs have the same head again and again, a client's requests never
+    """Parses a request line and its header fields.
+
+    Raises:
+        MalformedMessageError: They are not valid HTTP/1.1.
+    """
     return _known_request(head) if head.startswith(REPEATED) and len(head) <= KNOWN_MOST else _request(head)
 
 
 def parse_response(head: bytes) -> Head:
+    """Parses a status line and its header fields.
+
+    Raises:
+        MalformedMessageError: They are not valid HTTP/1.1.
+    """
     return _known_response(head) if len(head) <= KNOWN_MOST else _response(head)
 
 
@@ -158,6 +176,11 @@
 
 
 def frame_of(head: Head) -> Frame:
+    """Returns the framing of a message's body (RFC 9112, section 6).
+
+    Raises:
+        MalformedMessageError: The framing is ambiguous or unsupported.
+    """
     codings, lengths = head.headers.all("transfer-encoding"), set(head.headers.all("content-length"))
     if codings and (lengths or not head.minor or [c.lower() for c in codings] != ["chunked"]):
         raise MalformedMessageError(
@@ -173,7 +196,7 @@
 
 
 class Body:
-    """Takes one message's body off the front of a buffer."""
+    """Decodes one message's body from the start of a buffer."""
 
     __slots__ = (
         "chunked",
@@ -197,6 +220,11 @@
         self.done = not (self.chunked or self.left or self.until_close)
 
     def take(self, buffer: bytearray) -> bytes:
+        """Removes the available bytes of the body from the buffer and returns their content.
+
+        Raises:
+            MalformedMessageError: The chunked coding is malformed.
+        """
         if not self.chunked:
             piece = bytes(buffer if self.until_close else buffer[: self.left])
             del buffer[: len(piece)]
@@ -247,7 +275,7 @@
 
 
 class Parser:
-    """Messages off one connection. `limit` says how long the body of a head may be."""
+    """Parses the messages of one connection; `limit` gives a head's maximum body size in bytes."""
 
     def __init__(self, parse: Callable[[bytes], Head], limit: Callable[[Head], int]) -> None:
         self.parse, self.limit = parse, limit
@@ -258,25 +286,31 @@
 
     @property
     def begun(self) -> bool:
+        """Whether any bytes of the next message have arrived."""
         return bool(self.buffer or self.head)
 
     @property
     def most(self) -> int:
-        """The bytes that the body of the head just taken may need."""
+        """The maximum number of body bytes that may follow the current head."""
         if self.head is None or self.body is None or self.body.done:
             return 0
         return self.limit(self.head) if self.body.chunked else self.body.left
 
     @property
     def more(self) -> bool:
-        """Whether the peer went on after the message that was taken last; an empty line is nothing."""
+        """Whether the peer sent more after the last message; empty lines don't count."""
         return bool(self.buffer.strip(b"\r\n"))
 
     def feed(self, data: bytes) -> None:
+        """Appends received bytes."""
         self.buffer += data
 
     def take_head(self) -> Head | None:
-        """The next head, once; its body is to be taken before the next."""
+        """Returns the next head, or None until it is complete; its body must be taken before the next.
+
+        Raises:
+            MalformedMessageError: The head is malformed, or head or body are too long.
+        """
         if self.head is not None:
             return self.head
         while self.buffer.startswith(b"\r\n"):  # an empty line before a message is let pass
@@ -295,10 +329,15 @@
         return head
 
     def take_piece(self) -> bytes:
+        """Returns the body bytes that are available."""
         return self.body.take(self.buffer) if self.body else b""
 
     def poll(self) -> tuple[Head, bytes] | None:
-        """The next whole message, or None until more bytes have come."""
+        """Returns the next complete message, or None until more bytes have arrived.
+
+        Raises:
+            MalformedMessageError: The message is malformed or too long.
+        """
         head = self.head or self.take_head()
         if head is None or (body := self.body) is None:
             return None
@@ -352,6 +391,7 @@
         return None if sent == len(data) else self.write(data[sent:])
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
+        """Reads once; after a read that left space in the buffer, reports that nothing is there."""
         if self.short:
             self.short = False
             return None
@@ -373,7 +413,7 @@
 
 
 def silent(connection: socket.socket) -> bool:
-    """Whether nothing is there to be received, not even the other side's end."""
+    """Whether the socket has nothing to receive, not even the end of the stream."""
     try:
         connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -394,21 +434,28 @@
 
 
 class Channel:
-    """One connection: a stream and the parser of what comes on it."""
+    """One connection: a stream and the parser of what arrives on it."""
 
     def __init__(self, stream: Stream, parser: Parser) -> None:
         self.stream, self.parser = stream, parser
         stream.set_nodelay(True)
 
     async def fill(self) -> None:
+        """Reads the next bytes into the parser.
+
+        Raises:
+            StreamClosedError: The connection is closed.
+        """
         self.parser.feed(await self.stream.read_bytes(PIECE, partial=True))
 
     async def head(self) -> Head:
+        """Reads up to the end of the next head."""
         while (head := self.parser.take_head()) is None:
             await self.fill()
         return head
 
     async def message(self) -> tuple[Head, bytes]:
+        """Reads the next complete message, answering `Expect: 100-continue`."""
         invited = False
         while (message := self.parser.poll()) is None:
             if not invited and (head := self.parser.head) and "100-continue" in head.headers.words("expect"):
@@ -418,11 +465,16 @@
         return message
 
     async def write(self, data: bytes) -> None:
+        """Writes all bytes.
+
+        Raises:
+            StreamClosedError: The connection is closed.
+        """
         if (writing := self.stream.put(data)) is not None:
             await writing
 
     def usable(self) -> bool:
-        """Whether a kept connection still stands: what the peer sent while it was idle ends it."""
+        """Whether an idle connection can carry another request: any unexpected bytes rule it out."""
         return not (self.stream.closed() or self.parser.begun) and self.quiet()
 
     def quiet(self) -> bool:
@@ -434,10 +486,12 @@
         return self.stream.reading() and silent(self.stream.socket)
 
     def close(self) -> None:
+        """Closes the connection."""
         self.stream.close()
 
 
 def server_parser() -> Parser:
+    """Returns a parser of responses with the default body limit."""
     return Parser(parse_response, lambda head: MAX_BODY)
 
 
@@ -445,7 +499,16 @@
 
 
 async def connect(address: tuple[str, int], make: Callable[[int], socket.socket] = socket.socket) -> Channel:
-    """`make` gives a socket of an address family. StreamClosedError, OSError: there is no connection."""
+    """Opens a TCP connection.
+
+    Args:
+        address: IP address and port.
+        make: Creates a socket of an address family.
+
+    Raises:
+        StreamClosedError: The connection failed.
+        OSError: The connection failed.
+    """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     stream = Stream(make(family), read_chunk_size=READ)
     try:
@@ -457,6 +520,7 @@
 
 
 def write_request(method: str, target: str, fields: list[tuple[str, str]], body: bytes = b"") -> bytes:
+    """Encodes a request; Content-Length is added where there is a body, and for POST."""
     lines = [f"{method} {target} HTTP/1.1", *(f"{n}: {v}" for n, v in fields)]
     if body or method == "POST":
         lines.append(f"Content-Length: {len(body)}")
@@ -464,6 +528,7 @@
 
 
 def write_head(status: int, length: int, fields: tuple[str, ...] = (), close: bool = False) -> bytes:
+    """Encodes the head of a response; `fields` are complete header lines."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Answer')}", *fields]
     if status != 204:
         lines.append(f"Content-Length: {length}")
@@ -475,6 +540,7 @@
 def write_response(
     status: int, body: bytes = b"", fields: tuple[str, ...] = (), close: bool = False
 ) -> bytes:
+    """Encodes a response; `fields` are complete header lines."""
     return write_head(status, len(body), fields, close) + body
 
 
--- a/finchladder/net/job_intake.py
+++ b/finchladder/net/job_intake.py
@@ -18,7 +18,7 @@
 
 
 class DuplicateRequestError(Exception):
-    """A job of this id has come already."""
+    """A request with this id has been received already."""
 
 
 def _fields(flow: Flow) -> dict[str, str]:
@@ -26,6 +26,8 @@
 
 
 class JobIntake:
+    """Turns accepted requests into flows, enforces their deadlines, and applies fault injection."""
+
     def __init__(
         self,
         classes: set[str],
@@ -43,16 +45,26 @@
         self.routes = NO_ROUTES
 
     def arrive(self, client: str, id: str, job_class: str, left_s: float) -> Verdict:
-        """Before there is a flow: what the door and the drills say."""
+        """Returns the verdict of rate limits and fault injection on a request; `left_s` in seconds.
+
+        Raises:
+            DuplicateRequestError: A request with this id has been received already.
+        """
         if self.flows.known(id):
             raise DuplicateRequestError
         return self.arrivals.judge(self.clock(), client, id, job_class, left_s)
 
     def deadline(self, left_s: float) -> float:
+        """Returns the deadline (seconds of the clock) of a request that may take `left_s` more seconds."""
         now = self.clock()
         return self.leaving.latest(now, now + left_s)
 
     def take(self, flow: Flow, drill: Effect | None = None) -> None:
+        """Opens a flow and passes it to the decisions, or refuses it where too many are open.
+
+        Raises:
+            DuplicateRequestError: A request with this id has been received already.
+        """
         if self.flows.known(flow.id):
             raise DuplicateRequestError
         self.flows.add(flow)
@@ -68,11 +80,12 @@
             self._drill(flow, drill)
 
     def client_left(self, flow: Flow) -> None:
-        """The module is told, and nobody is answered any more."""
+        """Ends a flow without an answer and cancels its attempts."""
         if self.flows.finish(flow, Answer("left")):
             self.module.tell(api.ClientDisconnected(flow.id))
 
     def shut_down(self) -> None:
+        """Starts the shutdown: requests held by fault injection are released."""
         now = self.clock()
         self.leaving.begin(now)
         self.arrivals.leave(now)
--- a/finchladder/net/membership_actor.py
+++ b/finchladder/net/membership_actor.py
@@ -63,23 +63,29 @@
 
 
 class EndpointConsumer(Protocol):
-    """Where the believed list goes."""
+    """Receives the accepted endpoint list."""
 
-    def tell(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None: ...
-    def change(
-        self, entries: Sequence[api.WorkerEntry], addresses: dict[str, tuple[str, int]]
-    ) -> None: ...  # in slices
+    def tell(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
+        """Applies a list at once."""
+
+    def change(self, entries: Sequence[api.WorkerEntry], addresses: dict[str, tuple[str, int]]) -> None:
+        """Applies changed entries in slices."""
 
 
 Found = tuple[LastGood, EndpointUpdate]
 
 
 class ListFile(Protocol):
-    """As store.lastgood.LastGoodFile."""
+    """The file of the last good list, as `store.lastgood.LastGoodFile`."""
 
-    def begin(self, found: Callable[[Found | None], None]) -> None: ...
-    def put(self, made: Callable[[], LastGood]) -> None: ...
-    def close(self) -> None: ...
+    def begin(self, found: Callable[[Found | None], None]) -> None:
+        """Reads the file and passes its content, or None, to `found`."""
+
+    def put(self, made: Callable[[], LastGood]) -> None:
+        """Saves a list, which is built only when it is written."""
+
+    def close(self) -> None:
+        """Ends the writing."""
 
 
 class MembershipActor(Actor[Report]):
@@ -106,15 +112,19 @@
 
     @property
     def up(self) -> bool:
+        """Whether a list is accepted."""
         return self.membership.up
 
     def receive(self, report: Report) -> None:
+        """Decides on a report of one source."""
         self._do(self.membership.report(self.clock(), report))
 
     def report(self, report: Report) -> None:
+        """Posts a report of one source."""
         self.post(report)
 
     def source_is_alive(self, source: str, in_step: bool = True) -> None:
+        """Records a heartbeat of a source; `in_step`: its last report is still current."""
         self._do(self.membership.heard(self.clock(), source, in_step))
 
     def _ring(self) -> None:
@@ -241,35 +251,45 @@
 
 
 class EndpointApplier:
-    """The slices of an actor that watches nothing."""
+    """Applies lists through an endpoint watcher that itself watches nothing."""
 
     def __init__(self, actor: EndpointWatcher) -> None:
         self.actor = actor
 
     def tell(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
+        """Applies a list at once."""
         self.actor.post(EndpointUpdate(0, workers, addresses))
 
     def change(self, entries: Sequence[api.WorkerEntry], addresses: dict[str, tuple[str, int]]) -> None:
+        """Applies changed entries in slices."""
         self.actor._changed(EndpointChange(0, list(entries), addresses), known=False)
 
 
 class DiscoverySource(EndpointWatcher):
-    """Discovery's watch as one source of several: its lists are reported, not applied."""
+    """Service discovery as one of several sources: its lists are reported, not applied."""
 
     def __init__(self, address: tuple[str, int], members: MembershipActor, connect: Connect) -> None:
         super().__init__(address, lambda workers, addresses: None, lambda names: None, connect)
         self.members = members
 
     def receive(self, news: EndpointUpdate) -> None:
+        """Reports a list to the membership."""
         self.members.report(Report(DISCOVERY, news.version, news.workers, news.addresses))
         self.index = news.version
 
     async def take(self, line: bytes, known: bool = False) -> None:
+        """Reads a line of the watch in slices and posts the list.
+
+        Raises:
+            ValueError: The line can't be used.
+        """
         self.post(await read_in_slices(line, api.ListKind.STALE if known else None))
 
     def source_is_alive(self) -> None:
+        """Reports a heartbeat to the membership."""
         self.members.source_is_alive(DISCOVERY)
 
 
 def last_good_file(path: str) -> LastGoodFile[EndpointUpdate]:
+    """Returns the file of the last good endpoint list at `path`."""
     return LastGoodFile(path, partial(read_list, kind=api.ListKind.STALE))
--- a/finchladder/net/messages.py
+++ b/finchladder/net/messages.py
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, eq=False)
 class HttpMessage:
-    """A client's request. It is passed on as it came, but for the fields that concern one hop alone."""
+    """A client's request, forwarded unchanged except for its hop-by-hop header fields."""
 
     method: str
     target: str
@@ -42,6 +42,7 @@
     body: bytes
 
     def request(self, host: str, time_left_s: float) -> bytes:
+        """Returns the request to a worker; `time_left_s` in seconds goes into X-Time-Left."""
         named = self.headers.words("connection")
         dropped = HOP | named if named else HOP
         fields = [(n, v) for n, v in self.headers.fields if n.lower() not in dropped]
@@ -50,7 +51,7 @@
 
 
 class CallBack(msgspec.Struct, rename={"sender": "from"}):
-    """What a real server tells of a job."""
+    """A worker's callback on the progress or result of a job."""
 
     id: str
     sender: str
@@ -60,6 +61,7 @@
     load: object = None
 
     def report(self) -> dict[str, float] | None:
+        """Returns the numbers of the load report, or None where there are none."""
         pairs = self.load.items() if isinstance(self.load, dict) else ()
         return {str(n): float(v) for n, v in pairs if isinstance(v, int | float)} or None
 
@@ -70,12 +72,17 @@
 
 
 def read_target(target: str) -> tuple[str, int | None]:
-    """The class is the path's first part, the key its last where there is more than one."""
+    """Returns the job class (the path's first segment) and the key of the last, where there are several."""
     parts = target.partition("?")[0].split("/")
     return parts[1] if len(parts) > 1 else "", key_of(parts[-1]) if len(parts) > 2 else None
 
 
 def read_id(head: Head) -> str:
+    """Returns the request id from X-Correlation-Id.
+
+    Raises:
+        MalformedMessageError: It is missing, repeated or malformed.
+    """
     value = head.headers.get("x-correlation-id")
     if value is None or not _ID.fullmatch(value):
         raise MalformedMessageError(400, "X-Correlation-Id is missing, repeated or unusable")
@@ -83,6 +90,11 @@
 
 
 def read_time_left(head: Head) -> float:
+    """Returns the client's timeout in seconds, from X-Time-Left.
+
+    Raises:
+        MalformedMessageError: It is missing, repeated or malformed.
+    """
     value = head.headers.get("x-time-left") or ""
     left = float(value) if _TIME_LEFT.fullmatch(value) else 0.0
     if left <= 0:
@@ -96,7 +108,11 @@
 
 
 def read_facts(head: Head) -> dict[str, float]:
-    """X-Facts: name=value pairs; of those known here each must be a number that can be."""
+    """Returns the known name=value pairs of X-Facts.
+
+    Raises:
+        MalformedMessageError: A known name has no number in range.
+    """
     facts: dict[str, float] = {}
     if not head.headers.all("x-facts"):
         return facts
@@ -114,6 +130,11 @@
 
 
 def read_call_back(body: bytes) -> CallBack:
+    """Decodes a worker's callback.
+
+    Raises:
+        MalformedMessageError: The body is not valid.
+    """
     try:
         return _call_backs.decode(body)
     except msgspec.MsgspecError as e:
@@ -124,4 +145,5 @@
 
 
 def limit_of(head: Head) -> int:
+    """Returns the maximum body size of a request in bytes."""
     return MAX_CALL_BACK if head.target.partition("?")[0] == CALL_BACK else MAX_BODY
--- a/finchladder/net/outlier_control.py
+++ b/finchladder/net/outlier_control.py
@@ -14,6 +14,8 @@
 
 
 class OutlierControl:
+    """Shows the outlier detector's state and applies the operator's overrides."""
+
     def __init__(
         self,
         key: str | None,
@@ -28,6 +30,7 @@
         self.orders = peers.orders if peers is not None else Orders(judging.own, 0)
 
     def show(self) -> list[dict[str, Any]]:
+        """Returns one JSON object for each worker with evidence and for each override."""
         now = self.clock()
         words = [
             {
@@ -42,7 +45,11 @@
         return self.judging.show(now, self.d.workers) + words
 
     def apply_override(self, order: OverrideRequest) -> dict[str, Any]:
-        """ValueError says in one line why not."""
+        """Applies an override and returns it as a JSON object.
+
+        Raises:
+            ValueError: No such worker is known.
+        """
         if order.server not in self.d.workers:
             raise ValueError(f"no real server {order.server} is known here")
         now = self.clock()
--- a/finchladder/net/peers/actor.py
+++ b/finchladder/net/peers/actor.py
@@ -24,7 +24,11 @@
 
 
 def bind(address: Address) -> socket.socket:
-    """OSError: it can't be had."""
+    """Opens a non-blocking UDP socket at the address.
+
+    Raises:
+        OSError: The address can't be bound.
+    """
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM)
     try:
         sock.setblocking(False)
@@ -37,6 +41,8 @@
 
 
 class PeersActor:
+    """Exchanges datagrams with the other dispatchers over one UDP socket."""
+
     def __init__(
         self,
         peers: Peers,
@@ -47,8 +53,16 @@
         heard: Callable[[PeerLoads | PeerReports | OperatorOverrides], None] | None,
         bind: Callable[[Address], socket.socket] = bind,
     ) -> None:
-        """`addresses`: where each peer is, and its datagrams come from. `heard`: gets the counts of all,
-        and what others say of real servers.
+        """Binds nothing yet.
+
+        Args:
+            peers: The exchange's state machine.
+            fleet: The fleet's name; datagrams of others are dropped.
+            own: The address to bind.
+            addresses: Each peer's address, which is also the source of its datagrams.
+            clock: Seconds.
+            heard: Receives all peers' load counts and their reports on workers.
+            bind: Opens the socket.
         """
         self.peers, self.fleet, self.own, self.clock, self.heard, self.bind = (
             peers,
@@ -69,10 +83,12 @@
         self.judged: Callable[[], list[dict[str, Any]]] | None = None  # what is held of real servers
 
     def start(self) -> None:
+        """Opens the socket and starts the periodic exchange."""
         self._open()
         self._turn()
 
     def stop(self) -> None:
+        """Announces to the peers that this dispatcher leaves, and closes the socket."""
         self._send(self.peers.leave(self.clock()))
         self.closed = True
         if self.timer is not None:
@@ -192,11 +208,12 @@
     # --- besides
 
     def follow(self, addresses: Mapping[str, Address], least: int) -> None:
-        """Another list of dispatchers."""
+        """Replaces the list of dispatchers; at least `least` are assumed to exist."""
         self.addresses = dict(addresses)
         self.peers.listed(self.clock(), self.addresses, least)
 
     def show(self) -> dict[str, Any]:
+        """Returns the state and the counters as a JSON object."""
         shown = self.peers.show(self.clock())
         dropped = dict(self.dropped)
         for why, n in shown["dropped"].items():
--- a/finchladder/net/peers/datagrams.py
+++ b/finchladder/net/peers/datagrams.py
@@ -125,10 +125,11 @@
 
 
 class MalformedDatagramError(ValueError):
-    """A datagram that is to be dropped; the message is one of a few words, by which it is counted."""
+    """A datagram that must be dropped; the message is one of few constants, the key of its counter."""
 
 
 def encode(fleet: str, p: Packet) -> bytes:
+    """Encodes a packet; the caller checks the result against MOST bytes."""
     part = None
     if p.part is not None:
         held = p.part.counts
@@ -156,7 +157,11 @@
 
 
 def decode(fleet: str, data: bytes) -> Packet:
-    """Unusable: too long, of another version or fleet, or not as it has to be. Figures are not looked at."""
+    """Decodes a datagram; the values of its numbers are not checked.
+
+    Raises:
+        MalformedDatagramError: It is too long, malformed, or of another version or fleet.
+    """
     if len(data) > MOST:
         raise MalformedDatagramError("too long")
     try:
--- a/finchladder/net/request_handler.py
+++ b/finchladder/net/request_handler.py
@@ -25,6 +25,7 @@
 
 
 def reply_of(answer: Answer) -> Reply:
+    """Returns the HTTP response for a flow's answer."""
     if answer.kind == "served":
         return Reply(200, answer.body)
     if answer.kind == "refused":
@@ -34,7 +35,7 @@
 
 
 class RequestHandler:
-    """`ready` says whether a list of real servers is up; `called_back` takes what they tell."""
+    """Routes each message to the callbacks, the health check, the control endpoints or the intake."""
 
     def __init__(
         self,
@@ -49,9 +50,16 @@
 
     @property
     def admission(self) -> Admission | None:
+        """Admission control, or None where it is off."""
         return self.gate
 
     async def answer(self, edge: ClientConnection, head: Head, body: bytes) -> Reply:
+        """Returns the response to one message.
+
+        Raises:
+            MalformedMessageError: The message can't be used.
+            StreamClosedError: The client has closed the connection.
+        """
         path = head.target.partition("?")[0]
         if path == CALL_BACK:
             edge.calls_back = True
--- a/finchladder/net/slots.py
+++ b/finchladder/net/slots.py
@@ -5,7 +5,7 @@
 
 
 class Slots:
-    """So many may be taken at once. Whoever waits is served in turn; nobody overtakes."""
+    """A counting semaphore with a first-in, first-out queue of waiters."""
 
     def __init__(self, count: int) -> None:
         self.free = count
@@ -13,15 +13,15 @@
 
     @property
     def open(self) -> bool:
-        """Whether one can be taken without waiting."""
+        """Whether a slot can be acquired without waiting."""
         return self.free > 0 and not self.queue
 
     def acquire(self) -> None:
-        """Only where `open`."""
+        """Acquires a slot; only allowed where `open`."""
         self.free -= 1
 
     async def wait(self) -> None:
-        """Takes one, once it is this caller's turn."""
+        """Acquires a slot, waiting for this caller's turn."""
         if self.open:
             return self.acquire()
         turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -36,6 +36,7 @@
             raise
 
     def release(self) -> None:
+        """Returns a slot, directly to the first waiter if there is one."""
         while self.queue:
             turn = self.queue.popleft()
             if not turn.done():
--- a/finchladder/net/timers.py
+++ b/finchladder/net/timers.py
@@ -11,7 +11,7 @@
 
 
 class Timers:
-    """One call for each key. All is O(1) but a turn of the wheel, each WIDTH seconds while it holds any."""
+    """One timer per key. All operations are O(1), except the wheel's tick every RESOLUTION_S."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
@@ -19,13 +19,14 @@
         self.turning = False
 
     def put(self, key: Hashable, at: float, call: Callable[[], object]) -> None:
-        """`at` in seconds of the clock. Put again, a key leaves its earlier place."""
+        """Schedules `call` at `at`, in seconds of the clock; replaces the key's earlier timer."""
         self.wheel.put(key, (at, key, call), at)
         if not self.turning:
             self.turning = True
             IOLoop.current().call_later(RESOLUTION_S, self._turn)
 
     def drop(self, key: Hashable) -> None:
+        """Cancels a key's timer, if there is one."""
         self.wheel.drop(key)
 
     def _turn(self) -> None:
--- a/finchladder/net/worker_connection.py
+++ b/finchladder/net/worker_connection.py
@@ -11,19 +11,20 @@
 
 
 class Exchange(Protocol):
-    """What a request on a line is about. Just one of the two is called, once."""
+    """The owner of one request on a connection. Exactly one of the two methods is called, once."""
 
-    def answered(self, head: Head) -> None: ...
+    def answered(self, head: Head) -> None:
+        """The response's head has arrived."""
 
     def connection_failed(self, written: bool) -> None:
-        """The line ended before the answer's head came. `written`: the request's last byte may have gone."""
+        """The connection ended before the response's head; `written`: the last byte may have been sent."""
         ...
 
 
 class WorkerConnection:
-    """Begins free. It is free again after a whole exchange, and gone after all else.
+    """A connection to a worker: idle again after a complete exchange, closed after anything else.
 
-    What comes while it is free was not asked for, and ends it: the next exchange would take it for its own.
+    Bytes that arrive while it is idle close it: the next exchange would take them for its response.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
         self.task = asyncio.get_running_loop().create_task(self._live())
 
     def begin(self, exchange: Exchange, request: bytes) -> None:
-        """On a free line only."""
+        """Sends a request; only allowed on an idle connection."""
         self.exchange, self.busy, self.begun = exchange, True, False
         try:
             self.writing = self.channel.stream.put(request)
@@ -52,9 +53,11 @@
             self._end()  # its task may be waiting for its turn to see the same
 
     def close(self) -> None:
+        """Closes the connection."""
         self.channel.close()
 
     def usable(self) -> bool:
+        """Whether the connection is idle and can carry another request."""
         return not self.busy and self.channel.usable()
 
     async def _live(self) -> None:
@@ -103,9 +106,9 @@
 
 
 class IdleConnections:
-    """The free lines to all real servers, the one free for longest first. Beyond `most`, that one goes.
+    """Idle connections to all workers, least recently used first. Beyond `most`, that one is closed.
 
-    Times are in seconds of the caller's clock. All is O(1), or O(what is closed).
+    Times are in seconds of the caller's clock. All operations are O(1), or O(connections closed).
     """
 
     def __init__(self, most: int) -> None:
@@ -113,16 +116,18 @@
         self.lines: OrderedDict[WorkerConnection, None] = OrderedDict()
 
     def put(self, line: WorkerConnection, now: float) -> None:
+        """Adds a connection that became idle at `now`."""
         line.since = now
         self.lines[line] = None
         if len(self.lines) > self.most:
             self.lines.popitem(last=False)[0].close()
 
     def drop(self, line: WorkerConnection) -> None:
+        """Removes a connection without closing it."""
         self.lines.pop(line, None)
 
     def close_before(self, since: float, most: int) -> None:
-        """So many at the most: the others are closed the next time, and none is used that is too old."""
+        """Closes connections that are idle since `since` or longer, `most` at the most in one call."""
         for _ in range(most):
             if not self.lines or (line := next(iter(self.lines))).since > since:
                 return
--- a/finchladder/net/workers.py
+++ b/finchladder/net/workers.py
@@ -35,11 +35,13 @@
 
 
 class Withdrawal(NamedTuple):
+    """A mailbox item: cancel an attempt."""
+
     attempt: Attempt
 
 
 def load_report(head: Head) -> dict[str, float] | None:
-    """X-Backend-Load: name=value pairs. What is unusable in it is left out; it only informs."""
+    """Returns the name=value pairs of X-Backend-Load; malformed ones are ignored, as it only informs."""
     report = {}
     for pair in (head.headers.get("x-backend-load") or "").split(","):
         name, _, value = pair.partition("=")
@@ -51,7 +53,7 @@
 
 
 def outcome(head: Head) -> E | None:
-    """PROTOCOL's table for what is answered to a request; None: the job was taken."""
+    """Returns how the attempt ended by the response's head, or None where the job was accepted."""
     if head.status == 202:
         return None
     if head.status in (503, 504) and head.headers.get("x-unprocessed") == "1":
@@ -63,7 +65,7 @@
 
 
 class JobExchange:
-    """A job on its way to a real server, from the line's point of view."""
+    """The request that sends a job to a worker."""
 
     __slots__ = ("server", "attempt", "line")
 
@@ -71,6 +73,7 @@
         self.server, self.attempt, self.line = server, attempt, line
 
     def answered(self, head: Head) -> None:
+        """Accepts the job as sent, or ends its attempt."""
         s = self.attempt
         s.connection = None
         ending = outcome(head)
@@ -82,6 +85,7 @@
             self.server.end(s, ending, load_report(head))
 
     def connection_failed(self, written: bool) -> None:
+        """Ends the attempt; a job that was not written completely has certainly not run."""
         s = self.attempt
         s.connection = None
         if not written:
@@ -92,16 +96,18 @@
 
 
 class CancelExchange:
-    """A job is given up at its real server. Nothing hangs on the answer."""
+    """The DELETE of a job at its worker. Its response does not matter."""
 
     def answered(self, head: Head) -> None:
-        pass
+        """Ignores the response."""
 
     def connection_failed(self, written: bool) -> None:
-        pass
+        """Ignores the failure."""
 
 
 class WorkerActor(Actor[Attempt | Withdrawal | CallBack]):
+    """All attempts at one worker, and the connections to it."""
+
     def __init__(
         self,
         name: str,
@@ -129,16 +135,18 @@
 
     @property
     def log(self) -> "Logger":
+        """The logger, bound to this worker's name."""
         return super().log.bind(server=self.server)
 
     @property
     def at_rest(self) -> bool:
-        """Whether nothing is under way with it."""
+        """Whether no attempt, connection, message or task of this worker is left."""
         return not (self.live or self.busy or self.backlog or self.tasks)
 
     # --- what the mailbox brings --------------------------------------------------------------------------
 
     def receive(self, item: Attempt | Withdrawal | CallBack) -> None:
+        """Starts or cancels an attempt, or handles a callback."""
         if isinstance(item, Attempt):
             self._begin(item)
         elif isinstance(item, Withdrawal):
@@ -147,6 +155,7 @@
             self._called_back(item)
 
     def failed(self, item: Attempt | Withdrawal | CallBack) -> None:
+        """Ends the attempt of an item whose handling raised an error."""
         if isinstance(item, CallBack):
             s = self.live.get(item.id)
         else:
@@ -222,6 +231,7 @@
         line.begin(JobExchange(self, s, line), request)
 
     def broke(self, s: Attempt) -> None:
+        """Ends an attempt whose connection or handling failed; how depends on its stage."""
         if not s.ended:
             self.end(s, STAGE_RULES[s.stage].ending_if_broken)
 
@@ -230,7 +240,7 @@
         return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
     def end(self, s: Attempt, ending: E, report: dict[str, float] | None = None, result: bytes = b"") -> None:
-        """Every attempt ends here, and only its first end counts."""
+        """Ends an attempt; only the first call for each counts."""
         if s.ended:
             return
         give_up = STAGE_RULES[s.stage].on_abandon
@@ -254,7 +264,7 @@
         self._told(ended)
 
     def _alone(self) -> bool:
-        """Whether no two attempts of one job may be out together."""
+        """Whether two attempts of one job must never run at the same time."""
         return not self.module.dispatcher.settings.may_hedge
 
     def _told(self, ended: Ending) -> None:
@@ -262,8 +272,10 @@
         self.flows.forget_if_over(ended.attempt.flow)
 
     async def _give_up_first(self, ended: Ending) -> None:
-        """Where no two attempts may be out together: the module hears of the end, and may send the job
-        elsewhere, once its DELETE is written. A real server that can't be reached may still run it."""
+        """Reports the end only once the DELETE is written, where attempts must not run at the same time.
+
+        The decisions may then send the job elsewhere; a worker that can't be reached may still run it.
+        """
         flow = ended.attempt.flow
         while not await self._give_up(flow.id) and flow.answer is None and self.clock() < flow.deadline:
             await asyncio.sleep(CANCEL_RETRY_INTERVAL_S)
@@ -342,12 +354,13 @@
             self.kept.drop(line)
 
     def drop_idle(self) -> None:
+        """Closes all idle connections to this worker."""
         for line in self.idle:
             line.close()
 
 
 class WorkerPool:
-    """The actors of all real servers that were ever named and still matter. Costs grow with what changes."""
+    """The actors of all listed workers, and of unlisted ones with attempts. Costs grow with changes only."""
 
     def __init__(
         self,
@@ -360,7 +373,7 @@
         connect: Connect,
         each: int = IN_USE_EACH,
     ) -> None:
-        """`each`: connections to one real server at the most."""
+        """`each`: the maximum number of connections to one worker; times in seconds."""
         self.flows, self.module, self.clock, self.timers = flows, module, module.clock, timers
         self.connect, self.each = connect, each
         self.connect_timeout, self.trust = connect_timeout, Trust(self.clock(), conn_idle * IDLE_PART)
@@ -372,10 +385,11 @@
         self.reaper = PeriodicCallback(self._reap, 1000)
 
     def start(self) -> None:
+        """Starts the periodic closing of idle connections and removal of unlisted workers."""
         self.reaper.start()
 
     def update(self, worker_list: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
-        """Readiness and addresses apply at once, ahead of every mailbox; then the module is told."""
+        """Applies readiness and addresses at once, ahead of all mailboxes; then informs the decisions."""
         if worker_list.kind is not api.ListKind.PATCH:
             named = {e.worker for e in worker_list.entries}
             for name, actor in self.actors.items():
@@ -393,7 +407,7 @@
         self.module.tell(worker_list)
 
     def retire(self, names: list[str]) -> None:
-        """At once, though it takes turns of the loop until the module has been told of them all."""
+        """Marks workers as not ready at once, ahead of the slices in which the decisions learn of them."""
         for name in names:
             if (actor := self.actors.get(name)) is not None:
                 self._set_ready(actor, False)
@@ -422,6 +436,7 @@
         return actor
 
     def send(self, attempt: Attempt) -> None:
+        """Passes an attempt to its worker's actor, or voids it where the worker is gone."""
         actor = self.actors.get(attempt.worker)
         if actor is not None:
             actor.post(attempt)
@@ -432,10 +447,12 @@
             self.module.tell(Ending(attempt, E.VOID, 0.0, None))
 
     def withdraw(self, attempt: Attempt) -> None:
+        """Cancels an attempt."""
         if (actor := self.actors.get(attempt.worker)) is not None:
             actor.post(Withdrawal(attempt))
 
     def called_back(self, c: CallBack) -> None:
+        """Passes a callback to its worker's actor; that of an unknown worker is ignored."""
         if (actor := self.actors.get(c.sender)) is not None:
             actor.post(c)
 
@@ -445,7 +462,7 @@
         self._bury(list(self.fading))
 
     def _bury(self, names: list[str]) -> None:
-        """Half of a large fleet may have left at once: no turn of the loop sees to all of them."""
+        """Removes unlisted workers in slices: half of a large fleet may leave at once."""
         for name in names[:REAP_AT_ONCE]:
             if (actor := self.fading.get(name)) is not None:
                 actor.drop_idle()
