--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -19,14 +19,14 @@
 class Desk:
     """Answers everything at once; no job is ever open."""
 
-    gate = keeper = None
+    gate = admission = None
 
     def __init__(self) -> None:
         self.leaving, self.clock, self.flows = Leaving(3.0), time.monotonic, SimpleNamespace(open=0)
         self.leaving.stays_s = 0.0
         self.intake = self
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         self.leaving.begin(self.clock())
 
     async def answer(self, edge: Any, head: Any, body: bytes) -> Reply:
