--- a/finchladder/net/etcd/client.py
+++ b/finchladder/net/etcd/client.py
@@ -16,10 +16,12 @@
 
 
 class EtcdError(Exception):
-    """It was not done, by any endpoint, or refused; one line says why."""
+    """No endpoint executed the call, or one refused it; the message is one line."""
 
 
 class Client:
+    """Calls for the command line: writes, reads and deletes endpoint entries."""
+
     def __init__(self, options: EtcdOptions, aside: Aside) -> None:
         self.options, self.aside = options, aside
         self.endpoints = options.addresses()
@@ -27,7 +29,11 @@
         self.link: Link | None = None
 
     async def call(self, path: str, body: bytes) -> Answer:
-        """Each endpoint is tried once. EtcdError."""
+        """Makes a call, trying each endpoint once.
+
+        Raises:
+            EtcdError: No endpoint executed it.
+        """
         said = []
         for _ in self.endpoints:
             endpoint = self.endpoints[0]
@@ -49,6 +55,7 @@
         raise EtcdError("; ".join(said))
 
     def close(self) -> None:
+        """Closes the connection, if there is one."""
         if self.link is not None:
             self.link.close()
             self.link = None
@@ -59,24 +66,26 @@
         return f"{self.options.prefix}/{kind}/{name}".encode()
 
     async def put(self, entry: ServiceEntry, lease: int = 0) -> None:
+        """Writes an entry; 0 is no lease."""
         await self.call("kv/put", messages.put(self._key("members", entry.name), _encode(entry), lease))
 
     async def put_all(self, entries: Iterable[ServiceEntry]) -> int:
-        """In transactions of AT_ONCE; how many there were."""
+        """Writes entries in transactions of AT_ONCE keys; returns the number of entries."""
         pairs = [(self._key("members", e.name), _encode(e)) for e in entries]
         for at in range(0, len(pairs), AT_ONCE):
             await self.call("kv/txn", messages.put_all(pairs[at : at + AT_ONCE]))
         return len(pairs)
 
     async def drain(self, name: str, lease: int = 0) -> None:
+        """Writes the drain notice of a worker; 0 is no lease."""
         await self.call("kv/put", messages.put(self._key("drain", name), b"{}", lease))
 
     async def delete(self, kind: str, name: str) -> bool:
-        """Whether it was there."""
+        """Deletes a key; returns whether it existed."""
         return bool((await self.call("kv/deleterange", messages.delete(self._key(kind, name)))).deleted)
 
     async def all(self) -> AsyncIterator[Item]:
-        """All keys below the prefix, as of one revision."""
+        """Yields all keys below the prefix, as of one revision."""
         prefix, after, revision = f"{self.options.prefix}/".encode(), b"", 0
         while True:
             page = await self.call("kv/range", messages.list_page(prefix, after, revision, PAGE))
@@ -87,13 +96,15 @@
             after, revision = page.items[-1].key, revision or page.header.revision
 
     async def grant(self, ttl_s: int) -> int:
+        """Returns the id of a new lease of `ttl_s` seconds."""
         return (await self.call("lease/grant", messages.grant(ttl_s))).lease
 
     async def keep_alive(self, lease: int) -> bool:
-        """Whether it still lives."""
+        """Renews a lease; returns whether it still exists."""
         return (await self.call("lease/keepalive", messages.lease(lease))).ttl_s > 0
 
     async def revoke(self, lease: int) -> None:
+        """Revokes a lease, which deletes its keys."""
         await self.call("lease/revoke", messages.lease(lease))
 
 
--- a/finchladder/net/etcd/follow.py
+++ b/finchladder/net/etcd/follow.py
@@ -45,7 +45,10 @@
 
 
 class EtcdActor(Actor[Event]):
-    """Its mailbox brings what happens to the endpoint in use. `report` and `heard` are membership's."""
+    """Carries out the actions of a `Follower` and posts their results to it.
+
+    `report` and `heard` are the membership actor's.
+    """
 
     def __init__(
         self,
@@ -71,13 +74,16 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Starts to follow the prefix."""
         self.post(Due())
 
     def receive(self, event: Event) -> None:
+        """Handles one event and carries out the actions that follow from it."""
         for action in self.follower.handle(self.clock(), event):
             self._carry_out(action)
 
     def failed(self, item: Event) -> None:
+        """Treats a fault of this program as a failure of the endpoint, so that it is tried again."""
         self.post(Failed(Kind.BAD, "a fault of this program, see above"))
 
     def _carry_out(self, action: Action) -> None:
--- a/finchladder/net/etcd/keys.py
+++ b/finchladder/net/etcd/keys.py
@@ -24,12 +24,14 @@
 
 
 class Member(NamedTuple):
+    """A worker's entry and its address."""
+
     worker: api.WorkerEntry
     address: Address
 
 
 class Keys:
-    """By name, as the keys were last told. `unusable` takes the news of each unusable key once."""
+    """The state of the keys by worker name; each unusable key is reported once, in `news`."""
 
     def __init__(self, prefix: str) -> None:
         self.prefix = prefix
@@ -40,13 +42,18 @@
         self.news: list[str] = []  # for the log: unusable keys not yet told of
 
     def begin_anew(self) -> "Keys":
-        """For a list that is yet to come: whatever is said again there counts, and what is not is gone."""
+        """Returns an empty state for a new list, which remembers the unusable keys reported so far."""
         new = Keys(self.prefix)
         new.bad = self.bad
         return new
 
     def take(self, item: Item, before: "Keys | None" = None) -> str | None:
-        """The real server that it may have changed. `before`: where to find what held."""
+        """Applies one key; returns the name of the worker that it may have changed.
+
+        Args:
+            item: The key, or its deletion.
+            before: The state to fall back on for a member's previous value.
+        """
         if item.key.startswith(self.drain_at):
             if (name := self._name(item, self.drain_at)) is None:
                 return None
@@ -103,7 +110,7 @@
         self.news.append(f"{shown}: {why}; it is left out")
 
     def worker(self, name: str) -> api.WorkerEntry:
-        """What holds of it now; GONE: nothing is said of it."""
+        """Returns the entry of a worker; its state is REMOVED where no key names it."""
         member = self.members.get(name)
         if member is not None and member.worker.state is api.WorkerStatus.REMOVED:
             member = None
@@ -113,7 +120,7 @@
         return known._replace(state=api.WorkerStatus.DRAINING, started_at=ANY_START)
 
     def workers(self, names: Iterable[str]) -> tuple[tuple[api.WorkerEntry, ...], dict[str, Address]]:
-        """Entries, and the addresses of those that have one."""
+        """Returns the entries of these workers, and the addresses of those that have one."""
         entries = tuple(self.worker(name) for name in names)
         addresses = {
             e.worker: self.members[e.worker].address
@@ -123,5 +130,5 @@
         return entries, addresses
 
     def names(self) -> list[str]:
-        """All that anything is said of."""
+        """Returns the names of all workers with a member or drain key."""
         return [*self.members, *(name for name in self.drains if name not in self.members)]
--- a/finchladder/net/etcd/messages.py
+++ b/finchladder/net/etcd/messages.py
@@ -20,10 +20,12 @@
 
 
 class MalformedAnswerError(Exception):
-    """No answer of an etcd, or one beyond all bounds."""
+    """The response is not etcd's, or exceeds a bound."""
 
 
 class Header(msgspec.Struct):
+    """The header of each etcd response: identifiers, and the store's revision."""
+
     cluster_id: int = 0
     member_id: int = 0
     revision: int = 0
@@ -31,6 +33,8 @@
 
 
 class Kv(msgspec.Struct):
+    """A key and its value, with the revisions of its creation and last change."""
+
     key: bytes = b""
     create_revision: int = 0
     mod_revision: int = 0
@@ -39,7 +43,7 @@
 
 
 class Item(NamedTuple):
-    """A key as a range or a watch tells it. `value` None: it is too long to be any entry."""
+    """A key as a range or a watch reports it. `value` None: too long to be an entry."""
 
     key: bytes
     mod: int
@@ -49,7 +53,7 @@
 
 
 class Refusal(NamedTuple):
-    """An error that etcd answered, by gRPC's code and its own words."""
+    """An error response of etcd: its gRPC code and message."""
 
     code: int
     text: str
@@ -61,11 +65,12 @@
 
     @property
     def final(self) -> bool:
-        """Whether it stays so until somebody changes a setting, here or there."""
+        """Whether retrying is pointless until a setting changes on either side."""
         return self.code in (INVALID, DENIED, PRECONDITION, UNAUTHENTICATED)
 
     @property
     def compacted(self) -> bool:
+        """Whether the revision asked for has been compacted."""
         return "has been compacted" in self.text
 
 
@@ -330,24 +335,24 @@
 
 
 def prefix_end(prefix: bytes) -> bytes:
-    """The first key behind all that begin so."""
+    """Returns the first key after all keys with the prefix, for use as `range_end`."""
     stem = prefix.rstrip(b"\xff")
     return stem[:-1] + bytes([stem[-1] + 1]) if stem else b"\0"
 
 
 def get(key: bytes) -> bytes:
-    """Of one key, linearizable: whoever answers has a quorum behind it."""
+    """Encodes a linearizable read of one key."""
     return _write(key=key)
 
 
 def list_page(prefix: bytes, after: bytes, revision: int, limit: int) -> bytes:
-    """Keys behind `after`, in their order, as of the revision; 0: as of now."""
+    """Encodes a read of up to `limit` keys after `after`, in order, as of `revision` (0: the latest)."""
     first = after + b"\0" if after else prefix
     return _write(key=first, range_end=prefix_end(prefix), revision=revision, limit=limit)
 
 
 def newer(prefix: bytes, revision: int, than: int) -> bytes:
-    """One key that changed later than that and is there at the revision, and how many are there in all."""
+    """Encodes a read as of `revision`: one key modified after `than`, and the total number of keys."""
     end = prefix_end(prefix)
     return _write(
         key=prefix, range_end=end, revision=revision, min_mod_revision=than + 1, limit=1, keys_only=True
@@ -355,6 +360,7 @@
 
 
 def watch(prefix: bytes, start: int) -> bytes:
+    """Encodes a watch of all keys with the prefix, from the revision `start` on."""
     asked = _write(
         key=prefix, range_end=prefix_end(prefix), start_revision=start, progress_notify=True, fragment=True
     )
@@ -362,25 +368,30 @@
 
 
 def put(key: bytes, value: bytes, lease: int = 0) -> bytes:
+    """Encodes the write of one key; 0 is no lease."""
     return _write(key=key, value=value, lease=lease)
 
 
 def put_all(pairs: list[tuple[bytes, bytes]]) -> bytes:
-    """All of them, in one transaction."""
+    """Encodes the write of several keys in one transaction."""
     return b'{"success":[%b]}' % b",".join(b'{"request_put":%b}' % put(key, value) for key, value in pairs)
 
 
 def delete(key: bytes) -> bytes:
+    """Encodes the deletion of one key."""
     return _write(key=key)
 
 
 def login(user: str, password: str) -> bytes:
+    """Encodes an authentication request."""
     return msgspec.json.encode({"name": user, "password": password})
 
 
 def grant(ttl_s: int) -> bytes:
+    """Encodes the request of a new lease; `ttl_s` in seconds."""
     return _write(TTL=ttl_s)
 
 
 def lease(id: int) -> bytes:
+    """Encodes a request on a lease: keep alive or revoke."""
     return _write(ID=id)
--- a/finchladder/net/etcd/state.py
+++ b/finchladder/net/etcd/state.py
@@ -30,6 +30,8 @@
 
 
 class State(Enum):
+    """The states of a `Follower`; TABLE holds the allowed transitions."""
+
     WAITING = "waiting"  # for the time of the next try
     OPENING = "opening"  # a connection and, where there is a user, a login
     LISTING = "listing"
@@ -41,14 +43,18 @@
 
 
 class Due(NamedTuple):
-    """The time that was asked for has come."""
+    """The timer has expired."""
 
 
 class Opened(NamedTuple):
+    """The endpoint is connected and, where there is a user, logged in."""
+
     pass
 
 
 class Page(NamedTuple):
+    """A page of the list."""
+
     answer: Answer
 
 
@@ -59,19 +65,19 @@
 
 
 class Alive(NamedTuple):
-    """A pulse was answered."""
+    """The response to a Pulse."""
 
     header: Header
 
 
 class Checked(NamedTuple):
-    """What was asked for by Check: what is newer than was told, and how many keys there are."""
+    """The response to a Check: keys newer than the last one reported, and the total number of keys."""
 
     answer: Answer
 
 
 class Kind(Enum):
-    """Why nothing more comes from an endpoint; each is told once while it lasts."""
+    """Why an endpoint failed; each is logged once during an outage."""
 
     LOST = "lost"  # no connection, or it broke
     SILENT = "silent"
@@ -81,12 +87,14 @@
 
 
 class Failed(NamedTuple):
+    """The endpoint can't be followed any longer."""
+
     kind: Kind
     why: str
 
 
 class Refused(NamedTuple):
-    """A list, pulse or check was answered with an error."""
+    """The response to a List, Pulse or Check was an error."""
 
     refusal: Refusal
 
@@ -97,50 +105,67 @@
 
 
 class Open(NamedTuple):
-    """Close what is open, connect to that endpoint, log in. Opened, Failed."""
+    """Close all connections, connect to the endpoint and log in. Results: Opened, Failed."""
 
     endpoint: int
 
 
 class Close(NamedTuple):
+    """Close all connections."""
+
     pass
 
 
 class List(NamedTuple):
-    """A page behind that key, as of that revision (0: now). Any watch is given up. Page, Refused, Failed."""
+    """Read the page after a key, as of a revision (0: the latest), ending any watch.
+
+    Results: Page, Refused, Failed.
+    """
 
     after: bytes
     revision: int
 
 
 class Watch(NamedTuple):
+    """Watch the prefix from a revision on. Results: Told, Failed."""
+
     start: int
 
 
 class Pulse(NamedTuple):
+    """Check that the endpoint is reachable and has a quorum. Results: Alive, Refused, Failed."""
+
     pass
 
 
 class Check(NamedTuple):
-    """Is there, as of `revision`, any key newer than `than`?"""
+    """Read whether, as of `revision`, any key is newer than `than`. Results: Checked, Refused, Failed."""
 
     revision: int
     than: int
 
 
 class Wait(NamedTuple):
+    """Set the timer. Result: Due."""
+
     seconds: float
 
 
 class Tell(NamedTuple):
+    """Report a list to the membership."""
+
     report: Report
 
 
 class Heard(NamedTuple):
+    """Report to the membership that etcd is alive; `in_step`: no change is outstanding."""
+
     in_step: bool
 
 
 class Log(NamedTuple):
+    """Write a line to the log."""
+
     level: str
     text: str
 
@@ -166,7 +191,10 @@
 
 
 class Follower:
-    """`endpoints`: their names for the log, in the order in which they are tried."""
+    """The state machine that follows a prefix, without sockets and clock.
+
+    `endpoints`: their names for the log, in the order in which they are tried.
+    """
 
     def __init__(self, prefix: str, endpoints: list[str], random: Random) -> None:
         self.endpoints, self.random = endpoints, random
@@ -203,6 +231,7 @@
         self.now = 0.0
 
     def handle(self, now: float, event: Event) -> list[Action]:
+        """Handles an event; returns the actions to carry out. `now` in seconds of any monotonic clock."""
         self.now, self.actions = now, []
         may = TABLE[self.state].get(type(event))
         if may is not None:
--- a/finchladder/net/etcd/wire.py
+++ b/finchladder/net/etcd/wire.py
@@ -32,11 +32,11 @@
 
 
 class LoginError(Exception):
-    """User and password, or what they are read from, can't be used."""
+    """User or password were refused, or the password file can't be read."""
 
 
 def why(e: BaseException) -> str:
-    """One line for the log, that says what an operator may look at."""
+    """Returns one line for the log on a connection error."""
     real = getattr(e, "real_error", None) or e
     if isinstance(real, ssl.SSLCertVerificationError):
         return f"its certificate is refused: {real.verify_message}"
@@ -50,11 +50,12 @@
 
 
 def refused_by_tls(e: BaseException) -> bool:
+    """Whether an error is one of TLS, such as a refused certificate."""
     return isinstance(getattr(e, "real_error", None) or e, ssl.SSLError)
 
 
 class Tls:
-    """The context of TLS, made anew when one of its files has changed."""
+    """The TLS context, rebuilt when one of its files has changed."""
 
     def __init__(self, options: EtcdOptions, aside: Aside) -> None:
         self.ca, self.cert, self.key = options.ca_file, options.cert_file, options.key_file
@@ -65,7 +66,11 @@
         logging.getLogger("tornado.general").addFilter(lambda r: not r.msg.startswith("SSL Error on"))
 
     async def context(self) -> ssl.SSLContext:
-        """OSError (ssl.SSLError is one): a file can't be read, or used."""
+        """Returns the current context.
+
+        Raises:
+            OSError: A file can't be read or used (ssl.SSLError is one).
+        """
         made: ssl.SSLContext = await self.aside(self._read)
         return made
 
@@ -82,20 +87,32 @@
 
 
 class TlsChannel(Channel):
-    """Tornado's own stream for TLS, which has no short way of writing."""
+    """A channel over Tornado's TLS stream, which lacks `Stream.put`."""
 
     async def write(self, data: bytes) -> None:
+        """Writes all bytes.
+
+        Raises:
+            StreamClosedError: The connection is closed.
+        """
         await self.stream.write(data)
 
 
 class Wires:
-    """Makes connections to endpoints. OSError, StreamClosedError, TimeoutError: there is none."""
+    """Opens connections to endpoints, with or without TLS."""
 
     def __init__(self, options: EtcdOptions, connect: Connect, aside: Aside) -> None:
         self.connect = connect
         self.tls = Tls(options, aside) if any(e.tls for e in options.addresses()) else None
 
     async def open(self, endpoint: Endpoint) -> Channel:
+        """Opens a connection to an endpoint.
+
+        Raises:
+            OSError: It can't be opened.
+            StreamClosedError: It can't be opened.
+            TimeoutError: It was not open within ANSWER_S.
+        """
         async with asyncio.timeout(ANSWER_S):
             address = await self._address(endpoint)
             channel = await (self._by_tls(endpoint, address) if endpoint.tls else self.connect(address))
@@ -126,7 +143,7 @@
 
 
 class Link:
-    """One endpoint in use: a connection for calls, and others for watches. Calls are made one at a time."""
+    """One endpoint in use: one connection for calls, made one at a time, and others for watches."""
 
     def __init__(self, wires: Wires, endpoint: Endpoint, options: EtcdOptions, aside: Aside) -> None:
         self.wires, self.endpoint, self.options, self.aside = wires, endpoint, options, aside
@@ -135,12 +152,20 @@
         self.logins = 0
 
     async def open(self) -> None:
-        """Connects and logs in. NoLogin besides what `call` raises."""
+        """Connects and logs in.
+
+        Raises:
+            LoginError: The login failed.
+        """
         self.calls = await self.wires.open(self.endpoint)
         await self.log_in()
 
     async def log_in(self) -> None:
-        """Nothing to do without a user."""
+        """Logs in, where a user is configured.
+
+        Raises:
+            LoginError: The login failed.
+        """
         if self.options.user is None:
             return
         try:
@@ -159,7 +184,11 @@
             return file.read(PASSWORD_BYTES).decode().split("\n", 1)[0].rstrip("\r")
 
     async def call(self, path: str, body: bytes, patience_s: float = ANSWER_S) -> Answer:
-        """TROUBLE, NoLogin. A token that has ended is had anew, once. `patience_s`: for its first byte."""
+        """Makes a call; an expired token is renewed once. `patience_s`: timeout for the first byte.
+
+        Raises:
+            LoginError: The login failed, besides the errors in TROUBLE.
+        """
         answer = await self._call(path, body, patience_s)
         if answer.refusal is not None and answer.refusal.token and self.options.user is not None:
             await self.log_in()
@@ -222,7 +251,7 @@
         return answer
 
     async def watch(self, body: bytes) -> AsyncGenerator[Answer, None]:
-        """The messages of a watch, until it ends. TROUBLE."""
+        """Yields the messages of a watch until it ends; raises the errors in TROUBLE."""
         channel = await self.wires.open(self.endpoint)
         try:
             await self._ask(channel, "watch", body)
@@ -244,6 +273,7 @@
             channel.close()
 
     def close(self) -> None:
+        """Closes the connection for calls."""
         if self.calls is not None:
             self.calls.close()
             self.calls = None
