--- a/finchladder/net/client_listener.py
+++ b/finchladder/net/client_listener.py
@@ -33,13 +33,13 @@
         self.listening: list[socket.socket] = []
         self.stops: list[Callable[[], None]] = []
         self.looks = 0  # for room, since one was accepted
-        if front.gate is not None:
-            front.gate.opens, front.gate.ends = self._begin, self._end
+        if front.admission is not None:
+            front.admission.opens, front.admission.ends = self._begin, self._end
 
     def add_socket(self, listening: socket.socket) -> None:
         """Starts accepting connections from a listening socket."""
         self.listening.append(listening)
-        if self.front.gate is not None:
+        if self.front.admission is not None:
             with suppress(OSError):  # then a message counts as new when it is looked at
                 listening.setsockopt(socket.SOL_SOCKET, STAMPS, 1)  # accepted connections inherit it
         self.stops.append(self._listen(listening))
@@ -82,8 +82,8 @@
 
     def _waits(self) -> bool:
         """Listens on in a moment. False: it has done so for long, and the next one is closed unread."""
-        if self.front.gate is not None:
-            self.front.gate.make_room()
+        if self.front.admission is not None:
+            self.front.admission.make_room()
         else:
             self.looks += 1
             if self.looks > LOOKS:
@@ -101,10 +101,10 @@
         self.looks = 0
         edge = ClientConnection(connection, str(address[0]), self.front, self.edges, Reservation(self.bodies))
         self.edges.begin(self.clock(), edge)
-        if self.front.gate is None:
+        if self.front.admission is None:
             self._begin(edge)
         else:
-            self.front.gate.begin(edge)
+            self.front.admission.begin(edge)
 
     def _begin(self, edge: ClientConnection) -> None:
         edge.open()
@@ -124,8 +124,8 @@
     def _drop(self, edge: ClientConnection) -> None:
         edge.body.hold(0)
         self.edges.drop(edge)
-        if self.front.gate is not None:
-            self.front.gate.drop(edge)
+        if self.front.admission is not None:
+            self.front.admission.drop(edge)
 
     def _end(self, edge: ClientConnection) -> None:
         edge.close()
@@ -144,8 +144,8 @@
         """Drains after SIGTERM: accepts for a while, closes idle connections, waits for the answers."""
         intake = self.front.intake
         intake.shut_down()
-        if self.front.gate is not None:
-            self.front.gate.shut_down()
+        if self.front.admission is not None:
+            self.front.admission.shut_down()
         await asyncio.sleep(intake.leaving.stays_s)
         while True:
             over, stays = not intake.flows.open, False
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -13,6 +13,7 @@
 from finchladder.config.settings import read_seed
 from finchladder.core.connections.body_memory import BodyMemory
 from finchladder.core.connections.graceful_shutdown import Leaving
+from finchladder.core.dispatch.dispatcher import Dispatcher
 from finchladder.core.membership.watch import Watching
 from finchladder.core.membership.watch_backoff import Recalls
 from finchladder.core.routing.limited_dispatcher import Guarded, NewRoutes, decisions
@@ -38,6 +39,7 @@
 if TYPE_CHECKING:
     from finchladder.config.operator_file import Loaded
     from finchladder.core.health.detection.detector import Judging
+    from finchladder.core.membership.subset_filter import Members
     from finchladder.core.peers.bucket import Bucket
     from finchladder.core.peers.exchange import Peers
     from finchladder.net.etcd.follow import EtcdActor
@@ -64,93 +66,163 @@
         file: OperatorFile | None = None,
     ) -> None:
         self.setup, self.options, self.reread = setup, options, reread
-        self.machine = machine = machine or HostEnvironment()
-        self.clock = clock = Clock(machine.wall, machine.monotonic)
-        sockets = setup.limits.sockets
+        self.machine = machine or HostEnvironment()
+        self.clock = Clock(self.machine.wall, self.machine.monotonic)
         status = JobStatus(options.status) if options.status is not None else None
-        self.flows = FlowTable(status, clock, sockets)
+        self.flows = FlowTable(status, self.clock, setup.limits.sockets)
         seed = read_seed(setup.seed)
-        routes = file.loaded.routes if file is not None else None
-        joined = self._join(options.peers, seed) if options.peers is not None else None
-        share = self._share if joined is not None else None
-        decided = decisions(setup.settings, seed, routes, options.spilling(), share)
+        peers = self._join(options.peers, seed) if options.peers is not None else None
+        decided = self._build_decisions(seed, file, peers)
         arrivals = Arrivals(options, seed)
+        self._build_peers(peers, arrivals)
+        self._build_capture(decided, arrivals)
+        self.timers = Timers(self.clock)
+        subset = self._build_workers()
+        self._build_discovery(subset, seed)
+        self._build_intake(arrivals)
+        self._build_reload(file)
+        controls = self._build_controls(arrivals, peers)
+        self._build_admission(seed)
+        self._build_clients(controls)
+
+    def _build_decisions(
+        self, seed: int, file: OperatorFile | None, peers: "Peers | None"
+    ) -> Dispatcher | Guarded:
+        """The decisions, with the rate limits of routes shared among peers, and their actor."""
+        routes = file.loaded.routes if file is not None else None
+        share = self._share if peers is not None else None
+        decided = decisions(self.setup.settings, seed, routes, self.options.spilling(), share)
         self.dispatcher = decided.inner if isinstance(decided, Guarded) else decided
-        self.module = DecisionActor(decided, self.flows, clock)
+        self.module = DecisionActor(decided, self.flows, self.clock)
+        return decided
+
+    def _build_peers(self, peers: "Peers | None", arrivals: Arrivals) -> None:
+        """Outlier detection, then the exchange with the other dispatchers, where they are on."""
         self.judging: Judging | None = None
-        if options.judgement is not None:
-            self._judge(options.judgement, joined)
+        if self.options.judgement is not None:
+            self._judge(self.options.judgement, peers)
         self.peers: PeersActor | None = None
-        if options.peers is not None and joined is not None:
-            self._speak(options, joined, arrivals)
+        if self.options.peers is not None and peers is not None:
+            self._speak(self.options, peers, arrivals)
+
+    def _build_capture(self, decided: Dispatcher | Guarded, arrivals: Arrivals) -> None:
+        """The recorder of all inputs and outputs of the decisions, where it is on."""
         self.capture: Capture | None = None
         self.files: Disk | None = None
-        if options.capture is not None:
-            self.files = machine.files(options.capture, setup.name, int(clock() * 1000))
-            states = snapshot.Taking(decided, arrivals)
-            self.capture = Capture(options.capture, setup.seed, states, self.files)
-            self.capture.begin(clock())
-            self.module.tap = arrivals.tap = recorder = CaptureRecorder(self.capture)
-            self.capture.soon = recorder.soon
-        self.timers = Timers(clock)
-        caps = setup.caps
-        subset, each = None, IN_USE_EACH
-        if options.aperture is not None:
+        if self.options.capture is None:
+            return
+        self.files = self.machine.files(self.options.capture, self.setup.name, int(self.clock() * 1000))
+        states = snapshot.Taking(decided, arrivals)
+        self.capture = Capture(self.options.capture, self.setup.seed, states, self.files)
+        self.capture.begin(self.clock())
+        recorder = CaptureRecorder(self.capture)
+        self.module.tap = recorder
+        arrivals.tap = recorder
+        self.capture.soon = recorder.soon
+
+    def _build_workers(self) -> "Members | None":
+        """The pool of workers; returns the filter of the list where only a subset of it is used."""
+        subset, max_connections_each = None, IN_USE_EACH
+        if self.options.aperture is not None:
+            # only a dispatcher that uses a subset loads it
             from finchladder.core.membership.subset_filter import Members
 
-            aperture, own = options.aperture.settings(), setup.settings
-            subset, each = Members(own.index, own.dispatchers, aperture), aperture.connections_each
+            aperture, own = self.options.aperture.settings(), self.setup.settings
+            subset = Members(own.index, own.dispatchers, aperture)
+            max_connections_each = aperture.connections_each
         self.servers = WorkerPool(
             self.flows,
             self.module,
             self.timers,
-            caps.connect_timeout_s,
-            caps.conn_idle_s,
-            sockets,
-            machine.connect,
-            each,
+            self.setup.caps.connect_timeout_s,
+            self.setup.caps.conn_idle_s,
+            self.setup.limits.sockets,
+            self.machine.connect,
+            max_connections_each,
         )
         self.module.carrier = self.servers
+        return subset
+
+    def _build_discovery(self, subset: "Members | None", seed: int) -> None:
+        """The sources of the worker list, and the membership rules over them, where they are on."""
         self.service = EndpointWatcher(
-            setup.discovery, self.servers.update, self.servers.retire, machine.connect, subset
+            self.setup.discovery, self.servers.update, self.servers.retire, self.machine.connect, subset
         )
-        self.service.settled = machine.keep
+        self.service.settled = self.machine.keep
         self.members: MembershipActor | None = None
         self.etcd: EtcdActor | None = None
-        if options.membership is not None or options.etcd is not None:
-            self._believe(options, seed)
-        # not from the decisions' draws: those must be the same in a replay
-        shared = setup.settings.must_subscribe
+        if self.options.membership is not None or self.options.etcd is not None:
+            self._believe(self.options, seed)
+        settings = self.setup.settings
+        shared = settings.must_subscribe
         self.service.rules = rules = Watching(shared)
-        callers = setup.settings.dispatchers if shared else 1
-        drawn = Random(f"{seed}/discovery")
-        self.service.recalls = Recalls(callers, drawn, rules.away_s, rules.retry_s)
-        classes = {c.name for c in setup.settings.classes}
-        leaving = Leaving(max(c.deadline_s for c in setup.settings.classes))
-        self.intake = JobIntake(classes, self.flows, self.module, self.timers, arrivals, leaving, sockets)
+        callers = settings.dispatchers if shared else 1
+        # not from the decisions' draws: those must be the same in a replay
+        random = Random(f"{seed}/discovery")
+        self.service.recalls = Recalls(callers, random, rules.away_s, rules.retry_s)
+
+    def _build_intake(self, arrivals: Arrivals) -> None:
+        """The intake of jobs, with the bounds of a shutdown."""
+        self.classes = {c.name for c in self.setup.settings.classes}
+        leaving = Leaving(max(c.deadline_s for c in self.setup.settings.classes))
+        self.intake = JobIntake(
+            self.classes,
+            self.flows,
+            self.module,
+            self.timers,
+            arrivals,
+            leaving,
+            self.setup.limits.sockets,
+        )
+
+    def _build_reload(self, file: OperatorFile | None) -> None:
+        """The reloading of the operator's file, where there is one."""
         self.reload: ConfigReloader | None = None
         if file is not None:
-            self.reload = ConfigReloader(file.loaded, file.read, machine.aside, self._hold)
+            self.reload = ConfigReloader(file.loaded, file.read, self.machine.aside, self._hold)
             self.intake.routes = file.loaded.routes
-        controls = ControlCalls(clock, classes, options, self.flows.status, arrivals, self.capture)
+
+    def _build_controls(self, arrivals: Arrivals, peers: "Peers | None") -> ControlCalls:
+        """The control endpoints of the features that are on."""
+        controls = ControlCalls(
+            self.clock, self.classes, self.options, self.flows.status, arrivals, self.capture
+        )
         controls.peers = self.peers
-        if options.judgement is not None and self.judging is not None:
+        if self.options.judgement is not None and self.judging is not None:
+            # only a dispatcher with outlier detection loads it
             from finchladder.net.outlier_control import OutlierControl
 
             controls.bench = OutlierControl(
-                options.judgement.key, self.judging, self.dispatcher, clock, self.module.tell, joined
+                self.options.judgement.key,
+                self.judging,
+                self.dispatcher,
+                self.clock,
+                self.module.tell,
+                peers,
             )
             if self.peers is not None:
                 self.peers.judged = controls.bench.show
-        self.gate: Admission | None = None
-        if options.overload is not None:
-            limits = options.overload.limits(setup.settings.max_retry_after_s)
-            self.gate = Admission(setup.settings.classes, limits, seed, clock, self.flows.known, machine)
-            self.module.starts = self.gate.started
+        return controls
+
+    def _build_admission(self, seed: int) -> None:
+        """Admission control under overload, where it is on."""
+        self.admission: Admission | None = None
+        if self.options.overload is None:
+            return
+        settings = self.setup.settings
+        limits = self.options.overload.limits(settings.max_retry_after_s)
+        self.admission = Admission(settings.classes, limits, seed, self.clock, self.flows.known, self.machine)
+        self.module.starts = self.admission.started
+
+    def _build_clients(self, controls: ControlCalls) -> None:
+        """The handler of messages and the listener for client connections."""
         lists = self.members or self.service
-        front = RequestHandler(self.intake, controls, lambda: lists.up, self.servers.called_back, self.gate)
-        self.bodies = BodyMemory(setup.limits.memory_mb * 1024 * 1024, options.memory())
-        self.clients = ClientListener(front, self.bodies, sockets)
+        handler = RequestHandler(
+            self.intake, controls, lambda: lists.up, self.servers.called_back, self.admission
+        )
+        limits = self.setup.limits
+        self.bodies = BodyMemory(limits.memory_mb * 1024 * 1024, self.options.memory())
+        self.clients = ClientListener(handler, self.bodies, limits.sockets)
 
     def _join(self, options: PeersOptions, seed: int) -> "Peers":
         """This one's place among the dispatchers."""
@@ -250,8 +322,8 @@
             loop.add_signal_handler(number, left.set)
         self.machine.allow_descriptors(setup.limits.sockets)
         self.servers.start()
-        if self.gate is not None:
-            self.gate.start()
+        if self.admission is not None:
+            self.admission.start()
         known = setup.known if self.members is None else await self.members.begin(setup.known)
         self.service.start(known)
         if self.etcd is not None:
--- a/finchladder/net/request_handler.py
+++ b/finchladder/net/request_handler.py
@@ -43,17 +43,12 @@
         controls: ControlCalls,
         ready: Callable[[], bool],
         called_back: Callable[[CallBack], None],
-        gate: Admission | None = None,
+        admission: Admission | None = None,
     ) -> None:
-        self.intake, self.controls, self.gate = intake, controls, gate
+        self.intake, self.controls, self.admission = intake, controls, admission
         self.ready, self.called_back = ready, called_back
 
-    @property
-    def admission(self) -> Admission | None:
-        """Admission control, or None where it is off."""
-        return self.gate
-
-    async def answer(self, edge: ClientConnection, head: Head, body: bytes) -> Reply:
+    async def answer(self, connection: ClientConnection, head: Head, body: bytes) -> Reply:
         """Returns the response to one message.
 
         Raises:
@@ -62,50 +57,50 @@
         """
         path = head.target.partition("?")[0]
         if path == CALL_BACK:
-            edge.calls_back = True
+            connection.calls_back = True
             if head.method != "POST":
                 raise MalformedMessageError(405, "call-backs come by POST")
             self.called_back(read_call_back(body))
-            edge.used(Worth.OF_USE)
+            connection.used(Worth.OF_USE)
             return Reply(204)
         if path == HEALTH_PATH:
             up = self.ready() and not self.intake.leaving.begun
-            edge.used(Worth.ASKED)
+            connection.used(Worth.ASKED)
             return Reply(200, b"up\n") if up else Reply(503, b"not up\n")
         if path.startswith("/_") and (reply := self.controls.answer(head, body)) is not None:
-            edge.used(Worth.ASKED)
+            connection.used(Worth.ASKED)
             return reply
-        return await self._job(edge, head, body)
+        return await self._job(connection, head, body)
 
-    async def _job(self, edge: ClientConnection, head: Head, body: bytes) -> Reply:
+    async def _job(self, connection: ClientConnection, head: Head, body: bytes) -> Reply:
         job_class, key = read_target(head.target)
         if job_class not in self.intake.classes:
             raise MalformedMessageError(404, "no such class")
         if head.method != "POST":
             raise MalformedMessageError(405, "jobs come by POST")
-        if edge.channel.parser.more:  # what follows unasked may be a request hidden in this one's body
+        if connection.channel.parser.more:  # what follows unasked may be a request hidden in this one's body
             raise MalformedMessageError(400, "one request at a time")
         id, facts, left_s = read_id(head), read_facts(head), read_time_left(head)
-        if edge.came_at:
-            left_s = max(0.0, left_s - edge.waited_s)
+        if connection.came_at:
+            left_s = max(0.0, left_s - connection.waited_s)
         route = self.intake.routes.find(head.method, head.target, head.headers, job_class)
         if route is not None:
             left_s = route.patience_s(left_s)
         try:
-            verdict = self.intake.arrive(edge.client, id, job_class, left_s)
+            verdict = self.intake.arrive(connection.client, id, job_class, left_s)
             if verdict.wait > 0:
-                edge.used(Worth.ASKED)
+                connection.used(Worth.ASKED)
                 return Reply(429, b"too many requests\n", (f"Retry-After: {verdict.wait:g}",))
-            if self.gate is not None and not edge.passed and verdict.drill is None:
-                retry_after_s = self.gate.judge(job_class, left_s)
+            if self.admission is not None and not connection.passed and verdict.drill is None:
+                retry_after_s = self.admission.judge(job_class, left_s)
                 if retry_after_s is not None:
-                    edge.used(Worth.ASKED)
+                    connection.used(Worth.ASKED)
                     return reply_of(Answer("refused", retry_after=retry_after_s))
             message = HttpMessage(head.method, head.target, head.headers, body)
-            if edge.departed():  # what it asked for is not wanted any more, and nothing is sent for it
+            if connection.departed():  # what it asked for is not wanted any more, and nothing is sent for it
                 raise StreamClosedError()
             deadline = self.intake.deadline(left_s)
-            flow = Flow(id, job_class, key, facts, message, deadline, edge.deliver)
+            flow = Flow(id, job_class, key, facts, message, deadline, connection.deliver)
             if route is not None:
                 flow.route, flow.repeat = route.name, read_repeat(head)
             self.intake.take(flow, verdict.drill)
@@ -113,4 +108,4 @@
             raise MalformedMessageError(
                 400, "a request with this X-Correlation-Id has come already"
             ) from None
-        return reply_of(await edge.answer_to(flow))
+        return reply_of(await connection.answer_to(flow))
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -19,7 +19,7 @@
 class Desk:
     """Answers everything at once; no job is ever open."""
 
-    gate = admission = None
+    admission = None
 
     def __init__(self) -> None:
         self.leaving, self.clock, self.flows = Leaving(3.0), time.monotonic, SimpleNamespace(open=0)
