--- a/finchladder/net/admission.py
+++ b/finchladder/net/admission.py
@@ -112,8 +112,8 @@
             ClientConnection, None
         ] = {}  # nothing has come on them yet; the oldest is the first
         # set by their owner: begins to read one, and closes one
-        self.opens: Callable[[ClientConnection], None] = lambda edge: None
-        self.ends: Callable[[ClientConnection], None] = lambda edge: None
+        self.opens: Callable[[ClientConnection], None] = lambda connection: None
+        self.ends: Callable[[ClientConnection], None] = lambda connection: None
         self.opened = False  # for good: the dispatcher leaves
         self.asks_again = False
         self.late, self.polled_at = True, 0.0
@@ -138,40 +138,40 @@
 
     # --- connections
 
-    def begin(self, edge: ClientConnection) -> None:
+    def begin(self, connection: ClientConnection) -> None:
         """Registers a new connection; its descriptor is polled from now on."""
-        self.edges[edge.descriptor] = edge
-        self.silent[edge] = None
-        self.poll.register(edge.descriptor, NEWS)
+        self.edges[connection.descriptor] = connection
+        self.silent[connection] = None
+        self.poll.register(connection.descriptor, NEWS)
 
-    def wait(self, edge: ClientConnection) -> None:
+    def wait(self, connection: ClientConnection) -> None:
         """Registers that the connection waits for its next message.
 
         The message is passed on by `ClientConnection.received`.
         """
-        if edge.stirred and edge.is_waiting:
-            self._look(edge)
+        if connection.stirred and connection.is_waiting:
+            self._look(connection)
 
-    def drop(self, edge: ClientConnection) -> None:
+    def drop(self, connection: ClientConnection) -> None:
         """Removes a closed connection; its descriptor may have been reused already."""
-        if self.edges.get(edge.descriptor) is edge:
-            del self.edges[edge.descriptor]
-        self.silent.pop(edge, None)
-        self.control.drop(edge)
+        if self.edges.get(connection.descriptor) is connection:
+            del self.edges[connection.descriptor]
+        self.silent.pop(connection, None)
+        self.control.drop(connection)
 
     def shut_down(self) -> None:
         """Admits all waiting jobs now, while there is time to answer them."""
         self.opened = True
-        for edge in list(self.control.unread.places):
-            self.control.drop(edge)
-            self._let_in(edge)
+        for connection in list(self.control.unread.places):
+            self.control.drop(connection)
+            self._let_in(connection)
 
     def make_room(self) -> None:
         """Refuses some waiting jobs, as the connection table is full and no new client can be accepted."""
         for _ in range(ROOM_MADE):
-            if (edge := self.control.worst()) is None:
+            if (connection := self.control.worst()) is None:
                 return
-            self._turn_away(edge, self.clock())
+            self._turn_away(connection, self.clock())
 
     # --- what the sockets say
 
@@ -179,49 +179,51 @@
         began = self.clock()
         self.late = began > self.polled_at + OLD_S  # else nothing can have lain there for long
         for descriptor, what in self.poll.poll(0, AT_ONCE):
-            if (edge := self.edges.get(descriptor)) is None or edge.closed:
+            if (connection := self.edges.get(descriptor)) is None or connection.closed:
                 continue
-            edge.stirred = True
-            if edge.is_waiting:
-                self._look(edge)
-            if what & ENDED and not edge.closed:
-                edge.over = edge.stirred = True  # what came before is still read, unless it is a job
-                if edge.flow is not None or edge.message:
-                    self.control.drop(edge)
-                    self.ends(edge)
+            connection.stirred = True
+            if connection.is_waiting:
+                self._look(connection)
+            if what & ENDED and not connection.closed:
+                connection.over = connection.stirred = (
+                    True  # what came before is still read, unless it is a job
+                )
+                if connection.flow is not None or connection.message:
+                    self.control.drop(connection)
+                    self.ends(connection)
         if self.control.unread.places:
             self._drain()
         self.polled_at = self.clock()
         self.control.turned_away(self.polled_at - began)
 
-    def _look(self, edge: ClientConnection) -> None:
-        edge.stirred, age_s = False, 0.0
+    def _look(self, connection: ClientConnection) -> None:
+        connection.stirred, age_s = False, 0.0
         try:
             if self.late:
-                data, stamps, _, _ = edge.socket.recvmsg(LOOK, STAMP_SPACE, socket.MSG_DONTWAIT)
+                data, stamps, _, _ = connection.socket.recvmsg(LOOK, STAMP_SPACE, socket.MSG_DONTWAIT)
                 age_s = self._age_s(stamps)
             else:
-                data = edge.socket.recv(LOOK)
+                data = connection.socket.recv(LOOK)
         except BlockingIOError:
             return
         except OSError:
             data = b""
         if not data:
-            return self.ends(edge)
-        edge.stirred = len(data) == LOOK  # there may be more
+            return self.ends(connection)
+        connection.stirred = len(data) == LOOK  # there may be more
         now = self.clock()
-        edge.came_at = now - age_s
-        if not edge.opened:
-            self.silent.pop(edge, None)
-        if self.opened or not self.control.gated or not self._keep(edge, data, now):
-            self._hand_on(edge, data)
+        connection.came_at = now - age_s
+        if not connection.opened:
+            self.silent.pop(connection, None)
+        if self.opened or not self.control.gated or not self._keep(connection, data, now):
+            self._hand_on(connection, data)
 
-    def _hand_on(self, edge: ClientConnection, data: bytes) -> None:
+    def _hand_on(self, connection: ClientConnection, data: bytes) -> None:
         """To be read now."""
-        if edge.opened:
-            return edge.received(data)
-        edge.message, edge.first = b"", data
-        self.opens(edge)
+        if connection.opened:
+            return connection.received(data)
+        connection.message, connection.first = b"", data
+        self.opens(connection)
 
     def _age_s(self, stamps: list[tuple[int, int, bytes]]) -> float:
         """Since the last of it was there, by the system."""
@@ -231,7 +233,7 @@
         age = self.times.wall() - seconds - nanoseconds / 1e9
         return age if OLD_S < age < OLD_MOST_S else 0.0
 
-    def _keep(self, edge: ClientConnection, data: bytes, now: float) -> bool:
+    def _keep(self, connection: ClientConnection, data: bytes, now: float) -> bool:
         """False: it is not to wait here."""
         if (job := plain_job(data)) is None:
             return False
@@ -239,12 +241,12 @@
         if (name := self.names.get(job_class)) is None:
             return False
         try:
-            edge.body.hold(len(data))
+            connection.body.hold(len(data))
         except OutOfBodyMemoryError:
             return False
-        edge.message, edge.job_class, edge.job_id = data, name, id
-        edge.table.work(edge)
-        self.control.put(now, name, left_s - (now - edge.came_at), edge)
+        connection.message, connection.job_class, connection.job_id = data, name, id
+        connection.table.work(connection)
+        self.control.put(now, name, left_s - (now - connection.came_at), connection)
         return True
 
     # --- what the control says
@@ -258,8 +260,8 @@
         self.starts.clear()
         if self.control.state is not before:
             self._say(now, sample.busy)
-        while self.silent and (edge := next(iter(self.silent))).since + FIRST_MESSAGE_TIMEOUT_S <= now:
-            self.ends(edge)
+        while self.silent and (connection := next(iter(self.silent))).since + FIRST_MESSAGE_TIMEOUT_S <= now:
+            self.ends(connection)
         IOLoop.current().call_later(TICK_S, self._tick)
 
     def _say(self, now: float, busy: float) -> None:
@@ -309,25 +311,25 @@
         self._drain()
         self.control.turned_away(self.clock() - began)
 
-    def _let_in(self, edge: ClientConnection) -> None:
-        edge.passed = True
-        self._hand_on(edge, edge.message)
+    def _let_in(self, connection: ClientConnection) -> None:
+        connection.passed = True
+        self._hand_on(connection, connection.message)
 
-    def _turn_away(self, edge: ClientConnection, now: float) -> None:
-        if self.known(edge.job_id.decode("ascii")):
-            return self._hand_on(edge, edge.message)  # the parser's answer to it is no refusal
+    def _turn_away(self, connection: ClientConnection, now: float) -> None:
+        if self.known(connection.job_id.decode("ascii")):
+            return self._hand_on(connection, connection.message)  # the parser's answer to it is no refusal
         self.refused += 1
-        edge.message = b""
-        edge.body.hold(0)
-        if edge.worth is Worth.NEW:
-            edge.worth = Worth.ASKED
-        edge.table.idle(now, edge, edge.worth)
+        connection.message = b""
+        connection.body.hold(0)
+        if connection.worth is Worth.NEW:
+            connection.worth = Worth.ASKED
+        connection.table.idle(now, connection, connection.worth)
         answer = refusal_bytes(self.control.refuse(now))
         try:
-            whole = edge.socket.send(answer) == len(answer)
+            whole = connection.socket.send(answer) == len(answer)
         except OSError:
             whole = False
         if not whole:
-            return self.ends(edge)  # a client that reads nothing, or has left
-        if edge.stirred:  # not now: each of many might bring about the next one's turn
-            asyncio.get_running_loop().call_soon(self.wait, edge)
+            return self.ends(connection)  # a client that reads nothing, or has left
+        if connection.stirred:  # not now: each of many might bring about the next one's turn
+            asyncio.get_running_loop().call_soon(self.wait, connection)
--- a/finchladder/net/client_connection.py
+++ b/finchladder/net/client_connection.py
@@ -73,16 +73,16 @@
 
     def __init__(
         self,
-        connection: socket.socket,
+        client_socket: socket.socket,
         client: str,
-        desk: MessageHandler,
+        handler: MessageHandler,
         table: "EdgeTable[ClientConnection]",
         body: Reservation,
     ) -> None:
-        self.socket, self.descriptor, self.opened = connection, connection.fileno(), False
+        self.socket, self.descriptor, self.opened = client_socket, client_socket.fileno(), False
         self.client = client  # the peer's IP address
-        self.desk, self.table = desk, table
-        self.intake, self.clock = desk.intake, desk.intake.clock
+        self.handler, self.table = handler, table
+        self.intake, self.clock = handler.intake, handler.intake.clock
         self.body = body  # of what is being read or worked on
         self.given: Answer | None = None  # what the flow's answer is, once it is there
         self.wanted: asyncio.Future[None] | None = None
@@ -104,7 +104,7 @@
     def open(self) -> None:
         """Creates the stream and its parser; to be called once, before anything is read."""
         stream = Stream(self.socket, max_buffer_size=4 * PIECE, read_chunk_size=READ)
-        stream.watched = self.desk.admission is not None
+        stream.watched = self.handler.admission is not None
         stream.attends = 0 if stream.watched else MAX_READ_AHEAD
         self.channel = Channel(stream, Parser(parse_request, limit_of))
         self.opened = True
@@ -187,7 +187,7 @@
 
     def quiet(self) -> bool:
         """Whether the connection is idle and its socket holds no unread bytes."""
-        if self.desk.admission is None:
+        if self.handler.admission is None:
             return self.channel.quiet()
         return self.is_waiting and not self.stirred and silent(self.socket)
 
@@ -230,27 +230,27 @@
                 head = await self.channel.head()
                 self.body.hold(self.channel.parser.most)
                 message = await self.channel.message()
-            if self.desk.admission is not None:
+            if self.handler.admission is not None:
                 self.channel.stream.apart()
         self.table.work(self)
         return message
 
     async def _first_bytes(self) -> None:
         self.passed, self.came_at = False, 0.0
-        if self.desk.admission is None or not self.channel.stream.apart():
+        if self.handler.admission is None or not self.channel.stream.apart():
             return await self.channel.fill()
         if self.channel.stream.closed():
             raise StreamClosedError()
         self.waiter = asyncio.get_running_loop().create_future()
         try:
-            self.desk.admission.wait(self)
+            self.handler.admission.wait(self)
             self.channel.parser.feed(await self.waiter)
         finally:
             self.waiter = None
 
     async def _work(self, head: Head, body: bytes) -> bool:
         """True: the connection is kept."""
-        reply = await self.desk.answer(self, head, body)
+        reply = await self.handler.answer(self, head, body)
         close = self._closes(head)
         if reply.dump is None:
             data = write_response(reply.status, reply.body, reply.fields, close)
--- a/finchladder/net/client_listener.py
+++ b/finchladder/net/client_listener.py
@@ -26,20 +26,20 @@
 class ClientListener:
     """Accepts client connections, serves each in a task, and drains them at shutdown."""
 
-    def __init__(self, front: RequestHandler, bodies: BodyMemory, sockets: int) -> None:
-        self.front, self.bodies, self.clock = front, bodies, front.intake.clock
+    def __init__(self, handler: RequestHandler, bodies: BodyMemory, sockets: int) -> None:
+        self.handler, self.bodies, self.clock = handler, bodies, handler.intake.clock
         self.edges: EdgeTable[ClientConnection] = EdgeTable(int(CLIENT_SOCKET_SHARE * sockets))
         self.tasks: set[asyncio.Task[None]] = set()
         self.listening: list[socket.socket] = []
         self.stops: list[Callable[[], None]] = []
         self.looks = 0  # for room, since one was accepted
-        if front.admission is not None:
-            front.admission.opens, front.admission.ends = self._begin, self._end
+        if handler.admission is not None:
+            handler.admission.opens, handler.admission.ends = self._begin, self._end
 
     def add_socket(self, listening: socket.socket) -> None:
         """Starts accepting connections from a listening socket."""
         self.listening.append(listening)
-        if self.front.admission is not None:
+        if self.handler.admission is not None:
             with suppress(OSError):  # then a message counts as new when it is looked at
                 listening.setsockopt(socket.SOL_SOCKET, STAMPS, 1)  # accepted connections inherit it
         self.stops.append(self._listen(listening))
@@ -74,16 +74,16 @@
             if self.edges.full and not self._closes_one() and self._waits():
                 return
             try:
-                connection, address = listening.accept()
+                client_socket, address = listening.accept()
             except (BlockingIOError, ConnectionAbortedError):
                 return
-            connection.setblocking(False)
-            self._accepted(connection, address)
+            client_socket.setblocking(False)
+            self._accepted(client_socket, address)
 
     def _waits(self) -> bool:
         """Listens on in a moment. False: it has done so for long, and the next one is closed unread."""
-        if self.front.admission is not None:
-            self.front.admission.make_room()
+        if self.handler.admission is not None:
+            self.handler.admission.make_room()
         else:
             self.looks += 1
             if self.looks > LOOKS:
@@ -92,70 +92,72 @@
         IOLoop.current().call_later(REST_S, self._go_on)
         return True
 
-    def _accepted(self, connection: socket.socket, address: Any) -> None:
+    def _accepted(self, client_socket: socket.socket, address: Any) -> None:
         """Counts at once, as many connections come in one turn of the loop: a count that lags runs over."""
         if self.edges.full and not self._closes_one():
             logger.error("all {} edge connections are busy: one was closed unread", len(self.edges))
-            connection.close()
+            client_socket.close()
             return
         self.looks = 0
-        edge = ClientConnection(connection, str(address[0]), self.front, self.edges, Reservation(self.bodies))
-        self.edges.begin(self.clock(), edge)
-        if self.front.admission is None:
-            self._begin(edge)
+        connection = ClientConnection(
+            client_socket, str(address[0]), self.handler, self.edges, Reservation(self.bodies)
+        )
+        self.edges.begin(self.clock(), connection)
+        if self.handler.admission is None:
+            self._begin(connection)
         else:
-            self.front.admission.begin(edge)
+            self.handler.admission.begin(connection)
 
-    def _begin(self, edge: ClientConnection) -> None:
-        edge.open()
-        task = asyncio.get_running_loop().create_task(self._serve(edge))
+    def _begin(self, connection: ClientConnection) -> None:
+        connection.open()
+        task = asyncio.get_running_loop().create_task(self._serve(connection))
         self.tasks.add(task)  # the loop alone would let go of it
         task.add_done_callback(self.tasks.discard)
 
-    async def _serve(self, edge: ClientConnection) -> None:
+    async def _serve(self, connection: ClientConnection) -> None:
         try:
-            await edge.serve()
+            await connection.serve()
         except Exception:
             logger.exception("an edge connection died")
-            edge.close()
+            connection.close()
         finally:
-            self._drop(edge)
+            self._drop(connection)
 
-    def _drop(self, edge: ClientConnection) -> None:
-        edge.body.hold(0)
-        self.edges.drop(edge)
-        if self.front.admission is not None:
-            self.front.admission.drop(edge)
+    def _drop(self, connection: ClientConnection) -> None:
+        connection.body.hold(0)
+        self.edges.drop(connection)
+        if self.handler.admission is not None:
+            self.handler.admission.drop(connection)
 
-    def _end(self, edge: ClientConnection) -> None:
-        edge.close()
-        if not edge.opened:  # else its own task clears up
-            self._drop(edge)
+    def _end(self, connection: ClientConnection) -> None:
+        connection.close()
+        if not connection.opened:  # else its own task clears up
+            self._drop(connection)
 
     def _closes_one(self) -> bool:
-        edge = self.edges.make_room(self.clock(), lambda e: e.quiet())
-        if edge is None:
+        connection = self.edges.make_room(self.clock(), lambda connection: connection.quiet())
+        if connection is None:
             return False
-        edge.close()
-        self._drop(edge)
+        connection.close()
+        self._drop(connection)
         return True
 
     async def leave(self) -> None:
         """Drains after SIGTERM: accepts for a while, closes idle connections, waits for the answers."""
-        intake = self.front.intake
+        intake = self.handler.intake
         intake.shut_down()
-        if self.front.admission is not None:
-            self.front.admission.shut_down()
+        if self.handler.admission is not None:
+            self.handler.admission.shut_down()
         await asyncio.sleep(intake.leaving.stays_s)
         while True:
             over, stays = not intake.flows.open, False
-            for edge in list(self.edges):
+            for connection in list(self.edges):
                 # one just accepted is not idle while jobs are open: a result may be on its way
-                idle = over or self.edges.older(self.clock(), edge, JUST_CAME)
-                if edge.busy or (not edge.calls_back and not (idle and edge.quiet())):
+                idle = over or self.edges.older(self.clock(), connection, JUST_CAME)
+                if connection.busy or (not connection.calls_back and not (idle and connection.quiet())):
                     stays = True  # also where a request has come that was not looked at yet
-                elif not edge.calls_back:
-                    self._end(edge)
+                elif not connection.calls_back:
+                    self._end(connection)
             if over and not stays and not self._last_ones():
                 return
             await asyncio.sleep(0.02)
@@ -167,9 +169,9 @@
         for listening in self.listening:
             with suppress(OSError):  # until there is none; then whoever comes is refused, and goes elsewhere
                 while True:
-                    connection, address = listening.accept()
-                    connection.setblocking(False)
-                    self._accepted(connection, address)
+                    client_socket, address = listening.accept()
+                    client_socket.setblocking(False)
+                    self._accepted(client_socket, address)
             listening.close()
         self.listening.clear()
         return len(self.edges) > before
--- a/finchladder/net/worker_connection.py
+++ b/finchladder/net/worker_connection.py
@@ -100,8 +100,10 @@
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
             # a write that is known to have broken before its last byte never ran; when unsure, it may have
-            w = self.writing
-            exchange.connection_failed(self.begun and (w is None or (w.done() and not w.exception())))
+            writing = self.writing
+            exchange.connection_failed(
+                self.begun and (writing is None or (writing.done() and not writing.exception()))
+            )
         self.gone(self)
 
 
@@ -115,21 +117,21 @@
         self.most = most
         self.lines: OrderedDict[WorkerConnection, None] = OrderedDict()
 
-    def put(self, line: WorkerConnection, now: float) -> None:
+    def put(self, connection: WorkerConnection, now: float) -> None:
         """Adds a connection that became idle at `now`."""
-        line.since = now
-        self.lines[line] = None
+        connection.since = now
+        self.lines[connection] = None
         if len(self.lines) > self.most:
             self.lines.popitem(last=False)[0].close()
 
-    def drop(self, line: WorkerConnection) -> None:
+    def drop(self, connection: WorkerConnection) -> None:
         """Removes a connection without closing it."""
-        self.lines.pop(line, None)
+        self.lines.pop(connection, None)
 
     def close_before(self, since: float, most: int) -> None:
         """Closes connections that are idle since `since` or longer, `most` at the most in one call."""
         for _ in range(most):
-            if not self.lines or (line := next(iter(self.lines))).since > since:
+            if not self.lines or (connection := next(iter(self.lines))).since > since:
                 return
-            del self.lines[line]
-            line.close()
+            del self.lines[connection]
+            connection.close()
--- a/finchladder/net/workers.py
+++ b/finchladder/net/workers.py
@@ -67,32 +67,32 @@
 class JobExchange:
     """The request that sends a job to a worker."""
 
-    __slots__ = ("server", "attempt", "line")
+    __slots__ = ("server", "attempt", "connection")
 
-    def __init__(self, server: "WorkerActor", attempt: Attempt, line: WorkerConnection) -> None:
-        self.server, self.attempt, self.line = server, attempt, line
+    def __init__(self, server: "WorkerActor", attempt: Attempt, connection: WorkerConnection) -> None:
+        self.server, self.attempt, self.connection = server, attempt, connection
 
     def answered(self, head: Head) -> None:
         """Accepts the job as sent, or ends its attempt."""
-        s = self.attempt
-        s.connection = None
+        attempt = self.attempt
+        attempt.connection = None
         ending = outcome(head)
         if ending is None:
-            s.step(Step.ACCEPT)
+            attempt.step(Step.ACCEPT)
             if not self.server.module.dispatcher.settings.reports_start:
-                self.server.begun(s)
+                self.server.begun(attempt)
         else:
-            self.server.end(s, ending, load_report(head))
+            self.server.end(attempt, ending, load_report(head))
 
     def connection_failed(self, written: bool) -> None:
         """Ends the attempt; a job that was not written completely has certainly not run."""
-        s = self.attempt
-        s.connection = None
+        attempt = self.attempt
+        attempt.connection = None
         if not written:
-            s.step(Step.BREAK)
-        elif self.line.idle and not s.ended:  # not closed from this side
-            self.server.trust.lost(self.server.clock(), self.line.idle)
-        self.server.broke(s)  # nothing is sent again here
+            attempt.step(Step.BREAK)
+        elif self.connection.idle and not attempt.ended:  # not closed from this side
+            self.server.trust.lost(self.server.clock(), self.connection.idle)
+        self.server.broke(attempt)  # nothing is sent again here
 
 
 class CancelExchange:
@@ -157,110 +157,119 @@
     def failed(self, item: Attempt | Withdrawal | CallBack) -> None:
         """Ends the attempt of an item whose handling raised an error."""
         if isinstance(item, CallBack):
-            s = self.live.get(item.id)
+            attempt = self.live.get(item.id)
         else:
-            s = item.attempt if isinstance(item, Withdrawal) else item
-        if s is not None:
-            self.broke(s)
+            attempt = item.attempt if isinstance(item, Withdrawal) else item
+        if attempt is not None:
+            self.broke(attempt)
 
-    def _begin(self, s: Attempt) -> None:
+    def _begin(self, attempt: Attempt) -> None:
         if (
             not self.ready
-            or s.flow.id in self.live
-            or any(other is not s and other.worker == s.worker for other in s.flow.attempts)
+            or attempt.flow.id in self.live
+            or any(other is not attempt and other.worker == attempt.worker for other in attempt.flow.attempts)
         ):
             # a late call-back about the first attempt here could not be told from one about the second
-            return self.end(s, E.VOID)
-        self.live[s.flow.id] = s
-        self.timers.put(s, s.until, partial(self.end, s, E.TIMED_OUT))
-        if (line := self._line_at_once()) is not None:
-            self._write(s, line)
+            return self.end(attempt, E.VOID)
+        self.live[attempt.flow.id] = attempt
+        self.timers.put(attempt, attempt.until, partial(self.end, attempt, E.TIMED_OUT))
+        if (connection := self._connection_at_once()) is not None:
+            self._write(attempt, connection)
         else:
-            self.spawn(self._carry(s))
+            self.spawn(self._carry(attempt))
 
-    def _called_back(self, c: CallBack) -> None:
+    def _called_back(self, call_back: CallBack) -> None:
         """Matched by id and sender: it may come before the 202, again, or about a job nobody knows here."""
-        s = self.live.get(c.id)
-        if s is not None and not STAGE_RULES[s.stage].accepts_callbacks:
+        attempt = self.live.get(call_back.id)
+        if attempt is not None and not STAGE_RULES[attempt.stage].accepts_callbacks:
             return
         if self.flows.status is not None:  # is told also of one given up here
-            self.flows.status.told(self.clock(), c.id, self.server, c.state, c.share)
-        if s is None:
+            self.flows.status.told(self.clock(), call_back.id, self.server, call_back.state, call_back.share)
+        if attempt is None:
             return
-        if c.state == "started":
-            self.begun(s)
-            self.module.tell(api.Started(c.id, s.number))
-        elif c.state == "running":
-            self.module.tell(api.Progress(c.id, s.number, c.share))
-        elif c.state in CALL_BACK_ENDS:
-            self.end(s, CALL_BACK_ENDS[c.state], c.report(), c.result.encode("utf-8", "replace"))
+        if call_back.state == "started":
+            self.begun(attempt)
+            self.module.tell(api.Started(call_back.id, attempt.number))
+        elif call_back.state == "running":
+            self.module.tell(api.Progress(call_back.id, attempt.number, call_back.share))
+        elif call_back.state in CALL_BACK_ENDS:
+            self.end(
+                attempt,
+                CALL_BACK_ENDS[call_back.state],
+                call_back.report(),
+                call_back.result.encode("utf-8", "replace"),
+            )
         else:
-            self.log.bind(id=c.id).warning("{}: unknown job state {!r}", self.name, c.state[:40])
+            self.log.bind(id=call_back.id).warning(
+                "{}: unknown job state {!r}", self.name, call_back.state[:40]
+            )
 
-    def begun(self, s: Attempt) -> None:
+    def begun(self, attempt: Attempt) -> None:
         """The first that is heard of a job after its send."""
-        if self.module.starts is not None and not s.number:
-            self.module.starts(self.clock() - s.flow.since)
+        if self.module.starts is not None and not attempt.number:
+            self.module.starts(self.clock() - attempt.flow.since)
 
     # --- the life of an attempt -------------------------------------------------------------------------
 
-    async def _carry(self, s: Attempt) -> None:
+    async def _carry(self, attempt: Attempt) -> None:
         try:
-            line = await self._line()
+            connection = await self._connection()
         except (StreamClosedError, OSError, TimeoutError):
-            return self.broke(s)
+            return self.broke(attempt)
         try:
-            self._write(s, line)
+            self._write(attempt, connection)
         except Exception:
-            self.log.bind(**{"id": s.flow.id, "class": s.flow.job_class}).exception(
+            self.log.bind(**{"id": attempt.flow.id, "class": attempt.flow.job_class}).exception(
                 "{}: an attempt died", self.name
             )
-            line.close()
-            self.broke(s)
+            connection.close()
+            self.broke(attempt)
 
-    def _write(self, s: Attempt, line: WorkerConnection) -> None:
-        if s.ended:
-            return self._free(line)
+    def _write(self, attempt: Attempt, connection: WorkerConnection) -> None:
+        if attempt.ended:
+            return self._free(connection)
         # looked at again right before the write: waiting for a connection took time
-        if not self.ready or self.clock() > s.begins_by:
-            self._free(line)
-            return self.end(s, E.VOID)
-        request = s.flow.message.request(self._host(), max(0.0, s.until - self.clock()))
-        s.connection = line
-        s.step(Step.WRITE)
-        line.begin(JobExchange(self, s, line), request)
-
-    def broke(self, s: Attempt) -> None:
+        if not self.ready or self.clock() > attempt.begins_by:
+            self._free(connection)
+            return self.end(attempt, E.VOID)
+        request = attempt.flow.message.request(self._host(), max(0.0, attempt.until - self.clock()))
+        attempt.connection = connection
+        attempt.step(Step.WRITE)
+        connection.begin(JobExchange(self, attempt, connection), request)
+
+    def broke(self, attempt: Attempt) -> None:
         """Ends an attempt whose connection or handling failed; how depends on its stage."""
-        if not s.ended:
-            self.end(s, STAGE_RULES[s.stage].ending_if_broken)
+        if not attempt.ended:
+            self.end(attempt, STAGE_RULES[attempt.stage].ending_if_broken)
 
     def _host(self) -> str:
         host, port = self.address
         return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
-    def end(self, s: Attempt, ending: E, report: dict[str, float] | None = None, result: bytes = b"") -> None:
+    def end(
+        self, attempt: Attempt, ending: E, report: dict[str, float] | None = None, result: bytes = b""
+    ) -> None:
         """Ends an attempt; only the first call for each counts."""
-        if s.ended:
+        if attempt.ended:
             return
-        give_up = STAGE_RULES[s.stage].on_abandon
-        s.step(Step.END)
+        give_up = STAGE_RULES[attempt.stage].on_abandon
+        attempt.step(Step.END)
         if self.flows.status is not None:
-            self.flows.status.ended(s.flow.id, self.server, ending)
-        self.timers.drop(s)
-        if self.live.get(s.flow.id) is s:
-            del self.live[s.flow.id]
+            self.flows.status.ended(attempt.flow.id, self.server, ending)
+        self.timers.drop(attempt)
+        if self.live.get(attempt.flow.id) is attempt:
+            del self.live[attempt.flow.id]
         if ending is E.OK:
-            self.flows.finish(s.flow, Answer("served", result))
-        ended = Ending(s, ending, self.clock() - s.sent, report)
+            self.flows.finish(attempt.flow, Answer("served", result))
+        ended = Ending(attempt, ending, self.clock() - attempt.sent, report)
         if ending in (E.CANCELLED, E.TIMED_OUT):
             if give_up is AbandonAction.DELETE:
-                if s.flow.answer is None and self._alone() and self.clock() < s.flow.deadline:
+                if attempt.flow.answer is None and self._alone() and self.clock() < attempt.flow.deadline:
                     self.spawn(self._give_up_first(ended))
                     return
-                self.spawn(self._give_up(s.flow.id))
-            elif give_up is AbandonAction.CLOSE and s.connection is not None:
-                s.connection.close()
+                self.spawn(self._give_up(attempt.flow.id))
+            elif give_up is AbandonAction.CLOSE and attempt.connection is not None:
+                attempt.connection.close()
         self._told(ended)
 
     def _alone(self) -> bool:
@@ -286,77 +295,84 @@
         path = f"/jobs/{quote(id, safe='')}"  # an id is the client's text: it must not make another path
         try:
             async with asyncio.timeout(DELETE_TIMEOUT_S):
-                line = await self._line()
-                self.timers.put(line, self.clock() + DELETE_TIMEOUT_S, line.close)
-                line.begin(CancelExchange(), http1.write_request("DELETE", path, [("Host", self._host())]))
-                if line.writing is not None:
-                    await line.writing
+                connection = await self._connection()
+                self.timers.put(connection, self.clock() + DELETE_TIMEOUT_S, connection.close)
+                connection.begin(
+                    CancelExchange(), http1.write_request("DELETE", path, [("Host", self._host())])
+                )
+                if connection.writing is not None:
+                    await connection.writing
         except (StreamClosedError, OSError, TimeoutError):
             return False  # the real server is gone or busy
-        return line.begun
+        return connection.begun
 
-    # --- lines --------------------------------------------------------------------------------------------
+    # --- connections ----------------------------------------------------------------------------------------
 
-    def _line_at_once(self) -> WorkerConnection | None:
+    def _connection_at_once(self) -> WorkerConnection | None:
         """A kept line, if one can be had without waiting for a place."""
-        if not (self.idle and self.in_use.open and self.all_in_use.open) or (line := self._kept()) is None:
+        if (
+            not (self.idle and self.in_use.open and self.all_in_use.open)
+            or (connection := self._kept()) is None
+        ):
             return None
         self.in_use.acquire()
         self.all_in_use.acquire()
-        return self._held(line)
+        return self._held(connection)
 
-    async def _line(self) -> WorkerConnection:
+    async def _connection(self) -> WorkerConnection:
         """A line for one exchange, kept or new. It holds its places until it is free again, or gone."""
         async with asyncio.timeout(self.connect_timeout), AsyncExitStack() as places:
             for place in (self.in_use, self.all_in_use):
                 await place.wait()
                 places.callback(place.release)
-            line = self._kept() or WorkerConnection(await self.connect(self.address), self._free, self._gone)
+            connection = self._kept() or WorkerConnection(
+                await self.connect(self.address), self._free, self._gone
+            )
             places.pop_all()
-        return self._held(line)
+        return self._held(connection)
 
-    def _held(self, line: WorkerConnection) -> WorkerConnection:
-        line.held = True
+    def _held(self, connection: WorkerConnection) -> WorkerConnection:
+        connection.held = True
         self.busy += 1
-        return line
+        return connection
 
     def _kept(self) -> WorkerConnection | None:
         while self.idle:
-            line = self.idle.pop()
-            self.kept.drop(line)
+            connection = self.idle.pop()
+            self.kept.drop(connection)
             now = self.clock()
-            line.idle = now - line.since
-            if line.idle < self.trust.limit(now) and line.usable():
-                return line
-            line.close()
+            connection.idle = now - connection.since
+            if connection.idle < self.trust.limit(now) and connection.usable():
+                return connection
+            connection.close()
         return None
 
-    def _let_go(self, line: WorkerConnection) -> None:
-        line.held = False
+    def _let_go(self, connection: WorkerConnection) -> None:
+        connection.held = False
         self.busy -= 1
-        self.timers.drop(line)
+        self.timers.drop(connection)
         self.in_use.release()
         self.all_in_use.release()
 
-    def _free(self, line: WorkerConnection) -> None:
-        self._let_go(line)
+    def _free(self, connection: WorkerConnection) -> None:
+        self._let_go(connection)
         if self.ready:
-            self.idle.append(line)
-            self.kept.put(line, self.clock())
+            self.idle.append(connection)
+            self.kept.put(connection, self.clock())
         else:
-            line.close()
+            connection.close()
 
-    def _gone(self, line: WorkerConnection) -> None:
-        if line.held:
-            self._let_go(line)
-        elif line in self.idle:
-            self.idle.remove(line)
-            self.kept.drop(line)
+    def _gone(self, connection: WorkerConnection) -> None:
+        if connection.held:
+            self._let_go(connection)
+        elif connection in self.idle:
+            self.idle.remove(connection)
+            self.kept.drop(connection)
 
     def drop_idle(self) -> None:
         """Closes all idle connections to this worker."""
-        for line in self.idle:
-            line.close()
+        for connection in self.idle:
+            connection.close()
 
 
 class WorkerPool:
@@ -451,10 +467,10 @@
         if (actor := self.actors.get(attempt.worker)) is not None:
             actor.post(Withdrawal(attempt))
 
-    def called_back(self, c: CallBack) -> None:
+    def called_back(self, call_back: CallBack) -> None:
         """Passes a callback to its worker's actor; that of an unknown worker is ignored."""
-        if (actor := self.actors.get(c.sender)) is not None:
-            actor.post(c)
+        if (actor := self.actors.get(call_back.sender)) is not None:
+            actor.post(call_back)
 
     def _reap(self) -> None:
         now = self.clock()
