--- a/finchladder/cli/config.py
+++ b/finchladder/cli/config.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from finchladder.cli.front import fail
-from finchladder.config.findings import Findings
+from finchladder.config.findings import FindingsError
 from finchladder.config.operator_file import Loaded, read
-from finchladder.config.platform import read_file
+from finchladder.config.platform import read_platform_file
 from finchladder.config.render import explain, to_toml
 from finchladder.config.settings import read_settings
-from finchladder.config.toml_schema import schema
+from finchladder.config.toml_schema import json_schema
 from finchladder.core import api
 
 
@@ -48,7 +48,7 @@
         print(f"finchladder: {text}", file=sys.stderr)
         return None, None
     try:
-        file = read_file(os.environ)
+        file = read_platform_file(os.environ)
         return read_settings(bytes(file.settings)), file.limits.memory_mb
     except ValueError as e:
         fail(str(e))
@@ -61,20 +61,20 @@
     if args.format == "json":
         print(_json([_as_json(path, found) for path, found in verdicts]))
     for path, found in verdicts if args.format == "text" else ():
-        if isinstance(found, Findings):
+        if isinstance(found, FindingsError):
             print(found)
         else:
             print(f"{path}: can be used, version {found.version}, {_count(found)}")
-    if any(isinstance(found, Findings) for _, found in verdicts):
+    if any(isinstance(found, FindingsError) for _, found in verdicts):
         sys.exit(2)
 
 
 def _verdict(
     path: str, settings: api.Settings | None, memory_mb: int | None
-) -> tuple[str, Loaded | Findings]:
+) -> tuple[str, Loaded | FindingsError]:
     try:
         return path, read(path, settings, memory_mb)
-    except Findings as e:
+    except FindingsError as e:
         return path, e
 
 
@@ -83,10 +83,10 @@
     return "1 route" if count == 1 else f"{count} routes"
 
 
-def _as_json(path: str, found: Loaded | Findings) -> dict[str, Any]:
-    if isinstance(found, Findings):
-        findings = [f._asdict() for f in found.all]
-        return {"file": path, "usable": False, "findings": findings, "more": found.more}
+def _as_json(path: str, found: Loaded | FindingsError) -> dict[str, Any]:
+    if isinstance(found, FindingsError):
+        findings = [f._asdict() for f in found.reported]
+        return {"file": path, "usable": False, "findings": findings, "more": found.omitted_count}
     return {"file": path, "usable": True, "version": found.version, "findings": [], "more": 0}
 
 
@@ -97,7 +97,7 @@
 def _loaded(path: str) -> Loaded:
     try:
         return read(path, *platform())
-    except Findings as e:
+    except FindingsError as e:
         print(e, file=sys.stderr)
         sys.exit(2)
 
@@ -107,7 +107,7 @@
     names = sorted({r.name for r in found.resolved})
     if args.route not in names:
         fail(f"{args.file}: there is no route {args.route}; there are {', '.join(names) or 'none'}")
-    parts = [explain(r, found.places, args.file) for r in found.resolved if r.name == args.route]
+    parts = [explain(r, found.positions, args.file) for r in found.resolved if r.name == args.route]
     if args.format == "json":
         print(_json([part._asdict() | {"settings": [s._asdict() for s in part.settings]} for part in parts]))
     else:
@@ -115,7 +115,7 @@
 
 
 def printed_schema(args: argparse.Namespace) -> None:
-    print(_json(schema()))
+    print(_json(json_schema()))
 
 
 def convert(args: argparse.Namespace) -> None:
--- a/finchladder/cli/replay.py
+++ b/finchladder/cli/replay.py
@@ -7,7 +7,7 @@
 from finchladder.cli.front import fail, takes_config
 from finchladder.config.option_files import read_options
 from finchladder.config.options import is_toml
-from finchladder.config.platform import read_file
+from finchladder.config.platform import read_platform_file
 from finchladder.config.settings import read_settings
 from finchladder.features.replay import Replay
 
@@ -24,7 +24,7 @@
         print(f"finchladder: {args.file}: {' '.join(text.split())}", file=sys.stderr)
 
     try:
-        file, routes = read_file(os.environ), None
+        file, routes = read_platform_file(os.environ), None
         settings = read_settings(bytes(file.settings))
         if args.config is not None and is_toml(args.config):
             from finchladder.config.operator_file import read
--- a/finchladder/cli/serve.py
+++ b/finchladder/cli/serve.py
@@ -77,7 +77,7 @@
         options = file.loaded.options if file is not None else read_options(args.config)
         options.check([c.name for c in setup.settings.classes], setup.limits.memory_mb, setup.settings)
         if options.peers is not None:
-            options.peers.listing(setup.name)
+            options.peers.addresses_including(setup.name)
     except InvalidFileError as e:
         print(e, file=sys.stderr)
         sys.exit(2)
--- a/finchladder/config/__init__.py
+++ b/finchladder/config/__init__.py
@@ -1,1 +1,1 @@
-"""Every file that a person writes: read, checked, and told in one line what is wrong with it."""
+"""Reading and validation of every file that operators or the platform write."""
--- a/finchladder/config/endpoint_list.py
+++ b/finchladder/config/endpoint_list.py
@@ -1,15 +1,15 @@
-"""The service entries: discovery's list as JSON, one line of its watch or the last known one in a file."""
+"""Service discovery's endpoint list in JSON: a line of its watch, or the last known list in a file."""
 
 from collections.abc import Generator, Iterable
 from typing import Literal, NamedTuple
 
 import msgspec
 
-from finchladder.config.addresses import parse_address, show_address
+from finchladder.config.addresses import format_address, parse_address
 from finchladder.core import api
 
 Status = Literal["ready", "draining", "gone"]
-STATES: dict[Status, api.WorkerStatus] = {
+WORKER_STATUS_BY_NAME: dict[Status, api.WorkerStatus] = {
     "ready": api.WorkerStatus.READY,
     "draining": api.WorkerStatus.DRAINING,
     "gone": api.WorkerStatus.REMOVED,
@@ -17,6 +17,8 @@
 
 
 class ServiceEntry(msgspec.Struct):
+    """One endpoint as service discovery encodes it."""
+
     name: str
     address: str
     status: Status
@@ -26,11 +28,12 @@
     weight: float = 1.0
     since_ms: float = 0.0
 
-    def worker(self) -> api.WorkerEntry:
+    def to_worker_entry(self) -> api.WorkerEntry:
+        """Converts the entry to the core's form; its start time becomes seconds."""
         # the name, never the address, is the worker's id: it is the same everywhere, so all hashes agree
         return api.WorkerEntry(
             self.name,
-            STATES[self.status],
+            WORKER_STATUS_BY_NAME[self.status],
             self.zone,
             self.type,
             self.group,
@@ -40,20 +43,28 @@
 
 
 class ServiceList(msgspec.Struct):
+    """An endpoint list as service discovery encodes it: a full snapshot or a patch."""
+
     index: int
     snapshot: bool
     endpoints: list[ServiceEntry]
 
     def addresses(self) -> dict[str, tuple[str, int]]:
+        """Returns the addresses by name of all entries that aren't gone.
+
+        Raises:
+            ValueError: An address can't be parsed.
+        """
         return {e.name: parse_address(e.address) for e in self.endpoints if e.status != "gone"}
 
-    def workers(self, kind: api.ListKind | None = None) -> api.WorkerList:
+    def to_worker_list(self, kind: api.ListKind | None = None) -> api.WorkerList:
+        """Converts the list to the core's form; `kind` overrides what the list says of itself."""
         found = kind or (api.ListKind.FULL if self.snapshot else api.ListKind.PATCH)
-        return api.WorkerList(found, tuple(e.worker() for e in self.endpoints))
+        return api.WorkerList(found, tuple(e.to_worker_entry() for e in self.endpoints))
 
 
 class EndpointUpdate(NamedTuple):
-    """A list that has been read and found usable."""
+    """A decoded and validated endpoint list."""
 
     version: int
     workers: api.WorkerList
@@ -62,43 +73,50 @@
 
 
 class EndpointChange(NamedTuple):
-    """What a long list changed: entries that are not as they were; GONE are those that a whole one lacks."""
+    """The entries of an endpoint list that differ from the previous state.
+
+    Entries that a full list no longer has are included as removed.
+    """
 
     version: int
     entries: list[api.WorkerEntry]
     addresses: dict[str, tuple[str, int]]
 
 
-class _Long(msgspec.Struct):
+class _RawServiceList(msgspec.Struct):
     index: int
     snapshot: bool
     endpoints: list[msgspec.Raw]
 
 
-class _Index(msgspec.Struct):
+class _ListHeader(msgspec.Struct):
     index: int
     snapshot: bool = False
 
 
 _decoder = msgspec.json.Decoder(ServiceList)
-_long = msgspec.json.Decoder(_Long)
-_index = msgspec.json.Decoder(_Index)
+_long = msgspec.json.Decoder(_RawServiceList)
+_index = msgspec.json.Decoder(_ListHeader)
 _entry = msgspec.json.Decoder(ServiceEntry)
 
 
 def read_list(line: bytes, kind: api.ListKind | None = None) -> EndpointUpdate:
-    """One line of the list; ValueError says what is wrong with it."""
+    """Decodes one line of the endpoint list.
+
+    Raises:
+        ValueError: The line can't be used; the message says why.
+    """
     try:
         found = _decoder.decode(line)
-        return EndpointUpdate(found.index, found.workers(kind), found.addresses(), found.endpoints)
+        return EndpointUpdate(found.index, found.to_worker_list(kind), found.addresses(), found.endpoints)
     except msgspec.MsgspecError as e:
         raise ValueError(str(e)) from None
 
 
-def read_long(
-    line: bytes, slice_of: int, kind: api.ListKind | None = None
+def read_list_in_slices(
+    line: bytes, entries_per_slice: int, kind: api.ListKind | None = None
 ) -> Generator[None, None, EndpointUpdate]:
-    """As `read_list`, so many entries between two pauses."""
+    """Decodes as `read_list`, yielding after every `entries_per_slice` entries."""
     entries: list[api.WorkerEntry] = []
     addresses: dict[str, tuple[str, int]] = {}
     try:
@@ -106,10 +124,10 @@
         yield
         for n, raw in enumerate(found.endpoints, 1):
             e = _entry.decode(raw)
-            entries.append(e.worker())
+            entries.append(e.to_worker_entry())
             if e.status != "gone":
                 addresses[e.name] = parse_address(e.address)
-            if not n % slice_of:
+            if not n % entries_per_slice:
                 yield
     except msgspec.MsgspecError as error:
         raise ValueError(str(error)) from None
@@ -117,13 +135,17 @@
     return EndpointUpdate(found.index, api.WorkerList(kind, tuple(entries)), addresses)
 
 
-def version_of(line: bytes) -> int:
-    """Of a list that was found usable."""
+def list_version(line: bytes) -> int:
+    """Returns the version of a list that was validated before."""
     return _index.decode(line).index
 
 
 def version_and_is_full(line: bytes) -> tuple[int, bool]:
-    """Of a line of the list, whatever else is in it; ValueError says what is wrong with these."""
+    """Returns the version of a line and whether it is a full list, without validating its entries.
+
+    Raises:
+        ValueError: Either of the two can't be decoded.
+    """
     try:
         found = _index.decode(line)
     except msgspec.MsgspecError as e:
@@ -132,12 +154,12 @@
 
 
 def write_list(version: int, entries: Iterable[tuple[api.WorkerEntry, tuple[str, int]]]) -> bytes:
-    """A whole list in discovery's form, which `read_list` reads."""
-    words = {state: word for word, state in STATES.items()}
+    """Encodes a full list in the form that `read_list` decodes."""
+    words = {state: word for word, state in WORKER_STATUS_BY_NAME.items()}
     listed = [
         ServiceEntry(
             e.worker,
-            show_address(address),
+            format_address(address),
             words[e.state],
             e.zone,
             e.kind,
@@ -151,20 +173,30 @@
 
 
 class EndpointTable:
-    """All entries as they were last told: of a long list only what differs is worth the work."""
+    """The latest state of all entries, from which the changes of each new list are computed."""
 
     def __init__(self) -> None:
+        """Starts with no entries."""
         self.known: dict[str, ServiceEntry] = {}
 
-    def keep(self, news: EndpointUpdate) -> None:
-        self._keep({e.name: e for e in news.entries}, news.workers.kind is not api.ListKind.PATCH)
+    def apply(self, update: EndpointUpdate) -> None:
+        """Applies a decoded list: a full list replaces the entries, a patch updates them."""
+        self._store({e.name: e for e in update.entries}, update.workers.kind is not api.ListKind.PATCH)
+
+    def read(
+        self, line: bytes, entries_per_slice: int, is_full: bool = False
+    ) -> Generator[None, None, EndpointChange]:
+        """Decodes and applies a list, yielding after every `entries_per_slice` entries.
 
-    def read(self, line: bytes, slice_of: int, whole: bool = False) -> Generator[None, None, EndpointChange]:
-        """Reads so many entries between two pauses; what is told is kept at the end. `whole`: it is, it says.
+        Args:
+            line: The encoded list.
+            entries_per_slice: The number of entries between two yields.
+            is_full: Treats the list as full even if it doesn't say so.
 
-        ValueError says what is wrong with it; then nothing of it is kept.
+        Raises:
+            ValueError: The list can't be used; nothing of it is applied.
         """
-        told: dict[str, ServiceEntry] = {}
+        received: dict[str, ServiceEntry] = {}
         entries: list[api.WorkerEntry] = []
         addresses: dict[str, tuple[str, int]] = {}
         try:
@@ -172,34 +204,34 @@
             yield
             for n, raw in enumerate(found.endpoints, 1):
                 e = _entry.decode(raw)
-                told[e.name] = e
-                if not self._said(e):
-                    entries.append(e.worker())
+                received[e.name] = e
+                if not self._is_unchanged(e):
+                    entries.append(e.to_worker_entry())
                     if e.status != "gone":
                         addresses[e.name] = parse_address(e.address)
-                if not n % slice_of:
+                if not n % entries_per_slice:
                     yield
         except msgspec.MsgspecError as error:
             raise ValueError(str(error)) from None
-        whole = whole or found.snapshot
-        if whole:
+        is_full = is_full or found.snapshot
+        if is_full:
             entries += [
-                api.WorkerEntry(name, api.WorkerStatus.REMOVED) for name in self.known if name not in told
+                api.WorkerEntry(name, api.WorkerStatus.REMOVED) for name in self.known if name not in received
             ]
-        self._keep(told, whole)
+        self._store(received, is_full)
         return EndpointChange(found.index, entries, addresses)
 
-    def _said(self, e: ServiceEntry) -> bool:
-        """Whether it is as it was but for its weight, which nothing here goes by."""
+    def _is_unchanged(self, e: ServiceEntry) -> bool:
+        """Returns whether an entry is equal to the stored one, apart from its unused weight."""
         if (old := self.known.get(e.name)) is None:
             return e.status == "gone"
         return old == e or msgspec.structs.replace(old, weight=e.weight) == e
 
-    def _keep(self, told: dict[str, ServiceEntry], whole: bool) -> None:
-        if whole:
-            self.known = dict(told)
+    def _store(self, received: dict[str, ServiceEntry], is_full: bool) -> None:
+        if is_full:
+            self.known = dict(received)
         else:
-            self.known.update(told)
-        for e in told.values():
+            self.known.update(received)
+        for e in received.values():
             if e.status == "gone":
                 del self.known[e.name]
--- a/finchladder/config/errors.py
+++ b/finchladder/config/errors.py
@@ -1,5 +1,5 @@
-"""Errors of the files that a person writes."""
+"""Errors of operators' files."""
 
 
 class InvalidFileError(ValueError):
-    """A file in TOML can't be used; the message has a line for each finding."""
+    """A TOML file can't be used; the message has a line for each finding."""
--- a/finchladder/config/findings.py
+++ b/finchladder/config/findings.py
@@ -1,6 +1,6 @@
-"""The findings of the checker: each has a code that stays what it is, a place, a reason and a remedy.
+"""Findings of the configuration checker: each has a stable code, a position, a reason and a remedy.
 
-A number is never used again for something else. docs/ROUTES.md has a bad and a mended example of each.
+A code is never reused with another meaning. docs/ROUTES.md has a faulty and a corrected example of each.
 """
 
 from collections.abc import Iterable
@@ -11,6 +11,8 @@
 
 
 class Finding(NamedTuple):
+    """One fault of a file, at a position in it."""
+
     code: str
     file: str
     line: int  # from 1
@@ -19,25 +21,34 @@
     remedy: str
 
     def __str__(self) -> str:
+        """Formats the finding on one line, with its position first."""
         return f"{self.file}:{self.line}:{self.column}: {self.code} {self.reason}. {self.remedy}."
 
 
-MAX_FINDINGS = 200  # findings that are told of one file
+MAX_FINDINGS = 200  # reported findings of one file
 MAX_REASON_LENGTH = 300  # characters of a reason
 
 
-class Findings(InvalidFileError):
-    """What was found in it in the order of its lines, and how many `more` there are."""
+class FindingsError(InvalidFileError):
+    """All findings of one file in the order of their positions.
+
+    At most `MAX_FINDINGS` are in `reported`; `omitted_count` is the number of the others.
+    """
 
     def __init__(self, findings: Iterable[Finding]) -> None:
+        """Sorts the findings and truncates them to `MAX_FINDINGS`."""
         found = sorted(findings, key=lambda f: (f.line, f.column, f.code))
-        self.all, self.more = tuple(found[:MAX_FINDINGS]), max(0, len(found) - MAX_FINDINGS)
-        lines = [*map(str, self.all), *([f"and {self.more} more findings"] if self.more else [])]
+        self.reported = tuple(found[:MAX_FINDINGS])
+        self.omitted_count = max(0, len(found) - MAX_FINDINGS)
+        lines = [
+            *map(str, self.reported),
+            *([f"and {self.omitted_count} more findings"] if self.omitted_count else []),
+        ]
         super().__init__("\n".join(lines))
 
 
-def shown(value: Any) -> str:
-    """A value of the file within a line: bounded, and without what could break the line or a terminal."""
+def quote_value(value: Any) -> str:
+    """Formats a value of the file for a message: of bounded length, printable ASCII only."""
     try:
         text = ascii(value)
     except ValueError:  # a whole number of more digits than Python writes
@@ -45,13 +56,13 @@
     return text if len(text) <= 60 else text[:57] + "..."
 
 
-def _line(text: str) -> str:
-    """A line stays one line, whatever a name in it holds."""
+def _single_line(text: str) -> str:
+    """Collapses a text to one line, without unprintable characters."""
     return "".join(c if c.isprintable() else "?" for c in " ".join(text.split()))
 
 
-def listed(words: Iterable[str]) -> str:
-    """At most a dozen of the words that can stand somewhere."""
+def join_choices(words: Iterable[str]) -> str:
+    """Joins the permitted values for a message, at most a dozen of them."""
     known = list(words)
     return ", ".join(known[:12]) + (f" and {len(known) - 12} more" if len(known) > 12 else "") or "none"
 
@@ -126,28 +137,46 @@
 
 
 class UnreadableFileError(Exception):
-    """There is nothing to go on with; why has been noted."""
+    """The file can't be checked any further; its finding has been recorded."""
 
 
 class FindingCollector:
-    """What was found in one file so far. One place has each code once, however many routes it concerns."""
+    """Collects the findings of one file; each code at most once for each position."""
 
     def __init__(self, file: str) -> None:
-        self.file = _line(file)
-        self.places = PositionIndex()
-        self.found: dict[tuple[str, Position], Finding] = {}
+        """Starts without findings and without positions of keys."""
+        self.file = _single_line(file)
+        self.positions = PositionIndex()
+        self.findings: dict[tuple[str, Position], Finding] = {}
 
     def add(self, code: str, path: Path, reason: str, **words: Any) -> None:
-        """`words` fill the gaps of the code's remedy."""
-        self.at(code, self.places.find(path), reason, **words)
-
-    def at(self, code: str, place: Position, reason: str, **words: Any) -> None:
+        """Records a finding at the position of a key.
+
+        Args:
+            code: The finding's code.
+            path: The key's path in the file.
+            reason: What is wrong.
+            **words: Values of the placeholders in the code's remedy.
+        """
+        self.add_at(code, self.positions.find(path), reason, **words)
+
+    def add_at(self, code: str, place: Position, reason: str, **words: Any) -> None:
+        """Records a finding at a position; otherwise as `add`."""
         remedy = REMEDIES[code].format(**words)
         one = Finding(
-            code, self.file, *place, _line(reason)[:MAX_REASON_LENGTH], _line(remedy)[:MAX_REASON_LENGTH]
+            code,
+            self.file,
+            *place,
+            _single_line(reason)[:MAX_REASON_LENGTH],
+            _single_line(remedy)[:MAX_REASON_LENGTH],
         )
-        self.found.setdefault((code, place), one)
+        self.findings.setdefault((code, place), one)
+
+    def abort(self, code: str, place: Position, reason: str, **words: Any) -> NoReturn:
+        """Records a finding and ends the check of the file.
 
-    def stop(self, code: str, place: Position, reason: str, **words: Any) -> NoReturn:
-        self.at(code, place, reason, **words)
+        Raises:
+            UnreadableFileError: Always.
+        """
+        self.add_at(code, place, reason, **words)
         raise UnreadableFileError
--- a/finchladder/config/ini_file.py
+++ b/finchladder/config/ini_file.py
@@ -1,4 +1,4 @@
-"""Operator's files in INI form: text to sections, and sections of either form to options."""
+"""Operators' files in INI form, and the conversion of sections of either form to options."""
 
 from collections.abc import Mapping
 from configparser import ConfigParser
@@ -13,7 +13,11 @@
 
 
 def ini_sections(text: str, path: str) -> dict[str, dict[str, str]]:
-    """configparser.Error says what can't be read."""
+    """Parses INI text to its sections.
+
+    Raises:
+        configparser.Error: The text can't be parsed.
+    """
     # no interpolation, as a key may hold a %, and no section whose values leak into all others
     parser = ConfigParser(interpolation=None, default_section="\0")
     parser.optionxform = str  # type: ignore[assignment,method-assign]
@@ -22,19 +26,31 @@
 
 
 def read_ini(text: str, path: str) -> Options:
-    """ValueError says in one line what can't be used; `path` is named there."""
+    """Converts INI text to options.
+
+    Raises:
+        ValueError: The text can't be used; the message is one line and names `path`.
+    """
     try:
         sections = ini_sections(text, path)
-        options = options_of(sections)
-        if (reason := at_odds(sections)) is not None:
+        options = options_from_sections(sections)
+        if (reason := section_conflict(sections)) is not None:
             raise ValueError(f"[membership]: {reason}")
         return options
     except (IniError, ValueError) as e:
         raise ValueError(f"{path}: {e}") from None
 
 
-def options_of(sections: Mapping[str, Mapping[str, object]], strict: bool = False) -> Options:
-    """By section, `door.NAME` for a class. `strict`: a value must have its type, else it may be text."""
+def options_from_sections(sections: Mapping[str, Mapping[str, object]], strict: bool = False) -> Options:
+    """Converts sections to options; `door.NAME` is the section of one job class.
+
+    Args:
+        sections: Values by section and key.
+        strict: Whether values must have their type; otherwise they may be text.
+
+    Raises:
+        ValueError: A section is unknown, or a value can't be used.
+    """
     found: dict[str, object] = {}
     classes: dict[str, DoorOptions] = {}
     for name, values in sections.items():
@@ -49,8 +65,8 @@
     return msgspec.convert(found | {"door_of": classes}, Options)
 
 
-def at_odds(sections: Mapping[str, Mapping[str, object]]) -> str | None:
-    """What no section can tell by itself, of sections that can be used."""
+def section_conflict(sections: Mapping[str, Mapping[str, object]]) -> str | None:
+    """Returns the conflict between valid sections, or None."""
     if sections.get("membership", {}).get("lead") == "etcd" and "etcd" not in sections:
         return "lead is etcd, and there is no section [etcd]"
     return None
@@ -58,13 +74,13 @@
 
 def _section(name: str, values: Mapping[str, object], kind: type[Part], strict: bool) -> Part:
     try:
-        return msgspec.convert(dict(values) if strict else from_text(kind, values), kind, strict=strict)
+        return msgspec.convert(dict(values) if strict else split_lists(kind, values), kind, strict=strict)
     except msgspec.ValidationError as e:
         raise ValueError(f"[{name}]: {e}") from None
 
 
-def from_text(kind: type[msgspec.Struct], values: Mapping[str, object]) -> dict[str, Any]:
-    """A setting that is a list stands in an INI file as text, with commas between."""
+def split_lists(kind: type[msgspec.Struct], values: Mapping[str, object]) -> dict[str, Any]:
+    """Splits comma-separated text of an INI file where the setting is a list."""
     lists = {f.name for f in msgspec.structs.fields(kind) if "list[" in str(f.type)}
     return {
         name: [one.strip() for one in value.split(",")] if name in lists and isinstance(value, str) else value
--- a/finchladder/config/options.py
+++ b/finchladder/config/options.py
@@ -1,7 +1,8 @@
-"""The operator's own file: which features are on, and their settings. A section there turns one on.
+"""Options of the operator's file: a feature is on if its section is present.
 
-The sections are the same in INI (ini_file.py) and TOML (operator_file.py). The platform's settings
-are another matter: settings.py alone reads those.
+The sections are the same in INI (ini_file.py) and TOML (operator_file.py). The platform's settings are read
+by settings.py only. The printed JSON schema takes the docstrings of section classes as descriptions, so
+these classes are described by comments.
 """
 
 import re
@@ -21,73 +22,93 @@
 if TYPE_CHECKING:
     from finchladder.core.membership.decisions import MembershipSettings
 
-ADDRESS_BYTES = 256  # what an address tracked by the door takes: 193 measured, longer ones take more
-ENTRY_BYTES = 768  # what a job's status takes at its most, with an id of 128 characters
-RING_TAKES = 3  # bytes for each of the ring: 1.4 measured with its objects, and as much while it is dumped
+ADDRESS_BYTES = 256  # for an address that an admission limit tracks: 193 measured, more for longer ones
+ENTRY_BYTES = 768  # maximum for a job's status, with an id of 128 characters
+# bytes for each byte of the ring: 1.4 measured with its objects, and as much during a dump
+RING_MEMORY_FACTOR = 3
 ETCD_PORT = 2379
-MOST_PEERS = 2000
+MAX_PEERS = 2000
 PEER_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,31}", re.ASCII)
-PART = 4  # all features together may take 1/4 of the memory; the room for bodies gives way to them
+MEMORY_DIVISOR = 4  # all features together may use 1/4 of the memory; buffers for bodies get less then
 
 Part = TypeVar("Part", bound=msgspec.Struct)
 Rate = Annotated[float, Meta(gt=0, le=10_000)]
 Count = Annotated[int, Meta(ge=1)]
 
 
+# Section [door]: rate limits by client address.
 class DoorOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     rate: Rate = 20.0
     burst: Annotated[float, Meta(ge=1, le=1_000_000)] = 40.0
     max_keys: Count = 4096
 
     def __post_init__(self) -> None:
+        """Validates the combination of values."""
         if self.burst < self.rate:
             raise ValueError(f"burst {self.burst:g} is below rate {self.rate:g}")
 
 
+# Section [status]: status of recent requests.
 class StatusOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     retain_ms: Annotated[float, Meta(gt=0, le=86_400_000)] = 60_000.0
     max_entries: Count = 2000
 
 
+# Section [drill]: fault injection.
 class DrillOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    # a header field's value: visible, and not empty. Without one all drills are refused
+    # a header field's value: visible, and not empty. Without a key all orders are rejected
     key: Annotated[str, Meta(pattern=r"\A[!-~]([ -~]{0,254}[!-~])?\Z")] | None = None
 
 
+# Section [capture]: recording of events and decisions.
 class CaptureOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     ring_bytes: Annotated[int, Meta(ge=1024)] = 786_432
     folder: Annotated[str, Meta(min_length=1)] | None = None
     file_bytes: Annotated[int, Meta(ge=4096)] = 262_144
     files: Count = 8
 
-    def memory(self) -> int:
+    def memory_bytes(self) -> int:
+        """Returns the memory that the recorder may use, in bytes."""
         waiting = 2 * self.file_bytes if self.folder is not None else 0  # for the disk
-        return RING_TAKES * self.ring_bytes + waiting
+        return RING_MEMORY_FACTOR * self.ring_bytes + waiting
 
 
+# Section [overload]: load shedding.
 class OverloadOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     target_share: Annotated[float, Meta(ge=0.02, le=0.5)] = 0.2
     busy_from: Annotated[float, Meta(ge=0.5, le=1)] = 0.85
     wait_share: Annotated[float, Meta(ge=0, le=0.9)] = 0.7
     calm_s: Annotated[float, Meta(ge=0.1, le=1.5)] = 0.5
 
-    def limits(self, retry_after_s: float) -> OverloadSettings:
-        """`retry_after_s`: the longest that clients follow, by the platform's settings."""
+    def settings(self, retry_after_s: float) -> OverloadSettings:
+        """Returns the controller's settings.
+
+        Args:
+            retry_after_s: The longest Retry-After in seconds that clients follow.
+        """
         return OverloadSettings(**msgspec.structs.asdict(self), retry_after_s=min(retry_after_s, 60.0))
 
 
+# Section [aperture]: the subset of workers that this dispatcher connects to.
 class ApertureOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     server_connections: Annotated[int, Meta(ge=1, le=1_000_000)] = 256
     connections_each: Annotated[int, Meta(ge=1, le=24)] = 24
     least: Annotated[int, Meta(ge=2, le=1000)] = 4
 
     def __post_init__(self) -> None:
+        """Validates the combination of values."""
         self.settings()
 
     def settings(self) -> ApertureSettings:
+        """Returns the core's settings.
+
+        Raises:
+            ValueError: The values contradict each other.
+        """
         return ApertureSettings(**msgspec.structs.asdict(self))
 
 
+# Section [spill]: zone spillover.
 class SpillOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     full_at: Annotated[float, Meta(ge=0, lt=1)] = 0.05
     back_at: Annotated[float, Meta(gt=0, le=1)] = 0.2
@@ -97,12 +118,19 @@
     ramp_s: Annotated[float, Meta(ge=0.1, le=600)] = 5.0
 
     def __post_init__(self) -> None:
+        """Validates the combination of values."""
         self.settings()
 
     def settings(self) -> SpilloverSettings:
+        """Returns the core's settings.
+
+        Raises:
+            ValueError: The values contradict each other.
+        """
         return SpilloverSettings(**msgspec.structs.asdict(self))
 
 
+# Section [membership]: validation of changes to the endpoint list.
 class MembershipOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     last_good: Annotated[str, Meta(min_length=1)] | None = None
     lead: Literal["discovery", "etcd"] = "discovery"
@@ -113,7 +141,8 @@
     flap_most: Annotated[int, Meta(ge=1, le=100)] = 3
     flap_hold_s: Annotated[float, Meta(ge=0.1, le=60)] = 1.5
 
-    def rules(self) -> "MembershipSettings":
+    def settings(self) -> "MembershipSettings":
+        """Returns the core's settings."""
         from finchladder.core.membership.decisions import MembershipSettings  # which is loaded where it is on
 
         given = msgspec.structs.asdict(self)
@@ -137,6 +166,7 @@
     key_file: Named | None = None
 
     def __post_init__(self) -> None:
+        """Validates the combination of values."""
         found = self.addresses()
         if len(set(found)) < len(found):
             raise ValueError("endpoints names one twice")
@@ -148,6 +178,11 @@
             raise ValueError("ca_file and cert_file are for endpoints that begin with https:// alone")
 
     def addresses(self) -> list[Endpoint]:
+        """Returns the parsed endpoints.
+
+        Raises:
+            ValueError: An endpoint can't be parsed.
+        """
         return [parse_url(url, ETCD_PORT) for url in self.endpoints]
 
 
@@ -162,39 +197,54 @@
     period_s: Annotated[float, Meta(ge=0.1, le=10)] = 0.5
 
     def __post_init__(self) -> None:
+        """Validates the combination of values."""
         if bool(self.members) == (self.file is not None):
             raise ValueError("either members or file is needed")
         if self.members:
             self.addresses()
 
-    def listing(self, own: str) -> dict[str, tuple[str, int]]:
-        """All addresses by name. ValueError: it can't be used, or one's own is not in it."""
+    def addresses_including(self, own: str) -> dict[str, tuple[str, int]]:
+        """Returns all addresses by name.
+
+        Raises:
+            ValueError: The list can't be used, or has no entry for `own`.
+        """
         found = self.addresses()
         if own not in found:
             raise ValueError(f"[peers]: {own} is none of the {len(found)} that are listed")
         return found
 
     def addresses(self) -> dict[str, tuple[str, int]]:
-        """By name. ValueError says in one line what can't be used."""
+        """Returns all addresses by name.
+
+        Raises:
+            ValueError: The list can't be used; the message is one line.
+        """
         if self.file is None:
-            return listed_peers([tuple(one.partition("=")[::2]) for one in self.members])  # type: ignore[misc]
+            return parse_peers([tuple(one.partition("=")[::2]) for one in self.members])  # type: ignore[misc]
         try:
             found = msgspec.json.decode(Path(self.file).read_bytes(), type=dict[str, str])
         except OSError as e:
             raise ValueError(f"{self.file}: {e.strerror}") from None
         except msgspec.MsgspecError as e:
             raise ValueError(f"{self.file}: {e}") from None
-        return listed_peers(found.items())
+        return parse_peers(found.items())
 
 
+# Section [judgement]: outlier detection.
 class JudgementOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     most_out: Annotated[float, Meta(ge=0.05, le=0.5)] = 0.3
     term_s: Annotated[float, Meta(ge=0.5, le=16)] = 2.0
-    # as a drill's: without one, no word of the operator's is taken
+    # as for fault injection: without a key no override by the operator is accepted
     key: Annotated[str, Meta(pattern=r"\A[!-~]([ -~]{0,254}[!-~])?\Z")] | None = None
 
 
-def listed_peers(pairs: Iterable[tuple[str, str]]) -> dict[str, tuple[str, int]]:
+def parse_peers(pairs: Iterable[tuple[str, str]]) -> dict[str, tuple[str, int]]:
+    """Parses pairs of dispatcher name and address.
+
+    Raises:
+        ValueError: A name or an address is invalid or duplicated, or there are too many.
+    """
     found: dict[str, tuple[str, int]] = {}
     for name, address in pairs:
         if not PEER_NAME.fullmatch(name):
@@ -204,13 +254,13 @@
         found[name] = parse_address(address)
     if len(set(found.values())) < len(found):
         raise ValueError("two dispatchers have one address")
-    if len(found) > MOST_PEERS:
-        raise ValueError(f"{len(found)} dispatchers are named, and {MOST_PEERS} is the most")
+    if len(found) > MAX_PEERS:
+        raise ValueError(f"{len(found)} dispatchers are named, and {MAX_PEERS} is the most")
     return found
 
 
 class Options(msgspec.Struct, frozen=True):
-    """None, or no entry: the feature is off."""
+    """Options of all features; a feature without an entry is off."""
 
     door: DoorOptions | None = None
     door_of: dict[str, DoorOptions] = {}  # by class, in place of the general one
@@ -225,18 +275,23 @@
     peers: PeersOptions | None = None
     judgement: JudgementOptions | None = None
 
-    def spilling(self) -> SpilloverSettings | None:
+    def spillover_settings(self) -> SpilloverSettings | None:
+        """Returns the core's settings for zone spillover, or None if it is off."""
         return self.spill.settings() if self.spill is not None else None
 
-    def memory(self) -> int:
-        """Bytes that the features may come to hold."""
+    def memory_bytes(self) -> int:
+        """Returns the memory that all features together may use, in bytes."""
         doors = [*self.door_of.values(), *([self.door] if self.door else [])]
         tracked = sum(d.max_keys for d in doors) * ADDRESS_BYTES
         entries = self.status.max_entries * ENTRY_BYTES if self.status is not None else 0
-        return tracked + entries + (self.capture.memory() if self.capture is not None else 0)
+        return tracked + entries + (self.capture.memory_bytes() if self.capture is not None else 0)
 
     def check(self, classes: Iterable[str], memory_mb: int, settings: api.Settings | None = None) -> None:
-        """What only the platform's configuration can tell; ValueError says in one line what can't be used."""
+        """Validates the options against the platform's configuration.
+
+        Raises:
+            ValueError: They can't be used together; the message is one line.
+        """
         if self.aperture is not None and settings is not None:
             Aperture(settings.index, settings.dispatchers, self.aperture.settings())
         if self.peers is not None and self.capture is not None:
@@ -247,15 +302,17 @@
         for name in self.door_of:
             if name not in known:
                 raise ValueError(f"[door.{name}]: no such class; there are {', '.join(sorted(known))}")
-        if (most := memory_mb * 1024 * 1024 // PART) < self.memory():
-            raise ValueError(f"the features may take {self.memory()} bytes, and here {most} is the most")
+        if (most := memory_mb * 1024 * 1024 // MEMORY_DIVISOR) < self.memory_bytes():
+            raise ValueError(
+                f"the features may take {self.memory_bytes()} bytes, and here {most} is the most"
+            )
 
 
 OFF = Options()
 
 
 def is_toml(path: str) -> bool:
-    """Whether the name of an operator's file says that it is TOML, not INI."""
+    """Returns whether a file's name has the suffix of TOML; otherwise it is INI."""
     return path.lower().endswith(".toml")
 
 
--- a/finchladder/config/platform.py
+++ b/finchladder/config/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: the environment's variables and the JSON file that NODE_CONFIG names."""
+"""The platform's configuration: environment variables and the JSON file that NODE_CONFIG names."""
 
 from collections.abc import Callable, Mapping
 from pathlib import Path
@@ -11,21 +11,26 @@
 from finchladder.config.settings import read_settings
 from finchladder.core import api
 
-LEAST_SOCKETS, LEAST_MEMORY = 128, 32
+MIN_SOCKETS = 128
+MIN_MEMORY_MB = 32
 
 
 class ConnectionLimits(msgspec.Struct, rename="camel"):
-    """What of the settings concerns connections alone, and so never reaches the module."""
+    """Connection timeouts in seconds; the core doesn't need them."""
 
     conn_idle_s: float
     connect_timeout_s: float
 
 
 class ConnectionSettings(msgspec.Struct):
+    """The part of the platform's settings that concerns connections."""
+
     caps: ConnectionLimits
 
 
 class ProcessLimits(msgspec.Struct):
+    """Resource limits of this process: sockets, memory in MB, CPU cores."""
+
     sockets: int = 1024
     memory_mb: int = 192
     cores: float = 1.0
@@ -42,6 +47,8 @@
 
 
 class DispatcherSetup(NamedTuple):
+    """The validated configuration of one dispatcher process."""
+
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
@@ -53,12 +60,27 @@
 
 
 def read_bytes(path: str) -> bytes:
+    """Reads a file.
+
+    Raises:
+        OSError: The file can't be read.
+    """
     return Path(path).read_bytes()
 
 
-def read_file(
+def read_platform_file(
     env: Mapping[str, str], *needed: str, read: Callable[[str], bytes] = read_bytes
 ) -> PlatformFile:
+    """Decodes the file that NODE_CONFIG names.
+
+    Args:
+        env: The environment variables.
+        *needed: Variables that must be set as well.
+        read: Returns a file's content by its path.
+
+    Raises:
+        ValueError: A variable is missing, or the file can't be used.
+    """
     for name in (*needed, "NODE_CONFIG"):
         if not env.get(name):
             raise ValueError(f"{name} is not set")
@@ -69,16 +91,24 @@
 
 
 def read_setup(env: Mapping[str, str], read: Callable[[str], bytes] = read_bytes) -> DispatcherSetup:
-    """ValueError says in one line what can't be used. `read` gets NODE_CONFIG, and gives the file's bytes."""
-    file = read_file(env, "NODE_LISTEN", read=read)
+    """Reads and validates the configuration of a dispatcher.
+
+    Args:
+        env: The environment variables.
+        read: Returns a file's content by its path.
+
+    Raises:
+        ValueError: The configuration can't be used; the message is one line.
+    """
+    file = read_platform_file(env, "NODE_LISTEN", read=read)
     try:
         caps = msgspec.json.decode(file.settings, type=ConnectionSettings).caps
     except msgspec.MsgspecError as e:
         raise ValueError(f"{env['NODE_CONFIG']}: {e}") from None
     if caps.conn_idle_s <= 0 or caps.connect_timeout_s <= 0:
         raise ValueError("settings: connIdleS and connectTimeoutS must be above 0")
-    if file.limits.sockets < LEAST_SOCKETS or file.limits.memory_mb < LEAST_MEMORY:
-        raise ValueError(f"limits: {LEAST_SOCKETS} sockets and {LEAST_MEMORY} MB are the least")
+    if file.limits.sockets < MIN_SOCKETS or file.limits.memory_mb < MIN_MEMORY_MB:
+        raise ValueError(f"limits: {MIN_SOCKETS} sockets and {MIN_MEMORY_MB} MB are the least")
     if not file.limits.cores > 0:
         raise ValueError("limits: cores must be above 0")
     discovery = file.discovery or env.get("NODE_DISCOVERY")
--- a/finchladder/config/positions.py
+++ b/finchladder/config/positions.py
@@ -1,8 +1,8 @@
-"""Where each key of a file stands: line and column, both from 1, the column in characters.
+"""Positions of the keys of a file: line and column, both from 1, the column in characters.
 
-`tomllib` says what a file holds, not where. This walks over the same text, or as much of it as it can follow,
-and notes the place of each key, item and table. It comes before `tomllib`, whose time grows with the square
-of a key's parts and which nests without a bound, and stops at what is too deep. It raises no error.
+`tomllib` doesn't report positions. This walker reads the same text as far as it can be parsed and records the
+position of each key, item and table. It runs before `tomllib`, whose time is quadratic in the parts of a
+key and whose nesting is unbounded, and stops at `MAX_DEPTH`. It raises no error.
 """
 
 import re
@@ -12,7 +12,7 @@
 
 Path = tuple[str | int, ...]  # keys from the top; a whole number is an item of an array
 
-DEEPEST = 16  # parts of a path, items of arrays counted too
+MAX_DEPTH = 16  # parts of a path, items of arrays counted too
 
 _SPACE = re.compile(r"[ \t]*+")
 _GAP = re.compile(r"(?:[ \t\n]++|#[^\n]*+)*+")
@@ -33,207 +33,219 @@
 
 
 class Position(NamedTuple):
+    """A line and a column, both from 1."""
+
     line: int
     column: int
 
 
 class DuplicateKey(NamedTuple):
-    """A key or table that was there already."""
+    """A key or table that is defined for the second time."""
 
     path: Path
-    place: Position
-    first: Position
+    position: Position
+    first_position: Position
 
 
 class PositionIndex:
-    """`tables` are those that a header names; `twice` and `deep` are what ended the walk, where that did."""
+    """Positions by path.
+
+    `table_headers` are the tables with a header of their own. `duplicate` or `too_deep` is set if the walk
+    ended there.
+    """
 
     def __init__(self) -> None:
-        self.of: dict[Path, Position] = {}
-        self.tables: set[Path] = set()
-        self.twice: DuplicateKey | None = None
-        self.deep: Position | None = None
+        """Starts without positions."""
+        self.by_path: dict[Path, Position] = {}
+        self.table_headers: set[Path] = set()
+        self.duplicate: DuplicateKey | None = None
+        self.too_deep: Position | None = None
 
     def find(self, path: Path) -> Position:
-        """Of the path, or of the nearest thing that holds it."""
-        while path and path not in self.of:
+        """Returns the position of a path, or of its nearest ancestor that has one."""
+        while path and path not in self.by_path:
             path = path[:-1]
-        return self.of.get(path, Position(1, 1))
+        return self.by_path.get(path, Position(1, 1))
 
-    def told_of(self, text: str) -> Position:
-        """Of what a message about an INI file names: a line, or a section and perhaps a key of it."""
+    def find_mentioned(self, text: str) -> Position:
+        """Returns the position that a message about an INI file mentions: a line, a section or a key."""
         if (m := _INI_LINE.search(text)) is not None:
             return Position(int(m[1] or m[2]), 1)
-        section = next((p[0] for p in self.of if len(p) == 1 and f"[{p[0]}]" in text), "")
+        section = next((p[0] for p in self.by_path if len(p) == 1 and f"[{p[0]}]" in text), "")
         words = text.replace("$.", "").split("`")
-        keys = [p for p in self.of if len(p) == 2 and p[0] == section and p[1] in words]
+        keys = [p for p in self.by_path if len(p) == 2 and p[0] == section and p[1] in words]
         return self.find(keys[0] if keys else (section,))
 
 
 class _PositionLostError(Exception):
-    """The text can't be followed any further."""
+    """The text can't be parsed any further."""
 
 
 def toml_positions(text: str) -> PositionIndex:
+    """Returns the positions in a TOML text, as far as it can be parsed."""
     walk = _TomlWalker(text.replace("\r\n", "\n"))
     with suppress(_PositionLostError):
-        walk.file()
-    return walk.places
+        walk.read_file()
+    return walk.positions
 
 
 def ini_positions(text: str) -> PositionIndex:
-    """Of an INI file: its sections and their keys, as paths of two."""
+    """Returns the positions of sections and keys in an INI text; paths have one or two parts."""
     places, section = PositionIndex(), ""
     for number, line in enumerate(text.split("\n"), 1):
         if (m := _INI_SECTION.match(line)) is not None:
             section = m[1]
-            places.of.setdefault((section,), Position(number, 1))
+            places.by_path.setdefault((section,), Position(number, 1))
         elif (m := _INI_KEY.match(line)) is not None:
-            places.of.setdefault((section, m[0].rstrip()), Position(number, 1))
+            places.by_path.setdefault((section, m[0].rstrip()), Position(number, 1))
     return places
 
 
 class _TomlWalker:
     def __init__(self, text: str) -> None:
-        self.text, self.at = text, 0
-        self.places = PositionIndex()
-        self.implied: set[Path] = set()  # tables that are there because something in them is
-        self.counts: dict[Path, int] = {}  # tables in each array of tables
-        self.line, self.begins, self.counted = 1, 0, 0  # the line counted up to here, and where it begins
-
-    def place(self) -> Position:
-        """Of what stands here. Asked for in the order of the text, so each line is counted once."""
-        if (more := self.text.count("\n", self.counted, self.at)) > 0:
+        self.text, self.offset = text, 0
+        self.positions = PositionIndex()
+        self.implied: set[Path] = set()  # tables that exist only because of their content
+        self.table_counts: dict[Path, int] = {}  # tables in each array of tables
+        self.line, self.line_start, self.counted_to = (
+            1,
+            0,
+            0,
+        )  # the line counted up to here, and where it begins
+
+    def position(self) -> Position:
+        """Returns the current position; offsets only grow, so each line is counted once."""
+        if (more := self.text.count("\n", self.counted_to, self.offset)) > 0:
             self.line += more
-            self.begins = self.text.rindex("\n", self.counted, self.at) + 1
-        self.counted = self.at
-        return Position(self.line, self.at - self.begins + 1)
+            self.line_start = self.text.rindex("\n", self.counted_to, self.offset) + 1
+        self.counted_to = self.offset
+        return Position(self.line, self.offset - self.line_start + 1)
 
     def skip(self, pattern: re.Pattern[str]) -> None:
-        if (m := pattern.match(self.text, self.at)) is not None:
-            self.at = m.end()
+        if (m := pattern.match(self.text, self.offset)) is not None:
+            self.offset = m.end()
 
-    def take(self, what: str) -> bool:
-        found = self.text.startswith(what, self.at)
-        self.at += len(what) * found
+    def accept(self, what: str) -> bool:
+        found = self.text.startswith(what, self.offset)
+        self.offset += len(what) * found
         return found
 
-    def need(self, what: str) -> None:
-        if not self.take(what):
+    def expect(self, what: str) -> None:
+        if not self.accept(what):
             raise _PositionLostError
 
-    def file(self) -> None:
+    def read_file(self) -> None:
         table: Path = ()
         self.skip(_GAP)
-        while self.at < len(self.text):
-            if self.text[self.at] == "[":
-                table = self.header()
+        while self.offset < len(self.text):
+            if self.text[self.offset] == "[":
+                table = self.read_header()
             else:
-                self.pair(table)
+                self.read_pair(table)
             self.skip(_GAP)
 
-    def header(self) -> Path:
-        place = self.place()
-        several = self.take("[[")
+    def read_header(self) -> Path:
+        place = self.position()
+        several = self.accept("[[")
         if not several:
-            self.need("[")
+            self.expect("[")
         self.skip(_SPACE)
-        path = self.within(self.key(DEEPEST))
-        self.need("]]" if several else "]")
+        path = self.header_path(self.read_key(MAX_DEPTH))
+        self.expect("]]" if several else "]")
         if several:
-            if path in self.places.of and path not in self.counts:
-                self.twice(path, place)
-            self.note(path, place, again=True)
-            number = self.counts.get(path, 0)
-            self.counts[path] = number + 1
+            if path in self.positions.by_path and path not in self.table_counts:
+                self.stop_at_duplicate(path, place)
+            self.record(path, place, again=True)
+            number = self.table_counts.get(path, 0)
+            self.table_counts[path] = number + 1
             path = (*path, number)
-        self.note(path, place)
-        self.places.tables.add(path)
+        self.record(path, place)
+        self.positions.table_headers.add(path)
         return path
 
-    def within(self, key: list[str]) -> Path:
-        """The path of a header's key: what stands in an array of tables is in its last table."""
+    def header_path(self, key: list[str]) -> Path:
+        """Returns the path of a header's key; within an array of tables it refers to the last table."""
         path: Path = ()
         for part in key:
-            if path in self.counts:
-                path = (*path, self.counts[path] - 1)
+            if path in self.table_counts:
+                path = (*path, self.table_counts[path] - 1)
             path = (*path, part)
         return path
 
-    def key(self, most: int) -> list[str]:
+    def read_key(self, most: int) -> list[str]:
         parts: list[str] = []
         while True:
             if len(parts) >= most:
-                self.too_deep()
-            m = _KEY.match(self.text, self.at)
+                self.stop_at_depth()
+            m = _KEY.match(self.text, self.offset)
             if m is None:
                 raise _PositionLostError
-            self.at = m.end()
+            self.offset = m.end()
             parts.append(m[1] or _unquoted(m[0]))
             self.skip(_SPACE)
-            if not self.take("."):
+            if not self.accept("."):
                 return parts
             self.skip(_SPACE)
 
-    def too_deep(self) -> NoReturn:
-        self.places.deep = self.place()
+    def stop_at_depth(self) -> NoReturn:
+        self.positions.too_deep = self.position()
         raise _PositionLostError
 
-    def pair(self, table: Path) -> None:
-        place = self.place()
-        path = (*table, *self.key(DEEPEST - len(table)))
-        self.need("=")
+    def read_pair(self, table: Path) -> None:
+        place = self.position()
+        path = (*table, *self.read_key(MAX_DEPTH - len(table)))
+        self.expect("=")
         self.skip(_SPACE)
-        self.note(path, place)
-        self.value(path)
+        self.record(path, place)
+        self.read_value(path)
 
-    def note(self, path: Path, place: Position, again: bool = False) -> None:
+    def record(self, path: Path, place: Position, again: bool = False) -> None:
         above = path[:-1]
-        while above and above not in self.places.of:  # what holds a noted path is noted too
-            self.places.of[above] = place
+        while above and above not in self.positions.by_path:  # what holds a noted path is noted too
+            self.positions.by_path[above] = place
             self.implied.add(above)
             above = above[:-1]
         if path in self.implied:
             self.implied.discard(path)
-        elif path in self.places.of:
+        elif path in self.positions.by_path:
             if again:
                 return
-            self.twice(path, place)
-        self.places.of[path] = place
+            self.stop_at_duplicate(path, place)
+        self.positions.by_path[path] = place
 
-    def twice(self, path: Path, place: Position) -> NoReturn:
-        self.places.twice = DuplicateKey(path, place, self.places.of[path])
+    def stop_at_duplicate(self, path: Path, place: Position) -> NoReturn:
+        self.positions.duplicate = DuplicateKey(path, place, self.positions.by_path[path])
         raise _PositionLostError
 
-    def value(self, path: Path) -> None:
-        if (m := _TEXT.match(self.text, self.at)) is not None:
-            self.at = m.end()
-        elif self.take("["):
-            self.array(path)
-        elif self.take("{"):
+    def read_value(self, path: Path) -> None:
+        if (m := _TEXT.match(self.text, self.offset)) is not None:
+            self.offset = m.end()
+        elif self.accept("["):
+            self.read_array(path)
+        elif self.accept("{"):
             self.skip(_SPACE)
-            while not self.take("}"):
-                self.pair(path)
+            while not self.accept("}"):
+                self.read_pair(path)
                 self.skip(_SPACE)
-                if self.take(","):
+                if self.accept(","):
                     self.skip(_SPACE)
         else:
             self.skip(_BARE)
 
-    def array(self, path: Path) -> None:
-        if len(path) >= DEEPEST:
-            self.too_deep()
+    def read_array(self, path: Path) -> None:
+        if len(path) >= MAX_DEPTH:
+            self.stop_at_depth()
         number = 0
         self.skip(_GAP)
-        while not self.take("]"):
-            before = self.at
-            self.note((*path, number), self.place())
-            self.value((*path, number))
+        while not self.accept("]"):
+            before = self.offset
+            self.record((*path, number), self.position())
+            self.read_value((*path, number))
             number += 1
             self.skip(_GAP)
-            if self.take(","):
+            if self.accept(","):
                 self.skip(_GAP)
-            elif self.at == before:  # nothing that could be an item stands here
+            elif self.offset == before:  # nothing that could be an item stands here
                 raise _PositionLostError
 
 
--- a/finchladder/config/precedence.py
+++ b/finchladder/config/precedence.py
@@ -1,9 +1,9 @@
-"""Which value holds for a route, setting by setting: of `[route.NAME]`, `[class.NAME]`, `[defaults]`."""
+"""Precedence of settings: `[route.NAME]` over `[class.NAME]` over `[defaults]`, for each setting."""
 
 from dataclasses import dataclass
 from typing import Any
 
-from finchladder.config.findings import FindingCollector, listed, shown
+from finchladder.config.findings import FindingCollector, join_choices, quote_value
 from finchladder.config.positions import Path
 from finchladder.config.value_checks import GivenValue, ValuesByPath
 from finchladder.core.api import Ending, JobClass, Settings, WorkerPool
@@ -18,8 +18,13 @@
     may_resend_on,
 )
 
-JITTER, MOST_WAIT_S, HEDGE_MOST = 0.5, 1.0, 0.05
-EITHER = {"hedge_after": "hedge_after_s", "hedge_after_s": "hedge_after"}  # one of them replaces the other
+DEFAULT_JITTER = 0.5
+DEFAULT_MAX_BACKOFF_S = 1.0
+DEFAULT_MAX_HEDGE_SHARE = 0.05
+ALTERNATIVES = {
+    "hedge_after": "hedge_after_s",
+    "hedge_after_s": "hedge_after",
+}  # one of them replaces the other
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,41 +39,46 @@
 
     @property
     def path(self) -> Path:
+        """Path of the route's table in the file."""
         return ("route", self.name)
 
     def get(self, name: str, absent: Any = None) -> Any:
+        """Returns a setting's value, or `absent`."""
         return self.values[name].value if name in self.values else absent
 
     def first_given(self, *names: str) -> GivenValue | None:
-        """The first of the settings that the file says."""
+        """Returns the first of the named settings that the file has."""
         return next((self.values[name] for name in names if name in self.values), None)
 
     @property
-    def hedges(self) -> GivenValue | None:
-        """What turns second copies on, if they are on."""
+    def hedge_trigger(self) -> GivenValue | None:
+        """The setting that enables hedged requests, or None if they are disabled."""
         on = self.first_given("hedge_after", "hedge_after_s")
-        off = self.get("hedge_most", HEDGE_MOST) == 0 or self.get("attempts") == 1
+        off = self.get("hedge_most", DEFAULT_MAX_HEDGE_SHARE) == 0 or self.get("attempts") == 1
         return None if off else on
 
     @property
     def backoff(self) -> Backoff:
+        """The backoff between attempts, with defaults applied."""
         base = self.get("backoff.base_s", 0.0)
-        most = self.get("backoff.most_s", max(base, MOST_WAIT_S) if base else 0.0)
-        return Backoff(base, most, self.get("backoff.jitter", JITTER) if base else 0.0)
+        most = self.get("backoff.most_s", max(base, DEFAULT_MAX_BACKOFF_S) if base else 0.0)
+        return Backoff(base, most, self.get("backoff.jitter", DEFAULT_JITTER) if base else 0.0)
 
 
-def resolve(
-    notes: FindingCollector,
+def resolve_routes(
+    collector: FindingCollector,
     settings: Settings | None,
     defaults: ValuesByPath,
     classes: dict[str, ValuesByPath],
     routes: dict[str, ValuesByPath],
 ) -> list[ResolvedRoute]:
-    """Each route once for every class that it can match; what names no class that can be is noted."""
+    """Resolves each route for every class that it can match; unknown classes become findings."""
     known = {c.name: c for c in settings.classes} if settings is not None else None
     for name in classes:
         if known is not None and name not in known:
-            notes.add("FL161", ("class", name), f"there is no class {shown(name)}", known=listed(known))
+            collector.add(
+                "FL161", ("class", name), f"there is no class {quote_value(name)}", known=join_choices(known)
+            )
     found: list[ResolvedRoute] = []
     for name, own in routes.items():
         match = _match(own)
@@ -76,24 +86,26 @@
         if match.path is not None:
             named.setdefault(match.path.split("/")[1], own["match.path"])
         if len(named) > 1:
-            words = " and ".join(shown(word) for word in named)
-            notes.add("FL144", ("route", name), f"nothing can match it, as no job is of the classes {words}")
+            words = " and ".join(quote_value(word) for word in named)
+            collector.add(
+                "FL144", ("route", name), f"nothing can match it, as no job is of the classes {words}"
+            )
             continue
         job_class = next(iter(named), None)
         if job_class is not None and known is not None and job_class not in known:
-            reason = f"nothing can match it, as there is no class {shown(job_class)}"
-            notes.add("FL161", named[job_class].path, reason, known=listed(known))
+            reason = f"nothing can match it, as there is no class {quote_value(job_class)}"
+            collector.add("FL161", named[job_class].path, reason, known=join_choices(known))
             continue
         match = Match(job_class, match.path, match.method, match.headers)
         for one in [job_class] if job_class is not None or known is None else known:
-            said = _over(_over(dict(defaults), classes.get(one or "", {})), own)
+            said = _override(_override(dict(defaults), classes.get(one or "", {})), own)
             found.append(ResolvedRoute(name, one, (known or {}).get(one or ""), match, said))
     return found
 
 
-def _over(below: ValuesByPath, above: ValuesByPath) -> ValuesByPath:
+def _override(below: ValuesByPath, above: ValuesByPath) -> ValuesByPath:
     for name in above:
-        below.pop(EITHER.get(name, ""), None)
+        below.pop(ALTERNATIVES.get(name, ""), None)
     return below | above
 
 
@@ -105,14 +117,14 @@
     return Match(of("class"), of("path"), of("method"), headers)
 
 
-def build(r: ResolvedRoute) -> Route:
-    """What the checker found nothing wrong with."""
+def build_route(r: ResolvedRoute) -> Route:
+    """Builds the core's route from one without findings."""
     assert r.cls is not None
     hedge, budget = None, None
-    if r.hedges is not None:
+    if r.hedge_trigger is not None:
         after = r.get("hedge_after")
         percentile = float(after[1:]) if after is not None else None
-        hedge = Hedge(r.get("hedge_after_s"), percentile, r.get("hedge_most", HEDGE_MOST))
+        hedge = Hedge(r.get("hedge_after_s"), percentile, r.get("hedge_most", DEFAULT_MAX_HEDGE_SHARE))
     if "retry_budget.share" in r.values:
         least = r.get("retry_budget.least_per_s", 1.0)
         window, repeats = r.get("retry_budget.window_s", 10.0), r.get("retry_budget.repeats", False)
--- a/finchladder/config/render.py
+++ b/finchladder/config/render.py
@@ -1,20 +1,22 @@
-"""What is shown of an operator's file: where a route's values came from, and an INI file as TOML."""
+"""Output for operators: the origin of a route's values, and an INI file converted to TOML."""
 
 from pathlib import Path as FilePath
 from typing import Any, NamedTuple
 
 import msgspec
 
-from finchladder.config.findings import Findings
-from finchladder.config.ini_file import from_text, ini_sections, read_ini
+from finchladder.config.findings import FindingsError
+from finchladder.config.ini_file import ini_sections, read_ini, split_lists
 from finchladder.config.operator_file import load
 from finchladder.config.options import SECTIONS, is_toml
 from finchladder.config.positions import PositionIndex
-from finchladder.config.precedence import EITHER, ResolvedRoute
-from finchladder.config.toml_schema import DEFAULTS, fields_of
+from finchladder.config.precedence import ALTERNATIVES, ResolvedRoute
+from finchladder.config.toml_schema import DEFAULT_TEXTS, field_types
 
 
-class Line(NamedTuple):
+class ExplainedSetting(NamedTuple):
+    """A setting with its value and origin; without a value, `default` describes the default."""
+
     setting: str
     value: Any  # None: it is not said, and `default` says in words what holds
     default: str | None
@@ -22,13 +24,16 @@
     section: str | None
 
 
-class Explained(NamedTuple):
+class ExplainedRoute(NamedTuple):
+    """All settings of a route for one job class."""
+
     file: str
     route: str
     job_class: str | None
-    settings: list[Line]
+    settings: list[ExplainedSetting]
 
     def __str__(self) -> str:
+        """Formats the settings as a table, one a line."""
         rows = [
             (s.setting, s.default if s.line is None else _toml_value(s.value), self._from(s))
             for s in self.settings
@@ -37,32 +42,34 @@
         head = f"route {self.route}" + (f", class {self.job_class}" if self.job_class else "")
         return "\n".join([head, *(f"  {a:{widths[0]}}  {b:{widths[1]}}  {c}".rstrip() for a, b, c in rows)])
 
-    def _from(self, line: Line) -> str:
+    def _from(self, line: ExplainedSetting) -> str:
         return "default" if line.line is None else f"{self.file}:{line.line} {line.section}"
 
 
-def explain(r: ResolvedRoute, places: PositionIndex, file: str) -> Explained:
-    """Each setting of a route with the line that it came from."""
-    lines = []
-    for name in ("class", *(f"match.{part}" for part in ("class", "path", "method", "headers"))):
+def explain(r: ResolvedRoute, places: PositionIndex, file: str) -> ExplainedRoute:
+    """Returns each setting of a route with the line that it came from."""
+    match_names = ("class", *(f"match.{part}" for part in ("class", "path", "method", "headers")))
+    lines = [_line(r, places, name) for name in match_names if name in r.values]
+    for name in DEFAULT_TEXTS:
         if name in r.values:
             lines.append(_line(r, places, name))
-    for name in DEFAULTS:
-        if name in r.values:
-            lines.append(_line(r, places, name))
-        elif EITHER.get(name) not in r.values:
-            lines.append(Line(name, None, DEFAULTS[name], None, None))
-    return Explained(file, r.name, r.job_class, lines)
+        elif ALTERNATIVES.get(name) not in r.values:
+            lines.append(ExplainedSetting(name, None, DEFAULT_TEXTS[name], None, None))
+    return ExplainedRoute(file, r.name, r.job_class, lines)
 
 
-def _line(r: ResolvedRoute, places: PositionIndex, name: str) -> Line:
+def _line(r: ResolvedRoute, places: PositionIndex, name: str) -> ExplainedSetting:
     said = r.values[name]
     section = ("[defaults]", f"[class.{r.job_class}]", f"[route.{r.name}]")[said.level]
-    return Line(name, said.value, None, places.find(said.path).line, section)
+    return ExplainedSetting(name, said.value, None, places.find(said.path).line, section)
 
 
 def to_toml(path: str) -> str:
-    """A usable INI file as TOML, its comments kept; ValueError where it is no INI file."""
+    """Converts a valid INI file to TOML, with its comments.
+
+    Raises:
+        ValueError: The file isn't INI, or can't be converted.
+    """
     if is_toml(path):
         raise ValueError(f"{path}: this is TOML already")
     text = FilePath(path).read_text("utf-8")
@@ -81,12 +88,12 @@
         elif key is not None and (section, key) not in written:
             written.add((section, key))
             table = SECTIONS[section.partition(".")[0]]
-            given = from_text(table, {key: sections[section][key]})[key]
-            value = msgspec.convert(given, fields_of(table)[key], strict=False)
+            given = split_lists(table, {key: sections[section][key]})[key]
+            value = msgspec.convert(given, field_types(table)[key], strict=False)
             lines.append(f"{key} = {_toml_value(value)}")
     found = "\n".join(lines).strip("\n") + "\n"
     made = load(found, "converted.toml")
-    if isinstance(made, Findings) or made.options != read_ini(text, path):
+    if isinstance(made, FindingsError) or made.options != read_ini(text, path):
         raise ValueError(f"{path}: there is something in it that can't be converted")
     return found
 
@@ -101,7 +108,7 @@
 
 
 def _toml_value(value: Any) -> str:
-    """As TOML writes it; JSON's texts are TOML's, but for the one control character that JSON leaves bare."""
+    """Encodes a value as TOML; strings are as in JSON, except for DEL, which JSON doesn't escape."""
     if isinstance(value, dict):
         return "{ " + ", ".join(f"{_key(k)} = {_toml_value(v)}" for k, v in value.items()) + " }"
     if isinstance(value, list):
--- a/finchladder/config/settings.py
+++ b/finchladder/config/settings.py
@@ -1,4 +1,4 @@
-"""The one reader of the operators' facts: from their JSON to api.Settings, checked by msgspec."""
+"""Conversion of the platform's settings from JSON to api.Settings, validated by msgspec."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -8,7 +8,7 @@
 from finchladder.core import api
 
 EFFECTS = {"retryable": "safe", "dedup": "keyed", "fragile": "unsafe"}
-FIELDS: dict[str, tuple[str, ...]] = {  # of api.Settings, and where the facts hold them
+FIELD_PATHS: dict[str, tuple[str, ...]] = {  # of api.Settings, and where the facts hold them
     "zones": ("zones",),
     "zone": ("az",),
     "kinds": ("flavors",),
@@ -26,7 +26,7 @@
     "overload_multiple": ("invariants", "fallMultiple"),
     "overload_window_s": ("invariants", "fallS"),
 }
-OPTIONAL: dict[str, tuple[str, ...]] = {
+OPTIONAL_FIELD_PATHS: dict[str, tuple[str, ...]] = {
     "reports_start": ("familyInfo", "tellsStart"),
     "progress_interval_s": ("familyInfo", "progressS"),
     "over_quota_value": ("overShareWorth",),
@@ -49,14 +49,20 @@
 
 
 class SettingsError(ValueError):
-    """The facts can't be used; the message says why in one line."""
+    """The settings can't be used; the message is one line."""
 
 
 def read_seed(text: str) -> int:
+    """Converts the seed's text to an integer."""
     return int.from_bytes(text.encode(), "big")
 
 
 def read_settings(facts: str | bytes) -> api.Settings:
+    """Decodes and validates the platform's settings.
+
+    Raises:
+        SettingsError: They can't be used.
+    """
     try:
         return msgspec.convert(_named(msgspec.json.decode(facts)), api.Settings)
     except KeyError as e:
@@ -72,8 +78,8 @@
 
 
 def _named(facts: Facts) -> dict[str, Any]:
-    named = {field: _at(facts, path) for field, path in FIELDS.items()}
-    for field, path in OPTIONAL.items():
+    named = {field: _at(facts, path) for field, path in FIELD_PATHS.items()}
+    for field, path in OPTIONAL_FIELD_PATHS.items():
         try:
             named[field] = _at(facts, path)
         except KeyError:
--- a/finchladder/config/toml_schema.py
+++ b/finchladder/config/toml_schema.py
@@ -1,7 +1,8 @@
-"""What a file in TOML may hold: its tables, their types, bounds and meaning.
+"""Tables of a TOML file: their types, bounds and descriptions.
 
-The checker, `config schema` and the page for operators go by these types alone. Every setting may be left
-out; UNSET says that it was, so that a level above another says only what it changes.
+The checker, `config schema` and the operators' page are derived from these types. Every setting is
+optional; UNSET marks one that is absent, so that a higher level overrides only what it sets. The printed
+JSON schema takes docstrings of tables as descriptions, so tables are described by comments.
 """
 
 from functools import cache
@@ -25,6 +26,7 @@
     """Base of every table."""
 
 
+# The jobs that a route matches.
 class MatchTable(Part):
     job_class: (
         Annotated[str, Meta(min_length=1, max_length=256, description="The job's class.")] | UnsetType
@@ -48,6 +50,7 @@
     ) = UNSET
 
 
+# The backoff between attempts.
 class BackoffTable(Part):
     base_s: (
         Annotated[
@@ -62,6 +65,7 @@
     ) = UNSET
 
 
+# The retry budget.
 class BudgetTable(Part):
     share: (
         Annotated[
@@ -87,6 +91,7 @@
     ) = UNSET
 
 
+# The queue of jobs that wait for concurrency.
 class QueueTable(Part):
     length: (
         Annotated[
@@ -106,6 +111,7 @@
     ) = UNSET
 
 
+# The workers that may receive a route's jobs.
 class PoolTable(Part):
     kinds: (
         Annotated[
@@ -191,6 +197,7 @@
     pool: PoolTable | UnsetType = UNSET
 
 
+# A route: limits and the jobs that they apply to.
 class RouteTable(Limits):
     match: MatchTable | UnsetType = UNSET
     job_class: (
@@ -206,7 +213,7 @@
     "class": Limits,
     "route": RouteTable,
 }
-DEFAULTS: dict[str, str] = {  # of what is unsaid, in words; what is not here has none
+DEFAULT_TEXTS: dict[str, str] = {  # of what is unsaid, in words; what is not here has none
     "timeout_s": "the client's patience",
     "attempt_timeout_s": "none",
     "attempts": "the platform's try limit",
@@ -231,8 +238,8 @@
 }
 
 
-def table_in(kind: Any) -> type[msgspec.Struct] | None:
-    """The table that a field holds; None where it holds a value."""
+def nested_table(kind: Any) -> type[msgspec.Struct] | None:
+    """Returns the table type of a field, or None if the field holds a value."""
     for one in get_args(kind):
         if isinstance(one, type) and issubclass(one, msgspec.Struct):
             return one
@@ -240,13 +247,13 @@
 
 
 @cache
-def fields_of(kind: type[msgspec.Struct]) -> dict[str, Any]:
-    """Types by the names that the file has for them."""
+def field_types(kind: type[msgspec.Struct]) -> dict[str, Any]:
+    """Returns the types of a table's fields by their names in the file."""
     return {f.encode_name: f.type for f in msgspec.structs.fields(kind)}
 
 
-def schema() -> dict[str, Any]:
-    """JSON Schema of a whole file."""
+def json_schema() -> dict[str, Any]:
+    """Returns the JSON Schema of a complete file."""
     named = Annotated[str, Meta(pattern=NAME)]
     routes = Annotated[dict[named, RouteTable], Meta(max_length=MOST_ROUTES)]
     parts: list[Any] = [(name, kind | UnsetType, UNSET) for name, kind in SECTIONS.items()]
@@ -263,7 +270,7 @@
 
 
 def _portable(found: Any) -> Any:
-    """Schemas have the regular expressions of ECMA 262, which has no \\A and \\Z."""
+    r"""Converts regular expressions to ECMA 262, which has neither `\A` nor `\Z`."""
     if isinstance(found, dict):
         return {
             key: value.replace(r"\A", "^").replace(r"\Z", "$")
--- a/finchladder/config/value_checks.py
+++ b/finchladder/config/value_checks.py
@@ -1,4 +1,4 @@
-"""Values of a TOML file against the types of its tables: all that is wrong with them, each as a finding."""
+"""Checks of a TOML file's values against the types of its tables; each fault becomes a finding."""
 
 import math
 import re
@@ -7,9 +7,9 @@
 import msgspec
 from msgspec import Meta
 
-from finchladder.config.findings import FindingCollector, listed, shown
+from finchladder.config.findings import FindingCollector, join_choices, quote_value
 from finchladder.config.positions import Path
-from finchladder.config.toml_schema import fields_of, table_in
+from finchladder.config.toml_schema import field_types, nested_table
 
 _UNIT = re.compile(r"_(ns|us|ms|sec|secs|seconds|m|min|mins|minutes|h|hours)\Z")
 _ITEM = re.compile(r"\[(\d+)\]")
@@ -39,6 +39,8 @@
 
 
 class GivenValue(NamedTuple):
+    """A value with its path in the file and its level of precedence."""
+
     value: Any
     path: Path
     level: int = 0  # 0 [defaults], 1 [class.NAME], 2 [route.NAME]
@@ -47,65 +49,70 @@
 ValuesByPath = dict[str, GivenValue]  # by dotted names, as backoff.base_s
 
 
-def kind_of(value: Any) -> str:
+def type_name(value: Any) -> str:
+    """Returns the name of a value's TOML type for messages."""
     return _KINDS.get(type(value), "a date or time")
 
 
 def collect_values(
-    notes: FindingCollector, kind: type[msgspec.Struct], table: dict[str, Any], path: Path, level: int
+    collector: FindingCollector, kind: type[msgspec.Struct], table: dict[str, Any], path: Path, level: int
 ) -> ValuesByPath:
-    """What can be used of a table; the rest is noted."""
+    """Returns the valid values of a table by dotted name; the others become findings."""
     found: ValuesByPath = {}
-    fields = fields_of(kind)
+    fields = field_types(kind)
     for key, value in table.items():
         here = (*path, key)
         if key not in fields:
-            _unknown(notes, key, here, fields)
-        elif (deeper := table_in(fields[key])) is None:
-            if _usable(notes, key, value, fields[key], here):
+            _add_unknown(collector, key, here, fields)
+        elif (deeper := nested_table(fields[key])) is None:
+            if _is_usable(collector, key, value, fields[key], here):
                 found[key] = GivenValue(value, here, level)
         elif isinstance(value, dict):
-            below = collect_values(notes, deeper, value, here, level)
+            below = collect_values(collector, deeper, value, here, level)
             found |= {f"{key}.{name}": said for name, said in below.items()}
         else:
-            names = ", ".join(fields_of(deeper))
-            notes.add("FL120", here, f"{key} is {kind_of(value)}", table=f"{key} = {{ .. }} with {names}")
+            names = ", ".join(field_types(deeper))
+            collector.add(
+                "FL120", here, f"{key} is {type_name(value)}", table=f"{key} = {{ .. }} with {names}"
+            )
     return found
 
 
-def _unknown(notes: FindingCollector, key: str, path: Path, fields: dict[str, Any]) -> None:
+def _add_unknown(collector: FindingCollector, key: str, path: Path, fields: dict[str, Any]) -> None:
     bare = _UNIT.sub("", key)
     if f"{bare}_s" in fields:
         reason = f"{key} has no unit" if bare == key else f"{key} is not in seconds"
-        notes.add("FL113", path, reason, instead=f"{bare}_s = SECONDS")
+        collector.add("FL113", path, reason, instead=f"{bare}_s = SECONDS")
     else:
-        notes.add("FL112", path, f"there is no setting {shown(key)} here", known=listed(fields))
+        collector.add(
+            "FL112", path, f"there is no setting {quote_value(key)} here", known=join_choices(fields)
+        )
 
 
-def _usable(notes: FindingCollector, key: str, value: Any, kind: Any, path: Path) -> bool:
-    """Whether a value is of its type and within its bounds."""
+def _is_usable(collector: FindingCollector, key: str, value: Any, kind: Any, path: Path) -> bool:
+    """Returns whether a value has its type and is within its bounds."""
     if isinstance(value, float) and not math.isfinite(value):
         code, what = ("FL115", "no number") if math.isnan(value) else ("FL116", "infinite")
-        notes.add(code, path, f"{key} is {what}")
+        collector.add(code, path, f"{key} is {what}")
         return False
     try:
         msgspec.convert(value, kind)
     except msgspec.ValidationError as e:
-        _unfit(notes, key, value, kind, str(e), path)
+        _add_invalid(collector, key, value, kind, str(e), path)
         return False
     if isinstance(value, list):
         for n, one in enumerate(value):
             if one in value[:n]:
-                notes.add("FL122", (*path, n), f"{key} names {shown(one)} twice")
+                collector.add("FL122", (*path, n), f"{key} names {quote_value(one)} twice")
                 return False
     if key == "headers" and len({name.lower() for name in value}) < len(value):
-        notes.add("FL122", path, "headers names a field twice, names being alike in any case")
+        collector.add("FL122", path, "headers names a field twice, names being alike in any case")
         return False
     return True
 
 
-def _unfit(notes: FindingCollector, key: str, value: Any, kind: Any, said: str, path: Path) -> None:
-    """From msgspec's words to a finding."""
+def _add_invalid(collector: FindingCollector, key: str, value: Any, kind: Any, said: str, path: Path) -> None:
+    """Adds the finding that corresponds to a validation error of msgspec."""
     said, _, inner = said.partition(" - at `$")
     item: Any = value
     if isinstance(value, list) and (m := _ITEM.match(inner)) is not None:
@@ -113,44 +120,45 @@
     number = isinstance(value, int | float) and not isinstance(value, bool)
     if key == "hedge_after" and number:
         instead = 'hedge_after_s = SECONDS, or a percentile as hedge_after = "p95"'
-        notes.add("FL113", path, "hedge_after has no unit", instead=instead)
+        collector.add("FL113", path, "hedge_after has no unit", instead=instead)
     elif ", got" in said and not (key == "headers" and isinstance(value, dict)):
         wanted = said.partition("`")[2].partition("`")[0]
-        notes.add("FL114", path, f"{key} is {kind_of(item)}", wanted=_WANTED.get(wanted, wanted))
+        collector.add("FL114", path, f"{key} is {type_name(item)}", wanted=_WANTED.get(wanted, wanted))
     elif key in PATTERNS:
         code, wanted = PATTERNS[key]
-        notes.add(code, path, f"{key} can't be {shown(item)}", known=wanted, wanted=wanted)
+        collector.add(code, path, f"{key} can't be {quote_value(item)}", known=wanted, wanted=wanted)
     elif "enum" in said:
-        notes.add("FL119", path, f"{key} can't be {shown(item)}", known=listed(choices(kind)))
-    elif number and value < 0 and (least := _least(kind)) is not None and least >= 0:
-        notes.add("FL117", path, f"{key} is negative", least=f"{least:g}")
+        collector.add("FL119", path, f"{key} can't be {quote_value(item)}", known=join_choices(choices(kind)))
+    elif number and value < 0 and (least := _lower_bound(kind)) is not None and least >= 0:
+        collector.add("FL117", path, f"{key} is negative", least=f"{least:g}")
     else:
-        notes.add("FL118", path, f"{key} can't be {shown(item)}", bounds=bounds(kind))
+        collector.add("FL118", path, f"{key} can't be {quote_value(item)}", bounds=describe_bounds(kind))
 
 
 def _metas(kind: Any) -> list[Meta]:
-    """Outermost first, those of an array's items after its own."""
+    """Returns a type's constraints, outermost first, those of array items after the array's own."""
     own = [m for m in getattr(kind, "__metadata__", ()) if isinstance(m, Meta)]
     return own + [m for part in get_args(kind) for m in _metas(part)]
 
 
-def meta_of(kind: Any) -> Meta:
+def outermost_meta(kind: Any) -> Meta:
+    """Returns a type's outermost constraint, or an empty one."""
     return next(iter(_metas(kind)), Meta())
 
 
 def choices(kind: Any) -> list[str]:
-    """The words of a Literal somewhere in the type."""
+    """Returns the permitted strings of a Literal within a type."""
     found = [part for part in get_args(kind) if isinstance(part, str)]
     return found or [word for part in get_args(kind) for word in choices(part)]
 
 
-def _least(kind: Any) -> float | None:
-    meta = meta_of(kind)
+def _lower_bound(kind: Any) -> float | None:
+    meta = outermost_meta(kind)
     return meta.ge if meta.ge is not None else meta.gt
 
 
-def bounds(kind: Any) -> str:
-    """In words; empty where there are none."""
+def describe_bounds(kind: Any) -> str:
+    """Describes a type's bounds in words; empty if there are none."""
     meta, *inner = _metas(kind) or [Meta()]
     parts = [f"above {meta.gt:g}"] if meta.gt is not None else []
     parts += [f"from {meta.ge:g}"] if meta.ge is not None else []
--- a/finchladder/net/endpoint_watcher.py
+++ b/finchladder/net/endpoint_watcher.py
@@ -132,7 +132,7 @@
             workers, addresses = self.subset.take(workers, addresses)
             self._forestall(workers.entries)
         self.apply(workers, addresses)
-        self.table.keep(news)
+        self.table.apply(news)
         self.index = news.version
         # an empty list from before is no list: nothing could be served on it
         self.up = self.up or bool(news.workers.entries) or news.workers.kind is not api.ListKind.STALE
--- a/finchladder/net/etcd/keys.py
+++ b/finchladder/net/etcd/keys.py
@@ -91,7 +91,7 @@
             raise ValueError(str(e)) from None
         if entry.name != name:
             raise ValueError(f"the entry of {entry.name[:64]!r}, under another's name")
-        return Member(entry.worker(), parse_address(entry.address))
+        return Member(entry.to_worker_entry(), parse_address(entry.address))
 
     def _unusable(self, key: bytes, why: str) -> None:
         if self.bad.get(key) == why:
--- a/finchladder/net/membership_actor.py
+++ b/finchladder/net/membership_actor.py
@@ -10,9 +10,9 @@
 from finchladder.config.endpoint_list import (
     EndpointChange,
     EndpointUpdate,
+    list_version,
     read_list,
-    read_long,
-    version_of,
+    read_list_in_slices,
     write_list,
 )
 from finchladder.core import api
@@ -175,7 +175,7 @@
             self.log.error("membership: the last good list can't be read within {:g} s", READ_TIMEOUT_S)
             return known
         if found is not None:
-            self._take(*found, version_of(known) if known else -1)
+            self._take(*found, list_version(known) if known else -1)
         return b"" if self.membership.up else known
 
     def _take(self, good: LastGood, news: EndpointUpdate, known_version: int) -> None:
@@ -230,7 +230,7 @@
     """ValueError: it can't be used."""
     if len(line) <= LONG_LIST_BYTES:
         return read_list(line, kind)
-    reading = read_long(line, READ_AT_ONCE, kind)
+    reading = read_list_in_slices(line, READ_AT_ONCE, kind)
     while True:
         try:
             next(reading)
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -73,7 +73,7 @@
         routes = file.loaded.routes if file is not None else None
         joined = self._join(options.peers, seed) if options.peers is not None else None
         share = self._share if joined is not None else None
-        decided = decisions(setup.settings, seed, routes, options.spilling(), share)
+        decided = decisions(setup.settings, seed, routes, options.spillover_settings(), share)
         arrivals = Arrivals(options, seed)
         self.dispatcher = decided.inner if isinstance(decided, Guarded) else decided
         self.module = DecisionActor(decided, self.flows, clock)
@@ -144,12 +144,12 @@
                 self.peers.judged = controls.bench.show
         self.gate: Admission | None = None
         if options.overload is not None:
-            limits = options.overload.limits(setup.settings.max_retry_after_s)
+            limits = options.overload.settings(setup.settings.max_retry_after_s)
             self.gate = Admission(setup.settings.classes, limits, seed, clock, self.flows.known, machine)
             self.module.starts = self.gate.started
         lists = self.members or self.service
         front = RequestHandler(self.intake, controls, lambda: lists.up, self.servers.called_back, self.gate)
-        self.bodies = BodyMemory(setup.limits.memory_mb * 1024 * 1024, options.memory())
+        self.bodies = BodyMemory(setup.limits.memory_mb * 1024 * 1024, options.memory_bytes())
         self.clients = ClientListener(front, self.bodies, sockets)
 
     def _join(self, options: PeersOptions, seed: int) -> "Peers":
@@ -159,7 +159,7 @@
         from finchladder.core.peers.loads import own_counts
         from finchladder.core.peers.membership import Timing
 
-        addresses = options.listing(self.setup.name)
+        addresses = options.addresses_including(self.setup.name)
         rule = Rule(Timing(options.period_s), options.wave_s if options.counts else 0.0)
         self.joined = Peers(
             self.setup.name,
@@ -225,7 +225,7 @@
         )
         self.members = members = membership_actor.MembershipActor(
             sources,
-            own.rules(),
+            own.settings(),
             self.clock,
             membership_actor.EndpointApplier(self.service),
             APPLY_AT_ONCE,
@@ -302,7 +302,7 @@
         """The file of the dispatchers is read again; one that can't be used changes nothing."""
         assert self.options.peers is not None
         try:
-            addresses = self.options.peers.listing(self.setup.name)
+            addresses = self.options.peers.addresses_including(self.setup.name)
         except ValueError as e:
             logger.error("SIGHUP: {}; the dispatchers listed before stay", e)
             return
--- a/finchladder/sim/process.py
+++ b/finchladder/sim/process.py
@@ -8,7 +8,7 @@
 from socket import socket as Socket
 from typing import TYPE_CHECKING, Any, Literal, cast
 
-from finchladder.config.findings import Findings
+from finchladder.config.findings import FindingsError
 from finchladder.config.operator_file import Loaded, load
 from finchladder.config.options import CaptureOptions, Options
 from finchladder.config.platform import DispatcherSetup, read_setup
@@ -130,7 +130,7 @@
 
         def read() -> Loaded:
             found = load(texts[next(reads) % len(texts)], "routes.toml", setup.settings)
-            if isinstance(found, Findings):
+            if isinstance(found, FindingsError):
                 raise found
             return found
 
--- a/tests/config/test_docs.py
+++ b/tests/config/test_docs.py
@@ -11,13 +11,13 @@
 import pytest
 
 from finchladder.cli import front
-from finchladder.config.findings import REMEDIES, Findings
+from finchladder.config.findings import REMEDIES, FindingsError
 from finchladder.config.operator_file import Loaded, load, read
 from finchladder.config.option_files import read_options
 from finchladder.config.render import to_toml
 from finchladder.config.settings import read_settings
-from finchladder.config.toml_schema import DEFAULTS, RouteTable, fields_of, schema, table_in
-from finchladder.config.value_checks import PATTERNS, bounds, choices, meta_of
+from finchladder.config.toml_schema import DEFAULT_TEXTS, RouteTable, field_types, json_schema, nested_table
+from finchladder.config.value_checks import PATTERNS, choices, describe_bounds, outermost_meta
 from tests.config.platform import MEMORY_MB, PLATFORMS
 from tests.peers import ROOT
 
@@ -36,10 +36,10 @@
 
 
 def settings_of(kind: type[msgspec.Struct], prefix: str = "") -> Iterator[tuple[str, Any]]:
-    for name, one in fields_of(kind).items():
-        if name != "match" and (deeper := table_in(one)) is not None:
+    for name, one in field_types(kind).items():
+        if name != "match" and (deeper := nested_table(one)) is not None:
             yield from settings_of(deeper, f"{prefix}{name}.")
-        elif f"{prefix}{name}" in DEFAULTS:
+        elif f"{prefix}{name}" in DEFAULT_TEXTS:
             yield f"{prefix}{name}", one
 
 
@@ -47,14 +47,16 @@
     found = msgspec.inspect.type_info(kind)
     plain = [getattr(t, "type", t) for t in getattr(found, "types", [found])]
     what = next(KINDS[type(t).__name__] for t in plain if type(t).__name__ in KINDS)
-    words = ", ".join(f"`{word}`" for word in choices(kind)) or PATTERNS.get(name, ("", bounds(kind)))[1]
+    words = (
+        ", ".join(f"`{word}`" for word in choices(kind)) or PATTERNS.get(name, ("", describe_bounds(kind)))[1]
+    )
     what = f"{what} of {words}" if choices(kind) else f"{what} {words}".rstrip()
-    return f"| `{name}` | {what} | {DEFAULTS[name]} | {meta_of(kind).description} |"
+    return f"| `{name}` | {what} | {DEFAULT_TEXTS[name]} | {outermost_meta(kind).description} |"
 
 
 def test_the_table_of_settings_is_that_of_the_types() -> None:
     rows = [row(name, kind) for name, kind in settings_of(RouteTable)]
-    assert len(rows) == len(DEFAULTS)
+    assert len(rows) == len(DEFAULT_TEXTS)
     table = PAGE.partition("| setting | value | default | meaning |\n")[2].partition("\n\n")[0]
     assert table.split("\n")[1:] == rows
 
@@ -63,7 +65,7 @@
     assert [code for code, *_ in CODES] == list(REMEDIES)
 
 
-def verdict(code: str, cell: str) -> Loaded | Findings:
+def verdict(code: str, cell: str) -> Loaded | FindingsError:
     text = "\n".join(re.findall(r"`([^`]*)`", cell))
     return load(text, "a.ini" if code == "FL109" else "a.toml", PLATFORMS[VARIANT.get(code, "")], MEMORY_MB)
 
@@ -71,8 +73,8 @@
 @pytest.mark.parametrize(("code", "bad", "mended"), [(c, b, m) for c, _, b, m in CODES if c not in NO_TEXT])
 def test_the_bad_example_has_this_code_and_the_mended_one_none(code: str, bad: str, mended: str) -> None:
     found = verdict(code, bad)
-    assert isinstance(found, Findings)
-    assert [f.code for f in found.all] == [code]
+    assert isinstance(found, FindingsError)
+    assert [f.code for f in found.reported] == [code]
     assert isinstance(verdict(code, mended), Loaded)
 
 
@@ -105,12 +107,12 @@
 
 
 def test_the_schema_has_every_table_and_no_python() -> None:
-    found = schema()
+    found = json_schema()
     text = json.dumps(found)
     assert r"\\A" not in text
     assert r"\\Z" not in text
     limits = found["$defs"]["Limits"]["properties"]
-    assert set(limits) == {name.partition(".")[0] for name in DEFAULTS}
+    assert set(limits) == {name.partition(".")[0] for name in DEFAULT_TEXTS}
     assert limits["timeout_s"]["exclusiveMinimum"] == 0
     assert limits["timeout_s"]["maximum"] == 3600
     assert found["$defs"]["File"]["additionalProperties"] is False
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from finchladder.cli import front
-from finchladder.config.findings import MAX_FINDINGS, REMEDIES, Finding, Findings
-from finchladder.config.operator_file import MOST_BYTES, Loaded, load, read
+from finchladder.config.findings import MAX_FINDINGS, REMEDIES, Finding, FindingsError
+from finchladder.config.operator_file import MAX_FILE_BYTES, Loaded, load, read
 from finchladder.config.option_files import read_options
 from finchladder.config.positions import Position, toml_positions
 from finchladder.core.api import Effect
@@ -27,7 +27,7 @@
 GOOD = [text.replace(" ⏎ ", "\n") for text in CASES["good"]["files"]]
 ODD: list[tuple[str, bytes]] = [  # what can't stand in a file of text
     ("FL102", b"#" * (10 * 1024 * 1024)),
-    ("FL102", b"#" * (MOST_BYTES + 1)),
+    ("FL102", b"#" * (MAX_FILE_BYTES + 1)),
     ("FL103", b"\xff\xfe[\0d\0"),
     ("FL103", "[door]".encode("utf-16")),
     ("FL103", "# Señora\n[door]".encode("latin-1")),
@@ -44,11 +44,11 @@
 ]
 
 
-def codes(found: Loaded | Findings) -> set[str]:
-    return {f.code for f in found.all} if isinstance(found, Findings) else set()
+def codes(found: Loaded | FindingsError) -> set[str]:
+    return {f.code for f in found.reported} if isinstance(found, FindingsError) else set()
 
 
-def loaded(text: str | bytes, name: str = "c.toml") -> Loaded | Findings:
+def loaded(text: str | bytes, name: str = "c.toml") -> Loaded | FindingsError:
     variant = variant_of(text) if isinstance(text, str) else ""
     return load(text, name, PLATFORMS[variant], MEMORY_MB)
 
@@ -113,14 +113,14 @@
 
 def test_the_bounds_themselves_are_within_them() -> None:
     routes = "".join(f"route.r{n} = {{match = {{path = '/view/{n}'}}}}\n" for n in range(MOST_ROUTES))
-    for text in ("#" * MOST_BYTES, routes):
+    for text in ("#" * MAX_FILE_BYTES, routes):
         assert isinstance(loaded(text), Loaded)
 
 
 def test_a_file_that_cannot_be_read(tmp_path: Path) -> None:
     (tmp_path / "a.toml").write_text("nosuch = 1")
     for path, code in (("none.toml", "FL101"), ("", "FL101"), ("a\0b.toml", "FL101"), ("a.toml", "FL111")):
-        with pytest.raises(Findings) as e:
+        with pytest.raises(FindingsError) as e:
             read(str(tmp_path / path))
         assert codes(e.value) == {code}
 
@@ -141,8 +141,8 @@
 "é" = 1; attempts = 9
 """
     found = loaded(text.replace("; ", "\n"))
-    assert isinstance(found, Findings)
-    assert [(f.code, f.line, f.column) for f in found.all] == [
+    assert isinstance(found, FindingsError)
+    assert [(f.code, f.line, f.column) for f in found.reported] == [
         ("FL166", 3, 1),
         ("FL113", 7, 3),
         ("FL119", 8, 22),
@@ -151,8 +151,8 @@
         ("FL164", 14, 1),
     ]
     many = loaded("".join(f"a{n} = 1\n" for n in range(MAX_FINDINGS + 7)))
-    assert isinstance(many, Findings)
-    assert (len(many.all), many.more) == (MAX_FINDINGS, 7)
+    assert isinstance(many, FindingsError)
+    assert (len(many.reported), many.omitted_count) == (MAX_FINDINGS, 7)
     assert str(many).endswith("\nand 7 more findings")
 
 
@@ -177,8 +177,8 @@
 def test_the_remedy_names_the_section_that_can_say_otherwise() -> None:
     for which, where in (("match = {}", "[class.confirm]"), ("class = 'confirm'", "[route.a]")):
         found = loaded(f"defaults.hedge_after = 'p95'\nroute.a = {{{which}}}")
-        assert isinstance(found, Findings)
-        assert found.all[0].remedy.endswith(f"hedge_most = 0 in {where}")
+        assert isinstance(found, FindingsError)
+        assert found.reported[0].remedy.endswith(f"hedge_most = 0 in {where}")
 
 
 def test_serve_is_refused_as_check_says(tmp_path: Path) -> None:
@@ -261,8 +261,8 @@
 ) -> None:
     for name, expected in (("c.ini", ini), ("c.toml", toml)):
         found = loaded(text, name)
-        assert isinstance(found, Findings)
-        assert [(f.code, f.line) for f in found.all] == [expected]
+        assert isinstance(found, FindingsError)
+        assert [(f.code, f.line) for f in found.reported] == [expected]
 
 
 def test_ini_findings_stand_at_their_line() -> None:
@@ -272,8 +272,8 @@
         ("[door]\nrate = 1\nrate = 2", (3, 1)),
     ):
         found = load(text, "c.ini")
-        assert isinstance(found, Findings)
-        assert [(f.code, f.line, f.column) for f in found.all] == [("FL109", *place)]
+        assert isinstance(found, FindingsError)
+        assert [(f.code, f.line, f.column) for f in found.reported] == [("FL109", *place)]
 
 
 # --- places -------------------------------------------------------------------------------------------------
@@ -297,9 +297,9 @@
 
 def test_each_key_has_its_place() -> None:
     places = toml_positions(WALK)
-    assert places.twice is None
-    assert places.deep is None
-    assert {".".join(map(str, path)): tuple(place) for path, place in places.of.items()} == {
+    assert places.duplicate is None
+    assert places.too_deep is None
+    assert {".".join(map(str, path)): tuple(place) for path, place in places.by_path.items()} == {
         "a": (1, 1),
         "b c": (2, 1),
         "b c.d": (2, 1),
@@ -342,11 +342,11 @@
     for text in [WALK, *GOOD, *(text for _, text in BAD)]:
         whole = readable(text)
         places = toml_positions(text)
-        if whole is None or places.deep is not None:
+        if whole is None or places.too_deep is not None:
             continue
-        assert set(places.of) == set(_paths(whole)), text
+        assert set(places.by_path) == set(_paths(whole)), text
         lines = text.split("\n")
-        for path, place in places.of.items():
+        for path, place in places.by_path.items():
             rest = lines[place.line - 1][place.column - 1 :]
             part = next(p for p in reversed(path) if isinstance(p, str))
             assert rest and (part in rest or not part.isidentifier() or isinstance(path[-1], int)), path
@@ -397,9 +397,9 @@
     """It loads or is refused; what loads allows nothing that the class forbids."""
     for platform in (PLATFORMS[""], PLATFORMS["no_copies"], None):
         found = load(data, name, platform, MEMORY_MB)
-        if isinstance(found, Findings):
-            assert found.all
-            assert "\n" not in "".join(map(str, found.all))
+        if isinstance(found, FindingsError):
+            assert found.reported
+            assert "\n" not in "".join(map(str, found.reported))
             continue
         for route in found.routes.all:
             assert platform is not None
--- a/tests/test_believing.py
+++ b/tests/test_believing.py
@@ -10,10 +10,10 @@
 import pytest
 from loguru import logger
 
-from finchladder.config.endpoint_list import EndpointUpdate, read_list, read_long, write_list
+from finchladder.config.endpoint_list import EndpointUpdate, read_list, read_list_in_slices, write_list
 from finchladder.config.options import MembershipOptions
-from finchladder.config.toml_schema import fields_of
-from finchladder.config.value_checks import meta_of
+from finchladder.config.toml_schema import field_types
+from finchladder.config.value_checks import outermost_meta
 from finchladder.core import api
 from finchladder.core.membership.decisions import MembershipSettings, Report, Source
 from finchladder.lab.etcd.server import Etcd
@@ -36,9 +36,9 @@
     news = read_list(GOOD.body)
     assert news.workers == api.WorkerList(api.ListKind.FULL, tuple(e for e, _ in LISTED))
     assert news.addresses == {e.worker: address for e, address in LISTED}
-    assert list(read_long(GOOD.body, 1)) == [None] * 3
+    assert list(read_list_in_slices(GOOD.body, 1)) == [None] * 3
     with pytest.raises(ValueError, match="asleep"):
-        list(read_long(GOOD.body.replace(b"draining", b"asleep"), 1))
+        list(read_list_in_slices(GOOD.body.replace(b"draining", b"asleep"), 1))
 
 
 def log_of(work: Callable[[], Any]) -> tuple[Any, str]:
@@ -134,13 +134,13 @@
     lines = [[cell.strip(" `") for cell in line.split("|")] for line in page.splitlines()]
     rows = {line[1]: line[3:5] for line in lines if len(line) == 6}
     del rows["setting in `[membership]"], rows["---"]
-    assert rows.keys() == fields_of(MembershipOptions).keys()
-    for name, kind in fields_of(MembershipOptions).items():
-        default, meta = getattr(MembershipOptions(), name), meta_of(kind)
+    assert rows.keys() == field_types(MembershipOptions).keys()
+    for name, kind in field_types(MembershipOptions).items():
+        default, meta = getattr(MembershipOptions(), name), outermost_meta(kind)
         told = default if isinstance(default, str) else f"{default:g}" if default else "none"
         least = "" if meta.ge is None else f"{meta.ge:g} to {meta.le}"
         assert (rows[name][0].removesuffix(" s"), rows[name][1]) == (least, told), name
-    rules = {f: getattr(MembershipOptions().rules(), f) for f in MembershipSettings.__dataclass_fields__}
+    rules = {f: getattr(MembershipOptions().settings(), f) for f in MembershipSettings.__dataclass_fields__}
     assert rules == {f: getattr(MembershipSettings(), f) for f in rules}  # what the file leaves out
 
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -625,4 +625,4 @@
 def test_off_there_is_none_of_it() -> None:
     assert OFF.overload is None
     assert HostEnvironment().idle() >= 0
-    assert OverloadOptions().limits(100.0) == OverloadSettings(retry_after_s=60.0)
+    assert OverloadOptions().settings(100.0) == OverloadSettings(retry_after_s=60.0)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -46,7 +46,7 @@
     told: dict[str, str], whole: bool, changed: dict[str, api.WorkerStatus]
 ) -> None:
     table = EndpointTable()
-    table.keep(read_list(line({"a": "ready", "b": "ready", "c": "draining"})))
+    table.apply(read_list(line({"a": "ready", "b": "ready", "c": "draining"})))
     _, change = read(table, line(told, 7, whole))
     assert (change.version, {e.worker: e.state for e in change.entries}) == (7, changed)
     assert set(change.addresses) == {n for n, s in changed.items() if s is not G}
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -51,7 +51,7 @@
     assert command[:4] == ["exec", ".venv/bin/python", "-m", "finchladder"]
     options = read_options(front.parse(command[4:])[1].config)
     assert options == Options(capture=CaptureOptions())
-    assert options.memory() > 3 * 786_432 - 1
+    assert options.memory_bytes() > 3 * 786_432 - 1
     script = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["scripts"]["finchladder"]
     assert script == f"{__main__.__name__}:main"
     assert __main__.main is front.main
