--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -91,7 +91,7 @@
         """The decisions, with the rate limits of routes shared among peers, and their actor."""
         routes = file.loaded.routes if file is not None else None
         share = self._share if peers is not None else None
-        decided = decisions(self.setup.settings, seed, routes, self.options.spilling(), share)
+        decided = decisions(self.setup.settings, seed, routes, self.options.spillover_settings(), share)
         self.dispatcher = decided.inner if isinstance(decided, Guarded) else decided
         self.module = DecisionActor(decided, self.flows, self.clock)
         return decided
@@ -210,7 +210,7 @@
         if self.options.overload is None:
             return
         settings = self.setup.settings
-        limits = self.options.overload.limits(settings.max_retry_after_s)
+        limits = self.options.overload.settings(settings.max_retry_after_s)
         self.admission = Admission(settings.classes, limits, seed, self.clock, self.flows.known, self.machine)
         self.module.starts = self.admission.started
 
@@ -221,7 +221,7 @@
             self.intake, controls, lambda: lists.up, self.servers.called_back, self.admission
         )
         limits = self.setup.limits
-        self.bodies = BodyMemory(limits.memory_mb * 1024 * 1024, self.options.memory())
+        self.bodies = BodyMemory(limits.memory_mb * 1024 * 1024, self.options.memory_bytes())
         self.clients = ClientListener(handler, self.bodies, limits.sockets)
 
     def _join(self, options: PeersOptions, seed: int) -> "Peers":
@@ -231,7 +231,7 @@
         from finchladder.core.peers.loads import own_counts
         from finchladder.core.peers.membership import Timing
 
-        addresses = options.listing(self.setup.name)
+        addresses = options.addresses_including(self.setup.name)
         rule = Rule(Timing(options.period_s), options.wave_s if options.counts else 0.0)
         self.joined = Peers(
             self.setup.name,
@@ -297,7 +297,7 @@
         )
         self.members = members = membership_actor.MembershipActor(
             sources,
-            own.rules(),
+            own.settings(),
             self.clock,
             membership_actor.EndpointApplier(self.service),
             APPLY_AT_ONCE,
@@ -374,7 +374,7 @@
         """The file of the dispatchers is read again; one that can't be used changes nothing."""
         assert self.options.peers is not None
         try:
-            addresses = self.options.peers.listing(self.setup.name)
+            addresses = self.options.peers.addresses_including(self.setup.name)
         except ValueError as e:
             logger.error("SIGHUP: {}; the dispatchers listed before stay", e)
             return
