--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -563,7 +563,7 @@
 class Desk:
     """Answers everything at once; `then` is called in the midst of it."""
 
-    gate = keeper = None
+    admission = None
 
     def __init__(self, then: Callable[[], object] = lambda: None) -> None:
         self.leaving, self.clock, self.then = Leaving(3.0), time.monotonic, then
@@ -571,7 +571,7 @@
         self.flows: Any = SimpleNamespace(open=0)
         self.intake = self
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         self.leaving.begin(self.clock())
 
     async def answer(self, edge: Any, head: Any, body: bytes) -> Reply:
