--- a/finchladder/cli/benchlink.py
+++ b/finchladder/cli/benchlink.py
@@ -1,7 +1,7 @@
-"""Adapter from the bench's text wire to finchladder.core.api and back. It decides nothing.
+"""Adapter between the bench's text protocol and finchladder.core.api; it makes no decisions.
 
-Anything it cannot read ends it with one message on standard error and exit status 2; an exception inside
-the decision module is reported on the wire as FATAL.
+Malformed input ends the process with one message on standard error and exit status 2. An exception inside the
+decision module is reported in the protocol as FATAL.
 """
 
 import base64
@@ -39,14 +39,16 @@
 
 
 class WireError(Exception):
-    """The input is not the wire we know."""
+    """The input doesn't conform to the protocol."""
 
 
 def number(text: str, absent: float = 0.0) -> float:
+    """Parses a number; `-` means absent."""
     return absent if text == "-" else float(text)
 
 
 def read_report(text: str) -> dict[str, float] | None:
+    """Parses a load report, without unknown fields."""
     if text == "-" or not text:
         return None
     pairs = (pair.split(":", 1) for pair in text.split(","))
@@ -54,6 +56,7 @@
 
 
 def read_entry(line: str) -> api.WorkerEntry:
+    """Parses an entry of a worker list."""
     tag, state, weight, born, kind, zone, cell, worker = line.split("\t")
     if tag != "ENTRY":
         raise WireError(f"expected ENTRY, got {tag}")
@@ -63,6 +66,7 @@
 
 
 def read_demand(p: list[str]) -> api.Event:
+    """Parses a request."""
     _, _, req, needs, cls, _, team, memory, key, ttl, expected = p
     return api.Request(
         req,
@@ -77,6 +81,7 @@
 
 
 def read_update(p: list[str]) -> api.Event | None:
+    """Parses a progress report; None if its kind is unknown."""
     _, _, req, go, _, amount, sort = p
     if int(sort) == STARTED:
         return api.Started(req, int(go))
@@ -84,12 +89,14 @@
 
 
 def read_ended(p: list[str]) -> api.Event:
+    """Parses the end of an attempt."""
     _, _, req, _, finished, _, code, took, go, pressure = p
     ending = ENDINGS.get(code, api.Ending.UNKNOWN)
     return api.Ended(req, int(go), ending, finished == "1", number(took), read_report(pressure))
 
 
 def read_probed(p: list[str]) -> api.Event:
+    """Parses the result of a health check."""
     _, _, code, took, worker, pressure = p
     return api.HealthChecked(
         worker, ENDINGS.get(code, api.Ending.UNKNOWN), number(took), read_report(pressure)
@@ -109,10 +116,12 @@
 
 
 def write_send(i: str, a: api.Send) -> str:
+    """Formats a send."""
     return f"DISPATCH\t{i}\t{a.request}\t{a.timeout_s:.6f}\t{a.worker}\n"
 
 
 def write_timer(i: str, a: api.SetTimer) -> str:
+    """Formats a timer."""
     return f"SLEEP\t{i}\t{a.delay_s:.6f}\t{a.token}\n"
 
 
@@ -129,15 +138,17 @@
 
 
 class Link:
-    """Hosts the instances of one process."""
+    """Hosts the dispatchers of one process."""
 
     def __init__(self, lines: Iterator[str], out: TextIO) -> None:
+        """Starts without dispatchers."""
         self.lines = lines
         self.out = out
         self.nodes: dict[str, Dispatcher] = {}
         self.lists: dict[str, tuple[api.WorkerEntry, ...]] = {}
 
     def run(self) -> None:
+        """Handles batches until the input ends."""
         for line in self.lines:
             parts = line.rstrip("\n").split("\t")
             if parts[0] != "BEGIN_BATCH" or len(parts) != 2:
@@ -145,6 +156,7 @@
             self.batch(float(parts[1]))
 
     def batch(self, now: float) -> None:
+        """Handles one batch and writes its reply."""
         reply: list[str] = []
         while (line := self.next_line()) != "EOB":
             tag, _, rest = line.partition("\t")
@@ -173,18 +185,24 @@
         self.out.flush()
 
     def handle(self, i: str, now: float, event: api.Event, reply: list[str]) -> None:
+        """Passes an event to its dispatcher and adds the actions to the reply."""
         node = self.nodes.get(i)
         if node is None:
             raise WireError(f"event for instance {i}, which is not running")
         try:
             actions = node.handle(now, event)
-        except Exception as e:  # the decisions broke: say so on the wire, the run stops there
+        except Exception as e:  # any error of the decision module is reported on the wire, where the run ends
             reply.append(f"FATAL\t{i}\t{type(e).__name__}: {' '.join(str(e).split())}\n")
             return
         for action in actions:
             reply.append(WRITERS[type(action)](i, action))
 
     def next_line(self) -> str:
+        """Returns the next line of a batch.
+
+        Raises:
+            WireError: The input ended.
+        """
         line = next(self.lines, None)
         if line is None or not line.endswith("\n"):
             raise WireError("input ended inside a batch")
@@ -192,15 +210,18 @@
 
 
 def text_lines(stream: BinaryIO) -> Iterator[str]:
+    """Decodes a binary stream to lines."""
     return (line.decode("utf-8") for line in stream)
 
 
 def fail(message: str) -> NoReturn:
+    """Ends the program with exit status 2."""
     print(f"benchlink: {message}", file=sys.stderr)
     sys.exit(2)
 
 
 def main() -> None:
+    """Runs the adapter on standard input and output."""
     try:
         Link(text_lines(sys.stdin.buffer), sys.stdout).run()
     except WireError as e:
--- a/finchladder/cli/calls.py
+++ b/finchladder/cli/calls.py
@@ -1,4 +1,4 @@
-"""The command line's control calls to a running dispatcher, at the address that NODE_LISTEN gives."""
+"""Control calls of the command line to a running dispatcher, by default at NODE_LISTEN."""
 
 import http.client
 import os
@@ -9,26 +9,35 @@
 from finchladder.config.addresses import parse_address
 from finchladder.features.fault_injection import Order
 
-PIECE = 64 * 1024
-KEY = "NODE_DRILL_KEY"  # not an argument: every user of the machine can read those
-JUDGE_KEY = "NODE_JUDGE_KEY"  # likewise
-WITHIN = 10.0
+CHUNK_BYTES = 64 * 1024
+FAULT_INJECTION_KEY_VARIABLE = "NODE_DRILL_KEY"  # not an argument: every user of the machine can read those
+OUTLIER_KEY_VARIABLE = "NODE_JUDGE_KEY"  # likewise
+TIMEOUT_S = 10.0
 
 
 class CallError(Exception):
-    """The dispatcher could not be asked or did not do it; the message says why in one line."""
+    """The dispatcher didn't answer or refused the call; the message is one line."""
 
 
 def connect() -> http.client.HTTPConnection:
+    """Returns a connection to NODE_LISTEN.
+
+    Raises:
+        ValueError: NODE_LISTEN isn't set or can't be parsed.
+    """
     if not os.environ.get("NODE_LISTEN"):
         raise ValueError("NODE_LISTEN is not set")
-    return http.client.HTTPConnection(*parse_address(os.environ["NODE_LISTEN"]), timeout=WITHIN)
+    return http.client.HTTPConnection(*parse_address(os.environ["NODE_LISTEN"]), timeout=TIMEOUT_S)
 
 
 def ask(
     connection: http.client.HTTPConnection, method: str, path: str, body: bytes | None, fields: dict[str, str]
 ) -> http.client.HTTPResponse:
-    """The answer, if it is a 200; its body is still to be read."""
+    """Sends a request and returns a 200 response, its body unread.
+
+    Raises:
+        CallError: There was no answer, or one with another status.
+    """
     try:
         connection.request(method, path, body, fields)
         response = connection.getresponse()
@@ -41,8 +50,8 @@
 
 
 def get(path: str, at: tuple[str, int] | None = None) -> str:
-    """What is answered to a GET, by the dispatcher at that address, or by that at NODE_LISTEN."""
-    connection = http.client.HTTPConnection(*at, timeout=WITHIN) if at is not None else connect()
+    """Returns the body of a GET, from the dispatcher at `at` or at NODE_LISTEN."""
+    connection = http.client.HTTPConnection(*at, timeout=TIMEOUT_S) if at is not None else connect()
     try:
         return ask(connection, "GET", path, None, {}).read().decode()
     finally:
@@ -50,6 +59,12 @@
 
 
 def drill(order: Order, key: str) -> str:
+    """Orders a fault injection and returns the answer.
+
+    Raises:
+        ValueError: The key has other characters than visible ASCII.
+        CallError: The call failed.
+    """
     if not all(" " <= c <= "~" for c in key):
         raise ValueError("the key holds what is not visible ASCII")  # and is not to be printed
     connection = connect()
@@ -57,34 +72,51 @@
         body, fields = msgspec.json.encode(order), {"X-Drill-Key": key} if key else {}
         return ask(connection, "POST", "/_drill", body, fields).read().decode()
     except CallError as e:
-        hint = f"; {KEY} is not set, and no file named by --config has a key in [drill]" if not key else ""
+        hint = (
+            f"; {FAULT_INJECTION_KEY_VARIABLE} is not set, and no file named by --config has a key in [drill]"
+            if not key
+            else ""
+        )
         raise CallError(f"{e}{hint}") from None
     finally:
         connection.close()
 
 
 def judge(order: dict[str, object], key: str, at: tuple[str, int] | None = None) -> str:
-    """Says a word of a real server at that dispatcher, or at that at NODE_LISTEN."""
+    """Overrides outlier detection for a worker, at `at` or at NODE_LISTEN.
+
+    Raises:
+        ValueError: The key has other characters than visible ASCII.
+        CallError: The call failed.
+    """
     if not all(" " <= c <= "~" for c in key):
         raise ValueError("the key holds what is not visible ASCII")
-    connection = http.client.HTTPConnection(*at, timeout=WITHIN) if at is not None else connect()
+    connection = http.client.HTTPConnection(*at, timeout=TIMEOUT_S) if at is not None else connect()
     try:
         fields = {"X-Judge-Key": key} if key else {}
         return ask(connection, "POST", "/_judge", msgspec.json.encode(order), fields).read().decode()
     except CallError as e:
-        hint = f"; {JUDGE_KEY} is not set, and no file by --config has a [judgement] key" if not key else ""
+        hint = (
+            f"; {OUTLIER_KEY_VARIABLE} is not set, and no file by --config has a [judgement] key"
+            if not key
+            else ""
+        )
         raise CallError(f"{e}{hint}") from None
     finally:
         connection.close()
 
 
 def capture_dump() -> Iterator[bytes]:
-    """The ring of the running dispatcher, piece by piece; a cut one is an error."""
+    """Yields the dispatcher's capture in chunks.
+
+    Raises:
+        CallError: The call failed, or the answer was truncated.
+    """
     connection = connect()
     try:
         response = ask(connection, "GET", "/_capture", None, {})
         left = response.length or 0
-        while piece := response.read(PIECE):
+        while piece := response.read(CHUNK_BYTES):
             left -= len(piece)
             yield piece
         if left:
--- a/finchladder/cli/capture.py
+++ b/finchladder/cli/capture.py
@@ -1,4 +1,4 @@
-"""`finchladder capture dump`: what the running dispatcher has recorded."""
+"""`finchladder capture dump`: prints the capture of a running dispatcher."""
 
 import argparse
 import sys
@@ -6,21 +6,24 @@
 import msgspec
 
 from finchladder.cli import calls
-from finchladder.cli.front import fail, takes_config
+from finchladder.cli.front import add_config_option, fail
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
+    """Adds the command's arguments to the parser."""
     commands = parser.add_subparsers(required=True, metavar="COMMAND")
     dump = commands.add_parser("dump", help="write the ring to standard output")
-    takes_config(dump)
+    add_config_option(dump)
     dump.set_defaults(call=run_dump)
 
 
 def run(args: argparse.Namespace) -> None:
+    """Runs the command; errors end the program with a message."""
     args.call(args)
 
 
 def run_dump(args: argparse.Namespace) -> None:
+    """Writes the capture to standard output."""
     try:
         opening = b""
         for piece in calls.capture_dump():
--- a/finchladder/cli/config.py
+++ b/finchladder/cli/config.py
@@ -1,4 +1,4 @@
-"""`finchladder config`: checks the operator's file, explains its routes, converts INI, prints the schema."""
+"""`finchladder config`: checks the operator's file, explains routes, converts INI, prints the schema."""
 
 import argparse
 import os
@@ -18,6 +18,7 @@
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
+    """Adds the command's arguments to the parser."""
     commands = parser.add_subparsers(dest="call", required=True, metavar="COMMAND")
 
     def command(name: str, text: str) -> argparse.ArgumentParser:
@@ -38,11 +39,12 @@
 
 
 def run(args: argparse.Namespace) -> None:
-    {"check": check, "explain": explained, "schema": printed_schema, "convert": convert}[args.call](args)
+    """Runs the command; errors end the program with a message."""
+    {"check": check, "explain": explain_route, "schema": print_schema, "convert": convert}[args.call](args)
 
 
 def platform() -> tuple[api.Settings | None, int | None]:
-    """What NODE_CONFIG says, as a dispatcher would read it; nothing where it is not set."""
+    """Reads NODE_CONFIG as a dispatcher does; returns None for both values if it isn't set."""
     if not os.environ.get("NODE_CONFIG"):
         text = "NODE_CONFIG is not set: checked without the platform's settings"
         print(f"finchladder: {text}", file=sys.stderr)
@@ -55,7 +57,7 @@
 
 
 def check(args: argparse.Namespace) -> None:
-    """Exit status 0 if every file can be used, 2 if not."""
+    """Checks files; exit status 0 if all are valid, else 2."""
     settings, memory_mb = platform()
     verdicts = [_verdict(path, settings, memory_mb) for path in args.files]
     if args.format == "json":
@@ -102,7 +104,8 @@
         sys.exit(2)
 
 
-def explained(args: argparse.Namespace) -> None:
+def explain_route(args: argparse.Namespace) -> None:
+    """Prints the settings of a route with their origins."""
     found = _loaded(args.file)
     names = sorted({r.name for r in found.resolved})
     if args.route not in names:
@@ -114,11 +117,13 @@
         print("\n\n".join(map(str, parts)))
 
 
-def printed_schema(args: argparse.Namespace) -> None:
+def print_schema(args: argparse.Namespace) -> None:
+    """Prints the JSON Schema of a TOML file."""
     print(_json(json_schema()))
 
 
 def convert(args: argparse.Namespace) -> None:
+    """Prints an INI file as TOML."""
     _loaded(args.file)  # nothing comes of a file that can't be used
     try:
         print(to_toml(args.file), end="")
--- a/finchladder/cli/drill.py
+++ b/finchladder/cli/drill.py
@@ -1,4 +1,4 @@
-"""`finchladder drill`: rehearses slow or broken jobs at the running dispatcher."""
+"""`finchladder drill`: starts fault injection at a running dispatcher."""
 
 import argparse
 import os
@@ -6,13 +6,14 @@
 import msgspec
 
 from finchladder.cli import calls
-from finchladder.cli.front import fail, takes_config
+from finchladder.cli.front import add_config_option, fail
 from finchladder.config.option_files import read_options
 from finchladder.features.fault_injection import Order
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
-    takes_config(parser)
+    """Adds the command's arguments to the parser."""
+    add_config_option(parser)
     parser.add_argument("--class", dest="job_class", required=True, metavar="CLASS")
     parser.add_argument("--share", type=float, required=True, help="part of the class's requests, 0 to 1")
     parser.add_argument("--delay-ms", type=float, default=0.0, help="hold them for so long (default: not)")
@@ -23,10 +24,13 @@
 
 
 def run(args: argparse.Namespace) -> None:
+    """Runs the command; errors end the program with a message."""
     try:
         options = read_options(args.config)
         # without one the dispatcher says what it says to all who have no key
-        key = os.environ.get(calls.KEY) or (options.drill and options.drill.key) or ""
+        key = (
+            os.environ.get(calls.FAULT_INJECTION_KEY_VARIABLE) or (options.drill and options.drill.key) or ""
+        )
         order = msgspec.convert(
             {"class": args.job_class, "share": args.share, "delay_ms": args.delay_ms, "for_s": args.for_s}
             | ({"abort_share": args.abort_share} if args.abort_share is not None else {}),
--- a/finchladder/cli/etcd.py
+++ b/finchladder/cli/etcd.py
@@ -1,4 +1,4 @@
-"""`finchladder etcd`: keeps service entries and drain notices in an etcd, as dispatchers follow them."""
+"""`finchladder etcd`: manages service entries and drain notices in etcd."""
 
 import argparse
 import asyncio
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from finchladder.cli.front import fail, takes_config
+from finchladder.cli.front import add_config_option, fail
 from finchladder.config.addresses import parse_address
 from finchladder.config.endpoint_list import ServiceEntry, ServiceList
 from finchladder.config.option_files import read_options
@@ -21,12 +21,13 @@
 from finchladder.net.etcd.client import Client, EtcdError
 from finchladder.net.etcd.keys import Keys
 
-RENEWED = 3  # times within a lease's life that it is kept alive
-AGAIN_S = 0.5  # after a try that failed
+KEEP_ALIVES_PER_TTL = 3  # times within a lease's life that it is kept alive
+RETRY_INTERVAL_S = 0.5  # after a try that failed
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
-    takes_config(parser)
+    """Adds the command's arguments to the parser."""
+    add_config_option(parser)
     parser.add_argument(
         "--endpoint", action="append", metavar="URL", help="in place of [etcd]; may come again"
     )
@@ -81,7 +82,11 @@
 
 
 def options_of(args: argparse.Namespace) -> EtcdOptions:
-    """The file's [etcd], and over it what the command line says. ValueError: it can't be used."""
+    """Returns the options of [etcd], overridden by those of the command line.
+
+    Raises:
+        ValueError: They can't be used.
+    """
     found = read_options(args.config).etcd or EtcdOptions()
     names = ("prefix", "user", "password_file", "ca_file", "cert_file", "key_file")
     given: dict[str, Any] = {name: value for name in names if (value := getattr(args, name)) is not None}
@@ -94,14 +99,15 @@
 
 
 def run(args: argparse.Namespace) -> None:
+    """Runs the command; errors end the program with a message."""
     calls: dict[str, Callable[[Client, argparse.Namespace], Awaitable[None]]] = {
         "register": register,
         "put": put,
         "drain": drain,
         "undrain": undrain,
         "remove": remove,
-        "list": listed,
-        "import": imported,
+        "list": list_entries,
+        "import": import_entries,
     }
 
     async def call(options: EtcdOptions) -> None:
@@ -121,10 +127,15 @@
         sys.exit(130)
 
 
-def entry_of(args: argparse.Namespace, status: str = "ready") -> ServiceEntry:
+def service_entry(args: argparse.Namespace, status: str = "ready") -> ServiceEntry:
+    """Builds a service entry from the arguments.
+
+    Raises:
+        ValueError: An argument can't be used.
+    """
     parse_address(args.address)
     since = args.since_ms if args.since_ms is not None else float(int(time.time() * 1000))
-    named(args.name)
+    check_names(args.name)
     return msgspec.convert(
         {
             "name": args.name,
@@ -140,15 +151,23 @@
     )
 
 
-def named(*names: str) -> None:
+def check_names(*names: str) -> None:
+    """Validates names of workers.
+
+    Raises:
+        ValueError: A name can't be used.
+    """
     for name in names:
         if not name or "/" in name or not name.isprintable():
             raise ValueError(f"{name!r} can't be the name of a real server")
 
 
 async def register(client: Client, args: argparse.Namespace) -> None:
-    """Until SIGTERM or SIGINT; a second one skips the waiting. Away from etcd it tries on."""
-    entry, over = entry_of(args), asyncio.Event()
+    """Registers a worker until SIGTERM or SIGINT, then drains it; a second signal skips the wait.
+
+    While etcd is unreachable it retries.
+    """
+    entry, over = service_entry(args), asyncio.Event()
     again = asyncio.Event()
     if args.ttl < 1 or args.drain_s < 0:
         raise ValueError("--ttl must be 1 or more, and --drain 0 or more")
@@ -166,19 +185,19 @@
                 await client.put(entry, new)
                 lease = new
                 print(f"{entry.name}: listed, lease {lease:x}", file=sys.stderr, flush=True)
-            wait, down = args.ttl / RENEWED, False
+            wait, down = args.ttl / KEEP_ALIVES_PER_TTL, False
         except EtcdError as e:
             if not down:
                 print(f"{entry.name}: {e}; tried again until it answers", file=sys.stderr, flush=True)
-            wait, down = AGAIN_S, True
+            wait, down = RETRY_INTERVAL_S, True
         await _either(over, wait)
     if lease:
-        await client.put(entry_of(args, "draining"), lease)
+        await client.put(service_entry(args, "draining"), lease)
         print(f"{entry.name}: draining", file=sys.stderr, flush=True)
         until = time.monotonic() + args.drain_s
         while not again.is_set() and (left := until - time.monotonic()) > 0:
             await client.keep_alive(lease)
-            await _either(again, min(left, args.ttl / RENEWED))
+            await _either(again, min(left, args.ttl / KEEP_ALIVES_PER_TTL))
         await client.revoke(lease)
         print(f"{entry.name}: out", file=sys.stderr, flush=True)
 
@@ -189,12 +208,14 @@
 
 
 async def put(client: Client, args: argparse.Namespace) -> None:
-    await client.put(entry_of(args))
+    """Adds an entry without a lease."""
+    await client.put(service_entry(args))
     print(f"{args.name}: listed")
 
 
 async def drain(client: Client, args: argparse.Namespace) -> None:
-    named(*args.names)
+    """Adds drain notices."""
+    check_names(*args.names)
     lease = await client.grant(args.ttl) if args.ttl else 0
     for name in args.names:
         await client.drain(name, lease)
@@ -202,22 +223,24 @@
 
 
 async def undrain(client: Client, args: argparse.Namespace) -> None:
-    named(*args.names)
+    """Removes drain notices."""
+    check_names(*args.names)
     for name in args.names:
         was = await client.delete("drain", name)
         print(f"{name}: " + ("drains no more" if was else "there was no notice"))
 
 
 async def remove(client: Client, args: argparse.Namespace) -> None:
-    named(*args.names)
+    """Removes entries and their drain notices."""
+    check_names(*args.names)
     for name in args.names:
         was = await client.delete("members", name)
         await client.delete("drain", name)
         print(f"{name}: " + ("out" if was else "was not listed"))
 
 
-async def listed(client: Client, args: argparse.Namespace) -> None:
-    """Unusable keys go to standard error, as a dispatcher would tell of them."""
+async def list_entries(client: Client, args: argparse.Namespace) -> None:
+    """Prints the entries; unusable keys are reported on standard error."""
     keys = Keys(client.options.prefix)
     async for item in client.all():
         keys.take(item)
@@ -235,15 +258,15 @@
         print("  ".join(f"{one:{width}}" for one, width in zip(row, widths, strict=True)).rstrip())
 
 
-async def imported(client: Client, args: argparse.Namespace) -> None:
-    """A list as discovery answers it, or a platform's file with its `known` list."""
+async def import_entries(client: Client, args: argparse.Namespace) -> None:
+    """Adds all entries of a list in discovery's form, or of the `known` list of a platform file."""
     try:
         data = sys.stdin.read() if args.file == "-" else Path(args.file).read_text("utf-8")
         found = json.loads(data)
         found = found.get("known", found) if isinstance(found, dict) else found
         entries = msgspec.convert(found, ServiceList).endpoints
         for e in entries:
-            named(e.name)
+            check_names(e.name)
             parse_address(e.address)
     except OSError as e:
         raise ValueError(f"{args.file}: {e.strerror}") from None
--- a/finchladder/cli/front.py
+++ b/finchladder/cli/front.py
@@ -1,4 +1,4 @@
-"""The command line's front: finds the command, has its file read the arguments, and runs it."""
+"""Entry point of the command line: imports the command's module, parses its arguments and runs it."""
 
 import argparse
 import os
@@ -22,10 +22,13 @@
 
 
 class Command(Protocol):
-    """What a command's file holds."""
+    """Interface of a command's module."""
 
-    def arguments(self, parser: argparse.ArgumentParser) -> None: ...
-    def run(self, args: argparse.Namespace) -> None: ...
+    def arguments(self, parser: argparse.ArgumentParser) -> None:
+        """Adds the command's arguments to the parser."""
+
+    def run(self, args: argparse.Namespace) -> None:
+        """Runs the command."""
 
 
 def fail(message: str, status: int = 2) -> NoReturn:
@@ -34,7 +37,8 @@
     sys.exit(status)
 
 
-def takes_config(parser: argparse.ArgumentParser) -> None:
+def add_config_option(parser: argparse.ArgumentParser) -> None:
+    """Adds the option --config."""
     # no default: what stands before the command must not be undone by what does not stand after it
     parser.add_argument(
         "--config",
@@ -44,7 +48,8 @@
     )
 
 
-def takes_log_format(parser: argparse.ArgumentParser) -> None:
+def add_log_format_option(parser: argparse.ArgumentParser) -> None:
+    """Adds the option --log-format."""
     parser.add_argument(
         "--log-format",
         choices=("text", "json"),
@@ -54,9 +59,9 @@
 
 
 def parse(argv: Sequence[str] | None = None) -> tuple[Command, argparse.Namespace]:
-    """Without a command it serves; options may stand before the command or after it.
+    """Parses the command line; options may precede or follow the command, `serve` is the default.
 
-    Only the file of the command that was asked for is imported: a dispatcher lives in 32 MB.
+    Only the requested command's module is imported: a dispatcher may have 32 MB only.
     """
     lines = "\n".join(f"  {name:12}{text}" for name, text in COMMANDS.items())
     top = argparse.ArgumentParser(
@@ -65,8 +70,8 @@
         epilog=f"commands:\n{lines}",
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    takes_config(top)
-    takes_log_format(top)
+    add_config_option(top)
+    add_log_format_option(top)
     top.add_argument("command", nargs="?", default="serve", choices=COMMANDS, metavar="COMMAND")
     top.add_argument("rest", nargs=argparse.REMAINDER, help=argparse.SUPPRESS)
     first = top.parse_args(argv)
@@ -80,6 +85,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> None:
+    """Runs the command line."""
     command, args = parse(argv)
     try:
         command.run(args)
--- a/finchladder/cli/judge.py
+++ b/finchladder/cli/judge.py
@@ -1,4 +1,4 @@
-"""`finchladder judge`: what a dispatcher holds of real servers, and the operator's own word on one."""
+"""`finchladder judge`: prints a dispatcher's outlier detection, or overrides it for one worker."""
 
 import argparse
 import os
@@ -7,7 +7,7 @@
 import msgspec
 
 from finchladder.cli import calls
-from finchladder.cli.front import fail, takes_config
+from finchladder.cli.front import add_config_option, fail
 from finchladder.config.addresses import parse_address
 from finchladder.config.option_files import read_options
 
@@ -15,6 +15,7 @@
 
 
 def duration(text: str) -> float:
+    """Parses a duration such as 90s, 10m or 1h to seconds."""
     try:
         return float(text[:-1]) * UNITS[text[-1]]
     except (ValueError, KeyError, IndexError):
@@ -22,7 +23,8 @@
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
-    takes_config(parser)
+    """Adds the command's arguments to the parser."""
+    add_config_option(parser)
     parser.add_argument(
         "server", nargs="?", metavar="NAME", help="of a real server; without one: who is in question"
     )
@@ -38,15 +40,18 @@
 
 
 def run(args: argparse.Namespace) -> None:
+    """Runs the command; errors end the program with a message."""
     try:
         at = parse_address(args.at) if args.at else None
         if (args.server is None) != (args.stance is None):
             raise ValueError("a NAME and one of --out, --in, --let go together")
         if args.server is None:
-            sys.stdout.write("".join(f"{line}\n" for line in lines(calls.get("/_judge", at))))
+            sys.stdout.write("".join(f"{line}\n" for line in format_answer(calls.get("/_judge", at))))
             return
         options = read_options(args.config)
-        key = os.environ.get(calls.JUDGE_KEY) or (options.judgement and options.judgement.key) or ""
+        key = (
+            os.environ.get(calls.OUTLIER_KEY_VARIABLE) or (options.judgement and options.judgement.key) or ""
+        )
         order = {"server": args.server, "stance": args.stance, "for_s": args.for_s, "why": args.why}
         print(calls.judge(order, key, at), end="")
     except ValueError as e:
@@ -55,7 +60,8 @@
         fail(str(e), 1)
 
 
-def lines(shown: str) -> list[str]:
+def format_answer(shown: str) -> list[str]:
+    """Formats the dispatcher's answer, a line for each worker."""
     found = []
     for held in msgspec.json.decode(shown):
         of = f" for {held['class']}" if "class" in held else ""
--- a/finchladder/cli/lab.py
+++ b/finchladder/cli/lab.py
@@ -1,4 +1,4 @@
-"""`finchladder lab`: plays experiments against dispatchers on loopback, judges and shows them."""
+"""`finchladder lab`: runs experiments against dispatchers on loopback and reports on them."""
 
 import argparse
 import sys
@@ -14,12 +14,13 @@
     from finchladder.lab.check import Variant
     from finchladder.lab.show import Show
 
-RUNS = Path("lab-runs")  # where runs go unless --out says otherwise
-MOST_LINES = 5  # dispatchers with a line each; more are told of in sum
-SHIPPED = Path(__file__).resolve().parents[2] / "benchmarks"
+RUNS_FOLDER = Path("lab-runs")  # where runs go unless --out says otherwise
+MAX_DISPATCHER_LINES = 5  # dispatchers with a line each; more are told of in sum
+EXPERIMENTS_FOLDER = Path(__file__).resolve().parents[2] / "benchmarks"
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
+    """Adds the command's arguments to the parser."""
     commands = parser.add_subparsers(dest="lab", required=True, metavar="COMMAND")
 
     def command(name: str, text: str) -> argparse.ArgumentParser:
@@ -87,7 +88,10 @@
 
 
 def run(args: argparse.Namespace) -> None:
-    """Status 0: played, and valid; 1: it failed or is no result; 2: unusable; 128 + number: a signal."""
+    """Runs the command.
+
+    Exit status 0: valid; 1: failed or not valid; 2: unusable input; 128 + number: ended by a signal.
+    """
     if args.lab == "list":
         list_shipped()
         return
@@ -118,18 +122,23 @@
 
 
 def list_shipped() -> None:
-    for path in sorted(SHIPPED.glob("*.toml")):
+    """Prints the experiments that are included."""
+    for path in sorted(EXPERIMENTS_FOLDER.glob("*.toml")):
         about = str(tomllib.loads(path.read_text("utf-8")).get("about", "")).split("\n")[0]
         print(f"benchmarks/{path.name:24} {about}")
 
 
-def place(out: Path | None, name: str) -> Path:
-    """The folder that was asked for, or the next one that is free."""
+def output_folder(out: Path | None, name: str) -> Path:
+    """Returns the requested output folder, or the next unused one.
+
+    Raises:
+        Unusable: The folder isn't empty or can't be created.
+    """
     from finchladder.lab.check import Unusable
 
     try:
         if out is None:
-            out = next(p for n in count(1) if not (p := RUNS / f"{name}-{n}").exists())
+            out = next(p for n in count(1) if not (p := RUNS_FOLDER / f"{name}-{n}").exists())
         elif out.is_dir() and any(out.iterdir()):
             raise Unusable(f"{out}: holds something already; --out takes an empty or new folder")
         out.mkdir(parents=True, exist_ok=True)
@@ -138,8 +147,8 @@
     return out.resolve()
 
 
-def play_one(variant: "Variant", out: Path, show: "Show") -> dict[str, Any]:
-    """Its summary, after it was told."""
+def run_variant(variant: "Variant", out: Path, show: "Show") -> dict[str, Any]:
+    """Runs one variant, prints its summary and returns it."""
     from finchladder.lab.run import play
 
     folder = out / variant.label if variant.label else out
@@ -147,12 +156,16 @@
     play(variant.experiment, variant.folder, folder, show)
     show.close()
     summary = write(folder)
-    tell(summary, folder, variant.label)
+    print_summary(summary, folder, variant.label)
     return summary
 
 
 def write(folder: Path) -> dict[str, Any]:
-    """summary.json and report.html of a run's folder. Unusable: it holds no run."""
+    """Writes summary.json and report.html of a run's folder.
+
+    Raises:
+        Unusable: The folder holds no run.
+    """
     from finchladder.lab import figures, report
     from finchladder.lab.check import Unusable
 
@@ -164,14 +177,14 @@
     return summary
 
 
-def _together(processes: Iterable[dict[str, float]]) -> dict[str, float]:
-    """What they take in sum."""
+def _total_usage(processes: Iterable[dict[str, float]]) -> dict[str, float]:
+    """Returns the sums of the processes' resource usage."""
     several = list(processes)
     return {key: sum(p[key] for p in several) for key in ("cpu", "rss_mb", "fds", "starts")}
 
 
-def tell(summary: dict[str, Any], folder: Path, label: str) -> None:
-    """A run in about ten lines."""
+def print_summary(summary: dict[str, Any], folder: Path, label: str) -> None:
+    """Prints the summary of a run."""
     s = summary
     rules = ", ".join(f"{name} {n}" for name, n in s["rules"].items())
     name = f"{s['name']} {label}".strip()
@@ -189,10 +202,10 @@
         from finchladder.lab import spread
 
         lines.append(spread.rows([("  spread", s["spread"]), *s["spread"]["windows"].items()]))
-    used = {**s["dispatchers"], "the lab": _together(s["lab"].values())}
-    if len(s["dispatchers"]) > MOST_LINES:
+    used = {**s["dispatchers"], "the lab": _total_usage(s["lab"].values())}
+    if len(s["dispatchers"]) > MAX_DISPATCHER_LINES:
         used = {
-            f"{len(s['dispatchers'])} dispatchers": _together(s["dispatchers"].values()),
+            f"{len(s['dispatchers'])} dispatchers": _total_usage(s["dispatchers"].values()),
             "the lab": used["the lab"],
         }
     for name, d in used.items():
@@ -202,23 +215,24 @@
 
 
 def run_file(args: argparse.Namespace, show: "Show") -> bool:
+    """Runs all variants of an experiment; returns whether all were valid."""
     from finchladder.lab import sweep
     from finchladder.lab.check import Unusable, load
 
     if args.repeats is not None and args.repeats < 1:
         raise Unusable("--repeats: at least 1")
     variants = load(args.file, args.sets, args.seed, args.repeats)
-    out = place(args.out, variants[0].experiment.name)
+    out = output_folder(args.out, variants[0].experiment.name)
     if len(variants) > 1:
         sweep.note(out, [sweep.Played(v.label, v.settings, v.repeat) for v in variants])
-    valid = [play_one(v, out, show)["valid"] for v in variants]
+    valid = [run_variant(v, out, show)["valid"] for v in variants]
     if len(variants) > 1:
         print(f"{sweep.write(out)}{out / 'sweep.html'}")
     return all(valid)
 
 
 def compare_two(args: argparse.Namespace, show: "Show") -> bool:
-    """In turn: A, B, A, B.., pair k of both with the seed plus k."""
+    """Runs two experiments alternately and compares them; pair k has the seed plus k."""
     from finchladder.lab import compare
     from finchladder.lab.check import Unusable, load
 
@@ -237,10 +251,10 @@
         raise Unusable(
             "compare: A and B are the same; a second file, --rev-a/-b or --set-a/-b tells them apart"
         )
-    out = place(args.out, f"{a[0].experiment.name}-compare")
+    out = output_folder(args.out, f"{a[0].experiment.name}-compare")
     pairs: dict[str, list[tuple[dict[str, Any], dict[str, Any]]]] = {}
     for va, vb in zip(a, b, strict=True):
-        found = [play_one(v, out / side, show) for side, v in (("a", va), ("b", vb))]
+        found = [run_variant(v, out / side, show) for side, v in (("a", va), ("b", vb))]
         point = ", ".join(f"{name} {value}" for name, value in va.settings.items())
         pairs.setdefault(point, []).append((found[0], found[1]))
     text = ""
@@ -253,12 +267,13 @@
 
 
 def report_folder(args: argparse.Namespace, show: "Show") -> bool:
+    """Rewrites the reports of a run's folder."""
     from finchladder.lab import sweep
     from finchladder.lab.check import Unusable
 
     folder = args.folder.resolve()
     if not (folder / "runs.json").exists():
-        tell(write(folder), folder, "")
+        print_summary(write(folder), folder, "")
         return True
     try:
         for played in sweep.noted(folder):
@@ -271,7 +286,7 @@
 
 
 def floor_file(args: argparse.Namespace, show: "Show") -> bool:
-    """The floors of each variant of a file, as a table each; with --into, those of the first go there."""
+    """Prints the floors of each variant; with --into, those of the first are written there."""
     import msgspec
 
     from finchladder.lab import decisions, floor, spread
@@ -303,6 +318,7 @@
 
 
 def judge_folder(args: argparse.Namespace, show: "Show") -> bool:
+    """Prints the findings of the rules in a run; returns whether there are none."""
     from finchladder.lab import judge, ledger
     from finchladder.lab.check import Unusable
 
@@ -317,11 +333,14 @@
 
 
 def serve_file(args: argparse.Namespace, show: "Show") -> bool:
+    """Runs an experiment's deployment without load until it is interrupted."""
     from finchladder.lab.check import load
     from finchladder.lab.run import serve
 
     variant = load(args.file, args.sets, args.seed, 1)[0]
-    serve(variant.experiment, variant.folder, place(args.out, f"{variant.experiment.name}-serve"), show)
+    serve(
+        variant.experiment, variant.folder, output_folder(args.out, f"{variant.experiment.name}-serve"), show
+    )
     return True
 
 
--- a/finchladder/cli/peers.py
+++ b/finchladder/cli/peers.py
@@ -12,6 +12,7 @@
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
+    """Adds the command's arguments to the parser."""
     commands = parser.add_subparsers(dest="call", required=True, metavar="COMMAND")
     show = commands.add_parser("show", help="members, budgets and counts, as one dispatcher has them")
     show.add_argument("--at", metavar="HOST:PORT", help="which one (default: NODE_LISTEN)")
@@ -19,6 +20,7 @@
 
 
 def run(args: argparse.Namespace) -> None:
+    """Runs the command; errors end the program with a message."""
     try:
         shown = calls.get("/_peers", parse_address(args.at) if args.at else None)
     except (ValueError, calls.CallError) as e:
@@ -27,12 +29,13 @@
         sys.stdout.write(shown)
         return
     try:
-        sys.stdout.write("".join(f"{line}\n" for line in lines(msgspec.json.decode(shown))))
+        sys.stdout.write("".join(f"{line}\n" for line in format_answer(msgspec.json.decode(shown))))
     except (msgspec.MsgspecError, KeyError, TypeError) as e:
         fail(f"the answer can't be read: {e}", 1)
 
 
-def lines(shown: dict[str, Any]) -> list[str]:
+def format_answer(shown: dict[str, Any]) -> list[str]:
+    """Formats the dispatcher's answer."""
     members = shown["members"]
     count = {s: sum(m["standing"] == s for m in members) for s in ("alive", "suspected", "gone")}
     told = ", ".join(f"{n} {standing}" for standing, n in count.items())
--- a/finchladder/cli/replay.py
+++ b/finchladder/cli/replay.py
@@ -1,10 +1,10 @@
-"""`finchladder replay`: decides a capture anew, and prints what differs."""
+"""`finchladder replay`: repeats the decisions of a capture and prints the differences."""
 
 import argparse
 import os
 import sys
 
-from finchladder.cli.front import fail, takes_config
+from finchladder.cli.front import add_config_option, fail
 from finchladder.config.option_files import read_options
 from finchladder.config.options import is_toml
 from finchladder.config.platform import read_platform_file
@@ -13,12 +13,16 @@
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
-    takes_config(parser)
+    """Adds the command's arguments to the parser."""
+    add_config_option(parser)
     parser.add_argument("file", metavar="FILE", help="a capture, or - for standard input")
 
 
 def run(args: argparse.Namespace) -> None:
-    """Exit status as diff's: 0 all as it was, 1 some differs, 2 it can't be read."""
+    """Replays the file.
+
+    Exit status 0: all decisions are the same; 1: some differ; 2: the file can't be read.
+    """
 
     def warn(text: str) -> None:
         print(f"finchladder: {args.file}: {' '.join(text.split())}", file=sys.stderr)
--- a/finchladder/cli/serve.py
+++ b/finchladder/cli/serve.py
@@ -1,4 +1,4 @@
-"""`finchladder serve`, the default: reads what it is told, and runs one dispatcher."""
+"""`finchladder serve`, the default: reads the configuration and runs one dispatcher."""
 
 import argparse
 import asyncio
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from finchladder.cli.front import fail, takes_config, takes_log_format
+from finchladder.cli.front import add_config_option, add_log_format_option, fail
 from finchladder.config.errors import InvalidFileError
 from finchladder.config.option_files import read_options
 from finchladder.config.options import Options, is_toml
@@ -20,28 +20,33 @@
 from finchladder.net.host_environment import HostEnvironment, Selector
 from finchladder.net.node import DispatcherNode, OperatorFile
 
-THRESHOLDS = 5000, 10, 8  # of the third generation: a full look after some 400,000 more objects, 50 MB
+GC_THRESHOLDS = 5000, 10, 8  # of the third generation: a full look after some 400,000 more objects, 50 MB
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
-    takes_config(parser)
-    takes_log_format(parser)
+    """Adds the command's arguments to the parser."""
+    add_config_option(parser)
+    add_log_format_option(parser)
     parser.set_defaults(log_format="text")
 
 
 class ToLoguru(logging.Handler):
+    """Forwards records of the standard library's logging to loguru."""
+
     def emit(self, record: logging.LogRecord) -> None:
+        """Logs the record."""
         logger.opt(exception=record.exc_info).log(record.levelname, record.getMessage())
 
 
 def log_to(sink: TextIO, node: str, log_format: str) -> int:
-    """As text, or as one JSON object a line: `text`, and `record` with what was bound to it in `extra`."""
+    """Configures logging as text, or as one JSON object a line; returns the sink's id."""
     logger.remove()
     logger.configure(extra={"node": node})  # the text does not show it
     return logger.add(sink, level="INFO", backtrace=False, diagnose=False, serialize=log_format == "json")
 
 
 def read_file(path: str, setup: DispatcherSetup) -> OperatorFile:
+    """Reads the operator's TOML file, with a callable that reads it again."""
     from finchladder.config.operator_file import read  # what a dispatcher with an INI file need not load
 
     again = partial(read, path, setup.settings, setup.limits.memory_mb)
@@ -51,15 +56,17 @@
 async def serve(
     setup: DispatcherSetup, options: Options, file: OperatorFile | None, machine: HostEnvironment
 ) -> None:
+    """Runs the dispatcher until it is shut down."""
     # jobs leave no cycles, so the collector finds next to nothing, but each full look at 10,000 real servers
     # would hold up the loop for 100 ms and more: it comes seldom, and not at what stays
-    gc.set_threshold(*THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
     node = DispatcherNode(setup, options, partial(read_setup, os.environ), machine, file=file)
     machine.keep()
     await node.serve()
 
 
-def play(setup: DispatcherSetup, options: Options, file: OperatorFile | None) -> None:
+def run_dispatcher(setup: DispatcherSetup, options: Options, file: OperatorFile | None) -> None:
+    """Creates the event loop and runs the dispatcher on it."""
     if options.overload is None:
         asyncio.run(serve(setup, options, file, HostEnvironment(keep=gc.freeze)))
         return
@@ -70,6 +77,7 @@
 
 
 def run(args: argparse.Namespace) -> None:
+    """Runs the command; errors end the program with a message."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop handles it: it must never end the process
     try:
         setup = read_setup(os.environ)
@@ -86,6 +94,6 @@
     log_to(sys.stderr, setup.name, args.log_format)
     logging.basicConfig(handlers=[ToLoguru()], level=logging.WARNING)
     try:
-        play(setup, options, file)
+        run_dispatcher(setup, options, file)
     except OSError as e:
         fail(f"cannot listen at {setup.listen[0]}:{setup.listen[1]}: {e.strerror}")
--- a/finchladder/cli/sim.py
+++ b/finchladder/cli/sim.py
@@ -1,4 +1,4 @@
-"""`finchladder sim`: the program on a virtual clock and network, with faults from a seed."""
+"""`finchladder sim`: runs the program on a virtual clock and network, with seeded faults."""
 
 import argparse
 import os
@@ -13,6 +13,7 @@
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
+    """Adds the command's arguments to the parser."""
     parser.description = "The program on a virtual clock and network, with faults from a seed."
     commands = parser.add_subparsers(dest="action", required=True, metavar="ACTION")
 
@@ -75,6 +76,7 @@
 
 
 def run(args: argparse.Namespace) -> None:
+    """Runs the command; errors end the program with a message."""
     from finchladder.sim.run import LOG
 
     LOG.keep()
--- a/finchladder/features/admission_limits.py
+++ b/finchladder/features/admission_limits.py
@@ -1,4 +1,4 @@
-"""Door limits: token buckets by client address. No clock, no sockets: times and addresses are handed in."""
+"""Admission limits by client address: token buckets. Times and addresses are arguments; no I/O."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -6,13 +6,17 @@
 
 from finchladder.config.options import DoorOptions, Options
 
-SLACK = 1e-6  # seconds: a client that comes back exactly when told to must not be early by a rounding
+SLACK = 1e-6  # seconds: rounding must not make a client early that retries exactly at the announced time
 
 
 class Buckets:
-    """A bucket for each address, kept as the time at which it is full again: full buckets need no entry."""
+    """Token buckets by address.
+
+    A bucket is stored as the time at which it is full again, so full buckets need no entry.
+    """
 
     def __init__(self, options: DoorOptions) -> None:
+        """Starts with all buckets full."""
         self.interval = 1 / options.rate
         self.room = (options.burst - 1) * self.interval + SLACK
         self.max_keys = options.max_keys
@@ -21,7 +25,11 @@
         self.start: float | None = None
 
     def take(self, now: float, address: str) -> float:
-        """Takes a token: 0.0, or the seconds until the next one returns where there is none."""
+        """Takes a token of an address.
+
+        Returns:
+            0.0, or the seconds until the next token if there is none.
+        """
         if self.start is None:
             self.start = now
         now -= self.start
@@ -37,21 +45,28 @@
 
 
 class Limits(Protocol):
-    def take(self, now: float, address: str) -> float: ...
+    """A rate limit by client address."""
+
+    def take(self, now: float, address: str) -> float:
+        """Takes a token; returns 0.0, or the seconds until the next one."""
+        ...
 
 
 class Door:
+    """The admission limits of all job classes."""
+
     def __init__(self, options: Options) -> None:
+        """Creates the buckets of the general limit and of classes with one of their own."""
         self.general: Limits | None = Buckets(options.door) if options.door is not None else None
         self.of_class: dict[str, Limits] = {name: Buckets(o) for name, o in options.door_of.items()}
 
     def share(self, options: Options, make: Callable[[str, DoorOptions], Limits]) -> None:
-        """Has the limits be those of all dispatchers together, each by a name of its own."""
+        """Replaces the limits by ones that are shared by all dispatchers, each with a unique name."""
         if options.door is not None:
             self.general = make("door", options.door)
         self.of_class = {name: make(f"door.{name}", o) for name, o in options.door_of.items()}
 
     def turn_away(self, now: float, address: str, job_class: str) -> float:
-        """0.0: come in; else the seconds after which a token is back."""
+        """Returns 0.0 if a request is admitted, else the seconds until the next token."""
         buckets = self.of_class.get(job_class, self.general)
         return buckets.take(now, address) if buckets is not None else 0.0
--- a/finchladder/features/capture.py
+++ b/finchladder/features/capture.py
@@ -1,7 +1,7 @@
-"""Capture: what goes into the decisions and comes out of them, as JSON lines in a ring. No clock, no sockets.
+"""Capture: inputs and decisions as JSON lines in a ring of bounded size. No clock and no I/O.
 
-An input's line and those of its decisions make one block. The ring is made of segments; each but the first
-begins with the state of the decisions, so that it can be replayed though the start is lost.
+An input's line and those of its decisions form a block. The ring consists of segments; each but the first
+begins with a snapshot of the state, so that it can be replayed although the start was dropped.
 """
 
 import math
@@ -18,12 +18,16 @@
 from finchladder.features.fault_injection import Order
 from finchladder.features.request_admission import Verdict
 
-PARTS = 8  # segments in a full ring: what is lost at once when the oldest goes
-OPENING = 256  # bytes kept free for the first line of a dump
-PIECE = 64 * 1024
-MOST_SKIPPED = 64  # times that no state is tried after one that was too large
-AGAIN = 10.0  # seconds until a new file is tried after one that could not be written
-REPORT, NAME = 16, 32  # values of a load report, and letters of their names; no decision looks at it today
+SEGMENTS_PER_RING = 8  # segments in a full ring: the oldest is dropped at once
+OPENING_LINE_BYTES = 256  # bytes reserved for the first line of a dump
+CHUNK_BYTES = 64 * 1024
+MAX_SKIPPED_SNAPSHOTS = 64  # snapshots not attempted after one that was too large
+FILE_RETRY_INTERVAL_S = 10.0  # seconds until a new file is tried after one that could not be written
+# bounds of a load report that is recorded; no decision depends on reports today
+MAX_REPORT_VALUES = 16
+MAX_REPORT_NAME_LENGTH = (
+    32  # values of a load report, and letters of their names; no decision looks at it today
+)
 
 STATES = {
     Ending.OK: "done",
@@ -41,7 +45,7 @@
 
 
 def in_line(t: float, e: api.Event | NewRoutes) -> Line:
-    """`t` is written with all the digits that bring back the very same float."""
+    """Encodes an input as a line; `t` has all digits, so that decoding restores the same float."""
     if isinstance(e, api.Request):
         line: Line = {"t": t, "in": "request", "id": e.id, "class": e.job_class, "patience": e.timeout_s}
         more = {"slots": e.slots, "key": e.key, "tenant": e.tenant, "memory": e.memory, "hint": e.work_hint}
@@ -75,11 +79,12 @@
 
 
 def _report(report: dict[str, float]) -> dict[str, float]:
-    usable = [(n, v) for n, v in report.items() if len(n) <= NAME and math.isfinite(v)]
-    return dict(usable[:REPORT])
+    usable = [(n, v) for n, v in report.items() if len(n) <= MAX_REPORT_NAME_LENGTH and math.isfinite(v)]
+    return dict(usable[:MAX_REPORT_VALUES])
 
 
 def out_line(t: float, a: api.Action) -> Line:
+    """Encodes an action as a line."""
     if isinstance(a, api.Send):
         line: Line = {"t": t, "out": "send", "id": a.request, "server": a.worker}
         return line | ({"timeout": a.timeout_s} if a.timeout_s else {})
@@ -99,45 +104,59 @@
 
 
 def decided_lines(t: float, actions: Sequence[api.Action], error: Exception | None) -> list[Line]:
+    """Encodes the dispatcher's actions, or the error in place of them."""
     if error is not None:
         return [{"t": t, "out": "error", "error": type(error).__name__}]
     return [out_line(t, a) for a in actions]
 
 
-def judged_lines(t: float, id: str, verdict: Verdict) -> list[Line]:
-    """A request that is let through at once has no line of its own."""
+def judged_lines(t: float, request_id: str, verdict: Verdict) -> list[Line]:
+    """Encodes the decision on a request; one that is admitted at once has no line."""
     if verdict.wait > 0:
-        return [{"t": t, "out": "turn_away", "id": id, "retry_after": verdict.wait}]
+        return [{"t": t, "out": "turn_away", "id": request_id, "retry_after": verdict.wait}]
     if (drill := verdict.drill) is not None:
-        return [{"t": t, "out": "drill", "id": id, "hold": drill.hold, "abort": drill.abort}]
+        return [{"t": t, "out": "drill", "id": request_id, "hold": drill.hold, "abort": drill.abort}]
     return []
 
 
 def ordered_lines(t: float, order: Order, until: float | None) -> list[Line]:
+    """Encodes the answer to an order for fault injection."""
     return [{"t": t, "out": "drill", "class": order.job_class, "until": until}] if until is not None else []
 
 
-def block_of(lines: Sequence[Line]) -> bytes:
+def encode_block(lines: Sequence[Line]) -> bytes:
+    """Joins encoded lines to a block."""
     return b"".join(encode(line) + b"\n" for line in lines)
 
 
 class Segment:
+    """Consecutive blocks, after a snapshot of the state."""
+
     __slots__ = ("start", "blocks", "size")
 
     def __init__(self, start: bytes | None) -> None:
+        """Starts without blocks."""
         self.start = start  # the state's line; empty at the very start; None where it is not known
         self.blocks: list[bytes] = []
         self.size = len(start or b"")
 
 
 class Ring:
+    """Segments of bounded total size; the oldest are dropped first."""
+
     def __init__(self, most: int) -> None:
-        self.most = most - OPENING
+        """Starts empty.
+
+        Args:
+            most: The maximum size in bytes.
+        """
+        self.most = most - OPENING_LINE_BYTES
         self.segments = deque([Segment(b"")])
         self.size = self.lost = 0  # bytes held, and inputs that are not held any more
-        self.next_at = self.most // PARTS
+        self.next_at = self.most // SEGMENTS_PER_RING
 
     def add(self, block: bytes) -> None:
+        """Appends a block."""
         last = self.segments[-1]
         last.blocks.append(block)
         last.size += len(block)
@@ -154,40 +173,41 @@
             self.next_at = 0
 
     def wants_state(self) -> bool:
+        """Returns whether a new segment is due."""
         return self.segments[-1].size >= self.next_at
 
     @property
     def room(self) -> int:
-        """Bytes of the largest state that it takes."""
+        """Maximum size of a snapshot in bytes."""
         return self.most // 4
 
     def begin(self) -> Segment:
-        """A segment that begins here; the state of this moment may follow."""
+        """Starts a new segment; a snapshot of this moment may follow."""
         segment = Segment(None)
         self.segments.append(segment)
-        self.next_at = self.most // PARTS
+        self.next_at = self.most // SEGMENTS_PER_RING
         return segment
 
     def state(self, segment: Segment, state: bytes) -> None:
-        """What the segment begins with. One too large is left out, as is one whose segment was lost."""
+        """Sets the snapshot of a segment; ignored if it is too large or the segment was dropped."""
         if len(state) > self.room or segment not in self.segments:
             return
         segment.start = state
         segment.size += len(state)
         self.size += len(state)
         if segment is self.segments[-1]:
-            self.next_at = len(state) + self.most // PARTS
+            self.next_at = len(state) + self.most // SEGMENTS_PER_RING
         while self.size > self.most:
             self._drop_oldest()
 
     def gap(self) -> None:
-        """An input was missed: what is held leads to nothing that comes."""
+        """Records a missed input, after which the earlier blocks can't be continued."""
         self.lost += 1
         while len(self.segments) > 1 or self.segments[0].blocks or self.segments[0].start is not None:
             self._drop_oldest()
 
     def content(self) -> tuple[int, list[bytes]]:
-        """The inputs lost before it, and its lines: from the first segment on that can be replayed."""
+        """Returns the number of inputs dropped before, and the lines from the first replayable segment."""
         lost, segments = self.lost, list(self.segments)
         while len(segments) > 1 and segments[0].start is None:
             lost += len(segments.pop(0).blocks)
@@ -195,13 +215,13 @@
         return lost, lines + [block for s in segments for block in s.blocks]
 
 
-def pieces(lines: Sequence[bytes]) -> Iterator[bytes]:
-    """The same bytes in pieces of bounded size."""
+def chunks(lines: Sequence[bytes]) -> Iterator[bytes]:
+    """Yields the same bytes in chunks of bounded size."""
     piece = bytearray()
     for line in lines:
-        for at in range(0, len(line), PIECE):
-            part = line[at : at + PIECE]
-            if len(piece) + len(part) > PIECE:
+        for at in range(0, len(line), CHUNK_BYTES):
+            part = line[at : at + CHUNK_BYTES]
+            if len(piece) + len(part) > CHUNK_BYTES:
                 yield bytes(piece)
                 piece.clear()
             piece += part
@@ -210,52 +230,73 @@
 
 
 class Sink(Protocol):
-    """Where files go. Neither call may wait; False: it was not taken, or an earlier one went wrong."""
+    """Destination of files.
+
+    Neither call blocks; False means that the data wasn't accepted or an earlier call failed.
+    """
+
+    def open(self, data: bytes) -> bool:
+        """Starts a new file with this content."""
 
-    def open(self, data: bytes) -> bool: ...
-    def write(self, data: bytes) -> bool: ...
+    def write(self, data: bytes) -> bool:
+        """Appends to the current file."""
 
 
 class States(Protocol):
-    """Writes the state of the moment at which it begins, in steps; `size`: bytes written so far."""
+    """Incremental snapshot of the state at the time of `begin`; `size` is the number of bytes so far."""
 
     size: int
 
-    def begin(self) -> None: ...
-    def step(self) -> bytes | None: ...
-    def drop(self) -> None: ...
+    def begin(self) -> None:
+        """Starts a snapshot."""
+
+    def step(self) -> bytes | None:
+        """Does one step; returns the encoded snapshot after the last one."""
+
+    def drop(self) -> None:
+        """Discards the current snapshot."""
 
 
-class Beginning:
-    """A state that is being written, and what came since its moment where a file is to begin with both."""
+class PendingSnapshot:
+    """A snapshot in progress, and the blocks since its start if a file is to begin with both."""
 
     def __init__(self, t: float, inputs: int, segment: Segment | None, for_file: bool) -> None:
+        """Starts without blocks."""
         self.t, self.inputs, self.segment, self.for_file = t, inputs, segment, for_file
         self.since: list[bytes] = []
 
 
 class Capture:
-    """`states` writes the decisions' present state; `sink` is there where files are to be written.
+    """Records inputs and decisions.
 
-    `soon` calls what it is given a little later, once what waits has had its turn: a state takes as many
-    steps as there are real servers and jobs. Where it is not set, they are taken at once.
+    `soon` schedules a callback after pending work, as a snapshot takes a step for each worker and job. If it
+    isn't set, the steps run at once.
     """
 
     def __init__(self, options: CaptureOptions, seed: str, states: States, sink: Sink | None = None) -> None:
+        """Starts with an empty ring.
+
+        Args:
+            options: Sizes of the ring and of files.
+            seed: The decisions' seed.
+            states: Encodes the present state.
+            sink: Destination of files, if they are to be written.
+        """
         self.seed, self.states, self.sink = seed, states, sink
         self.ring = Ring(options.ring_bytes)
         self.file_most, self.file_size = options.file_bytes, 0
         self.file_ok, self.retry_at = False, -math.inf
         self.inputs = 0
         self.soon: Callable[[Callable[[], None]], None] | None = None
-        self.beginning: Beginning | None = None
+        self.beginning: PendingSnapshot | None = None
         self.too_large = self.skip = 0  # states in a row; times that the next one is not tried
 
     def opening(self, t: float, lost: int) -> bytes:
-        return block_of([{"t": t, "in": "capture", "seed": self.seed, "lost": lost}])
+        """Returns the first line of a capture."""
+        return encode_block([{"t": t, "in": "capture", "seed": self.seed, "lost": lost}])
 
     def begin(self, t: float) -> None:
-        """Before the first input: the seed alone leads to all that follows."""
+        """Opens the first file before any input; the seed determines the initial state."""
         self._open_file(t, self.inputs, b"")
 
     def decided(
@@ -265,31 +306,37 @@
         actions: Sequence[api.Action],
         error: Exception | None = None,
     ) -> None:
+        """Records an event and the dispatcher's actions."""
         self._add(t, [in_line(t, event), *decided_lines(t, actions, error)])
 
     def judged(
-        self, t: float, client: str, id: str, job_class: str, patience: float, verdict: Verdict
+        self, t: float, client: str, request_id: str, job_class: str, patience: float, verdict: Verdict
     ) -> None:
-        line: Line = {"t": t, "in": "arrival", "id": id, "class": job_class, "client": client}
-        self._add(t, [line | {"patience": patience}, *judged_lines(t, id, verdict)])
+        """Records a request and its admission."""
+        line: Line = {"t": t, "in": "arrival", "id": request_id, "class": job_class, "client": client}
+        self._add(t, [line | {"patience": patience}, *judged_lines(t, request_id, verdict)])
 
     def ordered(self, t: float, order: Order, until: float | None) -> None:
+        """Records an order for fault injection."""
         self._add(t, [{"t": t, "in": "drill", "order": order}, *ordered_lines(t, order, until)])
 
     def left(self, t: float) -> None:
+        """Records the start of the graceful shutdown."""
         self._add(t, [{"t": t, "in": "leave"}])
 
     def gap(self) -> None:
+        """Records that an input was missed."""
         self.ring.gap()
         self.file_ok = False
         self._drop_state()
 
     def dump(self, t: float) -> list[bytes]:
+        """Returns the lines of the ring."""
         lost, lines = self.ring.content()
         return [self.opening(t, lost), *lines]
 
     def _add(self, t: float, lines: list[Line]) -> None:
-        block = block_of(lines)
+        block = encode_block(lines)
         self.inputs += 1
         self.ring.add(block)
         file_due = self.sink is not None and self._to_file(t, block)
@@ -308,7 +355,7 @@
             if for_file:
                 self._open_file(t, self.inputs, b"")
             return
-        self.beginning = Beginning(t, self.inputs, segment, for_file)
+        self.beginning = PendingSnapshot(t, self.inputs, segment, for_file)
         self.states.begin()
         if self.soon is not None:
             return self.soon(self._go_on)
@@ -333,12 +380,12 @@
         self._drop_state()
         if too_large or state is None:  # as it will be again soon
             self.too_large += 1
-            self.skip = min(2**self.too_large, MOST_SKIPPED)
+            self.skip = min(2**self.too_large, MAX_SKIPPED_SNAPSHOTS)
             if now.for_file:
                 self._open_file(now.t, now.inputs, b"", now.since)
             return
         self.too_large = 0
-        line = block_of([{"t": now.t, "in": "state", "state": msgspec.Raw(state)}])
+        line = encode_block([{"t": now.t, "in": "state", "state": msgspec.Raw(state)}])
         if now.segment is not None:
             self.ring.state(now.segment, line)
         if now.for_file:
@@ -351,7 +398,7 @@
     # --- files --------------------------------------------------------------------------------------------
 
     def _to_file(self, t: float, block: bytes) -> bool:
-        """True: it is time for the next file, which begins after this block."""
+        """Appends a block to the file; returns whether the next file is due."""
         assert self.sink is not None
         self.file_ok = self.file_ok and self.sink.write(block)
         if not self.file_ok:  # one input missed and the rest of the file could not be replayed
@@ -360,10 +407,10 @@
         return self.file_size >= self.file_most * 7 // 8  # so that what comes next still fits
 
     def _open_file(self, t: float, inputs: int, state: bytes, since: Sequence[bytes] = ()) -> None:
-        """`inputs` before it; `state` of then, and what came `since`."""
+        """Opens a file with the number of inputs before it, a snapshot and the blocks since."""
         if self.sink is None:
             return
-        self.retry_at = t + AGAIN
+        self.retry_at = t + FILE_RETRY_INTERVAL_S
         head = self.opening(t, inputs) + (state if len(state) <= self.file_most // 2 else b"")
         data = head + b"".join(since)
         self.file_ok, self.file_size = self.sink.open(data), len(data)
--- a/finchladder/features/fault_injection.py
+++ b/finchladder/features/fault_injection.py
@@ -1,4 +1,4 @@
-"""Drills: jobs made slow or broken on purpose, by class, for a while. Times are handed in."""
+"""Fault injection: delays or aborts a share of a class's requests for a limited time. Times are arguments."""
 
 from random import Random
 from typing import Annotated, NamedTuple
@@ -6,13 +6,14 @@
 import msgspec
 from msgspec import Meta
 
-MARGIN = 0.05  # of a job that can't be held for the whole delay: answered so long before its client gives up
+# a request whose delay exceeds the client's timeout is answered this many seconds before the timeout
+RESPONSE_MARGIN_S = 0.05
 
 Part = Annotated[float, Meta(ge=0, le=1)]
 
 
 class Order(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"job_class": "class"}):
-    """What `finchladder drill` posts. Both shares are of all requests of the class."""
+    """Body of the control call; both shares are of all requests of the class."""
 
     job_class: str
     share: Part
@@ -22,37 +23,52 @@
 
     @property
     def aborts(self) -> float:
+        """The share of requests that are aborted."""
         if self.abort_share is None:
             return 0.0 if self.delay_ms else self.share
         return self.abort_share
 
 
 class Effect(NamedTuple):
-    """What is done to a job: held for so long, and answered 503 after that, or else dispatched as usual."""
+    """The fault of one request: a delay in seconds, then a 503 if `abort`, else normal dispatch."""
 
     hold: float = 0.0
     abort: bool = False
 
 
 class Drills:
+    """The active fault injections by job class."""
+
     def __init__(self, seed: int) -> None:
-        self.random = Random(f"drills {seed}")  # the module's draws must be the same with a drill and without
+        """Starts with none.
+
+        Args:
+            seed: Seed of a generator of their own.
+        """
+        self.random = Random(f"drills {seed}")  # the core's draws must be the same with faults and without
         self.running: dict[str, tuple[float, Order]] = {}  # by class, with the time of its end
         self.applied: dict[str, int] = {}
         self.stopped = False
 
     def order(self, now: float, order: Order) -> float:
-        """A second drill on a class replaces the first. Returns when it ends."""
+        """Starts an injection, replacing the class's earlier one, and returns the time at which it ends."""
         until = now + order.for_s
         self.running[order.job_class] = until, order
         self.applied.setdefault(order.job_class, 0)
         return until
 
     def stop(self) -> None:
-        """For good: an order that comes later has no effect."""
+        """Stops all injections permanently; later orders have no effect."""
         self.stopped = True
 
     def apply(self, now: float, job_class: str, patience: float) -> Effect | None:
+        """Returns the fault for a new request, or None.
+
+        Args:
+            now: The current time in seconds.
+            job_class: The request's class.
+            patience: The client's timeout in seconds.
+        """
         until, order = self.running.get(job_class, (0.0, None))
         if order is None or self.stopped:
             return None
@@ -63,7 +79,7 @@
         if draw < order.aborts:
             effect = Effect(abort=True)
         elif delay and draw < order.aborts + order.share:
-            most = patience - min(MARGIN, patience / 2)
+            most = patience - min(RESPONSE_MARGIN_S, patience / 2)
             effect = Effect(delay) if delay < most else Effect(most, abort=True)
         else:
             return None
--- a/finchladder/features/replay.py
+++ b/finchladder/features/replay.py
@@ -1,4 +1,4 @@
-"""Replay: feeds a capture to decisions made anew, and says where they decide otherwise. It has no clock."""
+"""Replay of a capture: repeats its inputs and compares the decisions. It has no clock."""
 
 from collections.abc import Callable, Iterable, Iterator
 from difflib import SequenceMatcher
@@ -21,17 +21,23 @@
 
 
 class Opening(msgspec.Struct):
+    """First line of a capture."""
+
     t: float
     seed: str
     lost: int = 0
 
 
 class StateIn(msgspec.Struct):
+    """A snapshot of the state."""
+
     t: float
     state: dict[str, Any]
 
 
 class RequestIn(msgspec.Struct, rename={"job_class": "class"}):
+    """A request for the dispatcher."""
+
     t: float
     id: str
     job_class: str
@@ -45,6 +51,7 @@
     repeat: bool = False
 
     def event(self) -> api.Event:
+        """Returns the core's event."""
         return api.Request(
             self.id,
             self.job_class,
@@ -60,6 +67,8 @@
 
 
 class EventIn(msgspec.Struct):
+    """A worker's report on an attempt, or the end of an attempt."""
+
     t: float
     id: str
     state: str
@@ -70,6 +79,7 @@
     report: dict[str, float] | None = None
 
     def event(self) -> api.Event:
+        """Returns the core's event."""
         if self.state == "started":
             return api.Started(self.id, self.attempt)
         if self.state == "running":
@@ -81,47 +91,64 @@
 
 
 class TimerIn(msgspec.Struct):
+    """A timer that fired."""
+
     t: float
     token: int
 
     def event(self) -> api.Event:
+        """Returns the core's event."""
         return api.Timer(self.token)
 
 
 class UnseenIn(msgspec.Struct):
+    """An event loop stall."""
+
     t: float
     seconds: float
 
     def event(self) -> api.Event:
+        """Returns the core's event."""
         return api.LoopStall(self.seconds)
 
 
 class GoneIn(msgspec.Struct):
+    """A client that disconnected."""
+
     t: float
     id: str
 
     def event(self) -> api.Event:
+        """Returns the core's event."""
         return api.ClientDisconnected(self.id)
 
 
 class ListIn(msgspec.Struct):
+    """An endpoint list."""
+
     t: float
     kind: api.ListKind
     entries: tuple[api.WorkerEntry, ...]
 
     def event(self) -> api.Event:
+        """Returns the core's event."""
         return api.WorkerList(self.kind, self.entries)
 
 
 class RoutesIn(msgspec.Struct):
+    """New routes."""
+
     t: float
     routes: tuple[Route, ...]
 
     def event(self) -> NewRoutes:
+        """Returns the core's event."""
         return NewRoutes(Routes(self.routes))
 
 
 class ArrivalIn(msgspec.Struct, rename={"job_class": "class"}):
+    """A request before admission."""
+
     t: float
     id: str
     job_class: str
@@ -130,11 +157,15 @@
 
 
 class DrillIn(msgspec.Struct):
+    """An order for fault injection."""
+
     t: float
     order: Order
 
 
 class LeaveIn(msgspec.Struct):
+    """The start of the graceful shutdown."""
+
     t: float
 
 
@@ -157,17 +188,22 @@
 
 
 class Peek(msgspec.Struct):
+    """The fields that tell the kind of a line."""
+
     in_: str | None = msgspec.field(default=None, name="in")
     out: str | None = None
 
 
 class MalformedLineError(ValueError):
+    """A line can't be decoded."""
+
     def __init__(self, number: int, why: object) -> None:
+        """Names the line by its number, from 1."""
         super().__init__(f"line {number}: {why}")
 
 
 def read_lines(lines: Iterable[bytes], warn: Callable[[str], None]) -> Iterator[tuple[int, Input | Line]]:
-    """Each line with its number: an input, or a decision as a dict. A last line that was cut is left out."""
+    """Yields each line's number and its input or decision; a truncated last line is skipped."""
     held: tuple[int, bytes] | None = None
     for numbered in enumerate(lines, 1):
         if held is not None:
@@ -198,7 +234,7 @@
 
 
 class Replay:
-    """Counts what was compared; `say` gets each line that differs, `warn` what can't be compared and why."""
+    """Compares decisions and counts them."""
 
     def __init__(
         self,
@@ -208,6 +244,15 @@
         warn: Callable[[str], None],
         routes: Routes | None = None,
     ) -> None:
+        """Starts without a dispatcher, which the capture's first line creates.
+
+        Args:
+            settings: The platform's settings.
+            options: The operator's options.
+            say: Called with each line that differs.
+            warn: Called with what can't be compared, and why.
+            routes: The operator's routes, if any.
+        """
         self.settings, self.options, self.say, self.warn, self.routes = settings, options, say, warn, routes
         self.inputs = self.compared = self.differ = 0
         self.dispatcher: Dispatcher | Guarded | None = None  # None: there is nothing that could be compared
@@ -218,6 +263,11 @@
         self.at = 0  # the last input's line
 
     def run(self, lines: Iterable[bytes]) -> None:
+        """Replays all lines.
+
+        Raises:
+            ValueError: A line can't be decoded or isn't possible at its position.
+        """
         for number, record in read_lines(lines, self.warn):
             if isinstance(record, dict):
                 if not self.inputs:
@@ -282,7 +332,7 @@
             dispatcher: Decisions = self.dispatcher
             try:
                 return decided_lines(t, dispatcher.handle(t, event), None)
-            except Exception as e:  # as the program would: a class that is not there any more, say
+            except Exception as e:  # any error is recorded in a capture too, and compared
                 return decided_lines(t, [], e)
         if self.arrivals is None:
             return None
--- a/finchladder/features/request_admission.py
+++ b/finchladder/features/request_admission.py
@@ -1,4 +1,4 @@
-"""What is decided on a job before it becomes a flow: first the door, then drills. No clock, no sockets."""
+"""Admission of requests: limits by client address first, then fault injection. No clock and no I/O."""
 
 from typing import NamedTuple, Protocol
 
@@ -8,33 +8,44 @@
 
 
 class Verdict(NamedTuple):
+    """The decision on one request."""
+
     wait: float = 0.0  # above 0: turned away, a token is back after so many seconds
     drill: Effect | None = None
 
 
-PASS = Verdict()
+ADMITTED = Verdict()
 
 
 class Tap(Protocol):
-    """Is told of each input and of what was decided on it."""
+    """Observer of every input and of the decision on it."""
 
     def judged(
-        self, t: float, client: str, id: str, job_class: str, patience: float, verdict: Verdict
-    ) -> None: ...
-    def ordered(self, t: float, order: Order, until: float | None) -> None: ...
-    def left(self, t: float) -> None: ...
+        self, t: float, client: str, request_id: str, job_class: str, patience: float, verdict: Verdict
+    ) -> None:
+        """Observes the decision on a request."""
+
+    def ordered(self, t: float, order: Order, until: float | None) -> None:
+        """Observes an order for fault injection."""
+
+    def left(self, t: float) -> None:
+        """Observes the start of the graceful shutdown."""
 
 
 class Arrivals:
+    """Decides on requests before they are dispatched."""
+
     def __init__(self, options: Options, seed: int) -> None:
+        """Creates the limits and fault injection that the options enable."""
         self.door = Door(options) if options.door or options.door_of else None
         self.drills = Drills(seed) if options.drill is not None else None
         self.tap: Tap | None = None
 
-    def judge(self, now: float, client: str, id: str, job_class: str, patience: float) -> Verdict:
+    def judge(self, now: float, client: str, request_id: str, job_class: str, patience: float) -> Verdict:
+        """Decides on a request and notifies the observer."""
         verdict = self._judge(now, client, job_class, patience)
         if self.tap is not None:
-            self.tap.judged(now, client, id, job_class, patience, verdict)
+            self.tap.judged(now, client, request_id, job_class, patience, verdict)
         return verdict
 
     def _judge(self, now: float, client: str, job_class: str, patience: float) -> Verdict:
@@ -42,17 +53,17 @@
             return Verdict(wait)
         if self.drills is not None and (effect := self.drills.apply(now, job_class, patience)) is not None:
             return Verdict(drill=effect)
-        return PASS
+        return ADMITTED
 
     def order(self, now: float, order: Order) -> float | None:
-        """When the drill ends; None where there are none."""
+        """Starts a fault injection; returns the time at which it ends, or None if they are disabled."""
         until = self.drills.order(now, order) if self.drills is not None else None
         if self.tap is not None:
             self.tap.ordered(now, order, until)
         return until
 
     def leave(self, now: float) -> None:
-        """The dispatcher leaves: what it still takes is answered as soon as may be."""
+        """Stops fault injection at the start of a graceful shutdown."""
         if self.drills is not None:
             self.drills.stop()
         if self.tap is not None:
--- a/finchladder/features/shared_admission_limits.py
+++ b/finchladder/features/shared_admission_limits.py
@@ -1,8 +1,8 @@
-"""A door's limits where dispatchers share them: an address has its rate at all of them together.
+"""Admission limits that dispatchers share: an address has its rate at all of them together.
 
-Each address has a bucket of this dispatcher's share, which needs nobody. Only when one is turned away its
-budget is claimed: others are asked for theirs of it (core/peers). So an address that comes to one dispatcher
-alone gets nearly the whole rate within a few seconds, and one that comes to all gets no more than that.
+Each address has a local bucket with this dispatcher's share, which needs no messages. Only when it is
+rejected is its budget claimed from the peers (core/peers). An address that uses a single dispatcher therefore
+gets nearly the complete rate within a few seconds, and one that uses all of them gets no more than the rate.
 """
 
 from collections import OrderedDict
@@ -11,14 +11,24 @@
 from finchladder.core.peers.bucket import Bucket
 from finchladder.core.peers.exchange import Family, Peers
 
-MOST_WAIT_S = 2.0  # told to one that is turned away: by then others may have lent some
+MAX_RETRY_AFTER_S = 2.0  # told to one that is turned away: by then others may have lent some
 
 
 class SharedBuckets:
-    """As `door.Buckets`. Bounds: `max_keys` addresses; of those so many are shared as core/peers allows."""
+    """Token buckets as `admission_limits.Buckets`, shared between dispatchers.
+
+    At most `max_keys` addresses are stored; core/peers limits how many of them are shared.
+    """
 
     def __init__(self, peers: Peers, name: str, options: DoorOptions, least: int) -> None:
-        """`least`: dispatchers that there are at the least."""
+        """Registers the family of buckets with the peers.
+
+        Args:
+            peers: The exchange with other dispatchers.
+            name: The limit's unique name.
+            options: Rate, burst and number of addresses.
+            least: The minimum number of dispatchers.
+        """
         self.peers, self.start, self.options = peers, f"{name}:", options
         self.family = Family(options.rate, least, self._bucket)
         peers.families[self.start] = self.family
@@ -26,7 +36,7 @@
         self.now = 0.0
 
     def take(self, now: float, address: str) -> float:
-        """0.0, or the seconds until one may come again."""
+        """Takes a token; returns 0.0, or the seconds until a retry may succeed."""
         name, self.now = self.start + address, now
         bucket = self.of.get(name)
         if bucket is None:
@@ -41,10 +51,10 @@
         if bucket.take(now):
             return 0.0
         self.peers.claim(now, name, self.family)
-        return min(MOST_WAIT_S, bucket.wait_s(now))
+        return min(MAX_RETRY_AFTER_S, bucket.wait_s(now))
 
     def _bucket(self, name: str, own: float) -> Bucket:
-        """One that is there already must not begin anew with a whole token."""
+        """Returns a bucket; an existing one is reused, as a new one starts with a complete token."""
         bucket = self.of.get(name)
         if bucket is None:
             burst_s = (self.options.burst - 1) / self.options.rate
--- a/finchladder/features/status.py
+++ b/finchladder/features/status.py
@@ -1,4 +1,4 @@
-"""Job status: what is known of each job by its id, for a while. No clock, no sockets: times are handed in."""
+"""Status of jobs by id, for a limited time. Times are arguments; no clock and no I/O."""
 
 from collections import OrderedDict
 
@@ -7,8 +7,8 @@
 from finchladder.config.options import StatusOptions
 from finchladder.core.api import Ending
 
-NEWS, TOLD_ENDS = ("started", "running"), ("done", "failed", "returned", "lost")
-ENDS = {
+PROGRESS_STATES, REPORTED_FINAL_STATES = ("started", "running"), ("done", "failed", "returned", "lost")
+STATE_BY_ENDING = {
     Ending.OK: "done",
     Ending.ERROR: "failed",
     Ending.UNKNOWN: "failed",
@@ -18,11 +18,11 @@
     Ending.CANCELLED: "timed_out",  # given up, as nobody waits for it any more
 }
 # where no attempt says more: by the kind of the final answer. `left`: the client did not wait for one
-NEVER_SENT = {"refused": "returned", "left": "timed_out", "failed": "failed", "served": "done"}
+STATE_BY_ANSWER_KIND = {"refused": "returned", "left": "timed_out", "failed": "failed", "served": "done"}
 
 
 class Shown(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
-    """What a status call is answered. The body of a result is no part of it."""
+    """Answer to a status call, without the body of a result."""
 
     state: str
     server: str | None
@@ -31,9 +31,12 @@
 
 
 class Entry:
+    """State of one job."""
+
     __slots__ = ("job_class", "state", "server", "share", "ending", "ended_at")
 
     def __init__(self, job_class: str) -> None:
+        """Starts as a waiting job."""
         self.job_class, self.state = job_class, "waiting"
         self.server: str | None = None  # of the last attempt
         self.share = 0.0
@@ -42,12 +45,16 @@
 
 
 class JobStatus:
+    """Status of unfinished jobs and of recently finished ones."""
+
     def __init__(self, options: StatusOptions) -> None:
+        """Starts without jobs."""
         self.retain, self.most = options.retain_ms / 1000, options.max_entries
         self.open: dict[str, Entry] = {}
         self.over: OrderedDict[str, Entry] = OrderedDict()  # by the time of their end, the oldest first
 
     def taken(self, now: float, id: str, job_class: str) -> None:
+        """Adds a job; if all entries are of unfinished jobs, it isn't tracked."""
         self._expire(now)
         self.over.pop(id, None)
         if len(self.open) + len(self.over) >= self.most:
@@ -57,26 +64,31 @@
         self.open[id] = Entry(job_class)
 
     def sent(self, id: str, server: str) -> None:
+        """Records an attempt at a worker."""
         if (e := self.open.get(id)) is not None:
             e.state, e.server, e.share, e.ending = "waiting", server, 0.0, None
 
     def told(self, now: float, id: str, server: str, state: str, share: float) -> None:
-        """What a real server says of a job. News of an earlier attempt of it counts for nothing."""
+        """Records a worker's report; reports on earlier attempts are ignored."""
         e = self.open.get(id)
-        if e is not None and e.server == server and e.ending is None and state in NEWS:
+        if e is not None and e.server == server and e.ending is None and state in PROGRESS_STATES:
             if state == "running":
                 e.state, e.share = state, share
             elif e.state == "waiting":
                 e.state = state
         late = self.over.get(id)
-        if late is not None and (late.server, late.state) == (server, "timed_out") and state in TOLD_ENDS:
+        if (
+            late is not None
+            and (late.server, late.state) == (server, "timed_out")
+            and state in REPORTED_FINAL_STATES
+        ):
             # given up, but it ended all the same: now it is known how
             late.state, late.ended_at = state, now
             late.share = 1.0 if state == "done" else late.share
             self.over.move_to_end(id)
 
     def ended(self, id: str, server: str, ending: Ending) -> None:
-        """The end of an attempt, which the job may outlive: it waits again then."""
+        """Records the end of an attempt; the job waits again unless it succeeded."""
         e = self.open.get(id)
         if e is None or e.ending is Ending.OK or (e.server != server and ending is not Ending.OK):
             return
@@ -84,14 +96,15 @@
         e.state, e.share = ("done", 1.0) if ending is Ending.OK else ("waiting", e.share)
 
     def finished(self, now: float, id: str, kind: str) -> None:
-        """The final answer was given or can't be any more, and no attempt is out."""
+        """Records that no attempt is pending and the final answer was given or no longer can be."""
         if (e := self.open.pop(id, None)) is None:
             return
-        e.state = ENDS[e.ending] if e.ending in ENDS else NEVER_SENT[kind]
+        e.state = STATE_BY_ENDING[e.ending] if e.ending in STATE_BY_ENDING else STATE_BY_ANSWER_KIND[kind]
         e.ended_at = now
         self.over[id] = e
 
     def look(self, now: float, id: str) -> Shown | None:
+        """Returns a job's status, or None if the id is unknown."""
         self._expire(now)
         if (e := self.open.get(id)) is not None:
             at = e.server if e.ending in (None, Ending.OK) else None  # else it waits for another one
--- a/finchladder/net/control.py
+++ b/finchladder/net/control.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from finchladder.config.options import Options
-from finchladder.features.capture import Capture, pieces
+from finchladder.features.capture import Capture, chunks
 from finchladder.features.fault_injection import Order
 from finchladder.features.request_admission import Arrivals
 from finchladder.features.status import JobStatus
@@ -29,7 +29,7 @@
         self.size = sum(map(len, lines))
 
     def pieces(self) -> Iterator[bytes]:
-        return pieces(self.lines)
+        return chunks(self.lines)
 
 
 class Reportable(Protocol):
--- a/finchladder/store/__init__.py
+++ b/finchladder/store/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives a process."""
+"""Data that outlives a process."""
--- a/finchladder/store/last_good_list.py
+++ b/finchladder/store/last_good_list.py
@@ -1,8 +1,7 @@
-"""The last good list: one file that a dispatcher can start with while every source is away.
+"""The last good list: a file from which a dispatcher can start while no list source is reachable.
 
-A line of JSON about it (what it is, source, version, time, size, checksum), then the list. It is written
-beside its place and moved there, so it is whole or as it was. One that can't be used, or is none of this
-program's, is moved aside and named.
+The first line is a JSON header (source, version, time, size, checksum), the rest is the list. The file is
+written beside its path and renamed, so that it is always complete. An unusable file is renamed and logged.
 """
 
 import hashlib
@@ -19,12 +18,14 @@
 T = TypeVar("T")
 
 MAX_BYTES = 16 * 1024 * 1024  # some 100,000 entries
-HEAD_BYTES = 1024
+MAX_HEADER_BYTES = 1024
 CLOSE_TIMEOUT_S = 1.0  # seconds at the end for what is not yet written
 SET_ASIDE_SUFFIX = ".set-aside"
 
 
 class Head(msgspec.Struct, forbid_unknown_fields=True):
+    """Header of the file, its first line."""
+
     what: Literal["finchladder last good list"]
     format: Literal[1]
     source: str
@@ -35,6 +36,8 @@
 
 
 class LastGood(NamedTuple):
+    """A list with its origin; `time_s` is a Unix time."""
+
     source: str  # whose version it is
     version: int
     time_s: float
@@ -42,10 +45,11 @@
 
 
 class UnusableListError(ValueError):
-    """There is a file, and it can't be used; the message says why."""
+    """The file exists, but can't be used; the message says why."""
 
 
 def encode(found: LastGood) -> bytes:
+    """Encodes a list with its header."""
     head = Head(
         "finchladder last good list",
         1,
@@ -59,10 +63,14 @@
 
 
 def decode(data: bytes) -> LastGood:
-    """Raises Unusable; nothing of a file that is not whole is used."""
+    """Decodes a file's content.
+
+    Raises:
+        UnusableListError: The content is incomplete, corrupted or of another program.
+    """
     line, _, body = data.partition(b"\n")
     try:
-        head = msgspec.json.decode(line[:HEAD_BYTES], type=Head)
+        head = msgspec.json.decode(line[:MAX_HEADER_BYTES], type=Head)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         raise UnusableListError("it is no list of this program") from None
     if len(body) != head.size:
@@ -73,26 +81,42 @@
 
 
 def read(path: Path) -> LastGood | None:
-    """None: there is none. Raises Unusable, and OSError where it can't be read."""
+    """Reads a file, or returns None if it doesn't exist.
+
+    Raises:
+        UnusableListError: The content can't be used.
+        OSError: The file can't be read.
+    """
     try:
         with path.open("rb") as file:
-            data = file.read(MAX_BYTES + HEAD_BYTES + 1)
+            data = file.read(MAX_BYTES + MAX_HEADER_BYTES + 1)
     except FileNotFoundError:
         return None
-    if len(data) > MAX_BYTES + HEAD_BYTES:
+    if len(data) > MAX_BYTES + MAX_HEADER_BYTES:
         raise UnusableListError(f"it is larger than {MAX_BYTES} bytes")
     return decode(data)
 
 
 def set_aside(path: Path) -> Path:
-    """Out of the way of the next one; what was set aside before is overwritten. Raises OSError."""
+    """Renames a file so that it isn't read again, and returns its new path.
+
+    A file that was set aside before is overwritten.
+
+    Raises:
+        OSError: The file can't be renamed.
+    """
     to = path.with_name(path.name + SET_ASIDE_SUFFIX)
     os.replace(path, to)
     return to
 
 
 def write(path: Path, found: LastGood) -> None:
-    """Raises OSError, and ValueError for one that is too large; the file is as it was then."""
+    """Replaces the file atomically; on an error the old one remains.
+
+    Raises:
+        OSError: The file can't be written.
+        ValueError: The list is too large.
+    """
     if len(found.body) > MAX_BYTES:
         raise ValueError(f"the list has {len(found.body)} bytes, and {MAX_BYTES} is the most")
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -115,31 +139,43 @@
 
 
 class LastGoodFile(threading.Thread, Generic[T]):
-    """Reads the file once, then writes what it was handed last, all on this thread: nobody may have to wait
-    for a disk that hangs. What comes while it writes takes the place of what still waits: one list at most.
+    """Thread that reads the file once and then writes the latest list given to it.
+
+    All access to the disk is on this thread, so that nothing else waits for it. At most one list is
+    pending: a newer one replaces it.
     """
 
     def __init__(self, path: str, parse: Callable[[bytes], T]) -> None:
-        """`parse` raises ValueError for a body that can't be used."""
+        """Prepares the thread.
+
+        Args:
+            path: The file's path.
+            parse: Parses the stored list; raises ValueError if it can't be used.
+        """
         super().__init__(name="last good list", daemon=True)
         self.path, self.parse = Path(path), parse
         self.found: Callable[[tuple[LastGood, T] | None], None] = lambda found: None
         self.wake, self.lock, self.closing = threading.Event(), threading.Lock(), False
-        self.waiting: Callable[[], LastGood] | None = None
+        self.pending: Callable[[], LastGood] | None = None
         self.failure_logged = False  # a failing disk is told of once, until it works again
 
     def begin(self, found: Callable[[tuple[LastGood, T] | None], None]) -> None:
-        """`found` is called on the thread, with None where there is no file that can be used."""
+        """Starts the thread, which calls `found` with the stored list, or None without a usable one."""
         self.found = found
         self.start()
 
-    def put(self, made: Callable[[], LastGood]) -> None:
-        """`made` is called on the thread: it must not look at what the loop changes."""
+    def put(self, make_list: Callable[[], LastGood]) -> None:
+        """Schedules a list for writing.
+
+        Args:
+            make_list: Returns the list; called on the thread, must not read what the event loop changes.
+        """
         with self.lock:
-            self.waiting = made
+            self.pending = make_list
         self.wake.set()
 
     def close(self) -> None:
+        """Stops the thread after a pending write, waiting for `CLOSE_TIMEOUT_S` at most."""
         with self.lock:
             self.closing = True
         self.wake.set()
@@ -147,12 +183,13 @@
             self.join(CLOSE_TIMEOUT_S)
 
     def run(self) -> None:
+        """Reads the file, then writes lists until closed."""
         self.found(self._read())
         while True:
             self.wake.wait()
             with self.lock:
                 self.wake.clear()
-                made, self.waiting = self.waiting, None
+                made, self.pending = self.pending, None
                 closing = self.closing
             if made is not None:
                 self._write(made)
--- a/tests/core/peers/test_loads.py
+++ b/tests/core/peers/test_loads.py
@@ -13,7 +13,7 @@
 from finchladder.core.peers.messages import Grant, Kind, Packet, Row, Want
 from finchladder.core.peers.retries import SharedBudget
 from finchladder.core.routing.routes import RetryBudget
-from finchladder.features.shared_admission_limits import MOST_WAIT_S, SharedBuckets
+from finchladder.features.shared_admission_limits import MAX_RETRY_AFTER_S, SharedBuckets
 from tests.helpers import Bench, workers
 
 
@@ -93,7 +93,7 @@
     p = peers()
     d = door(p)
     waits = [d.take(n / 100, "a") for n in range(1000)]
-    assert waits.count(0.0) == pytest.approx(10 * 20 / 4 + 1, abs=2) and max(waits) <= MOST_WAIT_S
+    assert waits.count(0.0) == pytest.approx(10 * 20 / 4 + 1, abs=2) and max(waits) <= MAX_RETRY_AFTER_S
     assert d.take(10.0, "b") == 0.0  # each address has its own
     assert list(p.escrow.budgets) == ["door:a"]
     p.turn(11.0)
--- a/tests/core/test_guarded_replay.py
+++ b/tests/core/test_guarded_replay.py
@@ -13,7 +13,7 @@
 from finchladder.core.routing.limited_dispatcher import Guarded, NewRoutes
 from finchladder.core.routing.routes import Backoff, Hedge, Queue, RetryBudget, Route, Routes
 from finchladder.features import snapshot
-from finchladder.features.capture import Capture, block_of
+from finchladder.features.capture import Capture, encode_block
 from finchladder.features.replay import Replay
 from finchladder.features.request_admission import Arrivals
 from tests.helpers import settings
@@ -130,7 +130,7 @@
         tries += 1
         assert tries < 500
     carried = snapshot.take(g, play.arrivals)
-    state = block_of([{"t": play.now, "in": "state", "state": carried}])
+    state = encode_block([{"t": play.now, "in": "state", "state": carried}])
     assert all(scope.times is None or scope.times.buckets for scope in g.scopes.values())
     states = snapshot.Taking(play.g, play.arrivals)
     play.capture = Capture(CaptureOptions(ring_bytes=50_000_000), SEED, states)
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -19,7 +19,15 @@
 from finchladder.core.api import Ending as E
 from finchladder.core.dispatch.records import Job, Worker
 from finchladder.features import snapshot
-from finchladder.features.capture import OPENING, PARTS, Capture, Ring, Sink, in_line, pieces
+from finchladder.features.capture import (
+    OPENING_LINE_BYTES,
+    SEGMENTS_PER_RING,
+    Capture,
+    Ring,
+    Sink,
+    chunks,
+    in_line,
+)
 from finchladder.features.fault_injection import Order
 from finchladder.features.replay import EventIn, ListIn, Replay, RequestIn
 from finchladder.features.request_admission import Arrivals
@@ -259,7 +267,7 @@
 
 
 def test_the_ring_counts_its_bytes_and_drops_the_oldest() -> None:
-    ring = Ring(OPENING + 800)
+    ring = Ring(OPENING_LINE_BYTES + 800)
     for n in range(1000):
         ring.add(b"%05d\n" % n)
         if ring.wants_state():
@@ -267,7 +275,7 @@
         lost, lines = ring.content()
         size = sum(map(len, lines))
         assert size <= 800 and ring.size >= size and lost + sum(len(x) == 6 for x in lines) == n + 1
-        assert n < 130 or size >= 800 * (PARTS - 2) // PARTS
+        assert n < 130 or size >= 800 * (SEGMENTS_PER_RING - 2) // SEGMENTS_PER_RING
         assert not lost or lines[0] == b"state %05d\n" % (lost - 1)
     ring.gap()  # what was missed leads nowhere
     assert ring.content() == (1001, [])
@@ -287,7 +295,7 @@
     for e, kind in cases:
         record = msgspec.json.decode(msgspec.json.encode(in_line(t, e)), type=kind)
         assert (record.t, record.event()) == (t, e)
-    assert [len(p) for p in pieces([b"x" * 40_000, b"y" * 100_000])] == [40_000, 65_536, 34_464]
+    assert [len(p) for p in chunks([b"x" * 40_000, b"y" * 100_000])] == [40_000, 65_536, 34_464]
 
 
 def short_capture() -> list[bytes]:
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from finchladder.cli.peers import lines
+from finchladder.cli.peers import format_answer
 from finchladder.config.option_files import read_options
 from finchladder.config.options import PeersOptions
 from finchladder.core.health.detection.overrides import STANCES, Order
@@ -266,7 +266,7 @@
         other.settimeout(5)
         answer = decode("f", other.recv(MOST))
         assert (answer.kind, answer.sender, answer.number) == (Kind.ACK, "n1", 4)
-        text = "\n".join(lines(shown))
+        text = "\n".join(format_answer(shown))
         assert "n1: 3 listed, 2 alive, 0 suspected, 1 gone" in text
         assert "dropped: address: 1" in text
         assert "b: 0.333 of 10 a second" in text
