--- a/finchladder/net/control.py
+++ b/finchladder/net/control.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from finchladder.config.options import Options
-from finchladder.features.capture import Capture, pieces
+from finchladder.features.capture import Capture, chunks
 from finchladder.features.fault_injection import Order
 from finchladder.features.request_admission import Arrivals
 from finchladder.features.status import JobStatus
@@ -30,7 +30,7 @@
 
     def pieces(self) -> Iterator[bytes]:
         """Yields the dump in pieces of bounded size."""
-        return pieces(self.lines)
+        return chunks(self.lines)
 
 
 class Reportable(Protocol):
