--- a/finchladder/cluster/process/tasks.py
+++ b/finchladder/cluster/process/tasks.py
@@ -33,7 +33,7 @@
                 try:
                     await work()
                 # any error: a process without one of its loops would be half dead
-                except Exception as error:
+                except Exception as error:  # noqa: BLE001
                     event("task.failed", task=name, error=repr(error))
                 await asyncio.sleep(RESTART_DELAY_S)
 
