--- a/benchmarks/retry_storms.py
+++ b/benchmarks/retry_storms.py
@@ -18,7 +18,7 @@
 
 from finchladder.core import api
 from finchladder.core.api import Effect, Ending, JobClass
-from finchladder.core.routing.limited_dispatcher import decisions
+from finchladder.core.routing.limited_dispatcher import make_decisions
 from finchladder.core.routing.routes import RetryBudget, Route, Routes
 from finchladder.lab.experiment import Pool
 from finchladder.lab.models.kernel import Kernel
@@ -63,7 +63,7 @@
     def __init__(self, routes: Routes | None, fault: Fault, load: float, seed: int, fails_s: float) -> None:
         self.kernel, self.random, self.fault = Kernel(), Random(seed), fault
         self.rate = load * SERVERS * CORES / WORK_S
-        self.d = decisions(SETTINGS, seed, routes)
+        self.d = make_decisions(SETTINGS, seed, routes)
         self.route = routes.all[0].name if routes is not None else None
         pool = Pool(cores=CORES, queue=8, progress_s=0.0, reports=False)
         names = [f"w{n}" for n in range(SERVERS)]
--- a/finchladder/config/operator_file.py
+++ b/finchladder/config/operator_file.py
@@ -17,7 +17,7 @@
 from finchladder.config.toml_schema import LEVELS, NAME, Limits, RouteTable
 from finchladder.config.value_checks import GivenValue, ValuesByPath, collect_values, kind_of
 from finchladder.core import api
-from finchladder.core.routing.routes import MOST_ROUTES, NO_ROUTES, Routes
+from finchladder.core.routing.routes import MAX_ROUTES, NO_ROUTES, Routes
 
 MOST_BYTES = 1024 * 1024
 
@@ -113,9 +113,9 @@
     defaults = _section(notes, Limits, whole["defaults"], ("defaults",), 0) if "defaults" in whole else None
     classes = _named(notes, whole, "class", Limits, 1)
     routes = _named(notes, whole, "route", RouteTable, 2)
-    if len(routes) > MOST_ROUTES:
-        place = notes.places.find(("route", list(routes)[MOST_ROUTES]))
-        notes.stop("FL124", place, f"there are {len(routes)} routes", most=MOST_ROUTES)
+    if len(routes) > MAX_ROUTES:
+        place = notes.places.find(("route", list(routes)[MAX_ROUTES]))
+        notes.stop("FL124", place, f"there are {len(routes)} routes", most=MAX_ROUTES)
     resolved = resolve(notes, settings, defaults or {}, classes, routes)
     check(notes, settings, defaults, classes, routes, resolved)
     usable = settings is not None and not notes.found
--- a/finchladder/config/precedence.py
+++ b/finchladder/config/precedence.py
@@ -15,7 +15,7 @@
     QueueOrder,
     RetryBudget,
     Route,
-    may_resend_on,
+    retryable_endings,
 )
 
 JITTER, MOST_WAIT_S, HEDGE_MOST = 0.5, 1.0, 0.05
@@ -120,7 +120,7 @@
     queue = Queue(
         r.get("queue.length", 0), QueueOrder(r.get("queue.order", "worth")), r.get("queue.longest_wait_s")
     )
-    allowed = may_resend_on(r.cls)
+    allowed = retryable_endings(r.cls)
     resend_on = allowed & {Ending(word) for word in r.get("resend_on", [e.value for e in allowed])}
     return Route(
         name=r.name,
--- a/finchladder/config/route_checks.py
+++ b/finchladder/config/route_checks.py
@@ -168,7 +168,7 @@
     sends = r.first_given("attempts")
     count = sends.value if sends is not None else 2
     each = one.value if one is not None and sends is not None else 0.0
-    took = count * each + r.backoff.longest_s(count - 1)
+    took = count * each + r.backoff.max_total_wait_s(count - 1)
     if took > most + NEAR:
         wait = r.first_given("backoff.base_s")
         said = _last(*(s for s in (sends, one if sends else None, wait) if s is not None))
@@ -295,7 +295,7 @@
     if on is not None and after is not None and after.value > cls.deduplication_window_s:
         _leaves_window(notes, r, after, after.value)
     elif sends is not None and one is not None and (again is None or risky):
-        last = (sends.value - 1) * one.value + r.backoff.longest_s(sends.value - 1)
+        last = (sends.value - 1) * one.value + r.backoff.max_total_wait_s(sends.value - 1)
         if last > cls.deduplication_window_s + NEAR:
             _leaves_window(notes, r, _last(sends, one), last)
     zones = r.first_given("pool.zones")
--- a/finchladder/config/toml_schema.py
+++ b/finchladder/config/toml_schema.py
@@ -11,11 +11,11 @@
 from msgspec import UNSET, Meta, UnsetType
 
 from finchladder.config.options import SECTIONS
-from finchladder.core.routing.routes import MOST_HEADERS, MOST_PARTS, MOST_ROUTES
+from finchladder.core.routing.routes import MAX_HEADERS, MAX_PATH_PARTS, MAX_ROUTES
 
 ENDINGS = ("error", "overloaded", "timed_out", "unreachable", "broken", "cancelled", "void", "unknown")
 NAME = r"\A[A-Za-z0-9][A-Za-z0-9._-]{0,63}\Z"
-PATH = rf"\A(/[A-Za-z0-9._~!$&'()*+,;=:@%-]+){{1,{MOST_PARTS}}}\Z"
+PATH = rf"\A(/[A-Za-z0-9._~!$&'()*+,;=:@%-]+){{1,{MAX_PATH_PARTS}}}\Z"
 TOKEN = r"\A[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}\Z"
 VISIBLE = r"\A[!-~]([ -~]{0,254}[!-~])?\Z"
 PERCENTILE = r"\Ap[1-9][0-9]?(\.[0-9]{1,2})?\Z"
@@ -42,7 +42,7 @@
     headers: (
         Annotated[
             dict[Annotated[str, Meta(pattern=TOKEN)], Annotated[str, Meta(pattern=VISIBLE)]],
-            Meta(max_length=MOST_HEADERS, description="Header fields and their values; `*` is any value."),
+            Meta(max_length=MAX_HEADERS, description="Header fields and their values; `*` is any value."),
         ]
         | UnsetType
     ) = UNSET
@@ -248,7 +248,7 @@
 def schema() -> dict[str, Any]:
     """JSON Schema of a whole file."""
     named = Annotated[str, Meta(pattern=NAME)]
-    routes = Annotated[dict[named, RouteTable], Meta(max_length=MOST_ROUTES)]
+    routes = Annotated[dict[named, RouteTable], Meta(max_length=MAX_ROUTES)]
     parts: list[Any] = [(name, kind | UnsetType, UNSET) for name, kind in SECTIONS.items()]
     parts.append(("defaults", Limits | UnsetType, UNSET))
     parts.append(("classes", dict[str, Limits] | UnsetType, msgspec.field(default=UNSET, name="class")))
--- a/finchladder/core/peers/retries.py
+++ b/finchladder/core/peers/retries.py
@@ -7,27 +7,27 @@
 """
 
 from finchladder.core.peers.bucket import Bucket
-from finchladder.core.routing.retry_budget import Budget
+from finchladder.core.routing.retry_budget import RetryBudgetWindow
 from finchladder.core.routing.routes import RetryBudget
 
 
-class SharedBudget(Budget):
+class SharedBudget(RetryBudgetWindow):
     __slots__ = ("bucket",)
 
     def __init__(self, rule: RetryBudget, bucket: Bucket) -> None:
         self.bucket = bucket
         super().__init__(rule)
 
-    def tune(self, rule: RetryBudget) -> None:
-        super().tune(rule)
+    def reconfigure(self, rule: RetryBudget) -> None:
+        super().reconfigure(rule)
         self.floor = 0.0
 
-    def left(self, now: float) -> bool:
-        return super().left(now) or self.bucket.left(now)
+    def may_retry(self, now: float) -> bool:
+        return super().may_retry(now) or self.bucket.left(now)
 
-    def take(self, now: float) -> bool:
-        if not super().left(now):
+    def try_spend(self, now: float) -> bool:
+        if not super().may_retry(now):
             return self.bucket.take(now)
-        self._present(now)[2] += 1
-        self.spent += 1
+        self._current_slice(now)[2] += 1
+        self.retries += 1
         return True
--- a/finchladder/core/routing/concurrency_limit.py
+++ b/finchladder/core/routing/concurrency_limit.py
@@ -10,53 +10,53 @@
 Rank = tuple[float, float, int, str]  # the least goes first; the last is the job's id
 
 
-class Limiter:
+class ConcurrencyLimiter:
     """Places and queue of one route. To wait and to be dropped cost O(log n), and up to n moved pointers."""
 
-    __slots__ = ("most", "queue", "open", "order", "ranks")
+    __slots__ = ("max_open", "queue", "open_count", "waiting", "rank_by_id")
 
     def __init__(self, most: int, queue: Queue) -> None:
-        self.most, self.queue = most, queue
-        self.open = 0  # may be above `most` after a reload that lowered it
-        self.order: list[Rank] = []
-        self.ranks: dict[str, Rank] = {}
+        self.max_open, self.queue = most, queue
+        self.open_count = 0  # may be above `most` after a reload that lowered it
+        self.waiting: list[Rank] = []
+        self.rank_by_id: dict[str, Rank] = {}
 
-    def enter(self) -> bool:
+    def try_acquire(self) -> bool:
         """Takes a place, if one is free. Whoever waits is to be let in by `next` as soon as one is."""
-        if self.open >= self.most:
+        if self.open_count >= self.max_open:
             return False
-        self.open += 1
+        self.open_count += 1
         return True
 
-    def wait(self, id: str, worth: float, deadline: float, serial: int) -> str | None:
+    def enqueue(self, id: str, worth: float, deadline: float, serial: int) -> str | None:
         """Queues a job. Returns whom there is no room for now, maybe the same: to be refused and dropped."""
-        self.put(id, worth, deadline, serial)
-        return self.order[-1][-1] if len(self.order) > self.queue.length else None
+        self.requeue(id, worth, deadline, serial)
+        return self.waiting[-1][-1] if len(self.waiting) > self.queue.length else None
 
-    def put(self, id: str, worth: float, deadline: float, serial: int) -> None:
+    def requeue(self, id: str, worth: float, deadline: float, serial: int) -> None:
         """Queues a job that has waited already, under rules that were others."""
-        rank = self.ranks[id] = self.rank(id, worth, deadline, serial)
-        insort(self.order, rank)
+        rank = self.rank_by_id[id] = self.rank_of(id, worth, deadline, serial)
+        insort(self.waiting, rank)
 
-    def rank(self, id: str, worth: float, deadline: float, serial: int) -> Rank:
+    def rank_of(self, id: str, worth: float, deadline: float, serial: int) -> Rank:
         if self.queue.order is QueueOrder.WORTH:
             return -worth, deadline, serial, id
         return 0.0, deadline if self.queue.order is QueueOrder.DEADLINE else 0.0, serial, id
 
-    def next(self) -> str | None:
+    def dequeue(self) -> str | None:
         """The job whose turn it is, out of the queue and with a place; None: none waits, or none is free."""
-        if self.open >= self.most or not self.order:
+        if self.open_count >= self.max_open or not self.waiting:
             return None
-        self.open += 1
-        id = self.order.pop(0)[-1]
-        del self.ranks[id]
+        self.open_count += 1
+        id = self.waiting.pop(0)[-1]
+        del self.rank_by_id[id]
         return id
 
-    def leave(self) -> None:
+    def release(self) -> None:
         """A job that had a place is answered."""
-        self.open -= 1
+        self.open_count -= 1
 
-    def drop(self, id: str) -> None:
+    def remove(self, id: str) -> None:
         """A job waits no more, if it did."""
-        if (rank := self.ranks.pop(id, None)) is not None:
-            del self.order[bisect_left(self.order, rank)]
+        if (rank := self.rank_by_id.pop(id, None)) is not None:
+            del self.waiting[bisect_left(self.waiting, rank)]
--- a/finchladder/core/routing/routes.py
+++ b/finchladder/core/routing/routes.py
@@ -11,28 +11,28 @@
 
 from finchladder.core.api import NEVER_RAN, Effect, Ending, JobClass, WorkerPool
 
-MOST_ROUTES = 256  # in one file
-MOST_PARTS = 8  # of a path's prefix, the class included
-MOST_HEADERS = 4  # of one match
+MAX_ROUTES = 256  # in one file
+MAX_PATH_PARTS = 8  # of a path's prefix, the class included
+MAX_HEADERS = 4  # of one match
 
 ALL_BUT_OK = frozenset(Ending) - {Ending.OK}
 MAY_HAVE_RUN = ALL_BUT_OK - NEVER_RAN
 
 
-class Fields(Protocol):
+class HeaderFields(Protocol):
     """The header fields of a message; a name is asked for in small letters."""
 
     def all(self, name: str) -> Sequence[str]: ...
 
 
-class NoFields:
+class EmptyHeaderFields:
     """Of a job that came by a protocol without header fields."""
 
     def all(self, name: str) -> Sequence[str]:
         return ()
 
 
-NO_FIELDS = NoFields()
+EMPTY_HEADER_FIELDS = EmptyHeaderFields()
 
 
 class QueueOrder(Enum):
@@ -82,7 +82,7 @@
         whole = min(self.most_s, self.base_s * 2.0 ** min(resend - 1, 62))
         return whole * (1.0 - self.jitter * draw)
 
-    def longest_s(self, resends: int) -> float:
+    def max_total_wait_s(self, resends: int) -> float:
         """All waits of so many resends together, at their longest."""
         return sum(self.wait_s(n) for n in range(1, resends + 1))
 
@@ -140,22 +140,22 @@
     priority: int = 0  # where jobs of several routes compete for room, those of the highest go first
     pool: WorkerPool = WorkerPool()
 
-    def patience_s(self, left_s: float) -> float:
+    def effective_timeout_s(self, left_s: float) -> float:
         """How long a job may take whose client waits for `left_s` more."""
         return left_s if self.timeout_s is None else min(left_s, self.timeout_s)
 
 
-def may_resend_on(cls: JobClass) -> frozenset[Ending]:
+def retryable_endings(cls: JobClass) -> frozenset[Ending]:
     """The endings after which a class ever lets a job be sent again, whatever a route says."""
     return NEVER_RAN if cls.effect is Effect.UNSAFE else ALL_BUT_OK
 
 
 class _Node:
-    __slots__ = ("here", "below")
+    __slots__ = ("routes", "children")
 
     def __init__(self) -> None:
-        self.here: list[Route] = []
-        self.below: dict[str, _Node] = {}
+        self.routes: list[Route] = []
+        self.children: dict[str, _Node] = {}
 
 
 class Routes:
@@ -173,34 +173,36 @@
             if parts and parts[0] != route.job_class:
                 raise ValueError(f"route {route.name}: its path does not begin with {route.job_class}")
             for part in parts[1:]:
-                node = node.below.setdefault(part, _Node())
-            if any(r.match.same_as(route.match) for r in node.here):
+                node = node.children.setdefault(part, _Node())
+            if any(r.match.same_as(route.match) for r in node.routes):
                 raise ValueError(f"route {route.name}: another one matches the same jobs")
-            node.here.append(route)
+            node.routes.append(route)
             self.depth = max(self.depth, len(parts))
         self.classes = nodes
 
     def __bool__(self) -> bool:
         return bool(self.all)
 
-    def find(self, method: str, path: str, headers: Fields, job_class: str) -> Route | None:
+    def find(self, method: str, path: str, headers: HeaderFields, job_class: str) -> Route | None:
         """The most specific route that matches; `path` is a request's target, empty where there is none."""
         node = self.classes.get(job_class)
         if node is None:
             return None
         seen: dict[str, Sequence[str]] = {}
-        found = _first(node, method, headers, seen)
+        found = _first_match(node, method, headers, seen)
         parts = path.partition("?")[0].split("/", self.depth + 1)  # "", class, and what the class has below
         for part in parts[2 : self.depth + 1]:
-            node = node.below.get(part)
+            node = node.children.get(part)
             if node is None:
                 break
-            found = _first(node, method, headers, seen) or found
+            found = _first_match(node, method, headers, seen) or found
         return found
 
 
-def _first(node: _Node, method: str, headers: Fields, seen: dict[str, Sequence[str]]) -> Route | None:
-    for route in node.here:
+def _first_match(
+    node: _Node, method: str, headers: HeaderFields, seen: dict[str, Sequence[str]]
+) -> Route | None:
+    for route in node.routes:
         match = route.match
         if match.method is None or match.method == method:
             for name, value in match.headers:
--- a/finchladder/features/replay.py
+++ b/finchladder/features/replay.py
@@ -10,7 +10,12 @@
 from finchladder.config.settings import read_seed
 from finchladder.core import api
 from finchladder.core.dispatch.dispatcher import Dispatcher
-from finchladder.core.routing.limited_dispatcher import Decisions, Guarded, NewRoutes, decisions
+from finchladder.core.routing.limited_dispatcher import (
+    Decisions,
+    NewRoutes,
+    RouteLimitedDispatcher,
+    make_decisions,
+)
 from finchladder.core.routing.routes import Route, Routes
 from finchladder.features import snapshot
 from finchladder.features.capture import STATES, Line, decided_lines, encode, judged_lines, ordered_lines
@@ -210,7 +215,9 @@
     ) -> None:
         self.settings, self.options, self.say, self.warn, self.routes = settings, options, say, warn, routes
         self.inputs = self.compared = self.differ = 0
-        self.dispatcher: Dispatcher | Guarded | None = None  # None: there is nothing that could be compared
+        self.dispatcher: Dispatcher | RouteLimitedDispatcher | None = (
+            None  # None: there is nothing that could be compared
+        )
         self.arrivals: Arrivals | None = None
         self.opening: Opening | None = None
         self.recorded: list[tuple[int, Line]] = []
@@ -251,10 +258,10 @@
         self.opening = opening
         self.dispatcher, self.arrivals = (None, None) if opening.lost else self._fresh()
 
-    def _fresh(self) -> tuple[Dispatcher | Guarded, Arrivals]:
+    def _fresh(self) -> tuple[Dispatcher | RouteLimitedDispatcher, Arrivals]:
         assert self.opening is not None
         seed = read_seed(self.opening.seed)
-        made = decisions(self.settings, seed, self.routes, self.options.spilling())
+        made = make_decisions(self.settings, seed, self.routes, self.options.spilling())
         return made, Arrivals(self.options, seed)
 
     def _restore(self, record: StateIn) -> None:
@@ -277,7 +284,7 @@
             event = record.event()
             if self.dispatcher is None:
                 return None
-            if isinstance(event, NewRoutes) and not isinstance(self.dispatcher, Guarded):
+            if isinstance(event, NewRoutes) and not isinstance(self.dispatcher, RouteLimitedDispatcher):
                 raise ValueError("new routes hold from here on, and the operator's file is none in TOML")
             dispatcher: Decisions = self.dispatcher
             try:
--- a/finchladder/features/snapshot.py
+++ b/finchladder/features/snapshot.py
@@ -29,10 +29,10 @@
 from finchladder.core.dispatch.zone_spillover import SpilloverState, ZoneSpillover
 from finchladder.core.health.outlier_ejection import OutlierEjection
 from finchladder.core.membership.subscription import Asking
-from finchladder.core.routing.concurrency_limit import Limiter
-from finchladder.core.routing.hedging import Allowance, Times
-from finchladder.core.routing.limited_dispatcher import Guarded, Run, Scope
-from finchladder.core.routing.retry_budget import Budget
+from finchladder.core.routing.concurrency_limit import ConcurrencyLimiter
+from finchladder.core.routing.hedging import HedgeBudget, LatencyPercentile
+from finchladder.core.routing.limited_dispatcher import RoutedJob, RouteLimitedDispatcher, RouteLimits
+from finchladder.core.routing.retry_budget import RetryBudgetWindow
 from finchladder.core.routing.routes import Queue, Route, Routes
 from finchladder.features.fault_injection import Order
 from finchladder.features.request_admission import Arrivals
@@ -45,12 +45,12 @@
     KeyFrequency,
     Asking,
     PeerTenantRates,
-    Run,
-    Scope,
-    Limiter,
-    Budget,
-    Allowance,
-    Times,
+    RoutedJob,
+    RouteLimits,
+    ConcurrencyLimiter,
+    RetryBudgetWindow,
+    HedgeBudget,
+    LatencyPercentile,
     Alarms,
     ZoneSpillover,
     WorkerLoad,
@@ -61,7 +61,7 @@
 IN_PLACE: dict[type, tuple[str, ...]] = {  # records of which there are many, and their containers
     Worker: ("unstarted_attempts", "fetched_keys"),
     Job: ("attempts",),
-    Run: (),
+    RoutedJob: (),
 }
 SCALARS = frozenset({type(None), bool, int, float, str})
 CONTAINERS = frozenset({dict, list, OrderedDict})
@@ -167,7 +167,7 @@
     wherever it stands: a real server is known by many jobs.
     """
 
-    def __init__(self, decisions: Dispatcher | Guarded, arrivals: Arrivals) -> None:
+    def __init__(self, decisions: Dispatcher | RouteLimitedDispatcher, arrivals: Arrivals) -> None:
         self.decisions, self.arrivals = decisions, arrivals
         self.plain = {watched(kind, self._save): kind for kind in IN_PLACE}
         self.watch = {kind: watch for watch, kind in self.plain.items()}
@@ -185,9 +185,9 @@
 
     def begin(self) -> None:
         decisions, arrivals = self.decisions, self.arrivals
-        dispatcher = decisions.inner if isinstance(decisions, Guarded) else decisions
+        dispatcher = decisions.inner if isinstance(decisions, RouteLimitedDispatcher) else decisions
         many: list[Any] = [*dispatcher.workers.values(), *dispatcher.jobs.values()]
-        if isinstance(decisions, Guarded):
+        if isinstance(decisions, RouteLimitedDispatcher):
             many += decisions.runs.values()
         self.records, self.rows = [*many], [None] * len(many)
         self.numbers = dict(zip(map(id, many), range(len(many)), strict=True))
@@ -198,7 +198,7 @@
             n: [t.own_rps, t.peers_rps, t.request_count, t.credit] for n, t in dispatcher.tenants.items()
         }
         parts: dict[str, Any] = {"fields": fields, "tenants": encode(tenants)}
-        if isinstance(decisions, Guarded):
+        if isinstance(decisions, RouteLimitedDispatcher):
             kept = {name: v for name, v in vars(decisions).items() if name not in ROUND}
             parts["routes"] = {name: self._freeze(v) for name, v in kept.items()}
         if arrivals.door is not None:
@@ -404,7 +404,7 @@
         return OrderedDict(pairs) if kind == "ordered" else dict(pairs)
 
 
-def take(decisions: Dispatcher | Guarded, arrivals: Arrivals) -> State:
+def take(decisions: Dispatcher | RouteLimitedDispatcher, arrivals: Arrivals) -> State:
     """All at once."""
     taking = Taking(decisions, arrivals)
     taking.begin()
@@ -414,7 +414,7 @@
     return found
 
 
-def restore(state: State, decisions: Dispatcher | Guarded, arrivals: Arrivals) -> list[str]:
+def restore(state: State, decisions: Dispatcher | RouteLimitedDispatcher, arrivals: Arrivals) -> list[str]:
     """Into decisions made anew. Returns what of them can't be compared from here on."""
     try:
         _restore(state, decisions)
@@ -435,8 +435,8 @@
     setattr(holder, name, value)
 
 
-def _restore(state: State, decisions: Dispatcher | Guarded) -> None:
-    dispatcher = decisions.inner if isinstance(decisions, Guarded) else decisions
+def _restore(state: State, decisions: Dispatcher | RouteLimitedDispatcher) -> None:
+    dispatcher = decisions.inner if isinstance(decisions, RouteLimitedDispatcher) else decisions
     reader = Reader(state["records"], state.get("wholes", []), dispatcher.classes)
     paths = dict(_stored(dispatcher))
     if paths.keys() ^ state["fields"].keys() not in (set(), ZONE_FIELDS.keys()):
@@ -454,10 +454,10 @@
         if (t := dispatcher.tenants.get(n)) is not None:
             t.own_rps, t.peers_rps, t.request_count, t.credit = own, peers, count, credit
     dispatcher.reindex()
-    if isinstance(decisions, Guarded):
+    if isinstance(decisions, RouteLimitedDispatcher):
         routes = Routes(scope.route for scope in decisions.scopes.values())  # of the configuration of now
         vars(decisions).update({n: reader.get(v) for n, v in state.get("routes", {}).items()})
-        decisions.take(routes)
+        decisions.apply_routes(routes)
 
 
 def _tables(arrivals: Arrivals) -> dict[str, Any]:
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -15,7 +15,7 @@
 from finchladder.core.connections.graceful_shutdown import Leaving
 from finchladder.core.membership.watch import Watching
 from finchladder.core.membership.watch_backoff import Recalls
-from finchladder.core.routing.limited_dispatcher import Guarded, NewRoutes, decisions
+from finchladder.core.routing.limited_dispatcher import NewRoutes, RouteLimitedDispatcher, make_decisions
 from finchladder.core.routing.routes import Routes
 from finchladder.features import snapshot
 from finchladder.features.capture import Capture
@@ -73,9 +73,9 @@
         routes = file.loaded.routes if file is not None else None
         joined = self._join(options.peers, seed) if options.peers is not None else None
         share = self._share if joined is not None else None
-        decided = decisions(setup.settings, seed, routes, options.spilling(), share)
+        decided = make_decisions(setup.settings, seed, routes, options.spilling(), share)
         arrivals = Arrivals(options, seed)
-        self.dispatcher = decided.inner if isinstance(decided, Guarded) else decided
+        self.dispatcher = decided.inner if isinstance(decided, RouteLimitedDispatcher) else decided
         self.module = DecisionActor(decided, self.flows, clock)
         self.judging: Judging | None = None
         if options.judgement is not None:
--- a/finchladder/net/request_handler.py
+++ b/finchladder/net/request_handler.py
@@ -82,7 +82,7 @@
             left_s = max(0.0, left_s - edge.waited_s)
         route = self.intake.routes.find(head.method, head.target, head.headers, job_class)
         if route is not None:
-            left_s = route.patience_s(left_s)
+            left_s = route.effective_timeout_s(left_s)
         try:
             verdict = self.intake.arrive(edge.client, id, job_class, left_s)
             if verdict.wait > 0:
--- a/finchladder/sim/inner.py
+++ b/finchladder/sim/inner.py
@@ -5,7 +5,7 @@
 
 from finchladder.core import api
 from finchladder.core.dispatch.attempt_stages import Stage
-from finchladder.core.routing.limited_dispatcher import Guarded, NewRoutes
+from finchladder.core.routing.limited_dispatcher import NewRoutes, RouteLimitedDispatcher
 from finchladder.features.replay import Replay
 from finchladder.net.capture_recorder import CaptureRecorder
 from finchladder.net.node import DispatcherNode
@@ -170,7 +170,7 @@
         }
         fading = [name for name, actor in node.servers.fading.items() if actor.at_rest]
         left["real servers that are gone for long"] = fading
-        if isinstance(guarded := node.module.dispatcher, Guarded):
+        if isinstance(guarded := node.module.dispatcher, RouteLimitedDispatcher):
             left["jobs under routes"] = [*guarded.runs, *guarded.alarms.due_at]
         if node.flows.status is not None:
             left["jobs whose status is open"] = list(node.flows.status.open)
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -18,7 +18,7 @@
 from finchladder.config.option_files import read_options
 from finchladder.config.positions import Position, toml_positions
 from finchladder.core.api import Effect
-from finchladder.core.routing.routes import MOST_ROUTES, may_resend_on
+from finchladder.core.routing.routes import MAX_ROUTES, retryable_endings
 from tests.config.platform import MEMORY_MB, PLATFORMS, VARIANTS, variant_of
 from tests.peers import ROOT
 
@@ -40,7 +40,7 @@
     ("FL107", b"a = " + b"[" * 100_000),
     ("FL107", b"a = " + b"{a=" * 100_000),
     ("FL107", b"a." * 100_000 + b"a = 1"),
-    ("FL124", b"".join(b"route.r%d = {class = 'view'}\n" % n for n in range(MOST_ROUTES + 1))),
+    ("FL124", b"".join(b"route.r%d = {class = 'view'}\n" % n for n in range(MAX_ROUTES + 1))),
 ]
 
 
@@ -112,7 +112,7 @@
 
 
 def test_the_bounds_themselves_are_within_them() -> None:
-    routes = "".join(f"route.r{n} = {{match = {{path = '/view/{n}'}}}}\n" for n in range(MOST_ROUTES))
+    routes = "".join(f"route.r{n} = {{match = {{path = '/view/{n}'}}}}\n" for n in range(MAX_ROUTES))
     for text in ("#" * MOST_BYTES, routes):
         assert isinstance(loaded(text), Loaded)
 
@@ -404,7 +404,7 @@
         for route in found.routes.all:
             assert platform is not None
             cls = next(c for c in platform.classes if c.name == route.job_class)
-            assert route.resend_on <= may_resend_on(cls)
+            assert route.resend_on <= retryable_endings(cls)
             assert route.attempts is None or 1 <= route.attempts <= platform.max_attempts
             assert route.timeout_s is None or route.timeout_s <= cls.deadline_s
             if route.hedge is not None:
--- a/tests/config/test_routes.py
+++ b/tests/config/test_routes.py
@@ -8,7 +8,7 @@
 from finchladder.core.api import NEVER_RAN, Ending, WorkerPool
 from finchladder.core.routing.routes import (
     ALL_BUT_OK,
-    NO_FIELDS,
+    EMPTY_HEADER_FIELDS,
     NO_ROUTES,
     Backoff,
     Hedge,
@@ -52,25 +52,25 @@
 @pytest.mark.parametrize(
     ("method", "path", "headers", "job_class", "name"),
     [
-        ("POST", "/view", NO_FIELDS, "view", "post"),
-        ("", "", NO_FIELDS, "view", "view"),  # of a protocol without paths
-        ("POST", "/view/a", NO_FIELDS, "view", "post"),
-        ("POST", "/view/a/b", NO_FIELDS, "view", "deep"),
-        ("POST", "/view/a/b?q=/c", NO_FIELDS, "view", "deep"),
-        ("POST", "/view/a/b/c/d", NO_FIELDS, "view", "deep"),
-        ("POST", "/view/a/bc", NO_FIELDS, "view", "post"),
-        ("POST", "/view?/a/b", NO_FIELDS, "view", "post"),
+        ("POST", "/view", EMPTY_HEADER_FIELDS, "view", "post"),
+        ("", "", EMPTY_HEADER_FIELDS, "view", "view"),  # of a protocol without paths
+        ("POST", "/view/a", EMPTY_HEADER_FIELDS, "view", "post"),
+        ("POST", "/view/a/b", EMPTY_HEADER_FIELDS, "view", "deep"),
+        ("POST", "/view/a/b?q=/c", EMPTY_HEADER_FIELDS, "view", "deep"),
+        ("POST", "/view/a/b/c/d", EMPTY_HEADER_FIELDS, "view", "deep"),
+        ("POST", "/view/a/bc", EMPTY_HEADER_FIELDS, "view", "post"),
+        ("POST", "/view?/a/b", EMPTY_HEADER_FIELDS, "view", "post"),
         ("POST", "/view/a/b", Given(x_a=["1"]), "view", "one"),
         ("POST", "/view/a/b", Given(x_a=["2"]), "view", "any"),
         ("POST", "/view/a/b", Given(x_a=["1", "1"]), "view", "any"),
         ("POST", "/view/a/b", Given(x_a=["1"], x_b=["2"]), "view", "two"),
         ("POST", "/view/a/b", Given(x_a=["1"], x_b=["3"]), "view", "one"),
         ("POST", "/view/a/b", Given(x_batch=["1"]), "view", "deep"),
-        ("POST", "/confirm/a/b", NO_FIELDS, "confirm", "all"),
+        ("POST", "/confirm/a/b", EMPTY_HEADER_FIELDS, "confirm", "all"),
         ("POST", "/confirm", Given(x_batch=["1", "2"]), "confirm", "batch"),
-        ("POST", "/keep/x/", NO_FIELDS, "keep", "keep"),
-        ("POST", "/keep/y/x", NO_FIELDS, "keep", "all"),
-        ("POST", "/nosuch", NO_FIELDS, "nosuch", None),
+        ("POST", "/keep/x/", EMPTY_HEADER_FIELDS, "keep", "keep"),
+        ("POST", "/keep/y/x", EMPTY_HEADER_FIELDS, "keep", "all"),
+        ("POST", "/nosuch", EMPTY_HEADER_FIELDS, "nosuch", None),
     ],
 )
 def test_the_most_specific_route_wins(
@@ -83,8 +83,8 @@
 
 def test_without_routes_there_is_none() -> None:
     assert not NO_ROUTES
-    assert NO_ROUTES.find("POST", "/view", NO_FIELDS, "view") is None
-    assert made('route.a = {class = "view"}').find("POST", "/keep", NO_FIELDS, "keep") is None
+    assert NO_ROUTES.find("POST", "/view", EMPTY_HEADER_FIELDS, "view") is None
+    assert made('route.a = {class = "view"}').find("POST", "/keep", EMPTY_HEADER_FIELDS, "keep") is None
 
 
 def test_routes_that_the_checker_would_refuse_are_an_error() -> None:
@@ -184,9 +184,9 @@
     backoff = Backoff(0.1, 0.5, 0.5)
     assert [round(backoff.wait_s(n), 9) for n in (1, 2, 3, 4, 2000)] == [0.1, 0.2, 0.4, 0.5, 0.5]
     assert backoff.wait_s(2, 1.0) == 0.1
-    assert backoff.longest_s(0) == 0
-    assert backoff.longest_s(4) == pytest.approx(1.2)
-    assert Backoff().longest_s(9) == 0
+    assert backoff.max_total_wait_s(0) == 0
+    assert backoff.max_total_wait_s(4) == pytest.approx(1.2)
+    assert Backoff().max_total_wait_s(9) == 0
 
 
 def test_the_version_names_the_content() -> None:
--- a/tests/core/peers/test_loads.py
+++ b/tests/core/peers/test_loads.py
@@ -66,13 +66,13 @@
 def test_a_shared_floor_is_one_of_all_and_first_sends_still_allow_their_share() -> None:
     bucket = Bucket(2.0, 0.0)
     budget = SharedBudget(RetryBudget(share=0.1, least_per_s=200.0), bucket)
-    assert not budget.take(0.1) and bucket.refused == 1  # no floor of its own
+    assert not budget.try_spend(0.1) and bucket.refused == 1  # no floor of its own
     for _ in range(20):
-        budget.sent(0.1)
-    assert [budget.take(0.1) for _ in range(3)] == [True, True, False] and bucket.spent == 0
-    assert budget.left(1.0) and budget.take(1.0) and bucket.spent == 1
-    budget.tune(RetryBudget(share=0.2, least_per_s=500.0))
-    assert [budget.take(1.0) for _ in range(3)] == [True, True, False]
+        budget.record_first_send(0.1)
+    assert [budget.try_spend(0.1) for _ in range(3)] == [True, True, False] and bucket.spent == 0
+    assert budget.may_retry(1.0) and budget.try_spend(1.0) and bucket.spent == 1
+    budget.reconfigure(RetryBudget(share=0.2, least_per_s=500.0))
+    assert [budget.try_spend(1.0) for _ in range(3)] == [True, True, False]
 
 
 def peers(now: float = -100.0) -> Peers:
--- a/tests/core/routes.py
+++ b/tests/core/routes.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from finchladder import Dispatcher, api
-from finchladder.core.routing.limited_dispatcher import Guarded, NewRoutes
+from finchladder.core.routing.limited_dispatcher import NewRoutes, RouteLimitedDispatcher
 from finchladder.core.routing.routes import Routes
 from tests.helpers import Bench, entry, settings
 
@@ -16,7 +16,7 @@
         self, routes: Routes, workers: Iterable[str | api.WorkerEntry] = (), seed: int = 1, **changes: Any
     ) -> None:
         super().__init__(seed=seed, **changes)
-        self.g = Guarded(Dispatcher(settings(**changes), seed), routes, seed)
+        self.g = RouteLimitedDispatcher(Dispatcher(settings(**changes), seed), routes, seed)
         self.d = self.g  # type: ignore[assignment]
         entries = tuple(w if isinstance(w, api.WorkerEntry) else entry(w) for w in workers)
         self.feed(api.WorkerList(api.ListKind.FULL, entries))
@@ -33,4 +33,6 @@
         """Nothing is held of any job."""
         g = self.g
         limiters = [s.limiter for s in g.scopes.values() if s.limiter is not None]
-        return not (g.runs or g.alarms.due_at or g.inner.jobs or any(x.open or x.order for x in limiters))
+        return not (
+            g.runs or g.alarms.due_at or g.inner.jobs or any(x.open_count or x.waiting for x in limiters)
+        )
--- a/tests/core/test_guarded.py
+++ b/tests/core/test_guarded.py
@@ -7,7 +7,7 @@
 from finchladder import api
 from finchladder.core.api import Ending as E
 from finchladder.core.api import WorkerPool
-from finchladder.core.routing.limited_dispatcher import Scope
+from finchladder.core.routing.limited_dispatcher import RouteLimits
 from finchladder.core.routing.routes import Backoff, Hedge, Queue, QueueOrder, RetryBudget, Route, Routes
 from tests.core.routes import RouteBench
 from tests.helpers import KEYED, SAFE, UNSAFE, Bench, entry, workers
@@ -23,7 +23,7 @@
     return b
 
 
-def scope(b: RouteBench, route: str = "safe", cls: str = "safe") -> Scope:
+def scope(b: RouteBench, route: str = "safe", cls: str = "safe") -> RouteLimits:
     return b.g.scopes[route, cls]
 
 
@@ -134,7 +134,11 @@
 
 def test_an_attempt_has_its_time_out_and_a_job_its_whole_one() -> None:
     route = Route("safe", "safe", attempt_timeout_s=0.4, timeout_s=2.0)
-    assert (route.patience_s(10.0), route.patience_s(1.0), Route("s", "s").patience_s(9.0)) == (2.0, 1.0, 9.0)
+    assert (
+        route.effective_timeout_s(10.0),
+        route.effective_timeout_s(1.0),
+        Route("s", "s").effective_timeout_s(9.0),
+    ) == (2.0, 1.0, 9.0)
     b = bench(attempt_timeout_s=0.4)
     name, _ = b.ask()
     b.end(name, E.TIMED_OUT)
@@ -198,7 +202,7 @@
     both.run_until(START + 0.5)
     both.end(name, E.ERROR, 0)  # its copy is out, which was paid for
     assert not both.g.alarms.due_at
-    assert [s.spent for s in (scope(once).budget, scope(both).budget) if s] == [0, 1]
+    assert [s.retries for s in (scope(once).budget, scope(both).budget) if s] == [0, 1]
     both.end(name, E.ERROR, 1)
     both.run_until(START + 2)
     assert done(both, name) == "send 0, send 0.3, send 1"  # the first resend's wait, though two were sent
@@ -209,7 +213,11 @@
     full = bench(1, hedge=HEDGE, retry_budget=ALL)  # no worker for a copy
     full.ask()
     full.run_until(START + 1)
-    counts = [(s.hedges.saved, s.budget.spent) for s in map(scope, (share, full)) if s.hedges and s.budget]
+    counts = [
+        (s.hedge_budget.tokens, s.budget.retries)
+        for s in map(scope, (share, full))
+        if s.hedge_budget and s.budget
+    ]
     assert counts == [(0.0, 4), (1.0, 0)]
 
 
@@ -221,7 +229,7 @@
     answered = [done(b, b.ask(is_client_retry=True)[0]) for _ in range(4)]
     assert answered == (["send 0"] * 2 + ["reject"] * 2 if counted else ["send 0"] * 4)
     budget = scope(b).budget
-    assert budget is not None and budget.firsts == (10 if counted else 14)
+    assert budget is not None and budget.first_sends == (10 if counted else 14)
     assert bench().ask(is_client_retry=True)[1]  # where there is no budget
 
 
@@ -318,7 +326,7 @@
         b.now += 0.1 if n % 20 else 0.5
         b.end(name, E.OK, 0, 0.1 if n % 20 else 0.5)
         assert len(b.sends(name)) == 1
-    times = scope(b).times
+    times = scope(b).latency
     assert times and times.value_s == pytest.approx(0.1, rel=0.03)
     total = times.total
     name, _ = b.ask()
@@ -412,7 +420,7 @@
     with pytest.raises(KeyError):
         b.g.handle(b.now, api.Request("x", "safe", 5.0, route="all"))
     limiter = scope(b, "all", "dear").limiter
-    assert limiter is not None and not limiter.open and not b.g.runs
+    assert limiter is not None and not limiter.open_count and not b.g.runs
 
 
 # --- pool and priority --------------------------------------------------------------------------------------
@@ -506,7 +514,7 @@
         b.serve(name)
     limit(5)
     limiter = scope(b, "all").limiter
-    assert limiter is not None and limiter.open == 1 and len(b.g.runs) == 1
+    assert limiter is not None and limiter.open_count == 1 and len(b.g.runs) == 1
 
 
 def test_a_class_whose_part_of_a_route_goes_leaves_its_places_to_the_others() -> None:
@@ -518,7 +526,7 @@
     b.renew(Routes([Route("all", "safe", concurrency=1, queue=Queue(2))]))
     assert done(b, jobs[4]) == "send 0" and not done(b, jobs[3])
     limiter = scope(b, "all").limiter
-    assert limiter is not None and (limiter.open, len(limiter.order)) == (1, 1)
+    assert limiter is not None and (limiter.open_count, len(limiter.waiting)) == (1, 1)
     b.feed(api.Ended(jobs[1], 0, E.CANCELLED, True, 0.1))
     for n in (0, 3, 2, 4):
         b.serve(jobs[n])
@@ -540,26 +548,34 @@
 
     b = RouteBench(routes(0.5, 0.5, 0.9), workers(20))
     safe, keyed, unsafe = (scope(b, "all", c) for c in ("safe", "keyed", "unsafe"))
-    assert safe.budget is keyed.budget is not unsafe.budget and safe.hedges is keyed.hedges
-    assert unsafe.hedges is None and b.ask("unsafe", route="all")[1]
+    assert safe.budget is keyed.budget is not unsafe.budget and safe.hedge_budget is keyed.hedge_budget
+    assert unsafe.hedge_budget is None and b.ask("unsafe", route="all")[1]
     for _ in range(50):
         b.serve(b.ask(route="all")[0])
     b.renew(routes(0.1, 0.1, 0.1))
     new = scope(b, "all")
-    assert new.budget and new.hedges and new is not safe and new.times is safe.times
-    assert (new.budget.firsts, new.budget.share) == (50, 0.1)
+    assert new.budget and new.hedge_budget and new is not safe and new.latency is safe.latency
+    assert (new.budget.first_sends, new.budget.share) == (50, 0.1)
     assert scope(b, "all", "unsafe").budget is new.budget
     b.renew(routes(0.1, 0.1, 0.1, windows=(20.0, 10.0, 10.0)))
     other = scope(b, "all", "keyed").budget
-    assert scope(b, "all").budget is new.budget and other and (other.firsts, other.window_s) == (0, 20.0)
+    assert scope(b, "all").budget is new.budget and other and (other.first_sends, other.window_s) == (0, 20.0)
     b.renew(routes(0.1, 0.1, 0.1))
     b.renew(routes(0.4, 0.3, 0.2, most=0.3))  # what was one is no more
     safe, keyed = scope(b, "all"), scope(b, "all", "keyed")
-    assert safe.budget is not keyed.budget and safe.hedges is not keyed.hedges
-    assert safe.hedges and keyed.hedges and (safe.hedges.share, keyed.hedges.share) == (0.3, 0.1)
+    assert safe.budget is not keyed.budget and safe.hedge_budget is not keyed.hedge_budget
+    assert (
+        safe.hedge_budget
+        and keyed.hedge_budget
+        and (safe.hedge_budget.share, keyed.hedge_budget.share) == (0.3, 0.1)
+    )
     b.renew(Routes([Route("all", "safe", hedge=Hedge(percentile=99.0))]))
     last = scope(b, "all")
-    assert last.times is not new.times and last.hedges is safe.hedges and safe.hedges.share == 0.05
+    assert (
+        last.latency is not new.latency
+        and last.hedge_budget is safe.hedge_budget
+        and safe.hedge_budget.share == 0.05
+    )
 
 
 def test_a_job_keeps_its_hedge_or_has_none_as_it_began() -> None:
--- a/tests/core/test_guarded_replay.py
+++ b/tests/core/test_guarded_replay.py
@@ -10,7 +10,7 @@
 from finchladder.config.settings import read_seed
 from finchladder.core.api import Ending as E
 from finchladder.core.api import WorkerPool
-from finchladder.core.routing.limited_dispatcher import Guarded, NewRoutes
+from finchladder.core.routing.limited_dispatcher import NewRoutes, RouteLimitedDispatcher
 from finchladder.core.routing.routes import Backoff, Hedge, Queue, RetryBudget, Route, Routes
 from finchladder.features import snapshot
 from finchladder.features.capture import Capture, block_of
@@ -60,7 +60,7 @@
     def __init__(self, routes: Routes, ring_bytes: int = 50_000_000) -> None:
         self.later = list[Callable[[], None]]()
         super().__init__(ring_bytes=ring_bytes)
-        self.g = Guarded(self.d, routes, read_seed(SEED))
+        self.g = RouteLimitedDispatcher(self.d, routes, read_seed(SEED))
         self.d = self.g  # type: ignore[assignment]
         self.capture.states = snapshot.Taking(self.g, self.arrivals)
         self.capture.soon = self.later.append  # a state is written while the day goes on
@@ -121,8 +121,8 @@
 
     def rich() -> bool:
         runs = g.runs.values()
-        both = any(r.waiting is not None for r in runs) and any(r.copies for r in runs)
-        return both and bool(g.alarms.due_at and g.gone) and len({id(r.rules) for r in runs}) > 3
+        both = any(r.queued_request is not None for r in runs) and any(r.hedge_count for r in runs)
+        return both and bool(g.alarms.due_at and g.gone) and len({id(r.route) for r in runs}) > 3
 
     while not (tries % 2 and rich()):  # while OTHER holds
         play.feed(NewRoutes((OTHER, ROUTES)[tries % 2]))  # type: ignore[arg-type]
@@ -131,7 +131,7 @@
         assert tries < 500
     carried = snapshot.take(g, play.arrivals)
     state = block_of([{"t": play.now, "in": "state", "state": carried}])
-    assert all(scope.times is None or scope.times.buckets for scope in g.scopes.values())
+    assert all(scope.latency is None or scope.latency.buckets for scope in g.scopes.values())
     states = snapshot.Taking(play.g, play.arrivals)
     play.capture = Capture(CaptureOptions(ring_bytes=50_000_000), SEED, states)
     play.play(600)
--- a/tests/core/test_limits.py
+++ b/tests/core/test_limits.py
@@ -6,9 +6,15 @@
 import pytest
 
 from finchladder.core.alarms import Alarms
-from finchladder.core.routing.concurrency_limit import Limiter
-from finchladder.core.routing.hedging import ERROR, KEEP, SAVED, Allowance, Times
-from finchladder.core.routing.retry_budget import Budget
+from finchladder.core.routing.concurrency_limit import ConcurrencyLimiter
+from finchladder.core.routing.hedging import (
+    DECAY_SAMPLES,
+    MAX_HEDGE_TOKENS,
+    RELATIVE_ERROR,
+    HedgeBudget,
+    LatencyPercentile,
+)
+from finchladder.core.routing.retry_budget import RetryBudgetWindow
 from finchladder.core.routing.routes import Queue, QueueOrder, RetryBudget
 
 RANKS = {
@@ -20,51 +26,51 @@
 
 @pytest.mark.parametrize("order", list(QueueOrder))
 def test_a_queue_hands_out_the_best_and_turns_away_the_worst(order: QueueOrder) -> None:
-    random, limiter = Random(7), Limiter(3, Queue(4, order))
+    random, limiter = Random(7), ConcurrencyLimiter(3, Queue(4, order))
     waiting: list[tuple[str, float, float, int]] = []
     open_ = full = taken = 0
     for serial in range(3000):
         todo = random.random()
         if todo < 0.5:
             job = (f"j{serial}", random.choice((1.0, 10.0)), random.choice((5.0, 6.0)), serial)
-            if limiter.enter():
+            if limiter.try_acquire():
                 assert open_ < 3 and not waiting
                 open_ += 1
                 continue
             assert open_ == 3 or waiting
             waiting.append(job)
             waiting.sort(key=RANKS[order])
-            loser = limiter.wait(*job)
+            loser = limiter.enqueue(*job)
             assert (loser is None) is (len(waiting) <= 4)
             if loser is not None:
                 assert loser == waiting.pop()[0]
-                limiter.drop(loser)
+                limiter.remove(loser)
                 full += 1
         elif todo < 0.6 and waiting:
-            limiter.drop(waiting.pop(random.randrange(len(waiting)))[0])
+            limiter.remove(waiting.pop(random.randrange(len(waiting)))[0])
         elif open_:
-            limiter.leave()
+            limiter.release()
             open_ -= 1
-            while (id := limiter.next()) is not None:
+            while (id := limiter.dequeue()) is not None:
                 assert id == waiting.pop(0)[0]
                 open_, taken = open_ + 1, taken + 1
             assert open_ == 3 or not waiting
-        limiter.drop("nobody")
-    assert full > 100 and taken > 300 and len(limiter.order) == len(limiter.ranks) == len(waiting)
+        limiter.remove("nobody")
+    assert full > 100 and taken > 300 and len(limiter.waiting) == len(limiter.rank_by_id) == len(waiting)
 
 
 @pytest.mark.parametrize(("share", "floor", "window"), [(0.2, 1.0, 10.0), (0.0, 2.0, 3.0), (1.0, 0.0, 10.0)])
 def test_resends_of_any_window_stay_within_the_share_of_its_first_sends_and_the_floor(
     share: float, floor: float, window: float
 ) -> None:
-    random, budget = Random(3), Budget(RetryBudget(share, floor, window))
+    random, budget = Random(3), RetryBudgetWindow(RetryBudget(share, floor, window))
     now, firsts, resends, denied = 1e9, list[float](), list[float](), 0
     for step in range(10_000):
         now += random.expovariate(40.0) * (50 if step % 4000 == 0 else 1)
         if random.random() < (0.3 if step % 3000 < 1500 else 0.95):
-            budget.sent(now)
+            budget.record_first_send(now)
             firsts.append(now)
-        elif budget.take(now):
+        elif budget.try_spend(now):
             resends.append(now)
             in_window = sum(t > now - 0.9 * window for t in resends)
             assert in_window <= share * sum(t > now - window for t in firsts) + floor * 0.9 * window + 1e-6
@@ -72,29 +78,29 @@
             denied += 1  # and not before they are used up
             in_window = sum(t > now - window for t in resends)
             allowed = share * sum(t > now - 0.9 * window for t in firsts) + floor * 0.9 * window
-            assert in_window + 1 > allowed - 1e-6 and not budget.left(now)
+            assert in_window + 1 > allowed - 1e-6 and not budget.may_retry(now)
         assert len(budget.slices) <= 10
     assert denied > 1000 and len(resends) > 100
 
 
 @pytest.mark.parametrize("percentile", [50.0, 95.0, 99.0])
 def test_a_percentile_is_known_within_its_error_and_follows_a_change(percentile: float) -> None:
-    random, times = Random(5), Times(percentile)
+    random, times = Random(5), LatencyPercentile(percentile)
     drawn = list[float]()
     for scale in (0.1, 1.0):
         for _ in range(6000):
             drawn.append(scale * random.lognormvariate(0.0, 0.5))
             times.add(drawn[-1])
-            assert (times.value_s is None) is (len(drawn) < max(32, round(times.needed)))
-        last = sorted(drawn[-int(max(KEEP, 2 * times.needed)) :])
+            assert (times.value_s is None) is (len(drawn) < max(32, round(times.min_samples)))
+        last = sorted(drawn[-int(max(DECAY_SAMPLES, 2 * times.min_samples)) :])
         near = [last[int(len(last) * min(1, max(0, percentile / 100 + d)))] for d in (-0.015, 0.008)]
         assert times.value_s is not None
-        assert near[0] * (1 - ERROR) <= times.value_s <= near[1] * (1 + ERROR)
-        assert len(times.buckets) < 378 and times.total <= max(KEEP, 2 * times.needed)
+        assert near[0] * (1 - RELATIVE_ERROR) <= times.value_s <= near[1] * (1 + RELATIVE_ERROR)
+        assert len(times.buckets) < 378 and times.total <= max(DECAY_SAMPLES, 2 * times.min_samples)
 
 
 def test_bounds_of_times_and_those_that_were_cut_off() -> None:
-    times = Times(50.0)
+    times = LatencyPercentile(50.0)
     for took in (0.0, 1e9, -1.0) * 40:
         times.add(took)
     assert times.value_s == pytest.approx(1e-3, rel=0.05) and max(times.buckets) <= 378
@@ -103,30 +109,30 @@
     times.add_longer_than(0.1)
     assert times.total == 121 and log(0.1 / 1e-3) > 0
     known = times.value_s
-    for _ in range(31 - times.changed):  # it is worked out again after 32
+    for _ in range(31 - times.new_count):  # it is worked out again after 32
         times.add(50.0)
         assert times.value_s == known
-    unknown = Times(95.0)
+    unknown = LatencyPercentile(95.0)
     unknown.add_longer_than(100.0)
     assert unknown.total == 0
 
 
 @pytest.mark.parametrize("share", [0.05, 0.3, 1.0])
 def test_copies_are_at_no_moment_more_than_their_share_of_the_first_sends(share: float) -> None:
-    random, allowance = Random(1), Allowance(share)
+    random, allowance = Random(1), HedgeBudget(share)
     sent = copies = 0
     for step in range(20_000):
         if random.random() < 0.8:
-            allowance.sent()
+            allowance.record_first_send()
             sent += 1
-        if step % 5000 > 1000 and allowance.left():
-            allowance.take()
+        if step % 5000 > 1000 and allowance.has_token():
+            allowance.take_token()
             copies += 1
         assert copies <= share * sent
     assert copies > share * sent * 0.7
     for _ in range(10_000):
-        allowance.sent()
-    assert allowance.saved == SAVED  # an hour of calm must not pay for a flood
+        allowance.record_first_send()
+    assert allowance.tokens == MAX_HEDGE_TOKENS  # an hour of calm must not pay for a flood
 
 
 def test_alarms_come_in_order_and_what_is_dropped_leaves_little_behind() -> None:
--- a/tests/core/test_routes_model.py
+++ b/tests/core/test_routes_model.py
@@ -13,7 +13,7 @@
 from finchladder import api
 from finchladder.config.operator_file import Loaded, load
 from finchladder.core.api import DeduplicationScope, Effect, Ending, JobClass
-from finchladder.core.routing.limited_dispatcher import GUARD
+from finchladder.core.routing.limited_dispatcher import ROUTE_TIMER_TOKEN
 from finchladder.core.routing.routes import Backoff, Hedge, RetryBudget, Route, Routes
 from tests.config.platform import PLATFORMS
 from tests.core.routes import RouteBench
@@ -66,7 +66,7 @@
             self.choose(choices[path[step][0]])
             step += 1
         over = self.answered or self.left
-        soon = max([self.now, *(at for at, token in self.timers if token == GUARD)]) + 0.05
+        soon = max([self.now, *(at for at, token in self.timers if token == ROUTE_TIMER_TOKEN)]) + 0.05
         self.run_until(soon if over else self.until)
         for n in self.out():
             self.told(n, Ending.CANCELLED)
@@ -79,7 +79,7 @@
         if self.answered or self.left:
             return
         yield from product(self.out(), Ending)
-        due = [at for at, token in self.timers if token == GUARD]
+        due = [at for at, token in self.timers if token == ROUTE_TIMER_TOKEN]
         if due and min(due) < self.until:
             yield min(due)
         if self.out() or due:
--- a/tests/core/test_zones.py
+++ b/tests/core/test_zones.py
@@ -12,7 +12,7 @@
 from finchladder.core.api import Ending, ListKind, WorkerPool, WorkerStatus
 from finchladder.core.dispatch.zone_dispatcher import HOME_ONLY_SHARE, MAX_OBSERVED_WORKERS, ZoneDispatcher
 from finchladder.core.dispatch.zone_spillover import SpilloverSettings
-from finchladder.core.routing.limited_dispatcher import Guarded, decisions
+from finchladder.core.routing.limited_dispatcher import RouteLimitedDispatcher, make_decisions
 from finchladder.core.routing.routes import NO_ROUTES
 from finchladder.features import snapshot
 from finchladder.features.capture import Capture
@@ -158,19 +158,22 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_day_with_spill_replays_from_the_seed_and_from_a_state_in_the_middle(seed: int) -> None:
-    zoned = decisions(DAY, 5, NO_ROUTES if seed else None, SPILL)
-    assert isinstance(zoned.inner if isinstance(zoned, Guarded) else zoned, ZoneDispatcher)
+    zoned = make_decisions(DAY, 5, NO_ROUTES if seed else None, SPILL)
+    assert isinstance(zoned.inner if isinstance(zoned, RouteLimitedDispatcher) else zoned, ZoneDispatcher)
     day = History(Random(seed), 20, zoned)  # type: ignore[arg-type]
     day.begin()
     for step in range(600):
         day.step()
         if step == 300:
-            arrivals, other = Arrivals(Options(), 1), decisions(DAY, 9, NO_ROUTES if seed else None, SPILL)
+            arrivals, other = (
+                Arrivals(Options(), 1),
+                make_decisions(DAY, 9, NO_ROUTES if seed else None, SPILL),
+            )
             state = json.loads(json.dumps(snapshot.take(zoned, arrivals), default=list))
             snapshot.restore(state, other, arrivals)
             day.dispatchers.append(other)  # type: ignore[arg-type]
     assert day.sends > 30
-    plain = decisions(DAY, 9, NO_ROUTES if seed else None)
+    plain = make_decisions(DAY, 9, NO_ROUTES if seed else None)
     snapshot.restore(snapshot.take(zoned, arrivals), plain, arrivals)  # and where it is off by now
     snapshot.restore(snapshot.take(plain, arrivals), zoned, arrivals)
 
--- a/tests/test_stored_state.py
+++ b/tests/test_stored_state.py
@@ -11,7 +11,7 @@
 from finchladder.config.options import DoorOptions, DrillOptions, Options, SpillOptions
 from finchladder.config.settings import read_seed
 from finchladder.core.api import Ending
-from finchladder.core.routing.limited_dispatcher import Guarded, decisions
+from finchladder.core.routing.limited_dispatcher import RouteLimitedDispatcher, make_decisions
 from finchladder.core.routing.routes import Backoff, Hedge, Queue, RetryBudget, Route, Routes
 from finchladder.features import snapshot
 from finchladder.features.replay import Replay
@@ -132,12 +132,12 @@
     return msgspec.json.decode(opening)["seed"], msgspec.json.decode(state)["state"]
 
 
-def restored() -> tuple[Guarded, Arrivals]:
+def restored() -> tuple[RouteLimitedDispatcher, Arrivals]:
     seed, state = stored()
-    made = decisions(SETTINGS, read_seed(seed) + 1, ROUTES, OPTIONS.spilling())
+    made = make_decisions(SETTINGS, read_seed(seed) + 1, ROUTES, OPTIONS.spilling())
     arrivals = Arrivals(OPTIONS, read_seed(seed) + 1)
     assert snapshot.restore(state, made, arrivals) == []
-    assert isinstance(made, Guarded)
+    assert isinstance(made, RouteLimitedDispatcher)
     return made, arrivals
 
 
@@ -195,6 +195,6 @@
 def test_a_stored_state_does_not_go_with_decisions_that_lack_a_field() -> None:
     _, state = stored()
     del state["fields"]["strain"]
-    made = decisions(SETTINGS, 1, ROUTES, OPTIONS.spilling())
+    made = make_decisions(SETTINGS, 1, ROUTES, OPTIONS.spilling())
     with pytest.raises(snapshot.StateError, match="another version"):
         snapshot.restore(state, made, Arrivals(OPTIONS, 1))
