--- a/finchladder/core/peers/retries.py
+++ b/finchladder/core/peers/retries.py
@@ -12,6 +12,8 @@
 
 
 class SharedBudget(RetryBudgetWindow):
+    """Retry budget whose minimum rate comes from a bucket that all dispatchers share."""
+
     __slots__ = ("bucket",)
 
     def __init__(self, rule: RetryBudget, bucket: Bucket) -> None:
--- a/finchladder/core/routing/concurrency_limit.py
+++ b/finchladder/core/routing/concurrency_limit.py
@@ -1,50 +1,62 @@
-"""Concurrency of a route: so many of its jobs are open at once, and a bounded queue of others waits.
+"""Concurrency limit of a route: a maximum of open jobs, and a bounded queue of waiting ones.
 
-A job that waits was never sent, so to refuse it is harmless.
+A queued job was never sent to a worker, so it can be rejected without side effects.
 """
 
 from bisect import bisect_left, insort
 
 from finchladder.core.routing.routes import Queue, QueueOrder
 
-Rank = tuple[float, float, int, str]  # the least goes first; the last is the job's id
+Rank = tuple[float, float, int, str]  # (-value, deadline, serial, job id); the lowest is dequeued first
 
 
 class ConcurrencyLimiter:
-    """Places and queue of one route. To wait and to be dropped cost O(log n), and up to n moved pointers."""
+    """Counts the open jobs of one route and orders its queue.
+
+    Inserting into and removing from the queue cost O(log n) comparisons, and up to n moved pointers.
+    """
 
     __slots__ = ("max_open", "queue", "open_count", "waiting", "rank_by_id")
 
-    def __init__(self, most: int, queue: Queue) -> None:
-        self.max_open, self.queue = most, queue
-        self.open_count = 0  # may be above `most` after a reload that lowered it
+    def __init__(self, max_open: int, queue: Queue) -> None:
+        self.max_open, self.queue = max_open, queue
+        self.open_count = 0  # may exceed `max_open` after a reload that lowered it
         self.waiting: list[Rank] = []
         self.rank_by_id: dict[str, Rank] = {}
 
     def try_acquire(self) -> bool:
-        """Takes a place, if one is free. Whoever waits is to be let in by `next` as soon as one is."""
+        """Takes a slot if one is free. Callers drain the queue with `dequeue` whenever a slot is released."""
         if self.open_count >= self.max_open:
             return False
         self.open_count += 1
         return True
 
-    def enqueue(self, id: str, worth: float, deadline: float, serial: int) -> str | None:
-        """Queues a job. Returns whom there is no room for now, maybe the same: to be refused and dropped."""
-        self.requeue(id, worth, deadline, serial)
+    def enqueue(self, id: str, value: float, deadline: float, serial: int) -> str | None:
+        """Queues a job.
+
+        Returns:
+            The id of the job beyond the queue's length, possibly this one: the caller rejects and removes it.
+        """
+        self.requeue(id, value, deadline, serial)
         return self.waiting[-1][-1] if len(self.waiting) > self.queue.length else None
 
-    def requeue(self, id: str, worth: float, deadline: float, serial: int) -> None:
-        """Queues a job that has waited already, under rules that were others."""
-        rank = self.rank_by_id[id] = self.rank_of(id, worth, deadline, serial)
+    def requeue(self, id: str, value: float, deadline: float, serial: int) -> None:
+        """Queues a job without a check of the length, e.g. one moved from the limiter of former settings."""
+        rank = self.rank_by_id[id] = self.rank_of(id, value, deadline, serial)
         insort(self.waiting, rank)
 
-    def rank_of(self, id: str, worth: float, deadline: float, serial: int) -> Rank:
+    def rank_of(self, id: str, value: float, deadline: float, serial: int) -> Rank:
+        """Returns the sort key of a job in the configured queue order."""
         if self.queue.order is QueueOrder.WORTH:
-            return -worth, deadline, serial, id
+            return -value, deadline, serial, id
         return 0.0, deadline if self.queue.order is QueueOrder.DEADLINE else 0.0, serial, id
 
     def dequeue(self) -> str | None:
-        """The job whose turn it is, out of the queue and with a place; None: none waits, or none is free."""
+        """Removes the first job of the queue and takes a slot for it.
+
+        Returns:
+            The job's id, or None if the queue is empty or no slot is free.
+        """
         if self.open_count >= self.max_open or not self.waiting:
             return None
         self.open_count += 1
@@ -53,10 +65,10 @@
         return id
 
     def release(self) -> None:
-        """A job that had a place is answered."""
+        """Frees the slot of a job that was answered."""
         self.open_count -= 1
 
     def remove(self, id: str) -> None:
-        """A job waits no more, if it did."""
+        """Removes a job from the queue, if it is queued."""
         if (rank := self.rank_by_id.pop(id, None)) is not None:
             del self.waiting[bisect_left(self.waiting, rank)]
--- a/finchladder/core/routing/hedging.py
+++ b/finchladder/core/routing/hedging.py
@@ -1,29 +1,28 @@
-"""Hedging: when a second copy is sent, and what share of the jobs may get one.
+"""Hedged requests: when a hedge is sent, and what share of the jobs may be hedged.
 
-As in "The tail at scale" (Dean and Barroso, CACM 2013): a copy goes out once the first has taken longer than
-most do, so few are sent, and whichever ends first counts.
+As in "The tail at scale" (Dean and Barroso, CACM 2013): a hedge is sent once the first attempt has taken
+longer than a high percentile, so few are sent, and the first answer counts.
 """
 
 from math import ceil, exp, floor, log
 
-RELATIVE_ERROR = 0.02  # relative, of a percentile
-LOG_BUCKET_GROWTH = log(
-    (1 + RELATIVE_ERROR) / (1 - RELATIVE_ERROR)
-)  # of the bounds of neighbouring buckets, as a logarithm
-MIN_LATENCY_S, MAX_LATENCY_S = 1e-3, 3600.0  # times are counted as within these: 378 buckets at the most
-MIN_SAMPLES_BEYOND = 10.0  # samples that should lie past a percentile before it is believed
-DECAY_SAMPLES = 1000.0  # samples before old ones begin to fade
+RELATIVE_ERROR = 0.02  # of an estimated percentile
+# logarithm of the ratio of neighbouring buckets' bounds
+LOG_BUCKET_GROWTH = log((1 + RELATIVE_ERROR) / (1 - RELATIVE_ERROR))
+MIN_LATENCY_S, MAX_LATENCY_S = 1e-3, 3600.0  # latencies are clamped to these: 378 buckets at most
+MIN_SAMPLES_BEYOND = 10.0  # samples expected past the percentile before it is estimated
+DECAY_SAMPLES = 1000.0  # samples at which all counts are decayed
 DECAY_FACTOR = 0.5
-ESTIMATE_INTERVAL = 32  # new samples until the percentile is worked out again
-MAX_HEDGE_TOKENS = 10.0  # copies that can be saved up
+ESTIMATE_INTERVAL = 32  # new samples between two estimates
+MAX_HEDGE_TOKENS = 10.0  # hedges that can be saved up
 
 
 class LatencyPercentile:
-    """One percentile of the running times of late: fixed buckets whose bounds grow by a constant factor.
+    """Estimates one percentile of recent latencies, in seconds, from logarithmic buckets.
 
-    DDSketch (Masson, Rim and Lee, VLDB 2019): each percentile is known within ERROR of its value. Once it
-    holds KEEP samples, or twice what the percentile needs, all counts are halved, so that what is old fades.
-    A time costs O(1), and each CHANGED-th one O(buckets log buckets). `add` takes seconds.
+    DDSketch (Masson, Rim and Lee, VLDB 2019): the estimate is within RELATIVE_ERROR of the true value. Once
+    it holds DECAY_SAMPLES samples, or twice `min_samples`, all counts are halved, so that old samples fade.
+    A sample costs O(1), and each ESTIMATE_INTERVAL-th one O(buckets log buckets).
     """
 
     __slots__ = ("percentile", "buckets", "total", "new_count", "value_s")
@@ -32,13 +31,15 @@
         self.percentile = percentile
         self.buckets: dict[int, float] = {}
         self.total, self.new_count = 0.0, 0
-        self.value_s: float | None = None  # None: too little is known
+        self.value_s: float | None = None  # the estimate; None: too few samples
 
     @property
     def min_samples(self) -> float:
+        """Number of samples below which the percentile is not estimated."""
         return MIN_SAMPLES_BEYOND / (1 - self.percentile / 100)
 
     def add(self, took_s: float) -> None:
+        """Adds the latency of a completed attempt."""
         number = ceil(log(min(max(took_s, MIN_LATENCY_S), MAX_LATENCY_S) / MIN_LATENCY_S) / LOG_BUCKET_GROWTH)
         self.buckets[number] = self.buckets.get(number, 0.0) + 1
         self.total += 1
@@ -51,7 +52,7 @@
             self.value_s = self._estimate_s()
 
     def add_longer_than(self, took_s: float) -> None:
-        """A time that was cut off tells nothing, unless it was past the percentile already."""
+        """Adds an attempt cut off after `took_s`: a lower bound, counted if beyond the percentile."""
         if self.value_s is not None and took_s >= self.value_s:
             self.add(took_s)
 
@@ -62,13 +63,11 @@
             passed += self.buckets[number]
             if passed > rank:
                 break
-        return (
-            MIN_LATENCY_S * exp(number * LOG_BUCKET_GROWTH) * (1 - RELATIVE_ERROR)
-        )  # the middle of its bucket
+        return MIN_LATENCY_S * exp(number * LOG_BUCKET_GROWTH) * (1 - RELATIVE_ERROR)  # the bucket's midpoint
 
 
 class HedgeBudget:
-    """Second copies are at no moment more than a share of the first sends so far."""
+    """Token budget that limits hedges to a share of the first sends so far."""
 
     __slots__ = ("share", "tokens")
 
@@ -76,11 +75,13 @@
         self.share, self.tokens = share, 0.0
 
     def record_first_send(self) -> None:
-        """A job was sent for the first time."""
+        """Deposits `share` of a token for a job's first send."""
         self.tokens = min(self.tokens + self.share, MAX_HEDGE_TOKENS)
 
     def has_token(self) -> bool:
+        """Whether one more hedge is within the budget."""
         return self.tokens >= 1
 
     def take_token(self) -> None:
+        """Spends the token of one hedge; the caller has checked `has_token`."""
         self.tokens -= 1
--- a/finchladder/core/routing/limited_dispatcher.py
+++ b/finchladder/core/routing/limited_dispatcher.py
@@ -1,23 +1,24 @@
-"""The decisions of a Dispatcher under routes' limits: same events in, same actions out, and its own timer.
+"""Applies the limits of routes around a Dispatcher: same events and actions, and a timer of its own.
 
-It stands round the Dispatcher and only narrows. A job waits here for its route's concurrency, and is handed
-on with limits of its own (api.Own). When an attempt ends, the Dispatcher is told first whether another send
-is within the limits (api.Limit), and then of the end: it alone decides whether to send again, and to whom.
-A hedge is an offer to it, too. What passes out is looked at for what was sent, answered and given up.
+The wrapper only restricts the Dispatcher. A job is queued here until its route's concurrency admits it, and
+is then dispatched with limits of its own (api.RequestLimits). When an attempt ends, the Dispatcher first
+receives whether another send is within the limits (api.LimitUpdate), and then the end: it alone decides
+whether to send again, and to which worker. A hedge is likewise an offer to it. The actions returned are
+inspected for sends, answers and cancellations.
 
-| a job | what happens | then |
+| state of a job | event | result |
 | --- | --- | --- |
-| waits for a place | it has one | handed on |
-| waits for a place | another finds no room but by it, its time is up | refused |
-| is handed on | the Dispatcher sends it | one attempt out, its hedge due |
-| one attempt out | its hedge is due, within share, budget, attempts | offered as a copy |
-| attempts out | one ends, another is out | the other goes on |
-| attempts out | the last ends, no more sends are within the limits | the Dispatcher may not send it again |
-| attempts out | the last ends, otherwise | it may, at once or after the backoff |
-| any | answered, or its client left | its place is free |
-
-A job without a route passes through. Each job costs O(1), but for its place in the queue and the alarms,
-O(log n). Bounds: one record for each open job that has a route, two alarms at the most; a limiter, budget,
+| queued | a slot is free | dispatched |
+| queued | the queue is full and others precede it, or it times out | rejected |
+| dispatched | the Dispatcher sends it | one open attempt, the hedge timer is set |
+| one open attempt | hedge timer, within share, budget and attempts | offered as a hedge |
+| open attempts | one ends, another is open | the other continues |
+| open attempts | the last ends, no more sends are within the limits | the Dispatcher may not send it again |
+| open attempts | the last ends, otherwise | it may, at once or after the backoff |
+| any | answered, or its client disconnected | its slot is released |
+
+A job without a route passes through. Each job costs O(1), plus O(log n) in the queue and the timers.
+Bounds: one record and at most two timers for each open job that has a route; a limiter, budget,
 allowance and percentile for each route and class.
 """
 
@@ -55,39 +56,38 @@
 if TYPE_CHECKING:  # where dispatchers share budgets
     from finchladder.core.peers.bucket import Bucket
 
-ROUTE_TIMER_TOKEN = 2  # timer token; the Dispatcher's own are 0 and 1
-TIMER_TOLERANCE_S = 1e-4  # a timer may come so much before its time, as clocks are rounded
-CUT_OFF_ENDINGS = frozenset(
-    {Ending.TIMED_OUT, Ending.CANCELLED}
-)  # endings of attempts that would have taken longer
+ROUTE_TIMER_TOKEN = 2  # the Dispatcher's own timer tokens are 0 and 1
+TIMER_TOLERANCE_S = 1e-4  # a timer may fire this much early, as clocks are rounded
+# endings of attempts that would have taken longer
+CUT_OFF_ENDINGS = frozenset({Ending.TIMED_OUT, Ending.CANCELLED})
 
 RouteKey = tuple[str, str]  # a route's name and the job's class
 
-
-BucketFactory = Callable[[str, float], "Bucket"]  # by the budget's name, and its limit a second
+# makes the local bucket of a shared budget from the budget's name and its limit per second
+BucketFactory = Callable[[str, float], "Bucket"]
 
 
 class NewRoutes(NamedTuple):
-    """Hold from now on; a job that has come keeps the limits that it began with."""
+    """Event that replaces the routes; jobs that have already arrived keep their original limits."""
 
     routes: Routes
 
 
 class RouteLimits:
-    """A route's limits for one class, and what is counted for them. Equal ones of one route are shared."""
+    """Limits of a route for one job class, with their counters; equal limits of a route share these."""
 
     __slots__ = ("route", "limits", "limiter", "budget", "hedge_budget", "latency")
 
     def __init__(self, route: Route, own: RequestLimits) -> None:
-        self.route, self.limits = route, own  # `own`: what of it the Dispatcher goes by
+        self.route, self.limits = route, own  # `limits`: the part that the Dispatcher applies
         self.limiter: ConcurrencyLimiter | None = None
         self.budget: RetryBudgetWindow | None = None
         self.hedge_budget: HedgeBudget | None = None
-        self.latency: LatencyPercentile | None = None  # of attempts that ended well
+        self.latency: LatencyPercentile | None = None  # of attempts that ended OK
 
 
 class RoutedJob:
-    """A job under a route, from its arrival to its answer and the end of its last attempt."""
+    """A job that has a route, from its arrival to its answer and the end of its last attempt."""
 
     __slots__ = (
         "id",
@@ -110,7 +110,7 @@
 
     def __init__(self, request: Request, scope: RouteLimits, now: float, serial: int) -> None:
         self.id, self.scope, self.route = request.id, scope, scope.route
-        self.queued_request: Request | None = request  # until it is handed on
+        self.queued_request: Request | None = request  # None once dispatched
         self.arrived_at, self.deadline, self.serial = now, now + request.timeout_s, serial
         budget = scope.route.retry_budget
         self.is_client_retry = (
@@ -118,18 +118,16 @@
         )  # its client's own resend
         self.limits = scope.limits
         self.max_sends, self.send_count, self.hedge_count = scope.limits.max_sends, 0, 0
-        self.open_attempts = 0  # attempts that have not ended, a bit for each
-        self.is_retry_paid = False  # its next resend is taken out of the budget already
-        self.is_hedge_offered = False  # a copy was offered: there is one offer a job
+        self.open_attempts = 0  # bit set of the attempts that have not ended
+        self.is_retry_paid = False  # its next retry is already counted in the budget
+        self.is_hedge_offered = False  # at most one hedge is offered per job
         self.is_done = False
 
 
 class RouteLimitedDispatcher:
-    """To be used in place of its Dispatcher, `inner`, which nobody else may call."""
+    """Applies routes' limits in front of a Dispatcher, `inner`, which must have no other caller."""
 
-    share: "BucketFactory | None" = (
-        None  # a part of a budget that all dispatchers have together; None: each its own
-    )
+    share: "BucketFactory | None" = None  # set where all dispatchers share their retry budgets
 
     def __init__(
         self, inner: Dispatcher, routes: Routes, seed: int, share: "BucketFactory | None" = None
@@ -137,17 +135,19 @@
         self.inner, self.settings = inner, inner.settings
         if share is not None:
             self.share = share
-        self.random = Random(f"{seed}/routes")  # apart: the Dispatcher's own draws stay as they are
+        self.random = Random(
+            f"{seed}/routes"
+        )  # separate: leaves the Dispatcher's sequence of draws unchanged
         self.margin_s = (
             inner.sweep_interval_s + 2 * inner.settings.clock_tick_s
-        )  # what is not sent by then is answered
+        )  # a job not sent this long before its deadline is rejected
         self.scopes: dict[RouteKey, RouteLimits] = {}
-        self.gone: list[RouteLimits] = []  # of routes that hold no more, while jobs go by them
+        self.gone: list[RouteLimits] = []  # limits of removed routes that open jobs still use
         self.runs: dict[str, RoutedJob] = {}
         self.alarms = Alarms()
         self.now, self.serial = 0.0, 0
-        self.timer_at: float | None = None  # when the earliest timer that was asked for comes
-        self.freed: list[ConcurrencyLimiter] = []  # in this call
+        self.timer_at: float | None = None  # when the earliest requested timer fires
+        self.freed: list[ConcurrencyLimiter] = []  # limiters that gained a free slot during this call
         self.handlers: dict[type, Callable[[Any], list[Action]]] = {
             Request: self._on_request,
             Ended: self._on_ended,
@@ -158,6 +158,7 @@
         self.apply_routes(routes)
 
     def handle(self, now: float, event: Event | NewRoutes) -> list[Action]:
+        """Handles one event at `now` (seconds, monotonic) and returns the actions to carry out in order."""
         self.now = now
         handler = self.handlers.get(type(event))
         if handler is None and not self.runs:
@@ -174,59 +175,59 @@
                 actions.append(SetTimer(max(0.0, due - now), ROUTE_TIMER_TOKEN))
         return actions
 
-    # --- what comes in ------------------------------------------------------------------------------------
+    # --- events -------------------------------------------------------------------------------------------
 
-    def _on_request(self, r: Request) -> list[Action]:
-        scope = self.scopes.get((r.route, r.job_class)) if r.route is not None else None
+    def _on_request(self, request: Request) -> list[Action]:
+        scope = self.scopes.get((request.route, request.job_class)) if request.route is not None else None
         if scope is None:
-            return self._forward(r)
+            return self._forward(request)
         self.serial += 1
-        run = self.runs[r.id] = RoutedJob(r, scope, self.now, self.serial)
-        if run.is_client_retry and not self._spend_retry(run):
-            return self._refuse(run)
+        job = self.runs[request.id] = RoutedJob(request, scope, self.now, self.serial)
+        if job.is_client_retry and not self._spend_retry(job):
+            return self._refuse(job)
         if scope.limiter is None or scope.limiter.try_acquire():
-            return self._dispatch(run)
-        queue = run.route.queue
-        until = run.deadline - self.margin_s
+            return self._dispatch(job)
+        queue = job.route.queue
+        until = job.deadline - self.margin_s
         if queue.longest_wait_s is not None:
             until = min(until, self.now + queue.longest_wait_s)
-        loser: str | None = r.id
+        loser: str | None = request.id
         if until > self.now:
-            worth = self.inner.classes[r.job_class].value
-            loser = scope.limiter.enqueue(r.id, worth, run.deadline, run.serial)
-        if loser != r.id:
-            self.alarms.put(r.id, until)
+            worth = self.inner.classes[request.job_class].value
+            loser = scope.limiter.enqueue(request.id, worth, job.deadline, job.serial)
+        if loser != request.id:
+            self.alarms.put(request.id, until)
         return self._refuse(self.runs[loser]) if loser is not None else []
 
-    def _on_ended(self, e: Ended) -> list[Action]:
-        run = self.runs.get(e.request)
-        if run is None or not run.open_attempts >> e.attempt & 1:
-            return self._forward(e)
-        run.open_attempts ^= 1 << e.attempt
-        self._record_latency(run, e)
+    def _on_ended(self, ended: Ended) -> list[Action]:
+        job = self.runs.get(ended.request)
+        if job is None or not job.open_attempts >> ended.attempt & 1:
+            return self._forward(ended)
+        job.open_attempts ^= 1 << ended.attempt
+        self._record_latency(job, ended)
         actions: list[Action] = []
-        if e.finished:
-            self._close(run)
-        elif not run.is_done:
-            if not run.open_attempts:
-                self.alarms.drop(run.id)  # its hedge
-            if (limit := self._limit_after_failure(run, e.ending)) is not None:
+        if ended.finished:
+            self._close(job)
+        elif not job.is_done:
+            if not job.open_attempts:
+                self.alarms.drop(job.id)  # its hedge
+            if (limit := self._limit_after_failure(job, ended.ending)) is not None:
                 actions = self._forward(limit)
-        actions += self._forward(e)
-        self._remove_if_finished(run)
+        actions += self._forward(ended)
+        self._remove_if_finished(job)
         return actions
 
-    def _on_client_disconnected(self, e: ClientDisconnected) -> list[Action]:
-        run = self.runs.get(e.request)
-        if run is None:
-            return self._forward(e)
-        waited = run.queued_request is not None
-        self._close(run)
-        return [] if waited else self._forward(e)
-
-    def _on_timer(self, e: Timer) -> list[Action]:
-        if e.token != ROUTE_TIMER_TOKEN:
-            return self._forward(e)
+    def _on_client_disconnected(self, event: ClientDisconnected) -> list[Action]:
+        job = self.runs.get(event.request)
+        if job is None:
+            return self._forward(event)
+        waited = job.queued_request is not None
+        self._close(job)
+        return [] if waited else self._forward(event)
+
+    def _on_timer(self, timer: Timer) -> list[Action]:
+        if timer.token != ROUTE_TIMER_TOKEN:
+            return self._forward(timer)
         if self.timer_at is not None and self.now >= self.timer_at - TIMER_TOLERANCE_S:
             self.timer_at = None
         actions: list[Action] = []
@@ -234,144 +235,144 @@
             actions += self._alarm(self.runs[id])
         return actions
 
-    def _alarm(self, run: RoutedJob) -> list[Action]:
-        if run.queued_request is not None:
-            return self._refuse(run)
-        if run.open_attempts:
-            return self._hedge(run)
-        return self._forward(LimitUpdate(run.id, run.max_sends))  # its backoff is over
+    def _alarm(self, job: RoutedJob) -> list[Action]:
+        if job.queued_request is not None:
+            return self._refuse(job)
+        if job.open_attempts:
+            return self._hedge(job)
+        return self._forward(LimitUpdate(job.id, job.max_sends))  # its backoff is over
 
-    def _on_routes(self, e: NewRoutes) -> list[Action]:
-        self.apply_routes(e.routes)
+    def _on_routes(self, event: NewRoutes) -> list[Action]:
+        self.apply_routes(event.routes)
         return []
 
     # --- limits -------------------------------------------------------------------------------------------
 
-    def _dispatch(self, run: RoutedJob) -> list[Action]:
-        r, run.queued_request = run.queued_request, None
-        assert r is not None
-        self.alarms.drop(run.id)
-        left = r.timeout_s - (self.now - run.arrived_at)
+    def _dispatch(self, job: RoutedJob) -> list[Action]:
+        request, job.queued_request = job.queued_request, None
+        assert request is not None
+        self.alarms.drop(job.id)
+        left = request.timeout_s - (self.now - job.arrived_at)
         try:
-            return self._forward(Request(r.id, r.job_class, left, *r[3:-1], run.limits))
+            return self._forward(Request(request.id, request.job_class, left, *request[3:-1], job.limits))
         except Exception:
-            self._close(run)  # a place must not stay taken for what nobody decides on
+            self._close(job)  # releases the slot, whatever the error
             raise
 
-    def _limit_after_failure(self, run: RoutedJob, ending: Ending) -> LimitUpdate | None:
-        """An attempt has ended without an answer: what the limits say of another one, if it is news."""
-        if ending in run.route.resend_on:
-            if run.open_attempts or run.send_count >= run.max_sends:
+    def _limit_after_failure(self, job: RoutedJob, ending: Ending) -> LimitUpdate | None:
+        """Returns the changed limits of a job after an attempt that failed, or None if they are unchanged."""
+        if ending in job.route.resend_on:
+            if job.open_attempts or job.send_count >= job.max_sends:
                 return None
             wait_s = 0.0
-            if run.route.backoff.base_s > 0:
-                wait_s = run.route.backoff.wait_s(run.send_count - run.hedge_count, self.random.random())
-            in_time = not wait_s or self.now + wait_s < run.deadline - self.margin_s
-            if in_time and (run.is_retry_paid or self._spend_retry(run)):
-                run.is_retry_paid = False
+            if job.route.backoff.base_s > 0:
+                wait_s = job.route.backoff.wait_s(job.send_count - job.hedge_count, self.random.random())
+            in_time = not wait_s or self.now + wait_s < job.deadline - self.margin_s
+            if in_time and (job.is_retry_paid or self._spend_retry(job)):
+                job.is_retry_paid = False
                 if not wait_s:
                     return None
-                self.alarms.put(run.id, self.now + wait_s)
-                return LimitUpdate(run.id, run.max_sends, must_wait=True)
-        run.max_sends = run.send_count
-        return LimitUpdate(run.id, run.max_sends)
-
-    def _hedge(self, run: RoutedJob) -> list[Action]:
-        """The Dispatcher may find that no worker should have a copy; then there is none."""
-        run.is_hedge_offered = True
-        hedges, budget = run.scope.hedge_budget, run.scope.budget
-        if hedges is None or not hedges.has_token():  # None: the routes of now have none
+                self.alarms.put(job.id, self.now + wait_s)
+                return LimitUpdate(job.id, job.max_sends, must_wait=True)
+        job.max_sends = job.send_count
+        return LimitUpdate(job.id, job.max_sends)
+
+    def _hedge(self, job: RoutedJob) -> list[Action]:
+        """Offers a hedge to the Dispatcher, which may decline if no worker suits."""
+        job.is_hedge_offered = True
+        hedges, budget = job.scope.hedge_budget, job.scope.budget
+        if hedges is None or not hedges.has_token():  # None: the current routes do not hedge
             return []
         if budget is not None and not budget.may_retry(self.now):
             return []
-        sends = run.send_count
-        actions = self._forward(LimitUpdate(run.id, run.max_sends, may_hedge=True))
-        if run.send_count > sends:
-            run.hedge_count += 1
+        sends_before = job.send_count
+        actions = self._forward(LimitUpdate(job.id, job.max_sends, may_hedge=True))
+        if job.send_count > sends_before:
+            job.hedge_count += 1
             hedges.take_token()
-            self._spend_retry(run)
+            self._spend_retry(job)
         return actions
 
-    def _spend_retry(self, run: RoutedJob) -> bool:
-        return run.scope.budget is None or run.scope.budget.try_spend(self.now)
+    def _spend_retry(self, job: RoutedJob) -> bool:
+        return job.scope.budget is None or job.scope.budget.try_spend(self.now)
 
-    def _record_latency(self, run: RoutedJob, e: Ended) -> None:
-        if (times := run.scope.latency) is not None:
-            if e.ending is Ending.OK:
-                times.add(e.duration_s)
-            elif e.ending in CUT_OFF_ENDINGS:
-                times.add_longer_than(e.duration_s)
+    def _record_latency(self, job: RoutedJob, ended: Ended) -> None:
+        if (times := job.scope.latency) is not None:
+            if ended.ending is Ending.OK:
+                times.add(ended.duration_s)
+            elif ended.ending in CUT_OFF_ENDINGS:
+                times.add_longer_than(ended.duration_s)
 
-    # --- what passes out ----------------------------------------------------------------------------------
+    # --- actions ------------------------------------------------------------------------------------------
 
     def _forward(self, event: Event) -> list[Action]:
         actions = self.inner.handle(self.now, event)
         if not self.runs:
             return actions
         out: list[Action] = []
-        for a in actions:
-            if isinstance(a, Send):
-                run = self.runs.get(a.request)
-                out.append(a if run is None else self._sent(run, a))
+        for action in actions:
+            if isinstance(action, Send):
+                job = self.runs.get(action.request)
+                out.append(action if job is None else self._sent(job, action))
                 continue
-            if isinstance(a, Cancel):
-                run = self.runs.get(a.request)
-                if run is not None and not run.is_done and not self._may_move(run, a.attempt):
+            if isinstance(action, Cancel):
+                job = self.runs.get(action.request)
+                if job is not None and not job.is_done and not self._may_move(job, action.attempt):
                     continue
-            elif isinstance(a, Reject | Fail) and (run := self.runs.get(a.request)) is not None:
-                self._close(run)
-            out.append(a)
+            elif isinstance(action, Reject | Fail) and (job := self.runs.get(action.request)) is not None:
+                self._close(job)
+            out.append(action)
         return out
 
-    def _sent(self, run: RoutedJob, a: Send) -> Send:
-        scope, rules = run.scope, run.route
-        run.open_attempts |= 1 << run.send_count
-        run.send_count += 1
-        if run.send_count == 1:
-            if scope.budget is not None and not run.is_client_retry:
+    def _sent(self, job: RoutedJob, send: Send) -> Send:
+        scope, rules = job.scope, job.route
+        job.open_attempts |= 1 << job.send_count
+        job.send_count += 1
+        if job.send_count == 1:
+            if scope.budget is not None and not job.is_client_retry:
                 scope.budget.record_first_send(self.now)
             if scope.hedge_budget is not None:
                 scope.hedge_budget.record_first_send()
-        if rules.hedge is not None and not run.is_hedge_offered:
+        if rules.hedge is not None and not job.is_hedge_offered:
             after_s = rules.hedge.after_s
             if after_s is None and scope.latency is not None:
                 after_s = scope.latency.value_s
             if after_s is not None:
-                self.alarms.put(run.id, self.now + after_s)
-        return a if rules.attempt_timeout_s is None else a._replace(timeout_s=rules.attempt_timeout_s)
-
-    def _may_move(self, run: RoutedJob, attempt: int) -> bool:
-        """The Dispatcher takes a silent worker's job elsewhere: not if it could not be sent again then."""
-        if run.open_attempts ^ 1 << attempt:
-            return True  # another copy is out, and this one is given up
-        run.is_retry_paid = Ending.CANCELLED in run.route.resend_on and self._spend_retry(run)
-        return run.is_retry_paid
-
-    def _refuse(self, run: RoutedJob) -> list[Action]:
-        """It was not sent to anyone."""
-        self._close(run)
-        return [Reject(run.id, self.settings.max_retry_after_s)]
-
-    def _close(self, run: RoutedJob) -> None:
-        """It is answered, or nobody waits for an answer."""
-        if run.is_done:
+                self.alarms.put(job.id, self.now + after_s)
+        return send if rules.attempt_timeout_s is None else send._replace(timeout_s=rules.attempt_timeout_s)
+
+    def _may_move(self, job: RoutedJob, attempt: int) -> bool:
+        """Whether the Dispatcher may cancel an unresponsive worker's attempt: if a retry is allowed."""
+        if job.open_attempts ^ 1 << attempt:
+            return True  # another attempt is open, and this one is abandoned
+        job.is_retry_paid = Ending.CANCELLED in job.route.resend_on and self._spend_retry(job)
+        return job.is_retry_paid
+
+    def _refuse(self, job: RoutedJob) -> list[Action]:
+        """Rejects a job that was never sent."""
+        self._close(job)
+        return [Reject(job.id, self.settings.max_retry_after_s)]
+
+    def _close(self, job: RoutedJob) -> None:
+        """Releases what a job holds, once it is answered or its client disconnected."""
+        if job.is_done:
             return
-        run.is_done = True
-        self.alarms.drop(run.id)
-        if (limiter := run.scope.limiter) is not None:
-            if run.queued_request is None:
+        job.is_done = True
+        self.alarms.drop(job.id)
+        if (limiter := job.scope.limiter) is not None:
+            if job.queued_request is None:
                 limiter.release()
                 self.freed.append(limiter)
             else:
-                limiter.remove(run.id)
-        self._remove_if_finished(run)
+                limiter.remove(job.id)
+        self._remove_if_finished(job)
 
-    def _remove_if_finished(self, run: RoutedJob) -> None:
-        if run.is_done and not run.open_attempts:
-            self.runs.pop(run.id, None)
+    def _remove_if_finished(self, job: RoutedJob) -> None:
+        if job.is_done and not job.open_attempts:
+            self.runs.pop(job.id, None)
 
     def _pool(self, route: Route) -> WorkerPool | None:
-        """Whom its jobs may go to, within the kind that their class needs."""
+        """Returns the workers allowed for the route's jobs, within the kind that their class requires."""
         kinds, zones = route.pool.kinds, route.pool.zones
         if not (kinds or zones):
             return None
@@ -381,22 +382,24 @@
     # --- routes -------------------------------------------------------------------------------------------
 
     def apply_routes(self, routes: Routes) -> None:
-        """These hold for what comes; counts go on where the setting is the same. O(routes, runs, workers)."""
+        """Replaces the routes; counters of unchanged settings are preserved. O(routes + jobs + workers)."""
         old, self.scopes = self.scopes, {}
         for route in routes.all:
-            most = min(route.attempts or self.settings.max_attempts, self.settings.max_attempts)
-            own = RequestLimits(most, route.priority, self._pool(route))
-            self.scopes[route.name, route.job_class] = RouteLimits(route, own)
+            max_sends = min(route.attempts or self.settings.max_attempts, self.settings.max_attempts)
+            limits = RequestLimits(max_sends, route.priority, self._pool(route))
+            self.scopes[route.name, route.job_class] = RouteLimits(route, limits)
         self._assign_limiters()
         self._assign_budgets(old)
-        for run in self.runs.values():
-            self._move_to_current_route(run)
+        for job in self.runs.values():
+            self._move_to_current_route(job)
         held = set(self.scopes.values())
-        self.gone = list({run.scope: None for run in self.runs.values() if run.scope not in held})
+        self.gone = list({job.scope: None for job in self.runs.values() if job.scope not in held})
         needed = {scope.limits.pool for scope in self.scopes.values()}
-        needed |= {run.limits.pool for run in self.runs.values()}
+        needed |= {job.limits.pool for job in self.runs.values()}
         fleet = self.inner.worker_index
-        fleet.drop_pools([p for p in fleet.pools if isinstance(p, WorkerPool) and p not in needed])
+        fleet.drop_pools(
+            [pool for pool in fleet.pools if isinstance(pool, WorkerPool) and pool not in needed]
+        )
         for pool in needed - {None}:
             fleet.pool(pool)
 
@@ -409,32 +412,32 @@
                 scope.limiter = made.setdefault(key, ConcurrencyLimiter(route.concurrency, route.queue))
 
     def _assign_budgets(self, old: dict[RouteKey, RouteLimits]) -> None:
-        cls, s = self.inner.classes, self.settings
+        classes, settings = self.inner.classes, self.settings
         budgets: dict[tuple[str, RetryBudget], RetryBudgetWindow] = {}
         hedges: dict[tuple[str, float], HedgeBudget] = {}
         for key, scope in self.scopes.items():
-            route, was = scope.route, old.get(key)
+            route, previous = scope.route, old.get(key)
             if (rule := route.retry_budget) is not None:
                 if (route.name, rule) not in budgets:
-                    budget = was.budget if was is not None else None
+                    budget = previous.budget if previous is not None else None
                     if budget is None or budget.window_s != rule.window_s or budget in budgets.values():
                         budget = None
                     budget = self._budget(route, rule, budget)
                     budget.reconfigure(rule)
                     budgets[route.name, rule] = budget
                 scope.budget = budgets[route.name, rule]
-            safe = cls[route.job_class].effect is not Effect.UNSAFE
-            if route.hedge is not None and safe and s.may_cancel:
+            safe = classes[route.job_class].effect is not Effect.UNSAFE
+            if route.hedge is not None and safe and settings.may_cancel:
                 share = route.hedge.most
                 if (route.name, share) not in hedges:
-                    saved = was.hedge_budget if was is not None else None
+                    saved = previous.hedge_budget if previous is not None else None
                     if saved is None or saved in hedges.values():
                         saved = HedgeBudget(share)
                     hedges[route.name, share] = saved
                     saved.share = share
                 scope.hedge_budget = hedges[route.name, share]
                 if (percentile := route.hedge.percentile) is not None:
-                    times = was.latency if was is not None else None
+                    times = previous.latency if previous is not None else None
                     same = times is not None and times.percentile == percentile
                     scope.latency = times if same else LatencyPercentile(percentile)
 
@@ -443,35 +446,37 @@
             return kept or RetryBudgetWindow(rule)
         from finchladder.core.peers.retries import SharedBudget  # what is off need not be loaded
 
-        # also where it is kept: its limit may be another now
+        # also for an existing budget: its limit may have changed
         bucket = self.share(f"retry.{route.name}", rule.least_per_s)
         return kept or SharedBudget(rule, bucket)
 
-    def _move_to_current_route(self, run: RoutedJob) -> None:
-        """To its route as it is now, so that its place counts there; one whose route is gone stays."""
-        scope, before = self.scopes.get((run.route.name, run.route.job_class)), run.scope.limiter
-        if scope is None or run.is_done or (before is not None and scope.limiter is None):
+    def _move_to_current_route(self, job: RoutedJob) -> None:
+        """Moves a job, with its slot, to the current version of its route, if there is one."""
+        scope, before = self.scopes.get((job.route.name, job.route.job_class)), job.scope.limiter
+        if scope is None or job.is_done or (before is not None and scope.limiter is None):
             return
-        run.scope = scope
-        if run.queued_request is None:
+        job.scope = scope
+        if job.queued_request is None:
             if before is not None:
                 before.release()
             if scope.limiter is not None:
                 scope.limiter.open_count += 1
         else:
             assert before is not None and scope.limiter is not None
-            before.remove(run.id)
-            worth = self.inner.classes[run.route.job_class].value
-            scope.limiter.requeue(run.id, worth, run.deadline, run.serial)
+            before.remove(job.id)
+            worth = self.inner.classes[job.route.job_class].value
+            scope.limiter.requeue(job.id, worth, job.deadline, job.serial)
         self.freed += [limiter for limiter in (before, scope.limiter) if limiter is not None]
 
 
 class Decisions(Protocol):
-    """What an actor hands its events to: a Dispatcher as it is, or Guarded."""
+    """Interface through which an actor decides: a plain Dispatcher or a RouteLimitedDispatcher."""
 
     settings: Settings
 
-    def handle(self, now: float, event: Any) -> list[Action]: ...
+    def handle(self, now: float, event: Any) -> list[Action]:
+        """Handles one event at `now` (seconds, monotonic) and returns the actions to carry out in order."""
+        ...
 
 
 def make_decisions(
@@ -481,9 +486,14 @@
     spill: SpilloverSettings | None = None,
     share: "BucketFactory | None" = None,
 ) -> Dispatcher | RouteLimitedDispatcher:
-    """`routes` None: there is no file that could have them, now or later. `spill` None: zones are as one.
-
-    `share`: where dispatchers share budgets, gives this one's part of one.
+    """Creates the dispatcher that the settings require.
+
+    Args:
+        settings: Settings of the decisions.
+        seed: Seed of all random draws.
+        routes: The routes; None if no routes file is configured, now or after a reload.
+        spill: Settings of zone spillover; None disables it.
+        share: Makes the local bucket of a retry budget that dispatchers share; None if they do not.
     """
     if spill is None:
         dispatcher = Dispatcher(settings, seed)
--- a/finchladder/core/routing/retry_budget.py
+++ b/finchladder/core/routing/retry_budget.py
@@ -1,47 +1,48 @@
-"""Retry budget: how many resends the first sends of a short while allow.
+"""Retry budget: limits retries to a share of the first sends of a sliding window.
 
-As Finagle's RetryBudget (Twitter, 2015): first sends deposit a share of a token each, resends take one, both
-are forgotten after a while, and a few a second are allowed however little is sent. A fleet that fails is then
+As Finagle's RetryBudget (Twitter, 2015): first sends deposit a share of a token each, retries take one, both
+expire with a sliding window, and a minimum rate is allowed however little is sent. A failing fleet is then
 sent at most 1 + share times what it would be sent without retries, whatever attempts a job may have.
 """
 
 from finchladder.core.routing.routes import RetryBudget
 
-SLICE_COUNT = 10  # of the window: what is counted is forgotten a slice at a time
-ROUNDING_TOLERANCE = 1e-9  # shares are not exact
+SLICE_COUNT = 10  # of the window: counts expire a slice at a time
+ROUNDING_TOLERANCE = 1e-9  # of sums of floating-point shares
 
 
 class RetryBudgetWindow:
-    """O(1) a call, but for slices that have passed; SLICES pairs of counts are held.
+    """Counts first sends and retries of a sliding window, and limits the latter.
 
-    At any moment, of the last SLICES slices (the present one included, so 0.9 to 1 window): resends are at
-    most share x first sends + least_per_s x 0.9 window.
+    Over the last SLICE_COUNT slices (the current one included, so 0.9 to 1 window) retries are at most
+    share x first sends + least_per_s x 0.9 window. Times are seconds of the caller's clock. A call costs
+    O(1), plus the expired slices; memory is SLICE_COUNT pairs of counts.
     """
 
     __slots__ = ("share", "floor", "window_s", "slice_s", "slices", "first_sends", "retries")
 
     def __init__(self, rule: RetryBudget) -> None:
         self.window_s, self.slice_s = rule.window_s, rule.window_s / SLICE_COUNT
-        self.slices: list[list[int]] = []  # number, first sends, resends; oldest first
-        self.first_sends = self.retries = 0  # of all slices
+        self.slices: list[list[int]] = []  # [slice number, first sends, retries]; oldest first
+        self.first_sends = self.retries = 0  # sums over all slices
         self.reconfigure(rule)
 
     def reconfigure(self, rule: RetryBudget) -> None:
-        """Other figures for the same window: what was counted stays."""
+        """Applies changed limits of the same window length; the counts are preserved."""
         self.share, self.floor = rule.share, rule.least_per_s * self.slice_s * (SLICE_COUNT - 1)
 
     def record_first_send(self, now: float) -> None:
-        """A job was sent for the first time."""
+        """Counts the first send of a job."""
         self._current_slice(now)[1] += 1
         self.first_sends += 1
 
     def may_retry(self, now: float) -> bool:
-        """Whether one more resend is allowed."""
+        """Whether one more retry is within the budget."""
         self._current_slice(now)
         return self.retries + 1 <= self.share * self.first_sends + self.floor + ROUNDING_TOLERANCE
 
     def try_spend(self, now: float) -> bool:
-        """Takes a resend out of it, if there is one left."""
+        """Counts a retry if it is within the budget, and returns whether it is."""
         if not self.may_retry(now):
             return False
         self._current_slice(now)[2] += 1
--- a/finchladder/core/routing/routes.py
+++ b/finchladder/core/routing/routes.py
@@ -1,7 +1,7 @@
-"""Routes: which limits of its own a job comes under. Facts alone; limits, retries and hedging act on them.
+"""Routes: match jobs to limits of their own. Data only; the limiter, retry budget and hedging apply it.
 
-A route only narrows what the dispatcher may do. One whose fields are all at their defaults changes nothing,
-and a job that no route matches is dispatched as if there were none.
+A route only restricts what the dispatcher may do. A route with default fields changes nothing, and a job that
+no route matches is dispatched without a route.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -20,15 +20,18 @@
 
 
 class HeaderFields(Protocol):
-    """The header fields of a message; a name is asked for in small letters."""
+    """Header fields of a message; names are passed in lower case."""
 
-    def all(self, name: str) -> Sequence[str]: ...
+    def all(self, name: str) -> Sequence[str]:
+        """Returns the values of all fields of that name, in their order."""
+        ...
 
 
 class EmptyHeaderFields:
-    """Of a job that came by a protocol without header fields."""
+    """Header fields of a job from a protocol that has none."""
 
     def all(self, name: str) -> Sequence[str]:
+        """Returns no values."""
         return ()
 
 
@@ -36,6 +39,8 @@
 
 
 class QueueOrder(Enum):
+    """Order in which a route's queued jobs are dispatched."""
+
     WORTH = "worth"  # of the class, the greatest first; among equals the nearest deadline
     DEADLINE = "deadline"  # the nearest first
     ARRIVAL = "arrival"  # the oldest first
@@ -43,86 +48,87 @@
 
 @dataclass(slots=True, frozen=True)
 class Match:
-    """What a job must be for a route; None or empty: it may be anything."""
+    """Conditions of a route on a job; None or empty matches anything."""
 
     job_class: str | None = None
-    path: str | None = None  # whole parts from the left: /a/b stands for /a/b and /a/b/c, not for /a/bc
+    path: str | None = None  # prefix of complete segments: /a/b matches /a/b and /a/b/c, not /a/bc
     method: str | None = None
-    # names in small letters; a value must stand in the only field of its name, "*" is any, and any number
+    # lower-case names; a value must equal the only field of that name, "*" matches any values
     headers: tuple[tuple[str, str], ...] = ()
 
     @property
     def parts(self) -> tuple[str, ...]:
-        """The parts of the path's prefix, the first of them the class: `/view` and class `view` are alike."""
+        """Segments of the path prefix, the class first: `/view` and class `view` are equivalent."""
         if self.path is not None:
             return tuple(self.path.split("/")[1:])
         return (self.job_class,) if self.job_class is not None else ()
 
     @property
     def rank(self) -> tuple[int, bool, int, int]:
-        """The greater one is the more specific and wins: parts of the path, method, fields, their values."""
+        """Specificity by path segments, method, header fields and their values; the highest rank wins."""
         values = sum(value != "*" for _, value in self.headers)
         return len(self.parts), self.method is not None, len(self.headers), values
 
     def same_as(self, other: "Match") -> bool:
+        """Whether both match the same jobs."""
         own = (self.parts, self.method, self.headers)
         return own == (other.parts, other.method, other.headers)
 
 
 @dataclass(slots=True, frozen=True)
 class Backoff:
-    """Resend n (1, 2, ..) waits min(most_s, base_s * 2 ** (n - 1)), less up to `jitter` of it by chance."""
+    """Exponential backoff: retry n waits min(most_s, base_s * 2 ** (n - 1)), less up to `jitter` of it."""
 
     base_s: float = 0.0
     most_s: float = 0.0
-    jitter: float = 0.0  # 0: always the whole wait, 1: evenly drawn from none to the whole
+    jitter: float = 0.0  # 0: the full wait, 1: uniform from zero to the full wait
 
     def wait_s(self, resend: int, draw: float = 0.0) -> float:
-        """Seconds before resend 1, 2, ..; `draw` from 0 to 1, at 0 the longest wait."""
+        """Returns the seconds before retry `resend` (1, 2, ..); `draw` from 0 to 1, the longest wait at 0."""
         whole = min(self.most_s, self.base_s * 2.0 ** min(resend - 1, 62))
         return whole * (1.0 - self.jitter * draw)
 
     def max_total_wait_s(self, resends: int) -> float:
-        """All waits of so many resends together, at their longest."""
+        """Returns the longest total wait of so many retries, in seconds."""
         return sum(self.wait_s(n) for n in range(1, resends + 1))
 
 
 @dataclass(slots=True, frozen=True)
 class Hedge:
-    """A second copy while the first is out, after a time or a percentile of the route's own times.
+    """Hedges an open attempt after a fixed time or a percentile of the route's latencies.
 
     Exactly one of `after_s` and `percentile` (0 to 100) is set.
     """
 
     after_s: float | None = None
     percentile: float | None = None
-    most: float = 0.05  # share of the route's first sends that may get a second copy
+    most: float = 0.05  # share of the route's first sends that may be hedged
 
 
 @dataclass(slots=True, frozen=True)
 class RetryBudget:
-    """How many resends, hedges among them, may be sent within a sliding window of `window_s`."""
+    """Limits retries, hedges included, within a sliding window of `window_s` seconds."""
 
     share: float  # of the route's first sends
     least_per_s: float  # allowed however few first sends there are
     window_s: float = 10.0
-    repeats: bool = False  # what its client marks as asked for before is a resend, and no first send
+    repeats: bool = False  # counts what its client marks as a retry as one, not as a first send
 
 
 @dataclass(slots=True, frozen=True)
 class Queue:
-    """Jobs that wait for their route's concurrency; `length` 0: none waits, what finds no room is refused."""
+    """Queue of jobs above their route's concurrency; with `length` 0 they are rejected at once."""
 
     length: int = 0
     order: QueueOrder = QueueOrder.WORTH
-    longest_wait_s: float | None = None  # None: as long as its client waits
+    longest_wait_s: float | None = None  # None: until the client's timeout
 
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """The limits for jobs of one class; a route of the file that holds for several is one of these for each.
+    """Limits for jobs of one class; a route of the file for several classes becomes one Route for each.
 
-    None: no limit of the route's own. Seconds throughout.
+    None means no limit by the route. Times are in seconds.
     """
 
     name: str
@@ -132,21 +138,21 @@
     attempt_timeout_s: float | None = None  # of one attempt, from its send
     attempts: int | None = None  # sends in all, the first and hedges included
     backoff: Backoff = Backoff()
-    resend_on: frozenset[Ending] = ALL_BUT_OK  # endings of an attempt after which it may be sent again
+    resend_on: frozenset[Ending] = ALL_BUT_OK  # endings of an attempt that may be retried
     hedge: Hedge | None = None
     retry_budget: RetryBudget | None = None
-    concurrency: int | None = None  # jobs of the route that are not answered yet, at this dispatcher
-    queue: Queue = Queue()  # beside concurrency alone
-    priority: int = 0  # where jobs of several routes compete for room, those of the highest go first
+    concurrency: int | None = None  # unanswered jobs of the route at this dispatcher
+    queue: Queue = Queue()  # applies only with `concurrency`
+    priority: int = 0  # among routes that compete for capacity, the highest is dispatched first
     pool: WorkerPool = WorkerPool()
 
     def effective_timeout_s(self, left_s: float) -> float:
-        """How long a job may take whose client waits for `left_s` more."""
+        """Returns the seconds a job may take whose client waits for another `left_s`."""
         return left_s if self.timeout_s is None else min(left_s, self.timeout_s)
 
 
 def retryable_endings(cls: JobClass) -> frozenset[Ending]:
-    """The endings after which a class ever lets a job be sent again, whatever a route says."""
+    """Returns the endings after which jobs of the class may be retried under any route."""
     return NEVER_RAN if cls.effect is Effect.UNSAFE else ALL_BUT_OK
 
 
@@ -159,10 +165,15 @@
 
 
 class Routes:
-    """All routes of one file. `find` costs O(parts of the path + routes at the nodes on it)."""
+    """Prefix tree of all routes of one file. `find` costs O(path segments + routes at their nodes)."""
 
     def __init__(self, routes: Iterable[Route] = ()) -> None:
-        """ValueError: routes that can't be told apart, or are of another class; the checker finds both."""
+        """Builds the tree.
+
+        Raises:
+            ValueError: Two routes match the same jobs, or a path does not begin with its class. The file's
+                checker reports both beforehand.
+        """
         self.all = tuple(routes)
         self.classes: Mapping[str, _Node] = {}
         self.depth = 0
@@ -184,7 +195,14 @@
         return bool(self.all)
 
     def find(self, method: str, path: str, headers: HeaderFields, job_class: str) -> Route | None:
-        """The most specific route that matches; `path` is a request's target, empty where there is none."""
+        """Returns the most specific route that matches.
+
+        Args:
+            method: Method of the request.
+            path: Target of the request, empty where it has none.
+            headers: Header fields of the request.
+            job_class: Class of the job.
+        """
         node = self.classes.get(job_class)
         if node is None:
             return None
@@ -207,9 +225,9 @@
         if match.method is None or match.method == method:
             for name, value in match.headers:
                 given = seen.get(name)
-                if given is None:  # a message's fields are gone through once for a name, not once for a route
+                if given is None:  # read once per name instead of once per route
                     given = seen[name] = headers.all(name)
-                # a field that came twice has no one value, else two routes that differ in it could both match
+                # a repeated field matches no value: otherwise two routes that differ in it could both match
                 if not given or (value != "*" and (len(given) > 1 or given[0] != value)):
                     break
             else:
