--- a/finchladder/core/connections/__init__.py
+++ b/finchladder/core/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Connections: which ones stay open, idle timeouts, memory for bodies, graceful shutdown."""
+"""Client connections, idle timeouts, memory for bodies, graceful shutdown."""
--- a/finchladder/core/connections/body_memory.py
+++ b/finchladder/core/connections/body_memory.py
@@ -1,27 +1,33 @@
-"""The memory for bodies of what is being read or is open, reserved before they are read. Sizes in bytes."""
+"""Memory budget for the bodies of requests and answers, reserved before they are read. Sizes in bytes."""
 
-MEMORY_SHARE = 0.25  # of all memory
-MIN_MEMORY_SHARE = 0.0625  # and with the features on, whatever they hold
+MEMORY_SHARE = 0.25  # of the process's memory limit
+MIN_MEMORY_SHARE = 0.0625  # at least this much, whatever the optional features use
 
 
 class OutOfBodyMemoryError(Exception):
-    """What was reserved is more than there is. It stays reserved until its holder gives it back."""
+    """A reservation exceeds the budget. It remains counted until its owner releases it."""
 
 
 class BodyMemory:
+    """Budget that all reservations of a process share."""
+
     def __init__(self, memory: int, features: int = 0) -> None:
-        # what the features may hold comes off the room for bodies: all together stay as they were without
+        # memory of the features is deducted, so that the total stays the same with and without them
         self.free_bytes = max(int(MEMORY_SHARE * memory) - features, int(MIN_MEMORY_SHARE * memory))
 
 
 class Reservation:
-    """One holder's part of the room."""
+    """One owner's part of the body memory."""
 
-    def __init__(self, room: BodyMemory) -> None:
-        self.memory, self.size_bytes = room, 0
+    def __init__(self, memory: BodyMemory) -> None:
+        self.memory, self.size_bytes = memory, 0
 
     def resize(self, size: int) -> None:
-        """In place of what was held; 0 gives it back. Many at once must not pass the memory limit."""
+        """Changes the reservation to `size` bytes; 0 releases it.
+
+        Raises:
+            OutOfBodyMemoryError: All reservations together exceed the budget.
+        """
         self.memory.free_bytes += self.size_bytes - size
         self.size_bytes = size
         if self.memory.free_bytes < 0:
--- a/finchladder/core/connections/client_connections.py
+++ b/finchladder/core/connections/client_connections.py
@@ -1,38 +1,38 @@
-"""Which edge connections there are, which of them wait, and which one is closed to make room for another."""
+"""Table of client connections: which are idle, and which one is closed when the table is full."""
 
 from collections.abc import Callable, Hashable, Iterator
 from enum import IntEnum
 from typing import Generic, TypeVar
 
-MIN_IDLE_S = 0.25  # seconds: whoever has connected or come back since may be about to send
+MIN_IDLE_S = 0.25  # seconds; a client that connected or was answered since may be about to send
 
 E = TypeVar("E", bound=Hashable)
 
 
 class ConnectionValue(IntEnum):
-    """What an edge connection has carried yet; the least is closed first."""
+    """What a client connection has carried so far; the lowest value is closed first."""
 
     NEW = 0  # nothing
-    QUERIED = 1  # a question
-    SERVED = 2  # a job that was served, or a call-back
+    QUERIED = 1  # a query
+    SERVED = 2  # an answered job, or a callback
 
 
 class ClientConnectionTable(Generic[E]):
-    """At most `most` edge connections, each either waiting (for a message or its rest) or at work.
+    """At most `max_connections` connections, each closable (awaits a message or its remainder) or busy.
 
-    Only one that waits may be closed: of the least worth the one that has waited longest, unless it is young;
-    a young one only where no other is found. One on which something has come that was not yet read
-    is never closed: that may be a job or a call-back. Times are in seconds of the caller's clock.
+    Only a closable connection may be evicted: among those of the lowest value the one idle longest, and one
+    active within MIN_IDLE_S only if there is no other. A connection with unread data is never evicted, as
+    that may be a job or a callback. Times are in seconds of the caller's clock.
 
-    All but `make_room` is O(1); that one looks at each waiting connection once at most, and mostly at one.
+    All methods are O(1) but `evict`, which visits each closable connection at most twice and usually one.
     """
 
-    def __init__(self, most: int) -> None:
-        self.max_connections = most
-        self._active_at: dict[E, float] = {}  # when it was begun, or was last through with a message
+    def __init__(self, max_connections: int) -> None:
+        self.max_connections = max_connections
+        self._active_at: dict[E, float] = {}  # when it was opened or completed its last message
         self._closable_as: dict[E, ConnectionValue] = {}
-        # by worth; in each the one waiting longest is first
-        self._closable: dict[ConnectionValue, dict[E, None]] = {worth: {} for worth in ConnectionValue}
+        # by value; the one idle longest is first in each
+        self._closable: dict[ConnectionValue, dict[E, None]] = {value: {} for value in ConnectionValue}
 
     def __len__(self) -> int:
         return len(self._active_at)
@@ -45,44 +45,55 @@
 
     @property
     def is_full(self) -> bool:
+        """Whether a further connection needs an eviction."""
         return len(self._active_at) >= self.max_connections
 
     def add(self, now: float, edge: E) -> None:
+        """Adds a new connection, closable until its first message is complete."""
         self._active_at[edge] = now
         self.mark_closable(edge, ConnectionValue.NEW)
 
-    def mark_idle(self, now: float, edge: E, worth: ConnectionValue) -> None:
-        """It is through with a message, and nothing of the next has come."""
+    def mark_idle(self, now: float, edge: E, value: ConnectionValue) -> None:
+        """Marks a connection that completed a message and has received nothing of the next."""
         if edge in self._active_at:
             self._active_at[edge] = now
-            self.mark_closable(edge, worth)
+            self.mark_closable(edge, value)
 
-    def mark_closable(self, edge: E, worth: ConnectionValue) -> None:
-        """It may be closed from now on, as the last of its worth."""
-        if edge in self._active_at:  # else it was closed already
+    def mark_closable(self, edge: E, value: ConnectionValue) -> None:
+        """Makes a connection closable, after all others of that value."""
+        if edge in self._active_at:  # otherwise it has been closed
             self.mark_busy(edge)
-            self._closable_as[edge] = worth
-            self._closable[worth][edge] = None
+            self._closable_as[edge] = value
+            self._closable[value][edge] = None
 
     def mark_busy(self, edge: E) -> None:
-        """A whole message of it has come: it may not be closed until that is answered."""
-        if (worth := self._closable_as.pop(edge, None)) is not None:
-            del self._closable[worth][edge]
+        """Marks a connection that received a complete message: not closable until that is answered."""
+        if (value := self._closable_as.pop(edge, None)) is not None:
+            del self._closable[value][edge]
 
     def remove(self, edge: E) -> None:
+        """Removes a connection, if it is in the table."""
         self.mark_busy(edge)
         self._active_at.pop(edge, None)
 
     def is_older(self, now: float, edge: E, age: float) -> bool:
-        """Whether it was begun or last at work longer ago than that."""
+        """Whether it was opened or last active more than `age` seconds ago."""
         return now > self._active_at[edge] + age
 
     def evict(self, now: float, quiet: Callable[[E], bool]) -> E | None:
-        """Drops the one to be closed, and returns it; None: none may be. `quiet`: nothing of it is unread."""
+        """Removes the connection to be closed.
+
+        Args:
+            now: Current time, in seconds of the caller's clock.
+            quiet: Whether a connection has no unread data.
+
+        Returns:
+            The connection, or None if none may be closed.
+        """
         for edges in self._closable.values():
             for edge in edges:
                 if now < self._active_at[edge] + MIN_IDLE_S:
-                    break  # the rest came later still
+                    break  # the remaining ones were active later
                 if quiet(edge):
                     self.remove(edge)
                     return edge
--- a/finchladder/core/connections/graceful_shutdown.py
+++ b/finchladder/core/connections/graceful_shutdown.py
@@ -1,44 +1,48 @@
-"""Leaving: what may still be taken and kept after SIGTERM. Times are in seconds of the caller's clock.
+"""Graceful shutdown: time limits after SIGTERM. Times are in seconds of the caller's clock.
 
-The platform says when SIGKILL may come, by the longest deadline of the settings; all else follows from that.
+The platform sends SIGKILL a fixed time after the longest deadline of the settings; all limits derive from it.
 
-| after SIGTERM | a connection of a client that waits | a request that comes |
+| after SIGTERM | an idle client connection | an arriving request |
 | --- | --- | --- |
-| up to AT_EASE | stays in use: other dispatchers may be leaving as well | has its whole time |
-| up to `stays_s` | stays in use | is answered within `gone_by_s` |
-| from then on | is closed, unless a request has come on it | is answered so, and its connection closed |
+| up to FULL_TIME_S | stays open: other dispatchers may be shutting down as well | has its full timeout |
+| up to `keep_open_s` | stays open | is answered within `answer_within_s` |
+| from then on | is closed, unless a request arrived on it | is answered likewise, and its connection closed |
 """
 
-# of the protocol: SIGKILL comes this long after the longest deadline, which counts as COUNTED_S at the most
+# of the protocol: SIGKILL follows SIGTERM after the longest deadline, capped at the second, plus the first
 KILL_GRACE_S, MAX_COUNTED_DEADLINE_S = 0.7, 3.0
-# what came sooner after SIGTERM than this has its whole time before SIGKILL; KILLED_S, less what a read takes
+# requests up to this long after SIGTERM have their full timeout: KILL_GRACE_S less the time of a read
 FULL_TIME_S = KILL_GRACE_S - 0.1
 KILL_MARGIN_S = 0.2  # between the last answer and SIGKILL
-MAX_KEEP_OPEN_S = 1.8  # clients leave kept connections by themselves by then
+MAX_KEEP_OPEN_S = 1.8  # clients have abandoned idle connections by then
 
 
 class GracefulShutdown:
+    """Decides until when connections stay open and requests are answered after SIGTERM."""
+
     def __init__(self, longest_s: float) -> None:
-        """`longest_s`: the longest deadline of any class."""
+        """Derives the limits from the longest deadline of any class, in seconds."""
         killed_s = min(longest_s, MAX_COUNTED_DEADLINE_S) + KILL_GRACE_S
         self.answer_within_s = killed_s - KILL_MARGIN_S
-        # half of the time is left for what comes last
+        # the other half is left for the last requests
         self.keep_open_s = min(MAX_KEEP_OPEN_S, killed_s / 2)
         self.began_at: float | None = None  # when SIGTERM came
 
     @property
     def has_begun(self) -> bool:
+        """Whether SIGTERM was received."""
         return self.began_at is not None
 
     def begin(self, now: float) -> None:
+        """Records SIGTERM."""
         self.began_at = now
 
     def must_close(self, now: float) -> bool:
-        """Whether no connection of a client may be kept any more."""
+        """Whether idle client connections must be closed."""
         return self.began_at is not None and now > self.began_at + self.keep_open_s
 
     def latest_answer_at(self, now: float, deadline: float) -> float:
-        """When SIGTERM came a while ago, SIGKILL may come before the client's time is up."""
+        """Returns the deadline of an arriving request, before `deadline` if SIGKILL may precede that."""
         if self.began_at is not None and now > self.began_at + FULL_TIME_S:
             return min(deadline, self.began_at + self.answer_within_s)
         return deadline
--- a/finchladder/core/membership/sources.py
+++ b/finchladder/core/membership/sources.py
@@ -144,7 +144,7 @@
         self.epoch, self.version = "", -1
         self.listed = False
         self.table: dict[str, SourceEntry] = {}
-        self.waiting: _Waiting | None = None
+        self.waiting: _PendingList | None = None
         self.departures: OrderedDict[str, Departure] = OrderedDict()
         self.drains_before_restart: OrderedDict[str, Departure] = (
             OrderedDict()
@@ -220,7 +220,7 @@
             return SourceEvent.OLDER
         return SourceEvent.IN_STEP if in_step else SourceEvent.REPLAY
 
-    def _older(self, new: _Waiting) -> bool:
+    def _older(self, new: _PendingList) -> bool:
         return self.listed and new.epoch == self.epoch and new.version < self.version
 
     def _whole(self, now: float, r: Report) -> SourceUpdate:
@@ -251,7 +251,7 @@
             return SourceUpdate({e.worker: None for e in r.workers.entries})
         return self._behind()
 
-    def _add(self, waiting: _Waiting, r: Report) -> _Waiting:
+    def _add(self, waiting: _PendingList, r: Report) -> _PendingList:
         waiting.version = r.version
         words, address = waiting.entries, r.addresses.get
         for e in r.workers.entries:
@@ -266,7 +266,7 @@
                     waiting.drained[e.worker] = before.entry.started_at
         return waiting
 
-    def _commit(self, now: float, new: _Waiting, names: dict[str, None]) -> SourceUpdate:
+    def _commit(self, now: float, new: _PendingList, names: dict[str, None]) -> SourceUpdate:
         """It becomes the table, or changes it; `names` concern it in any case."""
         anew = self.listed and (new.epoch != self.epoch or new.version < self.version)
         left_out = 0
