--- a/finchladder/core/membership/aperture.py
+++ b/finchladder/core/membership/aperture.py
@@ -1,9 +1,9 @@
-"""Aperture: which real servers this dispatcher uses where there are too many dispatchers for each to use all.
+"""Deterministic aperture: the subset of workers that this dispatcher connects to in a large fleet.
 
-Deterministic: the n real servers of a stratum (zone and kind) stand in a ring in the order of their names'
-hashes; dispatcher i of d uses `width` neighbours from rank floor(i * n / d) on. These starts lie evenly, so
-each real server is in floor or ceil of width * d / n subsets. Keys' rings are made of the subset alone,
-therefore both hashes of a key name real servers inside it.
+As in Finagle's deterministic aperture: the n workers of a stratum (zone and kind) form a ring in the order
+of their names' hashes; dispatcher i of d uses `subset_width` neighbours from rank floor(i * n / d) on. The
+starts are evenly spaced, so each worker is in floor or ceil of width * d / n subsets. Rings for key affinity
+contain the subset alone, so both candidates of a key are inside it.
 """
 
 from bisect import bisect_left, insort
@@ -12,15 +12,17 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-RingPosition = tuple[int, str]  # a name's hash, and the name: order in the ring
+RingPosition = tuple[int, str]  # (hash of the name, name): order in the ring
 Stratum = tuple[str, str]  # zone, kind
 
 
 @dataclass(frozen=True, slots=True)
 class ApertureSettings:
-    server_connections: int = 256  # that a real server gives to all dispatchers together
-    connections_each: int = 24  # that one dispatcher may open to one real server
-    least: int = 4  # of a stratum in each subset, where there are so many: a key's pair, and a way round it
+    """Settings of the aperture: numbers of connections, and the lower bound of a subset."""
+
+    server_connections: int = 256  # that a worker accepts from all dispatchers together
+    connections_each: int = 24  # that one dispatcher may open to one worker
+    least: int = 4  # workers of a stratum per subset: both candidates of a key, and alternatives
 
     def __post_init__(self) -> None:
         if not 1 <= self.connections_each <= self.server_connections <= 1_000_000:
@@ -30,11 +32,13 @@
 
     @property
     def served(self) -> int:
-        """How many dispatchers a real server has connections for."""
+        """Number of dispatchers that a worker has connections for."""
         return self.server_connections // self.connections_each
 
 
 class Change(NamedTuple):
+    """Workers that a change of the list adds to the subset and removes from it."""
+
     added: frozenset[str]
     removed: frozenset[str]
 
@@ -43,25 +47,26 @@
 
 
 def ring_position(name: str) -> RingPosition:
-    """The same in every process, and unlike the places on the key's rings."""
+    """Returns a worker's ring position: equal in all processes, independent of the rings for key affinity."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8, person=b"aperture").digest(), "big"), name
 
 
 def subset_width(n: int, dispatchers: int, settings: ApertureSettings) -> int:
-    """Of a subset of n real servers: all of them where each has connections for all dispatchers."""
+    """Returns the size of a subset of `n` workers: all where each has connections for all dispatchers."""
     return min(n, max(settings.least, n * settings.served // dispatchers))
 
 
 def ring_window(ring: Sequence[RingPosition], index: int, dispatchers: int, wide: int) -> list[str]:
+    """Returns the names of `wide` neighbours in the ring from this dispatcher's start."""
     start = index * len(ring) // dispatchers
     return [ring[(start + i) % len(ring)][1] for i in range(wide)]
 
 
 class Aperture:
-    """Keeps the rings of all listed real servers (ready or draining) and the subset of this dispatcher.
+    """Maintains the rings of all listed workers (ready or draining) and the subset of this dispatcher.
 
     A changed entry costs O(log n), up to n moved pointers in its stratum's ring, and O(width).
-    Without its own index or the number of dispatchers it is off: all are inside.
+    Without an index or the number of dispatchers it is disabled: all workers are inside.
     """
 
     def __init__(self, index: int | None, dispatchers: int | None, settings: ApertureSettings) -> None:
@@ -77,7 +82,7 @@
         return stratum is not None and name in self.inside[stratum]
 
     def change(self, listed: Iterable[tuple[str, Stratum]], gone: Iterable[str] = ()) -> Change:
-        """Takes changed entries in; what the subset gains and loses by them. Repeats change nothing."""
+        """Applies changed entries, idempotently, and returns the resulting change of the subset."""
         touched: set[Stratum] = set()
         new: dict[Stratum, list[RingPosition]] = {}
         for name in gone:
@@ -108,7 +113,7 @@
         return Change(frozenset(entered - left), frozenset(left - entered))
 
     def replace(self, listed: Iterable[tuple[str, Stratum]]) -> Change:
-        """A whole list: what it does not name is gone."""
+        """Applies a full list, which removes all workers that it lacks."""
         whole = dict(listed)
         return self.change(whole.items(), [name for name in self.stratum if name not in whole])
 
--- a/finchladder/core/membership/decisions.py
+++ b/finchladder/core/membership/decisions.py
@@ -1,13 +1,13 @@
-"""Membership: which real servers are believed to be there, where several sources tell of them.
+"""Membership: merges the endpoint lists of several sources into the list of workers in use.
 
-What goes in: `Report` (a whole list, or changed entries) and `heard` (nothing new, but alive), each with the
-time; `due` when `next_due` has come. What comes out: `Decided`, the differences of the believed list.
+Input: `Report` (a full list, or changed entries) and `heard` (alive, nothing new), each with the time, and
+`due` at `next_due`. Output: `Decided`, the changes of the merged list.
 
-- One source leads: the first that is live. It says who is there. Another takes over when it is lost.
-- Any source's word that a real server drains holds, for the start that it is about and those before.
-- Of two starts of one real server the newer counts, whoever tells of it.
-- A mass that vanishes at once, and what comes and goes too often, is not believed at once (vanishing.py).
-- What a source tells out of its order waits until it is clear what it is (sources.py).
+- One source leads: the first that is live. It determines the members; another takes over when it is lost.
+- A draining notice of any source holds, for the incarnation of the worker that it names and earlier ones.
+- Of two incarnations of a worker the newer counts, whichever source reports it.
+- Mass removals and flapping entries are not applied at once (removal_guards.py).
+- Reports that are out of order wait until their state is known (sources.py).
 """
 
 from collections.abc import Callable, Sequence
@@ -26,30 +26,32 @@
 from finchladder.core.membership.sources import Report as Report
 from finchladder.core.membership.sources import Source as Source
 
-SLICE_SIZE = 256  # entries told to be ready that one step goes through: some 2 ms
+SLICE_SIZE = 256  # ready entries that one step processes: about 2 ms
 MAX_NAMES_IN_FACT = 3
 
 
 class FactKind(Enum):
-    """What is worth a line in the log; `Fact.number` and `Fact.seconds` as said here."""
-
-    LEADS = "leads"  # `source` is followed from now on; number: entries that it lists
-    LOST = "lost"  # nothing was heard of `source` for so long; number: entries it last told
-    BACK = "back"  # `source` is in step again, after so long
-    STALE = "stale"  # a report of `source` does not follow on what it told before, and was dropped
-    BEHIND = "behind"  # `source` tells a list that is so many versions older than its last: it is doubted
-    ANEW = "anew"  # `source` has begun anew: the doubted list, or one of another epoch, holds
-    HOLDING = "holding"  # so many entries vanished at once: they stay until a second sign
-    RELEASED = "released"  # so many of them are gone
-    RETURNED = "returned"  # of all that were held, each is listed again or gone
-    FLAPS = "flaps"  # `names` came and went too often: they must be steady first
-    DISAGREE = "disagree"  # `source`, who does not lead, says otherwise of so many entries, `names` first
-    AGREED = "agreed"  # it does no more
-    OLD = "old"  # the list in use was last told so long ago that any other is taken
-    FULL = "full"  # `source` tells so many entries more than are kept
+    """Kinds of logged facts, with the meaning of `Fact.number` and `Fact.seconds` for each."""
+
+    LEADS = "leads"  # `source` leads from now on; number: its entries
+    LOST = "lost"  # no message of `source` for `seconds`; number: its last entries
+    BACK = "back"  # `source` is in step again
+    STALE = "stale"  # a report of `source` does not follow its previous one, and was dropped
+    BEHIND = "behind"  # `source` reports a list `number` versions older than its last, which is pending
+    ANEW = "anew"  # `source` has restarted: the pending list, or one of another epoch, is in use
+    HOLDING = "holding"  # `number` entries were removed at once: they stay until confirmed
+    RELEASED = "released"  # `number` of them are removed
+    RETURNED = "returned"  # each held entry is listed again or removed
+    FLAPS = "flaps"  # `names` are flapping: they must be stable first
+    DISAGREE = "disagree"  # `source`, not the leader, disagrees on `number` entries, `names` first
+    AGREED = "agreed"  # the disagreement ended
+    OLD = "old"  # the list in use is so old that any other replaces it
+    FULL = "full"  # `source` lists `number` entries more than are stored
 
 
 class Fact(NamedTuple):
+    """A noteworthy change, for the log."""
+
     what: FactKind
     source: str = ""
     names: tuple[str, ...] = ()  # the first few concerned
@@ -58,10 +60,10 @@
 
 
 class Decided(NamedTuple):
-    """What has changed of the believed list: what RealServers.update takes, what is not ready first.
+    """Changes of the merged list, with entries that are not ready first.
 
-    The first one that has entries is WHOLE (of a list of before: STALE), all others are PATCH. There is
-    nothing to apply where `workers.entries` is empty.
+    The first one that has entries is FULL (STALE if from a stored list), all others are PATCH. There is
+    nothing to apply if `workers.entries` is empty.
     """
 
     workers: WorkerList
@@ -71,17 +73,19 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """Shares are of the believed entries that do not drain; times are seconds."""
-
-    max_vanish: float = 0.5  # more gone at once, without having drained, is not believed; 1: always believed
-    vanish_window_s: float = 10.0  # what "at once" means: leases that were cut off end over their whole time
-    hold_s: float = 900.0  # held without a second sign for so long, it is believed where others are ready
-    max_age_s: float = 3600.0  # beyond it a list is not started with, and protects itself no more
-    settle_s: float = 5.0  # a better source must have been live for so long before it leads again
-    back_s: float = 1.5  # a source that tells older versions for so long has begun anew
+    """Settings of the merge. Shares are of the listed entries that are not draining; times are in seconds."""
+
+    max_vanish: float = 0.5  # larger removals without draining are held; 1: never held
+    vanish_window_s: float = (
+        10.0  # the window of a mass removal: leases cut off together expire over their full term
+    )
+    hold_s: float = 900.0  # an unconfirmed removal is applied after this, if others are ready
+    max_age_s: float = 3600.0  # an older list is neither loaded at start nor protected from replacement
+    settle_s: float = 5.0  # a preferred source must be live this long before it leads again
+    back_s: float = 1.5  # a source that reports older versions for so long has restarted
     flap_most: int = 3  # times that an entry may stop being ready within `flap_window_s`
     flap_window_s: float = 60.0
-    flap_hold_s: float = 1.5  # beyond that it must have been ready for so long
+    flap_hold_s: float = 1.5  # a flapping entry must be ready for so long
 
     def __post_init__(self) -> None:
         bounds = {
@@ -101,27 +105,27 @@
 
 
 class Belief(Enum):
-    """What is believed of one real server."""
+    """State of one worker in the merged list."""
 
     __hash__ = object.__hash__  # Enum's own takes longer than the rest of a look-up
 
     ABSENT = "absent"
     READY = "ready"
     DRAINING = "draining"
-    HELD = "held"  # listed no more, but so many vanished with it that it stays as it was
-    DAMPED = "damped"  # told to be ready, but it came and went too often
+    HELD = "held"  # no longer listed, but part of a mass removal: state unchanged
+    DAMPED = "damped"  # reported as ready, but flapping
 
 
 class SourceVerdict(Enum):
-    """What the sources, taken together, say of it."""
+    """Combined statement of all sources about one worker."""
 
     __hash__ = object.__hash__
 
     READY = "ready"
-    FLAPPING = "flaps"  # ready, and it has come and gone too often
+    FLAPPING = "flaps"  # ready, but flapping
     DRAINING = "draining"
     GONE = "gone"
-    MASS_REMOVAL = "mass"  # gone, with too many others
+    MASS_REMOVAL = "mass"  # part of a mass removal
 
 
 B = Belief
@@ -130,7 +134,10 @@
     (B.ABSENT, SourceVerdict.FLAPPING): B.DAMPED,
     (B.ABSENT, SourceVerdict.DRAINING): B.DRAINING,
     (B.ABSENT, SourceVerdict.GONE): B.ABSENT,
-    (B.ABSENT, SourceVerdict.MASS_REMOVAL): B.HELD,  # vanished within the window, before there were too many
+    (
+        B.ABSENT,
+        SourceVerdict.MASS_REMOVAL,
+    ): B.HELD,  # removed within the window, before the limit was exceeded
     (B.READY, SourceVerdict.READY): B.READY,
     (B.READY, SourceVerdict.DRAINING): B.DRAINING,
     (B.READY, SourceVerdict.GONE): B.ABSENT,
@@ -157,12 +164,12 @@
 }
 
 
-UNAVAILABLE = frozenset({B.ABSENT, B.DRAINING, B.DAMPED})  # what gets nothing new
+UNAVAILABLE = frozenset({B.ABSENT, B.DRAINING, B.DAMPED})  # receives no new jobs
 REACHABLE_STANDINGS = frozenset({Standing.LIVE, Standing.CATCHING_UP, Standing.BEHIND})
 
 
 class MemberRecord:
-    """One real server of the list; `entry.state` is the sources' word, `belief` what holds."""
+    """One worker of the merged list; `entry.state` is as reported, `belief` is what applies."""
 
     __slots__ = ("belief", "entry", "address")
 
@@ -170,6 +177,7 @@
         self.belief, self.entry, self.address = belief, entry, address
 
     def effective(self) -> tuple[WorkerEntry, Address]:
+        """Returns the entry, in the state that applies, and the address."""
         state = STATES[self.belief]
         return (self.entry if self.entry.state is state else self.entry._replace(state=state)), self.address
 
@@ -178,8 +186,10 @@
 
 
 class Membership:
-    """Sources best first. A change costs O(entries changed x sources), a whole list O(its entries), another
-    leader or a source that is lost or back O(entries of both lists); nothing else grows with the fleet.
+    """Merges the lists of sources, which are given in order of preference.
+
+    A change costs O(changed entries x sources), a full list O(its entries), and a change of the leader or of
+    a source's standing O(entries of both lists); no other cost grows with the fleet.
     """
 
     def __init__(self, sources: Sequence[Source], settings: MembershipSettings) -> None:
@@ -189,8 +199,8 @@
         if len(self.by_name) < len(self.source_states) or not self.source_states:
             raise ValueError("membership: sources are needed, each with a name of its own")
         self.lead: SourceState | None = None
-        self.drain_sources: list[SourceState] = []  # whose drains hold; the leader first
-        self.others: list[SourceState] = []  # who is live and does not lead
+        self.drain_sources: list[SourceState] = []  # whose draining notices apply; the leader first
+        self.others: list[SourceState] = []  # live sources but the leader
         self.members: dict[str, MemberRecord] = {}
         self.counts = dict.fromkeys(Belief, 0)
         self.mass_removal_guard = MassRemovalGuard(
@@ -198,18 +208,22 @@
         )
         self.flap_damping = FlapDamping(settings.flap_most, settings.flap_window_s, settings.flap_hold_s)
         self.differing = Differing()
-        self.dropped: set[str] = set()  # sources whose reports were dropped since one was taken
-        self.lost: set[str] = set()  # sources that were live, and are lost
+        self.dropped: set[str] = set()  # sources whose reports were dropped since the last accepted one
+        self.lost: set[str] = set()  # sources that were live and are now lost
         self.began = self.old = False
-        self.pending_names: dict[str, None] = {}  # told of, and not gone through yet
-        self._before: dict[str, EffectiveEntry | None] = {}  # of what the step has touched
+        self.pending_names: dict[str, None] = {}  # reported, not processed yet
+        self._before: dict[str, EffectiveEntry | None] = {}  # entries before the current step changed them
         self._damped: list[str] = []
         self._facts: list[Fact] = []
 
-    # --- what goes in
+    # --- input
 
     def report(self, now: float, r: Report) -> Decided:
-        """KeyError: a source that was not named at the start."""
+        """Applies a report.
+
+        Raises:
+            KeyError: The source was not given at construction.
+        """
         t = self.by_name[r.source]
         if r.workers.kind is ListKind.STALE and r.age_s > self.settings.max_age_s:
             self._tell(FactKind.OLD, t, seconds=r.age_s)
@@ -217,28 +231,28 @@
         return self._step(now, t, lambda: t.report(now, r))
 
     def heard(self, now: float, source: str, in_step: bool = True) -> Decided:
-        """There is nothing new, but the source is there."""
+        """Records that a source is alive and has nothing new."""
         t = self.by_name[source]
         return self._step(now, t, lambda: t.heard(now, in_step))
 
     def due(self, now: float) -> Decided:
-        """What the time brings; to be called at `next_due`, and harmless at any other time."""
+        """Applies what is due at `now`; call it at `next_due`. Additional calls are harmless."""
         return self._step(now, None, lambda: NOTHING)
 
-    # --- what can be asked
+    # --- queries
 
     @property
     def up(self) -> bool:
-        """Whether there is a list; an empty one from before is none."""
+        """Whether a list is known; an empty stored list does not count."""
         return bool(self.members) or any(t.is_live for t in self.source_states)
 
     def age_s(self, now: float) -> float:
-        """Since the list in use was last known to hold."""
+        """Returns the seconds since the list in use was last known to be valid."""
         return inf if self.lead is None else now - self.lead.valid_at
 
     @property
     def next_due(self) -> float:
-        """The time at which `due` may change something; -inf: now, inf: at none."""
+        """Time at which `due` may have an effect; -inf: now, inf: never."""
         s, lead = self.settings, self.lead
         if self.pending_names:
             return -inf
@@ -261,22 +275,22 @@
             times.append(lead.valid_at + s.max_age_s)
         return min(times)
 
-    # --- a step
+    # --- one step
 
     def _step(self, now: float, teller: SourceState | None, act: Callable[[], SourceUpdate]) -> Decided:
         before = [t.standing for t in self.source_states]
         names = self._time(now)
         if teller is not None:
-            first, told = not teller.listed, self._heed(now, teller, act())
-            if not (first and teller.is_live):  # else nothing hung on its words before
-                names |= told
+            first, update = not teller.listed, self._heed(now, teller, act())
+            if not (first and teller.is_live):  # otherwise its entries had no effect before
+                names |= update
         turned = [
             (t, was) for t, was in zip(self.source_states, before, strict=True) if t.standing is not was
         ]
         for t, was in turned:
             self._note(now, t, was)
         names |= self._choose(now)
-        for t, was in turned:  # whether its words count where they are not the leader's
+        for t, was in turned:  # whether its entries apply beside the leader's has changed
             if self.lead is not None and t is not self.lead and Standing.LIVE in (was, t.standing):
                 names |= _unlike(t, self.lead)
         names |= self._weigh(now)
@@ -297,20 +311,20 @@
             names |= t.expire_departures(now)
         return names
 
-    def _heed(self, now: float, t: SourceState, told: SourceUpdate) -> dict[str, None]:
-        if told.stale:
+    def _heed(self, now: float, t: SourceState, update: SourceUpdate) -> dict[str, None]:
+        if update.stale:
             if t.source.name not in self.dropped:
                 self._tell(FactKind.STALE, t)
             self.dropped.add(t.source.name)
-        elif told.names:
+        elif update.names:
             self.dropped.discard(t.source.name)
-        if told.versions_behind:
-            self._tell(FactKind.BEHIND, t, number=told.versions_behind)
-        if told.restarted:
+        if update.versions_behind:
+            self._tell(FactKind.BEHIND, t, number=update.versions_behind)
+        if update.restarted:
             self._tell(FactKind.ANEW, t, number=len(t.table))
-        if told.left_out:
-            self._tell(FactKind.FULL, t, number=told.left_out)
-        return told.names
+        if update.left_out:
+            self._tell(FactKind.FULL, t, number=update.left_out)
+        return update.names
 
     def _note(self, now: float, t: SourceState, was: Standing) -> None:
         name = t.source.name
@@ -322,7 +336,7 @@
             self._tell(FactKind.BACK, t)
 
     def _choose(self, now: float) -> dict[str, None]:
-        """Who leads, and of whom it must be judged anew if that has changed."""
+        """Selects the leader and returns the names to evaluate again if it changed."""
         cur = self.lead
         live = [t for t in self.source_states if t.is_live]
         if live:
@@ -349,7 +363,7 @@
         return _unlike(cur, new)
 
     def _weigh(self, now: float) -> dict[str, None]:
-        """Whose words count. Drains of a lost source hold until its list is too old."""
+        """Selects the sources whose notices apply. Those of a lost source apply until its list is too old."""
         was, lead = self.drain_sources, self.lead
         self.others = [t for t in self.source_states if t.is_live and t is not lead]
         self.drain_sources = [lead] if lead is not None else []
@@ -363,10 +377,10 @@
                 names |= t.draining_names()
         return names
 
-    # --- one real server
+    # --- one worker
 
     def _go_through(self, now: float, names: dict[str, None], lead: SourceState) -> None:
-        """What is gone or drains at once, as a mass is only seen whole; the rest in slices."""
+        """Processes removed and draining workers at once, to detect mass removals, and the rest in slices."""
         at_once: list[str] = []
         for name in names:
             if name not in lead.table or any(name in t.may_drain for t in self.drain_sources):
@@ -383,14 +397,14 @@
             self._judge(now, name, lead)
 
     def _hold_first(self, now: float, names: list[str], lead: SourceState) -> list[str]:
-        """Where too many vanish, nothing of that shows: it may wait its turn. The others are returned."""
+        """Defers a mass removal to later slices, and returns the other names."""
         vanish = {
             name: None
             for name in names
-            if (b := self.members.get(name)) is not None
-            and b.belief not in UNAVAILABLE
+            if (member := self.members.get(name)) is not None
+            and member.belief not in UNAVAILABLE
             and not lead.lists(name)
-            and not self._confirmed(name, b.entry.started_at)
+            and not self._confirmed(name, member.entry.started_at)
         }
         self._mass(now, vanish)
         if not self.mass_removal_guard.is_protecting:
@@ -399,18 +413,18 @@
         return [name for name in names if name not in vanish]
 
     def _confirmed(self, name: str, born: float) -> bool:
-        """Whether there is a second sign that it is gone, or it has drained."""
+        """Whether another source confirms the removal, or the worker was draining."""
         return any(name in t.departures for t in self.others) or any(
             t.draining_start(name) >= born for t in self.drain_sources
         )
 
     def _judge(self, now: float, name: str, lead: SourceState) -> None:
-        word = lead.table.get(name)
+        source_entry = lead.table.get(name)
         if self.others or self.differing.told or self.differing.new:
             self.differing.see(now, name, lead, self.others)
-        if word is None or word.address is None:
+        if source_entry is None or source_entry.address is None:
             return self._missing(now, name)
-        entry, address = word.entry, word.address
+        entry, address = source_entry.entry, source_entry.address
         newest = entry.started_at if entry.started_at != ANY_START else -1.0
         drains = max(t.draining_start(name) for t in self.drain_sources)
         for t in self.others:
@@ -421,55 +435,57 @@
                 and newest < other.entry.started_at < ANY_START
             ):
                 entry, address, newest = other.entry, other.address, other.entry.started_at
-        b = self.members.get(name)
-        belief = b.belief if b is not None else Belief.ABSENT
+        member = self.members.get(name)
+        belief = member.belief if member is not None else Belief.ABSENT
         if drains >= entry.started_at:
-            says = SourceVerdict.DRAINING
+            verdict = SourceVerdict.DRAINING
         elif belief in UNAVAILABLE and (belief is Belief.DAMPED or self.flap_damping.is_flapping(now, name)):
-            says = SourceVerdict.FLAPPING
+            verdict = SourceVerdict.FLAPPING
         else:
-            says = SourceVerdict.READY
-        if entry.started_at == ANY_START:  # a notice, and of the real server itself nothing newer is known
-            entry = entry._replace(started_at=b.entry.started_at if b is not None else 0.0)
+            verdict = SourceVerdict.READY
+        if entry.started_at == ANY_START:  # a notice; nothing newer is known of the worker
+            entry = entry._replace(started_at=member.entry.started_at if member is not None else 0.0)
         if self.mass_removal_guard.recent_removals or self.mass_removal_guard.held:
             self.mass_removal_guard.record_return(now, name)
-        self._set(now, name, says, entry, address)
+        self._set(now, name, verdict, entry, address)
 
     def _missing(self, now: float, name: str) -> None:
-        """Who leads does not list it."""
-        b = self.members.get(name) or self.mass_removal_guard.recent_removals.get(name)
-        if b is None:
+        """Evaluates a worker that the leader does not list."""
+        member = self.members.get(name) or self.mass_removal_guard.recent_removals.get(name)
+        if member is None:
             return
-        if self._confirmed(name, b.entry.started_at):
+        if self._confirmed(name, member.entry.started_at):
             self.mass_removal_guard.resolve(name)
-            says = SourceVerdict.GONE
-        elif not isinstance(b, MemberRecord):  # vanished before, and no second sign of it
+            verdict = SourceVerdict.GONE
+        elif not isinstance(member, MemberRecord):  # removed before, still unconfirmed
             return
-        elif b.belief in UNAVAILABLE:
-            says = SourceVerdict.GONE
+        elif member.belief in UNAVAILABLE:
+            verdict = SourceVerdict.GONE
         elif self.mass_removal_guard.is_protecting:
             self.mass_removal_guard.hold(name)
-            says = SourceVerdict.MASS_REMOVAL
+            verdict = SourceVerdict.MASS_REMOVAL
         else:
-            self.mass_removal_guard.record_removal(now, name, b.entry, b.address)
-            says = SourceVerdict.GONE
-        self._set(now, name, says, b.entry, b.address)
+            self.mass_removal_guard.record_removal(now, name, member.entry, member.address)
+            verdict = SourceVerdict.GONE
+        self._set(now, name, verdict, member.entry, member.address)
 
-    def _set(self, now: float, name: str, says: SourceVerdict, entry: WorkerEntry, address: Address) -> None:
-        b = self.members.get(name)
+    def _set(
+        self, now: float, name: str, verdict: SourceVerdict, entry: WorkerEntry, address: Address
+    ) -> None:
+        member = self.members.get(name)
         if name not in self._before:
-            self._before[name] = b.effective() if b is not None else None
-        old = b.belief if b is not None else Belief.ABSENT
-        new = TRANSITIONS[old, says]
+            self._before[name] = member.effective() if member is not None else None
+        old = member.belief if member is not None else Belief.ABSENT
+        new = TRANSITIONS[old, verdict]
         if new is not old:
             self.counts[old] -= 1
             self.counts[new] += 1
         if new is Belief.ABSENT:
             self.members.pop(name, None)
-        elif b is None:
+        elif member is None:
             self.members[name] = MemberRecord(new, entry, address)
         else:
-            b.belief, b.entry, b.address = new, entry, address
+            member.belief, member.entry, member.address = new, entry, address
         if new is Belief.DAMPED:
             self.flap_damping.damp(now, name)
             if old is not Belief.DAMPED:
@@ -477,7 +493,7 @@
         elif old is Belief.DAMPED:
             self.flap_damping.undamp(name)
 
-    # --- all of them
+    # --- all workers
 
     def _listed(self) -> int:
         return self.counts[Belief.READY] + self.counts[Belief.HELD] + self.counts[Belief.DAMPED]
@@ -485,7 +501,7 @@
     def _guard(self, now: float) -> None:
         self._mass(now, {})
         if self.pending_names:
-            return  # who is held is known once all have been gone through
+            return  # the held ones are known once all names are processed
         while (
             turn := self.mass_removal_guard.advance(now, self._listed(), self.counts[Belief.READY])
         ) is not None:
@@ -498,9 +514,9 @@
                 if turn is GuardEvent.BELOW_THRESHOLD or not self._elsewhere(name)
             ]
             for name in over:
-                b = self.members[name]
+                member = self.members[name]
                 self.mass_removal_guard.resolve(name)
-                self._set(now, name, SourceVerdict.GONE, b.entry, b.address)
+                self._set(now, name, SourceVerdict.GONE, member.entry, member.address)
             if over:
                 self._tell(FactKind.RELEASED, self.lead, over, len(over))
 
@@ -523,8 +539,8 @@
             self._damped = []
         none_left = not self.counts[Belief.READY] and not self.counts[Belief.HELD]
         for name in list(self.flap_damping.damped) if none_left else self.flap_damping.find_stable(now):
-            b = self.members[name]
-            self._set(now, name, SourceVerdict.READY, b.entry, b.address)
+            member = self.members[name]
+            self._set(now, name, SourceVerdict.READY, member.entry, member.address)
 
     def _differ(self, now: float) -> None:
         if found := self.differing.due(now):
@@ -551,14 +567,14 @@
         rest: list[WorkerEntry] = []
         addresses: dict[str, Address] = {}
         for name, before in self._before.items():
-            b = self.members.get(name)
+            member = self.members.get(name)
             was = before[0].state if before is not None else WorkerStatus.REMOVED
-            if b is None:
+            if member is None:
                 if before is not None:
                     first.append(before[0]._replace(state=WorkerStatus.REMOVED))
                 state = WorkerStatus.REMOVED
             else:
-                entry, address = shown = b.effective()
+                entry, address = shown = member.effective()
                 state = entry.state
                 if before is None or not _alike(before, shown):
                     (rest if state is WorkerStatus.READY else first).append(entry)
@@ -575,13 +591,13 @@
 
 
 def _alike(a: EffectiveEntry, b: EffectiveEntry) -> bool:
-    """But for their weight, which no decision goes by."""
+    """Whether two entries are equal but for their weight, which no decision uses."""
     return a[0][:-1] == b[0][:-1] and a[1] == b[1]
 
 
 def _unlike(a: SourceState, b: SourceState) -> dict[str, None]:
-    """Names of which the two say otherwise, or remember something."""
-    names = {name: None for name, word in a.table.items() if b.table.get(name) != word}
+    """Returns the names on which two sources differ, or of which they remember departures."""
+    names = {name: None for name, source_entry in a.table.items() if b.table.get(name) != source_entry}
     names.update((name, None) for name in b.table if name not in a.table)
     for marks in (a.departures, a.drains_before_restart, b.departures, b.drains_before_restart):
         names.update(dict.fromkeys(marks))
--- a/finchladder/core/membership/disagreement.py
+++ b/finchladder/core/membership/disagreement.py
@@ -1,4 +1,4 @@
-"""Of which real servers a source says otherwise than the one that leads, for longer than is usual."""
+"""Detects workers on which a source disagrees with the leading one for unusually long."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -6,18 +6,18 @@
 
 from finchladder.core.membership.sources import ANY_START, SourceEntry, SourceState
 
-DISAGREE_S = 5.0  # sources hear of a change at different times; longer than that is worth a word
+DISAGREE_S = 5.0  # sources learn of a change at different times; longer differences are logged
 
 
 def _differ(a: SourceEntry | None, b: SourceEntry | None) -> bool:
-    """A notice is no disagreement: nobody else tells it."""
+    """Whether two sources disagree on a state; a draining notice, known to one source, does not count."""
     if any(w is not None and w.entry.started_at == ANY_START for w in (a, b)):
         return False
     return (a and a.entry.state) is not (b and b.entry.state)
 
 
 class Differing:
-    """Each call costs O(sources), and once for each name what is told of it."""
+    """Tracks disagreements, and which of them were reported. A call costs O(sources)."""
 
     def __init__(self) -> None:
         self.new: OrderedDict[str, tuple[float, str]] = OrderedDict()  # since when, and which source
@@ -26,6 +26,7 @@
         self.ended = False  # nothing that was told of is so any more
 
     def see(self, now: float, name: str, lead: SourceState, others: Iterable[SourceState]) -> None:
+        """Compares the sources' entries of one worker."""
         word = lead.table.get(name)
         source = next((t.source.name for t in others if _differ(t.table.get(name), word)), None)
         if source is None:
@@ -37,13 +38,13 @@
             self.new.setdefault(name, (now, source))
 
     def clear(self) -> None:
-        """All are to be seen again."""
+        """Forgets all disagreements, as after a change of the leader."""
         self.ended = bool(self.told)
         self.new.clear()
         self.told.clear()
 
     def due(self, now: float) -> tuple[str, list[str]] | None:
-        """The source and the names that are to be told of now."""
+        """Returns the source and the names to report now, or None."""
         if now < self.next_due():
             return None
         self.next_at = now + DISAGREE_S
@@ -55,9 +56,10 @@
         return source, names
 
     def over(self) -> bool:
-        """True once: what was told of is over."""
+        """Returns True once after all reported disagreements have ended."""
         ended, self.ended = self.ended, False
         return ended
 
     def next_due(self) -> float:
+        """Returns when `due` next reports something; inf: never."""
         return max(next(iter(self.new.values()))[0] + DISAGREE_S, self.next_at) if self.new else inf
--- a/finchladder/core/membership/removal_guards.py
+++ b/finchladder/core/membership/removal_guards.py
@@ -1,6 +1,6 @@
-"""Two guards of the believed list: against a mass that vanishes at once, and against entries that flap.
+"""Two guards of the merged list: against mass removals, and against flapping entries.
 
-Neither ever keeps a real server in use that was told to drain.
+Neither retains a worker that was reported as draining.
 """
 
 from collections import OrderedDict
@@ -10,18 +10,22 @@
 
 from finchladder.core.api import WorkerEntry
 
-CALM_S = 1.0  # nobody has come back for so long: who is still away stays away
-MOST_FLAPS = 16_384  # real servers whose leavings are counted; the one that left longest ago goes first
+CALM_S = 1.0  # without a return for so long, removals count as final
+MOST_FLAPS = 16_384  # workers whose departures are counted; the oldest is evicted first
 
 
 class GuardState(Enum):
-    NORMAL = "calm"  # who vanishes is believed gone
+    """States of the guard against mass removals."""
+
+    NORMAL = "calm"  # removals are applied
     PROTECTING = "holding"  # who vanishes, or has within the window, stays until a second sign
 
 
 class GuardEvent(Enum):
-    MASS_REMOVAL = "mass"  # more than the share vanished within the window
-    NONE_HELD = "over"  # none is held any more
+    """Events that change the guard's state."""
+
+    MASS_REMOVAL = "mass"  # more than the share was removed within the window
+    NONE_HELD = "over"  # no removal is held any more
     BELOW_THRESHOLD = (
         "few"  # the others came back, or new ones: no more than the share is away, and nobody comes back
     )
@@ -37,6 +41,8 @@
 
 
 class Removal(NamedTuple):
+    """A worker that left the list without draining, with its last entry."""
+
     removed_at: float
     entry: WorkerEntry
     address: tuple[str, int]
@@ -58,28 +64,38 @@
 
     @property
     def is_protecting(self) -> bool:
+        """Whether removals are currently held back."""
         return self.state is GuardState.PROTECTING
 
     def record_removal(self, now: float, name: str, entry: WorkerEntry, address: tuple[str, int]) -> None:
+        """Records a worker that left the list without draining."""
         self.recent_removals[name] = Removal(now, entry, address)
 
     def resolve(self, name: str) -> None:
-        """It is listed again, or known to be gone."""
+        """Forgets a worker that is listed again or confirmed as removed."""
         self.recent_removals.pop(name, None)
         self.held.pop(name, None)
 
     def record_return(self, now: float, name: str) -> None:
+        """Records a worker that is listed again."""
         if name in self.held:
             self.last_return_at = now
         self.resolve(name)
 
     def hold(self, name: str) -> None:
+        """Holds back the removal of a worker."""
         self.held[name] = None
 
     def detect_mass_removal(self, now: float, listed: int, more: int = 0) -> dict[str, Removal] | None:
-        """Who is to be put back: all of the window, if those are too many beside so many that are listed.
+        """Detects a mass removal.
+
+        Args:
+            now: Current time, in seconds.
+            listed: Number of listed workers.
+            more: Number of these that are being removed now.
 
-        `more`: of those that are listed, so many vanish now. None: they are not too many.
+        Returns:
+            The removals of the window, which the caller restores, or None if there is no mass removal.
         """
         while (
             self.recent_removals
@@ -97,7 +113,7 @@
         return back
 
     def advance(self, now: float, listed: int, others: int) -> GuardEvent | None:
-        """What the time brings. `listed` includes who is held, `others` are ready and are not."""
+        """Returns the event due at `now`, if any. `listed` includes held workers, `others` are ready."""
         if not self.is_protecting:
             return None
         if not self.held:
@@ -118,6 +134,7 @@
         return len(self.held) <= self.share * listed
 
     def next_due(self, listed: int) -> float:
+        """Returns when `advance` next has an effect; inf: never."""
         if not self.is_protecting:
             return inf
         if not self.held:
@@ -126,7 +143,7 @@
 
 
 class FlapDamping:
-    """Who stopped being ready how often; one that did so too often must have been ready for a while."""
+    """Counts how often workers stop being ready; flapping ones must stay ready for a while before use."""
 
     def __init__(self, most: int, window_s: float, hold_s: float) -> None:
         self.max_departures, self.window_s, self.hold_s = most, window_s, hold_s
@@ -134,6 +151,7 @@
         self.damped: OrderedDict[str, float] = OrderedDict()  # since when each is ready
 
     def record_departure(self, now: float, name: str) -> None:
+        """Records that a worker stopped being ready."""
         self.departures[name] = (*self.departures.get(name, ()), now)[-self.max_departures :]
         self.departures.move_to_end(name)
         while (
@@ -143,17 +161,20 @@
             self.departures.popitem(last=False)
 
     def is_flapping(self, now: float, name: str) -> bool:
+        """Whether a worker stopped being ready too often within the window."""
         times = self.departures.get(name, ())
         return len(times) == self.max_departures and times[0] + self.window_s > now
 
     def damp(self, now: float, name: str) -> None:
+        """Begins the waiting time of a flapping worker."""
         self.damped.setdefault(name, now)
 
     def undamp(self, name: str) -> None:
+        """Ends the damping of a worker."""
         self.damped.pop(name, None)
 
     def find_stable(self, now: float) -> list[str]:
-        """Who has been ready for long enough."""
+        """Returns the damped workers that have been ready for long enough."""
         found = []
         for name, since in self.damped.items():
             if since + self.hold_s > now:
@@ -162,4 +183,5 @@
         return found
 
     def next_due(self) -> float:
+        """Returns when the first damped worker becomes stable; inf: never."""
         return next(iter(self.damped.values()), inf) + self.hold_s
--- a/finchladder/core/membership/sources.py
+++ b/finchladder/core/membership/sources.py
@@ -1,9 +1,8 @@
-"""One source of the list: what it has told, in its own order, and how far that counts.
+"""State of one source of the endpoint list: its reports in order, and whether they are current.
 
-A source is in step while its words are the newest that there are. One that was quiet for long may come back
-with old words, and one that was restored or lags may tell an older list: both wait beside the table in use
-until it is clear what they are. The table of `TRANSITIONS` has all of it; a pair that is not in it is a fault
-of this program.
+A source is in step while its reports are the newest ones. A source that was unreachable may replay old
+entries, and one that was restored or lags may report an older list: both are pending beside the table in use
+until they are known to be current. `TRANSITIONS` is the complete state table; a pair not in it is a bug.
 """
 
 from collections import OrderedDict
@@ -17,17 +16,15 @@
 
 ANY_START = inf  # as `born` of a DRAINING entry: a notice that holds whatever start it is of
 MAX_NAMES = 50_000  # that one source may list: 20 MB
-DEPARTURE_TTL_S = (
-    300.0  # so long it is remembered who drained and left, or left: others may tell of them late
-)
+DEPARTURE_TTL_S = 300.0  # departures are remembered so long: others may report them late
 MAX_DEPARTURES = 16_384  # of these; the oldest goes first
 
 
 class Source(NamedTuple):
-    """One that tells a list, by the name that the log has for it.
+    """A source of the endpoint list, with its name in the log.
 
-    `quiet_s`: heard nothing for so long, it is lost. A `past` source tells a list of before, once: it is
-    never alive, so that any other goes before it.
+    Without a message for `quiet_s` seconds it is lost. A `past` source reports a stored list once: it is
+    never live, so any other source has precedence.
     """
 
     name: str
@@ -36,12 +33,14 @@
 
 
 class Report(NamedTuple):
-    """What a source tells. `workers.kind`: WHOLE (what is missing is gone), PATCH (changed entries alone), or
-    STALE (all entries as they were last known: a list to begin with).
+    """Report of a source.
+
+    `workers.kind`: FULL (missing entries are removed), PATCH (changed entries), or STALE (all entries as last
+    known, an initial list).
 
     `version` orders what one source tells within one `epoch` (etcd: revision and cluster id; discovery: index
-    and ""). An entry may lack its address where it only says that a real server drains (its `born` is
-    ANY_START then, unless the start is known). `in_step`: nothing that was so before is still to come.
+    and ""). An entry without an address is a draining notice (its `started_at` is ANY_START,
+    unless the incarnation is known). `in_step`: nothing that was so before is still to come.
     """
 
     source: str
@@ -54,28 +53,32 @@
 
 
 class SourceEntry(NamedTuple):
-    """What a source says of one real server; without an address it is no member of the list."""
+    """Entry of a source for one worker; without an address it is a notice, not a member of the list."""
 
     entry: WorkerEntry
     address: Address | None
 
 
 class Standing(Enum):
-    NEVER = "never"  # it has told no whole list yet
-    LIVE = "live"  # in step: its words count as they come
-    LOST = "lost"  # nothing was heard for quiet_s, or it told a list of before: that list stays
-    CATCHING_UP = "catching"  # heard again, but it may repeat old words: they wait, the last list stays
-    BEHIND = "behind"  # it tells a list older than its last one: that waits, the last one stays
+    """Whether a source's reports are current."""
+
+    NEVER = "never"  # it has not reported a full list yet
+    LIVE = "live"  # in step: its reports apply as they arrive
+    LOST = "lost"  # no message for quiet_s, or a stored list: its last list stays in use
+    CATCHING_UP = "catching"  # reachable, but may replay: reports are pending, the last list stays
+    BEHIND = "behind"  # it reports a list older than its last one: that is pending
 
 
 class SourceEvent(Enum):
+    """Events that change a source's standing."""
+
     BEFORE = "before"  # a list as it was last known
     IN_STEP = "in step"
-    REPLAY = "replay"  # heard, but what was so before may still come
-    OLDER = "older"  # what it has told whole, and changed since, is of an older version
+    REPLAY = "replay"  # reachable, but older changes may still arrive
+    OLDER = "older"  # its full list, with later changes, is of an older version
     CAUGHT_UP = "caught up"  # the older list has come to the version of the last one
-    ANEW = "anew"  # it stayed older for so long that it must have begun anew
-    QUIET = "quiet"  # heard nothing for quiet_s
+    ANEW = "anew"  # it stayed older for so long that it must have restarted
+    QUIET = "quiet"  # no message for quiet_s
     UNDONE = "undone"  # the same, before its first list was in step
 
 
@@ -104,23 +107,23 @@
 
 
 class Departure(NamedTuple):
-    """Of a real server that a source lists no more, or told of before it began anew."""
+    """A worker that a source no longer lists, or that it reported before its list restarted."""
 
     noted_at: float
     drained_start: float | None  # the start that had drained before
 
 
 class _PendingList:
-    """What a source has told and is not in its table; `whole`: in place of that, else changes of it."""
+    """Reported entries that are not committed; `is_full`: replaces the table, otherwise changes of it."""
 
     def __init__(self, epoch: str, version: int, whole: bool) -> None:
         self.epoch, self.version, self.is_full = epoch, version, whole
         self.entries: dict[str, SourceEntry | None] = {}
-        self.drained: dict[str, float] = {}  # who drained before it was gone, by its start
+        self.drained: dict[str, float] = {}  # incarnations that were draining before their removal
 
 
 class SourceUpdate(NamedTuple):
-    """What came of a report or sign: the names of which the source's word may have changed."""
+    """Result of a report: the names whose entries of the source may have changed."""
 
     names: dict[str, None]
     stale: bool = False  # it was dropped
@@ -133,14 +136,14 @@
 
 
 class SourceState:
-    """All calls cost O(entries told), those that make a waiting list the table O(that list)."""
+    """State of one source. A call costs O(reported entries), or O(list) where a pending list is committed."""
 
     def __init__(self, source: Source, rank: int) -> None:
         self.source, self.rank = source, rank
         self.standing = S.NEVER
-        self.since = 0.0  # that it stands so
+        self.since = 0.0  # time of the last change of `standing`
         self.received_at = 0.0
-        self.valid_at = 0.0  # when its table was last known to hold
+        self.valid_at = 0.0  # when its table was last known to be valid
         self.epoch, self.version = "", -1
         self.listed = False
         self.table: dict[str, SourceEntry] = {}
@@ -148,11 +151,12 @@
         self.departures: OrderedDict[str, Departure] = OrderedDict()
         self.drains_before_restart: OrderedDict[str, Departure] = (
             OrderedDict()
-        )  # drains told before it began anew
-        self.may_drain: set[str] = set()  # all that it says or remembers to drain, and some others
+        )  # draining notices from before its restart
+        self.may_drain: set[str] = set()  # superset of the workers it reports or remembers as draining
 
     @property
     def is_live(self) -> bool:
+        """Whether the source is in step."""
         return self.standing is S.LIVE
 
     def _apply(self, now: float, sign: SourceEvent) -> None:
@@ -168,6 +172,7 @@
     # --- what it tells
 
     def report(self, now: float, r: Report) -> SourceUpdate:
+        """Applies a report and returns which names it concerns."""
         kind = r.workers.kind
         if kind is ListKind.BROKEN:
             return NOTHING
@@ -183,7 +188,7 @@
         return self._patch(now, r)
 
     def heard(self, now: float, in_step: bool) -> SourceUpdate:
-        """Nothing new, but it is there."""
+        """Records that the source is alive and has nothing new."""
         self.received_at = now
         if not self.listed and self.waiting is None:
             return NOTHING
@@ -195,20 +200,20 @@
         )
 
     def quiet(self, now: float) -> SourceUpdate:
-        """To be called once nothing was heard for quiet_s. What waits goes on waiting."""
+        """Marks the source as lost after `quiet_s` without a message; a pending list remains pending."""
         before = self._doubted()
         self._apply(now, SourceEvent.QUIET if self.listed else SourceEvent.UNDONE)
         return SourceUpdate(before)
 
     def anew(self, now: float) -> SourceUpdate:
-        """The older list that waits is the one that holds."""
+        """Commits the pending older list: the source has restarted its versions."""
         assert self.waiting is not None
         before = self._doubted()
         self._apply(now, SourceEvent.ANEW)
         return self._commit(now, self.waiting, before)
 
     def _doubted(self) -> dict[str, None]:
-        """Names in a list that is doubted: whom it says to drain counts, and does so no more after it."""
+        """Returns the names of a pending older list, whose draining notices apply while it is pending."""
         behind = self.standing is S.BEHIND
         return dict.fromkeys(self.waiting.entries) if behind and self.waiting is not None else {}
 
@@ -267,7 +272,7 @@
         return waiting
 
     def _commit(self, now: float, new: _PendingList, names: dict[str, None]) -> SourceUpdate:
-        """It becomes the table, or changes it; `names` concern it in any case."""
+        """Commits a pending list to the table; `names` are reported as concerned in any case."""
         anew = self.listed and (new.epoch != self.epoch or new.version < self.version)
         left_out = 0
         table = self.table
@@ -292,7 +297,7 @@
         return SourceUpdate(names, restarted=anew, left_out=left_out)
 
     def _note_listed(self, now: float, name: str, word: SourceEntry, before: SourceEntry | None) -> None:
-        """`before`: what it said of it before it began anew."""
+        """Forgets a departure; `before`: the entry from before a restart of the source."""
         self.departures.pop(name, None)
         self.drains_before_restart.pop(name, None)
         if (
@@ -303,7 +308,7 @@
             self._remember(self.drains_before_restart, name, Departure(now, before.entry.started_at))
 
     def _remove(self, now: float, name: str, anew: bool, drained: float | None = None) -> None:
-        """Gone; a list begun anew that lacks it only did not know it. `drained`: the start that did."""
+        """Removes an entry; `drained`: its draining incarnation. Lacking in a restarted list is no removal."""
         word = self.table.pop(name, None)
         if drained is None and word is not None and word.entry.state is WorkerStatus.DRAINING:
             drained = word.entry.started_at
@@ -322,11 +327,12 @@
     # --- what it says
 
     def lists(self, name: str) -> bool:
+        """Whether the source lists the worker as a member."""
         word = self.table.get(name)
         return word is not None and word.address is not None
 
     def draining_start(self, name: str) -> float:
-        """The newest start of the real server that it says drains, or has drained; -inf: none."""
+        """Returns the latest start of the worker that the source reported as draining; -inf: none."""
         if name not in self.may_drain:
             return -inf
         found = -inf
@@ -343,13 +349,13 @@
         return found
 
     def draining_names(self) -> dict[str, None]:
-        """All names of which it says or remembers that they drain, or have left."""
+        """Returns the workers that the source reports or remembers as draining or departed."""
         names = {name: None for name, word in self.table.items() if word.entry.state is WorkerStatus.DRAINING}
         return names | dict.fromkeys(self.departures) | dict.fromkeys(self.drains_before_restart)
 
     @property
     def next_expiry_at(self) -> float:
-        """When the oldest mark is over."""
+        """Time at which the oldest remembered departure expires."""
         return min(
             (
                 next(iter(m.values())).noted_at + DEPARTURE_TTL_S
@@ -360,7 +366,7 @@
         )
 
     def expire_departures(self, now: float) -> dict[str, None]:
-        """Marks that are over; their names."""
+        """Removes expired departures and returns their names."""
         names: dict[str, None] = {}
         for marks in (self.departures, self.drains_before_restart):
             while marks and next(iter(marks.values())).noted_at + DEPARTURE_TTL_S <= now:
--- a/finchladder/core/membership/subset_filter.py
+++ b/finchladder/core/membership/subset_filter.py
@@ -1,7 +1,7 @@
-"""Aperture in front of the decisions: lists of all real servers go in, lists of those in the subset come out.
+"""Filters lists of all workers to the subset of the aperture.
 
-What is outside is not known behind it. What leaves the subset is told as gone, so it gets nothing new, its
-kept connections close, and what runs there ends as always.
+Workers outside the subset are unknown to the decisions. A worker that leaves the subset is reported as
+removed: it receives no new jobs, its idle connections close, and its running jobs complete.
 """
 
 from collections.abc import Iterable
@@ -13,9 +13,9 @@
 
 
 class SubsetFilter:
-    """Costs: an entry O(1), one that joins or leaves O(log n + width) and n moved pointers.
+    """Filters worker lists; an entry costs O(1), one that joins or leaves O(log n + width).
 
-    Memory: two entries for each listed real server, some 0.5 KB.
+    Memory: two entries for each listed worker, about 0.5 KB.
     """
 
     def __init__(self, index: int, dispatchers: int, settings: ApertureSettings) -> None:
@@ -24,7 +24,7 @@
         self.addresses: dict[str, Address] = {}
 
     def apply(self, told: WorkerList, addresses: dict[str, Address]) -> tuple[WorkerList, dict[str, Address]]:
-        """What is to be told in its place, and the addresses of that."""
+        """Returns the list to apply instead, and its addresses."""
         named = {e.worker: e for e in told.entries}  # of two entries for one, the last holds
         self.addresses.update(addresses)
         here = {name: e for name, e in named.items() if e.state is not WorkerStatus.REMOVED}
--- a/finchladder/core/membership/watch.py
+++ b/finchladder/core/membership/watch.py
@@ -1,50 +1,50 @@
-"""Discovery's watch: when it counts as silent, how soon it is opened again, and which version is believed.
+"""Discovery's watch: when it times out, how soon it is reopened, and which versions are applied.
 
-All waits follow from two figures of the protocol, which stand here alone: an open watch says something each
-TELLS_EVERY_S, and whatever call failed, was refused or given up, a change counts as told TOLD_WITHIN_S after
-discovery had it and could be reached. So a watch that falls silent must be noticed, and another one opened
-and answered, within that time:
+All timeouts derive from two figures of the protocol: an open watch sends a line every HEARTBEAT_INTERVAL_S,
+and a change counts as propagated MAX_PROPAGATION_S after discovery had it and was reachable, whatever call
+failed, was rejected or cancelled. So a silent watch must be detected, and another one opened and answered,
+within that time:
 
-    SILENT_S + away_s + opens_within_s + SPARE_S <= TOLD_WITHIN_S
+    SILENCE_TIMEOUT_S + reopen_within_s + open_timeout_s + MARGIN_S <= MAX_PROPAGATION_S
 
-A call may also have begun just before discovery could be reached again, and hang for nothing:
+A call may also have begun just before discovery became reachable, and time out:
 
-    opens_within_s + retry_s + opens_within_s + SPARE_S <= TOLD_WITHIN_S
+    open_timeout_s + retry_within_s + open_timeout_s + MARGIN_S <= MAX_PROPAGATION_S
 
-| the watch | what comes | then |
+| state of the watch | event | next state |
 | --- | --- | --- |
-| opening | its answer's head within `opens_within_s` | open |
-| opening | nothing within it, a refusal, a reset, another status | over |
-| open | a line, an empty one too | open |
-| open | nothing for SILENT_S, or bytes that end no line for LINE_S | over |
-| over, was open | - | opening, at most `away_s` later (recalls.py draws when) |
-| over, was opening | - | opening, at most `retry_s` later |
-| any | SIGHUP names another address | opening there, at once |
+| opening | the answer's head within `open_timeout_s` | open |
+| opening | a timeout, a rejection, a reset, another status | closed |
+| open | a line, also an empty one | open |
+| open | nothing for SILENCE_TIMEOUT_S, or an incomplete line for LINE_TIMEOUT_S | closed |
+| closed, was open | - | opening, at most `reopen_within_s` later (drawn by watch_backoff.py) |
+| closed, was opening | - | opening, at most `retry_within_s` later |
+| any | SIGHUP with another address | opening there, at once |
 
-| a list | taken |
+| a list | applied |
 | --- | --- |
-| the first since the start | yes: the one known from before may be of any age |
-| not older than the last taken | yes |
-| older, changes alone | no: it would undo what is newer |
-| older, whole | no, unless nothing else was taken for RENUMBERED_S: then discovery counts anew |
+| the first since the start | yes: the stored list may be of any age |
+| not older than the last applied | yes |
+| older, a patch | no: it would revert newer changes |
+| older, full | no, unless no other was applied for RENUMBERED_AFTER_S: discovery has restarted its versions |
 
-While older lists alone come, a watch that is as old as that is opened anew, and asks for the whole list.
+While only older lists arrive, a watch of that age is reopened and requests the full list.
 """
 
 HEARTBEAT_INTERVAL_S = 2.0
 MAX_PROPAGATION_S = 6.0
 SILENCE_TIMEOUT_S = HEARTBEAT_INTERVAL_S + 0.6  # a line may be late; one watch too many costs a call
-LINE_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S  # for one that comes in pieces
-MARGIN_S = 0.3  # for the loop, and for applying what comes
-LOCAL_OPEN_TIMEOUT_S = 1.0  # an agent on the own machine answers at once
-SHARED_OPEN_TIMEOUT_S = 2.1  # where all share one discovery, calls wait there in turn
+LINE_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S  # for a line that arrives in pieces
+MARGIN_S = 0.3  # for event loop delays and for applying the list
+LOCAL_OPEN_TIMEOUT_S = 1.0  # with a local agent
+SHARED_OPEN_TIMEOUT_S = 2.1  # with one discovery for all dispatchers, where calls are queued
 RENUMBERED_AFTER_S = 5.0
-INITIAL_LIST_WAIT_S = 0.3  # a new process waits so long to be told whether the list that it knows still holds
-NO_CHANGE_WAIT_S = 0.05  # after the head of a watch's answer: what has changed would have come with it
+INITIAL_LIST_WAIT_S = 0.3  # a new process waits so long for a confirmation of its stored list
+NO_CHANGE_WAIT_S = 0.05  # after the head of a watch's answer: changes would arrive with it
 
 
 class WatchState:
-    """Times are seconds of the caller's clock, whichever it is."""
+    """Timeouts of a watch, and the version last applied. Times are seconds of the caller's clock."""
 
     __slots__ = ("open_timeout_s", "reopen_within_s", "retry_within_s", "version", "taken_at", "has_older")
 
@@ -58,11 +58,11 @@
         self.has_older = False  # older ones have come since
 
     def silent_at(self, last_byte: float, last_line: float) -> float:
-        """When an open watch is over, unless more comes."""
+        """Returns when an open watch times out unless more data arrives."""
         return min(last_byte + SILENCE_TIMEOUT_S, last_line + LINE_TIMEOUT_S)
 
     def accept(self, now: float, version: int, whole: bool) -> bool:
-        """Whether a list of that version is to be applied."""
+        """Returns whether a list of that version is to be applied, and records it if so."""
         older = self.version is not None and version < self.version
         if older and not (whole and self.is_renumbered(now)):
             self.has_older = True
@@ -71,5 +71,5 @@
         return True
 
     def is_renumbered(self, now: float) -> bool:
-        """Whether older lists alone have come for so long that they must be believed."""
+        """Whether only older lists arrived for so long that discovery must have restarted its versions."""
         return self.has_older and now > self.taken_at + RENUMBERED_AFTER_S
--- a/finchladder/core/membership/watch_backoff.py
+++ b/finchladder/core/membership/watch_backoff.py
@@ -1,15 +1,15 @@
-"""When discovery is called again, after a call that failed or a watch that was lost.
+"""Backoff of calls to discovery, after a call that failed or a watch that was lost.
 
-One service of some capacity answers all dispatchers of a fleet; calls wait there in turn, and fail if that
-takes too long. Watches are mostly lost by all at once: calls in step, or repeated soon, keep it overbooked.
-So, beside the waits of a few dispatchers, each waits a drawn part of a time that grows with their number: all
-together make some CALLS_A_SECOND, evenly, as far as two bounds let them: a change counts as told some time
-after it could be had (watching.py), however many call. Service goes on meanwhile by the list that each has.
+One service of limited capacity answers all dispatchers of a fleet; calls are queued there, and time out if
+that takes too long. Usually all watches are lost at once: simultaneous calls, or early retries, would keep
+the service overloaded. So, beyond the backoff of a small fleet, each dispatcher waits a random part of a time
+that grows with their number: together they make about CALLS_PER_S, evenly spread, within two bounds, as a
+change must be propagated in a fixed time however many call (watch.py). Meanwhile each uses its last list.
 
-| the call before | the next one: waits of a few | and of the spread |
+| the call before | backoff of a small fleet | part of the spread |
 | --- | --- | --- |
-| brought news, or a watch was lost that had | up to twice FIRST_S | any part |
-| failed, or brought nothing | twice the wait before up to MOST_S, its last half drawn | the last half of it |
+| brought changes, or lost a watch that had | up to 2 * MIN_WAIT_S | any |
+| failed, or brought nothing | twice the last wait up to MAX_WAIT_S, half of it random | the second half |
 """
 
 from random import Random
@@ -20,10 +20,10 @@
 
 
 class WatchBackoff:
-    """Seconds to wait; `dispatchers`: how many call the same discovery, as the settings say.
+    """Draws the waits before calls, in seconds.
 
-    To be 1 where changes come unasked: an agent beside each answers it at no cost. No wait is over `away_s`
-    after a watch that was open, or over `retry_s` after a call that failed.
+    `dispatchers` is the configured number that call the same discovery, or 1 where a local agent pushes the
+    changes. A wait is at most `away_s` after an open watch was lost, and `retry_s` after a failed call.
     """
 
     __slots__ = ("spread_s", "random", "wait_s", "away_s", "retry_s")
@@ -33,7 +33,12 @@
         self.random, self.wait_s, self.away_s, self.retry_s = random, MIN_WAIT_S, away_s, retry_s
 
     def next_wait_s(self, opened: bool, news: bool) -> float:
-        """`opened`: the watch before was open; `news`: something new came since the wait before."""
+        """Returns the next wait.
+
+        Args:
+            opened: Whether the last watch was open.
+            news: Whether a change arrived since the last wait.
+        """
         draw = self.random.random()
         most_s = self.away_s if opened else self.retry_s
         if news:
