--- a/finchladder/core/membership/sources.py
+++ b/finchladder/core/membership/sources.py
@@ -308,7 +308,7 @@
             self._remember(self.drains_before_restart, name, Departure(now, before.entry.started_at))
 
     def _remove(self, now: float, name: str, anew: bool, drained: float | None = None) -> None:
-        """Removes an entry; `drained`: its draining incarnation. Lacking in a restarted list is no removal."""
+        """Removes an entry; `drained`: its draining incarnation. Not for a restarted list that lacks it."""
         word = self.table.pop(name, None)
         if drained is None and word is not None and word.entry.state is WorkerStatus.DRAINING:
             drained = word.entry.started_at
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -387,7 +387,7 @@
 
 
 def test_a_long_list_is_gone_through_in_slices_and_ends_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decisions, "SLICE", 2)
+    monkeypatch.setattr(decisions, "SLICE_SIZE", 2)
     m = decisions.Membership([Source(DISCOVERY)], MembershipSettings())
     entries = tuple(api.WorkerEntry(f"w{n}", D if n > 6 else R) for n in range(9))
     where = {e.worker: ("h", 1) for e in entries}
@@ -406,7 +406,7 @@
 def test_a_long_list_that_lacks_all_changes_nothing_on_the_way(
     one_before: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(decisions, "SLICE", 2)
+    monkeypatch.setattr(decisions, "SLICE_SIZE", 2)
     m = decisions.Membership(SOURCES, MembershipSettings())
     told, seen = dict[str, api.WorkerStatus](), Counter[str]()
 
@@ -437,7 +437,7 @@
 def test_more_names_than_are_kept_are_left_out(
     most: int, left_out: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(sources, "MOST_NAMES", most)
+    monkeypatch.setattr(sources, "MAX_NAMES", most)
     m = decisions.Membership([Source(DISCOVERY)], MembershipSettings())
     workers = api.WorkerList(api.ListKind.FULL, tuple(api.WorkerEntry(name, R) for name in "abcde"))
     told = m.report(1.0, decisions.Report(DISCOVERY, 1, workers, dict.fromkeys("abcde", ("h", 1))))
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -69,8 +69,8 @@
     edges.add(2.0, 2)
     assert edges.is_full
     assert len(edges) == 2
-    edges.drop(1)
-    assert not edges.full
+    edges.remove(1)
+    assert not edges.is_full
 
 
 LEARNED = 1.0 + RELEARN_S + 0.1
