--- a/finchladder/config/operator_file.py
+++ b/finchladder/config/operator_file.py
@@ -24,7 +24,7 @@
 from finchladder.config.toml_schema import LEVELS, NAME, Limits, RouteTable
 from finchladder.config.value_checks import GivenValue, ValuesByPath, collect_values, type_name
 from finchladder.core import api
-from finchladder.core.routing.routes import MOST_ROUTES, NO_ROUTES, Routes
+from finchladder.core.routing.routes import MAX_ROUTES, NO_ROUTES, Routes
 
 MAX_FILE_BYTES = 1024 * 1024
 
--- a/finchladder/core/dispatch/key_frequency.py
+++ b/finchladder/core/dispatch/key_frequency.py
@@ -15,7 +15,7 @@
 from random import Random
 
 from finchladder.core.api import Settings
-from finchladder.core.membership.watch_backoff import FEW
+from finchladder.core.membership.watch_backoff import SMALL_FLEET
 
 DECAY = 0.1  # share that a count loses with each epoch; at 1 - DECAY it is forgotten
 MIN_REQUESTS = 50.0  # requests counted before a key's share of them is believed
--- a/finchladder/core/health/slow_start.py
+++ b/finchladder/core/health/slow_start.py
@@ -21,7 +21,7 @@
 
 from finchladder.core.api import Settings
 from finchladder.core.dispatch.records import Worker
-from finchladder.core.membership.watch_backoff import FEW
+from finchladder.core.membership.watch_backoff import SMALL_FLEET
 from finchladder.core.timing_wheel import TimingWheel
 
 ALLOWANCE_SHARE = 0.3  # of what `overload_multiple` allows
@@ -49,7 +49,7 @@
     def __init__(self, settings: Settings) -> None:
         """`settings.index`: gives this dispatcher's turns among all."""
         self.settings = settings
-        self.is_large_fleet = settings.dispatchers > FEW
+        self.is_large_fleet = settings.dispatchers > SMALL_FLEET
         self.phase = van_der_corput(max(0, settings.index))
 
     def initial_credit_s(self, worker: str, started_at: float, max_cost_s: float, random: Random) -> float:
--- a/finchladder/core/membership/subset_filter.py
+++ b/finchladder/core/membership/subset_filter.py
@@ -1,7 +1,7 @@
-"""Aperture in front of the decisions: lists of all real servers go in, lists of those in the subset come out.
+"""Filters lists of all workers to the subset of the aperture.
 
-What is outside is not known behind it. What leaves the subset is told as gone, so it gets nothing new, its
-kept connections close, and what runs there ends as always.
+Workers outside the subset are unknown to the decisions. A worker that leaves the subset is reported as
+removed: it receives no new jobs, its idle connections close, and its running jobs complete.
 """
 
 from collections.abc import Iterable
@@ -12,10 +12,10 @@
 Address = tuple[str, int]
 
 
-class Members:
-    """Costs: an entry O(1), one that joins or leaves O(log n + width) and n moved pointers.
+class SubsetFilter:
+    """Filters worker lists; an entry costs O(1), one that joins or leaves O(log n + width).
 
-    Memory: two entries for each listed real server, some 0.5 KB.
+    Memory: two entries for each listed worker, about 0.5 KB.
     """
 
     def __init__(self, index: int, dispatchers: int, settings: ApertureSettings) -> None:
@@ -23,8 +23,8 @@
         self.listed: dict[str, WorkerEntry] = {}  # ready or draining, as last told
         self.addresses: dict[str, Address] = {}
 
-    def take(self, told: WorkerList, addresses: dict[str, Address]) -> tuple[WorkerList, dict[str, Address]]:
-        """What is to be told in its place, and the addresses of that."""
+    def apply(self, told: WorkerList, addresses: dict[str, Address]) -> tuple[WorkerList, dict[str, Address]]:
+        """Returns the list to apply instead, and its addresses."""
         named = {e.worker: e for e in told.entries}  # of two entries for one, the last holds
         self.addresses.update(addresses)
         here = {name: e for name, e in named.items() if e.state is not WorkerStatus.REMOVED}
@@ -33,19 +33,21 @@
             self.listed = here
             self.addresses = {name: at for name, at in self.addresses.items() if name in here}
             self.aperture.replace(strata)
-            return self._out(told.kind, (e for name, e in here.items() if name in self.aperture))
+            return self._to_list(told.kind, (e for name, e in here.items() if name in self.aperture))
         gone = [name for name in named if name not in here]
         self.listed |= here
         change = self.aperture.change(strata, gone)
-        out = [self.listed[name]._replace(state=WorkerStatus.REMOVED) for name in sorted(change.left)]
+        out = [self.listed[name]._replace(state=WorkerStatus.REMOVED) for name in sorted(change.removed)]
         for name in gone:
             self.listed.pop(name, None)
             self.addresses.pop(name, None)
-        out += [e for name, e in here.items() if name in self.aperture and name not in change.entered]
-        out += [self.listed[name] for name in sorted(change.entered)]
-        return self._out(told.kind, out)
+        out += [e for name, e in here.items() if name in self.aperture and name not in change.added]
+        out += [self.listed[name] for name in sorted(change.added)]
+        return self._to_list(told.kind, out)
 
-    def _out(self, kind: ListKind, entries: Iterable[WorkerEntry]) -> tuple[WorkerList, dict[str, Address]]:
+    def _to_list(
+        self, kind: ListKind, entries: Iterable[WorkerEntry]
+    ) -> tuple[WorkerList, dict[str, Address]]:
         out = WorkerList(kind, tuple(entries))
         here = (e.worker for e in out.entries if e.state is not WorkerStatus.REMOVED)
         return out, {name: self.addresses[name] for name in here if name in self.addresses}
--- a/finchladder/core/routing/limited_dispatcher.py
+++ b/finchladder/core/routing/limited_dispatcher.py
@@ -1,23 +1,24 @@
-"""The decisions of a Dispatcher under routes' limits: same events in, same actions out, and its own timer.
+"""Applies the limits of routes around a Dispatcher: same events and actions, and a timer of its own.
 
-It stands round the Dispatcher and only narrows. A job waits here for its route's concurrency, and is handed
-on with limits of its own (api.Own). When an attempt ends, the Dispatcher is told first whether another send
-is within the limits (api.Limit), and then of the end: it alone decides whether to send again, and to whom.
-A hedge is an offer to it, too. What passes out is looked at for what was sent, answered and given up.
+The wrapper only restricts the Dispatcher. A job is queued here until its route's concurrency admits it, and
+is then dispatched with limits of its own (api.RequestLimits). When an attempt ends, the Dispatcher first
+receives whether another send is within the limits (api.LimitUpdate), and then the end: it alone decides
+whether to send again, and to which worker. A hedge is likewise an offer to it. The actions returned are
+inspected for sends, answers and cancellations.
 
-| a job | what happens | then |
+| state of a job | event | result |
 | --- | --- | --- |
-| waits for a place | it has one | handed on |
-| waits for a place | another finds no room but by it, its time is up | refused |
-| is handed on | the Dispatcher sends it | one attempt out, its hedge due |
-| one attempt out | its hedge is due, within share, budget, attempts | offered as a copy |
-| attempts out | one ends, another is out | the other goes on |
-| attempts out | the last ends, no more sends are within the limits | the Dispatcher may not send it again |
-| attempts out | the last ends, otherwise | it may, at once or after the backoff |
-| any | answered, or its client left | its place is free |
-
-A job without a route passes through. Each job costs O(1), but for its place in the queue and the alarms,
-O(log n). Bounds: one record for each open job that has a route, two alarms at the most; a limiter, budget,
+| queued | a slot is free | dispatched |
+| queued | the queue is full and others precede it, or it times out | rejected |
+| dispatched | the Dispatcher sends it | one open attempt, the hedge timer is set |
+| one open attempt | hedge timer, within share, budget and attempts | offered as a hedge |
+| open attempts | one ends, another is open | the other continues |
+| open attempts | the last ends, no more sends are within the limits | the Dispatcher may not send it again |
+| open attempts | the last ends, otherwise | it may, at once or after the backoff |
+| any | answered, or its client disconnected | its slot is released |
+
+A job without a route passes through. Each job costs O(1), plus O(log n) in the queue and the timers.
+Bounds: one record and at most two timers for each open job that has a route; a limiter, budget,
 allowance and percentile for each route and class.
 """
 
@@ -47,91 +48,96 @@
 )
 from finchladder.core.dispatch.dispatcher import Dispatcher
 from finchladder.core.dispatch.zone_spillover import SpilloverSettings
-from finchladder.core.routing.concurrency_limit import Limiter
-from finchladder.core.routing.hedging import Allowance, Times
-from finchladder.core.routing.retry_budget import Budget
+from finchladder.core.routing.concurrency_limit import ConcurrencyLimiter
+from finchladder.core.routing.hedging import HedgeBudget, LatencyPercentile
+from finchladder.core.routing.retry_budget import RetryBudgetWindow
 from finchladder.core.routing.routes import Queue, RetryBudget, Route, Routes
 
 if TYPE_CHECKING:  # where dispatchers share budgets
     from finchladder.core.peers.bucket import Bucket
 
-GUARD = 2  # timer token; the Dispatcher's own are 0 and 1
-EARLY_S = 1e-4  # a timer may come so much before its time, as clocks are rounded
-CUT = frozenset({Ending.TIMED_OUT, Ending.CANCELLED})  # endings of attempts that would have taken longer
+ROUTE_TIMER_TOKEN = 2  # the Dispatcher's own timer tokens are 0 and 1
+TIMER_TOLERANCE_S = 1e-4  # a timer may fire this much early, as clocks are rounded
+# endings of attempts that would have taken longer
+CUT_OFF_ENDINGS = frozenset({Ending.TIMED_OUT, Ending.CANCELLED})
 
-Key = tuple[str, str]  # a route's name and the job's class
+RouteKey = tuple[str, str]  # a route's name and the job's class
 
-
-Share = Callable[[str, float], "Bucket"]  # by the budget's name, and its limit a second
+# makes the local bucket of a shared budget from the budget's name and its limit per second
+BucketFactory = Callable[[str, float], "Bucket"]
 
 
 class NewRoutes(NamedTuple):
-    """Hold from now on; a job that has come keeps the limits that it began with."""
+    """Event that replaces the routes; jobs that have already arrived keep their original limits."""
 
     routes: Routes
 
 
-class Scope:
-    """A route's limits for one class, and what is counted for them. Equal ones of one route are shared."""
+class RouteLimits:
+    """Limits of a route for one job class, with their counters; equal limits of a route share these."""
 
-    __slots__ = ("route", "own", "limiter", "budget", "hedges", "times")
+    __slots__ = ("route", "limits", "limiter", "budget", "hedge_budget", "latency")
 
     def __init__(self, route: Route, own: RequestLimits) -> None:
-        self.route, self.own = route, own  # `own`: what of it the Dispatcher goes by
-        self.limiter: Limiter | None = None
-        self.budget: Budget | None = None
-        self.hedges: Allowance | None = None
-        self.times: Times | None = None  # of attempts that ended well
+        self.route, self.limits = route, own  # `limits`: the part that the Dispatcher applies
+        self.limiter: ConcurrencyLimiter | None = None
+        self.budget: RetryBudgetWindow | None = None
+        self.hedge_budget: HedgeBudget | None = None
+        self.latency: LatencyPercentile | None = None  # of attempts that ended OK
 
 
-class Run:
-    """A job under a route, from its arrival to its answer and the end of its last attempt."""
+class RoutedJob:
+    """A job that has a route, from its arrival to its answer and the end of its last attempt."""
 
     __slots__ = (
         "id",
         "scope",
-        "rules",
-        "waiting",
-        "arrived",
+        "route",
+        "queued_request",
+        "arrived_at",
         "deadline",
         "serial",
-        "repeat",
-        "own",
-        "most",
-        "sends",
-        "copies",
-        "out",
-        "paid",
-        "hedged",
-        "done",
+        "is_client_retry",
+        "limits",
+        "max_sends",
+        "send_count",
+        "hedge_count",
+        "open_attempts",
+        "is_retry_paid",
+        "is_hedge_offered",
+        "is_done",
     )
 
-    def __init__(self, request: Request, scope: Scope, now: float, serial: int) -> None:
-        self.id, self.scope, self.rules = request.id, scope, scope.route
-        self.waiting: Request | None = request  # until it is handed on
-        self.arrived, self.deadline, self.serial = now, now + request.timeout_s, serial
+    def __init__(self, request: Request, scope: RouteLimits, now: float, serial: int) -> None:
+        self.id, self.scope, self.route = request.id, scope, scope.route
+        self.queued_request: Request | None = request  # None once dispatched
+        self.arrived_at, self.deadline, self.serial = now, now + request.timeout_s, serial
         budget = scope.route.retry_budget
-        self.repeat = (
+        self.is_client_retry = (
             request.is_client_retry and budget is not None and budget.repeats
         )  # its client's own resend
-        self.own = scope.own
-        self.most, self.sends, self.copies = scope.own.max_sends, 0, 0
-        self.out = 0  # attempts that have not ended, a bit for each
-        self.paid = False  # its next resend is taken out of the budget already
-        self.hedged = False  # a copy was offered: there is one offer a job
-        self.done = False
+        self.limits = scope.limits
+        self.max_sends, self.send_count, self.hedge_count = scope.limits.max_sends, 0, 0
+        self.open_attempts = 0  # bit set of the attempts that have not ended
+        self.is_retry_paid = False  # its next retry is already counted in the budget
+        self.is_hedge_offered = False  # at most one hedge is offered per job
+        self.is_done = False
 
 
-class Guarded:
-    """To be used in place of its Dispatcher, `inner`, which nobody else may call."""
+class RouteLimitedDispatcher:
+    """Applies routes' limits in front of a Dispatcher, `inner`, which must have no other caller."""
 
-    share: "Share | None" = None  # a part of a budget that all dispatchers have together; None: each its own
+    share: "BucketFactory | None" = None  # set where all dispatchers share their retry budgets
 
-    def __init__(self, inner: Dispatcher, routes: Routes, seed: int, share: "Share | None" = None) -> None:
+    def __init__(
+        self, inner: Dispatcher, routes: Routes, seed: int, share: "BucketFactory | None" = None
+    ) -> None:
         self.inner, self.settings = inner, inner.settings
         if share is not None:
             self.share = share
-        self.random = Random(f"{seed}/routes")  # apart: the Dispatcher's own draws stay as they are
+        self.random = Random(
+            f"{seed}/routes"
+        )  # separate: leaves the Dispatcher's sequence of draws unchanged
         self.margin_s = (
             inner.state.sweep_interval_s + 2 * inner.settings.clock_tick_s
         )  # what is not sent by then is answered
@@ -140,232 +146,233 @@
         self.runs: dict[str, Run] = {}
         self.alarms = Alarms()
         self.now, self.serial = 0.0, 0
-        self.timer_at: float | None = None  # when the earliest timer that was asked for comes
-        self.freed: list[Limiter] = []  # in this call
+        self.timer_at: float | None = None  # when the earliest requested timer fires
+        self.freed: list[ConcurrencyLimiter] = []  # limiters that gained a free slot during this call
         self.handlers: dict[type, Callable[[Any], list[Action]]] = {
             Request: self._on_request,
             Ended: self._on_ended,
-            ClientDisconnected: self._on_gone,
+            ClientDisconnected: self._on_client_disconnected,
             Timer: self._on_timer,
             NewRoutes: self._on_routes,
         }
-        self.take(routes)
+        self.apply_routes(routes)
 
     def handle(self, now: float, event: Event | NewRoutes) -> list[Action]:
+        """Handles one event at `now` (seconds, monotonic) and returns the actions to carry out in order."""
         self.now = now
         handler = self.handlers.get(type(event))
         if handler is None and not self.runs:
             return self.inner.handle(now, event)  # type: ignore[arg-type]
-        actions = self._pass(event) if handler is None else handler(event)  # type: ignore[arg-type]
+        actions = self._forward(event) if handler is None else handler(event)  # type: ignore[arg-type]
         while self.freed:
             limiter = self.freed.pop()
-            while (id := limiter.next()) is not None:
-                actions += self._hand_on(self.runs[id])
+            while (id := limiter.dequeue()) is not None:
+                actions += self._dispatch(self.runs[id])
         if self.alarms.due_at:
             due = self.alarms.next_due_at()
             if self.timer_at is None or due < self.timer_at:
                 self.timer_at = due
-                actions.append(SetTimer(max(0.0, due - now), GUARD))
+                actions.append(SetTimer(max(0.0, due - now), ROUTE_TIMER_TOKEN))
         return actions
 
-    # --- what comes in ------------------------------------------------------------------------------------
+    # --- events -------------------------------------------------------------------------------------------
 
-    def _on_request(self, r: Request) -> list[Action]:
-        scope = self.scopes.get((r.route, r.job_class)) if r.route is not None else None
+    def _on_request(self, request: Request) -> list[Action]:
+        scope = self.scopes.get((request.route, request.job_class)) if request.route is not None else None
         if scope is None:
-            return self._pass(r)
+            return self._forward(request)
         self.serial += 1
-        run = self.runs[r.id] = Run(r, scope, self.now, self.serial)
-        if run.repeat and not self._pay(run):
-            return self._refuse(run)
-        if scope.limiter is None or scope.limiter.enter():
-            return self._hand_on(run)
-        queue = run.rules.queue
-        until = run.deadline - self.margin_s
+        job = self.runs[request.id] = RoutedJob(request, scope, self.now, self.serial)
+        if job.is_client_retry and not self._spend_retry(job):
+            return self._refuse(job)
+        if scope.limiter is None or scope.limiter.try_acquire():
+            return self._dispatch(job)
+        queue = job.route.queue
+        until = job.deadline - self.margin_s
         if queue.longest_wait_s is not None:
             until = min(until, self.now + queue.longest_wait_s)
-        loser: str | None = r.id
+        loser: str | None = request.id
         if until > self.now:
-            worth = self.inner.classes[r.job_class].value
-            loser = scope.limiter.wait(r.id, worth, run.deadline, run.serial)
-        if loser != r.id:
-            self.alarms.put(r.id, until)
+            worth = self.inner.classes[request.job_class].value
+            loser = scope.limiter.enqueue(request.id, worth, job.deadline, job.serial)
+        if loser != request.id:
+            self.alarms.put(request.id, until)
         return self._refuse(self.runs[loser]) if loser is not None else []
 
-    def _on_ended(self, e: Ended) -> list[Action]:
-        run = self.runs.get(e.request)
-        if run is None or not run.out >> e.attempt & 1:
-            return self._pass(e)
-        run.out ^= 1 << e.attempt
-        self._learn(run, e)
+    def _on_ended(self, ended: Ended) -> list[Action]:
+        job = self.runs.get(ended.request)
+        if job is None or not job.open_attempts >> ended.attempt & 1:
+            return self._forward(ended)
+        job.open_attempts ^= 1 << ended.attempt
+        self._record_latency(job, ended)
         actions: list[Action] = []
-        if e.finished:
-            self._close(run)
-        elif not run.done:
-            if not run.out:
-                self.alarms.drop(run.id)  # its hedge
-            if (limit := self._settle(run, e.ending)) is not None:
-                actions = self._pass(limit)
-        actions += self._pass(e)
-        self._forget_if_over(run)
+        if ended.finished:
+            self._close(job)
+        elif not job.is_done:
+            if not job.open_attempts:
+                self.alarms.drop(job.id)  # its hedge
+            if (limit := self._limit_after_failure(job, ended.ending)) is not None:
+                actions = self._forward(limit)
+        actions += self._forward(ended)
+        self._remove_if_finished(job)
         return actions
 
-    def _on_gone(self, e: ClientDisconnected) -> list[Action]:
-        run = self.runs.get(e.request)
-        if run is None:
-            return self._pass(e)
-        waited = run.waiting is not None
-        self._close(run)
-        return [] if waited else self._pass(e)
-
-    def _on_timer(self, e: Timer) -> list[Action]:
-        if e.token != GUARD:
-            return self._pass(e)
-        if self.timer_at is not None and self.now >= self.timer_at - EARLY_S:
+    def _on_client_disconnected(self, event: ClientDisconnected) -> list[Action]:
+        job = self.runs.get(event.request)
+        if job is None:
+            return self._forward(event)
+        waited = job.queued_request is not None
+        self._close(job)
+        return [] if waited else self._forward(event)
+
+    def _on_timer(self, timer: Timer) -> list[Action]:
+        if timer.token != ROUTE_TIMER_TOKEN:
+            return self._forward(timer)
+        if self.timer_at is not None and self.now >= self.timer_at - TIMER_TOLERANCE_S:
             self.timer_at = None
         actions: list[Action] = []
-        while (id := self.alarms.pop_due(self.now + EARLY_S)) is not None:
+        while (id := self.alarms.pop_due(self.now + TIMER_TOLERANCE_S)) is not None:
             actions += self._alarm(self.runs[id])
         return actions
 
-    def _alarm(self, run: Run) -> list[Action]:
-        if run.waiting is not None:
-            return self._refuse(run)
-        if run.out:
-            return self._hedge(run)
-        return self._pass(LimitUpdate(run.id, run.most))  # its backoff is over
+    def _alarm(self, job: RoutedJob) -> list[Action]:
+        if job.queued_request is not None:
+            return self._refuse(job)
+        if job.open_attempts:
+            return self._hedge(job)
+        return self._forward(LimitUpdate(job.id, job.max_sends))  # its backoff is over
 
-    def _on_routes(self, e: NewRoutes) -> list[Action]:
-        self.take(e.routes)
+    def _on_routes(self, event: NewRoutes) -> list[Action]:
+        self.apply_routes(event.routes)
         return []
 
     # --- limits -------------------------------------------------------------------------------------------
 
-    def _hand_on(self, run: Run) -> list[Action]:
-        r, run.waiting = run.waiting, None
-        assert r is not None
-        self.alarms.drop(run.id)
-        left = r.timeout_s - (self.now - run.arrived)
+    def _dispatch(self, job: RoutedJob) -> list[Action]:
+        request, job.queued_request = job.queued_request, None
+        assert request is not None
+        self.alarms.drop(job.id)
+        left = request.timeout_s - (self.now - job.arrived_at)
         try:
-            return self._pass(Request(r.id, r.job_class, left, *r[3:-1], run.own))
+            return self._forward(Request(request.id, request.job_class, left, *request[3:-1], job.limits))
         except Exception:
-            self._close(run)  # a place must not stay taken for what nobody decides on
+            self._close(job)  # releases the slot, whatever the error
             raise
 
-    def _settle(self, run: Run, ending: Ending) -> LimitUpdate | None:
-        """An attempt has ended without an answer: what the limits say of another one, if it is news."""
-        if ending in run.rules.resend_on:
-            if run.out or run.sends >= run.most:
+    def _limit_after_failure(self, job: RoutedJob, ending: Ending) -> LimitUpdate | None:
+        """Returns the changed limits of a job after an attempt that failed, or None if they are unchanged."""
+        if ending in job.route.resend_on:
+            if job.open_attempts or job.send_count >= job.max_sends:
                 return None
             wait_s = 0.0
-            if run.rules.backoff.base_s > 0:
-                wait_s = run.rules.backoff.wait_s(run.sends - run.copies, self.random.random())
-            in_time = not wait_s or self.now + wait_s < run.deadline - self.margin_s
-            if in_time and (run.paid or self._pay(run)):
-                run.paid = False
+            if job.route.backoff.base_s > 0:
+                wait_s = job.route.backoff.wait_s(job.send_count - job.hedge_count, self.random.random())
+            in_time = not wait_s or self.now + wait_s < job.deadline - self.margin_s
+            if in_time and (job.is_retry_paid or self._spend_retry(job)):
+                job.is_retry_paid = False
                 if not wait_s:
                     return None
-                self.alarms.put(run.id, self.now + wait_s)
-                return LimitUpdate(run.id, run.most, must_wait=True)
-        run.most = run.sends
-        return LimitUpdate(run.id, run.most)
-
-    def _hedge(self, run: Run) -> list[Action]:
-        """The Dispatcher may find that no worker should have a copy; then there is none."""
-        run.hedged = True
-        hedges, budget = run.scope.hedges, run.scope.budget
-        if hedges is None or not hedges.left():  # None: the routes of now have none
+                self.alarms.put(job.id, self.now + wait_s)
+                return LimitUpdate(job.id, job.max_sends, must_wait=True)
+        job.max_sends = job.send_count
+        return LimitUpdate(job.id, job.max_sends)
+
+    def _hedge(self, job: RoutedJob) -> list[Action]:
+        """Offers a hedge to the Dispatcher, which may decline if no worker suits."""
+        job.is_hedge_offered = True
+        hedges, budget = job.scope.hedge_budget, job.scope.budget
+        if hedges is None or not hedges.has_token():  # None: the current routes do not hedge
             return []
-        if budget is not None and not budget.left(self.now):
+        if budget is not None and not budget.may_retry(self.now):
             return []
-        sends = run.sends
-        actions = self._pass(LimitUpdate(run.id, run.most, may_hedge=True))
-        if run.sends > sends:
-            run.copies += 1
-            hedges.take()
-            self._pay(run)
+        sends_before = job.send_count
+        actions = self._forward(LimitUpdate(job.id, job.max_sends, may_hedge=True))
+        if job.send_count > sends_before:
+            job.hedge_count += 1
+            hedges.take_token()
+            self._spend_retry(job)
         return actions
 
-    def _pay(self, run: Run) -> bool:
-        return run.scope.budget is None or run.scope.budget.take(self.now)
+    def _spend_retry(self, job: RoutedJob) -> bool:
+        return job.scope.budget is None or job.scope.budget.try_spend(self.now)
 
-    def _learn(self, run: Run, e: Ended) -> None:
-        if (times := run.scope.times) is not None:
-            if e.ending is Ending.OK:
-                times.add(e.duration_s)
-            elif e.ending in CUT:
-                times.add_longer_than(e.duration_s)
+    def _record_latency(self, job: RoutedJob, ended: Ended) -> None:
+        if (times := job.scope.latency) is not None:
+            if ended.ending is Ending.OK:
+                times.add(ended.duration_s)
+            elif ended.ending in CUT_OFF_ENDINGS:
+                times.add_longer_than(ended.duration_s)
 
-    # --- what passes out ----------------------------------------------------------------------------------
+    # --- actions ------------------------------------------------------------------------------------------
 
-    def _pass(self, event: Event) -> list[Action]:
+    def _forward(self, event: Event) -> list[Action]:
         actions = self.inner.handle(self.now, event)
         if not self.runs:
             return actions
         out: list[Action] = []
-        for a in actions:
-            if isinstance(a, Send):
-                run = self.runs.get(a.request)
-                out.append(a if run is None else self._sent(run, a))
+        for action in actions:
+            if isinstance(action, Send):
+                job = self.runs.get(action.request)
+                out.append(action if job is None else self._sent(job, action))
                 continue
-            if isinstance(a, Cancel):
-                run = self.runs.get(a.request)
-                if run is not None and not run.done and not self._may_move(run, a.attempt):
+            if isinstance(action, Cancel):
+                job = self.runs.get(action.request)
+                if job is not None and not job.is_done and not self._may_move(job, action.attempt):
                     continue
-            elif isinstance(a, Reject | Fail) and (run := self.runs.get(a.request)) is not None:
-                self._close(run)
-            out.append(a)
+            elif isinstance(action, Reject | Fail) and (job := self.runs.get(action.request)) is not None:
+                self._close(job)
+            out.append(action)
         return out
 
-    def _sent(self, run: Run, a: Send) -> Send:
-        scope, rules = run.scope, run.rules
-        run.out |= 1 << run.sends
-        run.sends += 1
-        if run.sends == 1:
-            if scope.budget is not None and not run.repeat:
-                scope.budget.sent(self.now)
-            if scope.hedges is not None:
-                scope.hedges.sent()
-        if rules.hedge is not None and not run.hedged:
+    def _sent(self, job: RoutedJob, send: Send) -> Send:
+        scope, rules = job.scope, job.route
+        job.open_attempts |= 1 << job.send_count
+        job.send_count += 1
+        if job.send_count == 1:
+            if scope.budget is not None and not job.is_client_retry:
+                scope.budget.record_first_send(self.now)
+            if scope.hedge_budget is not None:
+                scope.hedge_budget.record_first_send()
+        if rules.hedge is not None and not job.is_hedge_offered:
             after_s = rules.hedge.after_s
-            if after_s is None and scope.times is not None:
-                after_s = scope.times.value_s
+            if after_s is None and scope.latency is not None:
+                after_s = scope.latency.value_s
             if after_s is not None:
-                self.alarms.put(run.id, self.now + after_s)
-        return a if rules.attempt_timeout_s is None else a._replace(timeout_s=rules.attempt_timeout_s)
-
-    def _may_move(self, run: Run, attempt: int) -> bool:
-        """The Dispatcher takes a silent worker's job elsewhere: not if it could not be sent again then."""
-        if run.out ^ 1 << attempt:
-            return True  # another copy is out, and this one is given up
-        run.paid = Ending.CANCELLED in run.rules.resend_on and self._pay(run)
-        return run.paid
-
-    def _refuse(self, run: Run) -> list[Action]:
-        """It was not sent to anyone."""
-        self._close(run)
-        return [Reject(run.id, self.settings.max_retry_after_s)]
-
-    def _close(self, run: Run) -> None:
-        """It is answered, or nobody waits for an answer."""
-        if run.done:
+                self.alarms.put(job.id, self.now + after_s)
+        return send if rules.attempt_timeout_s is None else send._replace(timeout_s=rules.attempt_timeout_s)
+
+    def _may_move(self, job: RoutedJob, attempt: int) -> bool:
+        """Whether the Dispatcher may cancel an unresponsive worker's attempt: if a retry is allowed."""
+        if job.open_attempts ^ 1 << attempt:
+            return True  # another attempt is open, and this one is abandoned
+        job.is_retry_paid = Ending.CANCELLED in job.route.resend_on and self._spend_retry(job)
+        return job.is_retry_paid
+
+    def _refuse(self, job: RoutedJob) -> list[Action]:
+        """Rejects a job that was never sent."""
+        self._close(job)
+        return [Reject(job.id, self.settings.max_retry_after_s)]
+
+    def _close(self, job: RoutedJob) -> None:
+        """Releases what a job holds, once it is answered or its client disconnected."""
+        if job.is_done:
             return
-        run.done = True
-        self.alarms.drop(run.id)
-        if (limiter := run.scope.limiter) is not None:
-            if run.waiting is None:
-                limiter.leave()
+        job.is_done = True
+        self.alarms.drop(job.id)
+        if (limiter := job.scope.limiter) is not None:
+            if job.queued_request is None:
+                limiter.release()
                 self.freed.append(limiter)
             else:
-                limiter.drop(run.id)
-        self._forget_if_over(run)
+                limiter.remove(job.id)
+        self._remove_if_finished(job)
 
-    def _forget_if_over(self, run: Run) -> None:
-        if run.done and not run.out:
-            self.runs.pop(run.id, None)
+    def _remove_if_finished(self, job: RoutedJob) -> None:
+        if job.is_done and not job.open_attempts:
+            self.runs.pop(job.id, None)
 
     def _pool(self, route: Route) -> WorkerPool | None:
-        """Whom its jobs may go to, within the kind that their class needs."""
+        """Returns the workers allowed for the route's jobs, within the kind that their class requires."""
         kinds, zones = route.pool.kinds, route.pool.zones
         if not (kinds or zones):
             return None
@@ -374,110 +381,119 @@
 
     # --- routes -------------------------------------------------------------------------------------------
 
-    def take(self, routes: Routes) -> None:
-        """These hold for what comes; counts go on where the setting is the same. O(routes, runs, workers)."""
+    def apply_routes(self, routes: Routes) -> None:
+        """Replaces the routes; counters of unchanged settings are preserved. O(routes + jobs + workers)."""
         old, self.scopes = self.scopes, {}
         for route in routes.all:
-            most = min(route.attempts or self.settings.max_attempts, self.settings.max_attempts)
-            own = RequestLimits(most, route.priority, self._pool(route))
-            self.scopes[route.name, route.job_class] = Scope(route, own)
-        self._limiters()
-        self._counters(old)
-        for run in self.runs.values():
-            self._move(run)
+            max_sends = min(route.attempts or self.settings.max_attempts, self.settings.max_attempts)
+            limits = RequestLimits(max_sends, route.priority, self._pool(route))
+            self.scopes[route.name, route.job_class] = RouteLimits(route, limits)
+        self._assign_limiters()
+        self._assign_budgets(old)
+        for job in self.runs.values():
+            self._move_to_current_route(job)
         held = set(self.scopes.values())
-        self.gone = list({run.scope: None for run in self.runs.values() if run.scope not in held})
-        needed = {scope.own.pool for scope in self.scopes.values()}
-        needed |= {run.own.pool for run in self.runs.values()}
+        self.gone = list({job.scope: None for job in self.runs.values() if job.scope not in held})
+        needed = {scope.limits.pool for scope in self.scopes.values()}
+        needed |= {job.limits.pool for job in self.runs.values()}
         fleet = self.inner.worker_index
-        fleet.drop_pools([p for p in fleet.pools if isinstance(p, WorkerPool) and p not in needed])
+        fleet.drop_pools(
+            [pool for pool in fleet.pools if isinstance(pool, WorkerPool) and pool not in needed]
+        )
         for pool in needed - {None}:
             fleet.pool(pool)
 
-    def _limiters(self) -> None:
-        made: dict[tuple[str, int, Queue], Limiter] = {}
+    def _assign_limiters(self) -> None:
+        made: dict[tuple[str, int, Queue], ConcurrencyLimiter] = {}
         for scope in self.scopes.values():
             route = scope.route
             if route.concurrency is not None:
                 key = route.name, route.concurrency, route.queue
-                scope.limiter = made.setdefault(key, Limiter(route.concurrency, route.queue))
+                scope.limiter = made.setdefault(key, ConcurrencyLimiter(route.concurrency, route.queue))
 
-    def _counters(self, old: dict[Key, Scope]) -> None:
-        cls, s = self.inner.classes, self.settings
-        budgets: dict[tuple[str, RetryBudget], Budget] = {}
-        hedges: dict[tuple[str, float], Allowance] = {}
+    def _assign_budgets(self, old: dict[RouteKey, RouteLimits]) -> None:
+        classes, settings = self.inner.classes, self.settings
+        budgets: dict[tuple[str, RetryBudget], RetryBudgetWindow] = {}
+        hedges: dict[tuple[str, float], HedgeBudget] = {}
         for key, scope in self.scopes.items():
-            route, was = scope.route, old.get(key)
+            route, previous = scope.route, old.get(key)
             if (rule := route.retry_budget) is not None:
                 if (route.name, rule) not in budgets:
-                    budget = was.budget if was is not None else None
+                    budget = previous.budget if previous is not None else None
                     if budget is None or budget.window_s != rule.window_s or budget in budgets.values():
                         budget = None
                     budget = self._budget(route, rule, budget)
-                    budget.tune(rule)
+                    budget.reconfigure(rule)
                     budgets[route.name, rule] = budget
                 scope.budget = budgets[route.name, rule]
-            safe = cls[route.job_class].effect is not Effect.UNSAFE
-            if route.hedge is not None and safe and s.may_cancel:
+            safe = classes[route.job_class].effect is not Effect.UNSAFE
+            if route.hedge is not None and safe and settings.may_cancel:
                 share = route.hedge.most
                 if (route.name, share) not in hedges:
-                    saved = was.hedges if was is not None else None
+                    saved = previous.hedge_budget if previous is not None else None
                     if saved is None or saved in hedges.values():
-                        saved = Allowance(share)
+                        saved = HedgeBudget(share)
                     hedges[route.name, share] = saved
                     saved.share = share
-                scope.hedges = hedges[route.name, share]
+                scope.hedge_budget = hedges[route.name, share]
                 if (percentile := route.hedge.percentile) is not None:
-                    times = was.times if was is not None else None
+                    times = previous.latency if previous is not None else None
                     same = times is not None and times.percentile == percentile
-                    scope.times = times if same else Times(percentile)
+                    scope.latency = times if same else LatencyPercentile(percentile)
 
-    def _budget(self, route: Route, rule: RetryBudget, kept: Budget | None) -> Budget:
+    def _budget(self, route: Route, rule: RetryBudget, kept: RetryBudgetWindow | None) -> RetryBudgetWindow:
         if self.share is None:
-            return kept or Budget(rule)
+            return kept or RetryBudgetWindow(rule)
         from finchladder.core.peers.retries import SharedBudget  # what is off need not be loaded
 
-        # also where it is kept: its limit may be another now
+        # also for an existing budget: its limit may have changed
         bucket = self.share(f"retry.{route.name}", rule.least_per_s)
         return kept or SharedBudget(rule, bucket)
 
-    def _move(self, run: Run) -> None:
-        """To its route as it is now, so that its place counts there; one whose route is gone stays."""
-        scope, before = self.scopes.get((run.rules.name, run.rules.job_class)), run.scope.limiter
-        if scope is None or run.done or (before is not None and scope.limiter is None):
+    def _move_to_current_route(self, job: RoutedJob) -> None:
+        """Moves a job, with its slot, to the current version of its route, if there is one."""
+        scope, before = self.scopes.get((job.route.name, job.route.job_class)), job.scope.limiter
+        if scope is None or job.is_done or (before is not None and scope.limiter is None):
             return
-        run.scope = scope
-        if run.waiting is None:
+        job.scope = scope
+        if job.queued_request is None:
             if before is not None:
-                before.leave()
+                before.release()
             if scope.limiter is not None:
-                scope.limiter.open += 1
+                scope.limiter.open_count += 1
         else:
             assert before is not None and scope.limiter is not None
-            before.drop(run.id)
-            worth = self.inner.classes[run.rules.job_class].value
-            scope.limiter.put(run.id, worth, run.deadline, run.serial)
+            before.remove(job.id)
+            worth = self.inner.classes[job.route.job_class].value
+            scope.limiter.requeue(job.id, worth, job.deadline, job.serial)
         self.freed += [limiter for limiter in (before, scope.limiter) if limiter is not None]
 
 
 class Decisions(Protocol):
-    """What an actor hands its events to: a Dispatcher as it is, or Guarded."""
+    """Interface through which an actor decides: a plain Dispatcher or a RouteLimitedDispatcher."""
 
     settings: Settings
 
-    def handle(self, now: float, event: Any) -> list[Action]: ...
+    def handle(self, now: float, event: Any) -> list[Action]:
+        """Handles one event at `now` (seconds, monotonic) and returns the actions to carry out in order."""
+        ...
 
 
-def decisions(
+def make_decisions(
     settings: Settings,
     seed: int,
     routes: Routes | None,
     spill: SpilloverSettings | None = None,
-    share: "Share | None" = None,
-) -> Dispatcher | Guarded:
-    """`routes` None: there is no file that could have them, now or later. `spill` None: zones are as one.
-
-    `share`: where dispatchers share budgets, gives this one's part of one.
+    share: "BucketFactory | None" = None,
+) -> Dispatcher | RouteLimitedDispatcher:
+    """Creates the dispatcher that the settings require.
+
+    Args:
+        settings: Settings of the decisions.
+        seed: Seed of all random draws.
+        routes: The routes; None if no routes file is configured, now or after a reload.
+        spill: Settings of zone spillover; None disables it.
+        share: Makes the local bucket of a retry budget that dispatchers share; None if they do not.
     """
     if spill is None:
         dispatcher = Dispatcher(settings, seed)
@@ -485,4 +501,4 @@
         from finchladder.core.dispatch.zone_dispatcher import ZoneDispatcher  # what is off need not be loaded
 
         dispatcher = ZoneDispatcher(settings, seed, spill)
-    return dispatcher if routes is None else Guarded(dispatcher, routes, seed, share)
+    return dispatcher if routes is None else RouteLimitedDispatcher(dispatcher, routes, seed, share)
--- a/finchladder/core/routing/retry_budget.py
+++ b/finchladder/core/routing/retry_budget.py
@@ -1,59 +1,60 @@
-"""Retry budget: how many resends the first sends of a short while allow.
+"""Retry budget: limits retries to a share of the first sends of a sliding window.
 
-As Finagle's RetryBudget (Twitter, 2015): first sends deposit a share of a token each, resends take one, both
-are forgotten after a while, and a few a second are allowed however little is sent. A fleet that fails is then
+As Finagle's RetryBudget (Twitter, 2015): first sends deposit a share of a token each, retries take one, both
+expire with a sliding window, and a minimum rate is allowed however little is sent. A failing fleet is then
 sent at most 1 + share times what it would be sent without retries, whatever attempts a job may have.
 """
 
 from finchladder.core.routing.routes import RetryBudget
 
-SLICES = 10  # of the window: what is counted is forgotten a slice at a time
-NEAR = 1e-9  # shares are not exact
+SLICE_COUNT = 10  # of the window: counts expire a slice at a time
+ROUNDING_TOLERANCE = 1e-9  # of sums of floating-point shares
 
 
-class Budget:
-    """O(1) a call, but for slices that have passed; SLICES pairs of counts are held.
+class RetryBudgetWindow:
+    """Counts first sends and retries of a sliding window, and limits the latter.
 
-    At any moment, of the last SLICES slices (the present one included, so 0.9 to 1 window): resends are at
-    most share x first sends + least_per_s x 0.9 window.
+    Over the last SLICE_COUNT slices (the current one included, so 0.9 to 1 window) retries are at most
+    share x first sends + least_per_s x 0.9 window. Times are seconds of the caller's clock. A call costs
+    O(1), plus the expired slices; memory is SLICE_COUNT pairs of counts.
     """
 
-    __slots__ = ("share", "floor", "window_s", "width_s", "slices", "firsts", "spent")
+    __slots__ = ("share", "floor", "window_s", "slice_s", "slices", "first_sends", "retries")
 
     def __init__(self, rule: RetryBudget) -> None:
-        self.window_s, self.width_s = rule.window_s, rule.window_s / SLICES
-        self.slices: list[list[int]] = []  # number, first sends, resends; oldest first
-        self.firsts = self.spent = 0  # of all slices
-        self.tune(rule)
-
-    def tune(self, rule: RetryBudget) -> None:
-        """Other figures for the same window: what was counted stays."""
-        self.share, self.floor = rule.share, rule.least_per_s * self.width_s * (SLICES - 1)
-
-    def sent(self, now: float) -> None:
-        """A job was sent for the first time."""
-        self._present(now)[1] += 1
-        self.firsts += 1
-
-    def left(self, now: float) -> bool:
-        """Whether one more resend is allowed."""
-        self._present(now)
-        return self.spent + 1 <= self.share * self.firsts + self.floor + NEAR
-
-    def take(self, now: float) -> bool:
-        """Takes a resend out of it, if there is one left."""
-        if not self.left(now):
+        self.window_s, self.slice_s = rule.window_s, rule.window_s / SLICE_COUNT
+        self.slices: list[list[int]] = []  # [slice number, first sends, retries]; oldest first
+        self.first_sends = self.retries = 0  # sums over all slices
+        self.reconfigure(rule)
+
+    def reconfigure(self, rule: RetryBudget) -> None:
+        """Applies changed limits of the same window length; the counts are preserved."""
+        self.share, self.floor = rule.share, rule.least_per_s * self.slice_s * (SLICE_COUNT - 1)
+
+    def record_first_send(self, now: float) -> None:
+        """Counts the first send of a job."""
+        self._current_slice(now)[1] += 1
+        self.first_sends += 1
+
+    def may_retry(self, now: float) -> bool:
+        """Whether one more retry is within the budget."""
+        self._current_slice(now)
+        return self.retries + 1 <= self.share * self.first_sends + self.floor + ROUNDING_TOLERANCE
+
+    def try_spend(self, now: float) -> bool:
+        """Counts a retry if it is within the budget, and returns whether it is."""
+        if not self.may_retry(now):
             return False
-        self._present(now)[2] += 1
-        self.spent += 1
+        self._current_slice(now)[2] += 1
+        self.retries += 1
         return True
 
-    def _present(self, now: float) -> list[int]:
-        number = int(now / self.width_s)
-        while self.slices and self.slices[0][0] <= number - SLICES:
+    def _current_slice(self, now: float) -> list[int]:
+        number = int(now / self.slice_s)
+        while self.slices and self.slices[0][0] <= number - SLICE_COUNT:
             _, firsts, spent = self.slices.pop(0)
-            self.firsts -= firsts
-            self.spent -= spent
+            self.first_sends -= firsts
+            self.retries -= spent
         if not self.slices or self.slices[-1][0] < number:
             self.slices.append([number, 0, 0])
         return self.slices[-1]
--- a/finchladder/net/admission.py
+++ b/finchladder/net/admission.py
@@ -21,7 +21,7 @@
 
 from finchladder.core.api import JobClass
 from finchladder.core.connections.body_memory import OutOfBodyMemoryError
-from finchladder.core.connections.client_connections import Worth
+from finchladder.core.connections.client_connections import ConnectionValue
 from finchladder.core.overload.controller import TICK_S, Overload, OverloadSettings, State
 from finchladder.core.overload.loop_lag import LagMeter
 from finchladder.net.client_connection import FIRST_MESSAGE_TIMEOUT_S, ClientConnection
--- a/finchladder/net/client_listener.py
+++ b/finchladder/net/client_listener.py
@@ -10,7 +10,7 @@
 from tornado.ioloop import IOLoop
 
 from finchladder.core.connections.body_memory import BodyMemory, Reservation
-from finchladder.core.connections.client_connections import EdgeTable
+from finchladder.core.connections.client_connections import ClientConnectionTable
 from finchladder.net.admission import STAMPS
 from finchladder.net.client_connection import ClientConnection
 from finchladder.net.request_handler import RequestHandler
@@ -69,9 +69,9 @@
         crowd that comes at once must not have a call-back among it closed unread.
         """
         for n in range(MAX_ACCEPTED_AT_ONCE):
-            if self.edges.full and n:
+            if self.edges.is_full and n:
                 return  # nobody is closed before it is known that another is there
-            if self.edges.full and not self._closes_one() and self._waits():
+            if self.edges.is_full and not self._closes_one() and self._waits():
                 return
             try:
                 client_socket, address = listening.accept()
@@ -94,7 +94,7 @@
 
     def _accepted(self, client_socket: socket.socket, address: Any) -> None:
         """Counts at once, as many connections come in one turn of the loop: a count that lags runs over."""
-        if self.edges.full and not self._closes_one():
+        if self.edges.is_full and not self._closes_one():
             logger.error("all {} edge connections are busy: one was closed unread", len(self.edges))
             client_socket.close()
             return
--- a/finchladder/net/request_handler.py
+++ b/finchladder/net/request_handler.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from finchladder.core.connections.client_connections import Worth
+from finchladder.core.connections.client_connections import ConnectionValue
 from finchladder.net.admission import Admission
 from finchladder.net.client_connection import ClientConnection
 from finchladder.net.control import ControlCalls, Reply
@@ -85,7 +85,7 @@
             left_s = max(0.0, left_s - connection.waited_s)
         route = self.intake.routes.find(head.method, head.target, head.headers, job_class)
         if route is not None:
-            left_s = route.patience_s(left_s)
+            left_s = route.effective_timeout_s(left_s)
         try:
             verdict = self.intake.arrive(connection.client, id, job_class, left_s)
             if verdict.wait > 0:
--- a/finchladder/net/workers.py
+++ b/finchladder/net/workers.py
@@ -10,7 +10,7 @@
 
 from finchladder.core import api
 from finchladder.core.api import Ending as E
-from finchladder.core.connections.idle_timeout import Trust
+from finchladder.core.connections.idle_timeout import AdaptiveIdleTimeout
 from finchladder.core.dispatch.attempt_stages import STAGE_RULES, AbandonAction, Step
 from finchladder.net import http1
 from finchladder.net.actor import Actor
@@ -116,7 +116,7 @@
         module: DecisionActor,
         timers: Timers,
         connect_timeout: float,
-        trust: Trust,
+        trust: AdaptiveIdleTimeout,
         all_in_use: Slots,
         kept: IdleConnections,
         connect: Connect,
@@ -392,7 +392,10 @@
         """`each`: the maximum number of connections to one worker; times in seconds."""
         self.flows, self.module, self.clock, self.timers = flows, module, module.clock, timers
         self.connect, self.each = connect, each
-        self.connect_timeout, self.trust = connect_timeout, Trust(self.clock(), conn_idle * IDLE_PART)
+        self.connect_timeout, self.trust = (
+            connect_timeout,
+            AdaptiveIdleTimeout(self.clock(), conn_idle * IDLE_PART),
+        )
         self.actors: dict[str, WorkerActor] = {}
         self.starts: dict[str, float] = {}
         self.fading: dict[str, WorkerActor] = {}  # not ready: they go once nothing is under way with them
@@ -474,7 +477,7 @@
 
     def _reap(self) -> None:
         now = self.clock()
-        self.kept.close_before(now - self.trust.limit(now), REAP_AT_ONCE)
+        self.kept.close_before(now - self.trust.limit_s(now), REAP_AT_ONCE)
         self._bury(list(self.fading))
 
     def _bury(self, names: list[str]) -> None:
--- a/finchladder/sim/inner.py
+++ b/finchladder/sim/inner.py
@@ -5,7 +5,7 @@
 
 from finchladder.core import api
 from finchladder.core.dispatch.attempt_stages import Stage
-from finchladder.core.routing.limited_dispatcher import Guarded, NewRoutes
+from finchladder.core.routing.limited_dispatcher import NewRoutes, RouteLimitedDispatcher
 from finchladder.features.replay import Replay
 from finchladder.net.capture_recorder import CaptureRecorder
 from finchladder.net.node import DispatcherNode
@@ -66,7 +66,7 @@
         self.loaded = node.reload.loaded if node.reload is not None else None  # as of the start
         self.sockets = node.setup.limits.sockets
         self.places = node.servers.all_in_use.free
-        self.room = node.bodies.free
+        self.room = node.bodies.free_bytes
         self.turns = 0
         self.spin_at, self.spin_turns = process.run.kernel.now, 0
 
@@ -90,7 +90,7 @@
             self.found("mailbox", f"{node.module.backlog} items wait for the module though it rests")
         if node.flows.open > node.intake.most_open:
             self.found("bounds", f"{node.flows.open} flows are open, {node.intake.most_open} may be")
-        if len(node.clients.edges) > node.clients.edges.most:
+        if len(node.clients.edges) > node.clients.edges.max_connections:
             self.found("bounds", f"{len(node.clients.edges)} edge connections")
         if not 0 <= node.servers.all_in_use.free <= self.places:
             self.found("bounds", f"{node.servers.all_in_use.free} places of {self.places} are free")
@@ -162,7 +162,7 @@
                 j for queue in module.queues.by_class.values() for jobs in queue.values() for j in jobs
             ],
             "timers": len(node.timers.wheel),
-            "bytes for bodies": self.room - node.bodies.free,
+            "bytes for bodies": self.room - node.bodies.free_bytes,
             "places in use": self.places - node.servers.all_in_use.free,
             "jobs at real servers": [id for a in actors for id in a.live],
             "busy lines": sum(a.busy for a in actors),
@@ -172,7 +172,7 @@
         }
         fading = [name for name, actor in node.servers.fading.items() if actor.at_rest]
         left["real servers that are gone for long"] = fading
-        if isinstance(guarded := node.module.dispatcher, Guarded):
+        if isinstance(guarded := node.module.dispatcher, RouteLimitedDispatcher):
             left["jobs under routes"] = [*guarded.runs, *guarded.alarms.due_at]
         if node.flows.status is not None:
             left["jobs whose status is open"] = list(node.flows.status.open)
