--- a/finchladder/config/operator_file.py
+++ b/finchladder/config/operator_file.py
@@ -131,9 +131,9 @@
     )
     classes = _named(collector, whole, "class", Limits, 1)
     routes = _named(collector, whole, "route", RouteTable, 2)
-    if len(routes) > MOST_ROUTES:
-        place = collector.positions.find(("route", list(routes)[MOST_ROUTES]))
-        collector.abort("FL124", place, f"there are {len(routes)} routes", most=MOST_ROUTES)
+    if len(routes) > MAX_ROUTES:
+        place = collector.positions.find(("route", list(routes)[MAX_ROUTES]))
+        collector.abort("FL124", place, f"there are {len(routes)} routes", most=MAX_ROUTES)
     resolved = resolve_routes(collector, settings, defaults or {}, classes, routes)
     check_routes(collector, settings, defaults, classes, routes, resolved)
     usable = settings is not None and not collector.findings
--- a/finchladder/config/route_checks.py
+++ b/finchladder/config/route_checks.py
@@ -180,7 +180,7 @@
     sends = r.first_given("attempts")
     count = sends.value if sends is not None else 2
     each = one.value if one is not None and sends is not None else 0.0
-    took = count * each + r.backoff.longest_s(count - 1)
+    took = count * each + r.backoff.max_total_wait_s(count - 1)
     if took > most + TIME_TOLERANCE_S:
         wait = r.first_given("backoff.base_s")
         said = _most_specific(*(s for s in (sends, one if sends else None, wait) if s is not None))
@@ -324,7 +324,7 @@
     if on is not None and after is not None and after.value > cls.deduplication_window_s:
         _add_outside_window(collector, r, after, after.value)
     elif sends is not None and one is not None and (again is None or risky):
-        last = (sends.value - 1) * one.value + r.backoff.longest_s(sends.value - 1)
+        last = (sends.value - 1) * one.value + r.backoff.max_total_wait_s(sends.value - 1)
         if last > cls.deduplication_window_s + TIME_TOLERANCE_S:
             _add_outside_window(collector, r, _most_specific(sends, one), last)
     zones = r.first_given("pool.zones")
--- a/finchladder/core/dispatch/endpoint_list.py
+++ b/finchladder/core/dispatch/endpoint_list.py
@@ -5,7 +5,7 @@
 from finchladder.core.dispatch.state import DispatcherState
 from finchladder.core.dispatch.work_estimates import WorkEstimates
 from finchladder.core.dispatch.worker_load import FETCH_COST_RUNS
-from finchladder.core.membership.subscription import Asking
+from finchladder.core.membership.subscription import ListSubscription
 
 INITIAL_LOAD_THRESHOLD = 2.0  # slots, before anything is known of a worker
 
@@ -16,17 +16,17 @@
     def __init__(self, state: DispatcherState, estimates: WorkEstimates) -> None:
         self.state = state
         self.estimates = estimates
-        self.subscription = Asking(not state.settings.must_subscribe)
+        self.subscription = ListSubscription(not state.settings.must_subscribe)
 
     def apply(self, event: WorkerList) -> None:
         """A full list, a patch of it, or the news that it was lost."""
         state = self.state
         if event.kind is ListKind.BROKEN:
             max_wait_s = state.settings.subscribe_timeout_s / 4
-            self.subscription.lost(state.now, state.shortest_target_s, max_wait_s, state.random)
+            self.subscription.record_loss(state.now, state.shortest_target_s, max_wait_s, state.random)
             return
         if event.kind is not ListKind.STALE:
-            self.subscription.heard()
+            self.subscription.record_list()
         if event.kind is not ListKind.PATCH:
             self._remove_missing(event)
         joined = [worker for worker in map(self._update_worker, event.entries) if worker is not None]
@@ -40,7 +40,7 @@
 
     def subscribe_if_due(self) -> None:
         """Asks for the list where it has to be asked for."""
-        if self.subscription.due(self.state.now):
+        if self.subscription.take_due(self.state.now):
             self.state.actions.append(Subscribe())
 
     def _is_ready_and_warm(self, worker: Worker) -> bool:
--- a/finchladder/core/dispatch/key_frequency.py
+++ b/finchladder/core/dispatch/key_frequency.py
@@ -2,7 +2,7 @@
 
 | dispatchers | counts decay | a key's share of the traffic | pairs of workers |
 | --- | --- | --- | --- |
-| up to FEW | at each call of `decay` | its part of the total | its share of the workers |
+| up to SMALL_FLEET | at each call of `decay` | its part of the total | its share of the workers |
 | more | at calls with REQUESTS_PER_DECAY new ones | without its latest request | HOT_KEY_SPREAD times that |
 
 One dispatcher of many sees a few requests between two calls: counts that decay by time never come to
@@ -53,7 +53,7 @@
     @property
     def is_large_fleet(self) -> bool:
         """Whether this dispatcher sees too little of the traffic to count by time."""
-        return self.settings.dispatchers > FEW and not self.settings.weights_report_load
+        return self.settings.dispatchers > SMALL_FLEET and not self.settings.weights_report_load
 
     def add(self, key: int) -> None:
         """A request for the key has come."""
--- a/finchladder/core/routing/limited_dispatcher.py
+++ b/finchladder/core/routing/limited_dispatcher.py
@@ -141,9 +141,9 @@
         self.margin_s = (
             inner.state.sweep_interval_s + 2 * inner.settings.clock_tick_s
         )  # what is not sent by then is answered
-        self.scopes: dict[Key, Scope] = {}
-        self.gone: list[Scope] = []  # of routes that hold no more, while jobs go by them
-        self.runs: dict[str, Run] = {}
+        self.scopes: dict[RouteKey, RouteLimits] = {}
+        self.gone: list[RouteLimits] = []  # of routes that hold no more, while jobs go by them
+        self.runs: dict[str, RoutedJob] = {}
         self.alarms = Alarms()
         self.now, self.serial = 0.0, 0
         self.timer_at: float | None = None  # when the earliest requested timer fires
--- a/finchladder/features/replay.py
+++ b/finchladder/features/replay.py
@@ -311,7 +311,7 @@
     def _fresh(self) -> tuple[Dispatcher | RouteLimitedDispatcher, Arrivals]:
         assert self.opening is not None
         seed = read_seed(self.opening.seed)
-        made = decisions(self.settings, seed, self.routes, self.options.spillover_settings())
+        made = make_decisions(self.settings, seed, self.routes, self.options.spillover_settings())
         return made, Arrivals(self.options, seed)
 
     def _restore(self, record: StateIn) -> None:
--- a/finchladder/net/admission.py
+++ b/finchladder/net/admission.py
@@ -241,11 +241,11 @@
         if (name := self.names.get(job_class)) is None:
             return False
         try:
-            connection.body.hold(len(data))
+            connection.body.resize(len(data))
         except OutOfBodyMemoryError:
             return False
         connection.message, connection.job_class, connection.job_id = data, name, id
-        connection.table.work(connection)
+        connection.table.mark_busy(connection)
         self.control.put(now, name, left_s - (now - connection.came_at), connection)
         return True
 
@@ -320,10 +320,10 @@
             return self._hand_on(connection, connection.message)  # the parser's answer to it is no refusal
         self.refused += 1
         connection.message = b""
-        connection.body.hold(0)
-        if connection.worth is Worth.NEW:
-            connection.worth = Worth.ASKED
-        connection.table.idle(now, connection, connection.worth)
+        connection.body.resize(0)
+        if connection.worth is ConnectionValue.NEW:
+            connection.worth = ConnectionValue.QUERIED
+        connection.table.mark_idle(now, connection, connection.worth)
         answer = refusal_bytes(self.control.refuse(now))
         try:
             whole = connection.socket.send(answer) == len(answer)
--- a/finchladder/net/client_connection.py
+++ b/finchladder/net/client_connection.py
@@ -76,7 +76,7 @@
         client_socket: socket.socket,
         client: str,
         handler: MessageHandler,
-        table: "EdgeTable[ClientConnection]",
+        table: "ClientConnectionTable[ClientConnection]",
         body: Reservation,
     ) -> None:
         self.socket, self.descriptor, self.opened = client_socket, client_socket.fileno(), False
@@ -126,7 +126,7 @@
         else:
             self.socket.close()
 
-    def used(self, worth: Worth) -> None:
+    def used(self, worth: ConnectionValue) -> None:
         """Raises the connection's worth, which decides whether it is closed for a new one."""
         self.worth = max(self.worth, worth)
 
--- a/finchladder/net/client_listener.py
+++ b/finchladder/net/client_listener.py
@@ -28,7 +28,9 @@
 
     def __init__(self, handler: RequestHandler, bodies: BodyMemory, sockets: int) -> None:
         self.handler, self.bodies, self.clock = handler, bodies, handler.intake.clock
-        self.edges: EdgeTable[ClientConnection] = EdgeTable(int(CLIENT_SOCKET_SHARE * sockets))
+        self.edges: ClientConnectionTable[ClientConnection] = ClientConnectionTable(
+            int(CLIENT_SOCKET_SHARE * sockets)
+        )
         self.tasks: set[asyncio.Task[None]] = set()
         self.listening: list[socket.socket] = []
         self.stops: list[Callable[[], None]] = []
@@ -102,7 +104,7 @@
         connection = ClientConnection(
             client_socket, str(address[0]), self.handler, self.edges, Reservation(self.bodies)
         )
-        self.edges.begin(self.clock(), connection)
+        self.edges.add(self.clock(), connection)
         if self.handler.admission is None:
             self._begin(connection)
         else:
@@ -124,8 +126,8 @@
             self._drop(connection)
 
     def _drop(self, connection: ClientConnection) -> None:
-        connection.body.hold(0)
-        self.edges.drop(connection)
+        connection.body.resize(0)
+        self.edges.remove(connection)
         if self.handler.admission is not None:
             self.handler.admission.drop(connection)
 
@@ -135,7 +137,7 @@
             self._drop(connection)
 
     def _closes_one(self) -> bool:
-        connection = self.edges.make_room(self.clock(), lambda connection: connection.quiet())
+        connection = self.edges.evict(self.clock(), lambda connection: connection.quiet())
         if connection is None:
             return False
         connection.close()
@@ -148,12 +150,12 @@
         intake.shut_down()
         if self.handler.admission is not None:
             self.handler.admission.shut_down()
-        await asyncio.sleep(intake.leaving.stays_s)
+        await asyncio.sleep(intake.leaving.keep_open_s)
         while True:
             over, stays = not intake.flows.open, False
             for connection in list(self.edges):
                 # one just accepted is not idle while jobs are open: a result may be on its way
-                idle = over or self.edges.older(self.clock(), connection, JUST_CAME)
+                idle = over or self.edges.is_older(self.clock(), connection, JUST_CAME)
                 if connection.busy or (not connection.calls_back and not (idle and connection.quiet())):
                     stays = True  # also where a request has come that was not looked at yet
                 elif not connection.calls_back:
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -12,11 +12,11 @@
 from finchladder.config.platform import DispatcherSetup
 from finchladder.config.settings import read_seed
 from finchladder.core.connections.body_memory import BodyMemory
-from finchladder.core.connections.graceful_shutdown import Leaving
+from finchladder.core.connections.graceful_shutdown import GracefulShutdown
 from finchladder.core.dispatch.dispatcher import Dispatcher
-from finchladder.core.membership.watch import Watching
-from finchladder.core.membership.watch_backoff import Recalls
-from finchladder.core.routing.limited_dispatcher import Guarded, NewRoutes, decisions
+from finchladder.core.membership.watch import WatchState
+from finchladder.core.membership.watch_backoff import WatchBackoff
+from finchladder.core.routing.limited_dispatcher import NewRoutes, RouteLimitedDispatcher, make_decisions
 from finchladder.core.routing.routes import Routes
 from finchladder.features import snapshot
 from finchladder.features.capture import Capture
@@ -39,7 +39,7 @@
 if TYPE_CHECKING:
     from finchladder.config.operator_file import Loaded
     from finchladder.core.health.detection.detector import Judging
-    from finchladder.core.membership.subset_filter import Members
+    from finchladder.core.membership.subset_filter import SubsetFilter
     from finchladder.core.peers.bucket import Bucket
     from finchladder.core.peers.exchange import Peers
     from finchladder.net.etcd.follow import EtcdActor
@@ -87,12 +87,12 @@
 
     def _build_decisions(
         self, seed: int, file: OperatorFile | None, peers: "Peers | None"
-    ) -> Dispatcher | Guarded:
+    ) -> Dispatcher | RouteLimitedDispatcher:
         """The decisions, with the rate limits of routes shared among peers, and their actor."""
         routes = file.loaded.routes if file is not None else None
         share = self._share if peers is not None else None
-        decided = decisions(self.setup.settings, seed, routes, self.options.spillover_settings(), share)
-        self.dispatcher = decided.inner if isinstance(decided, Guarded) else decided
+        decided = make_decisions(self.setup.settings, seed, routes, self.options.spillover_settings(), share)
+        self.dispatcher = decided.inner if isinstance(decided, RouteLimitedDispatcher) else decided
         self.module = DecisionActor(decided, self.flows, self.clock)
         return decided
 
@@ -105,7 +105,7 @@
         if self.options.peers is not None and peers is not None:
             self._speak(self.options, peers, arrivals)
 
-    def _build_capture(self, decided: Dispatcher | Guarded, arrivals: Arrivals) -> None:
+    def _build_capture(self, decided: Dispatcher | RouteLimitedDispatcher, arrivals: Arrivals) -> None:
         """The recorder of all inputs and outputs of the decisions, where it is on."""
         self.capture: Capture | None = None
         self.files: Disk | None = None
@@ -120,15 +120,15 @@
         arrivals.tap = recorder
         self.capture.soon = recorder.soon
 
-    def _build_workers(self) -> "Members | None":
+    def _build_workers(self) -> "SubsetFilter | None":
         """The pool of workers; returns the filter of the list where only a subset of it is used."""
         subset, max_connections_each = None, IN_USE_EACH
         if self.options.aperture is not None:
             # only a dispatcher that uses a subset loads it
-            from finchladder.core.membership.subset_filter import Members
+            from finchladder.core.membership.subset_filter import SubsetFilter
 
             aperture, own = self.options.aperture.settings(), self.setup.settings
-            subset = Members(own.index, own.dispatchers, aperture)
+            subset = SubsetFilter(own.index, own.dispatchers, aperture)
             max_connections_each = aperture.connections_each
         self.servers = WorkerPool(
             self.flows,
@@ -143,7 +143,7 @@
         self.module.carrier = self.servers
         return subset
 
-    def _build_discovery(self, subset: "Members | None", seed: int) -> None:
+    def _build_discovery(self, subset: "SubsetFilter | None", seed: int) -> None:
         """The sources of the worker list, and the membership rules over them, where they are on."""
         self.service = EndpointWatcher(
             self.setup.discovery, self.servers.update, self.servers.retire, self.machine.connect, subset
@@ -155,16 +155,16 @@
             self._believe(self.options, seed)
         settings = self.setup.settings
         shared = settings.must_subscribe
-        self.service.rules = rules = Watching(shared)
+        self.service.rules = rules = WatchState(shared)
         callers = settings.dispatchers if shared else 1
         # not from the decisions' draws: those must be the same in a replay
         random = Random(f"{seed}/discovery")
-        self.service.recalls = Recalls(callers, random, rules.away_s, rules.retry_s)
+        self.service.recalls = WatchBackoff(callers, random, rules.reopen_within_s, rules.retry_within_s)
 
     def _build_intake(self, arrivals: Arrivals) -> None:
         """The intake of jobs, with the bounds of a shutdown."""
         self.classes = {c.name for c in self.setup.settings.classes}
-        leaving = Leaving(max(c.deadline_s for c in self.setup.settings.classes))
+        leaving = GracefulShutdown(max(c.deadline_s for c in self.setup.settings.classes))
         self.intake = JobIntake(
             self.classes,
             self.flows,
--- a/finchladder/net/request_handler.py
+++ b/finchladder/net/request_handler.py
@@ -61,14 +61,14 @@
             if head.method != "POST":
                 raise MalformedMessageError(405, "call-backs come by POST")
             self.called_back(read_call_back(body))
-            connection.used(Worth.OF_USE)
+            connection.used(ConnectionValue.SERVED)
             return Reply(204)
         if path == HEALTH_PATH:
-            up = self.ready() and not self.intake.leaving.begun
-            connection.used(Worth.ASKED)
+            up = self.ready() and not self.intake.leaving.has_begun
+            connection.used(ConnectionValue.QUERIED)
             return Reply(200, b"up\n") if up else Reply(503, b"not up\n")
         if path.startswith("/_") and (reply := self.controls.answer(head, body)) is not None:
-            connection.used(Worth.ASKED)
+            connection.used(ConnectionValue.QUERIED)
             return reply
         return await self._job(connection, head, body)
 
@@ -89,12 +89,12 @@
         try:
             verdict = self.intake.arrive(connection.client, id, job_class, left_s)
             if verdict.wait > 0:
-                connection.used(Worth.ASKED)
+                connection.used(ConnectionValue.QUERIED)
                 return Reply(429, b"too many requests\n", (f"Retry-After: {verdict.wait:g}",))
             if self.admission is not None and not connection.passed and verdict.drill is None:
                 retry_after_s = self.admission.judge(job_class, left_s)
                 if retry_after_s is not None:
-                    connection.used(Worth.ASKED)
+                    connection.used(ConnectionValue.QUERIED)
                     return reply_of(Answer("refused", retry_after=retry_after_s))
             message = HttpMessage(head.method, head.target, head.headers, body)
             if connection.departed():  # what it asked for is not wanted any more, and nothing is sent for it
--- a/finchladder/net/workers.py
+++ b/finchladder/net/workers.py
@@ -91,7 +91,7 @@
         if not written:
             attempt.step(Step.BREAK)
         elif self.connection.idle and not attempt.ended:  # not closed from this side
-            self.server.trust.lost(self.server.clock(), self.connection.idle)
+            self.server.trust.record_reset(self.server.clock(), self.connection.idle)
         self.server.broke(attempt)  # nothing is sent again here
 
 
@@ -342,7 +342,7 @@
             self.kept.drop(connection)
             now = self.clock()
             connection.idle = now - connection.since
-            if connection.idle < self.trust.limit(now) and connection.usable():
+            if connection.idle < self.trust.limit_s(now) and connection.usable():
                 return connection
             connection.close()
         return None
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -112,7 +112,7 @@
 
 
 def test_the_bounds_themselves_are_within_them() -> None:
-    routes = "".join(f"route.r{n} = {{match = {{path = '/view/{n}'}}}}\n" for n in range(MOST_ROUTES))
+    routes = "".join(f"route.r{n} = {{match = {{path = '/view/{n}'}}}}\n" for n in range(MAX_ROUTES))
     for text in ("#" * MAX_FILE_BYTES, routes):
         assert isinstance(loaded(text), Loaded)
 
--- a/tests/core/test_guarded_replay.py
+++ b/tests/core/test_guarded_replay.py
@@ -131,7 +131,7 @@
         assert tries < 500
     carried = snapshot.take(g, play.arrivals)
     state = encode_block([{"t": play.now, "in": "state", "state": carried}])
-    assert all(scope.times is None or scope.times.buckets for scope in g.scopes.values())
+    assert all(scope.latency is None or scope.latency.buckets for scope in g.scopes.values())
     states = snapshot.Taking(play.g, play.arrivals)
     play.capture = Capture(CaptureOptions(ring_bytes=50_000_000), SEED, states)
     play.play(600)
--- a/tests/lab/test_spread.py
+++ b/tests/lab/test_spread.py
@@ -213,9 +213,9 @@
 def test_the_decisions_of_many_spread_hot_keys_and_draw_ties(monkeypatch: pytest.MonkeyPatch) -> None:
     found, again = decisions.figures(thirty()), decisions.figures(thirty())
     assert found == again
-    monkeypatch.setattr("finchladder.core.dispatch.key_frequency.FEW", 1000)
+    monkeypatch.setattr("finchladder.core.dispatch.key_frequency.SMALL_FLEET", 1000)
     no_homes = decisions.figures(thirty())
-    monkeypatch.setattr("finchladder.core.dispatch.worker_capacity.FEW", 1000)
+    monkeypatch.setattr("finchladder.core.dispatch.worker_capacity.SMALL_FLEET", 1000)
     neither = decisions.figures(thirty())
     assert found["full"] < 0.5 * no_homes["full"]
     assert no_homes["full"] < neither["full"]
--- a/tests/test_stored_state.py
+++ b/tests/test_stored_state.py
@@ -134,7 +134,7 @@
 
 def restored() -> tuple[RouteLimitedDispatcher, Arrivals]:
     seed, state = stored()
-    made = decisions(SETTINGS, read_seed(seed) + 1, ROUTES, OPTIONS.spillover_settings())
+    made = make_decisions(SETTINGS, read_seed(seed) + 1, ROUTES, OPTIONS.spillover_settings())
     arrivals = Arrivals(OPTIONS, read_seed(seed) + 1)
     assert snapshot.restore(state, made, arrivals) == []
     assert isinstance(made, RouteLimitedDispatcher)
@@ -199,6 +199,6 @@
 def test_a_stored_state_does_not_go_with_decisions_that_lack_a_field() -> None:
     _, state = stored()
     del state["fields"]["strain"]
-    made = decisions(SETTINGS, 1, ROUTES, OPTIONS.spillover_settings())
+    made = make_decisions(SETTINGS, 1, ROUTES, OPTIONS.spillover_settings())
     with pytest.raises(snapshot.StateError, match="another version"):
         snapshot.restore(state, made, Arrivals(OPTIONS, 1))
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -253,7 +253,7 @@
 
 
 def test_a_discovery_that_counts_anew_is_believed_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("finchladder.core.membership.watch.RENUMBERED_S", 0.3)
+    monkeypatch.setattr("finchladder.core.membership.watch.RENUMBERED_AFTER_S", 0.3)
 
     async def play() -> None:
         d, f = Scripted(said(list_line(9, [entry("w1"), entry("w2")], True))), Followed()
