--- a/finchladder/cluster/process/log.py
+++ b/finchladder/cluster/process/log.py
@@ -48,7 +48,7 @@
 
 
 def event(kind: str, **fields: Any) -> None:
-    """Logs one event; docs/SYSTEM.md lists the kinds."""
+    """Logs one event; docs/ONCALL.md lists the kinds."""
     admitted, dropped = _limit.take()
     if not admitted:
         return
