--- a/tests/core/judging/test_judging.py
+++ b/tests/core/judging/test_judging.py
@@ -57,11 +57,14 @@
 def test_three_tellers_are_enough_and_fewer_are_not() -> None:
     b, j, logged = bench(workers(10))
     hear(b, {n: (told("w3", "safe", 1),) for n in ("n2", "n3")})
-    assert state(j, "w3") is State.SUSPECTED and "w3" not in sent_to(b, "unsafe")
+    assert state(j, "w3") is State.SUSPECTED
+    assert "w3" not in sent_to(b, "unsafe")
     b.run_until(b.now + 0.2)
     hear(b, {n: (told("w3", "safe", 1),) for n in ("n2", "n3", "n4")})
-    assert state(j, "w3") is State.CONDEMNED and "w3" not in sent_to(b, "safe") | sent_to(b, "unsafe")
-    assert logged and logged[0].startswith("w3 is out for safe, 2.0 s: 3 tellers")
+    assert state(j, "w3") is State.CONDEMNED
+    assert "w3" not in sent_to(b, "safe") | sent_to(b, "unsafe")
+    assert logged
+    assert logged[0].startswith("w3 is out for safe, 2.0 s: 3 tellers")
 
 
 @pytest.mark.parametrize(
@@ -110,7 +113,8 @@
     says = (told("w3", "unsafe", 2), told("w3", "safe", 0, 4))
     hear(b, {f"n{n}": says for n in (2, 3, 4)})
     assert (state(j, "w3", "unsafe"), state(j, "w3", "safe")) == (State.CONDEMNED, State.CLEAR)
-    assert "w3" in sent_to(b, "safe") and "w3" not in sent_to(b, "unsafe")
+    assert "w3" in sent_to(b, "safe")
+    assert "w3" not in sent_to(b, "unsafe")
 
 
 def test_where_nothing_is_known_of_a_class_the_other_ones_speak_for_it() -> None:
@@ -154,9 +158,8 @@
     assert state(j, "w3") is State.CLEAR  # 4 of 40 are needed, three say so
     b.run_until(b.now + 0.2)
     hear(b, {f"n{n}": (told("w3", "safe", 0, left=float(n)),) for n in (2, 3, 4, 5)})
-    assert state(j, "w3") is State.CONDEMNED and j.verdicts["w3"]["safe"].until == pytest.approx(
-        b.now + 3.0
-    )  # their median, the lower one
+    assert state(j, "w3") is State.CONDEMNED
+    assert j.verdicts["w3"]["safe"].until == pytest.approx(b.now + 3.0)
     hear(b, {})
     b.run_until(b.now + 4.5)
     hear(b, {})
@@ -164,7 +167,8 @@
     for _ in range(5):
         b.run_until(b.now + 1.1)
         hear(b, {})
-    assert state(j, "w3") is State.CLEAR and "w3" in sent_to(b, "safe")
+    assert state(j, "w3") is State.CLEAR
+    assert "w3" in sent_to(b, "safe")
 
 
 def test_on_trial_only_some_may_send_one_job_each_and_none_that_may_not_be_repeated() -> None:
@@ -194,7 +198,8 @@
     b.run_until(b.now + 2.2)
     hear(b, {})
     b.end(name, api.Ending.ERROR)
-    assert server not in j.cases and len(b.sends(name)) == 1  # and it is not sent again
+    assert server not in j.cases
+    assert len(b.sends(name)) == 1
 
 
 def fail(b: Bench, server: str, n: int, job_class: str = "unsafe") -> int:
@@ -214,20 +219,20 @@
 
 def test_alone_two_bad_endings_put_it_out_and_one_good_one_is_no_proof() -> None:
     b, j, _ = bench(workers(8), max_attempts=1)
-    assert (
-        fail(b, "w3", 1, "safe") == 1
-        and "w3" not in sent_to(b, "unsafe")
-        and "w3" in sent_to(b, "safe", 3000)
-    )
+    assert fail(b, "w3", 1, "safe") == 1
+    assert "w3" not in sent_to(b, "unsafe")
+    assert "w3" in sent_to(b, "safe", 3000)
     assert fail(b, "w3", 3, "safe") in (1, 2, 3)
-    assert j.alone["w3"]["safe"][0] > b.now and "w3" not in sent_to(b, "safe")
+    assert j.alone["w3"]["safe"][0] > b.now
+    assert "w3" not in sent_to(b, "safe")
     b.run_until(b.now + 2.1)
     for key in range(3000):  # its trial, and back
         name, sent = b.ask("safe", key=key)
         b.serve(name)
         if sent and sent[0].worker == "w3":
             break
-    assert sent[0].worker == "w3" and "safe" not in j.alone.get("w3", {})
+    assert sent[0].worker == "w3"
+    assert "safe" not in j.alone.get("w3", {})
     assert "w3" not in sent_to(b, "unsafe")
 
 
@@ -237,7 +242,8 @@
     for _ in range(20):
         name, _ = b.ask("safe")
         b.end(name, api.Ending.OVERLOADED)
-    assert not j.cases and not j.verdicts
+    assert not j.cases
+    assert not j.verdicts
 
 
 @pytest.mark.parametrize("why", ["just started", "late", "unwell", "all look bad to it"])
@@ -267,14 +273,18 @@
 def test_a_bad_ending_is_news_once_and_a_server_that_starts_anew_is_another() -> None:
     b, j, _ = bench(workers(6), max_attempts=1)
     telling = Telling(j, b.d)
-    assert not telling.news() and fail(b, "w3", 1, "safe") and telling.news()
+    assert not telling.news()
+    assert fail(b, "w3", 1, "safe")
+    assert telling.news()
     word = telling.word(b.now)
-    assert not telling.news() and [(s.subject, s.bad) for s in word.says][0] == (
+    assert not telling.news()
+    assert [(s.subject, s.bad) for s in word.says][0] == (
         subject("w3", 0.0, "safe"),
         1.0,
     )
     b.patch(entry("w3", started_at=b.now))
-    assert telling.word(b.now).says == () and not j.cases
+    assert telling.word(b.now).says == ()
+    assert not j.cases
     hear(b, {f"n{n}": (told("w3", "safe", 5),) for n in range(2, 9)})  # of its former life
     assert state(j, "w3") is State.CLEAR
 
@@ -301,11 +311,13 @@
     born = b.now - 100.0
     said = told("w9", "safe", 2)._replace(subject=subject("w9", born, "safe"))
     hear(b, {f"n{n}": (said,) for n in range(2, 6)})
-    assert j.strange and not j.subjects
+    assert j.strange
+    assert not j.subjects
     b.patch(entry("w9", started_at=born))
     b.run_until(b.now + 1.1)
     hear(b, {f"n{n}": (said,) for n in range(2, 6)})
-    assert state(j, "w9") is State.CONDEMNED and not j.strange
+    assert state(j, "w9") is State.CONDEMNED
+    assert not j.strange
     b.patch(entry("w9", api.WorkerStatus.REMOVED, started_at=born))
     hear(b, {f"n{n}": (said,) for n in range(2, 6)})
     assert "w9" not in j.verdicts
@@ -318,7 +330,10 @@
     for _ in range(60):
         b.run_until(b.now + 1.0)
         hear(b, {})
-    assert not j.cases and not j.alone and not b.d.workers["w3"].failure_share and not j.ejected
+    assert not j.cases
+    assert not j.alone
+    assert not b.d.workers["w3"].failure_share
+    assert not j.ejected
     assert "w3" in sent_to(b, "unsafe", 300)
 
 
@@ -327,13 +342,15 @@
     telling = Telling(j, b.d)
     hear(b, {n: (told("w3", "safe", 1),) for n in ("n2", "n3")})
     number = subject("w3", 0.0, "safe")
-    assert not telling.settled(number) and not telling.settled(12345)
+    assert not telling.settled(number)
+    assert not telling.settled(12345)
     b.run_until(b.now + 0.2)
     hear(b, {n: (told("w3", "safe", 1),) for n in ("n2", "n3", "n4")})
     assert telling.settled(number)
     b.run_until(b.now + 2.2)
     hear(b, {})
-    assert state(j, "w3") is State.TRIAL and not telling.settled(number)  # a relapse is news again
+    assert state(j, "w3") is State.TRIAL
+    assert not telling.settled(number)
 
 
 def test_who_is_kept_in_by_the_operator_is_not_left_by_own_evidence_either() -> None:
--- a/tests/core/judging/test_tables.py
+++ b/tests/core/judging/test_tables.py
@@ -36,7 +36,9 @@
     assert c.bad == pytest.approx(0.368, abs=0.001)
     for _ in range(100):
         c.add(FADE_S, AttemptSignal.GOOD, 0.0)
-    assert c.bad < 0.06 and 40 < c.good < 50 and c.link == 0
+    assert c.bad < 0.06
+    assert 40 < c.good < 50
+    assert c.link == 0
     c.add(FADE_S, AttemptSignal.LINK, 1.0)
     assert c.link == 1.0
 
@@ -52,10 +54,12 @@
 
 def test_a_run_is_slow_against_its_own_class_and_kind_once_some_are_known() -> None:
     u = Usual()
-    assert not u.slow("view", "big", 9.0) and not u.slow("view", "small", 0.1)
+    assert not u.slow("view", "big", 9.0)
+    assert not u.slow("view", "small", 0.1)
     for _ in range(8):
         assert not u.slow("view", "small", 0.1)
-    assert u.slow("view", "small", 0.8) and not u.slow("view", "small", 0.0)
+    assert u.slow("view", "small", 0.8)
+    assert not u.slow("view", "small", 0.0)
     for n in range(2 * MOST_USUAL):
         u.slow("view", f"kind{n}", 0.1)
     assert len(u.of) == MOST_USUAL
@@ -87,7 +91,8 @@
 def test_what_all_say_together(name: str) -> None:
     words, zones, score, tellers = TOGETHER[name]
     found = weigh(words, HERE, zones, BAD, GOOD)
-    assert found.score == pytest.approx(score * BAD) and found.tellers == tellers
+    assert found.score == pytest.approx(score * BAD)
+    assert found.tellers == tellers
 
 
 SCORES = (-3.0, 0.0, 4.0, 6.0, 12.0)
@@ -107,7 +112,9 @@
         seen.add((state, v.state))
         new = v.state is State.CONDEMNED and state is not State.CONDEMNED
         if new:
-            assert fact.room and v.until > later and v.term_s <= verdicts.LONGEST_S
+            assert fact.room
+            assert v.until > later
+            assert v.term_s <= verdicts.LONGEST_S
             assert fact.tellers >= (min(2, fact.needed) if state is State.TRIAL else fact.needed)
             assert fact.score >= (5.0 if state is State.TRIAL else 10.0)
             assert state is State.TRIAL or not fact.mass
@@ -146,7 +153,8 @@
     for _ in range(40):
         now += 1.0
         step(v, now, good, 2.0)
-    assert v.state is State.CLEAR and v.term_s == 0.0
+    assert v.state is State.CLEAR
+    assert v.term_s == 0.0
     condemn(v, now, 3.0, "others")
     assert (v.state, v.until, v.by) == (State.CONDEMNED, now + 3.0, "others")
 
@@ -161,7 +169,8 @@
 )
 def test_impossible_figures_are_a_flaw(change: dict[str, float]) -> None:
     said = Said(7, 1.0, 0.0, 2.0, 1.0, 0.0, 0)._replace(**change)  # type: ignore[arg-type]
-    assert flaw((said,)) is bool(change) and flaw((said,) * 13)
+    assert flaw((said,)) is bool(change)
+    assert flaw((said,) * 13)
 
 
 # --- the operator's word
@@ -192,21 +201,24 @@
 def test_a_later_word_overrules_where_the_first_was_heard_of_and_all_end_by_themselves() -> None:
     a, b = Orders("n1", 2), Orders("n2", 2)
     first = a.say(0.0, "w1", "out", 60.0, "disk")
-    assert b.merge(1.0, first._replace(left_s=59.0)) and not b.merge(1.0, first)
-    assert a.merge(2.0, b.say(2.0, "w1", "in", 30.0, "")) and not b.merge(2.0, first)
+    assert b.merge(1.0, first._replace(left_s=59.0))
+    assert not b.merge(1.0, first)
+    assert a.merge(2.0, b.say(2.0, "w1", "in", 30.0, ""))
+    assert not b.merge(2.0, first)
     assert [(s, out) for s, (out, _, _) in a.word(3.0).overrides.items()] == [("w1", False)]
     a.say(4.0, "w1", "let", 1.0, "")
-    assert (
-        a.word(4.0).overrides == {} and "w1" in a.held
-    )  # it is told on for as long as the one before had left
+    assert a.word(4.0).overrides == {}
+    assert "w1" in a.held
     assert not a.merge(5.0, first._replace(left_s=10.0))
     a.forget(32.1)
-    assert not a.held and not a.merge(40.0, first._replace(left_s=0.0))
+    assert not a.held
+    assert not a.merge(40.0, first._replace(left_s=0.0))
     with pytest.raises(ValueError, match="nobody has said"):
         a.say(40.0, "w1", "let", 1.0, "")
     for n in range(MOST):
         a.say(40.0, f"s{n}", "out", 60.0, "")
     with pytest.raises(ValueError, match="more is not kept"):
         a.say(40.0, "one more", "out", 60.0, "")
-    assert not a.merge(40.0, first) and len(a.held) == MOST
+    assert not a.merge(40.0, first)
+    assert len(a.held) == MOST
     assert sum(o.room for o in a.some(40.0, 60)) <= 60
--- a/tests/core/judging/test_world.py
+++ b/tests/core/judging/test_world.py
@@ -46,7 +46,8 @@
     s = scene((Bad(2, 8.0, 15.0, "all"),))
     together = failed(s)
     monkeypatch.setattr(judged.Process, "turn", lambda self: None)
-    assert 0 < together <= 30 and failed(s) >= together + 10
+    assert 0 < together <= 30
+    assert failed(s) >= together + 10
 
 
 MUTANTS: dict[str, tuple[ModuleType, str, str, str, Scene]] = {
--- a/tests/core/peers/test_escrow.py
+++ b/tests/core/peers/test_escrow.py
@@ -139,7 +139,8 @@
                 lent += rights[0] > LIMIT / 3 + 1
                 after.append(s)
         level = after
-    assert len(seen) > 50_000 and lent > 1000
+    assert len(seen) > 50_000
+    assert lent > 1000
 
 
 def lender(need: float = 0.0) -> Escrow:
@@ -169,7 +170,8 @@
     assert given(lender(), LATER, row(1.0, 300.0), row(1.0, 100.0, boot=3, owner="n3")) == [6.75, 2.25]
     assert given(lender(), LATER, row(1.0, 10.0, have=10.0)) == []  # it has what it wants
     e = lender()
-    assert given(e, LATER, row(1.0, 1000.0)) == [9.0] and given(e, LATER + 5, row(1.0, 1000.0)) == []
+    assert given(e, LATER, row(1.0, 1000.0)) == [9.0]
+    assert given(e, LATER + 5, row(1.0, 1000.0)) == []
     assert given(e, LATER + 5, row(2.0, 1000.0)) == [9.0]  # renewed for what was asked since
     e.budgets["b"].need = 30.0
     assert given(e, LATER + 9, row(3.0, 1000.0)) == []  # needed here: it runs out
@@ -205,12 +207,15 @@
     e = borrower()
     e.budgets["b"].need = 30.0
     older, newer = Grant(1, "b", 5.0, 0.0, 2), Grant(1, "b", 6.0, 1.0, 2)
-    assert e.take(2.0, "n1", 1, newer) and not e.take(2.0, "n1", 1, newer) and not e.take(2.0, "n1", 1, older)
+    assert e.take(2.0, "n1", 1, newer)
+    assert not e.take(2.0, "n1", 1, newer)
+    assert not e.take(2.0, "n1", 1, older)
     assert e.right(2.0, "b") == pytest.approx(16.0)
     assert e.give_back(2.0) == []  # it is needed
     e.budgets["b"].need = 3.0
     assert e.give_back(2.0) == [("n1", Return(1, 1, 1.0))]
-    assert e.right(2.0, "b") == pytest.approx(10.0) and not e.take(2.0, "n1", 1, newer)
+    assert e.right(2.0, "b") == pytest.approx(10.0)
+    assert not e.take(2.0, "n1", 1, newer)
     assert e.take(2.0, "n1", 7, newer)  # of another life of its owner, whose serials begin anew
 
 
@@ -221,4 +226,5 @@
     for boot, back in (*others, (2, Return(1, 1, 0.5))):  # the last: it was renewed since
         assert not e.returned_to(boot, back)
     assert e.right(LATER, "b") == pytest.approx(KEPT * 10.0)
-    assert e.returned_to(2, Return(1, 1, 1.0)) and e.right(LATER, "b") == pytest.approx(10.0)
+    assert e.returned_to(2, Return(1, 1, 1.0))
+    assert e.right(LATER, "b") == pytest.approx(10.0)
--- a/tests/core/peers/test_loads.py
+++ b/tests/core/peers/test_loads.py
@@ -37,7 +37,8 @@
 
 
 def test_a_tie_goes_to_who_has_less_in_flight_for_all() -> None:
-    assert sent({ONE: 3.0})[TWO] > 190 and sent({TWO: 3.0})[ONE] > 190
+    assert sent({ONE: 3.0})[TWO] > 190
+    assert sent({TWO: 3.0})[ONE] > 190
     assert sent({ONE: 3.0, TWO: 3.0})[ONE] in range(60, 140)
 
 
@@ -47,7 +48,8 @@
 
 def test_what_was_told_decays_to_what_oneself_knows() -> None:
     shares = [sent({ONE: 3.0}, age_s)[ONE] for age_s in (0.0, 0.8 * GONE_S, 2 * GONE_S)]
-    assert shares[0] < 10 < shares[1] < 90 and shares[2] in range(70, 130)
+    assert shares[0] < 10 < shares[1] < 90
+    assert shares[2] in range(70, 130)
     assert sent({ONE: 3.0}, 2 * GONE_S) == sent({}, 0.0)  # to the very draws
 
 
@@ -66,11 +68,15 @@
 def test_a_shared_floor_is_one_of_all_and_first_sends_still_allow_their_share() -> None:
     bucket = Bucket(2.0, 0.0)
     budget = SharedBudget(RetryBudget(share=0.1, least_per_s=200.0), bucket)
-    assert not budget.try_spend(0.1) and bucket.refused == 1  # no floor of its own
+    assert not budget.try_spend(0.1)
+    assert bucket.refused == 1
     for _ in range(20):
         budget.record_first_send(0.1)
-    assert [budget.try_spend(0.1) for _ in range(3)] == [True, True, False] and bucket.spent == 0
-    assert budget.may_retry(1.0) and budget.try_spend(1.0) and bucket.spent == 1
+    assert [budget.try_spend(0.1) for _ in range(3)] == [True, True, False]
+    assert bucket.spent == 0
+    assert budget.may_retry(1.0)
+    assert budget.try_spend(1.0)
+    assert bucket.spent == 1
     budget.reconfigure(RetryBudget(share=0.2, least_per_s=500.0))
     assert [budget.try_spend(1.0) for _ in range(3)] == [True, True, False]
 
@@ -93,12 +99,14 @@
     p = peers()
     d = door(p)
     waits = [d.take(n / 100, "a") for n in range(1000)]
-    assert waits.count(0.0) == pytest.approx(10 * 20 / 4 + 1, abs=2) and max(waits) <= MAX_RETRY_AFTER_S
+    assert waits.count(0.0) == pytest.approx(10 * 20 / 4 + 1, abs=2)
+    assert max(waits) <= MAX_RETRY_AFTER_S
     assert d.take(10.0, "b") == 0.0  # each address has its own
     assert list(p.escrow.budgets) == ["door:a"]
     p.turn(11.0)
     [row] = [r for r, _ in p.rows.held.values()]
-    assert row.wants[0].budget == "door:a" and row.wants[0].rate > 5.0
+    assert row.wants[0].budget == "door:a"
+    assert row.wants[0].rate > 5.0
     grant = Grant(1, "door:a", 5.0, p.rows.held["n1"][0].asked, p.boot)
     p.hear(11.0, Packet(Kind.WORD, "n2", 9, 1000, grants=(grant,)))
     assert sum(d.take(11.0 + n / 100, "a") == 0.0 for n in range(400)) == pytest.approx(4 * 10, abs=8)
@@ -110,15 +118,15 @@
     assert d.take(1.0, "a") == 0.0
     told = hears(p, 2.0, Want("door:a", 15.0, 0.0, 0.0), Want("other:a", 9.0, 0.0, 0.0))
     [grant] = [g for to, packet in told if to == "n2" for g in packet.grants]
-    assert grant.budget == "door:a" and grant.rate == pytest.approx(
-        4.0
-    )  # all but what was needed here of late
+    assert grant.budget == "door:a"
+    assert grant.rate == pytest.approx(4.0)
     assert p.buckets["door:a"] is d.of["door:a"]  # its bucket here has that less
     assert p.buckets["door:a"].allowed(2.2) == pytest.approx(1.0)
     assert list(p.escrow.budgets) == ["door:a"]  # of what nobody here has a limit for nothing is held
     for n in range(200):
         p.turn(3.0 + n / 5)
-    assert not p.escrow.budgets and d.take(43.0 + IDLE_S, "a") == 0.0
+    assert not p.escrow.budgets
+    assert d.take(43.0 + IDLE_S, "a") == 0.0
     assert d.of["door:a"].allowed(60.0) == pytest.approx(5.0)
 
 
@@ -128,9 +136,12 @@
     for n in range(3 * MOST_BUDGETS):
         for _ in range(30):
             d.take(1.0, f"a{n}")
-    assert len(d.of) == 5 and len(p.escrow.budgets) == MOST_BUDGETS == len(p.idle)
+    assert len(d.of) == 5
+    assert len(p.escrow.budgets) == MOST_BUDGETS == len(p.idle)
     before = p.buckets["door:a0"]
-    assert "door:a0" not in d.of and d.take(1.0, "a0") > 0.0 and d.of["door:a0"] is before
+    assert "door:a0" not in d.of
+    assert d.take(1.0, "a0") > 0.0
+    assert d.of["door:a0"] is before
     draw = Random(1)
     for n in range(40):
         wants = [Want(f"door:b{draw.random()}", 1.0, 0.0, 0.0) for _ in range(8)]
--- a/tests/core/peers/test_members.py
+++ b/tests/core/peers/test_members.py
@@ -106,11 +106,13 @@
     [ping] = [s for s in said if s.kind is Kind.PING]
     now, said = play(m, now, now + T.answer_s)
     helpers = {s.to for s in said if s.kind is Kind.ASK and s.about == ping.to and s.number == ping.number}
-    assert helpers == {*NAMES[1:]} - {ping.to} and m.of[ping.to].standing is ALIVE
+    assert helpers == {*NAMES[1:]} - {ping.to}
+    assert m.of[ping.to].standing is ALIVE
     for helper in helpers:
         m.hear(now, word(helper, kind=Kind.NACK, number=ping.number, about=ping.to))
     play(m, now, now + T.period_s)
-    assert m.of[ping.to].standing is SUSPECTED and m.health == 0  # the helpers spoke: it is not oneself
+    assert m.of[ping.to].standing is SUSPECTED
+    assert m.health == 0
 
 
 def test_an_answer_through_a_helper_counts_and_silent_helpers_put_oneself_in_doubt() -> None:
@@ -119,11 +121,13 @@
     now, said = play(m, 0.0, m.turn_at)
     now, _ = play(m, now, now + T.answer_s)
     m.hear(now, word("n5", kind=Kind.ACK, number=said[0].number, about=said[0].to))
-    assert not m.probes and m.of[said[0].to].standing is ALIVE
+    assert not m.probes
+    assert m.of[said[0].to].standing is ALIVE
     now, said = play(m, now, m.turn_at)
     play(m, now, now + T.period_s - 0.001)
     now, _ = play(m, now, m.turn_at)
-    assert m.health == 1 and m.turn_at == now + 2 * T.period_s  # waits longer from now on
+    assert m.health == 1
+    assert m.turn_at == now + 2 * T.period_s
 
 
 def test_asked_by_another_it_pings_and_tells_the_end() -> None:
@@ -146,15 +150,20 @@
     until = m.of["n5"].until
     m.turn(now + 30.0)  # it stood still
     assert m.of[said[0].to].standing is not SUSPECTED or said[0].to == "n5"
-    assert m.health >= 1 and m.of["n5"].until > until + 25.0 and m.of["n5"].standing is SUSPECTED
+    assert m.health >= 1
+    assert m.of["n5"].until > until + 25.0
+    assert m.of["n5"].standing is SUSPECTED
 
 
 def test_those_that_are_gone_are_looked_for_and_a_silent_one_of_them_is_not_suspected() -> None:
     m = members()
     quiet(m, GONE)
     _, said = play(m, 0.0, 3 * LOOK_FOR * T.period_s)
-    assert len(said) >= 2 and {s.kind for s in said} == {Kind.PING} and not m.probes
-    assert m.count(GONE) == 4 and m.alive() == ["n1"]
+    assert len(said) >= 2
+    assert {s.kind for s in said} == {Kind.PING}
+    assert not m.probes
+    assert m.count(GONE) == 4
+    assert m.alive() == ["n1"]
 
 
 def test_news_are_told_so_often_and_a_piece_of_the_table_after_them() -> None:
@@ -162,9 +171,11 @@
     quiet(m)
     hold(m, SUSPECTED, 4, "n2")
     times = sum(Rumour("n2", 4, SUSPECTED) in m.rumours("n4", ROOM)[:1] for _ in range(40))
-    assert times >= m.repeats and not m.hot
+    assert times >= m.repeats
+    assert not m.hot
     told = [m.rumours("n4", ROOM) for _ in range(8)]
-    assert all(len(t) <= PIECE for t in told) and {r.name for t in told for r in t} == {*NAMES[1:]}
+    assert all(len(t) <= PIECE for t in told)
+    assert {r.name for t in told for r in t} == {*NAMES[1:]}
     assert m.rumours("n2", ROOM)[0] == Rumour("n2", 4, SUSPECTED)  # who is suspected hears of it first
     assert m.rumours("n4", 10) == []
 
@@ -174,6 +185,8 @@
     quiet(m)
     hold(m, SUSPECTED, 9, "n2")
     m.listed(["n1", "n3", "n9"])
-    assert m.alive() == ["n1", "n3"] and "n2" not in m.hot and m.of["n9"].standing is GONE
+    assert m.alive() == ["n1", "n3"]
+    assert "n2" not in m.hot
+    assert m.of["n9"].standing is GONE
     m.hear(1.0, word("n2", Rumour("n2", 99, ALIVE)))
     assert "n2" not in m.of
--- a/tests/core/peers/test_values.py
+++ b/tests/core/peers/test_values.py
@@ -45,26 +45,35 @@
 
 def test_a_row_is_held_to_its_age_and_a_new_life_counts_from_nothing_once() -> None:
     held = Rows("n1", 1, 3)
-    assert held.merge(0.0, row("n2", 1, 9, 10.0, 90.0)) and not held.merge(1.0, row("n2", 1, 8, 0.0, 80.0))
+    assert held.merge(0.0, row("n2", 1, 9, 10.0, 90.0))
+    assert not held.merge(1.0, row("n2", 1, 8, 0.0, 80.0))
     assert held.spent(0.0, "b") == (90.0, 1)
-    assert held.merge(2.0, row("n2", 2, 1, 0.0, 3.0)) and held.spent(2.0, "b") == (3.0, 1)
-    assert not held.merge(3.0, row("n2", 1, 99, 0.0, 990.0)) and held.spent(3.0, "b") == (3.0, 1)
-    assert not held.merge(3.0, row("n3", 1, 1, FORGET_S)) and held.stale == 1
-    assert [r.age_s for r in held.others(7.0, 60.0)] == [5.0] and held.others(7.0, 4.0) == []
+    assert held.merge(2.0, row("n2", 2, 1, 0.0, 3.0))
+    assert held.spent(2.0, "b") == (3.0, 1)
+    assert not held.merge(3.0, row("n2", 1, 99, 0.0, 990.0))
+    assert held.spent(3.0, "b") == (3.0, 1)
+    assert not held.merge(3.0, row("n3", 1, 1, FORGET_S))
+    assert held.stale == 1
+    assert [r.age_s for r in held.others(7.0, 60.0)] == [5.0]
+    assert held.others(7.0, 4.0) == []
     held.forget(2.0 + FORGET_S, ["n1", "n2"])
     assert held.spent(40.0, "b") == (0.0, 0)
     held.merge(40.0, row("n2", 3, 1))
     held.forget(40.0, ["n1"])  # not listed any more
-    assert not held.held and not held.tell
+    assert not held.held
+    assert not held.tell
 
 
 def test_the_own_row_comes_back_as_nothing_and_a_former_lifes_makes_the_next_one_higher() -> None:
     held = Rows("n1", 1, 3)
     held.write(0.0, 5, [Want(f"b{n}", float(n), 0.0, 0.0) for n in range(MOST_WANTS + 3)])
     mine, _ = held.held["n1"]
-    assert len(mine.wants) == MOST_WANTS and mine.wants[0].rate == MOST_WANTS + 2
-    assert not held.merge(0.0, row("n1", 5, 70, boot=1)) and held.order == 1
-    assert not held.merge(0.0, row("n1", 5, 70, boot=2)) and held.held["n1"][0] == mine
+    assert len(mine.wants) == MOST_WANTS
+    assert mine.wants[0].rate == MOST_WANTS + 2
+    assert not held.merge(0.0, row("n1", 5, 70, boot=1))
+    assert held.order == 1
+    assert not held.merge(0.0, row("n1", 5, 70, boot=2))
+    assert held.held["n1"][0] == mine
     held.write(1.0, 6, [])
     assert held.held["n1"][0].order == 71
 
@@ -75,9 +84,11 @@
         held.merge(0.0, row(f"n{n}", 1, 1, 20.0))
     held.merge(0.0, row("n9", 1, 2, 0.0))
     told = [held.some(0.0, "n2", ROOM) for _ in range(40)]
-    assert [t[0].owner for t in told[:2]] == ["n9", "n9"] and not held.tell
+    assert [t[0].owner for t in told[:2]] == ["n9", "n9"]
+    assert not held.tell
     assert {r.owner for t in told for r in t} >= {f"n{n}" for n in range(3, 30)}
-    assert not any(r.owner == "n2" for t in told for r in t) and held.some(0.0, "n3", 20) == []
+    assert not any(r.owner == "n2" for t in told for r in t)
+    assert held.some(0.0, "n3", 20) == []
 
 
 @settings(deadline=None)
@@ -111,15 +122,17 @@
 def test_a_right_ends_with_its_lease_and_a_whole_token_of_a_slow_one_is_given_up() -> None:
     b = Bucket(1.0, 0.0)
     b.allow(0.0, 100.0, 0.5)
-    assert b.allowed(0.5) == 100.0 and b.allowed(0.51) == 1.0
+    assert b.allowed(0.5) == 100.0
+    assert b.allowed(0.51) == 1.0
     assert sum(b.take(10.0) for _ in range(100)) <= 1 + 25  # what was saved up by 0.5, and no more
     slow, kept = Bucket(0.1, 0.0), Bucket(0.1, 0.0, holds=True)
     for at, there in ((9.9, False), (10.1, True), (10.0 + HOLD_S + 0.1, False), (21.1, True)):
         assert slow.left(at) is there
-    assert kept.left(13.0) and kept.left(1000.0)
-    assert (
-        kept.wait_s(1000.0) == 0.0 and kept.take(1000.0) and kept.wait_s(1000.0) == pytest.approx(9.75, 0.05)
-    )
+    assert kept.left(13.0)
+    assert kept.left(1000.0)
+    assert kept.wait_s(1000.0) == 0.0
+    assert kept.take(1000.0)
+    assert kept.wait_s(1000.0) == pytest.approx(9.75, 0.05)
 
 
 def test_the_need_is_what_was_asked_granted_or_not() -> None:
@@ -128,7 +141,8 @@
         b.take(n / 20)
         if n % 10 == 9:
             b.needs((n + 1) / 20)
-    assert b.needs(20.0) == pytest.approx(20.0, 0.05) and b.refused >= 399
+    assert b.needs(20.0) == pytest.approx(20.0, 0.05)
+    assert b.refused >= 399
     assert b.needs(30.0) < 0.1
 
 
@@ -156,16 +170,17 @@
 def test_all_come_to_the_sum_of_all_whatever_their_number(n: int) -> None:
     for one in ring(n):
         total = one.total(0.3)
-        assert total is not None and total.members == n and total.age_s < 0.3
+        assert total is not None
+        assert total.members == n
+        assert total.age_s < 0.3
         assert total.counts == {1: float(n)} | {100 + i: 2.0 for i in range(n)}
 
 
 def test_one_that_says_nothing_is_missing_and_old_parts_count_no_more() -> None:
     sums = ring(13, lose="n004")
     totals = [one.total(0.3) for one in sums]
-    assert all(t is None or t.members <= 13 for t in totals) and any(
-        t is None or t.members < 13 for t in totals
-    )
+    assert all(t is None or t.members <= 13 for t in totals)
+    assert any(t is None or t.members < 13 for t in totals)
     assert ring(13)[0].total(0.3 + STALE_S) is None
 
 
@@ -175,10 +190,12 @@
     level, (part, _) = next(iter(held.items()))
     sender = next(s for s, at in one.heard_wave if at == level)
     for p in (part._replace(wave=0), part._replace(level=31), part._replace(level=40), part):
-        assert one.hear(0.3, sender, p) == [] and one.parts == held
+        assert one.hear(0.3, sender, p) == []
+        assert one.parts == held
 
 
 def test_sums_are_the_same_for_every_order_of_the_same_names() -> None:
     for names in permutations(["a", "b", "c"]):
         one = Sums("b")
-        assert [to for to, _ in one.begin(0.0, names, {})] == ["c", "a"] and one.ring == ["a", "b", "c"]
+        assert [to for to, _ in one.begin(0.0, names, {})] == ["c", "a"]
+        assert one.ring == ["a", "b", "c"]
--- a/tests/core/test_aperture.py
+++ b/tests/core/test_aperture.py
@@ -53,7 +53,8 @@
     names = [f"s-{i}" for i in range(n)]
     joined = subsets([*names, f"new-{new}"], dispatchers)
     for before, after in zip(subsets(names, dispatchers), joined, strict=True):
-        assert len(before - after) <= 2 and len(after - before) <= 2
+        assert len(before - after) <= 2
+        assert len(after - before) <= 2
 
 
 @pytest.mark.parametrize(("n", "dispatchers"), [(1000, 50), (10_000, 200)])
@@ -61,7 +62,8 @@
     names = [f"s-{i}" for i in range(n)]
     before, after = subsets(names, dispatchers), subsets(names, dispatchers + 1)
     moved = [len(b - a) / len(b) for b, a in zip(before, after[:-1], strict=True)]
-    assert max(moved) <= 0.13 and sum(moved) / len(moved) <= 0.08
+    assert max(moved) <= 0.13
+    assert sum(moved) / len(moved) <= 0.08
 
 
 @settings(max_examples=30, derandomize=True, deadline=None)
@@ -80,7 +82,8 @@
         else:
             listed[name] = stratum
             change = aperture.change([(name, stratum)])
-        assert change.removed <= inside and not change.added & inside
+        assert change.removed <= inside
+        assert not change.added & inside
         inside = inside - change.removed | change.added
     whole = Aperture(index, 40, SETTINGS)
     whole.replace(listed.items())
@@ -163,14 +166,16 @@
         _, seen = walk(demands, frees)
         begun = [t for t, s in seen if s is SpilloverState.SPILLING]
         soon = sum(b - a < 4 for a, b in zip(begun, begun[1:], strict=False))
-        assert (len(begun), soon) <= ((6, 0) if other_step == 0 else (32, 3)) and soon <= 3
+        assert (len(begun), soon) <= ((6, 0) if other_step == 0 else (32, 3))
+        assert soon <= 3
 
 
 def test_refusals_make_a_zone_full_and_a_zone_that_is_full_gets_nothing() -> None:
     spill, others = ZoneSpillover(SpilloverSettings()), {"b": ZoneLoad(100, 50), "c": ZoneLoad(100, 80)}
     for i in range(7):
         spill.observe(i / 10, ZoneLoad(100, 50, sent=20, rejected=3), others)
-    assert spill.state is SpilloverState.SPILLING and spill.target == "c"
+    assert spill.state is SpilloverState.SPILLING
+    assert spill.target == "c"
     spill.observe(0.8, ZoneLoad(100, 50, 20, 3), others | {"c": ZoneLoad(100, 60, sent=20, rejected=5)}, 10)
     assert spill.target == "c" or spill.target == "b"
     spill.observe(0.9, ZoneLoad(100, 50, 20, 3), {"b": ZoneLoad(100, 2), "c": ZoneLoad(100, 60, 20, 5)}, 10)
@@ -178,8 +183,7 @@
 
 
 def test_spill_states_and_signs_are_all_in_the_table() -> None:
-    assert {s for s, _ in TRANSITIONS} == set(SpilloverState) and {s for _, s in TRANSITIONS} == set(
-        SpilloverEvent
-    )
+    assert {s for s, _ in TRANSITIONS} == set(SpilloverState)
+    assert {s for _, s in TRANSITIONS} == set(SpilloverEvent)
     with pytest.raises(ValueError, match="full_at"):
         SpilloverSettings(full_at=0.3, back_at=0.2)
--- a/tests/core/test_crowd.py
+++ b/tests/core/test_crowd.py
@@ -55,7 +55,8 @@
         told(b, {w: 4 / 2.25 for w in workers(8)[:4]})  # 1.5 runs in place of 1
         got[b.ask()[1][0].worker] += 1
     slower = sum(got[w] for w in workers(8)[:4])
-    assert len(got) == 8 and 60 < slower < 125  # 4 / 13 of 300 are 92
+    assert len(got) == 8
+    assert 60 < slower < 125
 
 
 @pytest.mark.parametrize(
@@ -101,7 +102,8 @@
     )
     b.patch(*(entry(w, **({"weight": CALM} | homes)) for w in own))
     strangers = {a.worker for a in b.ask(key=key)[1]} - set(own)
-    assert bool(strangers) is sent and bool(b.d.queues.by_class[0, "safe"]) is not sent
+    assert bool(strangers) is sent
+    assert bool(b.d.queues.by_class[0, "safe"]) is not sent
 
 
 def test_a_fetch_does_not_make_a_job_s_own_time_longer() -> None:
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -162,7 +162,8 @@
         able = [w for w in d.workers.values() if w.is_ready and kind in (None, w.kind)]
         far = d.settings.zone
         assert list(pool.by_load(999)) == sorted(able, key=lambda w: (w.load, w.zone != far, w.position))
-        assert pool.size == len(able) and all(pool.levels.values())
+        assert pool.size == len(able)
+        assert all(pool.levels.values())
         for ring, (points, owners) in zip(pool.rings, OldPool(able).rings, strict=True):
             assert [p for marks, _ in ring.arcs for p in marks] == points
             assert [w for _, row in ring.arcs for w in row] == owners
@@ -228,7 +229,8 @@
         subprocess.run([sys.executable, "-c", code], env={"PYTHONHASHSEED": seed}, capture_output=True).stdout
         for seed in ("1", "2")
     }
-    assert len(said) == 1 and len(said.pop()) == 65
+    assert len(said) == 1
+    assert len(said.pop()) == 65
 
 
 def fleet_of(*names: str) -> Bench:
@@ -244,15 +246,20 @@
     assert list(b.d.worker_index.suspects) == [old]
     other, _ = b.ask("unsafe", key=1), b.patch(*(entry(n, WorkerStatus.REMOVED) for n in "ab"))
     kept = [w for w in b.d.workers.values()]
-    assert len(kept) == 1 and kept[0].load == 1 and not b.d.worker_index.pools[None].size
+    assert len(kept) == 1
+    assert kept[0].load == 1
+    assert not b.d.worker_index.pools[None].size
     b.end(other[0], Ending.ERROR)
     assert list(b.d.workers) == [kept[0].address]
     b.patch(entry("c"))
-    assert list(b.d.workers) == ["c"] and not b.d.worker_index.suspects and not b.d.worker_index.departed
+    assert list(b.d.workers) == ["c"]
+    assert not b.d.worker_index.suspects
+    assert not b.d.worker_index.departed
     b.d.worker_index.add_load(kept[0], 1.0)  # news of a job that was taken for lost
     b.d.worker_index.add_load(kept[0], -1.0)
     b.patch(entry(kept[0].address))
-    assert b.d.workers[kept[0].address] is not kept[0] and kept[0].pools == ()
+    assert b.d.workers[kept[0].address] is not kept[0]
+    assert kept[0].pools == ()
 
 
 def test_an_entry_of_another_weight_touches_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -271,7 +278,8 @@
     for w in (a, b):
         ring.add(w, array("Q", [7, 1 << 63]))
     ring.remove(a, array("Q", [7, 1 << 63]))
-    assert ring.owner(3) is ring.owner(1 << 62) is ring.owner(2**64 - 1) is b and ring.size == 2
+    assert ring.owner(3) is ring.owner(1 << 62) is ring.owner(2**64 - 1) is b
+    assert ring.size == 2
 
 
 @pytest.mark.parametrize("first", [0, 1, 5, 63, 64])
@@ -280,7 +288,8 @@
     pairs = OldPool(list(d.workers.values())).pairs(8, 65)
     assert list(d.worker_index.pools[None].walk_pairs(8, 65, first)) == pairs[first:] + pairs[:first]
     far = list(d.worker_index.pools[None].walk_pairs(8, 75, 65))
-    assert len(far) == 75 and far[10:] == pairs  # the ten by marks first
+    assert len(far) == 75
+    assert far[10:] == pairs
     again = Counter(w.address for pair in far[:10] for w in pair)
     assert max(again.values()) == 1
 
@@ -291,7 +300,8 @@
     for w in list(b.d.workers.values())[:150]:
         w.backoff_until = 1e9
     used = [b.ask()[1] for _ in range(50)]
-    assert sum(map(len, used)) >= 45 and len({s.worker for sent in used for s in sent}) >= 30
+    assert sum(map(len, used)) >= 45
+    assert len({s.worker for sent in used for s in sent}) >= 30
 
 
 def test_jobs_of_the_idle_go_round_and_nodes_walk_otherwise() -> None:
@@ -332,13 +342,15 @@
     assert largest < 4000  # each is remembered for two turns of 1000
     for n in range(2 * MAX_KEYS):
         counts.add(-n)
-    assert len(counts.counts) == MAX_KEYS and counts.count(1 - 2 * MAX_KEYS) == 0
+    assert len(counts.counts) == MAX_KEYS
+    assert counts.count(1 - 2 * MAX_KEYS) == 0
     for _ in range(3):
         counts.decay()
     for n in range(MAX_KEYS):
         counts.add(1 + n % 10)
         counts.add(-3 * MAX_KEYS - n % 3)
-    assert len(counts.counts) <= MAX_KEYS - 8 and counts.count(1) == MAX_KEYS // 10 + 1
+    assert len(counts.counts) <= MAX_KEYS - 8
+    assert counts.count(1) == MAX_KEYS // 10 + 1
     for n in range(MAX_KEYS - 10):
         counts.add(n)
     assert all(counts.count(n) for n in range(MAX_KEYS - 10))
@@ -361,4 +373,5 @@
                 wheel.put(key, key, held[key])
             for key in due:
                 del held[key]
-        assert len(wheel) == len(held) and len(wheel.slots) == len(wheel.slot_heap) <= MAX_SLOTS_AHEAD + 2
+        assert len(wheel) == len(held)
+        assert len(wheel.slots) == len(wheel.slot_heap) <= MAX_SLOTS_AHEAD + 2
--- a/tests/core/test_fleet_counts.py
+++ b/tests/core/test_fleet_counts.py
@@ -5,7 +5,8 @@
 
 FILE = Path(__file__).resolve().parents[2] / "benchmarks" / "fleet_counts.py"
 spec = importlib.util.spec_from_file_location("fleet_counts", FILE)
-assert spec is not None and spec.loader is not None
+assert spec is not None
+assert spec.loader is not None
 counts = importlib.util.module_from_spec(spec)
 spec.loader.exec_module(counts)
 
@@ -25,7 +26,8 @@
 def test_sends_are_counted_where_they_were_sent_and_by_dispatcher() -> None:
     fleet = {name: list(counts.lines_of(text.splitlines())) for name, text in (("n0", ONE), ("n1", TWO))}
     first, second = counts.count(fleet, 2.0)
-    assert first[0] == 0.0 and first[2] == 4 / 3  # two of three at one of two
+    assert first[0] == 0.0
+    assert first[2] == 4 / 3
     assert first[1] == {"send": 3, "returned": 1, "done": 1, "list": 1, "dispatchers told": 1}
     assert (second[0], dict(second[1])) == (2.0, {"refuse": 1})
 
--- a/tests/core/test_guarded.py
+++ b/tests/core/test_guarded.py
@@ -129,7 +129,8 @@
     b.feed(api.ClientDisconnected(name))
     for n in range(len(b.sends(name))):
         b.feed(api.Ended(name, n, E.CANCELLED, True, 0.1))
-    assert b.quiet() and not loads(b)
+    assert b.quiet()
+    assert not loads(b)
 
 
 def test_an_attempt_has_its_time_out_and_a_job_its_whole_one() -> None:
@@ -150,7 +151,9 @@
     name, _ = b.ask()
     b.end(name, E.OVERLOADED)
     b.g.inner.workers["w0"].backoff_until = 0.0
-    assert not loads(b) and 0 < b.g.alarms.next_due_at() - START < 1 and b.ask()[1]
+    assert not loads(b)
+    assert 0 < b.g.alarms.next_due_at() - START < 1
+    assert b.ask()[1]
     b.g.inner.reindex()  # as after a state was restored
     assert not any(len(wheel) for wheel in b.g.inner.state.job_schedule.queued_by_class.values())
 
@@ -229,7 +232,8 @@
     answered = [done(b, b.ask(is_client_retry=True)[0]) for _ in range(4)]
     assert answered == (["send 0"] * 2 + ["reject"] * 2 if counted else ["send 0"] * 4)
     budget = scope(b).budget
-    assert budget is not None and budget.first_sends == (10 if counted else 14)
+    assert budget is not None
+    assert budget.first_sends == (10 if counted else 14)
     assert bench().ask(is_client_retry=True)[1]  # where there is no budget
 
 
@@ -249,7 +253,8 @@
     b = bench(3, **limits)
     (name, [send]), (plain, _) = b.ask(), b.ask(route=None)
     actions = b.run_until(START + 3.5)
-    assert (api.Cancel(name, 0) in actions) is (sends > 0) and api.Cancel(plain, 0) in actions
+    assert (api.Cancel(name, 0) in actions) is (sends > 0)
+    assert api.Cancel(plain, 0) in actions
     if sends:
         b.end(name, E.CANCELLED)
         b.end(name, E.ERROR, 1)
@@ -294,10 +299,13 @@
         b.feed(api.Progress(name, 1, 0.1 * second))
     silent, told = (b.g.inner.workers[s.worker] for s in b.sends(name))
     assert done(b, name) == "send 0, send 0.3, cancel 0"
-    assert (silent.load, told.load) == (0, 1) and silent.failure_share and not told.failure_share
+    assert (silent.load, told.load) == (0, 1)
+    assert silent.failure_share
+    assert not told.failure_share
     b.end(name, E.ERROR, 1)  # no copy is out that anything is expected of, and the slots stay freed
     b.run_until(START + 9.4)
-    assert told.load == 0 and silent.load == 0
+    assert told.load == 0
+    assert silent.load == 0
 
 
 def test_timers_are_asked_for_as_often_as_alarms_are_set() -> None:
@@ -327,12 +335,14 @@
         b.end(name, E.OK, 0, 0.1 if n % 20 else 0.5)
         assert len(b.sends(name)) == 1
     times = scope(b).latency
-    assert times and times.value_s == pytest.approx(0.1, rel=0.03)
+    assert times
+    assert times.value_s == pytest.approx(0.1, rel=0.03)
     total = times.total
     name, _ = b.ask()
     start = b.now
     b.run_until(start + 0.2)
-    assert len(b.sends(name)) == 2 and b.log[-1][0] < start + 0.2
+    assert len(b.sends(name)) == 2
+    assert b.log[-1][0] < start + 0.2
     b.end(name, E.OK, 1, 0.1)
     b.feed(api.Ended(name, 0, E.CANCELLED, True, 0.2))  # the loser had taken longer than most do
     assert times.total == total + 2
@@ -365,7 +375,8 @@
     # the fifth finds no room; the sixth is worth more than the third, who would come after the fourth
     assert [done(b, name) for name in jobs] == ["send 0", "send 0", "reject", "", "reject", ""]
     b.serve(jobs[0])
-    assert done(b, jobs[5]) == "send 0" and not done(b, jobs[3])
+    assert done(b, jobs[5]) == "send 0"
+    assert not done(b, jobs[3])
     b.feed(api.ClientDisconnected(jobs[1]))
     assert done(b, jobs[3]) == "send 0"
     b.feed(api.Ended(jobs[1], 0, E.CANCELLED, True, 0.0))
@@ -394,7 +405,8 @@
     [gone] = asked(b, ("safe", 9.0))
     b.feed(api.ClientDisconnected(gone))
     b.run_until(START + 4)
-    assert not done(b, gone) and len(b.g.runs) == 2
+    assert not done(b, gone)
+    assert len(b.g.runs) == 2
 
 
 def test_what_waited_is_handed_on_with_the_patience_that_is_left_and_without_its_alarm() -> None:
@@ -405,7 +417,8 @@
     b.start(second)
     b.run_until(START + 6)
     [(at, _)] = b.answers(second)
-    assert 3.5 < at - START < 4.0 and len(b.sends(second)) == 1  # the end of its wait is no hedge
+    assert 3.5 < at - START < 4.0
+    assert len(b.sends(second)) == 1
 
 
 def test_what_found_no_worker_again_has_no_alarm_and_what_was_not_decided_has_no_place(
@@ -414,13 +427,16 @@
     b = bench(1, hedge=HEDGE)
     name, _ = b.ask()
     b.end(name, E.OVERLOADED)
-    assert not b.g.alarms.due_at and not b.answers(name)
+    assert not b.g.alarms.due_at
+    assert not b.answers(name)
     b = queued(concurrency=1)
     monkeypatch.setattr(b.g.inner.state, "classes", {})
     with pytest.raises(KeyError):
         b.g.handle(b.now, api.Request("x", "safe", 5.0, route="all"))
     limiter = scope(b, "all", "dear").limiter
-    assert limiter is not None and not limiter.open_count and not b.g.runs
+    assert limiter is not None
+    assert not limiter.open_count
+    assert not b.g.runs
 
 
 # --- pool and priority --------------------------------------------------------------------------------------
@@ -446,7 +462,9 @@
     zones, kinds = ("cc", ("fast", "slow")) if pool.zones else ("ab", ("odd", "odd"))
     b.patch(*(entry(f"w{n}", zone=zones[n % 2], kind=kinds[n // 2]) for n in range(4)))
     name, sent = b.ask()
-    assert not sent and b.ask(route=None)[1] and b.ask("unsafe")[1]  # the others have all the workers
+    assert not sent
+    assert b.ask(route=None)[1]
+    assert b.ask("unsafe")[1]
     b.patch(entry("w1", zone="a", kind="slow"))
     b.run_until(100.1)
     assert [s.worker for s in b.sends(name)] == ["w1"]
@@ -456,9 +474,8 @@
     assert pool in b.g.inner.worker_index.pools  # a job under way still needs it
     b.serve(name)
     b.renew(Routes())
-    assert pool not in b.g.inner.worker_index.pools and all(
-        len(w.pools) == 1 for w in b.g.inner.workers.values()
-    )
+    assert pool not in b.g.inner.worker_index.pools
+    assert all(len(w.pools) == 1 for w in b.g.inner.workers.values())
 
 
 def test_of_held_jobs_the_highest_priority_goes_first_whatever_it_is_worth() -> None:
@@ -486,7 +503,8 @@
     assert send.timeout_s == 0.5
     for name in (old, new):
         b.end(name, E.ERROR)
-    assert done(b, old) == "send 0, send 0" and b.sends(old)[1].timeout_s == 0
+    assert done(b, old) == "send 0, send 0"
+    assert b.sends(old)[1].timeout_s == 0
     assert done(b, new) == "send 0, reject"
     b.renew(Routes())
     assert b.ask()[1][0].timeout_s == 0
@@ -502,9 +520,11 @@
 
     limit(1, 0)  # two are open and two wait, who were promised that
     b.serve(jobs[0])
-    assert not done(b, jobs[3]) and done(b, asked(b, ("safe", 9.0))[0]) == "reject"
+    assert not done(b, jobs[3])
+    assert done(b, asked(b, ("safe", 9.0))[0]) == "reject"
     limit(2)
-    assert done(b, jobs[3]) == "send 0" and not done(b, jobs[2])
+    assert done(b, jobs[3]) == "send 0"
+    assert not done(b, jobs[2])
     limit(None)  # whoever waits is let in as those before it leave
     assert b.ask("safe", route="all")[1]
     b.serve(jobs[1])
@@ -514,7 +534,9 @@
         b.serve(name)
     limit(5)
     limiter = scope(b, "all").limiter
-    assert limiter is not None and limiter.open_count == 1 and len(b.g.runs) == 1
+    assert limiter is not None
+    assert limiter.open_count == 1
+    assert len(b.g.runs) == 1
 
 
 def test_a_class_whose_part_of_a_route_goes_leaves_its_places_to_the_others() -> None:
@@ -524,13 +546,16 @@
     jobs += asked(b, ("dear", 9.0))
     assert [done(b, name) for name in jobs[2:]] == ["send 0", "", ""]
     b.renew(Routes([Route("all", "safe", concurrency=1, queue=Queue(2))]))
-    assert done(b, jobs[4]) == "send 0" and not done(b, jobs[3])
+    assert done(b, jobs[4]) == "send 0"
+    assert not done(b, jobs[3])
     limiter = scope(b, "all").limiter
-    assert limiter is not None and (limiter.open_count, len(limiter.waiting)) == (1, 1)
+    assert limiter is not None
+    assert (limiter.open_count, len(limiter.waiting)) == (1, 1)
     b.feed(api.Ended(jobs[1], 0, E.CANCELLED, True, 0.1))
     for n in (0, 3, 2, 4):
         b.serve(jobs[n])
-    assert [len(b.sends(name)) for name in jobs] == [1] * 5 and b.quiet()
+    assert [len(b.sends(name)) for name in jobs] == [1] * 5
+    assert b.quiet()
 
 
 def test_counts_go_on_under_new_routes_and_are_shared_where_the_setting_is() -> None:
@@ -548,34 +573,38 @@
 
     b = RouteBench(routes(0.5, 0.5, 0.9), workers(20))
     safe, keyed, unsafe = (scope(b, "all", c) for c in ("safe", "keyed", "unsafe"))
-    assert safe.budget is keyed.budget is not unsafe.budget and safe.hedge_budget is keyed.hedge_budget
-    assert unsafe.hedge_budget is None and b.ask("unsafe", route="all")[1]
+    assert safe.budget is keyed.budget is not unsafe.budget
+    assert safe.hedge_budget is keyed.hedge_budget
+    assert unsafe.hedge_budget is None
+    assert b.ask("unsafe", route="all")[1]
     for _ in range(50):
         b.serve(b.ask(route="all")[0])
     b.renew(routes(0.1, 0.1, 0.1))
     new = scope(b, "all")
-    assert new.budget and new.hedge_budget and new is not safe and new.latency is safe.latency
+    assert new.budget
+    assert new.hedge_budget
+    assert new is not safe
+    assert new.latency is safe.latency
     assert (new.budget.first_sends, new.budget.share) == (50, 0.1)
     assert scope(b, "all", "unsafe").budget is new.budget
     b.renew(routes(0.1, 0.1, 0.1, windows=(20.0, 10.0, 10.0)))
     other = scope(b, "all", "keyed").budget
-    assert scope(b, "all").budget is new.budget and other and (other.first_sends, other.window_s) == (0, 20.0)
+    assert scope(b, "all").budget is new.budget
+    assert other
+    assert (other.first_sends, other.window_s) == (0, 20.0)
     b.renew(routes(0.1, 0.1, 0.1))
     b.renew(routes(0.4, 0.3, 0.2, most=0.3))  # what was one is no more
     safe, keyed = scope(b, "all"), scope(b, "all", "keyed")
-    assert safe.budget is not keyed.budget and safe.hedge_budget is not keyed.hedge_budget
-    assert (
-        safe.hedge_budget
-        and keyed.hedge_budget
-        and (safe.hedge_budget.share, keyed.hedge_budget.share) == (0.3, 0.1)
-    )
+    assert safe.budget is not keyed.budget
+    assert safe.hedge_budget is not keyed.hedge_budget
+    assert safe.hedge_budget
+    assert keyed.hedge_budget
+    assert (safe.hedge_budget.share, keyed.hedge_budget.share) == (0.3, 0.1)
     b.renew(Routes([Route("all", "safe", hedge=Hedge(percentile=99.0))]))
     last = scope(b, "all")
-    assert (
-        last.latency is not new.latency
-        and last.hedge_budget is safe.hedge_budget
-        and safe.hedge_budget.share == 0.05
-    )
+    assert last.latency is not new.latency
+    assert last.hedge_budget is safe.hedge_budget
+    assert safe.hedge_budget.share == 0.05
 
 
 def test_a_job_keeps_its_hedge_or_has_none_as_it_began() -> None:
--- a/tests/core/test_guarded_replay.py
+++ b/tests/core/test_guarded_replay.py
@@ -86,7 +86,8 @@
     for routes in (NONE, IDLE):
         play = RoutePlay(routes)
         play.play(1500)
-        assert play.log == plain.log and len(play.log) > 2000
+        assert play.log == plain.log
+        assert len(play.log) > 2000
 
 
 def day(ring_bytes: int = 50_000_000) -> RoutePlay:
@@ -111,7 +112,9 @@
                 replay.run(data.splitlines(keepends=True))
             continue
         replay.run(data.splitlines(keepends=True))
-        assert (not said) is alike and not (alike and warned) and replay.compared > (200 if lost else 4000)
+        assert (not said) is alike
+        assert not (alike and warned)
+        assert replay.compared > (200 if lost else 4000)
 
 
 def test_a_state_from_right_after_a_reload_leads_to_the_same_decisions() -> None:
@@ -141,6 +144,8 @@
         settings(tenants=TENANTS, may_message_peers=True), FEATURES, said.append, warned.append, OTHER
     )
     replay.run(b"".join(data).splitlines(keepends=True))
-    assert (said, warned) == ([], []) and replay.compared > 1000
+    assert (said, warned) == ([], [])
+    assert replay.compared > 1000
     inner = Dispatcher(g.settings, 9)  # of one whose file has no routes any more
-    assert snapshot.restore(carried, inner, Arrivals(FEATURES, 5)) == [] and inner.jobs
+    assert snapshot.restore(carried, inner, Arrivals(FEATURES, 5)) == []
+    assert inner.jobs
--- a/tests/core/test_limits.py
+++ b/tests/core/test_limits.py
@@ -34,7 +34,8 @@
         if todo < 0.5:
             job = (f"j{serial}", random.choice((1.0, 10.0)), random.choice((5.0, 6.0)), serial)
             if limiter.try_acquire():
-                assert open_ < 3 and not waiting
+                assert open_ < 3
+                assert not waiting
                 open_ += 1
                 continue
             assert open_ == 3 or waiting
@@ -56,7 +57,9 @@
                 open_, taken = open_ + 1, taken + 1
             assert open_ == 3 or not waiting
         limiter.remove("nobody")
-    assert full > 100 and taken > 300 and len(limiter.waiting) == len(limiter.rank_by_id) == len(waiting)
+    assert full > 100
+    assert taken > 300
+    assert len(limiter.waiting) == len(limiter.rank_by_id) == len(waiting)
 
 
 @pytest.mark.parametrize(("share", "floor", "window"), [(0.2, 1.0, 10.0), (0.0, 2.0, 3.0), (1.0, 0.0, 10.0)])
@@ -78,9 +81,11 @@
             denied += 1  # and not before they are used up
             in_window = sum(t > now - window for t in resends)
             allowed = share * sum(t > now - 0.9 * window for t in firsts) + floor * 0.9 * window
-            assert in_window + 1 > allowed - 1e-6 and not budget.may_retry(now)
+            assert in_window + 1 > allowed - 1e-6
+            assert not budget.may_retry(now)
         assert len(budget.slices) <= 10
-    assert denied > 1000 and len(resends) > 100
+    assert denied > 1000
+    assert len(resends) > 100
 
 
 @pytest.mark.parametrize("percentile", [50.0, 95.0, 99.0])
@@ -96,18 +101,21 @@
         near = [last[int(len(last) * min(1, max(0, percentile / 100 + d)))] for d in (-0.015, 0.008)]
         assert times.value_s is not None
         assert near[0] * (1 - RELATIVE_ERROR) <= times.value_s <= near[1] * (1 + RELATIVE_ERROR)
-        assert len(times.buckets) < 378 and times.total <= max(DECAY_SAMPLES, 2 * times.min_samples)
+        assert len(times.buckets) < 378
+        assert times.total <= max(DECAY_SAMPLES, 2 * times.min_samples)
 
 
 def test_bounds_of_times_and_those_that_were_cut_off() -> None:
     times = LatencyPercentile(50.0)
     for took in (0.0, 1e9, -1.0) * 40:
         times.add(took)
-    assert times.value_s == pytest.approx(1e-3, rel=0.05) and max(times.buckets) <= 378
+    assert times.value_s == pytest.approx(1e-3, rel=0.05)
+    assert max(times.buckets) <= 378
     times.add_longer_than(0.5e-3)  # it may have taken any time: nothing is learned
     assert times.total == 120
     times.add_longer_than(0.1)
-    assert times.total == 121 and log(0.1 / 1e-3) > 0
+    assert times.total == 121
+    assert log(0.1 / 1e-3) > 0
     known = times.value_s
     for _ in range(31 - times.new_count):  # it is worked out again after 32
         times.add(50.0)
@@ -151,5 +159,6 @@
             while (due := alarms.pop_due(now)) is not None:
                 assert right.pop(due) <= now
             assert all(at > now for at in right.values())
-        assert alarms.next_due_at() == min(right.values(), default=inf) and alarms.due_at == right
+        assert alarms.next_due_at() == min(right.values(), default=inf)
+        assert alarms.due_at == right
         assert len(alarms.heap) <= 2 * len(right) + 17
--- a/tests/core/test_members.py
+++ b/tests/core/test_members.py
@@ -57,7 +57,8 @@
 def test_both_homes_of_a_key_are_inside_and_what_is_outside_is_not_known() -> None:
     b = Behind()
     inside = {name for name in b.names if name in b.members.aperture}
-    assert b.ready == inside and len(inside) == 50  # a quarter in each zone
+    assert b.ready == inside
+    assert len(inside) == 50
     pool = b.bench.d.worker_index.pools[None]
     for key in range(300):
         assert {w.address for w in pool.pairs(key, 1)[0]} <= inside
@@ -73,8 +74,10 @@
     before, zone = b.ready, b.members.listed[outside].zone
     out = b.take(ListKind.PATCH, entry(outside, state, zone=zone))
     if state is WorkerStatus.DRAINING:
-        assert out.entries == () and b.ready == before  # a drain shifts no slice
-    assert outside not in {e.worker for e in out.entries} and len(b.ready - before) <= 2
+        assert out.entries == ()
+        assert b.ready == before
+    assert outside not in {e.worker for e in out.entries}
+    assert len(b.ready - before) <= 2
     inside = sorted(b.ready)[0]
     zone = b.members.listed[inside].zone
     assert (
@@ -95,7 +98,8 @@
         else:
             b.take(ListKind.PATCH, entry(f"new-{step}", zone="a"))
     left = set(jobs) - b.ready
-    assert left and all(b.bench.d.workers[name].load == 1 for name in left)
+    assert left
+    assert all(b.bench.d.workers[name].load == 1 for name in left)
     for _ in range(100):
         _, sent = b.bench.ask()
         assert not {s.worker for s in sent} & left
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -163,7 +163,8 @@
     case.tell(DISCOVERY, {"w0": other})
     for _ in range(60):
         case.wait(1, ETCD, DISCOVERY)
-        assert case.state("w0") is believed and case.ready() == 9 + (believed is R)
+        assert case.state("w0") is believed
+        assert case.ready() == 9 + (believed is R)
         born = case.pair.told.get("w0", (G, 0.0))[1]
         assert born == max(w.born for w in (lead, other) if w.born != ANY_START) or believed is G
     notice = ANY_START in (lead.born, other.born)
@@ -187,7 +188,8 @@
     case.tell(DISCOVERY, {"w0": Word(D), "w1": Word(D)})
     case.tell(DISCOVERY, {"w1": Word(G)})
     case.wait(200, ETCD)
-    assert (case.state("w0"), case.state("w1")) == (D, D) and FactKind.LOST in case.told()
+    assert (case.state("w0"), case.state("w1")) == (D, D)
+    assert FactKind.LOST in case.told()
     case.tell(ETCD, {"w0": Word(R, BORN), "w1": Word(R, BORN)})
     assert case.ready() == 10
 
@@ -239,7 +241,8 @@
     for _ in range(3):
         case.tell(ETCD, {"w0": Word(G)}, step=-1)
     case.tell(ETCD, {"w0": Word(G)}, step=9, epoch="another")
-    assert case.ready() == 10 and case.told() == [FactKind.STALE]
+    assert case.ready() == 10
+    assert case.told() == [FactKind.STALE]
 
 
 @pytest.mark.parametrize(("epoch", "step", "at_once"), [("", -5, False), ("restored", -5, True)])
@@ -263,7 +266,8 @@
     for words in (None, {"w1": Word(R)}):
         assert case.ready() == 8
         case.wait(3, DISCOVERY)
-        assert case.ready() == 10 and case.lead() == DISCOVERY
+        assert case.ready() == 10
+        assert case.lead() == DISCOVERY
         case.tell(ETCD, words, in_step=False)
     assert (case.state("w0"), case.state("w1")) == (D, R)
 
@@ -276,7 +280,8 @@
     case.tell(ETCD, {"w1": Word(D)})
     case.tell(ETCD, {"w0": Word(D)})
     assert (case.state("w0"), case.state("w1"), case.lead()) == (D, D, ETCD)
-    assert case.pair.m.by_name[ETCD].is_live and FactKind.ANEW not in case.told()
+    assert case.pair.m.by_name[ETCD].is_live
+    assert FactKind.ANEW not in case.told()
 
 
 def test_a_mass_of_leases_that_end_is_not_believed() -> None:
@@ -284,7 +289,8 @@
     for n in range(20):  # one by one, within the window
         case.tell(ETCD, {f"w{n}": Word(G)})
         assert case.ready() >= 10
-    assert case.ready() == 20 and FactKind.HOLDING in case.told()
+    assert case.ready() == 20
+    assert FactKind.HOLDING in case.told()
     case.tell(ETCD, {"w0": Word(D)})  # one that comes back to drain
     case.tell(DISCOVERY, {"w1": Word(D)})
     case.tell(DISCOVERY, {"w2": Word(G)})  # the second sign
@@ -297,7 +303,9 @@
         case.tell(ETCD, {f"w{n}": Word(R)})
         assert case.ready() == 18
     case.wait(1, ETCD, DISCOVERY)
-    assert case.state("w19") is G and case.ready() == 17 and not case.pair.m.mass_removal_guard.is_protecting
+    assert case.state("w19") is G
+    assert case.ready() == 17
+    assert not case.pair.m.mass_removal_guard.is_protecting
 
 
 @pytest.mark.parametrize(
@@ -322,9 +330,12 @@
     case = Case()
     case.tell(ETCD, {n: Word(D) for n in case.all})
     case.tell(ETCD, {f"x{n}": Word(R) for n in range(10)}, whole=True)
-    assert case.ready() == 10 and case.state("w0") is G
+    assert case.ready() == 10
+    assert case.state("w0") is G
     case.tell(ETCD, {f"y{n}": Word(R) for n in range(10)}, whole=True)
-    assert case.ready() == 10 and case.state("x0") is G and FactKind.HOLDING not in case.told()
+    assert case.ready() == 10
+    assert case.state("x0") is G
+    assert FactKind.HOLDING not in case.told()
 
 
 def test_an_empty_list_is_never_believed_but_part_of_a_fleet_is_after_a_while() -> None:
@@ -345,7 +356,8 @@
     for _ in range(3):
         case.tell(ETCD, {"w0": Word(G)})
         case.tell(ETCD, {"w0": Word(R)})
-    assert case.state("w0") is D and case.told()[-1] is FactKind.FLAPS
+    assert case.state("w0") is D
+    assert case.told()[-1] is FactKind.FLAPS
     case.wait(1, ETCD, DISCOVERY)
     case.tell(ETCD, {"w0": Word(D)})
     case.tell(ETCD, {"w0": Word(R)})
@@ -380,7 +392,8 @@
 def test_without_any_source_the_list_stays_and_its_age_is_told() -> None:
     case = Case(count=4, max_age_s=60.0, back_s=600.0)
     case.wait(70)
-    assert case.ready() == 4 and case.told().count(FactKind.OLD) == 1
+    assert case.ready() == 4
+    assert case.told().count(FactKind.OLD) == 1
     case.tell(ETCD, {"w0": Word(R), "w1": Word(R)}, whole=True, step=-5)  # doubted no more
     case.wait(0.5)
     assert case.ready() == 2
@@ -399,7 +412,8 @@
     for _ in range(2):
         names += [e.worker for e in m.due(1.0).workers.entries]
     names += [e.worker for e in m.report(1.0, decisions.Report(DISCOVERY, 2, gone, {})).workers.entries]
-    assert names == ["w7", "w8", "w0", "w1", "w2", "w3", "w4", "w5", "w5", "w6"] and m.next_due > 1.0
+    assert names == ["w7", "w8", "w0", "w1", "w2", "w3", "w4", "w5", "w5", "w6"]
+    assert m.next_due > 1.0
 
 
 @pytest.mark.parametrize("one_before", [False, True])
@@ -428,9 +442,12 @@
     tell(DISCOVERY, 2, api.ListKind.PATCH, {"w1": D, "w2": G, "w3": G})
     tell(ETCD, 2, api.ListKind.PATCH, {"w0": G} if one_before else {})
     tell(ETCD, 3, api.ListKind.FULL, {}, 2.5)  # the process is slow: the slices take over a second
-    assert {n for n, s in told.items() if s is G} == {"w1", "w2", "w3"} and told["w0"] is R
-    assert [seen.get(f"w{n}", 0) for n in range(4)] == [one_before, 1, 1, 1] and sum(seen.values()) < 5
-    assert len(m.mass_removal_guard.held) == 17 and m.counts[decisions.Belief.HELD] == 17
+    assert {n for n, s in told.items() if s is G} == {"w1", "w2", "w3"}
+    assert told["w0"] is R
+    assert [seen.get(f"w{n}", 0) for n in range(4)] == [one_before, 1, 1, 1]
+    assert sum(seen.values()) < 5
+    assert len(m.mass_removal_guard.held) == 17
+    assert m.counts[decisions.Belief.HELD] == 17
 
 
 @pytest.mark.parametrize(("most", "left_out"), [(3, 2), (5, 0)])
--- a/tests/core/test_overload.py
+++ b/tests/core/test_overload.py
@@ -110,7 +110,8 @@
 def test_a_job_whose_patience_ends_before_it_is_looked_at_is_turned_away() -> None:
     o, now = shedding()
     now = ticks(o, now, 40, 0.07, 1.0)  # nothing more comes, and the queue stays so long
-    assert o.state is State.SHED and o.judge(now, "confirm", 0.08) is None
+    assert o.state is State.SHED
+    assert o.judge(now, "confirm", 0.08) is None
     assert o.judge(now, "confirm", 0.06) is not None
 
 
@@ -121,7 +122,8 @@
     assert o.take(now + 0.05).item == 0
     assert [o.take(now + 0.085).item, o.take(now + 0.085).item] == [4, 2]
     o.put(now + 0.1, "view", 5.0, 1)
-    assert o.take(now + 0.26).item is None and o.worst() == 1
+    assert o.take(now + 0.26).item is None
+    assert o.worst() == 1
 
 
 def test_reads_the_best_first_and_the_late_only_with_time_to_spare() -> None:
@@ -131,7 +133,8 @@
         o.put(now, job_class, left_s, item)
     now += 0.02
     assert [o.take(now).item for _ in range(5)] == [1, 3, 0, 2, None]
-    assert o.take(now) == (None, False, TICK_S) and o.gated  # to be asked again: two wait
+    assert o.take(now) == (None, False, TICK_S)
+    assert o.gated
     now = ticks(o, now, 16, 0.0, 0.5)
     assert [o.take(now).item for _ in range(3)] == [4, 5, None]
 
@@ -171,10 +174,12 @@
         o.put(now, "view", 5.0, item)
     o.drop(7)
     o.drop(7)  # again: no harm
-    assert o.gated and o.unread.size == ITEMS - 1
+    assert o.gated
+    assert o.unread.size == ITEMS - 1
     o.state = State.CALM
     assert {o.take(now).item for _ in range(ITEMS - 1)} == set(range(ITEMS)) - {7}
-    assert not o.gated and o.take(now).item is None
+    assert not o.gated
+    assert o.take(now).item is None
 
 
 def test_the_worst_is_the_oldest_of_the_worst_class_the_late_first() -> None:
@@ -210,7 +215,8 @@
 def test_the_refused_do_not_come_back_together(seed: int, rounds: int, at: float) -> None:
     o: Overload[int] = Overload(CLASSES, OverloadSettings(), seed)
     waits = [o.refuse(0.0) for _ in range(rounds * STRATA)]
-    assert min(waits) >= 0.5 and max(waits) <= 2.0
+    assert min(waits) >= 0.5
+    assert max(waits) <= 2.0
     assert sum(at <= w < at + 0.1 for w in waits) <= 0.094 * len(waits)
 
 
@@ -254,7 +260,8 @@
 
 def test_without_control_the_same_load_takes_nearly_all_worth() -> None:
     tally = play("nothing", Load(ramp(4, 6.0)), 7, SLOW)
-    assert tally.mean(tally.worth, 8, 11) * SLOW.job_s < 1 and tally.normal_at(11, 21) > 2
+    assert tally.mean(tally.worth, 8, 11) * SLOW.job_s < 1
+    assert tally.normal_at(11, 21) > 2
 
 
 @pytest.mark.parametrize("clients", [256, 512, 1024])
@@ -268,9 +275,14 @@
 def test_lag_tells_a_stopped_process_from_a_busy_one() -> None:
     meter = LagMeter(0.0, 0.0, 0.0, 0.025)
     calm = meter.sample(0.025, 0.01, 0.015)
-    assert (calm.lag_s, calm.stopped) == (0, False) and calm.busy == pytest.approx(0.4)
+    assert (calm.lag_s, calm.stopped) == (0, False)
+    assert calm.busy == pytest.approx(0.4)
     busy, stopped = meter.sample(0.55, 0.535, 0.015), meter.sample(2.575, 0.54, 0.015)
-    assert busy.lag_s == pytest.approx(0.5) and busy.busy == 1 and not busy.stopped
-    assert stopped.lag_s == pytest.approx(2.0) and stopped.stopped
+    assert busy.lag_s == pytest.approx(0.5)
+    assert busy.busy == 1
+    assert not busy.stopped
+    assert stopped.lag_s == pytest.approx(2.0)
+    assert stopped.stopped
     taken = meter.sample(2.6, 0.545, 0.015)  # it had a fifth of the CPU, and never waited
-    assert taken.busy == 1 and not taken.stopped
+    assert taken.busy == 1
+    assert not taken.stopped
--- a/tests/core/test_recalls.py
+++ b/tests/core/test_recalls.py
@@ -41,7 +41,8 @@
 
 def test_a_watch_that_all_lose_at_once_is_asked_for_spread_over_all_the_time_there_is() -> None:
     per_tenth = Counter(int(at * 10) for at in calls(40, 30.0, one_wait=True))
-    assert set(per_tenth) == set(range(10)) and max(per_tenth.values()) <= 9
+    assert set(per_tenth) == set(range(10))
+    assert max(per_tenth.values()) <= 9
     assert SHARED.reopen_within_s == pytest.approx(1.0)
 
 
@@ -69,7 +70,8 @@
 def test_waits_grow_with_the_dispatchers_up_to_a_bound(dispatchers: int, most: float) -> None:
     own = recalls(dispatchers)
     waits = [own.next_wait_s(opened=False, news=False) for _ in range(200)]
-    assert max(waits) <= most and min(waits[20:]) >= most / 2
+    assert max(waits) <= most
+    assert min(waits[20:]) >= most / 2
 
 
 def test_news_ends_a_long_wait() -> None:
--- a/tests/core/test_routes_model.py
+++ b/tests/core/test_routes_model.py
@@ -70,7 +70,8 @@
         self.run_until(soon if over else self.until)
         for n in self.out():
             self.told(n, Ending.CANCELLED)
-        assert self.quiet() and (self.answered or self.left)
+        assert self.quiet()
+        assert self.answered or self.left
 
     def out(self) -> list[int]:
         return [n for n in range(len(self.sent)) if n not in self.ended]
@@ -106,7 +107,8 @@
                 self.judge(a)
                 self.sent.append(Sent(a.worker, self.now))
             elif isinstance(a, api.Reject | api.Fail):
-                assert not (self.answered or self.left)
+                assert not (self.answered)
+                assert not (self.left)
                 self.answered = True
                 ran = [n for n in range(len(self.sent)) if self.may_have_run(n)]
                 assert isinstance(a, api.Fail) or not ran or self.cls.effect is Effect.SAFE
@@ -117,7 +119,9 @@
 
     def judge(self, a: api.Send) -> None:
         """The four rules' part, then the route's."""
-        assert not (self.answered or self.left) and a.worker not in [s.worker for s in self.sent]
+        assert not (self.answered)
+        assert not (self.left)
+        assert a.worker not in [s.worker for s in self.sent]
         assert len(self.sent) < min(self.d.settings.max_attempts, self.route.attempts or 99)
         assert a.timeout_s == (self.route.attempt_timeout_s or 0.0)
         known = self.g.inner.workers
@@ -125,19 +129,18 @@
             if self.may_have_run(n):
                 assert self.cls.effect is not Effect.UNSAFE
                 if self.cls.effect is Effect.KEYED:
-                    assert (
-                        self.now < s.at + self.cls.deduplication_window_s
-                        and self.cls.deduplication_scope is DeduplicationScope.ZONE
-                    )
+                    assert self.now < s.at + self.cls.deduplication_window_s
+                    assert self.cls.deduplication_scope is DeduplicationScope.ZONE
                     assert known[s.worker].zone == known[a.worker].zone
             if n in self.ended:
                 assert self.ended[n] in self.route.resend_on
                 self.resends += 1
             else:
-                assert (
-                    self.d.settings.may_hedge and self.d.settings.may_cancel and self.route.hedge is not None
-                )
-                assert len(self.out()) == 1 and self.now >= s.at + (self.route.hedge.after_s or 0) - 1e-3
+                assert self.d.settings.may_hedge
+                assert self.d.settings.may_cancel
+                assert self.route.hedge is not None
+                assert len(self.out()) == 1
+                assert self.now >= s.at + (self.route.hedge.after_s or 0) - 1e-3
                 self.copies += 1
 
 
@@ -166,7 +169,8 @@
     route = Route(cls.name, cls.name, **limits)
     world = World(route, **changes)
     world.walk()
-    assert world.paths > 10 and bool(world.resends) is (route.retry_budget in (None, SURE))
+    assert world.paths > 10
+    assert bool(world.resends) is (route.retry_budget in (None, SURE))
     copies = route.hedge is HEDGE and cls is not UNSAFE and not changes and route.retry_budget in (None, SURE)
     assert bool(world.copies) is copies
 
--- a/tests/core/test_sizes.py
+++ b/tests/core/test_sizes.py
@@ -71,7 +71,8 @@
     b.patch(entry("w3", weight=1e12))
     b.patch(*(entry(w, weight=4.0) for w in workers(8) if w != "w3"))
     finish = {w: b.d.workers[w].expected_finish for w in workers(8)}
-    assert len(set(finish.values())) == 1 and b.d.workers["w3"].weight == 0.0
+    assert len(set(finish.values())) == 1
+    assert b.d.workers["w3"].weight == 0.0
 
 
 @pytest.mark.parametrize("live", [True, False])
@@ -171,7 +172,9 @@
         found = ask(counts(index, index), random.Random(index), 120, 0.3)
         got.update(first for homes, first in found if homes == 30)
     mean = sum(got.values()) / 30
-    assert len(got) == 30 and max(got.values()) < 1.5 * mean and min(got.values()) > 0.5 * mean
+    assert len(got) == 30
+    assert max(got.values()) < 1.5 * mean
+    assert min(got.values()) > 0.5 * mean
 
 
 def test_a_key_that_would_need_all_is_not_left_to_its_first_pair() -> None:
@@ -194,14 +197,16 @@
         found = ask(counts(seed, index), random.Random(seed), 150, 0.3)
         got.update(first for homes, first in found if homes == 30)
     mean = sum(got.values()) / 30
-    assert len(got) == 30 and max(got.values()) < 2.0 * mean
+    assert len(got) == 30
+    assert max(got.values()) < 2.0 * mean
 
 
 def test_when_another_key_becomes_the_hot_one_the_first_is_let_go() -> None:
     c, rng = counts(1), random.Random(2)
     ask(c, rng, 600, 0.1, hot=1)
     ask(c, rng, 2500, 0.1, hot=2)
-    assert c.next_pair(1, 60) == (1, 0) and c.next_pair(2, 60)[0] > 20
+    assert c.next_pair(1, 60) == (1, 0)
+    assert c.next_pair(2, 60)[0] > 20
 
 
 # --- what of the ring is whose
@@ -234,8 +239,6 @@
     before = Bench(workers(8), dispatchers=MANY, zone="a").d
     few = Bench([], dispatchers=3, zone="b").d
     snapshot.restore(snapshot.take(before, Arrivals(Options(), 1)), few, Arrivals(Options(), 1))
-    assert (
-        not few.worker_load.draws_ties
-        and not few.state.key_frequency.is_large_fleet
-        and few.worker_load.learned_capacity.settings.zone == "b"
-    )
+    assert not few.worker_load.draws_ties
+    assert not few.state.key_frequency.is_large_fleet
+    assert few.worker_load.learned_capacity.settings.zone == "b"
--- a/tests/core/test_zones.py
+++ b/tests/core/test_zones.py
@@ -87,9 +87,11 @@
     """Eight real servers of four slots serve 64 jobs of half a second each second."""
     z = Zones(8, 8)
     calm = z.play(20, 30)
-    assert set(calm) == {"a"} and z.states() == []
+    assert set(calm) == {"a"}
+    assert z.states() == []
     full = z.play(30, 90)
-    assert z.states()[:1] == ["spilling"] and 0.15 < full["b"] / (full["a"] + full["b"]) < 0.6
+    assert z.states()[:1] == ["spilling"]
+    assert 0.15 < full["b"] / (full["a"] + full["b"]) < 0.6
     assert full["refused"] == 0
     z.play(20, 30)
     after = z.play(10, 30)
@@ -128,7 +130,8 @@
     z = Zones(size, 2)
     part = z.d.worker_index.pool(None).by_zone["a"]
     seen, load = z.d._measure_zone(part, None, "a")
-    assert [seen.slots, seen.free, seen.open_slots] == pytest.approx([2 * size] * 3) and load == 0
+    assert [seen.slots, seen.free, seen.open_slots] == pytest.approx([2 * size] * 3)
+    assert load == 0
     for w in z.d.workers.values():
         w.backoff_until = 1e9
     assert z.d._measure_zone(part, None, "a")[0].open_share == 0
@@ -153,7 +156,8 @@
         for w in z.d.workers.values():
             w.backoff_until = 0.0
         z.run_until(z.now + 0.05)
-    assert z.states() == ["spilling"] and z.d.spillovers[None].target == "b"
+    assert z.states() == ["spilling"]
+    assert z.d.spillovers[None].target == "b"
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -198,7 +202,8 @@
     data = b"".join(capture.dump(z.now))
     assert b'"lost":0' not in data.partition(b"\n")[0]
     said, warned, replay = replayed(data, Options(spill=SpillOptions()), **(TWO | NO_TENANTS))
-    assert (said, warned) == ([], []) and replay.compared > 100
+    assert (said, warned) == ([], [])
+    assert replay.compared > 100
     assert replayed(data, Options(), **(TWO | NO_TENANTS))[0]
 
 
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -183,9 +183,11 @@
     play.play(5800)  # so long that a job of each class is open where the ring begins
     data = play.dumped()
     opening = json.loads(data.partition(b"\n")[0])
-    assert (opening["seed"], opening["lost"] > 0) == (SEED, lost) and len(data) <= ring
+    assert (opening["seed"], opening["lost"] > 0) == (SEED, lost)
+    assert len(data) <= ring
     said, warned, replay = replayed(data)
-    assert (said, warned) == ([], []) and replay.compared > (100 if lost else 10_000)
+    assert (said, warned) == ([], [])
+    assert replay.compared > (100 if lost else 10_000)
     assert opening["lost"] + replay.inputs == play.capture.inputs
     assert replayed(data, max_attempts=1)[0]
     if lost:  # the state holds jobs of that class
@@ -202,13 +204,11 @@
     play.play(4000)
     state = snapshot.take(play.d, play.arrivals)
     text = msgspec.json.encode(state)
-    assert (
-        play.d.jobs
-        and play.d.state.health.ejected
-        and play.d.state.key_frequency
-        and state["door"]
-        and state["drills"]
-    )
+    assert play.d.jobs
+    assert play.d.state.health.ejected
+    assert play.d.state.key_frequency
+    assert state["door"]
+    assert state["drills"]
     other, arrivals = Dispatcher(play.d.settings, 5), Arrivals(FEATURES, 5)
     assert snapshot.restore(msgspec.json.decode(text), other, arrivals) == []
     assert msgspec.json.encode(snapshot.take(other, arrivals)) == text
@@ -229,7 +229,8 @@
     """One that is new must be put into one of the two tables."""
     stored = set(snapshot.DISPATCHER_FIELDS.values())
     assert attributes(Dispatcher(settings(), 1)).keys() == stored | DERIVED
-    assert not stored & DERIVED and len(stored) == len(snapshot.DISPATCHER_FIELDS)
+    assert not stored & DERIVED
+    assert len(stored) == len(snapshot.DISPATCHER_FIELDS)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -305,9 +306,11 @@
         most = max(most, len(play.capture.beginning.since) if play.capture.beginning else 0)
     disk.close()
     disk.join()
-    assert most > 5 and play.capture.ring.lost
+    assert most > 5
+    assert play.capture.ring.lost
     data = play.dumped()
-    assert json.loads(data.partition(b"\n")[0])["lost"] and replayed(data)[:2] == ([], [])
+    assert json.loads(data.partition(b"\n")[0])["lost"]
+    assert replayed(data)[:2] == ([], [])
     files = sorted(tmp_path.glob("*.jsonl"))
     assert len(files) > 5
     for file in files:
@@ -322,12 +325,15 @@
         play.arrivals.judge(play.now, f"10.1.{n // 250}.{n % 250}", f"a{n}", "safe", 1.0)
     play.play(1500)
     said, warned, replay = replayed(play.dumped(), Options(door=DoorOptions(max_keys=2000)))
-    assert said == [] and "door's table was too large" in warned[0] and replay.compared > 100
+    assert said == []
+    assert "door's table was too large" in warned[0]
+    assert replay.compared > 100
     small = Play(ring_bytes=2000)  # too small for a state
     small.play(500)
     assert len(small.dumped()) <= 2000
     said, warned, replay = replayed(small.dumped())
-    assert (said, replay.compared) == ([], 0) and "none of its decisions can be compared" in warned[-1]
+    assert (said, replay.compared) == ([], 0)
+    assert "none of its decisions can be compared" in warned[-1]
 
 
 def test_the_ring_counts_its_bytes_and_drops_the_oldest() -> None:
@@ -338,13 +344,16 @@
             ring.state(ring.begin(), b"state %05d\n" % n)
         lost, lines = ring.content()
         size = sum(map(len, lines))
-        assert size <= 800 and ring.size >= size and lost + sum(len(x) == 6 for x in lines) == n + 1
+        assert size <= 800
+        assert ring.size >= size
+        assert lost + sum(len(x) == 6 for x in lines) == n + 1
         assert n < 130 or size >= 800 * (SEGMENTS_PER_RING - 2) // SEGMENTS_PER_RING
         assert not lost or lines[0] == b"state %05d\n" % (lost - 1)
     ring.gap()  # what was missed leads nowhere
     assert ring.content() == (1001, [])
     ring.add(b"x" * 900)
-    assert ring.size == 0 and ring.wants_state()
+    assert ring.size == 0
+    assert ring.wants_state()
 
 
 def test_what_can_be_recorded_comes_back_as_it_was_given() -> None:
@@ -396,7 +405,8 @@
             replayed(data)
     else:
         said, warned, _ = replayed(data)
-        assert said == [] and (len(warned) == 1 or data.endswith(b"}"))
+        assert said == []
+        assert len(warned) == 1 or data.endswith(b"}")
 
 
 def test_files_of_bounded_size_each_replay_alone_and_the_newest_stay(tmp_path: Path) -> None:
@@ -413,7 +423,8 @@
         disk.close()
         disk.join()
         own = [f for f in files() if f != foreign]
-        assert len(own) == 3 and all(f"-{start:013}-" in f.name for f in own)
+        assert len(own) == 3
+        assert all(f"-{start:013}-" in f.name for f in own)
         compared = 0
         for file in own:
             assert file.stat().st_size <= 60_000
@@ -447,7 +458,8 @@
     play.play(2000)
     assert disk.opened > 1  # a gap can't be replayed over, so a new file begins with the state
     said, warned, replay = replayed(b"".join(disk.blocks))
-    assert (said, warned) == ([], []) and replay.compared > 100
+    assert (said, warned) == ([], [])
+    assert replay.compared > 100
     assert replayed(play.dumped())[:2] == ([], [])  # the ring missed nothing
     # nothing reads what waits for a disk that hangs: it is bounded, and no call waits
     hanging = CaptureFiles(str(tmp_path), "n", 1, 3, 1000)
@@ -459,7 +471,8 @@
     assert failing.open(b"x")
     failing.close()
     failing.join()
-    assert failing.failed and not failing.write(b"x")
+    assert failing.failed
+    assert not failing.write(b"x")
 
 
 def test_what_cant_be_recorded_is_a_gap_and_harms_nobody() -> None:
@@ -501,7 +514,9 @@
             await n.list(servers[0].entry("draining"))
             await n.ask("b1")
             code, data, err = await command(n, "capture", "dump")
-            assert (code, err) == (0, "") and b"carer" not in data and b" ran " not in data
+            assert (code, err) == (0, "")
+            assert b"carer" not in data
+            assert b" ran " not in data
             records = [json.loads(line) for line in data.splitlines()]
             assert (records[0]["in"], records[0]["seed"]) == ("capture", "5")
             done = {"in": "event", "id": "a0", "state": "done"}
@@ -510,15 +525,20 @@
             (tmp_path / "dump").write_bytes(data)
             operator = ("--config", str(tmp_path / "operator.ini"))
             code, out, err = await command(n, "replay", str(tmp_path / "dump"), *operator)
-            assert (code, out) == (0, b"") and err.endswith(" 0 differ\n")
+            assert (code, out) == (0, b"")
+            assert err.endswith(" 0 differ\n")
             changed = tmp_path / "changed.json"
             one = SETTINGS | {"caps": SETTINGS["caps"] | {"tryLimit": 1}}
             changed.write_text(json.dumps({"settings": one}))
             code, out, err = await command(n, "replay", str(tmp_path / "dump"), *operator, config=changed)
-            assert code == 1 and b": - {" in out and b": + {" in out
+            assert code == 1
+            assert b": - {" in out
+            assert b": + {" in out
             (tmp_path / "broken").write_bytes(data[:3000] + b"\n" + data[3000:])
             code, out, err = await command(n, "replay", str(tmp_path / "broken"), *operator)
-            assert code == 2 and "line " in err and err.count("\n") == 1
+            assert code == 2
+            assert "line " in err
+            assert err.count("\n") == 1
             assert (await exchange(n.port, b"POST /_capture HTTP/1.1\r\n\r\n")).status == 405
             n.process.terminate()
             assert await n.process.wait() == 0
@@ -536,12 +556,18 @@
     controls = ControlCalls(Clock(), set(), FEATURES, None, play.arrivals, play.capture)
     head = Head(1, Headers([]), "GET", "/_capture")
     first, second = controls.answer(head, b""), controls.answer(head, b"")
-    assert first and first.dump and second and (second.status, second.dump) == (503, None)
+    assert first
+    assert first.dump
+    assert second
+    assert (second.status, second.dump) == (503, None)
     sent = list(first.dump.pieces())
-    assert len(sent) > 1 and max(map(len, sent)) <= 65536 and sum(map(len, sent)) == first.dump.size
+    assert len(sent) > 1
+    assert max(map(len, sent)) <= 65536
+    assert sum(map(len, sent)) == first.dump.size
     first.dump.over()
     again = controls.answer(head, b"")
-    assert again and again.dump
+    assert again
+    assert again.dump
 
 
 def test_a_reader_that_leaves_halfway_holds_nothing(tmp_path: Path) -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -205,7 +205,8 @@
     name, sent = b.ask("safe")
     assert sent[0].worker == suspect
     b.serve(name)
-    assert not w.ejected_until and w.failure_share > 0.3  # back, but one good job is no proof
+    assert not w.ejected_until
+    assert w.failure_share > 0.3
     assert all(s.worker != suspect for s in b.ask("unsafe")[1])
 
 
@@ -213,7 +214,8 @@
     b = Bench(["w1", "w2"])
     (name, sent), (other, _) = b.ask("safe"), b.ask("unsafe")
     b.start(other)  # the other worker tells of itself, this one does not
-    assert api.Cancel(name, 0) in b.run_until(103.5) and api.Cancel(other, 0) not in [a for _, a in b.log]
+    assert api.Cancel(name, 0) in b.run_until(103.5)
+    assert api.Cancel(other, 0) not in [a for _, a in b.log]
     b.end(name, api.Ending.CANCELLED)
     assert [s.worker for s in b.sends(name)] == [sent[0].worker, "w2" if sent[0].worker == "w1" else "w1"]
     assert b.d.workers[sent[0].worker].failure_share > 0
@@ -233,7 +235,8 @@
     b.run_until(102.9)
     assert b.d.workers["w1"].load == 1  # unstarted for less than three aims: the worker may be full
     b.run_until(103.4)
-    assert b.d.workers["w1"].load == 0 and b.ask("safe")[1]
+    assert b.d.workers["w1"].load == 0
+    assert b.ask("safe")[1]
     b.start(lost)  # not lost after all
     assert b.d.workers["w1"].load == 2
     b.end(lost, api.Ending.OK)
@@ -266,7 +269,8 @@
     b.feed(api.LoopStall(0.9))
     t = b.d.workers["w1"].load_threshold
     b.start(name)
-    assert b.d.workers["w1"].load_threshold >= t and not b.d.workers["w1"].backoff_count
+    assert b.d.workers["w1"].load_threshold >= t
+    assert not b.d.workers["w1"].backoff_count
     b, name = unseen_bench()  # the same second, and the loop was there to look
     b.start(name)
     assert b.d.workers["w1"].backoff_count == 1
@@ -277,7 +281,8 @@
     b.now += 9.0
     b.feed(api.LoopStall(9.9))
     b.feed(api.Timer(0))
-    assert b.d.placement.is_under_threshold(b.d.workers["w1"]) and not b.d.workers["w1"].failure_share
+    assert b.d.placement.is_under_threshold(b.d.workers["w1"])
+    assert not b.d.workers["w1"].failure_share
     b.now += 5.0  # and now it was looked for
     b.feed(api.Timer(0))
     assert b.d.workers["w1"].failure_share
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -37,7 +37,8 @@
     b.start(name)
     b.run_until(105.0)
     [(at, answer)] = b.answers(name)
-    assert sent and isinstance(answer, api.Fail)
+    assert sent
+    assert isinstance(answer, api.Fail)
     assert at < 102.0
 
 
@@ -94,7 +95,8 @@
     b.feed(api.ClientDisconnected(name))
     b.patch(entry("late"))
     b.run_until(130.0)
-    assert not b.answers(name) and not b.sends(name)
+    assert not b.answers(name)
+    assert not b.sends(name)
 
 
 # --- no double effects ------------------------------------------------------------------------------------
--- a/tests/test_stored_state.py
+++ b/tests/test_stored_state.py
@@ -150,7 +150,8 @@
     differences, warnings = list[str](), list[str]()
     replay = Replay(SETTINGS, OPTIONS, differences.append, warnings.append, ROUTES)
     replay.run(CAPTURE.read_bytes().splitlines(keepends=True))
-    assert (differences, warnings) == ([], []) and replay.compared > 200
+    assert (differences, warnings) == ([], [])
+    assert replay.compared > 200
 
 
 def test_a_restored_state_is_stored_again_under_the_same_names_and_in_the_same_order() -> None:
@@ -158,7 +159,8 @@
     again = snapshot.take(*restored())
     assert [list(again), list(again["fields"])] == [list(state), list(state["fields"])]
     assert canonical(again)[:2] == canonical(state)[:2]
-    assert list(again["routes"]) == list(state["routes"]) and again["tenants"] == state["tenants"]
+    assert list(again["routes"]) == list(state["routes"])
+    assert again["tenants"] == state["tenants"]
     # a run that is over stays at the scope that was stored, beside the one that the configuration makes anew
     assert kinds(again) | {SCOPE: 0} == kinds(state) | {SCOPE: 0}
 
