--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -143,12 +143,23 @@
         return
     if flaw(packet) is not None or packet.sender not in ("n2", "n3"):
         assert p.hear(1.0, packet) == []
+        # a packet in one's own name from another process is counted, and changes nothing else
+        assert p.conflicts == (packet.sender == "n1" and packet.boot != p.boot)
+        p.conflicts = 0
         assert state(p) == before
     else:
         p.hear(1.0, packet)
         p.turn(2.0)
 
 
+def test_a_packet_in_ones_own_name_is_counted_as_a_conflict_and_changes_nothing_else() -> None:
+    p, before = made(), state(made())
+    assert p.hear(1.0, GOOD._replace(sender="n1", boot=p.boot + 1)) == []
+    assert p.conflicts == 1
+    p.conflicts = 0
+    assert state(p) == before
+
+
 WANT_OF_ALL = Want("b", 1.0, 0.0, 1.0)
 
 
