--- a/finchladder/cluster/placement/load_durations.py
+++ b/finchladder/cluster/placement/load_durations.py
@@ -5,7 +5,7 @@
 SMOOTHING_FACTOR = 0.3  # weight of a new observation
 INITIAL_WARM_FRACTION = 0.25
 INITIAL_ADAPTER_LOAD_S = 0.02
-EVICTION_S = 0.03
+EXPECTED_EVICTION_S = 0.03
 
 
 @define
--- a/finchladder/cluster/process/action_executor.py
+++ b/finchladder/cluster/process/action_executor.py
@@ -9,7 +9,7 @@
 from finchladder.cluster.placement.capacity import used_mb
 from finchladder.cluster.placement.demand import DemandKey
 from finchladder.cluster.placement.disk_inventory import DiskInventory
-from finchladder.cluster.placement.load_durations import EVICTION_S, LoadDurations
+from finchladder.cluster.placement.load_durations import EXPECTED_EVICTION_S, LoadDurations
 from finchladder.cluster.process.demand_intake import DemandIntake
 from finchladder.cluster.process.log import event
 from finchladder.cluster.process.managed_worker import ManagedWorker
@@ -60,7 +60,7 @@
         if not action.evictions:
             return True
         notice_s = self._eviction_notice_s(worker.state.service, action)
-        evictions_s = EVICTION_S * len(action.evictions)
+        evictions_s = EXPECTED_EVICTION_S * len(action.evictions)
         expected_s = self._expected_load_s(worker, action, engine) + evictions_s + notice_s
         worker.evicting.update(action.evictions)
         worker.announced_orders = len(action.evictions) + 1
@@ -71,7 +71,7 @@
             if not await self.orders.submit(worker, EVICT, eviction.model, eviction.adapter):
                 return False
             worker.remove_evicted(eviction)
-            await asyncio.sleep(EVICTION_S)
+            await asyncio.sleep(EXPECTED_EVICTION_S)
         return True
 
     def _eviction_notice_s(self, service: str, action: LoadAction) -> float:
--- a/finchladder/cluster/process/chain_service.py
+++ b/finchladder/cluster/process/chain_service.py
@@ -173,7 +173,7 @@
             if not self.is_head or agreement.view.number != view.number or initial is None:
                 return None
             if agreement.replica.state_view != view.number:
-                await self._store(chain.adopt(initial, view.number))
+                await self._store(chain.enter_view(initial, view.number))
             return agreement.replica
 
     def _record_first_confirmation(self, view: View, replica: Replica) -> None:
@@ -220,7 +220,7 @@
                 await self.agreement.learn(reply.view)
                 return None
             found.append(Replica(reply.state_view, reply.state))
-        return chain.newest(found)
+        return chain.newest_replica(found)
 
     async def on_fetch(self, request: FetchReplica) -> ReplicaReply:
         """Replies with this member's replica once older views can't change it any more."""
--- a/finchladder/cluster/process/control_plane.py
+++ b/finchladder/cluster/process/control_plane.py
@@ -164,7 +164,7 @@
         """Writes to a disk that has failed until it takes writes again."""
         store = self.agreement.store
         while True:
-            if store.failed:
+            if store.last_write_failed:
                 try:
                     await store.probe()
                 except StorageError as error:
--- a/finchladder/cluster/process/core_node.py
+++ b/finchladder/cluster/process/core_node.py
@@ -17,7 +17,7 @@
 from finchladder.cluster.process.tasks import Tasks
 from finchladder.cluster.process.worker_client import WorkerClient
 from finchladder.cluster.process.worker_orders import WorkerOrders
-from finchladder.cluster.storage.lmdb_store import Identity, LmdbStore
+from finchladder.cluster.storage.lmdb_store import DiskIdentity, LmdbStore
 from finchladder.cluster.transport.http_server import Listener
 from finchladder.cluster.transport.peers import PeerClient, peer_handler
 from finchladder.cluster.types.errors import ClusterError
@@ -74,7 +74,7 @@
         store = LmdbStore(settings.data_dir, settings.disk_bytes)
         founder = settings.bootstrap and store.was_empty and settings.control in settings.seeds
         disk_id = f"{SystemRandom().getrandbits(64):016x}"
-        identity, acceptor, replica = store.load(lambda: Identity(disk_id, founder))
+        identity, acceptor, replica = store.load(lambda: DiskIdentity(disk_id, founder))
         if store.moved_aside:
             event("storage.corrupted", moved_to=store.moved_aside)
         me = Member(
--- a/finchladder/cluster/process/dispatcher_node.py
+++ b/finchladder/cluster/process/dispatcher_node.py
@@ -22,7 +22,7 @@
 from finchladder.cluster.process.update_puller import UpdatePuller
 from finchladder.cluster.routing.demand import DemandCounter
 from finchladder.cluster.routing.retry_budget import RetryBudget
-from finchladder.cluster.routing.selection import AFFINITY_SLOT_SHARE, WorkerSelector
+from finchladder.cluster.routing.selection import AFFINITY_SLOT_FRACTION, WorkerSelector
 from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.tenancy.api_keys import KEY_SALT_BYTES
 from finchladder.cluster.transport.http_client import make_session
@@ -104,7 +104,7 @@
         bounds = settings.bounds
         return Router(
             session=make_session(keepalive_s=WORKER_KEEPALIVE_S),
-            selector=WorkerSelector(settings.node_name, settings.zone, AFFINITY_SLOT_SHARE),
+            selector=WorkerSelector(settings.node_name, settings.zone, AFFINITY_SLOT_FRACTION),
             make_retry_budget=lambda: RetryBudget(
                 bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s
             ),
--- a/finchladder/cluster/process/in_flight.py
+++ b/finchladder/cluster/process/in_flight.py
@@ -2,7 +2,7 @@
 
 from finchladder.cluster.routing.demand import DemandCounter
 from finchladder.cluster.routing.requests import ClassifiedRequest
-from finchladder.cluster.routing.workers import DECODE_LOAD_SHARE, Worker
+from finchladder.cluster.routing.workers import DECODE_LOAD_FRACTION, Worker
 from finchladder.cluster.transport.peers import steady
 
 
@@ -35,7 +35,7 @@
             return
         if self._was_idle:
             self._demand.record_time_to_first_token(self._request, steady() - self._started_at)
-        decode_load = DECODE_LOAD_SHARE * self._load
+        decode_load = DECODE_LOAD_FRACTION * self._load
         self._worker.add_load(decode_load - self._load)
         self._load = decode_load
 
--- a/finchladder/cluster/process/log.py
+++ b/finchladder/cluster/process/log.py
@@ -9,7 +9,7 @@
 import eliot
 from eliot import log_message
 
-from finchladder.cluster.types.errors import error_kind, error_place
+from finchladder.cluster.types.errors import error_kind, error_location
 
 BURST_LINES = 200  # capacity of the token bucket
 LINES_PER_S = 20.0
@@ -73,5 +73,5 @@
             level=record.levelname,
             function=record.funcName,
             error="" if error is None else error_kind(error),
-            place="" if error is None else error_place(error),
+            place="" if error is None else error_location(error),
         )
--- a/finchladder/cluster/process/quota_client.py
+++ b/finchladder/cluster/process/quota_client.py
@@ -19,7 +19,7 @@
 from finchladder.cluster.transport.interface import Peers
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.errors import ClusterError
-from finchladder.cluster.types.messages import QuotaGrant, QuotaNeed, QuotaReply, QuotaReturn, ReserveQuota
+from finchladder.cluster.types.messages import QuotaDemand, QuotaGrant, QuotaReply, QuotaReturn, ReserveQuota
 
 CALL_TIMEOUT_S = 0.3
 RETRY_INTERVAL_S = 0.05  # while no account answers
@@ -168,7 +168,7 @@
                 returned[reservation.tenant] = returned.get(reservation.tenant, 0) + reservation.units
         return ReserveQuota(
             sender=self.node_name,
-            needs=tuple(QuotaNeed(waiter.tenant, (waiter.cost,)) for waiter in waiters),
+            demands=tuple(QuotaDemand(waiter.tenant, (waiter.cost,)) for waiter in waiters),
             returns=tuple(QuotaReturn(tenant, units) for tenant, units in returned.items()),
             returned_term=term,
         )
--- a/finchladder/cluster/process/quota_service.py
+++ b/finchladder/cluster/process/quota_service.py
@@ -11,7 +11,7 @@
 from finchladder.cluster.tenancy.tenant_limits import TenantLimits
 from finchladder.cluster.tenancy.tenants import Tenant
 from finchladder.cluster.transport.peers import steady
-from finchladder.cluster.types.messages import QuotaGrant, QuotaNeed, QuotaReply, ReserveQuota
+from finchladder.cluster.types.messages import QuotaDemand, QuotaGrant, QuotaReply, ReserveQuota
 
 NOT_THE_HOLDER = QuotaReply(is_holder=False)
 
@@ -61,8 +61,8 @@
         for returned in request.returns:
             tenant = self._tenant(returned.tenant)
             if tenant is not None:
-                self.account.give_back(tenant, returned.units, request.returned_term, now)
-        grants = tuple(self._grant(need, now) for need in request.needs)
+                self.account.return_units(tenant, returned.units, request.returned_term, now)
+        grants = tuple(self._grant(need, now) for need in request.demands)
         return QuotaReply(is_holder=True, term=self.account.term, grants=grants)
 
     def _begin(self, term: Term) -> None:
@@ -74,7 +74,7 @@
     def _tenant(self, name: str) -> Tenant | None:
         return self._limits.tenant(self.document(), name)
 
-    def _grant(self, need: QuotaNeed, now: float) -> QuotaGrant:
+    def _grant(self, need: QuotaDemand, now: float) -> QuotaGrant:
         """Grants in order; a tenant that this process does not know yet gets nothing for the moment."""
         tenant = self._tenant(need.tenant)
         if tenant is None:
--- a/finchladder/cluster/process/request_failures.py
+++ b/finchladder/cluster/process/request_failures.py
@@ -9,4 +9,4 @@
     if failure.is_malformed:
         event("request.malformed", problem=failure.problem)
     else:
-        event("request.failed", problem=failure.problem, place=failure.place)
+        event("request.failed", problem=failure.problem, place=failure.location)
--- a/finchladder/cluster/process/tasks.py
+++ b/finchladder/cluster/process/tasks.py
@@ -5,7 +5,7 @@
 from typing import Any, TypeVar
 
 from finchladder.cluster.process.log import event
-from finchladder.cluster.types.errors import error_kind, error_place
+from finchladder.cluster.types.errors import error_kind, error_location
 
 RESTART_DELAY_S = 0.1
 
@@ -35,7 +35,7 @@
                     await work()
                 # any error: a process without one of its loops would be half dead
                 except Exception as error:  # noqa: BLE001
-                    event("task.failed", task=name, error=error_kind(error), place=error_place(error))
+                    event("task.failed", task=name, error=error_kind(error), place=error_location(error))
                 await asyncio.sleep(RESTART_DELAY_S)
 
         return self.spawn(guarded(), name)
@@ -44,7 +44,7 @@
         self._tasks.discard(task)
         error = None if task.cancelled() else task.exception()
         if error is not None:
-            event("task.failed", task=task.get_name(), error=error_kind(error), place=error_place(error))
+            event("task.failed", task=task.get_name(), error=error_kind(error), place=error_location(error))
 
     async def stop(self) -> None:
         """Cancels all tasks and waits until they have ended."""
--- a/finchladder/cluster/process/view_agreement.py
+++ b/finchladder/cluster/process/view_agreement.py
@@ -67,7 +67,7 @@
 
     def is_healthy(self) -> bool:
         """Whether the own disk takes writes."""
-        return not self.store.failed and self.store.stalled_s() < DISK_STALL_TIMEOUT_S
+        return not self.store.last_write_failed and self.store.pending_write_age_s() < DISK_STALL_TIMEOUT_S
 
     def pong(self, known_view: int) -> Pong:
         """The status of this process, for a peer that knows the view of that number."""
--- a/finchladder/cluster/replication/chain.py
+++ b/finchladder/cluster/replication/chain.py
@@ -74,12 +74,12 @@
     return StoreReplica(Replica(view, apply(replica.state, request.operation)))
 
 
-def adopt(replica: Replica, view: int) -> Replica:
+def enter_view(replica: Replica, view: int) -> Replica:
     """The replica of a head that starts a new view with its own state."""
     return msgspec.structs.replace(replica, state_view=view)
 
 
-def newest(replicas: Iterable[Replica]) -> Replica:
+def newest_replica(replicas: Iterable[Replica]) -> Replica:
     """The replica with the latest view and sequence: it includes the operations of all others."""
     return max(replicas, key=lambda replica: (replica.state_view, replica.state.sequence))
 
--- a/finchladder/cluster/routing/selection.py
+++ b/finchladder/cluster/routing/selection.py
@@ -21,7 +21,7 @@
 MAX_DISPATCHERS_COMPARING_ALL = 16  # with more dispatchers each compares a subset of a pool
 MIN_SUBSET_SIZE = 3
 MIN_REMOTE_ZONE_WORKERS = 1  # in a subset
-AFFINITY_SLOT_SHARE = 0.2  # of a worker's slots in use up to which candidates are preferred
+AFFINITY_SLOT_FRACTION = 0.2  # of a worker's slots in use up to which candidates are preferred
 AFFINITY_QUEUE_S = 0.1  # prefill time queued at an engine up to which candidates are preferred
 REMOTE_ZONE_PENALTY = 0.5  # in requests, added to the load of a remote worker; decides between equals
 MAX_CACHED_RANKS = 4096
@@ -33,14 +33,14 @@
 
     Attributes:
         name: Name of this dispatcher.
-        affinity_slot_share: Share of a worker's slots in use up to which a key's candidates are preferred.
+        affinity_slot_fraction: Share of a worker's slots in use up to which a key's candidates are preferred.
         dispatcher_count: How many dispatchers select workers at the same time.
         affinity_queue_s: Prefill time queued at an engine up to which a key's candidates are preferred.
     """
 
     name: str
     zone: str
-    affinity_slot_share: float
+    affinity_slot_fraction: float
     dispatcher_count: int = 1
     affinity_queue_s: float = AFFINITY_QUEUE_S
     _ranks: dict[str, bytes] = field(factory=dict)  # by worker instance
@@ -53,7 +53,7 @@
     def affinity_load_limit(self, worker: Worker, cost: RequestCost) -> float:
         """Load from which a candidate is no longer preferred."""
         if not cost.prefill_s_per_token:
-            return self.affinity_slot_share * worker.slots * cost.load
+            return self.affinity_slot_fraction * worker.slots * cost.load
         return self.affinity_queue_s / cost.prefill_s_per_token
 
     def subset_by_load(self, available: Sequence[Worker], cost: RequestCost) -> list[Worker]:
--- a/finchladder/cluster/routing/workers.py
+++ b/finchladder/cluster/routing/workers.py
@@ -8,7 +8,7 @@
 
 from attrs import define, field, frozen
 
-DECODE_LOAD_SHARE = 0.02  # of a request's load that remains after its prefill; decides between equals
+DECODE_LOAD_FRACTION = 0.02  # of a request's load that remains after its prefill; decides between equals
 PEER_LOAD_AGE_S = 0.2  # age of the peers' load when a dispatcher receives it
 # Share of its prefill rate at which an engine's queue shrinks, since new prompts keep arriving.
 PREFILL_PROGRESS_SHARE = 0.7
--- a/finchladder/cluster/storage/interface.py
+++ b/finchladder/cluster/storage/interface.py
@@ -10,11 +10,11 @@
     """A disk; `save` returns once the values would survive a power failure."""
 
     @property
-    def failed(self) -> bool:
+    def last_write_failed(self) -> bool:
         """Whether the last write failed."""
         ...
 
-    def stalled_s(self) -> float:
+    def pending_write_age_s(self) -> float:
         """Age of the oldest pending write in seconds; 0 without one."""
         ...
 
--- a/finchladder/cluster/storage/lmdb_store.py
+++ b/finchladder/cluster/storage/lmdb_store.py
@@ -37,7 +37,7 @@
 CORRUPTION_ERRORS = (StorageCorruptedError, lmdb.InvalidError, lmdb.CorruptedError, lmdb.VersionMismatchError)
 
 
-class Identity(msgspec.Struct, frozen=True, array_like=True):
+class DiskIdentity(msgspec.Struct, frozen=True, array_like=True):
     """Identity of a disk; `founder`: it was empty when the system was bootstrapped."""
 
     disk_id: str
@@ -106,7 +106,7 @@
     def _open_verified(self) -> Any:
         environment = self._open_environment()
         with environment.begin() as transaction:
-            for key, kind in ((b"identity", Identity), (b"acceptor", Acceptor), (b"replica", Replica)):
+            for key, kind in ((b"identity", DiskIdentity), (b"acceptor", Acceptor), (b"replica", Replica)):
                 data = transaction.get(key)
                 if data is not None:
                     decode_record(bytes(data), kind)
@@ -117,9 +117,9 @@
             data = transaction.get(key)
         return None if data is None else decode_record(bytes(data), kind)
 
-    def load(self, new: Callable[[], Identity]) -> tuple[Identity, Acceptor, Replica]:
+    def load(self, new: Callable[[], DiskIdentity]) -> tuple[DiskIdentity, Acceptor, Replica]:
         """Identity, acceptor and replica as stored; an empty disk gets the identity that `new` returns."""
-        identity = self._get(b"identity", Identity)
+        identity = self._get(b"identity", DiskIdentity)
         if identity is None:
             identity = new()
             self._write({b"identity": encode_record(identity)})
@@ -176,11 +176,11 @@
         self._environment.close()
 
     @property
-    def failed(self) -> bool:
+    def last_write_failed(self) -> bool:
         """Whether the last write failed."""
         return self._failed
 
-    def stalled_s(self) -> float:
+    def pending_write_age_s(self) -> float:
         """Age of the oldest pending write in seconds; 0 without one."""
         return self._clock() - min(self._pending.values()) if self._pending else 0.0
 
--- a/finchladder/cluster/tenancy/quota_account.py
+++ b/finchladder/cluster/tenancy/quota_account.py
@@ -89,7 +89,7 @@
             return tuple(True for _ in costs)
         return tuple(bucket.try_withdraw(cost) for cost in costs)
 
-    def give_back(self, tenant: Tenant, units: int, term: int, now: float) -> None:
+    def return_units(self, tenant: Tenant, units: int, term: int, now: float) -> None:
         """Takes back what was granted in this term and not spent; of another term it never left this one."""
         bucket = self._bucket(tenant, now)
         if bucket is not None and term == self.term:
--- a/finchladder/cluster/tenancy/reservations.py
+++ b/finchladder/cluster/tenancy/reservations.py
@@ -7,7 +7,7 @@
 
 from finchladder.cluster.tenancy.quota_rule import GRANT_VALIDITY_S
 
-MAX_EXHAUSTED_S = 0.25  # for which a dispatcher asks nobody after a tenant was found exhausted
+MAX_EXHAUSTION_CACHE_S = 0.25  # for which a dispatcher asks nobody after a tenant was found exhausted
 
 
 @frozen
@@ -69,7 +69,7 @@
 
     def record(self, tenant: str, retry_after_s: float, now: float) -> None:
         """Remembers that the account refused a request, which it may grant after `retry_after_s`."""
-        until = now + min(retry_after_s, MAX_EXHAUSTED_S)
+        until = now + min(retry_after_s, MAX_EXHAUSTION_CACHE_S)
         self._by_tenant[tenant] = _Exhaustion(until, now + retry_after_s)
 
     def find(self, tenant: str, now: float) -> QuotaExhausted | None:
--- a/finchladder/cluster/transport/http_connection.py
+++ b/finchladder/cluster/transport/http_connection.py
@@ -12,7 +12,7 @@
 from aiohttp.http import HttpProcessingError
 from attrs import frozen
 
-from finchladder.cluster.types.errors import error_kind, error_place
+from finchladder.cluster.types.errors import error_kind, error_location
 
 MALFORMED_TEXT = "malformed request\n"
 FAILED_TEXT = "the request failed\n"
@@ -26,12 +26,12 @@
     Attributes:
         is_malformed: Whether the request is at fault, not its handler.
         problem: Kind of the error.
-        place: Where it was raised; empty if that is unknown.
+        location: Where it was raised; empty if that is unknown.
     """
 
     is_malformed: bool
     problem: str
-    place: str = ""
+    location: str = ""
 
 
 RequestHandler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -76,8 +76,8 @@
 
     def _report(self, error: BaseException | None, is_malformed: bool) -> None:
         problem = NO_RESPONSE if error is None else error_kind(error)
-        place = "" if error is None or is_malformed else error_place(error)
-        self._report_failure(RequestFailure(is_malformed, problem, place))
+        location = "" if error is None or is_malformed else error_location(error)
+        self._report_failure(RequestFailure(is_malformed, problem, location))
 
 
 class SilentServer(web.Server):
--- a/finchladder/cluster/types/errors.py
+++ b/finchladder/cluster/types/errors.py
@@ -17,7 +17,7 @@
     return f"{type(error).__name__} {name}" if name else type(error).__name__
 
 
-def error_place(error: BaseException) -> str:
+def error_location(error: BaseException) -> str:
     """Module and line where the error was raised; empty for one that was never raised."""
     trace = error.__traceback__
     if trace is None:
--- a/finchladder/cluster/types/messages.py
+++ b/finchladder/cluster/types/messages.py
@@ -142,7 +142,7 @@
     retirement: WorkerRetirement
 
 
-class QuotaNeed(Message, frozen=True):
+class QuotaDemand(Message, frozen=True):
     """Requests of one tenant that wait for quota at one dispatcher: their costs, in order of arrival."""
 
     tenant: str
@@ -160,7 +160,7 @@
     """From a dispatcher to the holder of the quota account: needs, and what it returns of earlier grants."""
 
     sender: str
-    needs: tuple[QuotaNeed, ...]
+    demands: tuple[QuotaDemand, ...]
     returns: tuple[QuotaReturn, ...] = ()
     returned_term: int = 0  # of the account that granted what is returned
 
@@ -299,7 +299,7 @@
 
 
 class QuotaGrant(Message, frozen=True):
-    """Answer to one `QuotaNeed`: for each of its costs whether it is granted."""
+    """Answer to one `QuotaDemand`: for each of its costs whether it is granted."""
 
     tenant: str
     granted: tuple[bool, ...]
--- a/finchladder/lab/cluster/chain_model.py
+++ b/finchladder/lab/cluster/chain_model.py
@@ -106,7 +106,7 @@
     if view.head == node.member and not has_begun:
         beginning = _beginning(system, view, node)
         if beginning is not None:
-            replica = chain.adopt(beginning, view.number)
+            replica = chain.enter_view(beginning, view.number)
             begun = _stored(system, view, node, replica)
             yield f"{name} begins view {view.number}", begun
     if view.head == node.member and has_begun and system.writes_left:
@@ -125,7 +125,7 @@
         return head.replica
     members = [system.node(member) for member in view.chain]
     known = [n for n in members if n is not None and system.view_of(n) == view]
-    return chain.newest(n.replica for n in known) if len(known) == len(members) else None
+    return chain.newest_replica(n.replica for n in known) if len(known) == len(members) else None
 
 
 def _hop(system: System, view: View, sender: Node, successor: Member) -> Iterator[tuple[str, System]]:
--- a/finchladder/lab/cluster/disk.py
+++ b/finchladder/lab/cluster/disk.py
@@ -36,14 +36,14 @@
     random: Random
     stalled_until: float = 0.0
     refuses: bool = False
-    failed: bool = False
+    last_write_failed: bool = False
     pending: dict[int, float] = field(factory=dict)
     serial: int = 0
     powered: bool = True
     factor: float = 1.0  # by which it is slower than usual
     keeps_unsynced: bool = False  # a write that a loss of power interrupts may be there all the same
 
-    def stalled_s(self) -> float:
+    def pending_write_age_s(self) -> float:
         """How long the oldest unfinished write has waited."""
         now = asyncio.get_running_loop().time()
         return now - min(self.pending.values()) if self.pending else 0.0
@@ -79,7 +79,7 @@
                 await asyncio.sleep(max(SHORTEST_S, self.stalled_until - loop.time()))
             if not self.powered:
                 await asyncio.Event().wait()
-            self.failed = self.refuses
+            self.last_write_failed = self.refuses
             if self.refuses:
                 raise StorageError("store", "disk", "no space is left")
         finally:
--- a/finchladder/lab/cluster/emulator/fleet.py
+++ b/finchladder/lab/cluster/emulator/fleet.py
@@ -24,7 +24,7 @@
 from finchladder.cluster.routing.demand import DemandCounter
 from finchladder.cluster.routing.pools import ExpectedReplica, PoolKey, pool_member
 from finchladder.cluster.routing.requests import ClassifiedRequest
-from finchladder.cluster.routing.selection import AFFINITY_SLOT_SHARE, WorkerSelector
+from finchladder.cluster.routing.selection import AFFINITY_SLOT_FRACTION, WorkerSelector
 from finchladder.cluster.sessions.replicated_tables import ReplicatedTables
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.members import Member
@@ -116,7 +116,7 @@
         """The dispatcher with that number."""
         name, zone = f"edge-{number}", f"z{number % fleet.plan.zones}"
         demand = DemandCounter()
-        selector = WorkerSelector(name, zone, AFFINITY_SLOT_SHARE)
+        selector = WorkerSelector(name, zone, AFFINITY_SLOT_FRACTION)
         made = cls(name, zone, fleet, demand, RequestQueue(selector, lambda: fleet.plan.dispatchers, demand))
         demand.on_queued = made.waited_for.fire
         return made
--- a/tests/cluster/test_configuration_changes.py
+++ b/tests/cluster/test_configuration_changes.py
@@ -59,7 +59,7 @@
         assert head.disk is not None
         assert head.plane is not None
         head.disk.refuses = True
-        head.disk.failed = True
+        head.disk.last_write_failed = True
         await asyncio.sleep(3.0)
         assert head.plane.chain.is_head
         assert await submitted(middle, 1, 2) == ACCEPTED
--- a/tests/cluster/test_lmdb_store.py
+++ b/tests/cluster/test_lmdb_store.py
@@ -12,7 +12,7 @@
 from finchladder.cluster.replication.agreement import Acceptor
 from finchladder.cluster.replication.chain import Replica
 from finchladder.cluster.storage.lmdb_store import (
-    Identity,
+    DiskIdentity,
     LmdbStore,
     StorageCorruptedError,
     decode_record,
@@ -27,8 +27,8 @@
 ACCEPTOR = Acceptor(promised=Ballot(3, "a"))
 
 
-def identity(name: str) -> Identity:
-    return Identity(name, True)
+def identity(name: str) -> DiskIdentity:
+    return DiskIdentity(name, True)
 
 
 def test_what_was_saved_is_there_at_the_next_start(tmp_path: Path) -> None:
@@ -53,10 +53,10 @@
         await asyncio.sleep(0.05)
         saving.cancel()
         await asyncio.sleep(0.05)
-        assert store.stalled_s() > 0.05
+        assert store.pending_write_age_s() > 0.05
         may_write.set()
         await store.probe()
-        assert store.stalled_s() == 0.0
+        assert store.pending_write_age_s() == 0.0
         assert store.load(lambda: identity("second"))[1] == ACCEPTOR
         store.close()
 
@@ -83,9 +83,9 @@
     store._environment = PanickedEnvironment(store._environment)
     with pytest.raises(StorageError):
         asyncio.run(store.save(replica=REPLICA))
-    assert store.failed
+    assert store.last_write_failed
     asyncio.run(store.probe())
-    assert not store.failed
+    assert not store.last_write_failed
     asyncio.run(store.save(replica=REPLICA))
     assert store.load(lambda: identity("second")) == (identity("first"), ACCEPTOR, REPLICA)
 
--- a/tests/cluster/test_power_loss.py
+++ b/tests/cluster/test_power_loss.py
@@ -14,7 +14,7 @@
 
 from finchladder.cluster.replication.agreement import Acceptor
 from finchladder.cluster.replication.chain import Replica
-from finchladder.cluster.storage.lmdb_store import Identity, LmdbStore
+from finchladder.cluster.storage.lmdb_store import DiskIdentity, LmdbStore
 from finchladder.cluster.types.members import Ballot
 from finchladder.cluster.types.operations import ControlState
 
@@ -22,7 +22,7 @@
 PAGE_BYTES = 4096
 META_PAGES = 2  # the first ones, each names every other transaction
 FILE = "state/data.mdb"
-IDENTITY = Identity("disk", True)
+IDENTITY = DiskIdentity("disk", True)
 
 Values = tuple[Acceptor, Replica]
 
@@ -51,7 +51,7 @@
     (folder / FILE).write_bytes(image)
     store = LmdbStore(str(folder), DISK_BYTES)
     assert not store.moved_aside, "what was synced is gone"
-    identity, acceptor, replica = store.load(lambda: Identity("another", False))
+    identity, acceptor, replica = store.load(lambda: DiskIdentity("another", False))
     store.close()
     assert identity == IDENTITY
     return acceptor, replica
--- a/tests/cluster/test_quota_account.py
+++ b/tests/cluster/test_quota_account.py
@@ -82,7 +82,7 @@
         elif step == "return":
             for units, term, granted_at in returnable:
                 if now < granted_at + GRANT_VALIDITY_S:
-                    account.give_back(tenant, units, term, now)
+                    account.return_units(tenant, units, term, now)
             returnable.clear()
         else:
             granted = account.reserve(tenant, (cost,) * burst_of_asks, now)
@@ -109,9 +109,9 @@
 def test_returns_of_a_former_term_are_not_taken_back() -> None:
     account = full_account(SMALL)
     account.begin_term(2, 10.0)
-    account.give_back(SMALL, 4_000, 1, 10.0)
+    account.return_units(SMALL, 4_000, 1, 10.0)
     assert account.reserve(SMALL, (4_000,), 10.0) == (False,)
-    account.give_back(SMALL, 4_000, 2, 10.0)
+    account.return_units(SMALL, 4_000, 2, 10.0)
     assert account.reserve(SMALL, (4_000,), 10.0) == (True,)
 
 
--- a/tests/cluster/test_quota_client.py
+++ b/tests/cluster/test_quota_client.py
@@ -12,7 +12,7 @@
 from finchladder.cluster.tenancy.quota_account import QuotaAccount
 from finchladder.cluster.tenancy.quota_rule import GRANT_VALIDITY_S, QuotaRule
 from finchladder.cluster.tenancy.reservations import (
-    MAX_EXHAUSTED_S,
+    MAX_EXHAUSTION_CACHE_S,
     QuotaExhausted,
     QuotaUnavailable,
     Reservation,
@@ -50,7 +50,7 @@
         if not self.is_holder:
             return QuotaReply(is_holder=False)
         for returned in request.returns:
-            self.account.give_back(TENANT, returned.units, request.returned_term, steady())
+            self.account.return_units(TENANT, returned.units, request.returned_term, steady())
         grants = tuple(
             QuotaGrant(
                 need.tenant,
@@ -58,7 +58,7 @@
                 self.account.retry_after_ms(TENANT, need.costs[0], steady()),
                 self.account.is_exhausted(TENANT, steady()),
             )
-            for need in request.needs
+            for need in request.demands
         )
         if self.loses_answers:
             self.loses_answers -= 1
@@ -260,7 +260,7 @@
         again = [await scene.quota(cost).reserve() for cost in (1, 50, 1_000) * 20]
         assert all(isinstance(outcome, QuotaExhausted) for outcome in again)
         assert len(scene.holder.requests) == asked
-        await asyncio.sleep(MAX_EXHAUSTED_S)
+        await asyncio.sleep(MAX_EXHAUSTION_CACHE_S)
         assert await scene.quota(50).reserve() is None
         assert len(scene.holder.requests) == asked + 1
 
--- a/tests/cluster/test_quota_play.py
+++ b/tests/cluster/test_quota_play.py
@@ -8,7 +8,7 @@
 from click.testing import CliRunner
 
 from finchladder.cluster.process.quota_service import NOT_THE_HOLDER
-from finchladder.cluster.types.messages import QuotaNeed, ReserveQuota
+from finchladder.cluster.types.messages import QuotaDemand, ReserveQuota
 from finchladder.lab.cluster.__main__ import main
 from finchladder.lab.cluster.hunt import Case, play
 from finchladder.lab.cluster.machine import Machine
@@ -107,7 +107,7 @@
     """Dispatchers still reach it, and another process holds the account."""
 
     async def work(world: World, holder: Machine) -> None:
-        request = ReserveQuota("edge-1", (QuotaNeed("small", (1,)),))
+        request = ReserveQuota("edge-1", (QuotaDemand("small", (1,)),))
         assert holder.quotas is not None
         assert holder.quotas.on_reserve(request).is_holder
         others = [m.address for m in world.machines.values() if m is not holder]
--- a/tests/cluster/test_quota_service.py
+++ b/tests/cluster/test_quota_service.py
@@ -11,7 +11,7 @@
 from finchladder.cluster.process.quota_service import NOT_THE_HOLDER, QuotaService, Term
 from finchladder.cluster.tenancy.quota_account import QuotaAccount
 from finchladder.cluster.tenancy.quota_rule import QuotaRule
-from finchladder.cluster.types.messages import QuotaNeed, QuotaReply, QuotaReturn, ReserveQuota
+from finchladder.cluster.types.messages import QuotaDemand, QuotaReply, QuotaReturn, ReserveQuota
 from finchladder.lab.cluster.quota_oracle import QuotaOracle
 from finchladder.lab.cluster.virtual import run
 
@@ -45,7 +45,7 @@
 
     def ask(self, *costs: int, tenant: str = "a", returns: int = 0, term: int = 1) -> QuotaReply:
         returned = (QuotaReturn(tenant, returns),) if returns else ()
-        needs = (QuotaNeed(tenant, costs),) if costs else ()
+        needs = (QuotaDemand(tenant, costs),) if costs else ()
         return self.service.on_reserve(ReserveQuota("edge-1", needs, returned, term))
 
     def granted(self, *costs: int, tenant: str = "a") -> tuple[bool, ...]:
--- a/tests/cluster/test_worst_days.py
+++ b/tests/cluster/test_worst_days.py
@@ -15,7 +15,7 @@
 from finchladder.cluster.process.update_puller import UpdateSource
 from finchladder.cluster.process.view_proposer import ViewProposer
 from finchladder.cluster.replication.agreement import Acceptor, value_to_propose
-from finchladder.cluster.replication.chain import Replica, newest
+from finchladder.cluster.replication.chain import Replica, newest_replica
 from finchladder.cluster.replication.membership import MemberStatus, ReplicationLimits, next_view
 from finchladder.cluster.storage.lmdb_store import encode_record
 from finchladder.cluster.types.errors import ClusterError, PeerUnreachableError
@@ -834,7 +834,7 @@
 def test_the_newest_of_several_replicas_is_of_the_latest_view_and_there_the_longest() -> None:
     replicas = [Replica(v, ControlState(sequence=s)) for v, s in ((2, 9), (3, 4), (3, 5), (1, 20))]
     Random(1).shuffle(replicas)
-    assert newest(replicas) == Replica(3, ControlState(sequence=5))
+    assert newest_replica(replicas) == Replica(3, ControlState(sequence=5))
 
 
 def test_an_acceptor_of_an_older_release_is_read() -> None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from finchladder.cluster.storage.lmdb_store import Identity, LmdbStore
+from finchladder.cluster.storage.lmdb_store import DiskIdentity, LmdbStore
 from finchladder.cluster.types.messages import LeaseReply, encoder, reply_decoder, request_decoder
 from finchladder.cluster.types.operations import WorkerRetirement
 from finchladder.sim import trace
@@ -25,7 +25,7 @@
 APPENDED: dict[int, list[int]] = {8: [0], 57: [0], 58: [0]}
 
 
-def no_new_identity() -> Identity:
+def no_new_identity() -> DiskIdentity:
     raise AssertionError("the stored identity was not found")
 
 
