--- a/benchmarks/judged.py
+++ b/benchmarks/judged.py
@@ -39,7 +39,7 @@
 
 def virtual(args: argparse.Namespace, how: str, seed: int) -> tuple[str, int, dict[str, Any]]:
     from finchladder.core.api import Ending
-    from finchladder.core.health.detection.detector import Rules
+    from finchladder.core.health.detection.detector import DetectorSettings
     from finchladder.lab import decisions
     from finchladder.lab.check import load
     from finchladder.lab.talk import Talk
@@ -59,7 +59,7 @@
         if not marks or marks[-1][1] != held:
             marks.append((play.kernel.now, held))
 
-    talk = Talk(play, Rules(), how == "peers", log) if how != "health" else None
+    talk = Talk(play, DetectorSettings(), how == "peers", log) if how != "health" else None
     world = play.run()
     length = world.length_s
     arrivals = [judged.Arrival(at, s, INF) for at, s, _ in play.sent]
--- a/finchladder/core/api.py
+++ b/finchladder/core/api.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from finchladder.core.health.detection.reports import Witness
+    from finchladder.core.health.detection.reports import PeerReport
 
 
 class Effect(Enum):
@@ -292,7 +292,7 @@
 class PeerReports(NamedTuple):
     """Event, for outlier detection: the peers' reports on workers that changed since the last one."""
 
-    witnesses: "tuple[Witness, ...]"
+    reports: "tuple[PeerReport, ...]"
     attempts: float  # that ended lately, as reported by all others
     bad_attempts: float  # of these
     dispatchers: int  # alive, oneself among them
--- a/finchladder/core/health/detection/aggregation.py
+++ b/finchladder/core/health/detection/aggregation.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 from finchladder.core.health.detection.evidence import FADE_S
-from finchladder.core.health.detection.reports import Said
+from finchladder.core.health.detection.reports import WorkerReport
 
 MOST_EACH = 1.5  # bad endings' worth that one teller counts for at the most
 LEAST = 6.0  # what one teller's good endings count for at the most, as a logarithm
@@ -31,7 +31,7 @@
     teller: str
     zone: int
     age_s: float
-    said: Said
+    said: WorkerReport
 
 
 class Sum(NamedTuple):
--- a/finchladder/core/health/detection/detector.py
+++ b/finchladder/core/health/detection/detector.py
@@ -22,7 +22,7 @@
 weighed once more, against the rate at which all others of its kind and zone fail by the same words.
 
 O(1) for each ending; a look at open cases O(words told of them), at most each LOOK_S. Memory: a case for each
-real server and class at the most, words of MOST_SAYS subjects from each other dispatcher.
+real server and class at the most, words of MAX_WORKER_REPORTS subjects from each other dispatcher.
 """
 
 from collections.abc import Callable, Iterable
@@ -37,13 +37,13 @@
 from finchladder.core.health.detection.aggregation import NOTHING, SILENT_S, Sum, Word, merged, weigh
 from finchladder.core.health.detection.evidence import HALF, WEIGHTS, Case, Rate, Usual, weights
 from finchladder.core.health.detection.reports import (
+    MAX_WORKER_REPORTS,
+    MIN_URGENT_BAD_ATTEMPTS,
     MOST_COUNT,
     MOST_S,
-    MOST_SAYS,
-    URGENT,
-    Own,
-    Said,
-    subject,
+    OwnReport,
+    WorkerReport,
+    subject_id,
     zone_number,
 )
 from finchladder.core.health.detection.verdicts import (
@@ -51,8 +51,8 @@
     LONGEST_S,
     SHARES,
     Facts,
-    State,
     Verdict,
+    VerdictState,
     condemn,
     step,
 )
@@ -85,12 +85,12 @@
 MOST_TELLERS, PURGE_S = 2048, 1.0  # as many as can be listed; those that are silent are dropped
 
 
-class Rules(NamedTuple):
+class DetectorSettings(NamedTuple):
     most_out: float = 0.3  # share of each kind and zone
     term_s: float = 2.0  # of a first condemnation
 
 
-class Order(NamedTuple):
+class ActiveOverride(NamedTuple):
     """The operator's word of one real server, until then."""
 
     out: bool
@@ -98,9 +98,9 @@
     why: str
 
 
-class Judging(OutlierEjection):
+class OutlierDetector(OutlierEjection):
     __slots__ = (
-        "own",
+        "name",
         "rules",
         "zone",
         "zones",
@@ -138,13 +138,13 @@
         settings: Settings,
         period: float,
         own: str,
-        rules: Rules,
+        rules: DetectorSettings,
         now: float,
         log: Callable[[str], None] = lambda text: None,
     ) -> None:
         """`log`: gets a line for each judgement that changes whom jobs go to."""
         super().__init__(settings, period)
-        self.own, self.rules, self.log = own, rules, log
+        self.name, self.rules, self.log = own, rules, log
         self.zone, self.zones = zone_number(settings.zone), len(settings.zones)
         self.cases: dict[str, dict[str, Case]] = {}  # by real server and class
         self.verdicts: dict[str, dict[str, Verdict]] = {}  # those that are not clear
@@ -165,7 +165,7 @@
         self.began, self.late_until = now, 0.0
         self.last: dict[str, tuple[float, bool]] = {}
         self.mass_at: dict[tuple[str, str], float] = {}  # by kind and zone: since when a mass looks bad
-        self.orders: dict[str, Order] = {}
+        self.orders: dict[str, ActiveOverride] = {}
         self.questioned_at: dict[str, float] = {}  # when it would have been condemned but for the others
         self.untold = False
         self.ready: dict[tuple[str, str], int] = {}  # by kind and zone
@@ -191,9 +191,9 @@
             return  # it is slow for another cause
         bad = weight > 0
         verdict = self.verdicts.get(w.address, {}).get(cls.name)
-        if verdict is not None and verdict.state is State.CONDEMNED:
+        if verdict is not None and verdict.state is VerdictState.CONDEMNED:
             return  # what was on its way when it was condemned proves nothing more
-        if verdict is not None and verdict.state is State.TRIAL and sent < verdict.since:
+        if verdict is not None and verdict.state is VerdictState.TRIAL and sent < verdict.since:
             return
         self.last.pop(w.address, None)
         self.last[w.address] = now, bad
@@ -205,14 +205,14 @@
         cases = self.cases.get(w.address, {})
         case = cases.get(cls.name)
         if case is None:
-            open_ = bad or (self.words and subject(w.address, w.started_at, cls.name) in self.words)
+            open_ = bad or (self.words and subject_id(w.address, w.started_at, cls.name) in self.words)
             if not open_ and not cases:
                 return
             case = self.cases.setdefault(w.address, {})[cls.name] = Case(now)
         case.add(now, sign, weight)
-        self.untold = self.untold or case.bad + case.link > URGENT and bad
+        self.untold = self.untold or case.bad + case.link > MIN_URGENT_BAD_ATTEMPTS and bad
         self._alone(now, w, cls.name, bad)
-        self.look(now, fleet, w)
+        self.evaluate(now, fleet, w)
 
     def _score_alone(self, now: float, address: str, job_class: str) -> float:
         """Own evidence alone, of all kinds."""
@@ -252,7 +252,7 @@
         last = [bad for at, bad in self.last.values() if now - at < LAST_S]
         return len(last) >= LAST_FEW and 2 * sum(last) > len(last)
 
-    def says(self, now: float, workers: dict[str, Worker]) -> tuple[Said, ...]:
+    def says(self, now: float, workers: dict[str, Worker]) -> tuple[WorkerReport, ...]:
         """One's own word, to be told."""
         self.untold = False
         if self.doubtful(now):
@@ -271,18 +271,20 @@
                     opened = now - case.opened
                 else:
                     counts, opened = (0.0, 0.0, 0.0), 0.0
-                out = v is not None and v.state is State.CONDEMNED
+                out = v is not None and v.state is VerdictState.CONDEMNED
                 left = max(0.0, v.until - now) if v is not None and out else 0.0
-                stage = v.stage if v is not None and v.state is State.TRIAL else 0
+                stage = v.stage if v is not None and v.state is VerdictState.TRIAL else 0
                 if max(counts) < 0.05 and not (left or stage):
                     continue
                 worst, link, good = (min(MOST_COUNT, c) for c in counts)
-                number = subject(address, w.started_at, name)
-                found.append(Said(number, worst, link, good, min(MOST_S, opened), min(MOST_S, left), stage))
-        found.sort(key=lambda s: (-(s.left_s > 0), -(s.bad + s.link), s.subject))
-        return tuple(found[:MOST_SAYS])
+                number = subject_id(address, w.started_at, name)
+                found.append(
+                    WorkerReport(number, worst, link, good, min(MOST_S, opened), min(MOST_S, left), stage)
+                )
+        found.sort(key=lambda s: (-(s.left_s > 0), -(s.bad + s.link), s.subject_id))
+        return tuple(found[:MAX_WORKER_REPORTS])
 
-    def news(self) -> bool:
+    def has_urgent_report(self) -> bool:
         """Whether there is a bad ending to be told at once."""
         return self.untold
 
@@ -290,17 +292,17 @@
         self.alive, self.unwell = max(1, e.dispatchers), e.is_degraded
         self.witnesses = e.attempts, e.bad_attempts
         new = []
-        for w in e.witnesses:
-            self._unsay(w.owner)
-            if len(self.tellers) >= MOST_TELLERS or not w.says or w.age_s >= SILENT_S:
+        for w in e.reports:
+            self._unsay(w.reporter)
+            if len(self.tellers) >= MOST_TELLERS or not w.worker_reports or w.age_s >= SILENT_S:
                 continue
-            self.tellers[w.owner] = now - w.age_s, tuple(s.subject for s in w.says)
-            for s in w.says:
-                words = self.words.get(s.subject)
+            self.tellers[w.reporter] = now - w.age_s, tuple(s.subject_id for s in w.worker_reports)
+            for s in w.worker_reports:
+                words = self.words.get(s.subject_id)
                 if words is None:
-                    words = self.words[s.subject] = {}
-                    new.append(s.subject)
-                words[w.owner] = now, Word(w.owner, w.zone, w.age_s, s)
+                    words = self.words[s.subject_id] = {}
+                    new.append(s.subject_id)
+                words[w.reporter] = now, Word(w.reporter, w.zone, w.age_s, s)
         if self.strange:
             self._find(now, (), fleet.workers.values())
         if now >= self.purge_at:
@@ -309,7 +311,7 @@
                 self._unsay(owner)
         if new:
             self._find(now, new, fleet.workers.values())
-        self.look(now, fleet)
+        self.evaluate(now, fleet)
 
     def _unsay(self, owner: str) -> None:
         for number in self.tellers.pop(owner, (0.0, ()))[1]:
@@ -326,7 +328,9 @@
         if self.strange and now >= self.index_at:
             self.index_at = now + FIND_S
             names = [c.name for c in self.settings.classes]
-            self.index = {subject(w.address, w.started_at, n): (w.address, n) for w in workers for n in names}
+            self.index = {
+                subject_id(w.address, w.started_at, n): (w.address, n) for w in workers for n in names
+            }
             numbers = [*numbers, *self.strange]
             # a list that comes later may know them
             self.strange = {n for n in self.strange if n not in self.index and n in self.words}
@@ -336,7 +340,7 @@
 
     # --- judging
 
-    def look(self, now: float, fleet: WorkerIndex, only: Worker | None = None) -> None:
+    def evaluate(self, now: float, fleet: WorkerIndex, only: Worker | None = None) -> None:
         """At all that is open, or at what has just changed of one."""
         if now < self.look_at and only is None:
             return
@@ -370,7 +374,9 @@
         spoken: dict[str, list[Word]] = {}
         for name in [c.name for c in self.settings.classes]:
             case = self.cases.get(w.address, {}).get(name)
-            heard = self.words.get(subject(w.address, w.started_at, name), {}).values() if self.words else ()
+            heard = (
+                self.words.get(subject_id(w.address, w.started_at, name), {}).values() if self.words else ()
+            )
             if case is None and not heard:
                 continue
             v = self.verdicts.get(w.address, {}).get(name)
@@ -378,12 +384,16 @@
             for came, word in heard:
                 age = word.age_s + now - came
                 # what was counted before it went out proves nothing for its trial
-                if v is None or v.state is not State.TRIAL or word.said.opened_s + age <= now - v.since + 0.5:
+                if (
+                    v is None
+                    or v.state is not VerdictState.TRIAL
+                    or word.said.opened_s + age <= now - v.since + 0.5
+                ):
                     words.append(word._replace(age_s=age))
             if case is not None and not doubtful:
                 case.fade(now)
-                said = Said(0, case.bad, case.link, case.good, 0.0, 0.0, 0)
-                words.append(Word(self.own, self.zone, 0.0, said))
+                said = WorkerReport(0, case.bad, case.link, case.good, 0.0, 0.0, 0)
+                words.append(Word(self.name, self.zone, 0.0, said))
             if words:
                 spoken[name] = words
         if not spoken:
@@ -416,7 +426,7 @@
             for a, held in self.verdicts.items()
             if a in fleet.workers
             and self._group(fleet.workers[a]) == group
-            and any(v.state in (State.CONDEMNED, State.TRIAL) for v in held.values())
+            and any(v.state in (VerdictState.CONDEMNED, VerdictState.TRIAL) for v in held.values())
         ]
 
     def _masses(self, now: float, fleet: WorkerIndex, scores: dict[str, dict[str, Sum]]) -> None:
@@ -457,21 +467,25 @@
                 continue
             v = v or Verdict(now)
             before = v.state
-            free = any(x.state in (State.CONDEMNED, State.TRIAL) for x in held.values())
+            free = any(x.state in (VerdictState.CONDEMNED, VerdictState.TRIAL) for x in held.values())
             room = free or len(self._out(group, fleet)) < self._allowed(group)
             mass = now < self.mass_at.get(group, -MASS_S) + MASS_S
             if order is not None:
                 self._obey(now, v, order, room)
             else:
                 score = s.score - self.usual_score.get(group, 0.0)
-                if v.state in (State.CLEAR, State.SUSPECTED) and score >= CONDEMNED_FROM and room:
+                if (
+                    v.state in (VerdictState.CLEAR, VerdictState.SUSPECTED)
+                    and score >= CONDEMNED_FROM
+                    and room
+                ):
                     score = self._score_beside_others(now, w, name, score, fleet)
                 elif name == worst_class:
                     self.questioned_at.pop(w.address, None)
                 step(v, now, Facts(score, s.tellers, s.good, needed, room, mass), self.rules.term_s)
-                if v.state in (State.CLEAR, State.SUSPECTED) and room:
+                if v.state in (VerdictState.CLEAR, VerdictState.SUSPECTED) and room:
                     self._believe(now, v, w, name, needed)
-            if v.state is State.CLEAR:
+            if v.state is VerdictState.CLEAR:
                 held.pop(name, None)
             else:
                 held[name] = v
@@ -532,7 +546,7 @@
         """Enough others hold it out already: who has just started need not be hurt first."""
         left = sorted(
             word.said.left_s - (word.age_s + now - came)
-            for came, word in self.words.get(subject(w.address, w.started_at, job_class), {}).values()
+            for came, word in self.words.get(subject_id(w.address, w.started_at, job_class), {}).values()
             if word.age_s + now - came < FRESH_S and word.said.left_s > word.age_s + now - came
         )
         if len(left) >= max(needed, min(5, ceil(0.1 * self.alive))):
@@ -540,20 +554,20 @@
             condemn(v, now, for_s, f"{len(left)} others' word")
             v.term_s = v.term_s or self.rules.term_s
 
-    def _changed(self, now: float, w: Worker, job_class: str, v: Verdict, before: State) -> None:
-        if v.state is State.TRIAL:
+    def _changed(self, now: float, w: Worker, job_class: str, v: Verdict, before: VerdictState) -> None:
+        if v.state is VerdictState.TRIAL:
             self.cases.get(w.address, {}).pop(job_class, None)  # what comes from now on counts anew
-        elif v.state is State.CONDEMNED:
+        elif v.state is VerdictState.CONDEMNED:
             self.alone.get(w.address, {}).pop(job_class, None)
             self.log(
                 f"{w.address} is out for {job_class}, {v.until - now:.1f} s: {v.by}, score {v.score:.1f}"
             )
-        elif before is State.TRIAL and v.state is State.CLEAR:
+        elif before is VerdictState.TRIAL and v.state is VerdictState.CLEAR:
             self.log(f"{w.address} is back for {job_class}")
 
     def _mark(self, now: float, w: Worker, plain: dict[str, float], fleet: WorkerIndex) -> None:
         """Puts what is held where the decisions look."""
-        out = any(v.state is State.CONDEMNED for v in self.verdicts.get(w.address, {}).values())
+        out = any(v.state is VerdictState.CONDEMNED for v in self.verdicts.get(w.address, {}).values())
         alone = self.alone.get(w.address)
         if alone is not None and not alone:
             del self.alone[w.address]
@@ -576,16 +590,16 @@
     def may_receive(self, now: float, job: Job, w: Worker, fleet: WorkerIndex) -> bool:
         """Asked of those that are marked: a mark may be older than what is held now."""
         if now >= self.look_at:
-            self.look(now, fleet)
+            self.evaluate(now, fleet)
         order = self._order(now, w.address)
         if order is not None and not order.out:
             return True  # own evidence counts as little as others'
         name = job.job_class.name
         unsafe = job.job_class.effect is Effect.UNSAFE and self.spares_unsafe
         v = self.verdicts.get(w.address, {}).get(name)
-        if v is not None and v.state is State.CONDEMNED:
+        if v is not None and v.state is VerdictState.CONDEMNED:
             return False
-        if v is not None and v.state is State.TRIAL:
+        if v is not None and v.state is VerdictState.TRIAL:
             if unsafe and v.stage < len(SHARES):
                 return False
             return w.load == 0 and self._turn(w, v)
@@ -601,7 +615,7 @@
 
     def _turn(self, w: Worker, v: Verdict) -> bool:
         share = max(SHARES[v.stage - 1], min(1.0, 2 / self.alive))
-        place = crc32(f"{self.own}/{w.address}/{w.started_at:.3f}/{v.term_s:g}".encode()) / (1 << 32)
+        place = crc32(f"{self.name}/{w.address}/{w.started_at:.3f}/{v.term_s:g}".encode()) / (1 << 32)
         return place < share
 
     def forget(self, w: Worker) -> None:
@@ -620,21 +634,21 @@
             if order.out and address not in e.overrides:  # it is let back as after a judgement, on trial
                 for v in self.verdicts.get(address, {}).values():
                     v.until = min(v.until, now)
-        self.orders = {a: Order(out, now + left, why) for a, (out, left, why) in e.overrides.items()}
+        self.orders = {a: ActiveOverride(out, now + left, why) for a, (out, left, why) in e.overrides.items()}
         self.look_at = now
-        self.look(now, fleet)
+        self.evaluate(now, fleet)
 
-    def _order(self, now: float, address: str) -> Order | None:
+    def _order(self, now: float, address: str) -> ActiveOverride | None:
         order = self.orders.get(address)
         if order is not None and now >= order.until:
             del self.orders[address]
             return None
         return order
 
-    def _obey(self, now: float, v: Verdict, order: Order, room: bool) -> None:
+    def _obey(self, now: float, v: Verdict, order: ActiveOverride, room: bool) -> None:
         if not order.out:
-            v.enter(now, State.CLEAR)
-        elif room and v.state is not State.CONDEMNED:
+            v.enter(now, VerdictState.CLEAR)
+        elif room and v.state is not VerdictState.CONDEMNED:
             condemn(v, now, order.until - now, f"the operator: {order.why}")
 
     def show(self, now: float, workers: dict[str, Worker]) -> list[dict[str, Any]]:
@@ -643,7 +657,7 @@
         for address, held in sorted(self.verdicts.items()):
             for name, v in sorted(held.items()):
                 born = workers[address].started_at if address in workers else 0.0
-                words = self.words.get(subject(address, born, name), {}).values()
+                words = self.words.get(subject_id(address, born, name), {}).values()
                 found.append(
                     {
                         "server": address,
@@ -681,10 +695,16 @@
 
 
 def attach(
-    d: Dispatcher, own: str, rules: Rules, now: float, log: Callable[[str], None] = lambda text: None
-) -> Judging:
+    d: Dispatcher,
+    own: str,
+    rules: DetectorSettings,
+    now: float,
+    log: Callable[[str], None] = lambda text: None,
+) -> OutlierDetector:
     """Has these decisions judge by evidence; without it they are as ever."""
-    judging = d.state.health = Judging(d.settings, d.state.health.base_ejection_s, own, rules, now, log)
+    judging = d.state.health = OutlierDetector(
+        d.settings, d.state.health.base_ejection_s, own, rules, now, log
+    )
 
     def unseen(e: LoopStall) -> None:
         judging.late(d.now, e.duration_s)
@@ -701,23 +721,23 @@
     return judging
 
 
-class Telling:
+class ReportSource:
     """What these decisions have to say to peers."""
 
-    def __init__(self, judging: Judging, d: Dispatcher) -> None:
+    def __init__(self, judging: OutlierDetector, d: Dispatcher) -> None:
         self.judging, self.d = judging, d
 
-    def news(self) -> bool:
-        return self.judging.news()
+    def has_urgent_report(self) -> bool:
+        return self.judging.has_urgent_report()
 
-    def settled(self, subject: int) -> bool:
-        address, job_class = self.judging.subjects.get(subject, ("", ""))
+    def is_ejected(self, subject_id: int) -> bool:
+        address, job_class = self.judging.subjects.get(subject_id, ("", ""))
         verdict = self.judging.verdicts.get(address, {}).get(job_class)
-        return verdict is not None and verdict.state is State.CONDEMNED
+        return verdict is not None and verdict.state is VerdictState.CONDEMNED
 
-    def word(self, now: float) -> Own:
+    def own_report(self, now: float) -> OwnReport:
         j = self.judging
         if j.doubtful(now):
-            return Own(j.zone, 0.0, 0.0, ())
+            return OwnReport(j.zone, 0.0, 0.0, ())
         j.rate.fade(now)
-        return Own(j.zone, j.rate.ended, j.rate.bad, j.says(now, self.d.workers))
+        return OwnReport(j.zone, j.rate.ended, j.rate.bad, j.says(now, self.d.workers))
--- a/finchladder/core/health/detection/overrides.py
+++ b/finchladder/core/health/detection/overrides.py
@@ -22,46 +22,46 @@
 MOST = 64  # words at one time; beyond it a new one is refused
 MOST_TOLD = 4  # with one packet
 MOST_S = 86_400.0
-MOST_WHY, MOST_NAME = 80, 64
+MAX_REASON_LENGTH, MAX_WORKER_NAME_LENGTH = 80, 64
 MOST_STAMP = 1 << 50
 
 
-class Order(NamedTuple):
-    server: str
+class Override(NamedTuple):
+    worker: str
     stance: str
     left_s: float
     stamp: int
-    by: str  # the dispatcher at which it was said
-    why: str
+    issuer: str  # the dispatcher at which it was said
+    reason: str
 
     @property
     def room(self) -> int:
-        return len(self.server.encode()) + len(self.why.encode()) + len(self.by) + 28
+        return len(self.worker.encode()) + len(self.reason.encode()) + len(self.issuer) + 28
 
 
-def flaw(orders: Iterable[Order]) -> bool:
+def has_invalid_values(orders: Iterable[Override]) -> bool:
     return not all(
         o.stance in STANCES
         and isfinite(o.left_s)
         and 0 <= o.left_s <= MOST_S
         and 0 <= o.stamp <= MOST_STAMP
-        and 0 < len(o.server) <= MOST_NAME
-        and len(o.why) <= MOST_WHY
+        and 0 < len(o.worker) <= MAX_WORKER_NAME_LENGTH
+        and len(o.reason) <= MAX_REASON_LENGTH
         for o in orders
     )
 
 
-class Orders:
+class OverrideTable:
     def __init__(self, own: str, repeats: int) -> None:
         self.own, self.repeats = own, repeats
         self.held: dict[
-            str, tuple[Order, float]
+            str, tuple[Override, float]
         ] = {}  # by server: and until when it holds, by one's own clock
-        self.tell: dict[str, int] = {}
+        self.pending: dict[str, int] = {}
         self.turn = 0
-        self.changed = False  # since it was last looked at
+        self.has_changed = False  # since it was last looked at
 
-    def say(self, now: float, server: str, stance: str, for_s: float, why: str) -> Order:
+    def issue(self, now: float, server: str, stance: str, for_s: float, why: str) -> Override:
         """ValueError says in one line why not."""
         self.forget(now)
         before = self.held.get(server)
@@ -72,58 +72,60 @@
         elif before is None and len(self.held) >= MOST:
             raise ValueError(f"{MOST} words hold already, and more is not kept")
         stamp = max((o.stamp for o, _ in self.held.values()), default=0) + 1
-        order = Order(server, stance, min(for_s, MOST_S), stamp, self.own, why)
+        order = Override(server, stance, min(for_s, MOST_S), stamp, self.own, why)
         self._hold(now, order)
         return order
 
-    def merge(self, now: float, o: Order) -> bool:
+    def merge(self, now: float, o: Override) -> bool:
         """Whether it is news."""
         self.forget(now)
-        found = self.held.get(o.server)
+        found = self.held.get(o.worker)
         if o.left_s <= 0 or (found is None and len(self.held) >= MOST):
             return False
-        if found is not None and (o.stamp, o.by) <= (found[0].stamp, found[0].by):
+        if found is not None and (o.stamp, o.issuer) <= (found[0].stamp, found[0].issuer):
             return False
         self._hold(now, o)
         return True
 
-    def _hold(self, now: float, o: Order) -> None:
-        self.held[o.server] = o, now + o.left_s
-        self.tell[o.server] = self.repeats
-        self.changed = True
+    def _hold(self, now: float, o: Override) -> None:
+        self.held[o.worker] = o, now + o.left_s
+        self.pending[o.worker] = self.repeats
+        self.has_changed = True
 
     def forget(self, now: float) -> None:
         for server in [s for s, (_, until) in self.held.items() if now >= until]:
             del self.held[server]
-            self.tell.pop(server, None)
-            self.changed = True
+            self.pending.pop(server, None)
+            self.has_changed = True
 
-    def some(self, now: float, room: int) -> list[Order]:
+    def select(self, now: float, room: int) -> list[Override]:
         """For one packet: news first, and one of the rest in turn."""
         self.forget(now)
-        told: list[Order] = []
+        told: list[Override] = []
         names = list(self.held)
         if names:
             self.turn += 1
-        for server in [*list(self.tell)[:MOST_TOLD], *names[self.turn % len(names) :][:1]] if names else []:
+        for server in (
+            [*list(self.pending)[:MOST_TOLD], *names[self.turn % len(names) :][:1]] if names else []
+        ):
             o, until = self.held[server]
             o = o._replace(left_s=until - now)
             if o.room > room or o in told:
                 continue
             room -= o.room
             told.append(o)
-            left = self.tell.pop(server, 0) - 1
+            left = self.pending.pop(server, 0) - 1
             if left > 0:
-                self.tell[server] = left
+                self.pending[server] = left
         return told
 
-    def word(self, now: float) -> OperatorOverrides:
+    def as_event(self, now: float) -> OperatorOverrides:
         """For the decisions."""
         return OperatorOverrides(
-            {s: (o.stance == "out", until - now, o.why) for s, (o, until) in self.standing(now).items()}
+            {s: (o.stance == "out", until - now, o.reason) for s, (o, until) in self.active(now).items()}
         )
 
-    def standing(self, now: float) -> dict[str, tuple[Order, float]]:
+    def active(self, now: float) -> dict[str, tuple[Override, float]]:
         """Those that hold, by server, and until when."""
         self.forget(now)
         return {s: (o, until) for s, (o, until) in self.held.items() if o.stance != "let"}
--- a/finchladder/core/health/detection/verdicts.py
+++ b/finchladder/core/health/detection/verdicts.py
@@ -29,7 +29,7 @@
 ENOUGH = (2.0, 4.0, 8.0)  # good endings, by stage
 
 
-class State(Enum):
+class VerdictState(Enum):
     CLEAR = 0
     SUSPECTED = 1
     CONDEMNED = 2
@@ -40,14 +40,14 @@
     __slots__ = ("state", "since", "until", "term_s", "stage", "stage_at", "by", "score")
 
     def __init__(self, now: float) -> None:
-        self.state, self.since = State.CLEAR, now
+        self.state, self.since = VerdictState.CLEAR, now
         self.until = 0.0
         self.term_s = 0.0  # the last one; 0: it was never condemned
         self.stage, self.stage_at = 0, now
         self.by = ""  # by whose word
         self.score = 0.0
 
-    def enter(self, now: float, state: State) -> None:
+    def enter(self, now: float, state: VerdictState) -> None:
         if state is not self.state:
             self.state, self.since = state, now
 
@@ -62,24 +62,24 @@
 
 
 def condemn(v: Verdict, now: float, for_s: float, by: str) -> None:
-    v.enter(now, State.CONDEMNED)
+    v.enter(now, VerdictState.CONDEMNED)
     v.until, v.by, v.stage = now + for_s, by, 0
 
 
 def step(v: Verdict, now: float, f: Facts, term_s: float) -> None:
     """`term_s`: of a first condemnation."""
     v.score = f.score
-    if v.state is State.CONDEMNED:
+    if v.state is VerdictState.CONDEMNED:
         if now >= v.until:
-            v.enter(now, State.TRIAL)
+            v.enter(now, VerdictState.TRIAL)
             v.stage, v.stage_at = 1, now
-    elif v.state is State.TRIAL:
+    elif v.state is VerdictState.TRIAL:
         _try(v, now, f, term_s)
     elif f.score >= CONDEMNED_FROM and f.tellers >= f.needed and f.room and not f.mass:
         v.term_s = term_s
         condemn(v, now, term_s, f"{f.tellers} tellers")
     else:
-        v.enter(now, State.SUSPECTED if f.score > SUSPECTED_FROM else State.CLEAR)
+        v.enter(now, VerdictState.SUSPECTED if f.score > SUSPECTED_FROM else VerdictState.CLEAR)
 
 
 def _try(v: Verdict, now: float, f: Facts, term_s: float) -> None:
@@ -89,8 +89,8 @@
     elif f.score <= 0 and (now >= v.stage_at + STAGE_S or f.good >= ENOUGH[v.stage - 1]):
         v.stage, v.stage_at = v.stage + 1, now
         if v.stage > len(SHARES):
-            v.enter(now, State.CLEAR)
+            v.enter(now, VerdictState.CLEAR)
             v.stage, v.term_s = 0, 0.0
     elif now >= v.since + TRIAL_S:
-        v.enter(now, State.CLEAR)
+        v.enter(now, VerdictState.CLEAR)
         v.stage, v.term_s = 0, 0.0
--- a/finchladder/core/peers/exchange.py
+++ b/finchladder/core/peers/exchange.py
@@ -20,8 +20,13 @@
 from typing import Any, NamedTuple, Protocol
 
 from finchladder.core.api import PeerReports
-from finchladder.core.health.detection.overrides import Orders
-from finchladder.core.health.detection.reports import URGENT, Own, Said, Witness
+from finchladder.core.health.detection.overrides import OverrideTable
+from finchladder.core.health.detection.reports import (
+    MIN_URGENT_BAD_ATTEMPTS,
+    OwnReport,
+    PeerReport,
+    WorkerReport,
+)
 from finchladder.core.peers.bucket import Bucket
 from finchladder.core.peers.escrow import KEPT, Budget, Escrow
 from finchladder.core.peers.membership import Members, Say, Timing
@@ -52,9 +57,11 @@
 class Evidence(Protocol):
     """What this dispatcher has to say of real servers."""
 
-    def news(self) -> bool: ...  # a bad ending that was not told yet
-    def word(self, now: float) -> Own: ...
-    def settled(self, subject: int) -> bool: ...  # held out here already: more words change nothing soon
+    def has_urgent_report(self) -> bool: ...  # a bad ending that was not told yet
+    def own_report(self, now: float) -> OwnReport: ...
+    def is_ejected(
+        self, subject_id: int
+    ) -> bool: ...  # held out here already: more words change nothing soon
 
 
 class Family(NamedTuple):
@@ -96,7 +103,7 @@
         self.conflicts = 0  # packets in one's own name from another process
         self.dropped: dict[str, int] = {}
         self.evidence: Evidence | None = None
-        self.orders = Orders(own, self.members.repeats)
+        self.orders = OverrideTable(own, self.members.repeats)
         self.pressing_until = self.hearsay_at = self.rated_at = now
         self.rated = 0.0, 0.0, 1  # endings that others tell of, bad ones of them, and how many tell
         self.changed: dict[str, None] = {}  # whose words of real servers have, since they were handed on
@@ -198,14 +205,18 @@
             told.append((p.sender, self._plain(Kind.WORD)._replace(rumours=(told_of,))))
         return told
 
-    def _heard_of_servers(self, now: float, row: Row, before: tuple[Said, ...]) -> None:
+    def _heard_of_servers(self, now: float, row: Row, before: tuple[WorkerReport, ...]) -> None:
         if not (row.says or before):
             return
         self.changed[row.owner] = None
         assert self.evidence is not None
-        known = {s.subject for s in before if s.bad + s.link >= URGENT}
-        new = [s.subject for s in row.says if s.bad + s.link >= URGENT and s.subject not in known]
-        if not all(map(self.evidence.settled, new)):
+        known = {s.subject_id for s in before if s.bad + s.link >= MIN_URGENT_BAD_ATTEMPTS}
+        new = [
+            s.subject_id
+            for s in row.says
+            if s.bad + s.link >= MIN_URGENT_BAD_ATTEMPTS and s.subject_id not in known
+        ]
+        if not all(map(self.evidence.is_ejected, new)):
             self.pressing_until = now + PRESSING_S
             self.rows.first[row.owner] = None
 
@@ -233,7 +244,7 @@
     def _gossip(self, now: float) -> Packets:
         told: Packets = []
         rows: list[Row] = []
-        if self.evidence is not None and self.evidence.news():
+        if self.evidence is not None and self.evidence.has_urgent_report():
             self.row_at, self.pressing_until = now, now + PRESSING_S
             self.rows.first[self.own] = None
         if self.escrow.budgets or self.families:
@@ -259,7 +270,7 @@
         for to, back in self.escrow.give_back(now):
             told.append((to, self._plain(Kind.WORD)._replace(returns=(back,))))
         self._rights(now)
-        if self.members.hot or self.rows.tell or self.orders.tell:
+        if self.members.hot or self.rows.tell or self.orders.pending:
             to_all = AT_ONCE if now < self.pressing_until else 1
             told += [self._packet(now, Say(Kind.WORD, to)) for to in self.members.some_alive(to_all)]
         return told
@@ -286,11 +297,11 @@
         wanting = any(now_wanted.values()) and now - at >= 2 * ROW_S
         own = None
         if self.evidence is not None:
-            news = news or self.evidence.news()
-            own = self.evidence.word(now)
+            news = news or self.evidence.has_urgent_report()
+            own = self.evidence.own_report(now)
             said = self.rows.held.get(self.own)
             # also that nothing is in question any more
-            open_ = own.says or (said is not None and said[0].says)
+            open_ = own.worker_reports or (said is not None and said[0].says)
             wanting = wanting or (bool(open_) and now - at >= ROW_S)
         if news or wanting or now - at >= REFRESH_S:
             self.written = now, now_wanted
@@ -306,7 +317,7 @@
     def _packet(self, now: float, s: Say) -> tuple[str, Packet]:
         rumours = self.members.rumours(s.to, ROOM // 2)
         room = ROOM - sum(r.room for r in rumours)
-        orders = self.orders.some(now, room // 2)
+        orders = self.orders.select(now, room // 2)
         room -= sum(o.room for o in orders)
         rows = self.rows.some(now, s.to, room)
         return s.to, self._plain(s.kind)._replace(
@@ -336,7 +347,7 @@
         told = []
         for owner in self.changed:
             if (found := self.rows.held.get(owner)) is not None:
-                told.append(Witness(owner, found[0].zone, self.rows.age_s(now, owner), found[0].says))
+                told.append(PeerReport(owner, found[0].zone, self.rows.age_s(now, owner), found[0].says))
         self.changed, self.hearsay_at = {}, now + HEARSAY_S
         return PeerReports(tuple(told), *self.rated, self.members.health >= UNWELL)
 
--- a/finchladder/core/peers/messages.py
+++ b/finchladder/core/peers/messages.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from finchladder.core.health.detection import reports
-from finchladder.core.health.detection.overrides import Order
-from finchladder.core.health.detection.overrides import flaw as order_flaw
+from finchladder.core.health.detection.overrides import Override
+from finchladder.core.health.detection.overrides import has_invalid_values as has_invalid_override
 
 ROOM = 1_000  # bytes of a packet for all that is told beside the head
 MOST_INCARNATION = 1 << 50  # they begin with the wall clock's milliseconds, and go up by ones
@@ -72,7 +72,7 @@
     zone: int = 0
     ended: float = 0.0  # jobs lately
     bad: float = 0.0  # of those
-    says: tuple[reports.Said, ...] = ()
+    says: tuple[reports.WorkerReport, ...] = ()
 
     @property
     def room(self) -> int:
@@ -132,7 +132,7 @@
     grants: tuple[Grant, ...] = ()
     returns: tuple[Return, ...] = ()
     part: Part | None = None
-    orders: tuple[Order, ...] = ()
+    orders: tuple[Override, ...] = ()
 
 
 def flaw(p: Packet) -> str | None:
@@ -154,9 +154,9 @@
         if len({w.budget for w in row.wants}) < len(row.wants):
             return "a budget twice in a row"
         counts = _within(row.ended, MOST_TOTAL) and _within(row.bad, MOST_TOTAL) and 0 <= row.zone < 1 << 32
-        if not counts or reports.flaw(row.says):
+        if not counts or reports.has_invalid_values(row.says):
             return "evidence of a row"
-    if order_flaw(p.orders):
+    if has_invalid_override(p.orders):
         return "figures of an order"
     if not all(isfinite(r.asked) and r.serial >= 0 for r in p.returns):
         return "figures of a return"
--- a/finchladder/core/peers/state_rows.py
+++ b/finchladder/core/peers/state_rows.py
@@ -17,7 +17,7 @@
 
 from collections.abc import Iterable
 
-from finchladder.core.health.detection.reports import Own
+from finchladder.core.health.detection.reports import OwnReport
 from finchladder.core.peers.messages import Row, Want
 
 FORGET_S = 30.0
@@ -37,13 +37,17 @@
         self.turn: list[str] = []  # of the other rows, which fill what room is left
         self.merged = self.stale = 0
 
-    def write(self, now: float, incarnation: int, wants: Iterable[Want], own: Own | None = None) -> None:
+    def write(
+        self, now: float, incarnation: int, wants: Iterable[Want], own: OwnReport | None = None
+    ) -> None:
         """One's own row, anew. Of equal budgets none may stand twice. `own`: one's word of real servers."""
         told = sorted(wants, key=lambda w: (-w.rate, w.budget))[:MOST_WANTS]
         self.order += 1
         row = Row(self.own, self.boot, incarnation, self.order, 0.0, now, tuple(told))
         if own is not None:
-            row = row._replace(zone=own.zone, ended=own.ended, bad=own.bad, says=own.says)
+            row = row._replace(
+                zone=own.zone, ended=own.attempts, bad=own.bad_attempts, says=own.worker_reports
+            )
         self._hold(now, row)
 
     def merge(self, now: float, row: Row) -> bool:
--- a/finchladder/lab/talk.py
+++ b/finchladder/lab/talk.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from finchladder.core.health.detection.detector import Judging, Rules, Telling, attach
+from finchladder.core.health.detection.detector import DetectorSettings, OutlierDetector, ReportSource, attach
 from finchladder.core.peers.exchange import Packets, Peers
 from finchladder.core.peers.messages import Packet
 from finchladder.lab.decisions import Play
@@ -20,13 +20,13 @@
     def __init__(
         self,
         play: Play,
-        rules: Rules,
+        rules: DetectorSettings,
         talk: bool = True,
         log: Callable[[str, str], None] = lambda who, what: None,
     ) -> None:
         """`log`: gets each dispatcher's name and line."""
         self.play, self.kernel = play, play.kernel
-        self.judges: list[Judging] = []
+        self.judges: list[OutlierDetector] = []
         self.peers: list[Peers] = []
         self.packets = 0
         names = [f"n{i + 1}" for i in range(len(play.nodes))]
@@ -35,7 +35,7 @@
             self.judges.append(judge)
             if talk:
                 peers = Peers(names[i], names, play.e.seed * 1000 + i, 1000, 0.0)
-                peers.evidence = Telling(judge, node.d)
+                peers.evidence = ReportSource(judge, node.d)
                 self.peers.append(peers)
         for i in range(len(self.peers)):
             self._turn(i)
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -38,7 +38,7 @@
 
 if TYPE_CHECKING:
     from finchladder.config.operator_file import Loaded
-    from finchladder.core.health.detection.detector import Judging
+    from finchladder.core.health.detection.detector import OutlierDetector
     from finchladder.core.membership.subset_filter import SubsetFilter
     from finchladder.core.peers.bucket import Bucket
     from finchladder.core.peers.exchange import Peers
@@ -98,7 +98,7 @@
 
     def _build_peers(self, peers: "Peers | None", arrivals: Arrivals) -> None:
         """Outlier detection, then the exchange with the other dispatchers, where they are on."""
-        self.judging: Judging | None = None
+        self.judging: OutlierDetector | None = None
         if self.options.judgement is not None:
             self._judge(self.options.judgement, peers)
         self.peers: PeersActor | None = None
@@ -246,12 +246,12 @@
 
     def _judge(self, options: JudgementOptions, joined: "Peers | None") -> None:
         """Real servers are judged by evidence, others' too where dispatchers speak with each other."""
-        from finchladder.core.health.detection.detector import Rules, Telling, attach
+        from finchladder.core.health.detection.detector import DetectorSettings, ReportSource, attach
 
-        rules = Rules(options.most_out, options.term_s)
+        rules = DetectorSettings(options.most_out, options.term_s)
         self.judging = attach(self.dispatcher, self.setup.name, rules, self.clock(), logger.info)
         if joined is not None:
-            joined.evidence = Telling(self.judging, self.dispatcher)
+            joined.evidence = ReportSource(self.judging, self.dispatcher)
 
     def _share(self, budget: str, limit: float) -> "Bucket":
         return self.joined.share(budget, limit, self.clock(), self.setup.settings.dispatchers)
--- a/finchladder/net/outlier_control.py
+++ b/finchladder/net/outlier_control.py
@@ -5,8 +5,8 @@
 
 from finchladder.core.api import OperatorOverrides
 from finchladder.core.dispatch.dispatcher import Dispatcher
-from finchladder.core.health.detection.detector import Judging
-from finchladder.core.health.detection.overrides import Orders
+from finchladder.core.health.detection.detector import OutlierDetector
+from finchladder.core.health.detection.overrides import OverrideTable
 from finchladder.net.control import OverrideRequest
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
     def __init__(
         self,
         key: str | None,
-        judging: Judging,
+        judging: OutlierDetector,
         d: Dispatcher,
         clock: Callable[[], float],
         tell: Callable[[OperatorOverrides], None],
@@ -27,7 +27,7 @@
     ) -> None:
         """`peers`: tell the others; without them a word holds here alone."""
         self.key, self.judging, self.d, self.clock, self.tell = key, judging, d, clock, tell
-        self.orders = peers.orders if peers is not None else Orders(judging.own, 0)
+        self.orders = peers.orders if peers is not None else OverrideTable(judging.name, 0)
 
     def show(self) -> list[dict[str, Any]]:
         """Returns one JSON object for each worker with evidence and for each override."""
@@ -36,11 +36,11 @@
             {
                 "server": s,
                 "state": f"operator: {o.stance}",
-                "by": o.by,
-                "why": o.why,
+                "by": o.issuer,
+                "why": o.reason,
                 "left_s": round(until - now, 3),
             }
-            for s, (o, until) in sorted(self.orders.standing(now).items())
+            for s, (o, until) in sorted(self.orders.active(now).items())
         ]
         return self.judging.show(now, self.d.workers) + words
 
@@ -53,13 +53,13 @@
         if order.server not in self.d.workers:
             raise ValueError(f"no real server {order.server} is known here")
         now = self.clock()
-        said = self.orders.say(now, order.server, order.stance, order.for_s, order.why)
-        self.orders.changed = False
-        self.tell(self.orders.word(now))
+        said = self.orders.issue(now, order.server, order.stance, order.for_s, order.why)
+        self.orders.has_changed = False
+        self.tell(self.orders.as_event(now))
         return {
-            "server": said.server,
+            "server": said.worker,
             "stance": said.stance,
             "for_s": said.left_s,
-            "by": said.by,
-            "why": said.why,
+            "by": said.issuer,
+            "why": said.reason,
         }
--- a/finchladder/net/peers/actor.py
+++ b/finchladder/net/peers/actor.py
@@ -191,9 +191,9 @@
             return
         if (hearsay := self.peers.hearsay(now)) is not None:
             self.heard(hearsay)
-        if self.peers.orders.changed:
-            self.peers.orders.changed = False
-            self.heard(self.peers.orders.word(now))
+        if self.peers.orders.has_changed:
+            self.peers.orders.has_changed = False
+            self.heard(self.peers.orders.as_event(now))
         if now < self.tell_at or not self.peers.rule.wave_s:
             return
         self.tell_at = now + self.peers.rule.wave_s
--- a/finchladder/net/peers/datagrams.py
+++ b/finchladder/net/peers/datagrams.py
@@ -13,8 +13,8 @@
 import msgspec
 from msgspec import Meta
 
-from finchladder.core.health.detection.overrides import MOST_NAME, MOST_WHY, Order
-from finchladder.core.health.detection.reports import MOST_SAYS, Said
+from finchladder.core.health.detection.overrides import MAX_REASON_LENGTH, MAX_WORKER_NAME_LENGTH, Override
+from finchladder.core.health.detection.reports import MAX_WORKER_REPORTS, WorkerReport
 from finchladder.core.peers.messages import Grant, Kind, Packet, Part, Return, Row, Rumour, Standing, Want
 
 VERSION = 2
@@ -57,12 +57,12 @@
 
 
 class _Order(_Array):
-    server: Annotated[str, Meta(min_length=1, max_length=MOST_NAME)]
+    server: Annotated[str, Meta(min_length=1, max_length=MAX_WORKER_NAME_LENGTH)]
     stance: Annotated[str, Meta(max_length=8)]
     left_s: float
     stamp: Number
     by: Name
-    why: Annotated[str, Meta(max_length=MOST_WHY)]
+    why: Annotated[str, Meta(max_length=MAX_REASON_LENGTH)]
 
 
 class _Row(_Array):
@@ -76,7 +76,7 @@
     zone: Number
     ended: Tenths
     bad: Tenths
-    says: Annotated[list[_Said], Meta(max_length=MOST_SAYS)]
+    says: Annotated[list[_Said], Meta(max_length=MAX_WORKER_REPORTS)]
 
 
 class _Grant(_Array):
@@ -193,7 +193,7 @@
                 r.ended / TENTH,
                 r.bad / TENTH,
                 tuple(
-                    Said(
+                    WorkerReport(
                         s.subject,
                         s.bad / TENTH,
                         s.link / TENTH,
@@ -210,7 +210,7 @@
         tuple(Grant(g.serial, g.budget, g.rate, g.asked, g.boot) for g in d.grants),
         tuple(Return(r.serial, r.boot, r.asked) for r in d.returns),
         _part(d.part) if d.part is not None else None,
-        tuple(Order(o.server, o.stance, o.left_s, o.stamp, o.by, o.why) for o in d.orders),
+        tuple(Override(o.server, o.stance, o.left_s, o.stamp, o.by, o.why) for o in d.orders),
     )
 
 
@@ -221,7 +221,7 @@
 def _row(r: Row) -> tuple[object, ...]:
     says = [
         (
-            s.subject,
+            s.subject_id,
             _tenths(s.bad),
             _tenths(s.link),
             _tenths(s.good),
--- a/finchladder/sim/judged.py
+++ b/finchladder/sim/judged.py
@@ -20,9 +20,9 @@
 
 from finchladder.core import api
 from finchladder.core.dispatch.dispatcher import Dispatcher
-from finchladder.core.health.detection.detector import Judging, Rules, Telling, attach
-from finchladder.core.health.detection.reports import MOST_SAYS, Own, Said, subject
-from finchladder.core.health.detection.verdicts import State
+from finchladder.core.health.detection.detector import DetectorSettings, OutlierDetector, ReportSource, attach
+from finchladder.core.health.detection.reports import MAX_WORKER_REPORTS, OwnReport, WorkerReport, subject_id
+from finchladder.core.health.detection.verdicts import VerdictState
 from finchladder.sim import peers
 
 ENDS_S = 60.0
@@ -79,18 +79,20 @@
     def __init__(self, d: Dispatcher, zone: int) -> None:
         self.d, self.zone = d, zone
 
-    def news(self) -> bool:
+    def has_urgent_report(self) -> bool:
         return True
 
-    def settled(self, subject: int) -> bool:
+    def is_ejected(self, subject_id: int) -> bool:
         return False
 
-    def word(self, now: float) -> Own:
+    def own_report(self, now: float) -> OwnReport:
         names = sorted(self.d.workers)
         says = [
-            Said(subject(a, 0.0, c.name), 500.0, 500.0, 0.0, 1.0, 500.0, 0) for a in names for c in CLASSES
+            WorkerReport(subject_id(a, 0.0, c.name), 500.0, 500.0, 0.0, 1.0, 500.0, 0)
+            for a in names
+            for c in CLASSES
         ]
-        return Own(self.zone, 500.0, 0.0, tuple(says[:MOST_SAYS]))
+        return OwnReport(self.zone, 500.0, 0.0, tuple(says[:MAX_WORKER_REPORTS]))
 
 
 class Process(peers.Process):
@@ -110,9 +112,9 @@
             may_cancel=True,
         )
         self.d = Dispatcher(settings, Random(f"{play.seed}/{index}/{life}/d").getrandbits(60))
-        self.judging: Judging = attach(self.d, self.name, Rules(), self.clock())
+        self.judging: OutlierDetector = attach(self.d, self.name, DetectorSettings(), self.clock())
         lies = scene.liar == index
-        self.peers.evidence = _Liar(self.d, self.judging.zone) if lies else Telling(self.judging, self.d)
+        self.peers.evidence = _Liar(self.d, self.judging.zone) if lies else ReportSource(self.judging, self.d)
         self.paused_at = 0.0
         entries = tuple(
             api.WorkerEntry(f"w{n}", api.WorkerStatus.READY, zones[n % scene.zones])
@@ -240,7 +242,7 @@
         for p in honest:
             groups: dict[str, int] = {}
             for address, held in p.judging.verdicts.items():
-                if any(v.state in (State.CONDEMNED, State.TRIAL) for v in held.values()):
+                if any(v.state in (VerdictState.CONDEMNED, VerdictState.TRIAL) for v in held.values()):
                     zone = p.d.workers[address].zone
                     groups[zone] = groups.get(zone, 0) + 1
                     out[address] = out.get(address, 0) + 1
@@ -262,11 +264,11 @@
             return
         for p in self.alive.values():
             assert isinstance(p, Process)
-            p.judging.look(p.clock(), p.d.worker_index)
+            p.judging.evaluate(p.clock(), p.d.worker_index)
             held = {
                 a: h
                 for a, h in p.judging.verdicts.items()
-                if any(v.state is State.CONDEMNED for v in h.values())
+                if any(v.state is VerdictState.CONDEMNED for v in h.values())
             }
             if held:
                 return self.break_("ends", f"{p.name} still holds {sorted(held)} out")
--- a/tests/core/judging/test_tables.py
+++ b/tests/core/judging/test_tables.py
@@ -9,9 +9,17 @@
 from finchladder.core.health.detection import verdicts
 from finchladder.core.health.detection.aggregation import LEAST, MOST_EACH, SILENT_S, Word, weigh
 from finchladder.core.health.detection.evidence import FADE_S, MOST_USUAL, Case, Rate, Usual, weights
-from finchladder.core.health.detection.overrides import MOST, Order, Orders
-from finchladder.core.health.detection.reports import Said, flaw, subject
-from finchladder.core.health.detection.verdicts import ENOUGH, SHARES, Facts, State, Verdict, condemn, step
+from finchladder.core.health.detection.overrides import MOST, Override, OverrideTable
+from finchladder.core.health.detection.reports import WorkerReport, has_invalid_values, subject_id
+from finchladder.core.health.detection.verdicts import (
+    ENOUGH,
+    SHARES,
+    Facts,
+    Verdict,
+    VerdictState,
+    condemn,
+    step,
+)
 from finchladder.core.health.outlier_ejection import AttemptSignal
 
 
@@ -72,7 +80,7 @@
 def word(
     teller: str, zone: int = HERE, age: float = 0.0, bad: float = 0, link: float = 0, good: float = 0
 ) -> Word:
-    return Word(teller, zone, age, Said(7, bad, link, good, 1.0, 0.0, 0))
+    return Word(teller, zone, age, WorkerReport(7, bad, link, good, 1.0, 0.0, 0))
 
 
 TOGETHER = {
@@ -101,41 +109,53 @@
 def test_every_state_and_every_facts_go_where_the_table_says() -> None:
     """All of them: five scores, tellers, good endings, room, mass and times, from each state and stage."""
     seen = set()
-    starts = [(State.CLEAR, 0), (State.SUSPECTED, 0), (State.CONDEMNED, 0)]
-    starts += [(State.TRIAL, s) for s in range(1, len(SHARES) + 1)]
+    starts = [(VerdictState.CLEAR, 0), (VerdictState.SUSPECTED, 0), (VerdictState.CONDEMNED, 0)]
+    starts += [(VerdictState.TRIAL, s) for s in range(1, len(SHARES) + 1)]
     facts = product(SCORES, (0, 1, 2, 3), (0.0, 100.0), (2, 3), (False, True), (False, True))
     for (state, stage), f, later in product(starts, list(facts), (0.1, 1.5, 50.0)):
         v = Verdict(0.0)
-        v.state, v.stage, v.until, v.term_s = state, stage, 1.0, 2.0 if state is not State.CLEAR else 0.0
+        v.state, v.stage, v.until, v.term_s = (
+            state,
+            stage,
+            1.0,
+            2.0 if state is not VerdictState.CLEAR else 0.0,
+        )
         fact = Facts(*f)
         step(v, later, fact, 2.0)
         seen.add((state, v.state))
-        new = v.state is State.CONDEMNED and state is not State.CONDEMNED
+        new = v.state is VerdictState.CONDEMNED and state is not VerdictState.CONDEMNED
         if new:
             assert fact.room
             assert v.until > later
             assert v.term_s <= verdicts.LONGEST_S
-            assert fact.tellers >= (min(2, fact.needed) if state is State.TRIAL else fact.needed)
-            assert fact.score >= (5.0 if state is State.TRIAL else 10.0)
-            assert state is State.TRIAL or not fact.mass
-        if state is State.CONDEMNED:
-            assert v.state is (State.TRIAL if later >= 1.0 else State.CONDEMNED)
-        if state is State.TRIAL and fact.score > 0 and not new:
-            assert v.state is State.TRIAL and v.stage == stage or later >= verdicts.TRIAL_S
-        if state is State.TRIAL and fact.score <= 0 and (later >= 1.0 or fact.good >= ENOUGH[stage - 1]):
+            assert fact.tellers >= (min(2, fact.needed) if state is VerdictState.TRIAL else fact.needed)
+            assert fact.score >= (5.0 if state is VerdictState.TRIAL else 10.0)
+            assert state is VerdictState.TRIAL or not fact.mass
+        if state is VerdictState.CONDEMNED:
+            assert v.state is (VerdictState.TRIAL if later >= 1.0 else VerdictState.CONDEMNED)
+        if state is VerdictState.TRIAL and fact.score > 0 and not new:
+            assert v.state is VerdictState.TRIAL and v.stage == stage or later >= verdicts.TRIAL_S
+        if (
+            state is VerdictState.TRIAL
+            and fact.score <= 0
+            and (later >= 1.0 or fact.good >= ENOUGH[stage - 1])
+        ):
             assert (v.state, v.stage) == (
-                (State.TRIAL, stage + 1) if stage < len(SHARES) else (State.CLEAR, 0)
+                (VerdictState.TRIAL, stage + 1) if stage < len(SHARES) else (VerdictState.CLEAR, 0)
             )
-        if state in (State.CLEAR, State.SUSPECTED) and not new:
-            assert v.state is (State.SUSPECTED if fact.score > 3.0 else State.CLEAR)
-    assert seen == {(State.CLEAR, s) for s in (State.CLEAR, State.SUSPECTED, State.CONDEMNED)} | {
-        (State.SUSPECTED, s) for s in (State.CLEAR, State.SUSPECTED, State.CONDEMNED)
+        if state in (VerdictState.CLEAR, VerdictState.SUSPECTED) and not new:
+            assert v.state is (VerdictState.SUSPECTED if fact.score > 3.0 else VerdictState.CLEAR)
+    assert seen == {
+        (VerdictState.CLEAR, s) for s in (VerdictState.CLEAR, VerdictState.SUSPECTED, VerdictState.CONDEMNED)
+    } | {
+        (VerdictState.SUSPECTED, s)
+        for s in (VerdictState.CLEAR, VerdictState.SUSPECTED, VerdictState.CONDEMNED)
     } | {
-        (State.CONDEMNED, State.CONDEMNED),
-        (State.CONDEMNED, State.TRIAL),
-        (State.TRIAL, State.TRIAL),
-        (State.TRIAL, State.CONDEMNED),
-        (State.TRIAL, State.CLEAR),
+        (VerdictState.CONDEMNED, VerdictState.CONDEMNED),
+        (VerdictState.CONDEMNED, VerdictState.TRIAL),
+        (VerdictState.TRIAL, VerdictState.TRIAL),
+        (VerdictState.TRIAL, VerdictState.CONDEMNED),
+        (VerdictState.TRIAL, VerdictState.CLEAR),
     }
 
 
@@ -147,36 +167,36 @@
         terms.append(round(v.until - now, 6))
         now = v.until
         step(v, now, bad, 2.0)
-        assert v.state is State.TRIAL
+        assert v.state is VerdictState.TRIAL
         step(v, now, bad, 2.0)
     assert terms == [2.0, 4.0, 8.0, 16.0, 16.0]
     for _ in range(40):
         now += 1.0
         step(v, now, good, 2.0)
-    assert v.state is State.CLEAR
+    assert v.state is VerdictState.CLEAR
     assert v.term_s == 0.0
     condemn(v, now, 3.0, "others")
-    assert (v.state, v.until, v.by) == (State.CONDEMNED, now + 3.0, "others")
+    assert (v.state, v.until, v.by) == (VerdictState.CONDEMNED, now + 3.0, "others")
 
 
 def test_a_subject_is_one_life_and_one_class() -> None:
-    assert len({subject(w, b, c) for w in ("w1", "w2") for b in (0.0, 5.0) for c in ("a", "b")}) == 8
+    assert len({subject_id(w, b, c) for w in ("w1", "w2") for b in (0.0, 5.0) for c in ("a", "b")}) == 8
 
 
 @pytest.mark.parametrize(
     "change",
-    [{"bad": -1.0}, {"good": float("nan")}, {"left_s": 1e300}, {"subject": 1 << 32}, {"stage": 99}, {}],
+    [{"bad": -1.0}, {"good": float("nan")}, {"left_s": 1e300}, {"subject_id": 1 << 32}, {"stage": 99}, {}],
 )
 def test_impossible_figures_are_a_flaw(change: dict[str, float]) -> None:
-    said = Said(7, 1.0, 0.0, 2.0, 1.0, 0.0, 0)._replace(**change)  # type: ignore[arg-type]
-    assert flaw((said,)) is bool(change)
-    assert flaw((said,) * 13)
+    said = WorkerReport(7, 1.0, 0.0, 2.0, 1.0, 0.0, 0)._replace(**change)  # type: ignore[arg-type]
+    assert has_invalid_values((said,)) is bool(change)
+    assert has_invalid_values((said,) * 13)
 
 
 # --- the operator's word
 
 ORDERS = st.builds(
-    Order,
+    Override,
     st.sampled_from(["w1", "w2"]),
     st.sampled_from(["out", "in", "let"]),
     st.floats(1.0, 50.0),
@@ -186,39 +206,39 @@
 )
 
 
-def held(orders: list[Order]) -> dict[str, tuple[int, str]]:
-    o = Orders("n9", 3)
+def held(orders: list[Override]) -> dict[str, tuple[int, str]]:
+    o = OverrideTable("n9", 3)
     for one in orders:
         o.merge(0.0, one)
-    return {s: (found.stamp, found.by) for s, (found, _) in o.held.items()}
+    return {s: (found.stamp, found.issuer) for s, (found, _) in o.held.items()}
 
 
 @given(st.lists(ORDERS, max_size=6), st.data())
-def test_words_merge_in_any_order_and_again(orders: list[Order], data: st.DataObject) -> None:
+def test_words_merge_in_any_order_and_again(orders: list[Override], data: st.DataObject) -> None:
     assert held(data.draw(st.permutations(orders))) == held(orders) == held(orders + orders)
 
 
 def test_a_later_word_overrules_where_the_first_was_heard_of_and_all_end_by_themselves() -> None:
-    a, b = Orders("n1", 2), Orders("n2", 2)
-    first = a.say(0.0, "w1", "out", 60.0, "disk")
+    a, b = OverrideTable("n1", 2), OverrideTable("n2", 2)
+    first = a.issue(0.0, "w1", "out", 60.0, "disk")
     assert b.merge(1.0, first._replace(left_s=59.0))
     assert not b.merge(1.0, first)
-    assert a.merge(2.0, b.say(2.0, "w1", "in", 30.0, ""))
+    assert a.merge(2.0, b.issue(2.0, "w1", "in", 30.0, ""))
     assert not b.merge(2.0, first)
-    assert [(s, out) for s, (out, _, _) in a.word(3.0).overrides.items()] == [("w1", False)]
-    a.say(4.0, "w1", "let", 1.0, "")
-    assert a.word(4.0).overrides == {}
+    assert [(s, out) for s, (out, _, _) in a.as_event(3.0).overrides.items()] == [("w1", False)]
+    a.issue(4.0, "w1", "let", 1.0, "")
+    assert a.as_event(4.0).overrides == {}
     assert "w1" in a.held
     assert not a.merge(5.0, first._replace(left_s=10.0))
     a.forget(32.1)
     assert not a.held
     assert not a.merge(40.0, first._replace(left_s=0.0))
     with pytest.raises(ValueError, match="nobody has said"):
-        a.say(40.0, "w1", "let", 1.0, "")
+        a.issue(40.0, "w1", "let", 1.0, "")
     for n in range(MOST):
-        a.say(40.0, f"s{n}", "out", 60.0, "")
+        a.issue(40.0, f"s{n}", "out", 60.0, "")
     with pytest.raises(ValueError, match="more is not kept"):
-        a.say(40.0, "one more", "out", 60.0, "")
+        a.issue(40.0, "one more", "out", 60.0, "")
     assert not a.merge(40.0, first)
     assert len(a.held) == MOST
-    assert sum(o.room for o in a.some(40.0, 60)) <= 60
+    assert sum(o.room for o in a.select(40.0, 60)) <= 60
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -13,8 +13,8 @@
 from finchladder.cli.peers import format_answer
 from finchladder.config.option_files import read_options
 from finchladder.config.options import PeersOptions
-from finchladder.core.health.detection.overrides import STANCES, Order
-from finchladder.core.health.detection.reports import MOST_SAYS, Said
+from finchladder.core.health.detection.overrides import STANCES, Override
+from finchladder.core.health.detection.reports import MAX_WORKER_REPORTS, WorkerReport
 from finchladder.core.peers.exchange import Peers, Rule
 from finchladder.core.peers.messages import (
     MOST_INCARNATION,
@@ -37,7 +37,7 @@
 INT, FIGURE = st.integers(0, MOST_INCARNATION), st.floats(0, 1e9)
 WANT = st.builds(Want, st.text(max_size=40), FIGURE, FIGURE, FIGURE)
 TENTHS, NUMBER = st.integers(0, 6_000).map(lambda n: n / 10), st.integers(0, (1 << 32) - 1)
-SAID = st.builds(Said, NUMBER, TENTHS, TENTHS, TENTHS, TENTHS, TENTHS, st.integers(0, 15))
+SAID = st.builds(WorkerReport, NUMBER, TENTHS, TENTHS, TENTHS, TENTHS, TENTHS, st.integers(0, 15))
 ROW = st.builds(
     Row,
     NAME,
@@ -50,10 +50,10 @@
     NUMBER,
     TENTHS,
     TENTHS,
-    st.lists(SAID, max_size=MOST_SAYS).map(tuple),
+    st.lists(SAID, max_size=MAX_WORKER_REPORTS).map(tuple),
 )
 ORDER = st.builds(
-    Order, NAME, st.sampled_from(STANCES), st.floats(0, 86_400), INT, NAME, st.text(max_size=80)
+    Override, NAME, st.sampled_from(STANCES), st.floats(0, 86_400), INT, NAME, st.text(max_size=80)
 )
 PART = st.builds(
     Part,
@@ -83,7 +83,7 @@
 
 
 def room(p: Packet) -> int:
-    told: list[Rumour | Row | Grant | Return | Part | Order] = [
+    told: list[Rumour | Row | Grant | Return | Part | Override] = [
         *p.rumours,
         *p.rows,
         *p.grants,
