--- a/finchladder/cluster/__init__.py
+++ b/finchladder/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""A router and placer for many models, built round the dispatcher's design in `finchladder.core`."""
+"""Router and placer for many models, based on the design of the dispatcher in `finchladder.core`."""
--- a/finchladder/cluster/__main__.py
+++ b/finchladder/cluster/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m finchladder.cluster`."""
+"""Entry point of `python -m finchladder.cluster`."""
 
 from finchladder.cluster.process.main import main
 
--- a/finchladder/cluster/routing/authorization.py
+++ b/finchladder/cluster/routing/authorization.py
@@ -1,4 +1,4 @@
-"""Whether a request may run, on which route, and as a request of which tenant."""
+"""Authorization of requests: finds route and tenant, and rejects requests without a valid API key."""
 
 from collections.abc import Sequence
 from enum import Enum
@@ -17,7 +17,7 @@
 
 
 class UnauthorizedReason(Enum):
-    """Why a request is answered 401; the values stand in the log event `request.unauthorized`."""
+    """Why a request is answered 401; the log event `request.unauthorized` contains the value."""
 
     MISSING = "missing"
     MALFORMED = "malformed"
@@ -30,10 +30,10 @@
     """The request may run.
 
     Attributes:
-        version: Of the configuration that allows it.
-        route: Its route.
-        tenant: Whose request it is; None: nobody's.
-        key: The key that `tenant` holds; None without a tenant.
+        version: Version of the configuration that authorized the request.
+        route: Route of the request.
+        tenant: Tenant that sent the request; None if it belongs to no tenant.
+        key: API key of `tenant`; None without a tenant.
         has_tenants: Whether the configuration has tenants.
     """
 
@@ -45,12 +45,12 @@
 
     @property
     def tenant_name(self) -> str | None:
-        """Name of the tenant; None: it is nobody's request."""
+        """Name of the tenant; None if the request belongs to no tenant."""
         return None if self.tenant is None else self.tenant.name
 
     @property
     def priority(self) -> int:
-        """The tenant's priority where it is set, else the route's."""
+        """Priority of the tenant if it is set, otherwise of the route."""
         if self.tenant is None or self.tenant.priority is None:
             return self.route.priority
         return self.tenant.priority
@@ -58,12 +58,12 @@
 
 @frozen
 class NoRoute:
-    """No route has the host and path."""
+    """No route matches the host and path."""
 
 
 @frozen
 class Unauthorized:
-    """The route is private, and the request has no key of the configuration."""
+    """The route is private, and the request carries no API key of the configuration."""
 
     reason: UnauthorizedReason
 
@@ -74,13 +74,13 @@
 def authorize(
     snapshot: ConfigurationSnapshot, host: str, path: str, authorization: Sequence[str]
 ) -> AuthorizationDecision:
-    """Decides by one configuration.
+    """Authorizes a request by one configuration snapshot.
 
     Args:
-        snapshot: The configuration.
+        snapshot: Configuration that decides.
         host: Host of the request, without a port.
         path: Path of the request, without a query.
-        authorization: Values of all its `Authorization` headers.
+        authorization: Values of all `Authorization` headers of the request.
     """
     route = snapshot.match(host, path)
     if route is None:
@@ -91,16 +91,17 @@
     key = credentials if isinstance(credentials, ApiKey) else None
     tenant = None if key is None else snapshot.keys.tenant_of(key)
     if tenant is not None or route.is_public:
-        held_key = None if tenant is None else key
-        return Authorized(snapshot.version, route, tenant, held_key, has_tenants=True)
+        tenant_key = None if tenant is None else key
+        return Authorized(snapshot.version, route, tenant, tenant_key, has_tenants=True)
     return Unauthorized(_reason(credentials))
 
 
 def is_still_authorized(authorized: Authorized, newest: ConfigurationSnapshot) -> bool:
-    """Whether the request may still be sent as its tenant's, by a configuration that may be newer.
+    """Whether a configuration, which may be newer, still allows the request to be sent for its tenant.
 
-    On a public route, too: a worker would be told a tenant that no longer has the key, or the key itself,
-    which `has_tenants` hides. On a private one a newer configuration without tenants asks for no key.
+    Public routes are checked as well: otherwise a worker could receive the name of a tenant that no longer
+    holds the key, or the key itself, which is removed only where `has_tenants` is set. On a private route
+    a newer configuration without tenants requires no key.
     """
     if newest.version == authorized.version:
         return True
--- a/finchladder/cluster/routing/demand.py
+++ b/finchladder/cluster/routing/demand.py
@@ -1,4 +1,4 @@
-"""Demand by model and adapter at this dispatcher, for its reports to the placer."""
+"""Counts demand by model and adapter at this dispatcher for its reports to the placer."""
 
 from collections import Counter, deque
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from finchladder.cluster.types.messages import Demand, ModelUse
 from finchladder.cluster.types.replicas import ReplicaKey
 
-DEFAULT_PROMPT_TOKENS = 1000  # of a request without a token count
+DEFAULT_PROMPT_TOKENS = 1000  # assumed for a request without a token count
 
 
 @define
@@ -20,10 +20,10 @@
     """Demand for one model or adapter.
 
     Attributes:
-        requests: Arrivals since the last report.
-        prompt_tokens: Their prompt tokens.
-        queued: Requests that wait for a replica now.
-        in_flight: Requests that run at workers now.
+        requests: Number of requests that arrived since the last report.
+        prompt_tokens: Prompt tokens of those requests.
+        queued: Number of requests that wait for a replica now.
+        in_flight: Number of requests that run at workers now.
     """
 
     requests: int = 0
@@ -45,9 +45,9 @@
     """Counts requests by pool key; times are passed in (monotonic seconds).
 
     Attributes:
-        in_flight: Requests by worker and model, those for adapters included.
-        prefill_estimators: By service.
-        on_queued: Called when a request begins to wait for a model that has no replica.
+        in_flight: Requests in flight by worker and model, including those for adapters of the model.
+        prefill_estimators: Estimators of prefill time by service.
+        on_queued: Called when a request starts to wait for a model that has no replica.
     """
 
     demand_by_key: dict[PoolKey, KeyDemand] = field(factory=dict)
@@ -67,19 +67,19 @@
             demand.prompt_tokens += request.prompt_tokens
 
     def add_queued(self, key: PoolKey, change: int) -> None:
-        """Counts a request that begins (1) or ceases (-1) to wait for a replica."""
+        """Counts a request that starts (1) or stops (-1) waiting for a replica."""
         if key.model:
             self._demand_of(key).queued += change
             if change > 0:
                 self.on_queued()
 
     def expect_client_retry(self, key: PoolKey, expires_at: float) -> None:
-        """Counts a request that was rejected for lack of a replica as queued until `expires_at`."""
+        """Counts a request that was rejected because no replica exists as queued until `expires_at`."""
         if key.model:
             self.expected_client_retries.append(ExpectedClientRetry(key, expires_at))
 
     def add_in_flight(self, key: PoolKey, instance: str, change: int) -> None:
-        """Counts a request that begins (1) or ceases (-1) to run at a worker."""
+        """Counts a request that starts (1) or stops (-1) running at a worker."""
         if not key.model:
             return
         self._demand_of(key).in_flight += change
@@ -89,17 +89,17 @@
             del self.in_flight[replica]
 
     def record_time_to_first_token(self, request: ClassifiedRequest, time_to_first_token_s: float) -> None:
-        """Records the time to first token of a request at a worker that was idle as far as known."""
+        """Records the time to first token of a request at a worker without other known requests."""
         if request.prompt_tokens:
             estimator = self.prefill_estimators.setdefault(request.key.service, PrefillTimeEstimator())
             estimator.observe(request.prompt_tokens, time_to_first_token_s)
 
     def prefill_s_per_token(self) -> dict[str, float]:
-        """Prefill time of a prompt token in seconds, by service."""
+        """Estimated prefill time of a prompt token in seconds, by service."""
         return {service: estimator.s_per_token for service, estimator in self.prefill_estimators.items()}
 
     def request_cost(self, request: ClassifiedRequest) -> RequestCost:
-        """Load that a request adds to a worker."""
+        """Estimates the load that a request adds to a worker."""
         if not request.key.model:
             return UNIT_COST
         estimator = self.prefill_estimators.get(request.key.service)
@@ -107,11 +107,11 @@
         return RequestCost(float(request.prompt_tokens or DEFAULT_PROMPT_TOKENS), prefill_s_per_token)
 
     def model_uses(self) -> tuple[ModelUse, ...]:
-        """Requests in flight by worker and model. O(models in use at workers)."""
+        """Lists requests in flight by worker and model. O(models in use at workers)."""
         return tuple(ModelUse(key.instance, key.model, requests) for key, requests in self.in_flight.items())
 
     def collect(self, now: float) -> tuple[Demand, ...]:
-        """The demand since the last call; arrivals are reset. O(keys in use + expected client retries)."""
+        """Returns the demand since the last call and resets arrivals. O(keys in use + expected retries)."""
         self.expected_client_retries = deque(
             retry for retry in self.expected_client_retries if retry.expires_at > now
         )
--- a/finchladder/cluster/routing/headers.py
+++ b/finchladder/cluster/routing/headers.py
@@ -1,4 +1,4 @@
-"""Names of the headers that routing reads or writes, and the headers that a proxy forwards."""
+"""Names of the headers that routing reads or writes, and the selection of headers that are forwarded."""
 
 from collections.abc import Mapping
 
@@ -21,7 +21,7 @@
 AUTHORIZATION_HEADER = "Authorization"
 AUTHENTICATE_HEADER = "WWW-Authenticate"
 
-# Of one connection only; `Content-Length`, `Host` and `Expect` are written anew for each connection.
+# Headers of a single connection. `Content-Length`, `Host` and `Expect` are set again for each connection.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -40,18 +40,19 @@
 )
 
 
-# Of a client, where the configuration has tenants: the key stays here, and the tenant is ours to name.
+# Client headers that are not forwarded if the configuration has tenants: workers must not receive API keys,
+# and only the dispatcher sets the tenant.
 IDENTITY_HEADERS = frozenset({AUTHORIZATION_HEADER.lower(), TENANT_HEADER.lower()})
 
 
 def forwarded_headers(
     headers: Mapping[str, str], dropped: frozenset[str] = HOP_BY_HOP_HEADERS
 ) -> list[tuple[str, str]]:
-    """The end-to-end headers in their order, without those that `Connection` names.
+    """Returns the end-to-end headers in order, without those that `Connection` lists.
 
     Args:
-        headers: Headers as received.
-        dropped: Further names that are not forwarded, in lower case.
+        headers: Received headers.
+        dropped: Names in lower case of headers that are not forwarded.
     """
     connection_options = {name.strip().lower() for name in headers.get(CONNECTION_HEADER, "").split(",")}
     return [
--- a/finchladder/cluster/routing/pools.py
+++ b/finchladder/cluster/routing/pools.py
@@ -1,4 +1,4 @@
-"""Pools: the ready workers by service, model and adapter."""
+"""Pools of ready workers by service, model and adapter."""
 
 from collections.abc import Iterable, Mapping
 
@@ -13,7 +13,7 @@
 
 @define(frozen=True)
 class PoolKey:
-    """What a request needs of a worker; `model` is empty for services without models."""
+    """What a request requires of a worker; `model` is empty for services without models."""
 
     service: str
     model: str
@@ -21,21 +21,21 @@
 
     @property
     def name(self) -> str:
-        """The model, or the adapter of that model; empty without a model."""
+        """Model name, followed by the adapter name if there is one; empty without a model."""
         return f"{self.model}/{self.adapter}" if self.adapter else self.model
 
 
 class Pool:
-    """The ready workers that have what a key needs; immutable but for the state of its workers."""
+    """Ready workers that can serve a pool key; immutable except for the state of the workers."""
 
     def __init__(self, name: str, workers: Iterable[Worker]) -> None:
-        """Sorts the workers by instance. `name`: of the pool key."""
+        """Sorts the workers by instance; `name` is the name of the pool key."""
         self.name = name
         self.workers = tuple(sorted(workers, key=lambda worker: worker.instance))
         self._candidates_by_salt: dict[str, tuple[Worker, ...]] = {}
 
     def candidates(self, salt: str = "") -> tuple[Worker, ...]:
-        """The key's two candidates by hash; fewer if the pool has fewer workers or its key no model."""
+        """The two hash candidates of the key; fewer if the pool has fewer workers or the key has no model."""
         candidates = self._candidates_by_salt.get(salt)
         if candidates is None:
             candidates = self._hash_candidates(salt) if self.name and self.workers else ()
@@ -57,12 +57,12 @@
     def select(
         self, now: float, selector: WorkerSelector, excluded: frozenset[str], cost: RequestCost = UNIT_COST
     ) -> Worker | None:
-        """The worker for a request; None if none is available. O(workers of the pool).
+        """Selects the worker for a request; None if no worker is available. O(workers of the pool).
 
         Args:
-            now: Monotonic seconds.
-            selector: The dispatcher's policy.
-            excluded: Instances that the request was already sent to.
+            now: Current monotonic time in seconds.
+            selector: Selection policy of the dispatcher.
+            excluded: Instances to which the request was already sent.
             cost: Load that the request adds.
         """
         for worker in self.workers:
@@ -83,13 +83,13 @@
 
 @define(frozen=True)
 class PoolMember:
-    """A ready worker with the models and adapters that may be used there."""
+    """A ready worker with the models and adapters that requests may use at it."""
 
     worker: Worker
     usable_models: tuple[LoadedModel, ...] = ()
 
     def pool_keys(self) -> Iterable[PoolKey]:
-        """Keys of the pools that the worker is in."""
+        """Keys of all pools to which the worker belongs."""
         service = self.worker.service
         yield PoolKey(service, "", "")
         for loaded in self.usable_models:
@@ -99,7 +99,7 @@
 
 @frozen
 class ExpectedReplica:
-    """A model or adapter that is being loaded; it will be usable at `ready_at` (monotonic seconds)."""
+    """A model or adapter that is being loaded, and the expected end of the load (monotonic seconds)."""
 
     key: PoolKey
     ready_at: float
@@ -107,13 +107,13 @@
 
 @frozen
 class Pools:
-    """All pools at one moment.
+    """Immutable set of all pools.
 
-    A change makes a new object, which shares all pools that did not change. A pool is built at its first use.
+    A change creates a new object that shares all unchanged pools. A pool is built at its first use.
 
     Attributes:
         members: Ready workers by instance.
-        replica_ready_at: When the first replica that is being loaded will be usable (monotonic seconds).
+        replica_ready_at: Expected end of the first current load by key (monotonic seconds).
     """
 
     members: Mapping[str, PoolMember] = field(factory=dict)
@@ -124,7 +124,7 @@
     def with_changes(
         self, changes: Mapping[str, PoolMember | None], expected_replicas: Iterable[ExpectedReplica] = ()
     ) -> "Pools":
-        """The pools after workers came, changed or went (None). O(changes and number of keys)."""
+        """Returns the pools after workers were added, changed or removed (None). O(changes + keys)."""
         members = dict(self.members)
         workers_by_key = dict(self._workers_by_key)
         pools = dict(self._pools)
@@ -144,24 +144,24 @@
         return Pools(members, _earliest_ready_at(expected_replicas), workers_by_key, pools)
 
     def set_peer_loads(self, now: float, peer_loads: Mapping[str, int]) -> None:
-        """Records the load of the other dispatchers' requests by instance; 0 where none is given."""
+        """Records the load of other dispatchers' requests by instance; instances not listed get 0."""
         for instance, member in self.members.items():
             member.worker.set_peer_load(now, peer_loads.get(instance, 0))
 
     def own_loads(self) -> dict[str, int]:
-        """Load of this dispatcher's requests by instance, where there is any."""
+        """Load of this dispatcher's requests by instance, without workers whose load is below 1."""
         workers = (member.worker for member in self.members.values())
         return {worker.instance: round(worker.own_load) for worker in workers if worker.own_load >= 1}
 
     def ready_at(self, key: PoolKey) -> float | None:
-        """When a replica for the key will be usable; None if none is being loaded."""
+        """When a loading replica for the key is expected to be usable; None if none is being loaded."""
         ready_at = self.replica_ready_at.get(key)
         if ready_at is None and key.adapter:
             ready_at = self.replica_ready_at.get(PoolKey(key.service, key.model, ""))
         return ready_at
 
     def pool(self, key: PoolKey) -> Pool:
-        """The workers that have what the key needs; without a model all of the service."""
+        """The pool of workers that can serve the key; without a model all workers of the service."""
         pool = self._pools.get(key)
         if pool is None:
             pool = self._pools[key] = Pool(key.name, self._workers_by_key.get(key, {}).values())
@@ -184,14 +184,14 @@
 
 
 def usable_models(worker: WorkerRecord, placement: PlacementRecord | None) -> tuple[LoadedModel, ...]:
-    """Models that may be used at a worker: the placer's record decides, without it the worker's report."""
+    """Models that may be used at a worker, from the placer's record or, without one, the worker's report."""
     return worker.loaded_models if placement is None else placement.usable_models
 
 
 def pool_member(
     record: WorkerRecord | None, placement: PlacementRecord | None, known_member: PoolMember | None
 ) -> PoolMember | None:
-    """The worker as member of pools; None unless it is ready. A known worker keeps its load and backoff."""
+    """The pool member of a ready worker; None otherwise. A known worker keeps its load and backoff."""
     if record is None or record.phase is not SessionPhase.READY:
         return None
     if known_member is not None:
--- a/finchladder/cluster/routing/requests.py
+++ b/finchladder/cluster/routing/requests.py
@@ -1,4 +1,4 @@
-"""Classification of a client's request: what it needs of a worker, and how long it may take."""
+"""Classifies client requests by the pool that serves them and by their time limits."""
 
 from collections.abc import Mapping
 from hashlib import blake2b
@@ -14,23 +14,23 @@
 )
 from finchladder.cluster.routing.pools import PoolKey
 
-# A client gives up a stream after a stall of the longest of these; source: the project's protocol page.
+# A client abandons a stream that stalls for the longest of these times; source: the project's protocol page.
 MIN_STREAM_STALL_S = 2.0
 STREAM_STALL_LATENCY_TARGETS = 4.0
 STREAM_STALL_EVENT_GAPS = 8.0
 
-MAX_TOKEN_COUNT = 10**7  # beyond what any worker's memory holds
+MAX_TOKEN_COUNT = 10**7  # exceeds the memory of any worker
 
 
 @frozen
 class ClassifiedRequest:
-    """What a request needs of a worker, and its times (monotonic seconds).
+    """A request with its pool key and time limits; points in time are monotonic seconds.
 
     Attributes:
-        deadline: When the client, or the route, gives up.
-        prompt_tokens: 0 if unknown.
-        client_stall_timeout_s: A client gives up a response that is silent for so long.
-        total_tokens: Of the prompt and the most that is put out; None if the client does not tell.
+        deadline: Earlier of the client's deadline and the route's timeout.
+        prompt_tokens: Number of prompt tokens; 0 if unknown.
+        client_stall_timeout_s: Time without data after which the client abandons the response.
+        total_tokens: Prompt tokens plus maximum output tokens; None if the client sent no count.
     """
 
     request_id: str
@@ -44,7 +44,7 @@
 
 
 def classify(headers: Mapping[str, str], route: Route, now: float) -> ClassifiedRequest:
-    """Reads the headers that concern routing; what can't be parsed counts as missing."""
+    """Classifies a request by its headers; headers that cannot be parsed count as missing."""
     request_id = headers.get(REQUEST_ID_HEADER, "")
     deadline_ms = _parse_number(headers.get(DEADLINE_HEADER))
     client_timeout_s = route.timeout_s if deadline_ms is None else deadline_ms / 1000
@@ -74,7 +74,7 @@
 
 
 def _split_point(request_id: str) -> float:
-    """Position of the request in a traffic split, from 0 to 1; the same for each attempt of a request."""
+    """Position of the request in a traffic split, from 0 to 1; equal for all attempts of a request."""
     digest = blake2b(request_id.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") / 2**64
 
@@ -91,8 +91,8 @@
 
 
 def _parse_token_counts(text: str | None) -> tuple[int, ...]:
-    """Tokens of the prompt and the most that is put out; empty if they can't be parsed."""
+    """Prompt tokens and maximum output tokens; empty if the header is missing or malformed."""
     try:
-        return tuple(_clamp_token_count(int(part)) for part in text.split(",")) if text else ()
+        return tuple(_clamp_token_count(int(count)) for count in text.split(",")) if text else ()
     except ValueError:
         return ()
--- a/finchladder/cluster/routing/retry_budget.py
+++ b/finchladder/cluster/routing/retry_budget.py
@@ -1,9 +1,9 @@
 """Retry budget: this dispatcher's share of the retries that the fleet may send to a service.
 
-In every window the fleet may retry `ratio` x its requests + `slack` times. A dispatcher spends at most
-`ratio` x its own requests of the last window, and an equal part of the slack; while the number of dispatchers
-is unknown, it assumes many. It spends half of both, since retries of two overlapping windows may fall into
-one window of the fleet.
+In every window the fleet may send at most `ratio` x its requests + `slack` retries. A dispatcher's share is
+`ratio` x its own requests of the last window plus an equal part of the slack. While the number of dispatchers
+is unknown, it assumes ASSUMED_DISPATCHERS. It uses only half of its share, because retries of two overlapping
+windows may fall into one window of the fleet.
 """
 
 from collections import deque
@@ -12,12 +12,12 @@
 from attrs import define, field
 
 WINDOW_OVERLAP_FACTOR = 0.5
-ASSUMED_DISPATCHERS = 64  # while their number is unknown
+ASSUMED_DISPATCHERS = 64  # used while the number of dispatchers is unknown
 
 
 @define
 class RetryBudget:
-    """Budget of one service; times are passed in (monotonic seconds)."""
+    """Retry budget of one service; callers pass the time in monotonic seconds."""
 
     ratio: float
     slack: float
@@ -26,15 +26,15 @@
     retry_times: deque[float] = field(factory=deque)
 
     def record_request(self, now: float) -> None:
-        """Counts a client's request, which earns a part of a retry."""
+        """Counts a client request, which adds to the budget."""
         self._expire(now)
         self.request_times.append(now)
 
     def try_withdraw(self, now: float, dispatcher_count: int) -> bool:
-        """Takes one retry out of the budget; False if it is exhausted. `dispatcher_count` 0: unknown."""
+        """Withdraws one retry; False if the budget is exhausted. `dispatcher_count` is 0 if unknown."""
         self._expire(now)
-        slack_share = self.slack / (dispatcher_count or ASSUMED_DISPATCHERS)
-        max_retries = WINDOW_OVERLAP_FACTOR * (self.ratio * len(self.request_times) + slack_share)
+        own_slack = self.slack / (dispatcher_count or ASSUMED_DISPATCHERS)
+        max_retries = WINDOW_OVERLAP_FACTOR * (self.ratio * len(self.request_times) + own_slack)
         if len(self.retry_times) + 1 > max_retries:
             return False
         self.retry_times.append(now)
@@ -48,11 +48,11 @@
 
 @define
 class RetryBudgets:
-    """Budgets of all services.
+    """Retry budgets of all services.
 
     Attributes:
-        make_budget: Makes the budget of a service at its first request.
-        dispatcher_count: How many dispatchers share the budgets; 0: unknown.
+        make_budget: Creates the budget of a service at its first request.
+        dispatcher_count: Returns the number of dispatchers that share the budgets; 0 if unknown.
     """
 
     make_budget: Callable[[], RetryBudget]
@@ -60,11 +60,11 @@
     _by_service: dict[str, RetryBudget] = field(factory=dict)
 
     def record_request(self, service: str, now: float) -> None:
-        """Counts a client's request to that service."""
+        """Counts a client request to a service."""
         self._budget(service).record_request(now)
 
     def try_withdraw(self, service: str, now: float) -> bool:
-        """Takes one retry out of the budget of that service; False if it is exhausted."""
+        """Withdraws one retry from the budget of a service; False if the budget is exhausted."""
         return self._budget(service).try_withdraw(now, self.dispatcher_count())
 
     def _budget(self, service: str) -> RetryBudget:
--- a/finchladder/cluster/routing/selection.py
+++ b/finchladder/cluster/routing/selection.py
@@ -1,13 +1,13 @@
-"""Selection of a worker out of a pool, by affinity, load and zone.
+"""Selects a worker from a pool by affinity, load and zone.
 
-The algorithm is that of `finchladder.core.dispatch.choice`: of a key's two candidates by hash the one with
-the lower load, if it is below the affinity limit; else the least loaded worker.
+The algorithm is that of `finchladder.core.dispatch.choice`: it selects the less loaded of a key's two hash
+candidates if the load is below the affinity limit, and otherwise the least loaded worker.
 
-If many dispatchers all took the least loaded worker, they would take the same one. The more dispatchers
-there are, the fewer workers each of them compares (deterministic subsetting; source: Beyer and others, "Site
-Reliability Engineering", chapter 20), and each has its own two candidates for a key. Subsets are ranked by a
-hash of both names, workers of the own zone first: they stay the same from request to request and over all
-models, so that connections are reused.
+If many dispatchers compared all workers by the same load reports, they would select the same one. Therefore
+each dispatcher compares fewer workers the more dispatchers there are (deterministic subsetting; source: Beyer
+and others, "Site Reliability Engineering", chapter 20), and many dispatchers have different candidates for a
+key. Subsets are ranked by a hash of the dispatcher's and the worker's name, workers of the dispatcher's own
+zone first. They stay the same between requests and models, so that connections are reused.
 """
 
 from collections.abc import Sequence
@@ -18,12 +18,12 @@
 
 from finchladder.cluster.routing.workers import RequestCost, Worker
 
-MAX_DISPATCHERS_COMPARING_ALL = 16  # with more dispatchers each compares a subset of a pool
+MAX_DISPATCHERS_COMPARING_ALL = 16  # with more dispatchers, each one compares a subset of a pool
 MIN_SUBSET_SIZE = 3
-MIN_REMOTE_ZONE_WORKERS = 1  # in a subset
-AFFINITY_SLOT_FRACTION = 0.2  # of a worker's slots in use up to which candidates are preferred
-AFFINITY_QUEUE_S = 0.1  # prefill time queued at an engine up to which candidates are preferred
-REMOTE_ZONE_PENALTY = 0.5  # in requests, added to the load of a remote worker; decides between equals
+MIN_REMOTE_ZONE_WORKERS = 1  # minimum number of workers of other zones in a subset
+AFFINITY_SLOT_FRACTION = 0.2  # fraction of a worker's slots in use below which candidates are preferred
+AFFINITY_QUEUE_S = 0.1  # prefill time queued at an engine below which candidates are preferred
+REMOTE_ZONE_PENALTY = 0.5  # requests added to the load of a worker in another zone, to break ties
 MAX_CACHED_RANKS = 4096
 
 
@@ -33,9 +33,9 @@
 
     Attributes:
         name: Name of this dispatcher.
-        affinity_slot_fraction: Share of a worker's slots in use up to which a key's candidates are preferred.
-        dispatcher_count: How many dispatchers select workers at the same time.
-        affinity_queue_s: Prefill time queued at an engine up to which a key's candidates are preferred.
+        affinity_slot_fraction: Fraction of a worker's slots in use below which candidates are preferred.
+        dispatcher_count: Number of dispatchers that select workers concurrently.
+        affinity_queue_s: Prefill time queued at an engine below which a key's candidates are preferred.
     """
 
     name: str
@@ -43,21 +43,21 @@
     affinity_slot_fraction: float
     dispatcher_count: int = 1
     affinity_queue_s: float = AFFINITY_QUEUE_S
-    _ranks: dict[str, bytes] = field(factory=dict)  # by worker instance
+    _ranks: dict[str, bytes] = field(factory=dict)  # cached ranks by worker instance
 
     @property
     def candidate_salt(self) -> str:
-        """Salt of the hash that assigns a key's candidates; one's own where there are many dispatchers."""
+        """Salt of the candidate hash; differs between dispatchers only if there are many of them."""
         return self.name if self.dispatcher_count > MAX_DISPATCHERS_COMPARING_ALL else ""
 
     def affinity_load_limit(self, worker: Worker, cost: RequestCost) -> float:
-        """Load from which a candidate is no longer preferred."""
+        """Load at which a candidate is no longer preferred."""
         if not cost.prefill_s_per_token:
             return self.affinity_slot_fraction * worker.slots * cost.load
         return self.affinity_queue_s / cost.prefill_s_per_token
 
     def subset_by_load(self, available: Sequence[Worker], cost: RequestCost) -> list[Worker]:
-        """The workers that this dispatcher compares, the least loaded first."""
+        """The workers that this dispatcher compares, in ascending order of load."""
         penalty = REMOTE_ZONE_PENALTY * cost.load
 
         def zone_weighted_load(worker: Worker) -> float:
@@ -66,8 +66,8 @@
         return sorted(self._subset(available), key=zone_weighted_load)
 
     def _subset(self, available: Sequence[Worker]) -> Sequence[Worker]:
-        dispatcher_share = len(available) * MAX_DISPATCHERS_COMPARING_ALL / max(1, self.dispatcher_count)
-        size = max(MIN_SUBSET_SIZE, ceil(dispatcher_share))
+        proportional_size = len(available) * MAX_DISPATCHERS_COMPARING_ALL / max(1, self.dispatcher_count)
+        size = max(MIN_SUBSET_SIZE, ceil(proportional_size))
         if size >= len(available):
             return available
         ranked = sorted(available, key=self._rank)
--- a/finchladder/cluster/routing/workers.py
+++ b/finchladder/cluster/routing/workers.py
@@ -1,17 +1,17 @@
-"""A worker as one dispatcher sees it: its load, and the backoff after failures.
+"""State of a worker at one dispatcher: its load and its backoff after failures.
 
-An engine prefills one prompt after the other, so its load is the number of prompt tokens queued there; the
-load of a worker without an engine is the number of requests in flight. Both are the sum of this dispatcher's
-own load, which is exact, and the load that peers last reported, which is some hundred milliseconds old: what
-an engine has prefilled since is subtracted.
+An engine prefills prompts sequentially, so its load is the number of prompt tokens queued at it. The load of
+a worker without an engine is the number of requests in flight. Both are the sum of this dispatcher's own
+load, which is exact, and the load that peers last reported, which is a few hundred milliseconds old. The
+tokens that an engine has probably prefilled since that report are subtracted.
 """
 
 from attrs import define, field, frozen
 
-DECODE_LOAD_FRACTION = 0.02  # of a request's load that remains after its prefill; decides between equals
-PEER_LOAD_AGE_S = 0.2  # age of the peers' load when a dispatcher receives it
-# Share of its prefill rate at which an engine's queue shrinks, since new prompts keep arriving.
-PREFILL_PROGRESS_SHARE = 0.7
+DECODE_LOAD_FRACTION = 0.02  # fraction of a request's load that remains after its prefill, to break ties
+PEER_LOAD_AGE_S = 0.2  # assumed age of a peer load report when a dispatcher receives it
+# An engine's queue shrinks at this fraction of its prefill rate, because new prompts keep arriving.
+PREFILL_PROGRESS_FRACTION = 0.7
 
 
 @frozen
@@ -19,8 +19,8 @@
     """Load that a request adds to a worker.
 
     Attributes:
-        load: Prompt tokens at an engine, else 1 request.
-        prefill_s_per_token: Prefill time of one prompt token; 0 where it is unknown or there is no engine.
+        load: Number of prompt tokens at an engine, otherwise 1 request.
+        prefill_s_per_token: Prefill time of one prompt token; 0 if it is unknown or there is no engine.
     """
 
     load: float = 1.0
@@ -32,16 +32,16 @@
 
 @define(eq=False)
 class Worker:
-    """One worker incarnation with its load and backoff, which are all that changes.
+    """One worker incarnation; only its load and backoff change.
 
-    Loads are in prompt tokens where a model is asked for, else in requests.
+    Loads are prompt tokens if requests name a model, and numbers of requests otherwise.
 
     Attributes:
-        load: Estimated load of all dispatchers.
+        load: Estimated load of all dispatchers' requests.
         own_load: Load of this dispatcher's requests.
         peer_load: Load of the other dispatchers' requests at `peer_load_received_at`.
-        backoff_until: No request goes there before this time (monotonic seconds).
-        key_backoff_until: The same for one model or adapter that the worker rejected, by pool key name.
+        backoff_until: No request is sent to the worker before this time (monotonic seconds).
+        key_backoff_until: Backoff for a model or adapter that the worker rejected, by pool key name.
     """
 
     instance: str
@@ -58,23 +58,23 @@
     key_backoff_until: dict[str, float] = field(factory=dict)
 
     def add_load(self, load: float) -> None:
-        """Adds the load of an own request, or subtracts it if negative."""
+        """Adds the load of a request of this dispatcher; a negative load subtracts it."""
         self.own_load += load
         self.load += load
 
     def set_peer_load(self, now: float, peer_load: float) -> None:
-        """Records the load of the other dispatchers' requests."""
+        """Records a report of the load of the other dispatchers' requests."""
         self.peer_load = peer_load
         self.peer_load_received_at = now
         self.load = self.own_load + peer_load
 
     def decay_peer_load(self, now: float, prefill_s_per_token: float) -> None:
-        """Subtracts what the engine has prefilled of the peers' load since it was received."""
+        """Subtracts the tokens that the engine has prefilled since the peer load was received."""
         if prefill_s_per_token and self.peer_load:
             age_s = now - self.peer_load_received_at + PEER_LOAD_AGE_S
-            prefilled_tokens = PREFILL_PROGRESS_SHARE * age_s / prefill_s_per_token
+            prefilled_tokens = PREFILL_PROGRESS_FRACTION * age_s / prefill_s_per_token
             self.load = self.own_load + max(0.0, self.peer_load - prefilled_tokens)
 
     def is_available(self, now: float, key_name: str) -> bool:
-        """Whether requests for that pool key may be sent there."""
+        """Whether requests for a pool key may be sent to this worker."""
         return now >= self.backoff_until and now >= self.key_backoff_until.get(key_name, 0.0)
--- a/tests/cluster/test_event_stream.py
+++ b/tests/cluster/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events as they are received in parts."""
+"""Tests of server-sent events that are received in parts."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -13,12 +13,12 @@
     events = [b"id: %d\ndata: %s\n\n" % (n, b"x" * size) for n, size in enumerate(sizes, 1)]
     stream = b"".join(events)
     stop = data.draw(st.integers(0, len(stream)))
-    buffer, out, at = EventBuffer(), b"", 0
-    while at < stop:
+    buffer, released, position = EventBuffer(), b"", 0
+    while position < stop:
         step = data.draw(st.integers(1, 30))
-        out += buffer.feed(stream[at : min(at + step, stop)])
-        at += step
+        released += buffer.feed(stream[position : min(position + step, stop)])
+        position += step
     complete = [event for n, event in enumerate(events) if sum(map(len, events[: n + 1])) <= stop]
-    assert out == b"".join(complete)
+    assert released == b"".join(complete)
     assert buffer.last_event_id == (str(len(complete)) if complete else "")
-    assert buffer.has_incomplete == (len(out) < stop)
+    assert buffer.has_incomplete == (len(released) < stop)
--- a/tests/cluster/test_headers.py
+++ b/tests/cluster/test_headers.py
@@ -1,4 +1,4 @@
-"""Forwarded headers."""
+"""Tests of header forwarding."""
 
 from finchladder.cluster.routing.headers import forwarded_headers
 
--- a/tests/cluster/test_pools.py
+++ b/tests/cluster/test_pools.py
@@ -1,4 +1,4 @@
-"""Members of pools, and pools after changes."""
+"""Tests of pool members and of pools after changes."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -20,18 +20,18 @@
 
 
 def test_only_ready_workers_are_members_and_known_workers_keep_their_load() -> None:
-    old = {"a": PoolMember(make_worker("a", 3))}
+    known_members = {"a": PoolMember(make_worker("a", 3))}
     phases = {
         "a": SessionPhase.READY,
         "b": SessionPhase.DRAINING,
         "c": SessionPhase.LOST,
         "d": SessionPhase.DEREGISTERED,
     }
-    members = {n: pool_member(record(n, phase), None, old.get(n)) for n, phase in phases.items()}
+    members = {n: pool_member(record(n, phase), None, known_members.get(n)) for n, phase in phases.items()}
     assert members["a"] is not None
-    assert members["a"].worker is old["a"].worker
+    assert members["a"].worker is known_members["a"].worker
     assert [members[name] for name in "bcd"] == [None] * 3
-    assert pool_member(None, None, old["a"]) is None
+    assert pool_member(None, None, known_members["a"]) is None
 
 
 def test_the_placement_record_decides_which_models_are_usable() -> None:
@@ -73,7 +73,7 @@
     )
 )
 def test_pools_after_many_changes_equal_those_built_at_once(steps: Steps) -> None:
-    """The oracle searches all members; earlier pools do not change."""
+    """Compares pools with a search over all members, and checks that earlier pools do not change."""
     pools, members, earlier = Pools(), dict[str, PoolMember](), []
     for name, is_ready, loaded in steps:
         member = PoolMember(
@@ -87,8 +87,8 @@
             expected = {h.worker for h in members.values() if key in set(h.pool_keys())}
             assert set(pools.pool(key).workers) == expected
             earlier.append((pools, key, expected))
-    for before, key, expected in earlier:
-        assert set(before.pool(key).workers) == expected
+    for earlier_pools, key, expected in earlier:
+        assert set(earlier_pools.pool(key).workers) == expected
 
 
 def test_a_pool_is_reused_if_none_of_its_workers_changed() -> None:
@@ -104,13 +104,13 @@
 
 
 def test_load_is_the_sum_of_own_and_peer_load() -> None:
-    one, two = make_worker("a"), make_worker("b")
-    pools = Pools().with_changes({"a": PoolMember(one), "b": PoolMember(two)})
-    one.add_load(1)
+    first, second = make_worker("a"), make_worker("b")
+    pools = Pools().with_changes({"a": PoolMember(first), "b": PoolMember(second)})
+    first.add_load(1)
     pools.set_peer_loads(0.0, {"b": 5})
-    assert (one.load, two.load, pools.own_loads()) == (1, 5, {"a": 1})
-    two.add_load(1)
-    one.add_load(-1)
-    assert (one.load, two.load, pools.own_loads()) == (0, 6, {"b": 1})
+    assert (first.load, second.load, pools.own_loads()) == (1, 5, {"a": 1})
+    second.add_load(1)
+    first.add_load(-1)
+    assert (first.load, second.load, pools.own_loads()) == (0, 6, {"b": 1})
     pools.set_peer_loads(0.0, {})
-    assert (one.load, two.load) == (0, 1)
+    assert (first.load, second.load) == (0, 1)
--- a/tests/cluster/test_requests.py
+++ b/tests/cluster/test_requests.py
@@ -1,4 +1,4 @@
-"""Classification of requests."""
+"""Tests of request classification."""
 
 import json
 
--- a/tests/cluster/test_retry_budget.py
+++ b/tests/cluster/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets."""
+"""Tests of retry budgets."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -20,9 +20,9 @@
         elif budget.try_withdraw(now, dispatchers):
             retries.append(now)
     for start in retries:
-        spent = sum(start <= at < start + 10 for at in retries)
-        asked = max(sum(s <= at < s + 10 for at in requests) for s in (start, start - 10, start - 5))
-        assert spent <= 0.2 * asked + 52 / dispatchers
+        sent_retries = sum(start <= at < start + 10 for at in retries)
+        max_requests = max(sum(s <= at < s + 10 for at in requests) for s in (start, start - 10, start - 5))
+        assert sent_retries <= 0.2 * max_requests + 52 / dispatchers
 
 
 def test_a_dispatcher_assumes_many_others_while_their_number_is_unknown() -> None:
--- a/tests/cluster/test_selection.py
+++ b/tests/cluster/test_selection.py
@@ -1,4 +1,4 @@
-"""Selection of a worker: affinity, overflow, subsets, zones."""
+"""Tests of worker selection by affinity, load, subset and zone."""
 
 from collections import Counter
 
@@ -31,12 +31,12 @@
 
 
 def test_workers_in_backoff_or_already_attempted_are_not_selected() -> None:
-    one, two, three = (make_worker(name) for name in "abc")
-    one.backoff_until, two.key_backoff_until = 5.0, {"m0": 5.0}
-    pool = Pool("m0", [one, two, three])
-    assert pool.select(1.0, SELECTOR, frozenset()) is three
+    first, second, third = (make_worker(name) for name in "abc")
+    first.backoff_until, second.key_backoff_until = 5.0, {"m0": 5.0}
+    pool = Pool("m0", [first, second, third])
+    assert pool.select(1.0, SELECTOR, frozenset()) is third
     assert pool.select(1.0, SELECTOR, frozenset({"c"})) is None
-    assert pool.select(6.0, SELECTOR, frozenset({"c"})) in (one, two)
+    assert pool.select(6.0, SELECTOR, frozenset({"c"})) in (first, second)
 
 
 def test_a_candidate_is_preferred_up_to_the_queued_prefill_time() -> None:
@@ -52,8 +52,8 @@
     assert pool.select(0.0, selector, frozenset(), PROMPT) not in (first, second)
 
 
-def spread(dispatchers: int, workers: int, requests: int) -> list[int]:
-    """Requests by worker if all select by the same stale peer loads and their own requests."""
+def requests_per_worker(dispatchers: int, workers: int, requests: int) -> list[int]:
+    """Sorted request counts of workers if all dispatchers select by the same stale peer loads."""
     counts = dict.fromkeys(range(workers), 0)
     for number in range(dispatchers):
         selector = WorkerSelector(f"edge-{number}", "z", 0.2, dispatchers)
@@ -67,8 +67,8 @@
 
 
 def test_many_dispatchers_with_the_same_stale_loads_do_not_select_the_same_worker() -> None:
-    counts = spread(dispatchers=90, workers=30, requests=2)
-    assert counts[-1] <= 5 * 90 * 2 / 30, "the busiest against an even share"
+    counts = requests_per_worker(dispatchers=90, workers=30, requests=2)
+    assert counts[-1] <= 5 * 90 * 2 / 30, "the busiest worker got more than 5 times its even share"
     assert counts[len(counts) // 2] >= 1
 
 
@@ -82,16 +82,16 @@
         assert selected is not None
         selected.set_peer_load(0.0, number % 7)
         selected_count[selected.instance] += 1
-    assert len(selected_count) <= 15, "13 of 70, and hardly others in pools that hardly differ"
+    assert len(selected_count) <= 15, "a subset has 13 of 70 workers and is almost the same for similar pools"
     assert sum(n for name, n in selected_count.items() if int(name[1:]) % 5 == 3) > 200
 
 
 def test_each_of_many_dispatchers_has_two_stable_candidates_of_its_own() -> None:
     pool = Pool("m0", [make_worker(f"w{n}") for n in range(12)])
     many = [WorkerSelector(f"edge-{number}", "z", 0.2, 90) for number in range(90)]
-    seconds = Counter(pool.candidates(selector.candidate_salt)[-1].instance for selector in many)
-    assert len(seconds) == 12, "each worker is a candidate"
-    assert max(seconds.values()) <= 3 * 90 / 12
+    second_candidates = Counter(pool.candidates(selector.candidate_salt)[-1].instance for selector in many)
+    assert len(second_candidates) == 12, "some worker is never a candidate"
+    assert max(second_candidates.values()) <= 3 * 90 / 12
     assert all(
         pool.candidates(selector.candidate_salt) is pool.candidates(selector.candidate_salt)
         for selector in many
@@ -110,8 +110,8 @@
 
 
 def test_of_equally_loaded_workers_one_of_the_own_zone_is_selected() -> None:
-    near, far = make_worker("b", 2.0), Worker("a", "llm", "a:1", "far", 64, 2.0)
-    pool = Pool("", [near, far])
-    assert pool.select(0.0, SELECTOR, frozenset()) is near
-    far.load = 1.0
-    assert pool.select(0.0, SELECTOR, frozenset()) is far
+    local, remote = make_worker("b", 2.0), Worker("a", "llm", "a:1", "far", 64, 2.0)
+    pool = Pool("", [local, remote])
+    assert pool.select(0.0, SELECTOR, frozenset()) is local
+    remote.load = 1.0
+    assert pool.select(0.0, SELECTOR, frozenset()) is remote
