--- a/finchladder/cluster/placement/__init__.py
+++ b/finchladder/cluster/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Decides which worker holds which model: demand, load budget, planner; no I/O and no clock."""
+"""Plans which worker loads which model, from demand and load limits; without I/O and clock."""
--- a/finchladder/cluster/placement/actions.py
+++ b/finchladder/cluster/placement/actions.py
@@ -1,11 +1,11 @@
-"""What the planner decides: loads, with the evictions that make memory free for them."""
+"""Actions of the planner: loads, with the evictions that free memory for them."""
 
 from attrs import frozen
 
 
 @frozen(order=True)
 class Eviction:
-    """A model, or an adapter of one, to be evicted from a worker."""
+    """Eviction of a model, or of one of its adapters, from a worker."""
 
     model: str
     adapter: str = ""
@@ -13,7 +13,7 @@
 
 @frozen
 class LoadAction:
-    """Load a model, or an adapter of a loaded one, at a worker after these evictions."""
+    """Load of a model, or of an adapter of a loaded model, at a worker after the evictions."""
 
     instance: str
     model: str
--- a/finchladder/cluster/placement/adapter_planner.py
+++ b/finchladder/cluster/placement/adapter_planner.py
@@ -1,4 +1,4 @@
-"""Which worker should load an adapter that requests wait for, and which adapter it replaces; no I/O."""
+"""Plans which worker loads an adapter with queued requests, and which adapter it evicts; without I/O."""
 
 from finchladder.cluster.placement.actions import Eviction, LoadAction
 from finchladder.cluster.placement.demand import DemandKey
@@ -7,15 +7,15 @@
 
 
 class AdapterPlanner:
-    """Plans loads of adapters at idle workers that hold their model."""
+    """Plans loads of adapters at idle workers that have loaded the base model."""
 
     def __init__(self, state: PlanningState) -> None:
-        """Plans within the pass of that state."""
+        """Creates the planner for the planning pass of `state`."""
         self.state = state
         self.demand = state.inputs.demand
 
     def actions(self) -> list[LoadAction]:
-        """At most one load for each adapter with queued requests, applied to the state."""
+        """Plans at most one load for each adapter with queued requests and applies it to the state."""
         planned: list[LoadAction] = []
         for key in self._queued_adapters():
             action = self._plan(key)
@@ -25,7 +25,7 @@
         return planned
 
     def _queued_adapters(self) -> list[DemandKey]:
-        """Adapters that requests wait for, most requests first."""
+        """Adapters with queued requests, in descending order of their number."""
         service = self.state.inputs.service
         queued = [
             key
@@ -38,12 +38,12 @@
         state = self.state
         if any(key.adapter in worker.loaded_models.get(key.model, ()) for worker in state.workers):
             return None
-        holders = [worker for worker in state.idle_workers.values() if key.model in worker.loaded_models]
+        candidates = [worker for worker in state.idle_workers.values() if key.model in worker.loaded_models]
         model = state.engine.models.get(key.model)
-        if not holders or model is None:
+        if not candidates or model is None:
             return None
         worker = min(
-            holders,
+            candidates,
             key=lambda worker: (worker.adapter_count(), state.request_rate(worker), worker.instance),
         )
         has_free_slot = worker.adapter_count() < state.engine.lora_slots
@@ -55,14 +55,14 @@
         return LoadAction(worker.instance, key.model, key.adapter, (eviction,))
 
     def _least_used_adapter(self, worker: PlannerWorker) -> Eviction | None:
-        held = [
+        loaded = [
             Eviction(model, adapter)
             for model, adapters in worker.loaded_models.items()
             for adapter in adapters
         ]
 
-        def use(eviction: Eviction) -> tuple[int, float, Eviction]:
+        def usage(eviction: Eviction) -> tuple[int, float, Eviction]:
             key = DemandKey(self.state.inputs.service, eviction.model, eviction.adapter)
             return self.demand.running_now(key), self.demand.rate(key), eviction
 
-        return min(held, key=use, default=None)
+        return min(loaded, key=usage, default=None)
--- a/finchladder/cluster/placement/announced_loads.py
+++ b/finchladder/cluster/placement/announced_loads.py
@@ -1,4 +1,4 @@
-"""Recent loads from the weight store, as placement records announce them; times are passed in."""
+"""Tracks recent loads from the weight store that placement records announce; callers pass the time."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class RecordKey(NamedTuple):
-    """Records of one worker under one term of the placer's lease."""
+    """Identifies the records of one worker under one term of the placer's lease."""
 
     instance: str
     token: int  # fencing token of the term
@@ -17,24 +17,25 @@
 
 @frozen
 class AnnouncedLoads:
-    """When loads began, by one placement record."""
+    """Start times of loads from one placement record."""
 
-    serial: int  # of the record
+    serial: int  # serial number of the placement record
     load_times: tuple[float, ...]
 
 
 @define
 class AnnouncedLoadLog:
-    """Loads within the window that any placer announced, as each control process sees them.
+    """Loads within the window that any placer announced.
 
-    A record is older than the moment at which it is received, so a load counts for no shorter than it should.
+    Load ages are counted from the receipt of a record. The record is older, so that a load is counted for at
+    least the window.
     """
 
     window_s: float
     by_record: dict[RecordKey, AnnouncedLoads] = field(factory=dict)
 
     def record(self, now: float, placements: Iterable[PlacementRecord]) -> None:
-        """Folds in the placement records that are known now. O(records)."""
+        """Records the loads of the currently known placement records. O(records)."""
         for placement in placements:
             key = RecordKey(placement.instance, placement.token)
             known = self.by_record.get(key)
@@ -43,7 +44,7 @@
                 self.by_record[key] = AnnouncedLoads(placement.serial, load_times)
 
     def expire(self, now: float) -> None:
-        """Drops entries whose loads all lie before the window."""
+        """Removes entries whose loads all started before the window."""
         window_start = now - self.window_s
         self.by_record = {
             key: announced
@@ -52,13 +53,13 @@
         }
 
     def recent_loads(self, now: float, instances: Iterable[str]) -> list[float]:
-        """When loads at these workers began, as far as that lies in the window."""
-        wanted = set(instances)
+        """Start times of the loads at the given workers within the window."""
+        selected = set(instances)
         window_start = now - self.window_s
         return [
             load_time
             for key, announced in self.by_record.items()
-            if key.instance in wanted
+            if key.instance in selected
             for load_time in announced.load_times
             if load_time > window_start
         ]
--- a/finchladder/cluster/placement/capacity.py
+++ b/finchladder/cluster/placement/capacity.py
@@ -1,6 +1,6 @@
-"""Memory of models, concurrent loads from the weight store, and reserved model slots; no I/O and no clock.
+"""Memory of models, concurrent loads from the weight store, and reserved model slots; without I/O and clock.
 
-Workers and slots that have to be free for peaks grow with the square root of what is used on average (source:
+The number of workers and slots reserved for peaks grows with the square root of the average use (source:
 Halfin and Whitt, "Heavy-Traffic Limits for Queues with Many Exponential Servers").
 """
 
@@ -9,15 +9,16 @@
 
 from finchladder.cluster.configuration.snapshot import Engine
 
-MAX_RESERVED_FRACTION = 0.4  # of all model slots
-LONG_LOAD_S = 2.0  # shorter loads need no prefetch, and may run at all workers at once
-# The next two, times the root of the workers, give how many are reserved for other orders than long loads.
+MAX_RESERVED_FRACTION = 0.4  # maximum fraction of all model slots that is reserved
+LONG_LOAD_S = 2.0  # shorter loads need no prefetch and may run at all workers at the same time
+# The number of workers reserved for orders other than long loads is this factor times the square root of the
+# number of workers.
 RESERVED_WORKERS_FACTOR = 0.8
-PREFETCH_RESERVED_WORKERS_FACTOR = 1.6  # for prefetches, while there is demand
+PREFETCH_RESERVED_WORKERS_FACTOR = 1.6  # replaces the factor above for prefetches while there is demand
 
 
 def used_mb(engine: Engine, loaded_models: Mapping[str, Iterable[str]]) -> float:
-    """Memory that models and their adapters take; infinite if a model is not configured."""
+    """Memory that models and their adapters use; infinite if a model is not configured."""
     total_mb = 0.0
     for name, adapters in loaded_models.items():
         model = engine.models.get(name)
@@ -30,10 +31,10 @@
 def max_concurrent_store_loads(
     engine: Engine, worker_count: int, reserved_workers_factor: float = RESERVED_WORKERS_FACTOR
 ) -> int:
-    """How many loads from the weight store may be under way.
+    """Maximum number of concurrent loads from the weight store.
 
-    No more than its rate sustains, as more would only make each take longer; and where loads are long, no
-    more than leaves workers free for shorter orders, such as those for adapters.
+    The number is limited to what the rate of the store sustains, because more would only slow down each load.
+    Long loads are also limited so that workers stay free for shorter orders, such as those for adapters.
     """
     longest_s = max((model.load_s for model in engine.models.values()), default=0.0)
     sustained = max(1, ceil(engine.max_loads_per_s * longest_s))
@@ -43,5 +44,5 @@
 
 
 def reserved_model_slots(occupied_slots: float, total_slots: int) -> int:
-    """How many model slots are reserved for cold starts, which occupy so many of them on average."""
+    """Number of model slots to reserve for cold starts that occupy `occupied_slots` on average."""
     return min(int(MAX_RESERVED_FRACTION * total_slots), ceil(occupied_slots + sqrt(occupied_slots)))
--- a/finchladder/cluster/placement/demand.py
+++ b/finchladder/cluster/placement/demand.py
@@ -1,7 +1,8 @@
-"""Demand by model and adapter, summed over the dispatchers' reports; no I/O and no clock.
+"""Demand by model and adapter, summed over the dispatchers' reports; without I/O and clock.
 
-Rates are exponentially decayed averages. The last report of each dispatcher is kept, so that the sums follow
-a new report in O(entries of the report) and lose those of a dispatcher that no longer reports.
+Rates are exponentially decayed averages. The last report of each dispatcher is kept, so that a new report
+updates the sums in O(entries of the report), and reports of dispatchers that stopped reporting can be
+removed.
 """
 
 from collections import Counter
@@ -16,12 +17,12 @@
 from finchladder.cluster.types.replicas import ReplicaKey
 
 RATE_TIME_CONSTANT_S = 4.0
-RECENT_TIME_CONSTANT_S = 1.0  # of the short averages, which show a trend
-TREND_WEIGHT = 0.5  # share of the short average's lead over the long one that is expected to be gained again
+RECENT_TIME_CONSTANT_S = 1.0  # time constant of the short-term averages, which reveal a trend
+TREND_WEIGHT = 0.5  # fraction of the difference between short-term and long-term average that is extrapolated
 REPORT_EXPIRY_S = 3.0
-MIN_TRACKED_RATE = 0.003  # requests a second below which an estimate is dropped
-ESTIMATE_EXPIRY_S = 10 * RATE_TIME_CONSTANT_S  # since the last request, before which none is dropped
-NEVER = -1e9
+MIN_TRACKED_RATE = 0.003  # requests per second below which an estimate may be removed
+ESTIMATE_EXPIRY_S = 10 * RATE_TIME_CONSTANT_S  # time since the last request after which it may be removed
+NEVER = -1e9  # time of the last request before the first one
 
 CounterKey = TypeVar("CounterKey", bound=Hashable)
 
@@ -37,18 +38,18 @@
 
 @define
 class DemandEstimate:
-    """Decayed averages for one key; rates are per second."""
+    """Exponentially decayed averages for one key; rates are per second."""
 
     rate: float = 0.0
     recent_rate: float = 0.0
     tokens_per_s: float = 0.0
     recent_tokens_per_s: float = 0.0
     updated_at: float = 0.0
-    running: float = 0.0  # requests in flight, smoothed
+    running: float = 0.0  # smoothed number of requests in flight
     last_request_at: float = NEVER
 
     def add_requests(self, now: float, requests: int, prompt_tokens: int) -> None:
-        """Adds newly arrived requests to averages that have been decayed to this moment."""
+        """Adds new requests to the averages, which must have been decayed to the present time."""
         self.rate += requests / RATE_TIME_CONSTANT_S
         self.tokens_per_s += prompt_tokens / RATE_TIME_CONSTANT_S
         self.recent_rate += requests / RECENT_TIME_CONSTANT_S
@@ -56,7 +57,7 @@
         self.last_request_at = now
 
     def decay(self, now: float, running: int) -> None:
-        """Decays the averages to this moment and folds in the number of requests in flight."""
+        """Decays the averages to the present time and adds the current number of requests in flight."""
         elapsed_s = now - self.updated_at
         factor = exp(-elapsed_s / RATE_TIME_CONSTANT_S)
         recent_factor = exp(-elapsed_s / RECENT_TIME_CONSTANT_S)
@@ -68,13 +69,13 @@
         self.updated_at = now
 
     def is_expired(self, now: float) -> bool:
-        """Whether there has been no demand for so long that the estimate may be dropped."""
+        """Whether the estimate may be removed because there was no demand for long enough."""
         return self.rate < MIN_TRACKED_RATE and now - self.last_request_at > ESTIMATE_EXPIRY_S
 
 
 @frozen
 class ExpectedDemand:
-    """Requests and prompt tokens per second that are expected by the time a load could end."""
+    """Requests and prompt tokens per second that are expected when a load that starts now completes."""
 
     rate: float
     tokens_per_s: float
@@ -85,27 +86,27 @@
 
 @define
 class ReportedDemand:
-    """Counts from the last report of one dispatcher, or their sums over all of them."""
+    """Counts from the last report of one dispatcher, or their sums over all dispatchers."""
 
     received_at: float
     queued: Counter[DemandKey] = field(factory=Counter)
     running: Counter[DemandKey] = field(factory=Counter)
     worker_loads: Counter[str] = field(factory=Counter)  # requests in flight by worker instance
-    replica_requests: Counter[ReplicaKey] = field(factory=Counter)  # requests in flight, adapters included
+    replica_requests: Counter[ReplicaKey] = field(factory=Counter)  # requests in flight, including adapters
 
 
 @define
 class DemandTracker:
-    """Demand of all services as reported by all dispatchers."""
+    """Tracks the demand for all services from the reports of all dispatchers."""
 
     estimates: dict[DemandKey, DemandEstimate] = field(factory=dict)
-    reports: dict[str, ReportedDemand] = field(factory=dict)  # by dispatcher
+    reports: dict[str, ReportedDemand] = field(factory=dict)  # last report by dispatcher
     totals: ReportedDemand = field(factory=lambda: ReportedDemand(0.0))
-    prefill_reports: dict[str, dict[str, float]] = field(factory=dict)  # by service and dispatcher
+    prefill_reports: dict[str, dict[str, float]] = field(factory=dict)  # seconds by service and dispatcher
 
     def add_report(self, now: float, report: DemandReport) -> None:
-        """Folds in a dispatcher's report, which replaces its last one. O(entries of the report)."""
-        reported = self._fold_in(now, report)
+        """Adds a dispatcher's report, which replaces its previous one. O(entries of the report)."""
+        reported = self._update_estimates(now, report)
         for service, s_per_token in report.prefill_s_per_token.items():
             self.prefill_reports.setdefault(service, {})[report.sender] = s_per_token
         self._remove_report(report.sender)
@@ -115,8 +116,8 @@
         self.totals.worker_loads.update(reported.worker_loads)
         self.totals.replica_requests.update(reported.replica_requests)
 
-    def _fold_in(self, now: float, report: DemandReport) -> ReportedDemand:
-        """Adds the report's new requests to the estimates and returns its counts."""
+    def _update_estimates(self, now: float, report: DemandReport) -> ReportedDemand:
+        """Adds the new requests of a report to the estimates and returns its counts."""
         reported = ReportedDemand(now, worker_loads=Counter(report.worker_loads))
         for use in report.model_uses:
             reported.replica_requests[ReplicaKey(use.instance, use.model)] = use.requests
@@ -142,7 +143,7 @@
             _subtract(self.totals.replica_requests, reported.replica_requests)
 
     def decay(self, now: float) -> None:
-        """Decays all estimates and drops expired estimates and reports."""
+        """Decays all estimates and removes expired estimates and reports."""
         expired = [
             sender for sender, report in self.reports.items() if now - report.received_at > REPORT_EXPIRY_S
         ]
@@ -154,12 +155,12 @@
                 del self.estimates[key]
 
     def rate(self, key: DemandKey) -> float:
-        """Requests per second, averaged."""
+        """Average number of requests per second."""
         estimate = self.estimates.get(key)
         return 0.0 if estimate is None else estimate.rate
 
     def expected(self, key: DemandKey) -> ExpectedDemand:
-        """Demand by the time a load that begins now could end."""
+        """Demand expected when a load that starts now completes."""
         estimate = self.estimates.get(key)
         if estimate is None:
             return NO_EXPECTED_DEMAND
@@ -169,12 +170,12 @@
         )
 
     def prefill_s_per_token(self, service: str) -> float:
-        """Prefill time per prompt token, the median over the dispatchers; 0 if none has reported it."""
+        """Median of the prefill times per prompt token that dispatchers reported; 0 if none was reported."""
         by_dispatcher = self.prefill_reports.get(service)
         return median(by_dispatcher.values()) if by_dispatcher else 0.0
 
     def queued(self, key: DemandKey) -> int:
-        """Requests queued at any dispatcher."""
+        """Number of requests queued at all dispatchers."""
         return self.totals.queued[key]
 
     def queued_keys(self) -> list[DemandKey]:
@@ -182,20 +183,20 @@
         return list(self.totals.queued)
 
     def running(self, key: DemandKey) -> float:
-        """Requests in flight, smoothed."""
+        """Smoothed number of requests in flight."""
         estimate = self.estimates.get(key)
         return 0.0 if estimate is None else estimate.running
 
     def running_now(self, key: DemandKey) -> int:
-        """Requests in flight as last reported."""
+        """Last reported number of requests in flight."""
         return self.totals.running[key]
 
     def replica_requests(self, instance: str, model: str) -> int:
-        """Requests in flight for one model at one worker as last reported."""
+        """Last reported number of requests in flight for one model at one worker."""
         return self.totals.replica_requests[ReplicaKey(instance, model)]
 
     def peer_loads(self, sender: str) -> dict[str, int]:
-        """Requests in flight by worker instance, as reported by all dispatchers but this one."""
+        """Requests in flight by worker instance, as reported by all dispatchers except `sender`."""
         others = Counter(self.totals.worker_loads)
         if sender in self.reports:
             _subtract(others, self.reports[sender].worker_loads)
@@ -207,13 +208,13 @@
 
 
 def _extrapolate(average: float, recent: float) -> float:
-    """Continues a rising trend; a falling one leaves the average as it is."""
+    """Extrapolates a rising trend; a falling trend leaves the average unchanged."""
     return max(average, recent + TREND_WEIGHT * max(0.0, recent - average))
 
 
-def _subtract(totals: Counter[CounterKey], part: Counter[CounterKey]) -> None:
-    """Subtracts in place and deletes entries that become 0."""
-    for key, count in part.items():
+def _subtract(totals: Counter[CounterKey], counts: Counter[CounterKey]) -> None:
+    """Subtracts counts in place and deletes entries that become 0."""
+    for key, count in counts.items():
         totals[key] -= count
         if not totals[key]:
             del totals[key]
--- a/finchladder/cluster/placement/disk_inventory.py
+++ b/finchladder/cluster/placement/disk_inventory.py
@@ -1,23 +1,24 @@
-"""Which models workers have on their local disks, and so load without the weight store; no I/O.
+"""Tracks the models on the local disks of workers, which load without the weight store; without I/O.
 
-A worker that returns at its address as a new incarnation may have kept its disk or lost it. Until a load of a
-model that its predecessor had shows which, its loads count as loads from the store.
+A worker that restarts as a new incarnation at its address may have kept its disk or lost it. Its loads count
+as loads from the store until the duration of a load of a model of its predecessor shows which is the case.
 """
 
 from collections.abc import Iterable
 
 from attrs import define, field
 
-MAX_KNOWN_DISKS = 4096  # the first recorded is dropped first
-MAX_WARM_LOAD_FRACTION = 0.5  # of the time of a load from the store; a quicker load was from the local disk
+MAX_KNOWN_DISKS = 4096  # the oldest entry is evicted first
+# A load that takes less than this fraction of the time of a load from the store was from the local disk.
+MAX_WARM_LOAD_FRACTION = 0.5
 
 
 @define
 class WorkerDisk:
     """Models on the disk of one worker incarnation.
 
-    `unconfirmed_models`: what its predecessor at that address had, until it is known whether the disk is the
-    same.
+    `unconfirmed_models` are the models of its predecessor at that address, until it is known whether the disk
+    is still the same.
     """
 
     address: str
@@ -27,13 +28,13 @@
 
 @define
 class DiskInventory:
-    """Disks of all workers that were seen."""
+    """Disks of the workers that reported models."""
 
     by_instance: dict[str, WorkerDisk] = field(factory=dict)
-    latest_instances: dict[str, str] = field(factory=dict)  # by address
+    latest_instances: dict[str, str] = field(factory=dict)  # latest incarnation by address
 
     def record_models(self, instance: str, address: str, models: Iterable[str]) -> None:
-        """Records models that a worker has loaded, and so has on its disk from now on."""
+        """Records models that a worker has loaded, which are on its disk from now on."""
         disk = self.by_instance.get(instance)
         if disk is None:
             disk = WorkerDisk(address, unconfirmed_models=self._take_predecessor_models(address))
@@ -43,12 +44,12 @@
         disk.models.update(models)
 
     def _take_predecessor_models(self, address: str) -> set[str]:
-        """Removes the disk of the last incarnation at that address and returns what may be on it."""
+        """Removes the previous incarnation at an address; returns the models that may be on its disk."""
         predecessor = self.by_instance.pop(self.latest_instances.get(address, ""), None)
         return set() if predecessor is None else predecessor.models | predecessor.unconfirmed_models
 
     def _drop_oldest(self) -> None:
-        """Keeps the inventory within its bound; models of a dropped disk count as loaded from the store."""
+        """Limits the inventory size; loads at a worker without an entry count as loads from the store."""
         if len(self.by_instance) > MAX_KNOWN_DISKS:
             oldest = next(iter(self.by_instance))
             self.latest_instances.pop(self.by_instance.pop(oldest).address, None)
@@ -64,20 +65,20 @@
         return disk is not None and model in disk.models
 
     def may_have_model(self, instance: str, model: str) -> bool:
-        """Whether a model is on a worker's disk if the disk is still its predecessor's."""
+        """Whether a model is on a worker's disk, provided that the worker kept its predecessor's disk."""
         disk = self.by_instance.get(instance)
         return disk is not None and model in disk.unconfirmed_models
 
     def record_load(self, instance: str, load_duration_s: float, store_load_s: float) -> bool:
-        """Infers from the duration of a load of an unconfirmed model whether the disk is its predecessor's.
+        """Infers from the duration of a load of an unconfirmed model whether the worker kept its disk.
 
         Args:
-            instance: The worker.
-            load_duration_s: What the load took.
-            store_load_s: What it takes from the weight store.
+            instance: Instance name of the worker.
+            load_duration_s: Measured duration of the load.
+            store_load_s: Expected duration of a load from the weight store.
 
         Returns:
-            Whether the model was loaded from the worker's own disk.
+            Whether the model was loaded from the worker's local disk.
         """
         disk = self.by_instance[instance]
         is_warm = load_duration_s < MAX_WARM_LOAD_FRACTION * store_load_s
--- a/finchladder/cluster/placement/eviction_planner.py
+++ b/finchladder/cluster/placement/eviction_planner.py
@@ -1,4 +1,4 @@
-"""Which models a worker should evict to free memory for another one; no I/O and no clock."""
+"""Plans which models a worker evicts to free memory for another model; without I/O and clock."""
 
 from attrs import frozen
 
@@ -7,35 +7,36 @@
 from finchladder.cluster.placement.planning_input import PlannerWorker
 from finchladder.cluster.placement.planning_state import PlanningState
 
-RUNNING_REQUEST_COST = 0.5  # of each request in flight: an eviction blocks the worker until they end
+RUNNING_REQUEST_COST = 0.5  # cost per request in flight: an eviction blocks the worker until they complete
 
 
 @frozen
 class EvictionPlan:
-    """Models to be evicted from a worker, and the value that is lost with them."""
+    """Models to evict from a worker, and the value that is lost by their eviction."""
 
     cost: float
     evicted_models: tuple[str, ...]
 
     def evictions(self) -> tuple[Eviction, ...]:
-        """The plan as part of an action."""
+        """The evictions of a load action."""
         return tuple(Eviction(model) for model in self.evicted_models)
 
 
 class EvictionPlanner:
-    """Plans evictions within one planning pass."""
+    """Plans evictions for one planning pass."""
 
     def __init__(self, state: PlanningState) -> None:
-        """Begins without cached plans."""
+        """Creates a planner without cached plans."""
         self.state = state
         self._plans: dict[tuple[str, float], EvictionPlan | None] = {}
         self._configured_order = {name: index for index, name in enumerate(state.engine.models)}
 
     def plan_for(self, worker: PlannerWorker, model: str) -> EvictionPlan | None:
-        """The cheapest models to evict for a model, none where it fits; None if it can't be made to fit.
+        """Plans the cheapest evictions that free memory for a model; None if the model cannot fit.
 
-        A replica that is still being loaded elsewhere is no substitute for one that would be evicted. Plans
-        are cached for the pass by worker and size: values of replicas change little within it.
+        Only loaded replicas count as substitutes for an evicted one, not replicas that are being loaded.
+        Plans are cached by worker and size during the pass, since the values of replicas change little within
+        it.
         """
         needed_mb = self.state.engine.models[model].weights_mb
         cache_key = worker.instance, needed_mb
@@ -56,15 +57,15 @@
         return EvictionPlan(cost, tuple(evicted_models)) if free_mb >= needed_mb else None
 
     def _eviction_order(self, worker: PlannerWorker, model: str) -> tuple[float, int]:
-        """The cheapest first; among equals the last in the configuration."""
+        """Sort key: cheapest models first, and among equals the last one in the configuration first."""
         return self._cost(worker, model), -self._configured_order.get(model, 0)
 
     def _cost(self, worker: PlannerWorker, model: str) -> float:
-        """Value that is lost with a replica, and by the wait for its requests in flight."""
+        """Value lost by the eviction of a replica and by waiting for its requests in flight."""
         state = self.state
         if state.loaded_replicas[model] <= 1:
             value = state.first_replica_value(model)
         else:
-            value = state.utilization.loss(worker.instance, model)
+            value = state.utilization.late_rate_added_by_eviction(worker.instance, model)
         in_flight = state.inputs.demand.replica_requests(worker.instance, model)
         return value + RUNNING_REQUEST_COST * in_flight
--- a/finchladder/cluster/placement/load_durations.py
+++ b/finchladder/cluster/placement/load_durations.py
@@ -1,4 +1,4 @@
-"""Expected durations of loads and evictions, learned from loads that have ended; no I/O and no clock."""
+"""Expected durations of loads and evictions, learned from completed loads; without I/O and clock."""
 
 from attrs import define
 
@@ -12,8 +12,8 @@
 class LoadDurations:
     """Moving averages for the workers of one service.
 
-    `warm_fraction` and `cold_fraction`: duration of a load from the local disk, and from the weight store, as
-    a fraction of the duration that is configured for the model.
+    `warm_fraction` and `cold_fraction` are the durations of loads from the local disk and from the weight
+    store as fractions of the duration that is configured for the model.
     """
 
     warm_fraction: float = INITIAL_WARM_FRACTION
@@ -21,7 +21,7 @@
     adapter_load_s: float = INITIAL_ADAPTER_LOAD_S
 
     def expected_s(self, configured_load_s: float, is_adapter: bool, is_warm: bool) -> float:
-        """Expected duration of a load; `is_warm`: from the worker's local disk."""
+        """Expected duration of a load in seconds; a warm load is from the worker's local disk."""
         if is_adapter:
             return self.adapter_load_s
         return configured_load_s * (self.warm_fraction if is_warm else self.cold_fraction)
@@ -29,7 +29,7 @@
     def record(
         self, configured_load_s: float, is_adapter: bool, is_warm: bool, load_duration_s: float
     ) -> None:
-        """Folds in the duration of a load that has ended."""
+        """Adds the duration of a completed load to the averages."""
         if is_adapter:
             self.adapter_load_s += SMOOTHING_FACTOR * (load_duration_s - self.adapter_load_s)
             return
--- a/finchladder/cluster/placement/model_demand.py
+++ b/finchladder/cluster/placement/model_demand.py
@@ -1,11 +1,11 @@
-"""Demand by model, that for its adapters included; no I/O and no clock."""
+"""Demand by model, including the demand for its adapters; without I/O and clock."""
 
 from attrs import define
 
 from finchladder.cluster.configuration.snapshot import Engine
 from finchladder.cluster.placement.demand import DemandTracker
 
-MAX_IDLE_RATE = 0.5  # requests per second, below which a model that is not in use counts as idle
+MAX_IDLE_RATE = 0.5  # requests per second below which a model without current requests is idle
 
 
 @define
@@ -14,14 +14,14 @@
 
     rate: float = 0.0
     queued: int = 0
-    running: float = 0.0  # smoothed
+    running: float = 0.0  # smoothed number of requests in flight
     running_now: int = 0
     expected_rate: float = 0.0
     expected_tokens_per_s: float = 0.0
 
     @property
     def is_idle(self) -> bool:
-        """Whether a replica may be evicted without requests that wait for it."""
+        """Whether a replica may be evicted because no request waits for the model and few arrive."""
         return not self.queued and not self.running_now and self.rate < MAX_IDLE_RATE
 
 
@@ -29,7 +29,7 @@
 
 
 def demand_by_model(tracker: DemandTracker, service: str, engine: Engine) -> dict[str, ModelDemand]:
-    """Sums the demand for each configured model of a service; models without any are left out."""
+    """Sums the demand for each configured model of a service; models without demand are omitted."""
     demands: dict[str, ModelDemand] = {}
     for key in tracker.tracked_keys():
         if key.service == service and key.model in engine.models:
--- a/finchladder/cluster/placement/planner.py
+++ b/finchladder/cluster/placement/planner.py
@@ -1,4 +1,4 @@
-"""Which models and adapters the idle workers of a service should load next; no I/O and no clock."""
+"""Plans which models and adapters the idle workers of a service load next; without I/O and clock."""
 
 from collections.abc import Mapping
 
@@ -12,10 +12,10 @@
 
 
 class PlanningPass:
-    """One pass over a service: at most one action for each idle worker."""
+    """One planning pass over a service, with at most one action for each idle worker."""
 
     def __init__(self, inputs: PlanningInput, loading_replicas: Mapping[str, int]) -> None:
-        """Prepares the pass; `loading_replicas`: replicas by model that are being loaded."""
+        """Prepares the pass; `loading_replicas` is the number of replicas by model that are being loaded."""
         self.state = PlanningState(inputs, loading_replicas)
         eviction_planner = EvictionPlanner(self.state)
         self.adapter_planner = AdapterPlanner(self.state)
@@ -23,7 +23,7 @@
         self.prefetch_planner = PrefetchPlanner(self.state, eviction_planner)
 
     def actions(self) -> list[LoadAction]:
-        """Adapters first, as they load quickly, then models by urgency; prefetches if there is neither."""
+        """Plans adapters first, as they load quickly, then models by urgency, and otherwise prefetches."""
         planned = self.adapter_planner.actions()
         planned += self.replica_planner.actions()
         if not planned and not self.state.has_queued_requests:
--- a/finchladder/cluster/placement/planning_input.py
+++ b/finchladder/cluster/placement/planning_input.py
@@ -1,4 +1,4 @@
-"""What a planning pass of one service is given."""
+"""Input of a planning pass for one service."""
 
 from collections.abc import Sequence
 
@@ -10,30 +10,32 @@
 
 @define
 class PlannerWorker:
-    """A worker as the placer knows it; `loaded_models`: adapters by model."""
+    """State of a worker at the placer; `loaded_models` contains the loaded adapters by model."""
 
     instance: str
     service: str
     address: str
     zone: str
-    is_busy: bool  # an order is under way, or its state is unknown
+    is_busy: bool  # an order is in progress, or the worker's state is unknown
     is_draining: bool
     loaded_models: dict[str, set[str]] = field(factory=dict)
     models_on_disk: frozenset[str] = frozenset()
     loading_model: str = ""
 
     def adapter_count(self) -> int:
-        """Adapters in the worker's memory."""
+        """Number of adapters in the worker's memory."""
         return sum(len(adapters) for adapters in self.loaded_models.values())
 
 
 @frozen
 class PlanningInput:
-    """Workers, demand and limits at one moment.
+    """Workers, demand and limits at the time of a planning pass.
 
-    `prefetches_allowed`: how many of `store_loads_allowed` may be for models that no request waits for.
-    `warm_fraction`: duration of a load from the local disk as a fraction of one from the weight store.
-    `cold_start_slots`: model slots that cold starts take on average.
+    Attributes:
+        store_loads_allowed: Number of loads from the weight store that may start.
+        prefetches_allowed: Number of those loads that may be for models without queued requests.
+        warm_fraction: Duration of a load from the local disk as a fraction of one from the weight store.
+        cold_start_slots: Average number of model slots that cold starts occupy.
     """
 
     service: str
--- a/finchladder/cluster/placement/planning_state.py
+++ b/finchladder/cluster/placement/planning_state.py
@@ -1,4 +1,4 @@
-"""State of one planning pass: replicas, idle workers and what is left of the limits."""
+"""State of one planning pass: replicas, idle workers and remaining limits."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -9,16 +9,17 @@
 from finchladder.cluster.placement.planning_input import PlannerWorker, PlanningInput
 from finchladder.cluster.placement.utilization import ExpectedLoad, FleetUtilization
 
-QUEUED_REQUEST_VALUE = 1.5  # of each request that is queued for a model without a replica
-UNIFORM_DEMAND_FRACTION = 0.15  # of the demand is expected to be spread evenly over all models
-FULL_USE_SLOT_FRACTION = 0.15  # of a worker's request slots: full use, where no prefill time is reported
+QUEUED_REQUEST_VALUE = 1.5  # value of a first replica per request that is queued for the model
+UNIFORM_DEMAND_FRACTION = 0.15  # fraction of the demand that is expected to be uniform over all models
+# A worker counts as fully utilized at this fraction of its request slots if no prefill time is reported.
+FULL_USE_SLOT_FRACTION = 0.15
 
 
 class PlanningState:
-    """What the planners of one pass share; only `apply` changes it."""
+    """State that the planners of one pass share; only `apply` changes it."""
 
     def __init__(self, inputs: PlanningInput, loading_replicas: Mapping[str, int]) -> None:
-        """Counts what is there; `loading_replicas`: replicas by model that are being loaded."""
+        """Counts replicas and slots; `loading_replicas` is the number of loading replicas by model."""
         self.inputs = inputs
         self.engine = inputs.engine
         self.workers = [worker for worker in inputs.workers if not worker.is_draining]
@@ -27,16 +28,16 @@
         self.demand = demand_by_model(inputs.demand, inputs.service, inputs.engine)
         total_rate = sum(demand.rate for demand in self.demand.values())
         self.uniform_rate = UNIFORM_DEMAND_FRACTION * total_rate / max(1, len(self.engine.models))
-        held_models = [model for worker in self.workers for model in worker.loaded_models]
-        self.loaded_replicas = Counter(held_models)
+        loaded_models = [model for worker in self.workers for model in worker.loaded_models]
+        self.loaded_replicas = Counter(loaded_models)
         self.replicas = self.loaded_replicas + Counter(loading_replicas)
         empty_slots = self._empty_slots()
-        self.replaceable_slots = empty_slots + sum(self.is_idle(model) for model in held_models)
-        self.reserved_slots = reserved_model_slots(inputs.cold_start_slots, empty_slots + len(held_models))
+        self.replaceable_slots = empty_slots + sum(self.is_idle(model) for model in loaded_models)
+        self.reserved_slots = reserved_model_slots(inputs.cold_start_slots, empty_slots + len(loaded_models))
         self.utilization = self._fleet_utilization()
 
     def _empty_slots(self) -> int:
-        """How many more replicas of the largest model would fit into the free memory of all workers."""
+        """Number of further replicas of the largest model that fit into the free memory of all workers."""
         largest_mb = max((model.weights_mb for model in self.engine.models.values()), default=0.0)
         if not largest_mb:
             return 0
@@ -64,26 +65,26 @@
 
     @property
     def is_down_to_reserved_slots(self) -> bool:
-        """Whether all slots that are empty or hold an idle model are reserved for cold starts."""
+        """Whether all slots that are empty or contain an idle model are reserved for cold starts."""
         return bool(self.reserved_slots) and self.replaceable_slots <= self.reserved_slots
 
     def is_idle(self, model: str) -> bool:
-        """Whether a replica of the model may be evicted without requests that wait for it."""
+        """Whether a replica of the model may be evicted because the model is idle."""
         return self.demand.get(model, NO_DEMAND).is_idle
 
     def next_replica_value(self, model: str) -> float:
-        """Value of another replica, the first one included."""
+        """Value of the next replica of a model, which may be the first one."""
         if self.replicas.get(model, 0):
-            return self.utilization.relief(model)
+            return self.utilization.late_rate_saved_by_replica(model)
         return self.first_replica_value(model)
 
     def first_replica_value(self, model: str) -> float:
-        """Value of a model's only replica."""
+        """Value of the only replica of a model."""
         demand = self.demand.get(model, NO_DEMAND)
         return demand.rate + self.uniform_rate + QUEUED_REQUEST_VALUE * demand.queued
 
     def request_rate(self, worker: PlannerWorker) -> float:
-        """Requests per second that a worker serves, if replicas share them evenly."""
+        """Requests per second that a worker serves if all replicas of a model serve the same number."""
         return sum(
             self.demand[model].rate / max(1, self.replicas.get(model, 1))
             for model in worker.loaded_models
@@ -91,11 +92,11 @@
         )
 
     def free_mb(self, worker: PlannerWorker) -> float:
-        """Memory for weights that is free at a worker."""
+        """Free memory for weights at a worker in MB."""
         return self.engine.weights_mb - used_mb(self.engine, worker.loaded_models)
 
     def apply(self, action: LoadAction) -> None:
-        """Counts an action as done; its worker gets no other one in this pass."""
+        """Applies an action to the state; its worker gets no further action in this pass."""
         worker = self.idle_workers.pop(action.instance)
         if action.adapter:
             return
--- a/finchladder/cluster/placement/prefetch_planner.py
+++ b/finchladder/cluster/placement/prefetch_planner.py
@@ -1,7 +1,7 @@
-"""Loads of models that are on no worker's disk, ahead of demand; no I/O and no clock.
+"""Plans loads of models that are on no worker's disk before there is demand; without I/O and clock.
 
-Where loads from the weight store are slow, a model that was loaded once is on a local disk, from where it
-is loaded quickly when it is asked for.
+Loads from the weight store may be slow. A prefetched model is on a local disk, from which it loads quickly
+when a request needs it.
 """
 
 from finchladder.cluster.configuration.snapshot import Model
@@ -17,19 +17,19 @@
     """Plans prefetches at idle workers."""
 
     def __init__(self, state: PlanningState, eviction_planner: EvictionPlanner) -> None:
-        """Plans within the pass of that state."""
+        """Creates the planner for the planning pass of `state`."""
         self.state = state
         self.eviction_planner = eviction_planner
 
     def actions(self) -> list[LoadAction]:
-        """Loads within the limit for prefetches, applied to the state."""
+        """Plans loads within the limit for prefetches and applies them to the state."""
         planned: list[LoadAction] = []
         for model in self._models_on_no_disk():
             prefetches_left = self.state.inputs.prefetches_allowed - len(planned)
             if model.load_s < LONG_LOAD_S or min(self.state.store_loads_left, prefetches_left) <= 0:
                 continue
             action = self._plan(model.name)
-            if action is None:  # nor can another model be made to fit
+            if action is None:  # no other model would fit either
                 break
             self.state.apply(action)
             planned.append(action)
@@ -47,7 +47,7 @@
         ]
 
     def _plan(self, model: str) -> LoadAction | None:
-        """A load at the worker with the fewest models on disk where only unused ones have to be evicted."""
+        """Plans a load at the worker with the fewest models on disk that evicts only unused models."""
         workers = sorted(
             self.state.idle_workers.values(),
             key=lambda worker: (len(worker.models_on_disk), worker.instance),
--- a/finchladder/cluster/placement/replica_planner.py
+++ b/finchladder/cluster/placement/replica_planner.py
@@ -1,11 +1,11 @@
-"""Where another replica of a model should be loaded, and whether it is worth its evictions; no I/O.
-
-The value of the first replica is the model's request rate, and more while requests are queued for it. The
-value of a further one is the late requests that it saves. A replica is loaded where its value exceeds that of
-the evicted ones by a margin, which keeps models from replacing each other in turn; a worker that has the
-model on its local disk is preferred by the time that this saves. Further replicas of models that are not
-overloaded leave slots to rarely used models: without reserved ones, each cold start would evict a replica of
-a busy model, wait for its requests in flight, and be evicted again.
+"""Plans where another replica of a model is loaded and whether it justifies the evictions; without I/O.
+
+The value of the first replica is the model's request rate, plus an amount for each queued request. The value
+of a further replica is the rate of late requests that it saves. A replica is loaded if its value exceeds the
+cost of its evictions by a margin, which prevents models from evicting each other in turn. A worker that has
+the model on its local disk is preferred according to the load time that this saves. Further replicas of
+models that are not overloaded must leave the reserved slots to rarely used models. Without reserved slots,
+each cold start would evict a replica of a busy model, wait for its requests in flight, and be evicted again.
 """
 
 from typing import NamedTuple
@@ -16,16 +16,17 @@
 from finchladder.cluster.placement.planning_state import PlanningState
 
 REPLACEMENT_MARGIN = 1.5  # factor by which a replica's value has to exceed the cost of its evictions
-LAST_REPLICA_COST = 0.5  # of each model whose last replica would go for a further one of another
-MIN_FIRST_REPLICA_VALUE = 0.02  # a first replica of less value is not loaded
-MIN_REPLICA_VALUE = 0.2  # the same of a further one
-OVERLOAD_UTILIZATION = 0.5  # of the least utilized replica, above which the next one may take a reserved slot
-VALUE_HORIZON_S = 10.0  # for which a replica is of use: a load of a tenth of it costs a tenth of the value
-REQUEST_RATE_COST = 0.05  # for each request per second that a worker serves already
+LAST_REPLICA_COST = 0.5  # cost per model that loses its last replica to a further replica of another one
+MIN_FIRST_REPLICA_VALUE = 0.02  # minimum value of a first replica to be loaded
+MIN_REPLICA_VALUE = 0.2  # minimum value of a further replica to be loaded
+# If the least utilized replica exceeds this utilization, a further one may use a reserved slot.
+OVERLOAD_UTILIZATION = 0.5
+VALUE_HORIZON_S = 10.0  # useful life of a replica; a load that takes a tenth of it costs a tenth of the value
+REQUEST_RATE_COST = 0.05  # cost per request per second that a worker already serves
 
 
 class ReplicaCandidate(NamedTuple):
-    """A worker that could load the replica; the lowest one is chosen."""
+    """A worker that could load the replica; the candidate with the lowest cost is chosen."""
 
     cost: float
     instance: str
@@ -33,15 +34,15 @@
 
 
 class ReplicaPlanner:
-    """Plans loads of models that are in demand."""
+    """Plans loads of models for which there is demand."""
 
     def __init__(self, state: PlanningState, eviction_planner: EvictionPlanner) -> None:
-        """Plans within the pass of that state."""
+        """Creates the planner for the planning pass of `state`."""
         self.state = state
         self.eviction_planner = eviction_planner
 
     def actions(self) -> list[LoadAction]:
-        """At most one load for each model in demand, applied to the state."""
+        """Plans at most one load for each model with demand and applies it to the state."""
         planned: list[LoadAction] = []
         for model in self._models_by_urgency():
             action = self._plan(model)
@@ -51,7 +52,7 @@
         return planned
 
     def _models_by_urgency(self) -> list[str]:
-        """First models with queued requests and no replica; in each part by the next replica's value."""
+        """Models with queued requests and no replica first, then by descending value of the next replica."""
         state = self.state
         values = {model: state.next_replica_value(model) for model in state.demand}
 
@@ -78,7 +79,7 @@
     def _candidates(
         self, model: str, value: float, min_value: float, has_replica: bool
     ) -> list[ReplicaCandidate]:
-        """Idle workers where the replica's value exceeds what it costs there. O(idle workers)."""
+        """Idle workers at which the value of the replica exceeds its cost. O(idle workers)."""
         state = self.state
         candidates: list[ReplicaCandidate] = []
         for worker in state.idle_workers.values():
@@ -88,24 +89,26 @@
             plan = self.eviction_planner.plan_for(worker, model)
             if plan is None:
                 continue
-            burden = state.utilization.burden(worker.instance, model) if has_replica else 0.0
+            late_rate = (
+                state.utilization.late_rate_added_by_replica(worker.instance, model) if has_replica else 0.0
+            )
             replacement_cost = self._replacement_cost(plan, has_replica)
-            if value - burden < max(min_value, REPLACEMENT_MARGIN * replacement_cost):
+            if value - late_rate < max(min_value, REPLACEMENT_MARGIN * replacement_cost):
                 continue
             delay_cost = value * self._load_s(worker, model) / VALUE_HORIZON_S
-            cost = plan.cost + burden + delay_cost + REQUEST_RATE_COST * state.request_rate(worker)
+            cost = plan.cost + late_rate + delay_cost + REQUEST_RATE_COST * state.request_rate(worker)
             candidates.append(ReplicaCandidate(cost, worker.instance, plan))
         return candidates
 
     def _replacement_cost(self, plan: EvictionPlan, has_replica: bool) -> float:
-        """Cost of evictions; for a further replica, models that would have none left cost more."""
+        """Cost of the evictions; for a further replica, last replicas of other models cost extra."""
         if not has_replica:
             return plan.cost
         last_replicas = sum(self.state.loaded_replicas[model] <= 1 for model in plan.evicted_models)
         return plan.cost + LAST_REPLICA_COST * last_replicas
 
     def _is_overloaded(self, model: str) -> bool:
-        """Whether all replicas are busy, those that are being loaded included."""
+        """Whether all replicas, including those that are being loaded, exceed OVERLOAD_UTILIZATION."""
         return self.state.utilization.min_utilization(model) > OVERLOAD_UTILIZATION
 
     def _load_s(self, worker: PlannerWorker, model: str) -> float:
--- a/tests/cluster/planning_scene.py
+++ b/tests/cluster/planning_scene.py
@@ -14,13 +14,15 @@
 
 
 def worker(name: str, *models: str, busy: bool = False, disk: tuple[str, ...] = ()) -> PlannerWorker:
-    held: dict[str, set[str]] = {model: set() for model in models}
-    return PlannerWorker(name, "llm", name, "z", busy, False, held, frozenset((*models, *disk)))
+    loaded: dict[str, set[str]] = {model: set() for model in models}
+    return PlannerWorker(name, "llm", name, "z", busy, False, loaded, frozenset((*models, *disk)))
 
 
-def asked(tracker: DemandTracker, model: str, times: int, *, adapter: str = "", waiting: int = 0) -> None:
-    """One dispatcher for each item: a report replaces the one before."""
-    demand = Demand("llm", model, adapter, times, waiting, 0, 0)
+def report_demand(
+    tracker: DemandTracker, model: str, requests: int, *, adapter: str = "", queued: int = 0
+) -> None:
+    """Reports demand from one dispatcher per key, since a report replaces the sender's previous one."""
+    demand = Demand("llm", model, adapter, requests, queued, 0, 0)
     tracker.add_report(0.0, DemandReport(f"edge {model} {adapter}", 1.0, (demand,)))
 
 
--- a/tests/cluster/test_disk_inventory.py
+++ b/tests/cluster/test_disk_inventory.py
@@ -1,29 +1,29 @@
-"""What is known of the workers' disks."""
+"""Tests of the inventory of models on local disks of workers."""
 
 from finchladder.cluster.placement.disk_inventory import MAX_KNOWN_DISKS, DiskInventory
 
 
-def returned(took_s: float) -> DiskInventory:
-    """A worker comes back as a new instance, and a load of a model that it had before takes so long."""
+def inventory_after_restart(load_duration_s: float) -> DiskInventory:
+    """Restarts a worker as a new incarnation, which loads a model of its predecessor in the given time."""
     disks = DiskInventory()
     disks.record_models("i-1", "a:1", ["m0", "m1"])
     disks.record_models("i-2", "a:1", [])
-    assert disks.models_on("i-2") == frozenset(), "counted as loads from the store until it is known"
+    assert disks.models_on("i-2") == frozenset(), "the predecessor's models count before they are confirmed"
     assert disks.may_have_model("i-2", "m0")
     assert not disks.may_have_model("i-2", "m2")
     disks.record_models("i-2", "a:1", ["m0"])
-    kept = disks.record_load("i-2", took_s, store_load_s=5.0)
-    assert kept == disks.has_model("i-2", "m1")
+    is_warm = disks.record_load("i-2", load_duration_s, store_load_s=5.0)
+    assert is_warm == disks.has_model("i-2", "m1")
     assert not disks.may_have_model("i-2", "m1")
     return disks
 
 
-def test_a_worker_that_returns_has_its_old_models_on_disk_if_the_first_load_is_quick() -> None:
-    assert returned(took_s=0.8).models_on("i-2") == {"m0", "m1"}
-    assert returned(took_s=5.5).models_on("i-2") == {"m0"}
+def test_a_restarted_worker_has_its_former_models_on_disk_if_the_first_load_is_quick() -> None:
+    assert inventory_after_restart(load_duration_s=0.8).models_on("i-2") == {"m0", "m1"}
+    assert inventory_after_restart(load_duration_s=5.5).models_on("i-2") == {"m0"}
 
 
-def test_a_worker_at_another_address_has_nothing_of_others() -> None:
+def test_a_worker_at_another_address_has_no_models_of_other_workers() -> None:
     disks = DiskInventory()
     disks.record_models("i-1", "a:1", ["m0"])
     disks.record_models("i-2", "b:1", [])
@@ -33,7 +33,7 @@
     assert not disks.has_model("i-9", "m0")
 
 
-def test_what_is_known_of_disks_is_bounded_and_the_first_seen_goes_first() -> None:
+def test_the_inventory_is_bounded_and_the_oldest_entry_is_evicted_first() -> None:
     disks = DiskInventory()
     for number in range(MAX_KNOWN_DISKS + 10):
         disks.record_models(f"i-{number}", f"a:{number}", ["m0"])
--- a/tests/cluster/test_load_durations.py
+++ b/tests/cluster/test_load_durations.py
@@ -1,9 +1,9 @@
-"""Expected durations of loads."""
+"""Tests of expected load durations."""
 
 from finchladder.cluster.placement.load_durations import LoadDurations
 
 
-def test_durations_follow_what_was_seen() -> None:
+def test_expected_durations_follow_recorded_durations() -> None:
     durations = LoadDurations()
     for _ in range(30):
         durations.record(5.0, is_adapter=False, is_warm=True, load_duration_s=1.0)
