--- a/finchladder/cluster/replication/agreement.py
+++ b/finchladder/cluster/replication/agreement.py
@@ -1,14 +1,15 @@
-"""Agreement on the next view: single-decree Paxos, one instance for each view, no I/O and no clock.
+"""Agreement on the next view by single-decree Paxos, with one instance for each view; without I/O and clock.
 
-The acceptors of instance n + 1 are the voters of view n. A voter answers only for the instance that follows
-the newest decided view that it knows, so a proposer learns of newer views first.
+The acceptors of instance n + 1 are the voters of view n. A voter takes part only in the instance that follows
+the newest decided view that it knows; its replies include that view, so that a proposer learns newer views
+first.
 
     acceptor                 on Prepare(b)              on Accept(b, v)            on Learn(v), v newer
-    promised p               b > p: promise, p = b      b >= p: accept v, p = b    view = v, the rest none
-    promised p, accepted v   b > p: promise, reply v    b >= p: accept, p = b      the same
-    not a voter              reject                     reject                     the same
+    promised p               b > p: promise, p = b      b >= p: accept v, p = b    view = v, rest is reset
+    promised p, accepted v   b > p: promise, reply v    b >= p: accept, p = b      view = v, rest is reset
+    not a voter              reject                     reject                     view = v, rest is reset
 
-What a voter promises and accepts is durable before it replies; `Acceptor` is this durable state.
+A voter makes its promises and accepted values durable before it replies; `Acceptor` is this durable state.
 Source: L. Lamport, "Paxos Made Simple" (2001); views as in "Vertical Paxos" (Lamport, Malkhi, Zhou 2009).
 """
 
@@ -30,7 +31,7 @@
 
 
 def prepare(acceptor: Acceptor, may_vote: bool, request: Prepare) -> tuple[Acceptor, Promise]:
-    """First phase; the returned acceptor must be durable before the reply goes out."""
+    """Handles the first phase; the returned acceptor must be durable before the reply is sent."""
     follows = request.instance == acceptor.view.number + 1
     granted = may_vote and follows and request.ballot > acceptor.promised
     if granted:
@@ -40,7 +41,7 @@
 
 
 def accept(acceptor: Acceptor, may_vote: bool, request: Accept) -> tuple[Acceptor, Accepted]:
-    """Second phase; the returned acceptor must be durable before the reply goes out."""
+    """Handles the second phase; the returned acceptor must be durable before the reply is sent."""
     follows = request.view.number == acceptor.view.number + 1
     granted = may_vote and follows and request.ballot >= acceptor.promised
     if granted:
@@ -49,12 +50,12 @@
 
 
 def learn(acceptor: Acceptor, view: View) -> Acceptor:
-    """Adopts a decided view if it is newer; promises and votes of older instances are void."""
+    """Adopts a decided view if it is newer and discards promises and votes of older instances."""
     return Acceptor(view) if view.number > acceptor.view.number else acceptor
 
 
 def value_to_propose(promises: Iterable[Promise]) -> View | None:
-    """The view that a proposer must propose: the one accepted under the highest ballot, if there is any."""
+    """The view accepted under the highest ballot, which the proposer must propose; None if there is none."""
     accepted = [promise for promise in promises if promise.accepted is not None]
     if not accepted:
         return None
--- a/finchladder/cluster/replication/chain.py
+++ b/finchladder/cluster/replication/chain.py
@@ -1,16 +1,16 @@
 """Chain replication at one member, as a state machine without I/O and clock.
 
-    on Replicate in view v, sequence s        what the member does
-    v is not its view                         rejects it, replies with its view
-    full state, older than its own of v       rejects it: the message was delayed
-    full state                                stores the state: (v, s)
-    operation, state_view = v, s = own + 1    applies it
-    state_view = v, s = own                   stores nothing: a confirmation, or a retransmission
-    else                                      requests the full state
-
-A member replies only after all its successors have stored the same, so a reply to the head means that all
-members have. `state_view` is the view in which the member last stored the state of its predecessor; in a
-new view the full state is sent down the chain once.
+    Replicate in view v with sequence s         action of the member
+    v is not its view                           rejects the message and replies with its view
+    full state older than its own state of v    rejects the message, which was delayed
+    full state                                  stores the state as (v, s)
+    operation, state_view = v, s = own + 1      applies the operation
+    state_view = v, s = own                     stores nothing: it is a confirmation or a retransmission
+    otherwise                                   requests the full state
+
+A member replies only after all its successors have stored the same state, so a reply to the head means that
+all members have stored it. `state_view` is the view in which the member last stored the state of its
+predecessor. In a new view the full state is sent down the chain once.
 Source: van Renesse, Schneider, "Chain Replication" (OSDI 2004).
 """
 
@@ -32,38 +32,38 @@
 
 @dataclass(frozen=True)
 class StoreReplica:
-    """The replica has to become durable before the message is forwarded."""
+    """The member must make the replica durable before it forwards the message."""
 
     replica: Replica
 
 
 @dataclass(frozen=True)
 class AlreadyStored:
-    """The member holds this state already; the message is forwarded."""
+    """The member has already stored this state and only forwards the message."""
 
 
 @dataclass(frozen=True)
 class Reject:
-    """The message belongs to another view, or was delayed."""
+    """The member rejects the message because it belongs to another view or was delayed."""
 
     problem: str
 
 
 @dataclass(frozen=True)
 class RequestFullState:
-    """The predecessor has to send the full state."""
+    """The member requests the full state from its predecessor."""
 
 
 Outcome = StoreReplica | AlreadyStored | Reject | RequestFullState
 
 
 def receive(replica: Replica, view: int, request: Replicate) -> Outcome:
-    """Decides what a member in that view does with a message from its predecessor."""
+    """Decides how a member in view `view` handles a message from its predecessor."""
     if request.view != view:
-        return Reject(f"message of view {request.view} in view {view}")
+        return Reject(f"the message belongs to view {request.view}, the member is in view {view}")
     if request.state is not None:
         if replica.state_view == view and request.state.sequence < replica.state.sequence:
-            return Reject("the state came late")
+            return Reject("the full state is older than the stored state of the same view")
         return StoreReplica(Replica(view, request.state))
     if replica.state_view != view:
         return RequestFullState()
@@ -75,15 +75,15 @@
 
 
 def enter_view(replica: Replica, view: int) -> Replica:
-    """The replica of a head that starts a new view with its own state."""
+    """The replica of a head that enters a new view with its own state."""
     return msgspec.structs.replace(replica, state_view=view)
 
 
 def newest_replica(replicas: Iterable[Replica]) -> Replica:
-    """The replica with the latest view and sequence: it includes the operations of all others."""
+    """The replica with the latest view and sequence, which includes the operations of all others."""
     return max(replicas, key=lambda replica: (replica.state_view, replica.state.sequence))
 
 
 def execute(replica: Replica, operation: Operation) -> Replica:
-    """The head's replica after an operation that it has validated."""
+    """The head's replica after it has applied an operation that it has validated."""
     return msgspec.structs.replace(replica, state=apply(replica.state, operation))
--- a/finchladder/cluster/replication/lease.py
+++ b/finchladder/cluster/replication/lease.py
@@ -1,14 +1,14 @@
-"""The lease of a singleton role, on both sides; times are seconds of the local steady clock, passed in.
+"""Lease of a singleton role, for the head of the chain and the holder; callers pass monotonic seconds.
 
-The head grants the lease, the holder acts under it. The head renews it only after the whole chain has
-confirmed the view, so a head that was replaced can't renew. A new head, once its chain has confirmed it,
-takes the latest moment at which a former head can have renewed as the last renewal. The holder counts from
-the moment of its request, the head from the moment of its reply.
+The head grants the lease, and the holder acts while it is valid. The head renews it only after the whole
+chain has confirmed the view, so a replaced head cannot renew it. After its chain has confirmed the view, a
+new head assumes that the lease was last renewed at the latest time at which a former head can have renewed
+it. The holder counts the lease time from its request, the head from its reply.
 
-A successor also waits until the last orders of the former holder are `exclusion_window_s` old. Where workers
-reject orders with a fencing token below one that they have seen, this wait is needed only while both are
-members of the chain and may be healthy. A holder that the view excludes is lost or partitioned; workers
-reject its late orders.
+A successor also waits until the last orders of the former holder are `exclusion_window_s` old. If workers
+reject orders with a fencing token lower than one that they have received, this wait is needed only while both
+processes are members of the chain and may be healthy. A holder that the view excludes is lost or partitioned,
+and workers reject its delayed orders.
 
     head                          renewal by holder      claim, lease valid     claim, lease expired
     unconfirmed                   reject                 reject                 reject
@@ -19,19 +19,19 @@
 
 from attrs import define
 
-RENEWALS_PER_LEASE = 3  # so that two lost renewals do not end it
+RENEWALS_PER_LEASE = 3  # the lease survives two lost renewals
 CLOCK_MARGIN_S = 0.2
 
 
 @define
 class GrantedLease:
-    """The lease as the head of the chain grants it.
+    """State of the lease at the head of the chain, which grants it.
 
     Attributes:
-        lease_s: How long a holder may act after its request.
-        exclusion_window_s: No two lease holders may both act within this time.
-        renewed_at: When the lease may last have been renewed; None: the head is not confirmed yet.
-        fenced: Whether workers reject orders with a fencing token below one that they have seen.
+        lease_s: Time after its request for which a holder may act.
+        exclusion_window_s: Time within which at most one lease holder may act.
+        renewed_at: Latest time at which the lease may have been renewed; None until the head is confirmed.
+        fenced: Whether workers reject orders with a fencing token lower than one that they have received.
         released_at: When a holder last released the lease.
     """
 
@@ -46,29 +46,29 @@
         self.renewed_at = since
 
     def renew(self, now: float) -> None:
-        """Renews the lease; since the holder's request the chain has confirmed the view."""
+        """Renews the lease; the chain must have confirmed the view since the holder's request."""
         if self.renewed_at is not None:
             self.renewed_at = now
 
     def release(self, now: float, idle_s: float) -> None:
-        """Releases the lease; the holder last acted `idle_s` ago and will not act again."""
+        """Releases the lease of a holder that last acted `idle_s` ago and will not act again."""
         if self.renewed_at is not None:
             self.renewed_at = now - idle_s - self.lease_s - CLOCK_MARGIN_S
             self.released_at = now
 
     def vacant_s(self, now: float) -> float:
-        """Seconds for which certainly nobody has held the lease; 0 if it is not known."""
+        """Seconds for which certainly no process has held the lease; 0 if unknown."""
         if self.renewed_at is None:
             return 0.0
         ended_at = max(self.released_at, self.renewed_at + self.lease_s + CLOCK_MARGIN_S)
         return max(0.0, now - ended_at)
 
     def wait_s(self, now: float, *, holder_left: bool = False) -> float | None:
-        """Seconds until a claim of another member may be granted; None: unknown.
+        """Seconds until a claim of another member may be granted; None if unknown.
 
         Args:
-            now: The present time.
-            holder_left: Whether the present holder is no longer in the chain.
+            now: Current time in seconds of the monotonic clock.
+            holder_left: Whether the current holder is no longer a member of the chain.
         """
         if self.renewed_at is None:
             return None
@@ -78,26 +78,26 @@
 
 @define
 class HeldLease:
-    """The lease as its holder knows it."""
+    """State of the lease at its holder."""
 
     lease_s: float
     token: int = 0
     expires_at: float = 0.0
 
     def extend(self, requested_at: float, token: int) -> None:
-        """Records that the head has granted or renewed the lease on a request sent at `requested_at`."""
+        """Records that the head granted or renewed the lease on a request sent at `requested_at`."""
         self.token = token
         self.expires_at = requested_at + self.lease_s
 
     def drop(self) -> None:
-        """Ends the lease: it was released, or belongs to another holder."""
+        """Ends the lease because it was released or belongs to another holder."""
         self.expires_at = 0.0
 
     @property
     def is_dropped(self) -> bool:
-        """Whether the lease has ended for good; one that has only expired may still be renewed."""
+        """Whether the lease was dropped; a lease that has only expired may still be renewed."""
         return self.expires_at == 0.0
 
     def is_valid(self, now: float) -> bool:
-        """Whether the holder may act at this moment."""
+        """Whether the holder may act now."""
         return now < self.expires_at
--- a/finchladder/cluster/replication/membership.py
+++ b/finchladder/cluster/replication/membership.py
@@ -1,13 +1,14 @@
-"""Reconfiguration: the next view, from the present one, its healthy members and those that ask to join.
+"""Reconfiguration: computes the next view from the current view, its healthy members and joining processes.
 
-A member may stay in the chain as a survivor if it was a survivor of the present view, or if it is known to
-have stored the state within the present view. Survivors keep their order, so each still holds at least what
-its successors hold, and precede the members that join.
+A member may stay in the chain as a survivor if it was a survivor of the current view, or if it is known to
+have stored the state in the current view. Survivors keep their order, so that each member has stored at least
+what its successors have stored, and precede the members that join.
 
-Where no survivor answers, the state may still be recovered from several members together: one of the chain of
-the present view, which has the state if that view acknowledged any operation, and one of each group of state
-sources of the present view, which have it otherwise. All of them are members of the next view, so none takes
-part in an older one any more; its head starts from the newest of their replicas, by view and sequence.
+If no survivor answers, the state can still be recovered from several members together: one member of the
+current chain, which has the state if the current view acknowledged any operation, and one member of each
+group of state sources of the current view, which has the state otherwise. All of them become members of the
+next view, so that none takes part in an older view any more. The head of the next view starts from the newest
+of their replicas, by view and sequence.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -20,39 +21,40 @@
 
 @frozen
 class MemberStatus:
-    """The status of a member that answers."""
+    """Status of a member that answers."""
 
     member: Member
-    state_view: int  # the view in which it last stored the state
-    healthy: bool  # its disk takes writes
+    state_view: int  # view in which the member last stored the state
+    healthy: bool  # whether its disk completes writes
     shutting_down: bool = False
 
 
 NO_STORED_VIEWS: Mapping[str, int] = MappingProxyType({})
-# Groups of one view; with more, the next view waits for a survivor. Each is of a view that lost its only
-# survivor before it had stored the state: 64 of five members are 40 KB of each message that holds the view.
+# Maximum number of groups of state sources in a view. If there are more, the next view requires a survivor.
+# Each group stems from a view that lost its only survivor before it had stored the state. 64 groups of five
+# members add 40 KB to each message that contains the view.
 MAX_STATE_SOURCES = 64
 
 
 @frozen
 class ReplicationLimits:
-    """Sizes that follow from the number of disks that may be lost at once."""
+    """Sizes that follow from the number of disks that may be lost at the same time."""
 
     tolerated_losses: int
 
     @property
     def min_chain_length(self) -> int:
-        """A shorter chain could lose acknowledged operations."""
+        """Minimum chain length; a shorter chain could lose acknowledged operations."""
         return self.tolerated_losses + 1
 
     @property
     def max_voters(self) -> int:
-        """The number of voters that leaves a majority after the tolerated losses."""
+        """Number of voters of which a majority remains after the tolerated losses."""
         return 2 * self.tolerated_losses + 1
 
 
 def survivors(view: View, alive: Mapping[str, MemberStatus]) -> list[Member]:
-    """Healthy members of the chain that hold all acknowledged state, in chain order."""
+    """Healthy members of the chain that have all acknowledged state, in chain order."""
     surviving = []
     for position, member in enumerate(view.chain):
         status = alive.get(member.disk_id)
@@ -66,10 +68,10 @@
 def next_voters(
     view: View, alive: Mapping[str, MemberStatus], chain: Sequence[Member], limits: ReplicationLimits
 ) -> list[Member]:
-    """The voters of the next view, after members of its chain have become voters.
+    """Computes the voters of the next view by adding members of its chain to the current voters.
 
-    A member replaces its own former incarnation, else takes a free seat, else replaces a voter that does not
-    answer or shuts down.
+    A member replaces its own former incarnation. Otherwise it is added if there are fewer than the maximum
+    number of voters, and else replaces a voter that does not answer or is shutting down.
     """
     voters = list(view.voters)
     known = {voter.disk_id for voter in voters}
@@ -100,14 +102,14 @@
     limits: ReplicationLimits,
     stored: Mapping[str, int] = NO_STORED_VIEWS,
 ) -> View | None:
-    """The view to propose; None if no change is needed, or no safe view is possible.
+    """Computes the view to propose; None if no change is needed or no safe view is possible.
 
     Args:
-        view: The present view.
-        alive: Members that answer, by disk id.
-        joining: Processes that ask to join.
-        limits: Minimum chain length and number of voters.
-        stored: By disk id, the view in which a member last reported to have stored the state, also of members
+        view: Current view.
+        alive: Status of the members that answer, by disk id.
+        joining: Processes that request to join.
+        limits: Minimum chain length and maximum number of voters.
+        stored: View in which a member last reported that it stored the state, by disk id; includes members
             that do not answer now.
     """
     surviving = survivors(view, alive)
@@ -118,7 +120,7 @@
     newcomers = _newcomers(staying, alive, joining)
     all_stored = all(alive[member.disk_id].state_view == view.number for member in staying)
     if not all_stored and len(staying) >= limits.min_chain_length:
-        newcomers = []  # they join once the present chain has stored the state
+        newcomers = []  # members join after the current chain has stored the state
     chain = (*surviving, *syncing, *newcomers)
     sources = (_state_holders(view, surviving, stored),)
     return _checked_view(view, alive, chain, len(surviving), sources, limits)
@@ -132,7 +134,7 @@
     sources: tuple[tuple[Member, ...], ...],
     limits: ReplicationLimits,
 ) -> View | None:
-    """The view with that chain; None if it is the present one, too short, or lacks a majority of voters."""
+    """The next view with a given chain; None if it is unchanged, too short, or lacks a majority of voters."""
     voters = tuple(next_voters(view, alive, chain, limits))
     if len(chain) < limits.min_chain_length:
         return None
@@ -144,7 +146,7 @@
 
 
 def _state_holders(view: View, surviving: Sequence[Member], stored: Mapping[str, int]) -> tuple[Member, ...]:
-    """Members of the chain, reachable or not, each of which holds all acknowledged state."""
+    """Members of the chain, reachable or not, that each have all acknowledged state."""
     return tuple(
         member
         for position, member in enumerate(view.chain)
@@ -153,7 +155,7 @@
 
 
 def _collecting_view(view: View, alive: Mapping[str, MemberStatus], limits: ReplicationLimits) -> View | None:
-    """A view without survivors, whose members hold the state together; None if too few answer."""
+    """A view without survivors whose members together have the state; None if too few answer."""
     groups = _required_groups((view.chain, *view.source_groups))
     answering = [[member for member in group if _is_healthy(member, alive)] for group in groups]
     if not all(answering) or len(groups) > MAX_STATE_SOURCES:
@@ -165,7 +167,7 @@
 
 
 def _required_groups(groups: Sequence[tuple[Member, ...]]) -> tuple[tuple[Member, ...], ...]:
-    """The groups without those that contain another: one member of each is needed, so they need no more."""
+    """Removes groups that contain another group, since a member of the subset represents both."""
     required: list[tuple[Member, ...]] = []
     for group in groups:
         members = set(group)
@@ -184,7 +186,7 @@
 def _newcomers(
     staying: Sequence[Member], alive: Mapping[str, MemberStatus], joining: Collection[Member]
 ) -> list[Member]:
-    """Healthy members to append to the chain; none that shares a name with a staying one."""
+    """Healthy members to append to the chain, except those with the name of a staying member."""
     names = {member.name for member in staying}
     answering = {status.member for status in alive.values()}
     candidates = {
@@ -194,7 +196,7 @@
 
 
 def first_view(members: Sequence[Member], limits: ReplicationLimits) -> View | None:
-    """The first view of a new system, from the seeds that answer; None if they are too few."""
+    """The first view of a new system, from the seeds that answer; None if too few answer."""
     if len(members) < limits.min_chain_length:
         return None
     chain = tuple(sorted(members, key=_by_name))
--- a/tests/cluster/test_agreement.py
+++ b/tests/cluster/test_agreement.py
@@ -1,4 +1,4 @@
-"""Agreement on views: no interleaving of proposals, losses and late messages decides two for one number."""
+"""Tests that no interleaving of proposals, lost and late messages decides two views with the same number."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -15,7 +15,7 @@
 
 
 class Proposals(RuleBasedStateMachine):
-    """Any number of proposers, whose messages reach any voters in any order, twice or never."""
+    """Runs several proposers whose messages reach voters in any order, are duplicated or are lost."""
 
     @initialize(count=st.sampled_from([3, 5]))
     def begin(self, count: int) -> None:
@@ -74,7 +74,7 @@
 TestProposals.settings = settings(max_examples=80, stateful_step_count=40, deadline=None)
 
 
-def test_who_may_not_vote_promises_and_accepts_nothing() -> None:
+def test_a_non_voter_promises_and_accepts_nothing() -> None:
     acceptor = Acceptor(View(1, (member("a"),), (member("a"),), 1))
     after, promise = agreement.prepare(acceptor, False, Prepare(2, Ballot(1, "a")))
     assert after == acceptor
@@ -84,13 +84,13 @@
     assert not accepted.granted
 
 
-def test_a_vote_is_only_for_the_view_that_follows() -> None:
+def test_promises_are_made_only_for_the_next_view() -> None:
     acceptor = Acceptor(View(3, (member("a"),), (member("a"),), 1))
     for instance in (3, 5):
         assert not agreement.prepare(acceptor, True, Prepare(instance, Ballot(1, "a")))[1].granted
 
 
-def test_an_older_decided_view_undoes_nothing() -> None:
+def test_an_older_decided_view_is_ignored() -> None:
     acceptor = Acceptor(View(3, (), (), 0), Ballot(4, "a"))
     assert agreement.learn(acceptor, View(2, (), (), 0)) is acceptor
     assert agreement.learn(acceptor, View(4, (), (), 0)) == Acceptor(View(4, (), (), 0))
--- a/tests/cluster/test_chain.py
+++ b/tests/cluster/test_chain.py
@@ -1,4 +1,4 @@
-"""What a member of the chain does with a message."""
+"""Tests of how a member of the chain handles a message."""
 
 from finchladder.cluster.replication.chain import (
     AlreadyStored,
@@ -27,30 +27,30 @@
     assert outcome == StoreReplica(Replica(5, apply(STATE, CHANGE)))
 
 
-def test_a_message_of_another_view_is_refused() -> None:
+def test_a_message_of_another_view_is_rejected() -> None:
     for view in (4, 6):
         assert isinstance(receive(OWN, 5, Replicate(view, 8, CHANGE)), Reject)
 
 
-def test_a_repeat_is_confirmed_and_not_applied_again() -> None:
+def test_a_retransmission_is_confirmed_and_not_applied_again() -> None:
     assert receive(OWN, 5, Replicate(5, 7, CHANGE)) == AlreadyStored()
 
 
-def test_a_gap_asks_for_the_state() -> None:
+def test_a_gap_in_the_sequence_requests_the_full_state() -> None:
     assert receive(OWN, 5, Replicate(5, 9, CHANGE)) == RequestFullState()
 
 
-def test_in_a_new_view_the_state_comes_first() -> None:
+def test_a_new_view_requires_the_full_state_first() -> None:
     assert receive(Replica(4, STATE), 5, Replicate(5, 8, CHANGE)) == RequestFullState()
     assert receive(Replica(4, STATE), 5, Replicate(5, 7)) == RequestFullState()
 
 
-def test_what_was_stored_and_not_acknowledged_gives_way_to_the_state_of_a_new_view() -> None:
+def test_the_state_of_a_new_view_replaces_unacknowledged_operations() -> None:
     longer = Replica(4, ControlState(sequence=8, version=9))
     assert receive(longer, 5, Replicate(5, 7, None, STATE)) == StoreReplica(Replica(5, STATE))
 
 
-def test_a_state_that_comes_late_undoes_nothing() -> None:
+def test_a_delayed_state_is_rejected() -> None:
     older = ControlState(sequence=6)
     assert isinstance(receive(OWN, 5, Replicate(5, 6, None, older)), Reject)
 
@@ -61,7 +61,7 @@
     assert apply(claimed, CHANGE).fence_token == 1
 
 
-def test_the_orders_that_were_taken_are_kept_up_to_a_bound() -> None:
+def test_the_number_of_stored_revisions_is_limited() -> None:
     state = ControlState()
     for number in range(MAX_REVISIONS + 3):
         state = apply(state, SetConfiguration(number, number + 1, b"%d" % number, b""))
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -1,4 +1,4 @@
-"""Which view follows which."""
+"""Tests of the computation of the next view."""
 
 from finchladder.cluster.replication.membership import MemberStatus, ReplicationLimits, first_view, next_view
 from finchladder.cluster.types.members import Member, View
@@ -9,8 +9,8 @@
 VIEW = View(3, (A, B, C), (A, B, C), 3)
 
 
-def alive(*members: Member, stored: int = 3, sick: tuple[Member, ...] = ()) -> dict[str, MemberStatus]:
-    return {m.disk_id: MemberStatus(m, stored, m not in sick) for m in members}
+def alive(*members: Member, stored: int = 3, unhealthy: tuple[Member, ...] = ()) -> dict[str, MemberStatus]:
+    return {m.disk_id: MemberStatus(m, stored, m not in unhealthy) for m in members}
 
 
 def chain_of(view: View | None) -> tuple[Member, ...]:
@@ -18,26 +18,26 @@
     return view.chain
 
 
-def test_nothing_is_proposed_while_all_are_well() -> None:
+def test_no_view_is_proposed_while_all_members_are_healthy() -> None:
     assert next_view(VIEW, alive(A, B, C), [], ONE) is None
 
 
-def test_a_silent_head_is_left_out_and_the_order_of_the_others_kept() -> None:
+def test_an_unreachable_head_is_removed_and_the_others_keep_their_order() -> None:
     assert chain_of(next_view(VIEW, alive(B, C), [], ONE)) == (B, C)
 
 
-def test_a_member_whose_disk_does_not_answer_is_left_out_and_goes_on_voting() -> None:
-    view = next_view(VIEW, alive(A, B, C, sick=(B,)), [], ONE)
+def test_a_member_with_an_unhealthy_disk_leaves_the_chain_and_remains_a_voter() -> None:
+    view = next_view(VIEW, alive(A, B, C, unhealthy=(B,)), [], ONE)
     assert chain_of(view) == (A, C)
     assert view is not None
     assert B in view.voters
 
 
-def test_a_chain_is_never_shorter_than_what_a_loss_of_disks_asks_for() -> None:
+def test_a_chain_is_never_shorter_than_the_minimum_length() -> None:
     assert next_view(VIEW, alive(C), [], ONE) is None
 
 
-def test_a_wiped_member_joins_at_the_end_and_takes_its_former_vote() -> None:
+def test_a_wiped_member_joins_at_the_tail_and_replaces_its_former_incarnation_as_voter() -> None:
     wiped = member("a", "a2")
     view = next_view(VIEW, alive(B, C, wiped), [wiped], ONE)
     assert chain_of(view) == (B, C, wiped)
@@ -46,13 +46,13 @@
     assert set(view.voters) == {B, C, wiped}
 
 
-def test_a_joiner_that_is_not_known_to_have_stored_the_state_does_not_survive() -> None:
+def test_a_joining_member_that_may_not_have_stored_the_state_is_no_survivor() -> None:
     view = View(4, (A, B, C), (B, C, A), 1)
     assert next_view(view, alive(A, C, stored=2), [], ONE) is None
     assert chain_of(next_view(view, alive(A, C, stored=4), [], ONE)) == (C, A)
 
 
-def test_nobody_joins_before_those_that_are_there_have_stored_the_state() -> None:
+def test_no_member_joins_before_the_current_chain_has_stored_the_state() -> None:
     view = View(4, (A, B, C), (A, B), 2)
     assert next_view(view, alive(A, B, C, stored=3), [C], ONE) is None
     assert chain_of(next_view(view, alive(A, B, C, stored=4), [C], ONE)) == (A, B, C)
@@ -60,27 +60,27 @@
     assert chain_of(next_view(short, alive(A, C, stored=3), [C], ONE)) == (A, C)
 
 
-def test_a_joiner_that_answers_stays_while_it_is_not_known_to_have_stored_the_state() -> None:
+def test_a_joining_member_that_answers_stays_until_it_has_stored_the_state() -> None:
     view = View(4, (A, B, C), (B, C, A), 2)
     statuses = {**alive(B, C, stored=4), **alive(A, stored=3)}
     assert next_view(view, statuses, [], ONE) is None
 
 
-def test_the_machine_that_came_first_takes_the_vote_of_the_one_that_left_later() -> None:
-    """A planned replacement: the new one is in the chain while the old one still votes."""
+def test_a_member_of_the_chain_replaces_a_voter_that_leaves_later() -> None:
+    """Covers a planned replacement: the new member is in the chain while the former one is still a voter."""
     view = View(5, (A, B, C), (A, B, C, D), 4)
     following = next_view(view, alive(B, C, D, stored=5), [], ONE)
     assert following is not None
     assert set(following.voters) == {B, C, D}
 
 
-def test_no_view_is_proposed_whose_own_voters_are_mostly_silent() -> None:
+def test_no_view_is_proposed_without_a_majority_of_reachable_voters() -> None:
     view = View(2, (A, B, C), (C, D), 2)
     assert next_view(view, alive(C, D, stored=2), [], ReplicationLimits(tolerated_losses=0)) is not None
     assert next_view(View(2, (A, B, C), (C,), 1), alive(C, stored=2), [], ONE) is None
 
 
-def test_the_first_view_needs_as_many_as_a_loss_asks_for() -> None:
+def test_the_first_view_needs_the_minimum_number_of_members() -> None:
     assert first_view([A], ONE) is None
     first = first_view([B, A], ONE)
     assert first is not None
