--- a/finchladder/cluster/configuration/__init__.py
+++ b/finchladder/cluster/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration: validation of changes, snapshots for routing, compression."""
+"""The operator's configuration: validation of changes, snapshots for routing, and compression."""
--- a/finchladder/cluster/configuration/changes.py
+++ b/finchladder/cluster/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration before they are committed: parsed, patched, validated, named by a digest."""
+"""Parses, applies and validates changes of the configuration before they are committed."""
 
 import json
 from dataclasses import dataclass, field
@@ -8,35 +8,35 @@
 
 from finchladder.cluster.configuration.schema import (
     DOCUMENT_VALIDATOR,
-    HIDDEN,
     ITEM_PROPERTIES,
     PATCH_VALIDATOR,
     PATCHED_VALIDATOR,
+    REDACTED,
     first_problem,
 )
 
-MAX_FLOAT_DIGITS = 308  # every integer of that many digits, with its sign, is a finite float
-TOO_LARGE = "a number is too large"
-Document = dict[str, Any]  # a configuration or a patch, as parsed JSON
+MAX_FLOAT_DIGITS = 308  # every integer with up to so many digits, including the sign, is a finite float
+TOO_LARGE = "a number exceeds the range of a float"
+Document = dict[str, Any]  # a configuration or a patch as parsed JSON
 
 
 @dataclass(frozen=True)
 class ValidChange:
-    """A change that may be committed: the resulting configuration."""
+    """A valid change with the resulting configuration."""
 
     version: int
-    document: bytes  # the full configuration, JSON
+    document: bytes  # full configuration as JSON
 
 
 @dataclass(frozen=True)
 class InvalidChange:
-    """A change that must be rejected, and why."""
+    """A change that must be rejected, with the reason."""
 
     problem: str
 
 
 def change_digest(base: int, is_patch: bool, body: bytes) -> bytes:
-    """Identifies a change by base version, method and bytes, so that a retry is recognised."""
+    """Digest of base version, method and body of a change, by which a retry is recognized."""
     head = f"{base} {'PATCH' if is_patch else 'PUT'} ".encode()
     return blake2b(head + body, digest_size=16).digest()
 
@@ -48,16 +48,16 @@
             body, parse_constant=_reject_constant, parse_float=_parse_float, parse_int=_parse_int
         )
     except (ValueError, RecursionError) as error:
-        return InvalidChange(f"not JSON: {error}")
-    return value if isinstance(value, dict) else InvalidChange("not an object")
+        return InvalidChange(f"the body is not valid JSON: {error}")
+    return value if isinstance(value, dict) else InvalidChange("the body is not a JSON object")
 
 
 def _reject_constant(name: str) -> None:
-    raise ValueError(f"{name} is not JSON")
+    raise ValueError(f"{name} is not a JSON value")
 
 
 def _parse_float(digits: str) -> float:
-    """Rejects what is valid JSON, but infinite as a float."""
+    """Parses a number; rejects valid JSON numbers that are infinite as a float."""
     value = float(digits)
     if isinf(value):
         raise ValueError(TOO_LARGE)
@@ -65,7 +65,7 @@
 
 
 def _parse_int(digits: str) -> int:
-    """Rejects what is valid JSON, but too large for a float: dispatchers compute with floats."""
+    """Parses an integer; rejects values too large for a float, because dispatchers compute with floats."""
     if len(digits) > MAX_FLOAT_DIGITS:
         _parse_float(digits)
     return int(digits)
@@ -74,13 +74,13 @@
 def validate_change(
     current: bytes, current_version: int, is_patch: bool, body: bytes
 ) -> ValidChange | InvalidChange:
-    """Validates a change against the configuration that it builds on. CPU: O(size).
+    """Validates a change against the configuration to which it applies. CPU: O(size).
 
     Args:
-        current: The configuration that is in place, JSON; empty if there is none.
-        current_version: Its version; that of the change must be higher.
-        is_patch: Whether the body is a patch, not a full configuration.
-        body: The request body.
+        current: Current configuration as JSON; empty if there is none.
+        current_version: Version of the current configuration; the version of the change must be higher.
+        is_patch: Whether the body is a patch rather than a full configuration.
+        body: Request body.
     """
     change = parse_object(body)
     if isinstance(change, InvalidChange):
@@ -89,7 +89,7 @@
     if problem:
         return InvalidChange(problem)
     if change["version"] <= current_version:
-        return InvalidChange(f"version {change['version']} is not above {current_version}")
+        return InvalidChange(f"version {change['version']} must be above {current_version}")
     document = _patched(json.loads(current or b"{}"), change) if is_patch else change
     if isinstance(document, InvalidChange):
         return document
@@ -100,13 +100,13 @@
         encoded = json.dumps(document, separators=(",", ":"), allow_nan=False).encode()
     except RecursionError:
         return InvalidChange("configuration: is nested too deeply")
-    except ValueError:  # stored by a version that took it
-        return InvalidChange(f"configuration: {TOO_LARGE}, or none")
+    except ValueError:  # infinity or NaN, stored by an earlier version that accepted it
+        return InvalidChange(f"configuration: {TOO_LARGE} or is not a number")
     return ValidChange(change["version"], encoded)
 
 
 def _patched(current: Document, change: Document) -> Document | InvalidChange:
-    """Applies a patch, and checks what neither its own schema nor that of the stored rest has checked."""
+    """Applies a patch and validates the parts of the result that were not validated before."""
     try:
         document = _apply_patch(current, change)
     except _UnnamedItemsError as error:
@@ -115,40 +115,45 @@
     if problem:
         return InvalidChange(problem)
     if document["version"] != change["version"]:
-        return InvalidChange("upsert/version: is not that of the patch")
+        return InvalidChange("upsert/version: differs from the version of the patch")
     return document
 
 
 class _UnnamedItemsError(Exception):
-    """A patch names items of what is no list of named items."""
+    """A patch refers to items by name in a value that is not a list of named items."""
 
     def __init__(self, kind: str) -> None:
-        # an unknown kind may be an API key in the wrong place
-        super().__init__(f"{kind if kind in ITEM_PROPERTIES else HIDDEN}: is no list of items with names")
+        # An unknown kind is redacted, because it may be a misplaced API key.
+        super().__init__(f"{kind if kind in ITEM_PROPERTIES else REDACTED}: is not a list of named items")
 
 
 def _apply_patch(document: Document, change: Document) -> Document:
-    """Applies `remove`, then `upsert`, by item name; a replaced item keeps its index.
+    """Applies `remove`, then `upsert` by item name; a replaced item keeps its position.
 
     Raises:
-        _UnnamedItemsError: What the patch names, or what is stored, is no list of named items.
+        _UnnamedItemsError: A value of the patch or of the stored configuration is not a list of named items.
     """
     result = dict(document)
     result["version"] = change["version"]
     for kind, names in change.get("remove", {}).items():
-        if kind in result:  # else an empty list of tenants would come to be, which makes routes private
+        if kind in result:  # creating an empty list of tenants would make routes private
             removed = set(names)
-            result[kind] = [item for item in _named(kind, result[kind]) if item["name"] not in removed]
+            result[kind] = [
+                item for item in _require_named_items(kind, result[kind]) if item["name"] not in removed
+            ]
     for kind, items in change.get("upsert", {}).items():
         if isinstance(items, list):
-            merged = [*_named(kind, result.get(kind, [])), *_named(kind, items)]
+            merged = [
+                *_require_named_items(kind, result.get(kind, [])),
+                *_require_named_items(kind, items),
+            ]
             result[kind] = list({item["name"]: item for item in merged}.values())
         else:
             result[kind] = items
     return result
 
 
-def _named(kind: str, items: object) -> list[Document]:
+def _require_named_items(kind: str, items: object) -> list[Document]:
     if not isinstance(items, list) or not all(_has_name(item) for item in items):
         raise _UnnamedItemsError(kind)
     return items
@@ -159,10 +164,10 @@
 
 
 def semantic_problem(document: Document) -> str:
-    """Checks what the schema can't express: references, uniqueness, sums of weights.
+    """Checks constraints that the schema cannot express: references, uniqueness and sums of weights.
 
     Returns:
-        The first problem; empty if there is none.
+        Description of the first violation; empty if there is none.
     """
     services = {service["name"] for service in document.get("services", [])}
     earlier = _EarlierRoutes()
@@ -175,41 +180,41 @@
 
 @dataclass
 class _EarlierRoutes:
-    """What no later route may repeat."""
+    """Names and matches of earlier routes, which later routes must not repeat."""
 
     names: set[str] = field(default_factory=set)
-    matches: set[tuple[str, str]] = field(default_factory=set)  # host and path prefix
+    matches: set[tuple[str, str]] = field(default_factory=set)  # pairs of host and path prefix
 
 
 def _route_problem(route: Document, services: set[str], earlier: _EarlierRoutes) -> str:
     match = (route["host"].lower(), route["path_prefix"])
     if match in earlier.matches:
-        return "another route has its host and prefix"
+        return "another route has the same host and path prefix"
     if route["name"] in earlier.names:
-        return "its name is used twice"
+        return "another route has the same name"
     earlier.matches.add(match)
     earlier.names.add(route["name"])
     split = route.get("traffic_split")
-    targets = [part["service"] for part in split] if split else [route.get("service")]
+    targets = [target["service"] for target in split] if split else [route.get("service")]
     unknown = [target for target in targets if target not in services]
     if unknown:
         return f"unknown service {unknown[0]}"
-    if split and sum(part["weight"] for part in split) <= 0:
-        return "its weights add up to 0"
+    if split and sum(target["weight"] for target in split) <= 0:
+        return "the weights of its traffic split add up to 0"
     return ""
 
 
 def _tenants_problem(tenants: list[Document]) -> str:
-    """Checks that no name is used twice and no key is shared; a problem names tenants, never a key."""
+    """Checks that tenant names are unique and no key is shared; messages contain tenant names, never keys."""
     names: set[str] = set()
-    holder_by_key: dict[str, str] = {}
+    tenant_by_key: dict[str, str] = {}
     for tenant in tenants:
         name = tenant["name"]
         if name in names:
-            return f"tenant {name}: its name is used twice"
+            return f"tenant {name}: another tenant has the same name"
         names.add(name)
         for key in tenant["api_keys"]:
-            holder = holder_by_key.setdefault(key, name)
-            if holder != name:
-                return f"tenants {holder} and {name} share an API key"
+            other = tenant_by_key.setdefault(key, name)
+            if other != name:
+                return f"tenants {other} and {name} share an API key"
     return ""
--- a/finchladder/cluster/configuration/compression.py
+++ b/finchladder/cluster/configuration/compression.py
@@ -1,7 +1,8 @@
-"""Compression of configurations that are sent to dispatchers.
+"""Compresses configurations that are sent to dispatchers.
 
-A dispatcher's link is slow, and a configuration of a thousand routes has some hundred KB: uncompressed, its
-transfer exceeds the timeout of a pull, the more so beside other pulls, and the dispatcher never gets it.
+A configuration of a thousand routes has several hundred KB. Over the slow link of a dispatcher its
+uncompressed transfer exceeds the timeout of a pull, especially with concurrent pulls, and the dispatcher
+never receives it.
 """
 
 import zlib
@@ -12,27 +13,27 @@
 
 
 def decompress(compressed: bytes) -> bytes:
-    """Restores a document; empty for an empty one.
+    """Decompresses a document; empty input stays empty.
 
     Raises:
-        zlib.error: The bytes are not a compressed document.
+        zlib.error: The bytes are not a valid compressed document.
     """
     return zlib.decompress(compressed) if compressed else b""
 
 
 @define
 class DocumentCompressor:
-    """Compresses each document once, for all subscribers.
+    """Compresses each document once for all subscribers.
 
-    Documents are compared by their bytes, not by version: one that was never acknowledged may be followed by
-    another with the same version.
+    Documents are compared by content, not by version, because a different document may reuse the version of
+    one that was never acknowledged.
     """
 
     document: bytes = b""
     compressed: bytes = b""
 
     def compress(self, document: bytes) -> bytes:
-        """The compressed document; empty for an empty one. CPU: O(size), less if it is the last one again."""
+        """The compressed document; empty for an empty one. CPU: O(size), unless it is the last one again."""
         if document != self.document:
             self.document = document
             self.compressed = zlib.compress(document, COMPRESSION_LEVEL) if document else b""
--- a/finchladder/cluster/configuration/schema.py
+++ b/finchladder/cluster/configuration/schema.py
@@ -1,4 +1,4 @@
-"""JSON schemas of the operator's configuration and of a patch; unknown fields are valid and stay.
+"""JSON schemas of the operator's configuration and of patches; unknown fields are valid and are preserved.
 
 Source: the operator's API in the project's protocol page. Units: `timeout_ms`, `target_latency_ms` and
 `gap_aim_ms` are milliseconds, `weights_mb` and `adapter_size_mb` megabytes, `load_s` seconds.
@@ -9,8 +9,8 @@
 from jsonschema import Draft202012Validator, ValidationError
 
 TENANTS = "tenants"
-REMOVE = "remove"  # of a patch
-HIDDEN = "..."  # in place of a name that the sender chose
+REMOVE = "remove"  # field of a patch
+REDACTED = "..."  # replaces a name that the sender chose
 
 NAME_SCHEMA = {"type": "string", "minLength": 1}
 POSITIVE_SCHEMA = {"type": "number", "exclusiveMinimum": 0}
@@ -58,7 +58,7 @@
         "engine": {"type": "object", "properties": {"models": {"type": "array", "items": MODEL_SCHEMA}}},
     },
 }
-# a tenant's name is written in a header
+# A tenant's name is sent in a header, so it must not contain control characters.
 TENANT_NAME_SCHEMA: dict[str, Any] = {**NAME_SCHEMA, "not": {"pattern": r"[\x00-\x1f\x7f]"}}
 TENANT_SCHEMA: dict[str, Any] = {
     "type": "object",
@@ -93,8 +93,9 @@
         REMOVE: {"type": "object", "additionalProperties": {"type": "array", "items": NAME_SCHEMA}},
     },
 }
-# Of a configuration that a patch made: its routes and services were validated when they were stored or sent.
-# Tenants of a version that knew none were not, and `upsert` can replace whatever stands at the top.
+# Schema of the result of a patch. Its routes and services were already validated, either when they were
+# stored or as part of the patch. Tenants stored by a version without tenant support were not, and `upsert`
+# can replace any top-level value.
 PATCHED_SCHEMA: dict[str, Any] = {
     "type": "object",
     "properties": {
@@ -110,24 +111,26 @@
 
 
 def first_problem(validator: Draft202012Validator, value: object) -> str:
-    """Path and text of the first violation; empty if there is none."""
+    """Path and description of the first violation; empty if there is none."""
     for error in validator.iter_errors(value):
         return f"{_path(error) or 'configuration'}: {_description(error)}"
     return ""
 
 
 def _path(error: ValidationError) -> str:
-    """Where the violation stands; a name that the schema does not know may be a misplaced API key."""
-    parts = list(error.absolute_path)
+    """Path of the violation; names unknown to the schema are redacted, as they may be misplaced API keys."""
+    segments = list(error.absolute_path)
     if "additionalProperties" in error.absolute_schema_path:
         known = {REMOVE, *ITEM_PROPERTIES}
-        parts = [part if isinstance(part, int) or part in known else HIDDEN for part in parts]
-    return "/".join(str(part) for part in parts)
+        segments = [
+            segment if isinstance(segment, int) or segment in known else REDACTED for segment in segments
+        ]
+    return "/".join(str(segment) for segment in segments)
 
 
 def _description(error: ValidationError) -> str:
-    """What is wrong, in words of the schema: any value may be an API key in the wrong place."""
+    """Describes the violation by the schema only, because any value may be a misplaced API key."""
     if error.validator == "required":
-        return error.message  # quotes the name that is missing
+        return error.message  # contains only the name of the missing field
     limit = error.validator_value
     return f"violates `{error.validator}`" + (f" {limit}" if isinstance(limit, str | int | float) else "")
--- a/finchladder/cluster/configuration/snapshot.py
+++ b/finchladder/cluster/configuration/snapshot.py
@@ -1,4 +1,4 @@
-"""An immutable snapshot of the configuration, ready for routing; a newer one replaces it at once."""
+"""Immutable snapshot of the configuration for routing; a newer snapshot replaces it atomically."""
 
 import json
 from collections.abc import Mapping
@@ -20,7 +20,7 @@
 
 
 class RequestKind(str, Enum):
-    """How often a request may run, as the operator declares it of a route."""
+    """How often a request may run, as the operator declares it for a route."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -31,8 +31,11 @@
 class Model:
     """A model of a service.
 
-    `weights_mb`: memory that it takes of a worker; `load_s`: time to load it from the store; `adapters`: how
-    many there are, of `adapter_size_mb` each.
+    Attributes:
+        weights_mb: Memory that the model uses at a worker.
+        load_s: Time to load the model from the weight store.
+        adapters: Number of adapters of the model.
+        adapter_size_mb: Memory that each adapter uses.
     """
 
     name: str
@@ -46,7 +49,9 @@
 class Engine:
     """Capacities of each model worker of a service.
 
-    `weights_mb`: memory for weights and adapters; `max_loads_per_s`: of all workers together, from the store.
+    Attributes:
+        weights_mb: Memory for weights and adapters.
+        max_loads_per_s: Maximum rate of loads of all workers together from the weight store.
     """
 
     slots: int
@@ -59,7 +64,7 @@
 
 @frozen
 class Service:
-    """A service; `engine` is None where it serves no models."""
+    """A service; `engine` is None if it serves no models."""
 
     name: str
     max_connections: int
@@ -68,7 +73,7 @@
 
 
 class WeightedService(NamedTuple):
-    """A share of a route's traffic; the cumulative weights of a route end at 1."""
+    """Fraction of a route's traffic for one service; the cumulative weights of a route end at 1."""
 
     cumulative_weight: float
     service: str
@@ -76,11 +81,13 @@
 
 @frozen
 class Route:
-    """A route.
+    """A route from a host and path prefix to services.
 
-    `latency_target_s`: within which an answer has its full value; `max_event_gap_s`: longest pause between
-    events of a stream, 0 if none is set; `max_attempts`: workers that one request may be sent to;
-    `is_public`: whether it needs no API key where the configuration has tenants.
+    Attributes:
+        latency_target_s: Time within which a response has its full value.
+        max_event_gap_s: Maximum pause between two events of a stream; 0 if not set.
+        max_attempts: Maximum number of workers to which one request may be sent.
+        is_public: Whether requests need no API key although the configuration has tenants.
     """
 
     name: str
@@ -97,7 +104,7 @@
     weighted_services: tuple[WeightedService, ...]
 
     def service_at(self, point: float) -> str:
-        """The service at that point of the cumulative weights, 0 to 1."""
+        """The service at a point between 0 and 1 of the cumulative weights."""
         for cumulative_weight, service in self.weighted_services:
             if point < cumulative_weight:
                 return service
@@ -105,19 +112,21 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request may run more than once: a resumable stream continues where it broke off."""
+        """Whether a request may run more than once; a resumable stream continues after its last event."""
         return self.kind is RequestKind.IDEMPOTENT or (self.kind is RequestKind.STREAMING and self.resumable)
 
 
 @frozen
 class ConfigurationSnapshot:
-    """One version of the configuration, ready for routing.
+    """One version of the configuration in the form that routing uses.
 
-    `tenants`: by name; `keys`: tenants by their API keys, None if the configuration has no list of tenants.
+    Attributes:
+        tenants: Tenants by name.
+        keys: Tenants by API key; None if the configuration has no list of tenants.
     """
 
     version: int
-    routes_by_host: Mapping[str, tuple[Route, ...]]  # the longest prefix first
+    routes_by_host: Mapping[str, tuple[Route, ...]]  # ordered by descending length of the path prefix
     services: Mapping[str, Service]
     idle_timeout_s: float
     max_body_bytes: int
@@ -131,7 +140,7 @@
         return sum(route.is_public for routes in self.routes_by_host.values() for route in routes)
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route of that host with the longest prefix of the path."""
+        """The route of a host with the longest matching path prefix; None if no route matches."""
         for route in self.routes_by_host.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -149,12 +158,15 @@
 
 
 def build_snapshot(document: bytes, key_salt: bytes = b"") -> ConfigurationSnapshot:
-    """Builds a snapshot of a valid configuration (JSON). CPU: O(routes log routes + API keys).
+    """Builds a snapshot of a valid configuration in JSON. CPU: O(routes log routes + API keys).
 
-    A version that knew no tenants stored what it was sent: tenants that can't be read are left out, and a key
-    that two tenants share is nobody's. A request with such a key gets 401, and the rest is served.
+    Versions without tenant support stored tenants without validation. Therefore invalid tenants are omitted,
+    and a key that two tenants share belongs to neither. Requests with such a key get 401, all others are
+    served.
 
-    `key_salt`: random bytes of this process for the digests of API keys, `KEY_SALT_BYTES` at most.
+    Args:
+        document: Configuration as JSON.
+        key_salt: Random bytes of this process for the digests of API keys, at most `KEY_SALT_BYTES`.
     """
     value: dict[str, Any] = json.loads(document)
     limits = value.get("limits") or {}
@@ -199,7 +211,7 @@
 
 
 def _request_kind(name: str | None) -> RequestKind:
-    """An unknown kind counts as not idempotent."""
+    """Parses the kind of a route's requests; an unknown kind counts as not idempotent."""
     try:
         return RequestKind(name)
     except ValueError:
@@ -210,13 +222,13 @@
     split = item.get("traffic_split")
     if not split:
         return (WeightedService(1.0, item["service"]),)
-    total = sum(part["weight"] for part in split)
+    total = sum(target["weight"] for target in split)
     weighted_services = []
     cumulative_weight = 0.0
-    for part in split:
-        if part["weight"] > 0:
-            cumulative_weight += part["weight"] / total
-            weighted_services.append(WeightedService(cumulative_weight, part["service"]))
+    for target in split:
+        if target["weight"] > 0:
+            cumulative_weight += target["weight"] / total
+            weighted_services.append(WeightedService(cumulative_weight, target["service"]))
     return tuple(weighted_services)
 
 
--- a/tests/cluster/test_configuration.py
+++ b/tests/cluster/test_configuration.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration: parsed, patched, validated, compressed."""
+"""Tests of parsing, patching, validating and compressing configuration changes."""
 
 import json
 from typing import Any
@@ -47,7 +47,7 @@
     return json.loads(outcome.document)
 
 
-def test_a_full_configuration_stays_as_it_was_sent() -> None:
+def test_a_full_configuration_is_stored_unchanged() -> None:
     assert document(put(DOCUMENT)) == DOCUMENT
 
 
@@ -128,7 +128,7 @@
 ]
 
 
-def test_a_configuration_with_tenants_stays_as_it_was_sent() -> None:
+def test_a_configuration_with_tenants_is_stored_unchanged() -> None:
     for tenants in (TENANTS, [], [{"name": "north", "api_keys": []}]):
         assert document(put(changed(tenants=tenants)))["tenants"] == tenants
 
@@ -211,12 +211,12 @@
     assert outcome.problem and "secret" not in outcome.problem
 
 
-BEYOND_ALL_BOUNDS = ["1e400", "-1e400", "1E+309", "1" + "0" * 309, "9" * 5_000, "1" + "0" * 400 + ".0"]
+TOO_LARGE_NUMBERS = ["1e400", "-1e400", "1E+309", "1" + "0" * 309, "9" * 5_000, "1" + "0" * 400 + ".0"]
 
 
-@pytest.mark.parametrize("number", BEYOND_ALL_BOUNDS)
+@pytest.mark.parametrize("number", TOO_LARGE_NUMBERS)
 @pytest.mark.parametrize("field", ["raw_tokens", "rate_per_s", "burst", "unknown"])
-def test_a_number_that_no_float_holds_makes_a_tenant_invalid(field: str, number: str) -> None:
+def test_a_number_beyond_the_range_of_a_float_makes_a_tenant_invalid(field: str, number: str) -> None:
     body = json.dumps(with_tenant(**{field: 4321})).replace("4321", number).encode()
     outcome = validate_change(b"", 0, False, body)
     assert isinstance(outcome, InvalidChange)
@@ -225,14 +225,14 @@
     assert isinstance(outcome, InvalidChange)
 
 
-@pytest.mark.parametrize("number", BEYOND_ALL_BOUNDS)
-def test_a_number_that_no_float_holds_makes_a_route_invalid(number: str) -> None:
+@pytest.mark.parametrize("number", TOO_LARGE_NUMBERS)
+def test_a_number_beyond_the_range_of_a_float_makes_a_route_invalid(number: str) -> None:
     body = json.dumps(with_route(timeout_ms=4321)).replace("4321", number).encode()
     assert isinstance(validate_change(b"", 0, False, body), InvalidChange)
 
 
 @pytest.mark.parametrize("number", ["1e308", "1" + "0" * 308, "9" * 308, "1e-400", "200", "0.5"])
-def test_a_number_that_a_float_holds_is_valid_and_a_dispatcher_can_activate_it(number: str) -> None:
+def test_a_number_in_the_range_of_a_float_is_valid_and_a_dispatcher_can_activate_it(number: str) -> None:
     body = json.dumps(with_tenant(rate_per_s=4321, raw_tokens=4321, burst=4321)).replace("4321", number)
     outcome = validate_change(b"", 0, False, body.encode())
     assert isinstance(outcome, ValidChange), outcome
@@ -240,25 +240,25 @@
 
 
 @pytest.mark.parametrize("value", [float("inf"), float("nan")])
-def test_a_patch_on_a_stored_number_that_no_float_holds_is_rejected(value: float) -> None:
+def test_a_patch_of_a_configuration_with_infinity_or_nan_is_rejected(value: float) -> None:
     stored = json.dumps(with_tenant(raw_tokens=value)).encode()
     change = b'{"version": 7, "upsert": {"routes": []}}'
     assert isinstance(validate_change(stored, 5, True, change), InvalidChange)
 
 
-def test_a_problem_tells_the_place_and_the_limit() -> None:
+def test_a_problem_contains_the_path_and_the_limit() -> None:
     outcome = put(with_route(timeout_ms=0))
     assert outcome == InvalidChange("routes/0/timeout_ms: violates `exclusiveMinimum` 0")
 
 
-def test_a_problem_of_a_tenant_names_the_place() -> None:
+def test_a_problem_of_a_tenant_contains_the_path() -> None:
     outcome = put(with_tenant(api_keys=["secret-1", ""]))
     assert isinstance(outcome, InvalidChange)
     assert outcome.problem.startswith("tenants/0/api_keys/1: ")
     assert "minLength" in outcome.problem
 
 
-def test_tenants_that_share_a_key_are_both_named() -> None:
+def test_a_problem_names_both_tenants_that_share_a_key() -> None:
     shared = {"name": "west", "api_keys": ["secret-2"]}
     current = json.dumps(changed(tenants=TENANTS)).encode()
     change = {"version": 7, "upsert": {"tenants": [shared]}}
@@ -277,8 +277,8 @@
     assert document(outcome)["tenants"] == [north, south]
 
 
-def test_a_patch_removes_tenants_but_makes_no_list_of_them() -> None:
-    """An empty list makes all routes private that are not public."""
+def test_a_patch_removes_tenants_but_does_not_create_a_list_of_tenants() -> None:
+    """An empty list of tenants would make all non-public routes private."""
     change = json.dumps({"version": 7, "remove": {"tenants": ["north", "absent"]}}).encode()
     with_list, without_list = (
         document(validate_change(json.dumps(current).encode(), 5, True, change))
@@ -288,25 +288,27 @@
     assert "tenants" not in without_list
 
 
-# --- patches of anything, and on anything that an older version stored
+# --- patches with arbitrary values, and patches of arbitrary values stored by an older version
 
 
 @pytest.mark.parametrize(
     ("change", "problem"),
     [
-        ({"upsert": {"secret-kind": [1]}}, "...: is no list of items with names"),
-        ({"upsert": {"secret-kind": [{"name": []}]}}, "...: is no list of items with names"),
-        ({"upsert": {"more": [{"name": "a"}]}}, "...: is no list of items with names"),
-        ({"upsert": {"limits": [{"name": "a"}]}}, "...: is no list of items with names"),
+        ({"upsert": {"secret-kind": [1]}}, "...: is not a list of named items"),
+        ({"upsert": {"secret-kind": [{"name": []}]}}, "...: is not a list of named items"),
+        ({"upsert": {"more": [{"name": "a"}]}}, "...: is not a list of named items"),
+        ({"upsert": {"limits": [{"name": "a"}]}}, "...: is not a list of named items"),
         ({"upsert": {"limits": 5}}, "limits: violates `type` object"),
-        ({"upsert": {"version": 9}}, "upsert/version: is not that of the patch"),
+        ({"upsert": {"version": 9}}, "upsert/version: differs from the version of the patch"),
         ({"upsert": {"version": "secret"}}, "version: violates `type` integer"),
-        ({"remove": {"limits": ["a"]}}, "...: is no list of items with names"),
-        ({"remove": {"more": ["a"]}}, "...: is no list of items with names"),
-        ({"remove": {"version": ["a"]}}, "...: is no list of items with names"),
+        ({"remove": {"limits": ["a"]}}, "...: is not a list of named items"),
+        ({"remove": {"more": ["a"]}}, "...: is not a list of named items"),
+        ({"remove": {"version": ["a"]}}, "...: is not a list of named items"),
     ],
 )
-def test_a_patch_of_what_is_no_list_of_named_items_is_rejected(change: dict[str, Any], problem: str) -> None:
+def test_a_patch_of_a_value_that_is_not_a_list_of_named_items_is_rejected(
+    change: dict[str, Any], problem: str
+) -> None:
     assert patch({"version": 7, **change}) == InvalidChange(problem)
 
 
@@ -320,19 +322,21 @@
         ([{"name": "a", "api_keys": "secret-1"}], "tenants/0/api_keys: violates `type` array"),
     ],
 )
-def test_a_patch_on_tenants_that_were_never_validated_names_the_place(tenants: object, problem: str) -> None:
+def test_a_patch_of_a_configuration_with_invalid_tenants_is_rejected_with_the_path(
+    tenants: object, problem: str
+) -> None:
     stored = json.dumps(changed(tenants=tenants)).encode()
     change = json.dumps({"version": 7, "upsert": {"routes": []}}).encode()
     assert validate_change(stored, 5, True, change) == InvalidChange(problem)
 
 
-def test_a_patch_can_repair_tenants_that_were_never_validated() -> None:
+def test_a_patch_can_repair_invalid_stored_tenants() -> None:
     stored = json.dumps(changed(tenants=[{"name": "north"}, {"name": "west"}])).encode()
     change = {"version": 7, "remove": {"tenants": ["west"]}, "upsert": {"tenants": TENANTS}}
     assert document(validate_change(stored, 5, True, json.dumps(change).encode()))["tenants"] == TENANTS
 
 
-def test_a_patch_replaces_what_has_no_items() -> None:
+def test_a_patch_replaces_values_without_items() -> None:
     outcome = patch({"version": 7, "upsert": {"limits": {"max_body_bytes": 11}, "kind": [{"name": "a"}]}})
     assert (document(outcome)["limits"], document(outcome)["kind"]) == (
         {"max_body_bytes": 11},
@@ -350,15 +354,18 @@
     max_leaves=8,
 )
 ITEMS = st.sampled_from([ROUTE, SERVICE, *TENANTS]) | VALUES
-PART = st.dictionaries(KINDS, st.lists(ITEMS, max_size=3) | VALUES, max_size=3)
+PATCH_FIELDS = st.dictionaries(KINDS, st.lists(ITEMS, max_size=3) | VALUES, max_size=3)
 
 
 @given(
-    change=st.fixed_dictionaries({"version": st.just(7)}, optional={"upsert": PART, "remove": PART}) | VALUES,
+    change=st.fixed_dictionaries(
+        {"version": st.just(7)}, optional={"upsert": PATCH_FIELDS, "remove": PATCH_FIELDS}
+    )
+    | VALUES,
     names=st.dictionaries(KINDS, st.lists(st.sampled_from(["r1", "s1", "north"]), max_size=2), max_size=2),
     tenants=VALUES | st.just(TENANTS),
 )
-def test_no_patch_raises_whatever_it_holds_and_whatever_tenants_are_stored(
+def test_no_patch_raises_an_exception_for_any_content_and_any_stored_tenants(
     change: Any, names: dict[str, list[str]], tenants: object
 ) -> None:
     stored = json.dumps(changed(tenants=tenants)).encode()
@@ -373,7 +380,7 @@
 
 
 @pytest.mark.parametrize("depth", [10, 500, 900, 990, 5_000, 50_000])
-def test_no_depth_of_a_patch_raises(depth: int) -> None:
+def test_no_nesting_depth_of_a_patch_raises_an_exception(depth: int) -> None:
     body = b'{"version": 7, "upsert": {"other": {"a":' + b"[" * depth + b"]" * depth + b"}}}"
     outcome = validate_change(json.dumps(DOCUMENT).encode(), 5, True, body)
     assert isinstance(outcome, InvalidChange | ValidChange)
@@ -382,7 +389,7 @@
 # --- compression
 
 
-def test_a_configuration_of_many_routes_is_compressed_to_a_tenth() -> None:
+def test_a_configuration_of_many_routes_is_compressed_to_less_than_a_tenth() -> None:
     routes = [{**ROUTE, "name": f"r{n}", "path_prefix": f"/p{n}/"} for n in range(1400)]
     plain = json.dumps({**DOCUMENT, "routes": routes}).encode()
     compressed = DocumentCompressor().compress(plain)
@@ -391,7 +398,7 @@
 
 
 def test_each_document_is_compressed_once_and_an_empty_one_stays_empty() -> None:
-    """A version that was not acknowledged may be followed by another one with its number."""
+    """A different document may reuse the version of one that was not acknowledged."""
     compressor = DocumentCompressor()
     assert decompress(compressor.compress(b"")) == b"" == compressor.compress(b"")
     first = compressor.compress(b"one")
--- a/tests/cluster/test_snapshot.py
+++ b/tests/cluster/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The configuration snapshot that requests are routed by."""
+"""Tests of the configuration snapshot that routes requests."""
 
 import json
 
@@ -85,7 +85,7 @@
     assert empty.keys.tenant_of(ApiKey("secret-1")) is None
 
 
-def test_only_a_route_that_says_so_is_public() -> None:
+def test_a_route_is_public_only_if_it_is_declared_so() -> None:
     routes = [{**DOCUMENT["routes"][0], "public": public} for public in (True, False)]  # type: ignore[index]
     snapshots = [build_snapshot(json.dumps({**DOCUMENT, "routes": [r]}).encode()) for r in routes]
     snapshots.append(build_snapshot(json.dumps(DOCUMENT).encode()))
@@ -93,13 +93,13 @@
     assert [route is not None and route.is_public for route in found] == [True, False, False]
 
 
-# --- tenants that an older version stored without a look at them
+# --- tenants that an older version stored without validation
 
-READABLE = {"name": "north", "api_keys": ["north-1"]}
+VALID_TENANT = {"name": "north", "api_keys": ["north-1"]}
 
 
 @pytest.mark.parametrize(
-    "unreadable",
+    "invalid_tenant",
     [
         None,
         "west",
@@ -120,8 +120,8 @@
         {"name": "west", "api_keys": ["west-1"], "rate_per_s": 10**400},
     ],
 )
-def test_a_tenant_that_can_not_be_read_is_left_out_and_the_rest_is_kept(unreadable: object) -> None:
-    document = json.dumps({"version": 3, "tenants": [unreadable, READABLE]}).encode()
+def test_an_invalid_tenant_is_omitted_and_the_others_are_kept(invalid_tenant: object) -> None:
+    document = json.dumps({"version": 3, "tenants": [invalid_tenant, VALID_TENANT]}).encode()
     snapshot = build_snapshot(document)
     assert snapshot.keys is not None
     assert snapshot.keys.tenant_of(ApiKey("west-1")) is None
@@ -134,14 +134,14 @@
 
 
 @pytest.mark.parametrize("tenants", [None, {"a": {}}, "north", 5])
-def test_tenants_that_are_no_list_leave_all_private_routes_closed(tenants: object) -> None:
+def test_no_key_is_valid_if_tenants_are_not_a_list(tenants: object) -> None:
     document = json.dumps({"version": 3, "tenants": tenants}).encode()
     snapshot = build_snapshot(document)
     assert snapshot.keys is not None and snapshot.keys.key_count == 0
     assert TenantLimits().tenant(document, "north") is None
 
 
-def test_a_key_that_two_stored_tenants_share_is_nobodys_and_the_others_are_kept() -> None:
+def test_a_key_that_two_stored_tenants_share_is_invalid_and_other_keys_are_kept() -> None:
     tenants = [
         {"name": "north", "api_keys": ["shared", "north-1", "north-1"]},
         {"name": "south", "api_keys": ["south-1", "shared"]},
@@ -149,5 +149,5 @@
     ]
     keys = build_snapshot(json.dumps({"version": 3, "tenants": tenants}).encode()).keys
     assert keys is not None
-    holders = [keys.tenant_of(ApiKey(key)) for key in ("shared", "north-1", "south-1")]
-    assert [holder and holder.name for holder in holders] == [None, "north", "south"]
+    tenants_found = [keys.tenant_of(ApiKey(key)) for key in ("shared", "north-1", "south-1")]
+    assert [tenant and tenant.name for tenant in tenants_found] == [None, "north", "south"]
