--- a/finchladder/cluster/tenancy/api_keys.py
+++ b/finchladder/cluster/tenancy/api_keys.py
@@ -1,6 +1,6 @@
-"""API keys of clients: parsed from `Authorization`, and looked up by salted digests.
+"""Parses API keys of clients from `Authorization` and looks them up by salted digests.
 
-Neither a representation nor a table holds a key in clear.
+Neither the string representations nor the table contain a key in plain text.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -11,7 +11,7 @@
 
 from finchladder.cluster.tenancy.tenants import Tenant
 
-SCHEME = "token"  # of `Authorization`, in lower case
+SCHEME = "token"  # authentication scheme in lower case
 HTTP_WHITESPACE = " \t"
 KEY_DIGEST_BYTES = 16
 KEY_SALT_BYTES = blake2b.SALT_SIZE
@@ -31,14 +31,14 @@
 
 @frozen
 class MalformedCredentials:
-    """The request has an `Authorization` that holds no API key, or several."""
+    """The request has an `Authorization` header without a valid API key, or several such headers."""
 
 
 Credentials = ApiKey | MissingKey | MalformedCredentials
 
 
 def parse_credentials(values: Sequence[str]) -> Credentials:
-    """Parses the values of all `Authorization` headers of a request: `Token KEY`, exactly once.
+    """Parses the values of all `Authorization` headers of a request, which must be a single `Token KEY`.
 
     Source: RFC 9110, 11.4 (credentials; the scheme is case-insensitive) and 5.6.3 (whitespace).
     """
@@ -46,27 +46,27 @@
         return MissingKey()
     if len(values) > 1:
         return MalformedCredentials()
-    scheme, _, rest = values[0].strip(HTTP_WHITESPACE).partition(" ")
-    text = rest.strip(HTTP_WHITESPACE)
-    # isprintable holds for no control character and, of all whitespace, only for the space
+    scheme, _, parameter = values[0].strip(HTTP_WHITESPACE).partition(" ")
+    text = parameter.strip(HTTP_WHITESPACE)
+    # isprintable() is false for control characters and for all whitespace except the space.
     is_key = bool(text) and " " not in text and text.isprintable()
     return ApiKey(text) if is_key and scheme.lower() == SCHEME else MalformedCredentials()
 
 
 @frozen
 class KeyTable:
-    """The tenants of one configuration by the salted digests of their keys."""
+    """Tenants of one configuration by the salted digests of their API keys."""
 
     _salt: bytes = field(repr=False)
     _tenants_by_digest: Mapping[bytes, Tenant] = field(repr=False)
 
     @property
     def key_count(self) -> int:
-        """Number of keys; no `__len__`, by which an empty table would be false, as if there was none."""
+        """Number of keys; not `__len__`, because then an empty table would be falsy like a missing one."""
         return len(self._tenants_by_digest)
 
     def tenant_of(self, key: ApiKey) -> Tenant | None:
-        """The tenant that holds the key; None if nobody does. CPU: O(1)."""
+        """The tenant that holds the key; None if no tenant does. CPU: O(1)."""
         return self._tenants_by_digest.get(_digest(key.text, self._salt))
 
 
@@ -74,22 +74,22 @@
     """Builds the table of a configuration. CPU: O(keys).
 
     Args:
-        salt: Random bytes of this process, `KEY_SALT_BYTES` at most.
-        keys_by_tenant: Each tenant with its keys. A key that two tenants share, which no valid configuration
-            has, is left out: nobody can tell whose request it is.
+        salt: Random bytes of this process, at most `KEY_SALT_BYTES`.
+        keys_by_tenant: Tenants with their keys. A key that two tenants share, which a valid configuration
+            does not contain, is omitted, because the tenant of a request with it would be ambiguous.
     """
-    holders: dict[bytes, Tenant] = {}
+    tenants_by_digest: dict[bytes, Tenant] = {}
     shared: set[bytes] = set()
     for tenant, keys in keys_by_tenant:
         for key in keys:
             digest = _digest(key, salt)
-            if holders.setdefault(digest, tenant).name != tenant.name:
+            if tenants_by_digest.setdefault(digest, tenant).name != tenant.name:
                 shared.add(digest)
-    held = {digest: tenant for digest, tenant in holders.items() if digest not in shared}
-    return KeyTable(salt, MappingProxyType(held))
+    unambiguous = {digest: tenant for digest, tenant in tenants_by_digest.items() if digest not in shared}
+    return KeyTable(salt, MappingProxyType(unambiguous))
 
 
 def _digest(key: str, salt: bytes) -> bytes:
-    # JSON can hold lone surrogates, which plain UTF-8 can't encode
+    # JSON strings can contain lone surrogates, which strict UTF-8 cannot encode.
     encoded = key.encode("utf-8", "surrogatepass")
     return blake2b(encoded, digest_size=KEY_DIGEST_BYTES, salt=salt).digest()
--- a/finchladder/cluster/tenancy/quota_account.py
+++ b/finchladder/cluster/tenancy/quota_account.py
@@ -1,8 +1,8 @@
-"""The account of all quotas: one token bucket for each tenant, held in memory by one process at a time.
+"""The quota account: one token bucket for each tenant, kept in memory by one process at a time.
 
-A term begins with empty buckets: the former holder may have granted all that it had until that moment. Over a
-span that crosses the change both together grant no more than one bucket would. Times are monotonic seconds of
-the holder, passed in.
+A term begins with empty buckets, because the former holder may have granted its whole level until then.
+During any interval that includes the change of holders, both together grant no more than a single bucket
+would. Callers pass the time in monotonic seconds of the holder.
 """
 
 from collections.abc import Iterable
@@ -14,15 +14,16 @@
 from finchladder.cluster.tenancy.tenants import QuotaUnit, Tenant
 
 MS_PER_S = 1000
-MAX_RETRY_AFTER_MS = 10_000  # a client has given up by then
+MAX_RETRY_AFTER_MS = 10_000  # a client no longer waits for the response after this time
 
 
 @define
 class TokenBucket:
-    """Quota of one tenant that can be granted. `level`: units, below zero by `max_debt` at the most.
+    """Token bucket of one tenant; `level` is in units and may fall below zero by at most `max_debt`.
 
-    While there is anything left a request is granted whatever it costs, up to `max_debt`: else a tenant over
-    its limit would have its small requests served and hardly a large one.
+    While the level is above zero, a request is granted even if its cost exceeds the level by up to
+    `max_debt`. Otherwise a tenant that exceeds its limit would get its small requests served, but hardly any
+    large one.
     """
 
     limits: BucketLimits
@@ -30,7 +31,7 @@
     updated_at: float
 
     def refill(self, now: float) -> None:
-        """Adds what has come since the last call; a clock that went back adds nothing."""
+        """Adds the units for the time since the last call; nothing if the clock went backwards."""
         elapsed_s = max(0.0, now - self.updated_at)
         self.updated_at = max(now, self.updated_at)
         self.add(elapsed_s * self.limits.refill_per_s)
@@ -40,33 +41,33 @@
         self.level = min(self.limits.capacity, self.level + units)
 
     def apply_limits(self, limits: BucketLimits) -> None:
-        """Replaces the limits; a level above the new capacity is cut to it."""
+        """Replaces the limits and reduces a level above the new capacity to the capacity."""
         self.limits = limits
         self.level = min(self.level, limits.capacity)
 
     def try_withdraw(self, units: float) -> bool:
-        """Withdraws the units if something is left, and enough of it for what exceeds `max_debt`."""
+        """Withdraws the units if the level is above zero and covers the units except for `max_debt`."""
         if self.level <= 0 or self.level < units - self.limits.max_debt:
             return False
         self.level -= units
         return True
 
     def seconds_until(self, units: float) -> float:
-        """Seconds until that many units could be withdrawn, if nobody else does; inf: never."""
-        needed = max(0.0, units - self.limits.max_debt)
-        if needed > self.limits.capacity:
+        """Seconds until the units can be withdrawn if no other request is granted; inf if they never can."""
+        required_level = max(0.0, units - self.limits.max_debt)
+        if required_level > self.limits.capacity:
             return inf
-        return max(0.0, (needed - self.level) / self.limits.refill_per_s)
+        return max(0.0, (required_level - self.level) / self.limits.refill_per_s)
 
 
 @define
 class QuotaAccount:
-    """Buckets of one term of the account.
+    """Token buckets of one term of the account.
 
     Attributes:
-        rule: What the grants have to keep.
-        term: Number of the term; 0: none has begun.
-        started_at: When the term began.
+        rule: Rule that the grants must satisfy.
+        term: Number of the current term; 0 if none has begun.
+        started_at: When the current term began.
     """
 
     rule: QuotaRule
@@ -75,7 +76,7 @@
     _buckets: dict[tuple[str, QuotaUnit], TokenBucket] = field(factory=dict)
 
     def begin_term(self, term: int, now: float) -> None:
-        """Begins a term with empty buckets, unless it has begun already."""
+        """Begins a term with empty buckets, unless it is the current one."""
         if term == self.term:
             return
         self.term = term
@@ -83,35 +84,35 @@
         self._buckets.clear()
 
     def reserve(self, tenant: Tenant, costs: Iterable[int], now: float) -> tuple[bool, ...]:
-        """For each of the costs, in order, whether it is granted."""
+        """Withdraws the costs in order; returns for each whether it is granted."""
         bucket = self._bucket(tenant, now)
         if bucket is None:
             return tuple(True for _ in costs)
         return tuple(bucket.try_withdraw(cost) for cost in costs)
 
     def return_units(self, tenant: Tenant, units: int, term: int, now: float) -> None:
-        """Takes back what was granted in this term and not spent; of another term it never left this one."""
+        """Returns unspent units to the bucket; units of another term were not withdrawn from it."""
         bucket = self._bucket(tenant, now)
         if bucket is not None and term == self.term:
             bucket.add(units)
 
     def retry_after_ms(self, tenant: Tenant, cost: int, now: float) -> int:
-        """Milliseconds until that cost could be granted; 0 without a limit."""
+        """Milliseconds until the cost can be granted, at most MAX_RETRY_AFTER_MS; 0 without a limit."""
         bucket = self._bucket(tenant, now)
         if bucket is None:
             return 0
         return ceil(min(MAX_RETRY_AFTER_MS, bucket.seconds_until(cost) * MS_PER_S))
 
     def is_exhausted(self, tenant: Tenant, now: float) -> bool:
-        """Whether no request would be granted now, whatever it costs."""
+        """Whether no request would be granted now, regardless of its cost."""
         bucket = self._bucket(tenant, now)
         return bucket is not None and bucket.level <= 0
 
     def _bucket(self, tenant: Tenant, now: float) -> TokenBucket | None:
-        """The tenant's bucket, refilled, with the limits as configured now; None without a limit.
+        """The tenant's refilled bucket with the currently configured limits; None without a limit.
 
-        A bucket outlives its tenant's removal, so one that is put back keeps what it has spent. Another unit
-        begins with another bucket.
+        A bucket outlives the removal of its tenant, so that a tenant that is added again cannot spend its
+        quota twice. A tenant whose unit changes gets a new bucket.
         """
         if not tenant.is_limited:
             return None
--- a/finchladder/cluster/tenancy/quota_rule.py
+++ b/finchladder/cluster/tenancy/quota_rule.py
@@ -1,25 +1,27 @@
-"""How much of a tenant's quota may be granted, so that what arrives at workers keeps the operators' rule.
+"""Computes token bucket limits whose grants satisfy the operators' rule on arrivals at workers.
 
-The rule bounds what arrives in any window, the account bounds what it grants. A grant that is spent within
-`GRANT_VALIDITY_S` arrives at the latest `ARRIVAL_DELAY_S` after that. So what arrives within a window was
-granted within a span that is longer by both, and a token bucket grants at most
-`capacity + refill_per_s * span` in it.
+The rule limits the arrivals in any window, while the account limits its grants. A grant is spent within
+`GRANT_VALIDITY_S`, and its request arrives at most `ARRIVAL_DELAY_S` later. Therefore arrivals within a
+window were granted within a span that is longer by both, in which a token bucket grants at most `capacity +
+refill_per_s * span`.
 """
 
 from attrs import frozen
 
-GRANT_VALIDITY_S = 0.5  # after a dispatcher asked for a grant, until when it may send the request
-ARRIVAL_DELAY_S = 0.4  # between the last check of the grant and the arrival at a worker
-SLACK_SHARE = 0.9  # of the rule's slack that is used
-DEBT_SHARE = 0.5  # of what may be granted beyond the burst, for requests larger than what is left
+GRANT_VALIDITY_S = 0.5  # time after the reservation request within which the dispatcher may use the grant
+ARRIVAL_DELAY_S = 0.4  # maximum time between the last check of the grant and the arrival at a worker
+SLACK_FRACTION = 0.9  # fraction of the rule's slack that is used
+DEBT_FRACTION = 0.5  # fraction of the units beyond the burst that serves requests larger than the level
 
 
 @frozen
 class BucketLimits:
     """Limits of a tenant's token bucket.
 
-    `refill_per_s`: units a second; `capacity`: the highest level, in units; `max_debt`: how far one grant may
-    take the level below zero.
+    Attributes:
+        refill_per_s: Units per second.
+        capacity: Maximum level in units.
+        max_debt: Number of units by which a grant may reduce the level below zero.
     """
 
     refill_per_s: float
@@ -29,12 +31,12 @@
 
 @frozen
 class QuotaRule:
-    """The operators' rule on what arrives of one tenant at workers in any window of `window_s` seconds.
+    """The operators' rule on units of one tenant that arrive at workers in any window of `window_s` seconds.
 
-    It is at most (`rate_per_s` x `window_s` + `burst`) x (1 + `overage`) + `slack` units.
+    At most (`rate_per_s` x `window_s` + `burst`) x (1 + `overage`) + `slack` units may arrive.
 
-    Source: QUOTA among the project's rules; the figures are `quota_window_s`, `quota_overage` and
-    `quota_slack` of the settings.
+    Source: QUOTA in the project's rules; the settings `quota_window_s`, `quota_overage` and `quota_slack`
+    provide the values.
     """
 
     window_s: float
@@ -43,16 +45,16 @@
 
     @property
     def grant_span_s(self) -> float:
-        """The longest span within which the grants were made whose requests arrive within one window."""
+        """The longest span that contains all grants whose requests arrive within one window."""
         return self.window_s + GRANT_VALIDITY_S + ARRIVAL_DELAY_S
 
     def bucket_limits(self, rate_per_s: float, burst: float) -> BucketLimits:
-        """The largest token bucket whose grants keep the rule; its capacity is the burst at least.
+        """The largest token bucket whose grants satisfy the rule; its capacity is at least the burst.
 
-        A span's grants are at most `capacity + max_debt + refill_per_s * span`.
+        The grants in a span are at most `capacity + max_debt + refill_per_s * span`.
         """
-        allowed = (rate_per_s * self.window_s + burst) * (1 + self.overage) + SLACK_SHARE * self.slack
+        allowed = (rate_per_s * self.window_s + burst) * (1 + self.overage) + SLACK_FRACTION * self.slack
         refill_per_s = min(rate_per_s, (allowed - burst) / self.grant_span_s)
-        in_advance = allowed - refill_per_s * self.grant_span_s
-        max_debt = max(0.0, DEBT_SHARE * (in_advance - burst))
-        return BucketLimits(refill_per_s, in_advance - max_debt, max_debt)
+        allowed_at_once = allowed - refill_per_s * self.grant_span_s
+        max_debt = max(0.0, DEBT_FRACTION * (allowed_at_once - burst))
+        return BucketLimits(refill_per_s, allowed_at_once - max_debt, max_debt)
--- a/finchladder/cluster/tenancy/reservations.py
+++ b/finchladder/cluster/tenancy/reservations.py
@@ -1,13 +1,14 @@
-"""What a dispatcher knows of quota: reservations of requests, and tenants that have none left.
+"""Quota state at a dispatcher: reservations of requests, and tenants whose quota is exhausted.
 
-Times are monotonic seconds of the dispatcher, passed in.
+Callers pass the time in monotonic seconds of the dispatcher.
 """
 
 from attrs import define, field, frozen
 
 from finchladder.cluster.tenancy.quota_rule import GRANT_VALIDITY_S
 
-MAX_EXHAUSTION_CACHE_S = 0.25  # for which a dispatcher asks nobody after a tenant was found exhausted
+# Maximum time for which a dispatcher rejects requests of an exhausted tenant without a reservation request.
+MAX_EXHAUSTION_CACHE_S = 0.25
 
 
 @frozen
@@ -16,9 +17,9 @@
 
     Attributes:
         tenant: Name of the tenant.
-        units: What was granted.
-        term: Term of the account that granted it.
-        valid_until: The request may be sent before.
+        units: Number of granted units.
+        term: Term of the account that granted them.
+        valid_until: Time before which the request must be sent.
     """
 
     tenant: str
@@ -27,25 +28,25 @@
     valid_until: float
 
     def is_valid(self, now: float) -> bool:
-        """Whether the request may be sent at this moment."""
+        """Whether the request may be sent now."""
         return now < self.valid_until
 
 
-def grant_valid_until(asked_at: float) -> float:
-    """Until when a grant may be used; the account made it after `asked_at`."""
-    return asked_at + GRANT_VALIDITY_S
+def grant_valid_until(requested_at: float) -> float:
+    """Time until which a grant may be used; the account made it after `requested_at`."""
+    return requested_at + GRANT_VALIDITY_S
 
 
 @frozen
 class QuotaExhausted:
-    """The tenant has no quota left for the request; `retry_after_s`: when it could have."""
+    """The tenant's quota does not cover the request; it may do so after `retry_after_s` seconds."""
 
     retry_after_s: float
 
 
 @frozen
 class QuotaUnavailable:
-    """The account did not answer in time."""
+    """The holder of the account did not answer in time."""
 
 
 QuotaRefusal = QuotaExhausted | QuotaUnavailable
@@ -59,21 +60,21 @@
 
 @define
 class ExhaustedTenants:
-    """Tenants that the account refused a moment ago: all their requests are refused without asking.
+    """Recently rejected tenants, whose requests are all rejected without a reservation request.
 
-    What a request costs makes no difference, or only the small ones of a tenant over its limit
-    would be served.
+    The cost of a request is ignored. Otherwise a tenant that exceeds its limit would get only its small
+    requests served.
     """
 
     _by_tenant: dict[str, _Exhaustion] = field(factory=dict)
 
     def record(self, tenant: str, retry_after_s: float, now: float) -> None:
-        """Remembers that the account refused a request, which it may grant after `retry_after_s`."""
+        """Records that the account rejected a request, which it may grant after `retry_after_s`."""
         until = now + min(retry_after_s, MAX_EXHAUSTION_CACHE_S)
         self._by_tenant[tenant] = _Exhaustion(until, now + retry_after_s)
 
     def find(self, tenant: str, now: float) -> QuotaExhausted | None:
-        """Why a request is refused without asking; None if the account is to be asked."""
+        """The reason to reject a request without a reservation request; None if quota should be requested."""
         exhaustion = self._by_tenant.get(tenant)
         if exhaustion is None or now >= exhaustion.until:
             return None
--- a/finchladder/cluster/tenancy/tenant_limits.py
+++ b/finchladder/cluster/tenancy/tenant_limits.py
@@ -1,4 +1,4 @@
-"""The tenants of the newest configuration by name, parsed once for each document."""
+"""Tenants of the newest configuration by name, parsed once for each document."""
 
 import json
 
@@ -9,13 +9,13 @@
 
 @define
 class TenantLimits:
-    """Tenants of one document. Documents are compared by identity: a replica keeps each as one object."""
+    """Tenants of one document; compares documents by identity, since a replica keeps each as one object."""
 
     _document: bytes = b""
     _by_name: dict[str, Tenant] = field(factory=dict)
 
     def tenant(self, document: bytes, name: str) -> Tenant | None:
-        """The tenant with that name; None if the document has none. CPU: O(size) for another document."""
+        """The tenant with a given name; None if there is none. CPU: O(size) if the document changed."""
         if document is not self._document:
             self._by_name = _parse(document)
             self._document = document
--- a/finchladder/cluster/tenancy/tenants.py
+++ b/finchladder/cluster/tenancy/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants as the operator configures them, and what a request costs of a tenant's quota."""
+"""Tenants of the operator's configuration, and the cost of requests in units of their quota."""
 
 import re
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 
 class QuotaUnit(str, Enum):
-    """What a quota counts."""
+    """Unit in which a quota counts requests."""
 
     TOKENS = "token_count"
     REQUESTS = "requests"
@@ -24,12 +24,12 @@
     """A tenant of the configuration.
 
     Attributes:
-        name: Its name, as workers are told it.
-        priority: Takes the place of the route's; None: not set.
-        unit: What `rate_per_s` and `burst` count.
-        raw_tokens: What a request without a token count costs, where tokens are counted.
-        rate_per_s: Units a second of all dispatchers together; 0: no limit.
-        burst: Units that may come on top of the rate.
+        name: Name that is sent to workers.
+        priority: Priority that replaces the route's; None if not set.
+        unit: Unit of `rate_per_s` and `burst`.
+        raw_tokens: Cost of a request without a token count if the unit is tokens.
+        rate_per_s: Units per second for all dispatchers together; 0 for no limit.
+        burst: Units that are allowed in addition to the rate.
     """
 
     name: str
@@ -41,18 +41,18 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether its requests count against a quota."""
+        """Whether requests of the tenant count against a quota."""
         return self.rate_per_s > 0
 
     def cost(self, token_count: int | None) -> int:
-        """Units that one request costs; `token_count`: of prompt and output together, None if not told."""
+        """Cost of a request in units; `token_count` includes prompt and output, and is None if unknown."""
         if self.unit is QuotaUnit.REQUESTS:
             return 1
         return self.raw_tokens if token_count is None else token_count
 
 
 def parse_tenant(item: Mapping[str, Any]) -> Tenant:
-    """A tenant of a valid configuration; an unknown unit counts requests."""
+    """Parses a tenant of a valid configuration; an unknown unit counts requests."""
     unit = QuotaUnit.TOKENS if item.get("unit") == QuotaUnit.TOKENS.value else QuotaUnit.REQUESTS
     priority = item.get("priority")
     return Tenant(
@@ -66,16 +66,18 @@
 
 
 def read_tenants(items: object) -> list[tuple[Tenant, list[str]]]:
-    """The tenants, each with its keys, of a configuration whose `tenants` may never have been validated.
+    """Parses the tenants, each with its keys, of a configuration whose `tenants` may not have been validated.
 
-    What can't be read is left out.
+    Invalid tenants are omitted.
     """
     if not isinstance(items, list):
         return []
-    return [(tenant, item["api_keys"]) for item in items if (tenant := _readable_tenant(item)) is not None]
+    return [
+        (tenant, item["api_keys"]) for item in items if (tenant := _parse_untrusted_tenant(item)) is not None
+    ]
 
 
-def _readable_tenant(item: object) -> Tenant | None:
+def _parse_untrusted_tenant(item: object) -> Tenant | None:
     if not isinstance(item, dict) or not _has_name_and_keys(item):
         return None
     try:
@@ -87,5 +89,5 @@
 
 def _has_name_and_keys(item: Mapping[str, Any]) -> bool:
     name, keys = item.get("name"), item.get("api_keys")
-    is_name = isinstance(name, str) and name != "" and CONTROL_CHARACTERS.search(name) is None
-    return is_name and isinstance(keys, list) and all(isinstance(key, str) for key in keys)
+    is_valid_name = isinstance(name, str) and name != "" and CONTROL_CHARACTERS.search(name) is None
+    return is_valid_name and isinstance(keys, list) and all(isinstance(key, str) for key in keys)
--- a/tests/cluster/test_api_keys.py
+++ b/tests/cluster/test_api_keys.py
@@ -1,4 +1,4 @@
-"""API keys: parsed from headers, looked up by digest, shown nowhere."""
+"""Tests that API keys are parsed from headers, looked up by digest and never shown."""
 
 import pytest
 from hypothesis import given
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize(
     "value", ["Token k1", "token k1", "TOKEN k1", " \tToken k1\t ", "Token   k1", "Token \tk1"]
 )
-def test_a_key_follows_its_scheme(value: str) -> None:
+def test_a_key_is_parsed_after_the_scheme(value: str) -> None:
     assert parse_credentials([value]) == ApiKey("k1")
 
 
@@ -44,11 +44,11 @@
         ["", "Token k1"],
     ],
 )
-def test_all_else_is_malformed(values: list[str]) -> None:
+def test_other_header_values_are_malformed(values: list[str]) -> None:
     assert parse_credentials(values) == MalformedCredentials()
 
 
-def test_no_header_is_no_key() -> None:
+def test_a_request_without_header_has_no_key() -> None:
     assert parse_credentials([]) == MissingKey()
 
 
@@ -61,7 +61,7 @@
 
 
 @given(st.lists(HEADER_VALUES, max_size=3))
-def test_what_is_parsed_never_holds_whitespace_or_control_characters(values: list[str]) -> None:
+def test_parsed_keys_contain_no_whitespace_or_control_characters(values: list[str]) -> None:
     credentials = parse_credentials(values)
     if isinstance(credentials, ApiKey):
         assert len(values) == 1
@@ -75,7 +75,7 @@
     assert parse_credentials([f"Token {text}"]) == ApiKey(text)
 
 
-def test_the_table_knows_each_key_of_each_tenant() -> None:
+def test_the_table_contains_each_key_of_each_tenant() -> None:
     a, b = Tenant("a"), Tenant("b")
     table = build_key_table(SALT, [(a, ["k1", "k2", "k2"]), (b, ["k3"]), (Tenant("c"), [])])
     found = [table.tenant_of(ApiKey(text)) for text in ("k1", "k2", "k3", "k4", "K1", "k")]
@@ -86,9 +86,9 @@
     build_key_table(SALT, [(Tenant("a"), ["\ud800", "é", "\x00 "])])
 
 
-def test_no_representation_holds_a_key_and_digests_depend_on_the_salt() -> None:
+def test_no_representation_contains_a_key_and_digests_depend_on_the_salt() -> None:
     tables = [build_key_table(salt, [(Tenant("a"), ["secret"])]) for salt in (SALT, b"other", b"")]
     assert len({key for table in tables for key in table._tenants_by_digest}) == 3
-    for shown in (*tables, ApiKey("secret")):
-        assert "secret" not in repr(shown) and "secret" not in str(shown)
+    for value in (*tables, ApiKey("secret")):
+        assert "secret" not in repr(value) and "secret" not in str(value)
     assert "secret" not in repr(tables[0]._tenants_by_digest)
--- a/tests/cluster/test_quota_account.py
+++ b/tests/cluster/test_quota_account.py
@@ -1,4 +1,4 @@
-"""The quota account: what it grants in any span, over takeovers, lowered limits and returns."""
+"""Tests of the quota account: grants in any window, takeovers, lowered limits and returned units."""
 
 from dataclasses import dataclass, field
 
@@ -17,19 +17,19 @@
 
 @dataclass
 class Arrivals:
-    """What arrived at workers: times and units."""
+    """Arrivals at workers with their times and units."""
 
     times: list[tuple[float, int]] = field(default_factory=list)
 
-    def worst(self, window_s: float) -> int:
-        """The largest sum within any closed span of that length."""
+    def max_units(self, window_s: float) -> int:
+        """Maximum number of units in any closed window of the given length."""
         times = sorted(self.times)
         return max(
             (sum(u for t, u in times if start <= t <= start + window_s) for start, _ in times), default=0
         )
 
 
-def bound(tenant: Tenant, rule: QuotaRule = RULE) -> float:
+def allowed_units(tenant: Tenant, rule: QuotaRule = RULE) -> float:
     return (tenant.rate_per_s * rule.window_s + tenant.burst) * (1 + rule.overage) + rule.slack
 
 
@@ -41,13 +41,13 @@
 
 
 @pytest.mark.parametrize("tenant", [SMALL, LARGE])
-def test_the_capacity_holds_the_burst_that_is_owed_and_the_refill_is_the_rate(tenant: Tenant) -> None:
+def test_the_capacity_is_at_least_the_burst_and_the_refill_is_the_rate(tenant: Tenant) -> None:
     limits = RULE.bucket_limits(tenant.rate_per_s, tenant.burst)
     assert limits.capacity >= tenant.burst
     assert limits.refill_per_s == tenant.rate_per_s
 
 
-def test_without_overage_and_slack_the_refill_gives_way_and_the_burst_stays() -> None:
+def test_without_overage_and_slack_the_refill_is_reduced_and_the_burst_is_kept() -> None:
     limits = QuotaRule(8.0, 0.0, 0.0).bucket_limits(100.0, 50.0)
     assert limits.capacity == pytest.approx(50.0)
     assert limits.refill_per_s < 100.0
@@ -57,18 +57,18 @@
 @given(
     steps=st.lists(
         st.tuples(
-            st.floats(0.0, 2.0),  # seconds since the step before
-            st.integers(1, 9_000),  # cost
-            st.floats(0.0, GRANT_VALIDITY_S + ARRIVAL_DELAY_S),  # until it arrives
-            st.sampled_from(["ask", "ask", "ask", "take over", "return"]),
+            st.floats(0.0, 2.0),  # seconds since the previous step
+            st.integers(1, 9_000),  # cost of each request
+            st.floats(0.0, GRANT_VALIDITY_S + ARRIVAL_DELAY_S),  # seconds until the request arrives
+            st.sampled_from(["reserve", "reserve", "reserve", "take over", "return"]),
         ),
         max_size=80,
     ),
     tenant=st.sampled_from([SMALL, LARGE]),
-    burst_of_asks=st.integers(1, 60),
+    requests_per_step=st.integers(1, 60),
 )
-def test_what_arrives_in_any_window_keeps_the_rule(
-    steps: list[tuple[float, int, float, str]], tenant: Tenant, burst_of_asks: int
+def test_arrivals_in_any_window_satisfy_the_rule(
+    steps: list[tuple[float, int, float, str]], tenant: Tenant, requests_per_step: int
 ) -> None:
     account = full_account(tenant)
     arrivals = Arrivals()
@@ -85,11 +85,11 @@
                     account.return_units(tenant, units, term, now)
             returnable.clear()
         else:
-            granted = account.reserve(tenant, (cost,) * burst_of_asks, now)
+            granted = account.reserve(tenant, (cost,) * requests_per_step, now)
             arrivals.times += [(now + delay_s, cost) for is_granted in granted if is_granted]
-            unspent = account.reserve(tenant, (cost,) * burst_of_asks, now)
+            unspent = account.reserve(tenant, (cost,) * requests_per_step, now)
             returnable += [(cost, account.term, now) for is_granted in unspent if is_granted]
-    assert arrivals.worst(RULE.window_s) <= bound(tenant)
+    assert arrivals.max_units(RULE.window_s) <= allowed_units(tenant)
 
 
 def test_a_new_term_begins_empty_and_refills() -> None:
@@ -99,14 +99,14 @@
     assert account.reserve(SMALL, (4_200, 1), 11.0) == (True, False)
 
 
-def test_a_term_that_goes_on_keeps_what_was_spent() -> None:
+def test_repeating_the_current_term_does_not_refill_the_buckets() -> None:
     account = full_account(SMALL)
     account.reserve(SMALL, (4_200,) * 10, 0.0)
     account.begin_term(1, 0.0)
     assert account.reserve(SMALL, (4_200,), 0.0) == (False,)
 
 
-def test_returns_of_a_former_term_are_not_taken_back() -> None:
+def test_returned_units_of_a_former_term_are_ignored() -> None:
     account = full_account(SMALL)
     account.begin_term(2, 10.0)
     account.return_units(SMALL, 4_000, 1, 10.0)
@@ -115,7 +115,7 @@
     assert account.reserve(SMALL, (4_000,), 10.0) == (True,)
 
 
-def test_a_lowered_limit_cuts_what_has_gathered() -> None:
+def test_a_lowered_limit_reduces_the_level() -> None:
     account = full_account(LARGE)
     lowered = Tenant("large", unit=QuotaUnit.TOKENS, rate_per_s=1_000, burst=1_000)
     limits = RULE.bucket_limits(1_000, 1_000)
@@ -123,10 +123,10 @@
     assert sum(granted) * 1_000 <= limits.capacity + limits.max_debt
 
 
-def test_a_tenant_that_was_removed_and_put_back_keeps_what_it_has_spent() -> None:
+def test_a_tenant_that_is_removed_and_added_again_cannot_spend_twice() -> None:
     account = full_account(SMALL)
     account.reserve(SMALL, (4_000,) * 10, 0.0)
-    account.reserve(LARGE, (1,), 0.01)  # a configuration without the small one is in force meanwhile
+    account.reserve(LARGE, (1,), 0.01)  # a configuration without the small tenant is active for a while
     assert account.reserve(SMALL, (1,), 0.02) == (False,)
 
 
@@ -137,7 +137,7 @@
     assert account.reserve(requests, (1,), 0.0) == (True,)
 
 
-def test_whatever_is_left_is_enough_for_any_cost_up_to_the_debt() -> None:
+def test_any_positive_level_is_enough_for_costs_up_to_the_debt() -> None:
     account = full_account(SMALL)
     limits = RULE.bucket_limits(SMALL.rate_per_s, SMALL.burst)
     account.reserve(SMALL, (int(limits.capacity) - 1,), 0.0)
@@ -145,7 +145,7 @@
     assert account.is_exhausted(SMALL, 0.0)
 
 
-def test_a_cost_beyond_the_debt_waits_until_enough_is_there() -> None:
+def test_a_cost_beyond_the_debt_waits_until_the_level_is_high_enough() -> None:
     account = full_account(SMALL)
     limits = RULE.bucket_limits(SMALL.rate_per_s, SMALL.burst)
     account.reserve(SMALL, (int(limits.capacity) - 1_000,), 0.0)
@@ -157,7 +157,7 @@
     assert account.reserve(SMALL, (cost,), wait_s) == (True,)
 
 
-def test_a_cost_that_no_window_allows_is_never_granted_and_takes_nothing() -> None:
+def test_a_cost_above_the_limits_is_never_granted_and_withdraws_nothing() -> None:
     account = full_account(SMALL)
     limits = RULE.bucket_limits(SMALL.rate_per_s, SMALL.burst)
     cost = int(limits.capacity + limits.max_debt) + 1
@@ -165,7 +165,7 @@
     assert account.retry_after_ms(SMALL, cost, 0.0) == MAX_RETRY_AFTER_MS
 
 
-def test_retry_after_is_when_the_cost_is_there() -> None:
+def test_a_cost_is_granted_after_its_retry_time() -> None:
     account = full_account(SMALL)
     while account.reserve(SMALL, (2_400,), 0.0) == (True,):
         pass
@@ -174,14 +174,14 @@
     assert account.reserve(SMALL, (2_400,), wait_s + 0.001) == (True,)
 
 
-def test_a_tenant_without_a_limit_is_granted_everything() -> None:
+def test_a_tenant_without_a_limit_gets_every_grant() -> None:
     account = full_account(SMALL)
-    free = Tenant("free")
-    assert account.reserve(free, (10**9,) * 3, 0.0) == (True, True, True)
-    assert account.retry_after_ms(free, 10**9, 0.0) == 0
+    unlimited = Tenant("free")
+    assert account.reserve(unlimited, (10**9,) * 3, 0.0) == (True, True, True)
+    assert account.retry_after_ms(unlimited, 10**9, 0.0) == 0
 
 
-def test_requests_are_counted_where_the_unit_is_no_tokens() -> None:
+def test_the_cost_depends_on_the_unit() -> None:
     assert Tenant("a", unit=QuotaUnit.REQUESTS).cost(5_000) == 1
     assert Tenant("a", unit=QuotaUnit.TOKENS, raw_tokens=200).cost(None) == 200
     assert Tenant("a", unit=QuotaUnit.TOKENS, raw_tokens=200).cost(2_400) == 2_400
