--- a/finchladder/cluster/sessions/__init__.py
+++ b/finchladder/cluster/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""Tables of the workers that are registered, replicated between control processes."""
+"""Tables of registered workers, replicated between control processes."""
--- a/finchladder/cluster/sessions/heartbeat_timeouts.py
+++ b/finchladder/cluster/sessions/heartbeat_timeouts.py
@@ -1,15 +1,15 @@
-"""How long control processes wait for a worker's heartbeats."""
+"""Timeouts of control processes for the heartbeats of workers."""
 
 MAX_MISSED_HEARTBEATS = 2.5
-HEARTBEAT_GRACE_S = 0.4  # on top, for a heartbeat that is on its way
+HEARTBEAT_GRACE_S = 0.4  # additional time for a heartbeat in transit
 REGISTRATION_GRACE_S = 1.0
 
 
 def loss_timeout_s(heartbeat_s: float) -> float:
-    """Time without a heartbeat after which a worker counts as lost."""
+    """Seconds without a heartbeat after which a worker counts as lost."""
     return MAX_MISSED_HEARTBEATS * heartbeat_s + HEARTBEAT_GRACE_S
 
 
 def registration_timeout_s(heartbeat_s: float) -> float:
-    """Time after its start by which a control process has learned of every live worker."""
+    """Seconds after its start within which a control process has a record of every live worker."""
     return (MAX_MISSED_HEARTBEATS + 1) * heartbeat_s + REGISTRATION_GRACE_S
--- a/finchladder/cluster/sessions/replicated_tables.py
+++ b/finchladder/cluster/sessions/replicated_tables.py
@@ -1,12 +1,12 @@
-"""The replicated tables of workers and placements: merged by rank, exchanged by version vector; no I/O.
+"""Replicated tables of workers and placements, merged by rank and exchanged by version vector; without I/O.
 
-Each control process stamps its own changes with its origin and a rising counter. A subscriber sends the
-highest counter that it has of each origin and gets all records with later stamps. A lost or deregistered
-worker stays as a tombstone until it expires.
+Each control process stamps its own changes with its origin and an increasing counter. A subscriber sends the
+highest counter that it has received from each origin and gets all records with later stamps. A lost or
+deregistered worker stays as a tombstone until it expires.
 
-Each incarnation of a control process is an origin. An origin is stale once its counter has stood still for
-long and no record carries its stamp: after STALE_ORIGIN_S it is no longer advertised, and after RETENTION_S
-it is dropped, by when nobody advertises it.
+Each incarnation of a control process is an origin. An origin is idle while its counter does not change and no
+record carries its stamp. After STALE_ORIGIN_S it is no longer advertised. After RETENTION_S, when no process
+advertises it any more, it is removed.
 """
 
 from collections.abc import Iterator, Mapping
@@ -27,24 +27,24 @@
 
 
 class MissingRecords(NamedTuple):
-    """The records that a subscriber lacks."""
+    """Records that a subscriber has not received."""
 
     workers: tuple[StampedWorker, ...]
     placements: tuple[StampedPlacement, ...]
 
 
 class OriginAdvance(NamedTuple):
-    """The counter of an origin, and when it was first seen to stand there; steady seconds."""
+    """Counter of an origin, and the monotonic time at which it was first observed at this value."""
 
     counter: int
-    seen_at: float
+    observed_at: float
 
 
 class ReplicatedTables:
-    """All workers and placements that one process knows, by instance, with its version vector."""
+    """Workers and placements by instance at one process, with its version vector."""
 
     def __init__(self, origin: str) -> None:
-        """Creates empty tables; `origin` names this incarnation of the process in its stamps."""
+        """Creates empty tables; `origin` identifies this incarnation of the process in its stamps."""
         self.origin = origin
         self.counter = 0
         self.workers: dict[str, StampedWorker] = {}
@@ -52,12 +52,12 @@
         self.vector: dict[str, int] = {}
         self._last_advances: dict[str, OriginAdvance] = {}
         self._stale_origins: frozenset[str] = frozenset()
-        self._ended_at: dict[str, float] = {}  # when lost and deregistered workers were first seen so
+        self._ended_at: dict[str, float] = {}  # first observation of a loss or deregistration
         self._worker_log = StampLog(self._worker_stamp)
         self._placement_log = StampLog(self._placement_stamp)
 
     def put_worker(self, record: WorkerRecord) -> bool:
-        """Stamps and stores a record of this process; False if a newer one is known."""
+        """Stamps and stores a worker record of this process; False if a newer one is stored."""
         known = self.workers.get(record.instance)
         if known is not None and record.rank() < known.record.rank():
             return False
@@ -65,7 +65,7 @@
         return True
 
     def put_placement(self, record: PlacementRecord) -> bool:
-        """Stamps and stores a placement of this process; False if it does not supersede the known one."""
+        """Stamps and stores a placement of this process; False if it does not supersede the stored one."""
         known = self.placements.get(record.instance)
         if known is not None and not _placement_supersedes(record, known.record):
             return False
@@ -75,7 +75,7 @@
     def merge(
         self, workers: tuple[StampedWorker, ...], placements: tuple[StampedPlacement, ...]
     ) -> list[str]:
-        """Stores the records of others that supersede known ones; returns the instances that changed."""
+        """Stores received records that supersede stored ones; returns the instances that changed."""
         changed: list[str] = []
         for worker in workers:
             known_worker = self.workers.get(worker.record.instance)
@@ -90,31 +90,31 @@
         return changed
 
     def advance_vector(self, vector: Mapping[str, int]) -> None:
-        """Notes that everything up to that vector has been merged."""
+        """Records that all changes up to a version vector have been merged."""
         for origin, counter in vector.items():
             self.vector[origin] = max(counter, self.vector.get(origin, 0))
 
     def records_after(self, vector: Mapping[str, int]) -> MissingRecords:
-        """The records that a subscriber with that vector lacks. O(their number)."""
+        """Records that a subscriber with a given vector has not received. O(returned records)."""
         return MissingRecords(
             workers=tuple(self.workers[key] for key in _keys_after(self._worker_log, vector)),
             placements=tuple(self.placements[key] for key in _keys_after(self._placement_log, vector)),
         )
 
     def advertised_vector(self) -> dict[str, int]:
-        """The version vector without stale origins."""
+        """Version vector without stale origins."""
         stale = self._stale_origins
         return {origin: counter for origin, counter in self.vector.items() if origin not in stale}
 
     def is_ahead(self, vector: Mapping[str, int]) -> bool:
-        """Whether a subscriber with that vector lacks anything. O(origins)."""
+        """Whether there are changes that a subscriber with a given vector has not received. O(origins)."""
         stale = self._stale_origins
         return any(
             counter > vector.get(origin, 0) for origin, counter in self.vector.items() if origin not in stale
         )
 
     def expire_origins(self, now: float) -> None:
-        """Drops origins of former incarnations; `now` in steady seconds. O(origins + records)."""
+        """Removes origins of former incarnations; `now` is in monotonic seconds. O(origins + records)."""
         in_use = {worker.stamp.origin for worker in self.workers.values()}
         in_use |= {placement.stamp.origin for placement in self.placements.values()}
         in_use.add(self.origin)
@@ -124,7 +124,7 @@
             if last_advance is None or last_advance.counter != counter or origin in in_use:
                 self._last_advances[origin] = OriginAdvance(counter, now)
                 continue
-            idle_s = now - last_advance.seen_at
+            idle_s = now - last_advance.observed_at
             if idle_s > RETENTION_S:
                 del self.vector[origin]
                 del self._last_advances[origin]
@@ -133,12 +133,12 @@
         self._stale_origins = frozenset(stale)
 
     def remove(self, instance: str) -> None:
-        """Drops a worker and its placement."""
+        """Removes a worker and its placement."""
         self.workers.pop(instance, None)
         self.placements.pop(instance, None)
 
     def expire_ended_workers(self, now: float) -> list[str]:
-        """Drops and returns workers that ended RETENTION_S ago; `now` in steady seconds."""
+        """Removes and returns workers that ended more than RETENTION_S ago; `now` is in monotonic seconds."""
         ended = [
             instance
             for instance, worker in self.workers.items()
@@ -152,7 +152,7 @@
         return expired
 
     def retain_workers(self, instances: set[str]) -> list[str]:
-        """Drops all workers but these; returns those dropped."""
+        """Removes all workers except the given ones; returns the removed instances."""
         dropped = [instance for instance in self.workers if instance not in instances]
         for instance in dropped:
             self.remove(instance)
@@ -187,13 +187,13 @@
 
 
 def _keys_after(log: StampLog, vector: Mapping[str, int]) -> Iterator[str]:
-    """The keys of all records with stamps above that vector."""
+    """Keys of all records with stamps later than a version vector."""
     for origin in log.origins():
         yield from log.keys_after(origin, vector.get(origin, 0))
 
 
 def _worker_supersedes(received: StampedWorker, known: StampedWorker) -> bool:
-    """Whether a record of another process replaces the known one: by rank, then by its owner's counter."""
+    """Whether a received record replaces the known one, by rank, then by the counter of the same origin."""
     received_rank = received.record.rank()
     known_rank = known.record.rank()
     if received_rank != known_rank:
--- a/finchladder/cluster/sessions/stamp_log.py
+++ b/finchladder/cluster/sessions/stamp_log.py
@@ -1,4 +1,4 @@
-"""An index of records by stamp: what has changed after a counter is found without a scan of all records."""
+"""Index of records by stamp, which finds the changes after a counter without a scan of all records."""
 
 from bisect import bisect_right, insort
 from collections.abc import Callable, Iterator
@@ -6,39 +6,39 @@
 
 from finchladder.cluster.types.workers import Stamp
 
-COMPACTION_SLACK = 64  # entries beyond twice the live ones before the log of one origin is compacted
+COMPACTION_SLACK = 64  # number of entries beyond twice the current ones that triggers a compaction
 
 
 class LogEntry(NamedTuple):
-    """The record that got a counter; ordered by counter."""
+    """Key of the record that was stamped with a counter; ordered by counter."""
 
     counter: int
     key: str
 
 
 class StampLog:
-    """The stamps of one table's records, by origin."""
+    """Log of the stamps of one table's records by origin."""
 
     def __init__(self, current_stamp: Callable[[str], Stamp | None]) -> None:
         """Creates an empty log.
 
         Args:
-            current_stamp: The stamp that the record with a key carries now; None if there is no such record.
+            current_stamp: Returns the current stamp of the record with a key; None without such a record.
                 Entries with other stamps are outdated and skipped.
         """
         self._current_stamp = current_stamp
-        self._entries: dict[str, list[LogEntry]] = {}  # by origin, ordered by counter
-        self._compaction_sizes: dict[str, int] = {}  # by origin: the length that triggers a compaction
+        self._entries: dict[str, list[LogEntry]] = {}  # entries by origin, ordered by counter
+        self._compaction_sizes: dict[str, int] = {}  # length that triggers a compaction, by origin
 
     def add(self, key: str, stamp: Stamp) -> None:
-        """Adds the stamp that a record has just been given. O(log entries), mostly at the end."""
+        """Adds the new stamp of a record. O(log entries) if it is the latest of its origin, as usual."""
         entries = self._entries.setdefault(stamp.origin, [])
         insort(entries, LogEntry(stamp.counter, key))
         if len(entries) > self._compaction_sizes.setdefault(stamp.origin, COMPACTION_SLACK):
             self._compact(stamp.origin)
 
     def keys_after(self, origin: str, counter: int) -> Iterator[str]:
-        """The keys of records that carry a stamp of that origin above that counter."""
+        """Keys of the records whose current stamp has the given origin and a counter above `counter`."""
         entries = self._entries.get(origin, [])
         first = bisect_right(entries, (counter + 1,))
         for entry in entries[first:]:
@@ -46,7 +46,7 @@
                 yield entry.key
 
     def origins(self) -> tuple[str, ...]:
-        """All origins that have stamped a record."""
+        """Origins of all entries in the log."""
         return tuple(self._entries)
 
     def _compact(self, origin: str) -> None:
--- a/finchladder/cluster/storage/__init__.py
+++ b/finchladder/cluster/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state of control processes."""
+"""Durable storage of control processes."""
--- a/finchladder/cluster/storage/interface.py
+++ b/finchladder/cluster/storage/interface.py
@@ -7,7 +7,7 @@
 
 
 class DurableStore(Protocol):
-    """A disk; `save` returns once the values would survive a power failure."""
+    """Durable storage on a disk; `save` returns when the values would survive a power failure."""
 
     @property
     def last_write_failed(self) -> bool:
@@ -15,13 +15,13 @@
         ...
 
     def pending_write_age_s(self) -> float:
-        """Age of the oldest pending write in seconds; 0 without one."""
+        """Age of the oldest pending write in seconds; 0 if no write is pending."""
         ...
 
     async def save(self, *, acceptor: Acceptor | None = None, replica: Replica | None = None) -> None:
-        """Makes the values durable; StorageError if the disk rejects the write."""
+        """Makes the values durable; raises StorageError if the disk rejects the write."""
         ...
 
     async def probe(self) -> None:
-        """Writes a few bytes; StorageError if the disk rejects the write."""
+        """Writes a few bytes as a test; raises StorageError if the disk rejects the write."""
         ...
--- a/finchladder/cluster/storage/lmdb_store.py
+++ b/finchladder/cluster/storage/lmdb_store.py
@@ -1,8 +1,8 @@
 """Durable state of a control process in LMDB, written by a dedicated thread.
 
-Each value is a format version, a checksum and MessagePack. A write returns only after the file was synced
-twice: by the commit, and by a forced sync that also covers the meta page of the transaction, which LMDB
-itself writes with O_DSYNC only. A corrupted state is moved aside, and the disk then counts as empty.
+Each value consists of a format version, a checksum and MessagePack. A write returns only after the file was
+synced twice: by the commit, and by a forced sync that includes the meta page of the transaction, which LMDB
+itself writes only with O_DSYNC. A corrupted state directory is renamed, and the disk then counts as empty.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 FORMAT_VERSION = 1
 CHECKSUM_BYTES = 8
-MAP_FRACTION = 0.4  # of the disk, as pages of old transactions need space besides the data
+MAP_FRACTION = 0.4  # fraction of the disk space; pages of old transactions need space in addition to the data
 MIN_MAP_BYTES = 8 << 20
 
 T = TypeVar("T")
@@ -33,29 +33,30 @@
     """A value does not match its checksum or format."""
 
 
-# a full or unreadable disk is not among these: its state must not be abandoned
+# Errors that show a corrupted state. Errors of a full or unreadable disk are excluded, because its state must
+# not be abandoned.
 CORRUPTION_ERRORS = (StorageCorruptedError, lmdb.InvalidError, lmdb.CorruptedError, lmdb.VersionMismatchError)
 
 
 class DiskIdentity(msgspec.Struct, frozen=True, array_like=True):
-    """Identity of a disk; `founder`: it was empty when the system was bootstrapped."""
+    """Identity of a disk; a founder is a disk that was empty when the system was bootstrapped."""
 
     disk_id: str
     founder: bool
 
 
 def encode_record(value: object) -> bytes:
-    """Encodes a value with format version and checksum."""
+    """Encodes a value with its format version and checksum."""
     payload = msgspec.msgpack.encode(value)
     return bytes([FORMAT_VERSION]) + blake2b(payload, digest_size=CHECKSUM_BYTES).digest() + payload
 
 
 def decode_record(data: bytes, kind: type[T]) -> T:
-    """Decodes what `encode_record` made; StorageCorruptedError for anything else."""
+    """Decodes the output of `encode_record`; raises StorageCorruptedError for any other data."""
     payload = data[1 + CHECKSUM_BYTES :]
     checksum = blake2b(payload, digest_size=CHECKSUM_BYTES).digest()
     if data[:1] != bytes([FORMAT_VERSION]) or data[1 : 1 + CHECKSUM_BYTES] != checksum:
-        raise StorageCorruptedError("checksum or format differs")
+        raise StorageCorruptedError("format version or checksum does not match")
     try:
         return msgspec.msgpack.decode(payload, type=kind)
     except DECODE_ERRORS as error:
@@ -63,28 +64,28 @@
 
 
 class LmdbStore:
-    """The disk of one control process; implements `DurableStore`.
+    """Storage of one control process; implements `DurableStore`.
 
     Attributes:
-        was_empty: Whether the disk held no state before.
-        moved_aside: Where a corrupted state was moved and why; empty if none was.
+        was_empty: Whether the disk contained no state when it was opened.
+        moved_aside: Path to which a corrupted state was moved, with the reason; empty if the state was valid.
     """
 
     def __init__(self, folder: str, disk_bytes: int, clock: Callable[[], float] = time.monotonic) -> None:
-        """Opens the state below `folder`, or creates it.
+        """Opens or creates the state in `folder`.
 
         Args:
             folder: Data directory of the process.
-            disk_bytes: Space that the process may use.
-            clock: Seconds of a steady clock.
+            disk_bytes: Disk space that the process may use.
+            clock: Returns the seconds of a monotonic clock.
         """
         self._folder = os.path.join(folder, "state")
         self._map_bytes = max(MIN_MAP_BYTES, int(disk_bytes * MAP_FRACTION))
         self._clock = clock
         self._executor = ThreadPoolExecutor(max_workers=1, thread_name_prefix="disk")
-        self._pending: dict[int, float] = {}  # start times of unfinished writes
+        self._pending: dict[int, float] = {}  # start times of pending writes by serial number
         self._serial = 0
-        self._failed = False
+        self._last_write_failed = False
         self.was_empty = not os.path.exists(self._folder)
         self.moved_aside = ""
         self._environment = self._open()
@@ -118,7 +119,7 @@
         return None if data is None else decode_record(bytes(data), kind)
 
     def load(self, new: Callable[[], DiskIdentity]) -> tuple[DiskIdentity, Acceptor, Replica]:
-        """Identity, acceptor and replica as stored; an empty disk gets the identity that `new` returns."""
+        """Loads identity, acceptor and replica; an empty disk gets the identity that `new` returns."""
         identity = self._get(b"identity", DiskIdentity)
         if identity is None:
             identity = new()
@@ -136,13 +137,13 @@
                     transaction.put(key, value)
             self._environment.sync(True)
         except lmdb.PanicError:
-            # after a failed write of a meta page LMDB rejects all writes until it is reopened
+            # After a failed write of a meta page LMDB rejects all writes until the environment is reopened.
             self._environment.close()
             self._environment = self._open_environment()
             raise
 
     async def save(self, *, acceptor: Acceptor | None = None, replica: Replica | None = None) -> None:
-        """Makes the values durable; StorageError if the disk rejects the write."""
+        """Makes the values durable; raises StorageError if the disk rejects the write."""
         values: dict[bytes, bytes] = {}
         if acceptor is not None:
             values[b"acceptor"] = encode_record(acceptor)
@@ -151,16 +152,16 @@
         await self._write_in_thread(values)
 
     async def probe(self) -> None:
-        """Writes a few bytes, to find out whether a failed disk has recovered."""
+        """Writes a few bytes to test whether a failed disk has recovered."""
         await self._write_in_thread({b"probe": b"\x00"})
 
     async def _write_in_thread(self, values: dict[bytes, bytes]) -> None:
-        """Writes in the order of the calls; a caller that is cancelled does not stop its write."""
+        """Writes in the order of the calls; the cancellation of a caller does not stop its write."""
         self._serial += 1
         serial = self._serial
         self._pending[serial] = self._clock()
         write = asyncio.get_running_loop().run_in_executor(self._executor, self._write, values)
-        write.add_done_callback(lambda done: self._on_written(serial, done))
+        write.add_done_callback(lambda future: self._on_written(serial, future))
         try:
             await asyncio.shield(write)
         except (lmdb.Error, OSError) as error:
@@ -168,25 +169,25 @@
 
     def _on_written(self, serial: int, write: "asyncio.Future[None]") -> None:
         del self._pending[serial]
-        self._failed = write.cancelled() or write.exception() is not None
+        self._last_write_failed = write.cancelled() or write.exception() is not None
 
     def close(self) -> None:
-        """Stops the thread and closes the file."""
+        """Stops the writer thread and closes the LMDB environment."""
         self._executor.shutdown()
         self._environment.close()
 
     @property
     def last_write_failed(self) -> bool:
         """Whether the last write failed."""
-        return self._failed
+        return self._last_write_failed
 
     def pending_write_age_s(self) -> float:
-        """Age of the oldest pending write in seconds; 0 without one."""
+        """Age of the oldest pending write in seconds; 0 if no write is pending."""
         return self._clock() - min(self._pending.values()) if self._pending else 0.0
 
 
 def _sync_folder(path: str) -> None:
-    """Makes new directory entries durable."""
+    """Makes new entries of a directory durable."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/tests/cluster/test_lmdb_store.py
+++ b/tests/cluster/test_lmdb_store.py
@@ -1,4 +1,4 @@
-"""The durable store of a control process: recovery, failed writes, corrupted values."""
+"""Tests of the durable store of a control process: recovery, failed writes and corrupted values."""
 
 import asyncio
 import threading
@@ -31,7 +31,7 @@
     return DiskIdentity(name, True)
 
 
-def test_what_was_saved_is_there_at_the_next_start(tmp_path: Path) -> None:
+def test_saved_values_are_loaded_after_a_restart(tmp_path: Path) -> None:
     store = LmdbStore(str(tmp_path), DISK_BYTES)
     assert store.was_empty
     assert store.load(lambda: identity("first")) == (identity("first"), Acceptor(), Replica())
@@ -42,7 +42,7 @@
     assert again.load(lambda: identity("second")) == (identity("first"), ACCEPTOR, REPLICA)
 
 
-def test_a_write_whose_caller_is_cancelled_counts_as_pending_until_it_is_on_the_disk(tmp_path: Path) -> None:
+def test_a_write_whose_caller_is_cancelled_is_pending_until_it_is_durable(tmp_path: Path) -> None:
     async def work() -> None:
         store = LmdbStore(str(tmp_path), DISK_BYTES)
         store.load(lambda: identity("first"))
@@ -64,19 +64,19 @@
 
 
 class PanickedEnvironment:
-    """What LMDB leaves after it could not write the page that names a transaction: it refuses everything."""
+    """An LMDB environment after a failed write of a meta page, which rejects all transactions."""
 
-    def __init__(self, real: lmdb.Environment) -> None:
-        self._real = real
+    def __init__(self, environment: lmdb.Environment) -> None:
+        self._environment = environment
 
     def begin(self, **_: object) -> None:
         raise lmdb.PanicError("MDB_PANIC")
 
     def close(self) -> None:
-        self._real.close()
+        self._environment.close()
 
 
-def test_a_disk_that_made_lmdb_give_up_is_used_again_once_it_takes_writes(tmp_path: Path) -> None:
+def test_the_environment_is_reopened_after_an_lmdb_panic(tmp_path: Path) -> None:
     store = LmdbStore(str(tmp_path), DISK_BYTES)
     store.load(lambda: identity("first"))
     asyncio.run(store.save(acceptor=ACCEPTOR))
@@ -90,7 +90,7 @@
     assert store.load(lambda: identity("second")) == (identity("first"), ACCEPTOR, REPLICA)
 
 
-def test_a_damaged_file_is_moved_aside_and_the_disk_counts_as_another_one(tmp_path: Path) -> None:
+def test_a_corrupted_state_is_renamed_and_the_disk_gets_a_new_identity(tmp_path: Path) -> None:
     store = LmdbStore(str(tmp_path), DISK_BYTES)
     store.load(lambda: identity("first"))
     asyncio.run(store.save(replica=REPLICA))
@@ -103,17 +103,17 @@
     assert list(tmp_path.glob("state.damaged-*"))
 
 
-def test_a_file_that_cannot_be_opened_now_is_left_where_it_is(tmp_path: Path) -> None:
+def test_a_state_that_cannot_be_opened_but_is_not_corrupted_is_not_renamed(tmp_path: Path) -> None:
     store = LmdbStore(str(tmp_path), DISK_BYTES)
     store.load(lambda: identity("first"))
     with pytest.raises(lmdb.Error):
-        LmdbStore(str(tmp_path), DISK_BYTES)  # LMDB refuses a file that this process has open
+        LmdbStore(str(tmp_path), DISK_BYTES)  # LMDB rejects a file that the process has already opened
     assert not list(tmp_path.glob("state.damaged-*"))
 
 
 @given(st.integers(0, 200), st.integers(1, 255))
-def test_a_changed_byte_is_noticed(place: int, change: int) -> None:
+def test_a_changed_byte_is_detected(position: int, change: int) -> None:
     data = bytearray(encode_record(REPLICA))
-    data[place % len(data)] ^= change
+    data[position % len(data)] ^= change
     with pytest.raises(StorageCorruptedError):
         decode_record(bytes(data), Replica)
--- a/tests/cluster/test_power_loss.py
+++ b/tests/cluster/test_power_loss.py
@@ -1,8 +1,7 @@
-"""What LMDB promises and the store rests on: whatever a loss of power leaves of a write that was under way,
-the disk is read as it was before it, or after it.
+"""Tests that a power failure during a write leaves the state before or after the write.
 
-LMDB writes the pages of a transaction, syncs them, and then writes the page that names it. A write that was
-not synced may be there, missing or torn, each page by itself.
+LMDB writes the pages of a transaction, syncs them and then writes the meta page of the transaction. After a
+power failure, each page that was not synced may be written, missing or torn.
 """
 
 import asyncio
@@ -20,7 +19,7 @@
 
 DISK_BYTES = 32 << 20
 PAGE_BYTES = 4096
-META_PAGES = 2  # the first ones, each names every other transaction
+META_PAGES = 2  # the first pages of the file, used by alternate transactions
 FILE = "state/data.mdb"
 IDENTITY = DiskIdentity("disk", True)
 
@@ -32,8 +31,8 @@
     return Acceptor(promised=Ballot(number, "a")), Replica(number, state)
 
 
-def written(folder: Path, sizes: list[int]) -> list[bytes]:
-    """The file after each of these writes."""
+def file_images(folder: Path, sizes: list[int]) -> list[bytes]:
+    """Returns the content of the file after each write of a document with one of the sizes."""
     store = LmdbStore(str(folder), DISK_BYTES)
     store.load(lambda: IDENTITY)
     images = []
@@ -46,11 +45,11 @@
 
 
 def read_back(folder: Path, image: bytes) -> Values:
-    """What a process finds on that disk at its start."""
+    """Returns the state that a process loads from a file image at its start."""
     (folder / "state").mkdir(parents=True)
     (folder / FILE).write_bytes(image)
     store = LmdbStore(str(folder), DISK_BYTES)
-    assert not store.moved_aside, "what was synced is gone"
+    assert not store.moved_aside, "synced state was treated as corrupted"
     identity, acceptor, replica = store.load(lambda: DiskIdentity("another", False))
     store.close()
     assert identity == IDENTITY
@@ -67,31 +66,31 @@
     ]
 
 
-def with_page(image: bytes, after: bytes, page: int, kept: range) -> bytes:
-    """With those bytes of a page as they are after the write; the file grows where it has to."""
-    begin, end = page * PAGE_BYTES + kept.start, page * PAGE_BYTES + kept.stop
-    image = image.ljust(end, b"\x00") if kept else image
+def with_page(image: bytes, after: bytes, page: int, written: range) -> bytes:
+    """Copies the written bytes of a page from the image after the write; extends the file if necessary."""
+    begin, end = page * PAGE_BYTES + written.start, page * PAGE_BYTES + written.stop
+    image = image.ljust(end, b"\x00") if written else image
     return image[:begin] + after[begin:end] + image[end:]
 
 
-def torn(random: Random) -> range:
-    """All of a page, nothing, or a part of it."""
+def written_range(random: Random) -> range:
+    """Draws the written part of a page: all of it, nothing, or the bytes before or after a position."""
     cut = random.randrange(PAGE_BYTES)
     return random.choice([range(PAGE_BYTES), range(0), range(cut), range(cut, PAGE_BYTES)])
 
 
 def images_before_the_sync(before: bytes, after: bytes, random: Random) -> Iterator[bytes]:
-    """Pages of the transaction are there, missing or torn; the page that names it was not written."""
+    """Yields images with written, missing and torn pages of the transaction, without its meta page."""
     pages = [page for page in changed_pages(before, after) if page >= META_PAGES]
     for _ in range(12):
         image = before
         for page in random.sample(pages, len(pages)):
-            image = with_page(image, after, page, torn(random))
+            image = with_page(image, after, page, written_range(random))
         yield image
 
 
 def images_after_the_sync(before: bytes, after: bytes) -> Iterator[bytes]:
-    """All pages of the transaction are there, and the one that names it up to any byte that differs."""
+    """Yields images with all pages of the transaction and its meta page torn at any position."""
     image = before
     pages = changed_pages(before, after)
     for page in pages:
@@ -109,10 +108,10 @@
 
 
 @pytest.mark.parametrize("sizes", SIZES, ids=str)
-def test_a_write_that_power_interrupts_leaves_the_state_before_or_after_it(
+def test_a_power_failure_during_a_write_leaves_the_state_before_or_after_it(
     tmp_path: Path, sizes: list[int]
 ) -> None:
-    images = written(tmp_path / "written", sizes)
+    images = file_images(tmp_path / "written", sizes)
     random, number = Random(len(sizes)), 0
     for step, (before, after) in enumerate(zip(images, images[1:], strict=False), 1):
         earlier, later = values(step, sizes[step - 1]), values(step + 1, sizes[step])
@@ -125,23 +124,23 @@
     assert number > 20
 
 
-def is_noticed(folder: Path, image: bytes, *stored: Values) -> bool:
-    """Whether a file that breaks the promise is refused, or reads as none of what was stored."""
+def is_detected(folder: Path, image: bytes, *stored: Values) -> bool:
+    """Whether an invalid file is rejected or loads as a state that was never stored."""
     (folder / "state").mkdir(parents=True)
     (folder / FILE).write_bytes(image)
     store = LmdbStore(str(folder), DISK_BYTES)
-    noticed = bool(store.moved_aside) or store.load(lambda: IDENTITY)[1:] not in stored
+    detected = bool(store.moved_aside) or store.load(lambda: IDENTITY)[1:] not in stored
     store.close()
-    return noticed
+    return detected
 
 
-def test_a_page_that_was_synced_and_is_missing_all_the_same_is_noticed(tmp_path: Path) -> None:
-    """The check above can fail: where the promise is broken for a page of the document, it is seen."""
+def test_a_missing_page_that_was_synced_is_detected(tmp_path: Path) -> None:
+    """Checks that the test above can fail: a missing page of the document is detected."""
     size = 60_000
-    before, after = written(tmp_path / "written", [size, size])
+    before, after = file_images(tmp_path / "written", [size, size])
     data = [page for page in changed_pages(before, after) if page >= META_PAGES]
     old = before.ljust(len(after), b"\x00")
     images = [with_page(after, old, page, range(PAGE_BYTES)) for page in data]
     stored = values(1, size), values(2, size)
-    noticed = [is_noticed(tmp_path / str(n), image, *stored) for n, image in enumerate(images)]
-    assert sum(noticed) >= size // PAGE_BYTES
+    detected = [is_detected(tmp_path / str(n), image, *stored) for n, image in enumerate(images)]
+    assert sum(detected) >= size // PAGE_BYTES
--- a/tests/cluster/test_replicated_tables.py
+++ b/tests/cluster/test_replicated_tables.py
@@ -1,4 +1,4 @@
-"""The replicated tables: merging, version vectors, expiry."""
+"""Tests of merging, version vectors and expiry in the replicated tables."""
 
 from collections.abc import Mapping
 
@@ -22,12 +22,12 @@
 
 
 def _scan(records: Mapping[str, StampedWorker | StampedPlacement], vector: Mapping[str, int]) -> set[str]:
-    """What a scan of all records finds above a vector: the oracle for the stamp log."""
+    """Finds the records above a vector by a scan of all records, to verify the stamp log."""
     return {key for key, r in records.items() if r.stamp.counter > vector.get(r.stamp.origin, 0)}
 
 
 class Replication(RuleBasedStateMachine):
-    """Writers stamp records, all pull from each other; after enough pulls all tables are equal."""
+    """Checks that all tables are equal after writers stamp records and all processes pull from each other."""
 
     @initialize()
     def begin(self) -> None:
@@ -95,7 +95,7 @@
 
 
 def exchange(one: ReplicatedTables, other: ReplicatedTables) -> None:
-    """Each pulls from the other, as control processes do."""
+    """Lets both processes pull from each other."""
     for reader, source in ((one, other), (other, one)):
         reader.merge(*source.records_after(reader.vector))
         reader.advance_vector(source.advertised_vector())
@@ -106,23 +106,23 @@
 
 
 def test_vectors_do_not_grow_with_incarnations_of_control_processes() -> None:
-    """100 incarnations, each of which stamps a worker that the next one takes over."""
-    steady_one, now = ReplicatedTables("core-2/1"), 0.0
+    """Each of 100 incarnations stamps a worker that the next incarnation takes over."""
+    long_lived, now = ReplicatedTables("core-2/1"), 0.0
     for incarnation in range(100):
         other = ReplicatedTables(f"core-1/{incarnation}")
         other.put_worker(msgspec.structs.replace(worker("i-1", other.origin), sequence=incarnation))
         for _ in range(4):
-            exchange(steady_one, other)
+            exchange(long_lived, other)
             now += 5.0
-            steady_one.expire_origins(now)
+            long_lived.expire_origins(now)
             other.expire_origins(now)
-        assert not steady_one.is_ahead(other.vector)
-        assert not other.is_ahead(steady_one.vector)
-    assert len(steady_one.vector) <= 6
-    assert steady_one.workers["i-1"].record.sequence == 99
+        assert not long_lived.is_ahead(other.vector)
+        assert not other.is_ahead(long_lived.vector)
+    assert len(long_lived.vector) <= 6
+    assert long_lived.workers["i-1"].record.sequence == 99
 
 
-def test_an_origin_whose_stamp_a_record_carries_stays_advertised() -> None:
+def test_an_origin_remains_advertised_while_a_record_carries_its_stamp() -> None:
     tables = ReplicatedTables("core-2/1")
     tables.merge((StampedWorker(Stamp("core-1/1", 7), worker("i-1", "core-1/1")),), ())
     tables.advance_vector({"core-1/1": 7, "core-3/1": 4})
@@ -131,7 +131,7 @@
     assert tables.advertised_vector() == tables.vector == {"core-1/1": 7}
 
 
-def test_origins_that_expire_at_different_times_do_not_spread_again_for_ever() -> None:
+def test_origins_that_expire_at_different_times_are_not_replicated_back_and_forth() -> None:
     one, other = ReplicatedTables("a"), ReplicatedTables("b")
     one.advance_vector({"gone": 5})
     for step in range(60):
@@ -143,7 +143,7 @@
     assert "gone" not in other.vector
 
 
-def test_a_worker_that_came_back_does_not_expire_for_its_earlier_loss() -> None:
+def test_a_worker_that_recovered_does_not_expire_because_of_its_earlier_loss() -> None:
     tables = ReplicatedTables("a")
     tables.put_worker(worker("i-1", "a", SessionPhase.LOST))
     assert tables.expire_ended_workers(0.0) == []
