--- a/finchladder/cluster/transport/exchange.py
+++ b/finchladder/cluster/transport/exchange.py
@@ -1,22 +1,23 @@
-"""aiohttp's client protocol, made strict about how an exchange with an HTTP server ends.
+"""Client protocol of aiohttp with strict checks of how an exchange with an HTTP server ends.
 
-An exchange begins when a request is written and has one final response. Outcome of each ending:
+An exchange begins when a request is written and has one final response. The outcome depends on the received
+part of the response and on how the connection ends:
 
-    received of the response  FIN                 reset or time-out   more bytes than the response
+    received part             FIN                 reset or timeout    surplus bytes
     nothing                   error               error               -
-    a part of its head        error               error               -
-    1xx alone                 error               error               the final response is awaited
-    head, counted body, part  error               error               -
-    head, counted body, all   complete            complete            complete; connection not reused
-    head, chunks, not the 0   error               error               -
-    head, chunks, the last    complete            complete            complete; connection not reused
-    head, body without length complete            error               part of the body
-
-Surplus bytes never become a part of the response, nor do they make it an error, also where they come in one
-piece with it: the parser gets the head alone, so that it has delivered it before it meets what follows. An
-error is raised to the reader of the body, also when bytes of it are still unread. A final response that
-arrives while a part of the request is unsent is delivered, and the connection is not reused: the next request
-would follow an incomplete one.
+    incomplete head           error               error               -
+    only 1xx responses        error               error               waits for the final response
+    incomplete counted body   error               error               -
+    complete counted body     complete            complete            complete; connection not reused
+    chunks without the last   error               error               -
+    all chunks                complete            complete            complete; connection not reused
+    body without length       complete            error               part of the body
+
+Surplus bytes neither become a part of the response nor turn it into an error, even if they arrive together
+with it. For this the parser first gets only the head, so that it delivers the head before it parses the bytes
+that follow. An error is raised to the reader of the body even if some bytes of the body are still unread. A
+final response that arrives before the whole request is sent is delivered, but the connection is not reused,
+because the next request would follow an incomplete one.
 """
 
 from functools import partial
@@ -31,13 +32,13 @@
 
 
 class StrictResponseHandler(ResponseHandler):
-    """One connection to a server; at most one exchange at a time."""
+    """One connection to a server, with at most one exchange at a time."""
 
-    _final_responses = 0  # heads of final responses since the exchange began
-    _head_tail = b""  # the last bytes of an incomplete head
+    _final_responses = 0  # number of final response heads in the current exchange
+    _head_tail = b""  # last bytes of an incomplete head
 
     def set_response_params(self, **parameters: Any) -> None:
-        """Begins an exchange; bytes received before it belong to none and end the connection."""
+        """Begins an exchange; the connection is closed if bytes were received before it."""
         if self._tail or self._buffer:
             self._buffer.clear()
             self._discard()
@@ -46,7 +47,7 @@
         super().set_response_params(**parameters)
 
     def data_received(self, data: bytes) -> None:
-        """Feeds received bytes to the parser; empty data resumes reading after a pause."""
+        """Passes received bytes to the parser; empty data resumes reading after a pause."""
         while data and self._parser is not None and self._final_responses == 0:
             head_length = self._head_length(data)
             super().data_received(data[:head_length])
@@ -61,7 +62,7 @@
             super().data_received(data)
 
     def _head_length(self, data: bytes) -> int:
-        """How many of the received bytes belong to the head that is being received, which may go on."""
+        """Number of the received bytes that belong to the current head, which may still be incomplete."""
         before = len(self._head_tail)
         received = self._head_tail + data
         end = received.find(END_OF_HEAD)
@@ -72,7 +73,7 @@
         return end + len(END_OF_HEAD) - before
 
     def feed_data(self, data: Any, size: int = 0) -> None:
-        """Queues a parsed head for the reader, unless the exchange already has its final response."""
+        """Queues a parsed head for the reader unless the exchange already has its final response."""
         message, _ = data
         is_final = message.code >= FIRST_FINAL_STATUS or message.code == SWITCHING_PROTOCOLS
         if is_final:
@@ -85,14 +86,14 @@
         super().feed_data(data, size)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Fails an unfinished body unless the server closed the connection in order."""
+        """Fails the reader of an incomplete body unless the server closed the connection with FIN."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
-            payload.set_exception(ClientPayloadError(f"the connection broke within the answer: {exc!r}"), exc)
+            payload.set_exception(ClientPayloadError(f"connection lost in the response body: {exc!r}"), exc)
         super().connection_lost(exc)
 
     def close(self) -> None:
-        """Closes the connection; unsent bytes of a request are dropped."""
+        """Closes the connection and discards unsent bytes of a request."""
         if self._has_unsent_bytes():
             self.abort()
         else:
@@ -106,9 +107,9 @@
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def _discard(self) -> None:
-        """Drops bytes that belong to no exchange, and closes the connection.
+        """Discards bytes that belong to no exchange and closes the connection.
 
-        A response that was received before them is kept for its reader.
+        A response that was received before these bytes is kept for its reader.
         """
         self._tail = b""
         self.force_close()
--- a/finchladder/cluster/transport/http_client.py
+++ b/finchladder/cluster/transport/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP client sessions of aiohttp without its implicit retries, decoding and headers."""
+"""HTTP client sessions of aiohttp without implicit retries, decoding and headers."""
 
 import socket
 from typing import Any
@@ -8,12 +8,12 @@
 from finchladder.cluster.transport.exchange import strict_protocols
 
 TCP_USER_TIMEOUT_MS = 3000  # unacknowledged data fails the connection to a partitioned peer
-KEEPALIVE_FRACTION = 0.85  # of the peer's own idle timeout, so that we close first
+KEEPALIVE_FRACTION = 0.85  # fraction of the peer's idle timeout, so that the client closes first
 SKIPPED_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 def make_socket(info: Any) -> socket.socket:
-    """A TCP socket that fails when the peer acknowledges no data."""
+    """Creates a TCP socket whose connection fails if the peer does not acknowledge data."""
     family, kind, protocol, *_ = info
     connection = socket.socket(family, kind, protocol)
     connection.setblocking(False)
@@ -23,26 +23,26 @@
 
 
 class KeepAliveConnector(aiohttp.TCPConnector):
-    """Closes idle connections before the peers' announced timeouts; exchanges end strictly."""
+    """Connector that closes idle connections before the peer does and checks strictly how exchanges end."""
 
     def __init__(self, **options: Any) -> None:
-        """Takes the options of `aiohttp.TCPConnector`."""
+        """Accepts the options of `aiohttp.TCPConnector`."""
         super().__init__(**options)
-        self._factory = strict_protocols(self._loop)  # aiohttp has no public way to choose the protocol
+        self._factory = strict_protocols(self._loop)  # aiohttp has no public API to set the protocol
 
     def apply_keep_alive(self, header_value: str) -> None:
-        """Lowers the idle timeout to a fraction of that in a `Keep-Alive` header."""
-        for part in header_value.split(","):
-            name, _, value = part.strip().partition("=")
+        """Lowers the idle timeout to a fraction of the timeout in a `Keep-Alive` header."""
+        for parameter in header_value.split(","):
+            name, _, value = parameter.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit():
-                # aiohttp has no public way to change it once the connector is made
+                # aiohttp has no public API to change the timeout of an existing connector.
                 timeout_s = KEEPALIVE_FRACTION * float(value)
                 if self._keepalive_timeout is None or timeout_s < self._keepalive_timeout:
                     self._keepalive_timeout = timeout_s
 
 
 def make_session(*, keepalive_s: float, limit_per_host: int = 0) -> aiohttp.ClientSession:
-    """A session that sends each request unchanged and at most once."""
+    """Creates a session that sends each request unchanged and at most once."""
     connector = KeepAliveConnector(
         limit=0,
         limit_per_host=limit_per_host,
@@ -58,6 +58,6 @@
         timeout=aiohttp.ClientTimeout(total=None),
         raise_for_status=False,
     )
-    # aiohttp retries idempotent methods when an idle connection was dropped
+    # Otherwise aiohttp retries idempotent methods if the server has closed an idle connection.
     session._retry_connection = False
     return session
--- a/finchladder/cluster/transport/http_connection.py
+++ b/finchladder/cluster/transport/http_connection.py
@@ -1,7 +1,7 @@
-"""Server side of an HTTP connection, made silent: neither responses nor logs quote what a client sent.
+"""Server side of an HTTP connection whose error responses and logs contain no data of the request.
 
-aiohttp puts the text of a parser's error into its response and, with a traceback, into its own log. Such a
-text quotes the header or line that was refused, and with it an API key.
+By default aiohttp includes the text of a parser error in its response and, with a traceback, in its log. Such
+a text quotes the rejected header or line, which may contain an API key.
 """
 
 from collections.abc import Awaitable, Callable
@@ -16,17 +16,17 @@
 
 MALFORMED_TEXT = "malformed request\n"
 FAILED_TEXT = "the request failed\n"
-NO_RESPONSE = "no response"  # the problem where a handler raised nothing
+NO_RESPONSE = "no response"  # problem of a handler that failed without an exception
 
 
 @frozen
 class RequestFailure:
-    """A request that the server itself answered, without its contents.
+    """A malformed request or a failed handler, without data of the request.
 
     Attributes:
-        is_malformed: Whether the request is at fault, not its handler.
+        is_malformed: Whether the request is malformed; otherwise its handler failed.
         problem: Kind of the error.
-        location: Where it was raised; empty if that is unknown.
+        location: Module and line that raised the error; empty if unknown.
     """
 
     is_malformed: bool
@@ -38,13 +38,13 @@
 FailureReporter = Callable[[RequestFailure], None]
 
 
-class SilentConnection(web.RequestHandler):
-    """One connection of a client; failures go to its reporter, nothing to aiohttp's log."""
+class RedactingConnection(web.RequestHandler):
+    """One client connection that reports failures to its reporter instead of aiohttp's log."""
 
     __slots__ = ("_report_failure",)
 
     def __init__(self, *arguments: Any, report_failure: FailureReporter, **options: Any) -> None:
-        """Creates a connection; all other arguments are those of aiohttp's."""
+        """Creates a connection; all other arguments are passed to aiohttp."""
         super().__init__(*arguments, **options)
         self._report_failure = report_failure
 
@@ -53,25 +53,25 @@
         request: web.BaseRequest,
         status: int = HTTPStatus.INTERNAL_SERVER_ERROR,
         exc: BaseException | None = None,
-        message: str | None = None,  # of the parser; it quotes the request
+        message: str | None = None,  # parser message, not used because it quotes the request
     ) -> web.StreamResponse:
-        """The response to a malformed request or a failed handler: a fixed text, then the connection closes.
+        """Answers a malformed request or a failed handler with a fixed text and closes the connection.
 
         Raises:
-            ConnectionError: A part of another response was already sent.
+            ConnectionError: Part of another response was already sent.
         """
         is_malformed = isinstance(exc, HttpProcessingError | web.RequestPayloadError)
         self._report(exc, is_malformed)
         if request.writer.output_size > 0:
-            raise ConnectionError("a part of the response was already sent")
+            raise ConnectionError("part of the response was already sent")
         if is_malformed and status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            status = HTTPStatus.BAD_REQUEST  # its body turned out to be malformed while the handler read it
+            status = HTTPStatus.BAD_REQUEST  # the handler failed because the request body is malformed
         response = web.Response(status=status, text=MALFORMED_TEXT if is_malformed else FAILED_TEXT)
         response.force_close()
         return response
 
     def log_exception(self, *_: Any, **options: Any) -> None:
-        """Reports an error that aiohttp would log."""
+        """Reports an error instead of logging it."""
         self._report(options.get("exc_info"), is_malformed=False)
 
     def _report(self, error: BaseException | None, is_malformed: bool) -> None:
@@ -80,14 +80,14 @@
         self._report_failure(RequestFailure(is_malformed, problem, location))
 
 
-class SilentServer(web.Server):
-    """Makes the connections of one listener."""
+class RedactingServer(web.Server):
+    """Creates the connections of one listener."""
 
     def __init__(self, handler: RequestHandler, report_failure: FailureReporter, **options: Any) -> None:
-        """Creates a server; `options` are those of aiohttp's connections and server."""
+        """Creates a server; `options` are passed to aiohttp's server and connections."""
         super().__init__(handler, **options)
         self._report_failure = report_failure
 
     def __call__(self) -> web.RequestHandler:
-        """A connection that was just accepted."""
-        return SilentConnection(self, loop=self._loop, report_failure=self._report_failure, **self._kwargs)
+        """Creates the protocol of an accepted connection."""
+        return RedactingConnection(self, loop=self._loop, report_failure=self._report_failure, **self._kwargs)
--- a/finchladder/cluster/transport/http_server.py
+++ b/finchladder/cluster/transport/http_server.py
@@ -1,19 +1,19 @@
-"""HTTP listeners on aiohttp's low-level server: one handler for all paths, responses sent unchanged."""
+"""HTTP listeners on aiohttp's low-level server, with one handler for all paths and unmodified responses."""
 
 from aiohttp import web
 
 from finchladder.cluster.transport.http_connection import (
     FailureReporter,
+    RedactingServer,
     RequestFailure,
     RequestHandler,
-    SilentServer,
 )
 
 BACKLOG = 1024
 
 
 def _ignore_failure(_: RequestFailure) -> None:
-    """For listeners that log nothing."""
+    """Default failure reporter, which logs nothing."""
 
 
 class Listener:
@@ -28,16 +28,16 @@
         cancel_on_disconnect: bool = False,
         report_failure: FailureReporter = _ignore_failure,
     ) -> None:
-        """Creates a listener that is not started.
+        """Creates a listener without starting it.
 
         Args:
             handler: Handles every request.
-            address: `host:port` to listen on.
-            keepalive_s: How long idle connections stay open.
-            cancel_on_disconnect: Whether a client that disconnects cancels its handler.
+            address: Address to listen on as `host:port`.
+            keepalive_s: Seconds for which idle connections stay open.
+            cancel_on_disconnect: Whether the disconnection of a client cancels its handler.
             report_failure: Called for each request that is malformed or whose handler fails.
         """
-        self._server = SilentServer(
+        self._server = RedactingServer(
             handler,
             report_failure,
             handler_cancellation=cancel_on_disconnect,
@@ -51,7 +51,7 @@
         self._site: web.TCPSite | None = None
 
     async def start(self) -> None:
-        """Starts to listen; OSError if the address is in use."""
+        """Starts to listen; raises OSError if the address is in use."""
         await self._runner.setup()
         host, port = split_address(self._address)
         self._site = web.TCPSite(self._runner, host, port, backlog=BACKLOG, reuse_address=True)
@@ -59,7 +59,7 @@
 
     @property
     def bound_address(self) -> str:
-        """The address that it listens on, with the port that the system chose for port 0."""
+        """The listening address, with the port that the system assigned if port 0 was given."""
         host, port = self._runner.addresses[0][:2]
         return f"{host}:{port}"
 
@@ -75,9 +75,9 @@
             self._site = None
 
     def close_idle(self) -> None:
-        """Closes connections without an open request; the others close after their response."""
+        """Closes connections without a current request; others close after their response."""
         for connection in self._server.connections:
-            # aiohttp's close() of an idle connection ends its reader but leaves the socket open
+            # aiohttp's close() of an idle connection stops its reader but leaves the socket open.
             waiter = connection._waiter
             if waiter is not None and not waiter.done():
                 connection.force_close()
@@ -88,6 +88,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of `host:port`."""
+    """Splits `host:port` into host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/finchladder/cluster/transport/interface.py
+++ b/finchladder/cluster/transport/interface.py
@@ -1,4 +1,4 @@
-"""The interface of calls between processes."""
+"""Interface for calls between processes."""
 
 from typing import Protocol
 
@@ -6,13 +6,13 @@
 
 
 class Peers(Protocol):
-    """Calls other processes."""
+    """Client for requests to other processes."""
 
     async def call(self, address: str, request: Request, timeout_s: float) -> Reply:
         """Sends a request and returns the reply.
 
         Raises:
-            PeerUnreachableError: No reply within the timeout.
-            PeerRefusedError: The peer could not carry out the request.
+            PeerUnreachableError: No reply was received within the timeout.
+            PeerRefusedError: The peer could not execute the request.
         """
         ...
--- a/finchladder/cluster/transport/peers.py
+++ b/finchladder/cluster/transport/peers.py
@@ -1,4 +1,4 @@
-"""The internal protocol over HTTP: one POST per request, MessagePack in both directions."""
+"""Internal protocol over HTTP, with one POST per request and MessagePack in both directions."""
 
 import asyncio
 import time
@@ -35,15 +35,15 @@
     """Client of the internal protocol; implements `Peers`."""
 
     def __init__(self) -> None:
-        """Creates a client without connections; needs a running event loop."""
+        """Creates a client without connections; requires a running event loop."""
         self._session = make_session(keepalive_s=KEEPALIVE_TIMEOUT_S)
 
     async def call(self, address: str, request: Request, timeout_s: float) -> Reply:
-        """Sends one request and returns the reply; never retries.
+        """Sends one request without retries and returns the reply.
 
         Raises:
-            PeerUnreachableError: No reply within the timeout, or the connection failed.
-            PeerRefusedError: The peer could not carry out the request, or its reply is malformed.
+            PeerUnreachableError: No reply was received within the timeout, or the connection failed.
+            PeerRefusedError: The peer could not execute the request, or its reply is malformed.
         """
         step = type(request).__name__
         timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=min(CONNECT_TIMEOUT_S, timeout_s))
@@ -53,13 +53,13 @@
             ) as response:
                 body = await response.read()
                 if response.status != 200:
-                    raise PeerRefusedError(step, address, f"status {response.status}")
+                    raise PeerRefusedError(step, address, f"HTTP status {response.status}")
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise PeerUnreachableError(step, address, error_kind(error)) from None
         try:
             reply = reply_decoder.decode(body)
         except DECODE_ERRORS as error:
-            raise PeerRefusedError(step, address, f"unreadable reply: {error_kind(error)}") from None
+            raise PeerRefusedError(step, address, f"malformed reply: {error_kind(error)}") from None
         if isinstance(reply, Failure):
             raise PeerRefusedError(reply.step, address, reply.problem)
         return reply
@@ -72,13 +72,13 @@
 def peer_handler(
     handle_request: RequestHandler,
 ) -> Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]:
-    """An HTTP handler that decodes requests of the internal protocol and encodes the replies."""
+    """Creates an HTTP handler that decodes requests of the internal protocol and encodes the replies."""
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         try:
             message = request_decoder.decode(await request.content.read())
         except DECODE_ERRORS as error:
-            return web.Response(status=400, text=f"unreadable: {error_kind(error)}\n")
+            return web.Response(status=400, text=f"malformed request: {error_kind(error)}\n")
         try:
             reply: Reply = await handle_request(message)
         except ClusterError as error:
@@ -89,7 +89,7 @@
 
 
 async def result_or_error(awaitable: Awaitable[Reply]) -> Reply | ClusterError:
-    """The reply, or the error as a value, for calls to several peers."""
+    """Awaits a call and returns its reply, or its error as a value."""
     try:
         return await awaitable
     except ClusterError as error:
@@ -97,7 +97,7 @@
 
 
 def steady() -> float:
-    """Seconds of the event loop's steady clock, which simulations replace by a virtual one."""
+    """Monotonic time in seconds of the event loop's clock, which simulations replace by a virtual clock."""
     try:
         return asyncio.get_running_loop().time()
     except RuntimeError:
@@ -105,5 +105,5 @@
 
 
 async def call_all(calls: Sequence[Awaitable[Reply]]) -> list[Reply | ClusterError]:
-    """Awaits all calls concurrently; each result is a reply or an error, in the order of the calls."""
+    """Awaits all calls concurrently and returns their replies or errors in the order of the calls."""
     return list(await asyncio.gather(*(result_or_error(call) for call in calls)))
--- a/tests/cluster/test_exchange.py
+++ b/tests/cluster/test_exchange.py
@@ -1,4 +1,4 @@
-"""How an exchange with a worker ends: by the client's protocol alone, and on sockets with a scripted peer."""
+"""Tests of how exchanges with a worker end, for the client protocol alone and with a scripted peer."""
 
 import asyncio
 import socket
@@ -27,15 +27,15 @@
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 EARLY_HINTS = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
 FIN, RESET = "FIN", "reset"
-NO_HTTP = b"surplus"
+NON_HTTP_BYTES = b"surplus"
 
 
 @dataclass(frozen=True)
 class Framing:
-    """How an answer says where its body ends. `head_end`: where its body begins."""
+    """A response with one way of marking the end of the body; `head_end` is the offset of the body."""
 
     name: str
-    whole: bytes
+    response: bytes
     head_end: int
 
 
@@ -48,23 +48,23 @@
 CHUNKED = _framing("chunked", b"Transfer-Encoding: chunked\r\n", b"%x\r\n%s\r\n0\r\n\r\n" % (len(BODY), BODY))
 UNFRAMED = _framing("unframed", b"", BODY)
 AFTER_INTERIM = _framing(
-    "after interim answers", b"Content-Length: %d\r\n" % len(BODY), BODY, CONTINUE + EARLY_HINTS
+    "after interim responses", b"Content-Length: %d\r\n" % len(BODY), BODY, CONTINUE + EARLY_HINTS
 )
 FRAMINGS = [COUNTED, CHUNKED, UNFRAMED, AFTER_INTERIM]
 
 
-def whole_body(framing: Framing, sent: int, ending: str) -> bytes | None:
-    """What may be passed on as whole after so many bytes of the answer; None: nothing."""
+def complete_body(framing: Framing, sent: int, ending: str) -> bytes | None:
+    """The body that counts as complete after `sent` bytes of the response; None if it is incomplete."""
     if framing is UNFRAMED:
         return BODY[: sent - framing.head_end] if sent >= framing.head_end and ending == FIN else None
-    return BODY if sent >= len(framing.whole) else None
+    return BODY if sent >= len(framing.response) else None
 
 
-# --- the protocol alone
+# --- client protocol alone
 
 
 class FakeTransport(asyncio.Transport):
-    """`unsent`: bytes of the request that have not left."""
+    """A transport with `unsent` bytes of the request in its write buffer."""
 
     def __init__(self, unsent: int = 0) -> None:
         super().__init__()
@@ -92,7 +92,7 @@
 
 
 async def body_of(handler: StrictResponseHandler) -> bytes | None:
-    """The body that a reader takes for whole; None if it meets an error."""
+    """The body that a reader receives as complete; None if it gets an error."""
     try:
         while True:
             message, payload = await handler.read()
@@ -104,8 +104,8 @@
 
 
 def pieces(data: bytes, cuts: list[int]) -> list[bytes]:
-    places = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts)})
-    return [data[a:b] for a, b in zip(places, places[1:], strict=False)]
+    offsets = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts)})
+    return [data[a:b] for a, b in zip(offsets, offsets[1:], strict=False)]
 
 
 @settings(max_examples=400, deadline=None)
@@ -114,37 +114,37 @@
     st.floats(0, 1),
     st.lists(st.integers(0, 400), max_size=12),
     st.sampled_from([FIN, RESET]),
-    st.sampled_from([b"", NO_HTTP, COUNTED.whole, b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"]),
+    st.sampled_from([b"", NON_HTTP_BYTES, COUNTED.response, b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"]),
 )
-def test_only_a_whole_answer_is_read_as_whole(
-    framing: Framing, share: float, cuts: list[int], ending: str, surplus: bytes
+def test_only_a_complete_response_is_read_as_complete(
+    framing: Framing, fraction: float, cuts: list[int], ending: str, surplus: bytes
 ) -> None:
-    sent = round(share * len(framing.whole))
-    is_all = sent == len(framing.whole)
-    data = framing.whole[:sent] + (surplus if is_all and framing is not UNFRAMED else b"")
+    sent = round(fraction * len(framing.response))
+    is_complete = sent == len(framing.response)
+    data = framing.response[:sent] + (surplus if is_complete and framing is not UNFRAMED else b"")
 
     async def work() -> None:
         handler, transport = connection()
         for piece in pieces(data, cuts):
             if not transport.closed:
                 handler.data_received(piece)
-        if is_all and framing is not UNFRAMED:
+        if is_complete and framing is not UNFRAMED:
             if transport.closed:
-                handler.connection_lost(None)  # as a real transport does
+                handler.connection_lost(None)  # a real transport reports the end of a closed connection
             assert await body_of(handler) == BODY
             assert (not handler.should_close and not transport.closed) == (not surplus)
             return
         handler.connection_lost(None if ending == FIN else ConnectionResetError(104, "reset"))
-        assert await body_of(handler) == whole_body(framing, sent, ending)
+        assert await body_of(handler) == complete_body(framing, sent, ending)
 
     asyncio.run(work())
 
 
 @pytest.mark.parametrize("unsent", [0, 1])
-def test_a_connection_with_an_answer_before_the_whole_request_left_is_not_used_again(unsent: int) -> None:
+def test_a_connection_with_a_response_before_the_whole_request_was_sent_is_not_reused(unsent: int) -> None:
     async def work() -> None:
         handler, _ = connection(unsent)
-        handler.data_received(COUNTED.whole)
+        handler.data_received(COUNTED.response)
         assert await body_of(handler) == BODY
         assert handler.should_close == bool(unsent)
 
@@ -152,10 +152,14 @@
 
 
 @pytest.mark.parametrize("framing", [COUNTED, CHUNKED, AFTER_INTERIM], ids=lambda f: f.name)
-@pytest.mark.parametrize("surplus", [NO_HTTP, COUNTED.whole], ids=["no answer", "another answer"])
-def test_surplus_in_one_piece_with_an_answer_does_not_spoil_it(framing: Framing, surplus: bytes) -> None:
-    """As a client has it, whose answer is sent together with the bytes that belong to no request."""
-    script = Script(framing.whole + surplus, "keep")
+@pytest.mark.parametrize(
+    "surplus", [NON_HTTP_BYTES, COUNTED.response], ids=["no response", "another response"]
+)
+def test_surplus_bytes_received_together_with_a_response_do_not_invalidate_it(
+    framing: Framing, surplus: bytes
+) -> None:
+    """Checks this at a client of the router whose worker sends surplus bytes together with the response."""
+    script = Script(framing.response + surplus, "keep")
 
     async def check(b: RouterHarness) -> None:
         assert await outcome(b, "/once/") == (200, BODY)
@@ -165,10 +169,10 @@
 
 
 @pytest.mark.parametrize("cut", range(len(HEAD) + 60))
-def test_a_head_that_comes_in_two_pieces_at_any_place_is_kept_apart_from_surplus(cut: int) -> None:
+def test_a_head_received_in_two_pieces_is_separated_from_surplus_bytes(cut: int) -> None:
     async def work() -> None:
         handler, _ = connection()
-        data = AFTER_INTERIM.whole + NO_HTTP
+        data = AFTER_INTERIM.response + NON_HTTP_BYTES
         begin = len(CONTINUE) + len(EARLY_HINTS)
         handler.data_received(data[: begin + cut])
         handler.data_received(data[begin + cut :])
@@ -177,12 +181,12 @@
     run_with_timeout(work)
 
 
-def test_bytes_that_come_while_a_connection_rests_end_it() -> None:
+def test_bytes_received_on_an_idle_connection_close_it() -> None:
     async def work() -> None:
         handler, transport = connection()
-        handler.data_received(COUNTED.whole)
+        handler.data_received(COUNTED.response)
         assert await body_of(handler) == BODY
-        handler.data_received(COUNTED.whole)
+        handler.data_received(COUNTED.response)
         assert transport.closed
 
     asyncio.run(work())
@@ -193,13 +197,13 @@
 
 @dataclass
 class Script:
-    """What a scripted worker does: it reads the request up to `reads` bytes of its body, sends, and ends."""
+    """A scripted worker, which reads a request with or without body, sends data and ends the connection."""
 
     data: bytes
     ending: str
     reads_body: bool = True
     requests: int = 0
-    rested: list[bytes] = field(default_factory=list)  # what came on connections that were kept
+    received_later: list[bytes] = field(default_factory=list)  # bytes on kept connections after the response
     tasks: list[asyncio.Task[None] | None] = field(default_factory=list)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -214,18 +218,18 @@
             if self.ending == RESET:
                 _reset(writer)
             if self.ending == "keep":
-                self.rested.append(await _rest(reader))
+                self.received_later.append(await _read_to_end(reader))
         finally:
             writer.close()
 
 
-async def _rest(reader: asyncio.StreamReader) -> bytes:
-    """All that still comes, also before a reset."""
-    rest = b""
+async def _read_to_end(reader: asyncio.StreamReader) -> bytes:
+    """Reads all bytes until the end of the connection, which may be a reset."""
+    received = b""
     with suppress(ConnectionError):
-        while part := await reader.read(1 << 16):
-            rest += part
-    return rest
+        while data := await reader.read(1 << 16):
+            received += data
+    return received
 
 
 def _length(head: bytes) -> int:
@@ -236,7 +240,7 @@
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Closing with a linger time of 0 sends a reset; what was written has been handed over before."""
+    """Closes with a linger time of 0, which sends a reset after the data that was already written."""
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
@@ -244,19 +248,19 @@
 async def with_scripted(
     script: Script, others: list[StandInWorker], work: Callable[[RouterHarness], Awaitable[None]]
 ) -> None:
-    """Runs `work` before a router whose preferred worker is scripted."""
+    """Runs `work` with a router whose preferred worker is scripted."""
     server = await asyncio.start_server(script.serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     async with router_harness(*others) as b:
-        backend = Worker("i-scripted", "s", f"{host}:{port}", "z", 4, -1.0)
-        b.router.pools = b.router.pools.with_changes({"i-scripted": PoolMember(backend)})
+        worker = Worker("i-scripted", "s", f"{host}:{port}", "z", 4, -1.0)
+        b.router.pools = b.router.pools.with_changes({"i-scripted": PoolMember(worker)})
         await work(b)
     await asyncio.gather(*(task for task in script.tasks if task is not None))
     server.close()
 
 
 async def outcome(b: RouterHarness, path: str, body: bytes = b"{}") -> tuple[int, bytes | None]:
-    """Status and body as a client has them; no body if it broke off."""
+    """Status and body that a client receives; None as body if the connection is lost."""
     async with b.send(path, body) as response:
         try:
             return response.status, await response.read()
@@ -266,16 +270,16 @@
 
 @pytest.mark.parametrize("ending", [FIN, RESET])
 @pytest.mark.parametrize("framing", FRAMINGS, ids=lambda f: f.name)
-@pytest.mark.parametrize("share", [0.0, 0.3, 0.9, 1.0])
-def test_a_call_that_may_not_repeat_is_sent_once_and_never_gets_a_part_as_whole(
-    framing: Framing, ending: str, share: float
+@pytest.mark.parametrize("fraction", [0.0, 0.3, 0.9, 1.0])
+def test_a_non_idempotent_request_is_sent_once_and_gets_no_incomplete_response_as_complete(
+    framing: Framing, ending: str, fraction: float
 ) -> None:
-    sent = round(share * len(framing.whole))
-    script = Script(framing.whole[:sent], ending)
+    sent = round(fraction * len(framing.response))
+    script = Script(framing.response[:sent], ending)
     spare = StandInWorker(respond)
 
     async def check(b: RouterHarness) -> None:
-        expected = whole_body(framing, sent, ending)
+        expected = complete_body(framing, sent, ending)
         status, body = await outcome(b, "/once/")
         assert (status, body) == (200, expected) if expected is not None else status == 502
         assert (script.requests, spare.requests) == (1, [])
@@ -285,25 +289,25 @@
 
 @pytest.mark.parametrize(("ending", "body"), [(FIN, BODY), (RESET, None)])
 @pytest.mark.parametrize("path", ["/stream/", "/resumed/"])
-def test_a_stream_without_length_that_is_reset_does_not_look_complete(
+def test_a_stream_without_length_that_is_reset_is_not_complete(
     path: str, ending: str, body: bytes | None
 ) -> None:
-    script = Script(UNFRAMED.whole, ending)
+    script = Script(UNFRAMED.response, ending)
 
     async def check(b: RouterHarness) -> None:
-        status, got = await outcome(b, path)
-        assert got == body
+        status, received = await outcome(b, path)
+        assert received == body
         assert status == 200 or body is None
 
     run_with_timeout(lambda: with_scripted(script, [], check))
 
 
-def test_a_worker_that_answers_before_the_body_is_in_gets_nothing_in_its_place() -> None:
-    refusal = (
+def test_no_request_follows_an_incomplete_one_on_the_same_connection() -> None:
+    rejection = (
         b"HTTP/1.1 503 Full\r\nX-Finchladder-Request-Id: id-1\r\nX-Finchladder-Not-Executed: 1\r\n"
         b"Content-Length: 0\r\n\r\n"
     )
-    script = Script(refusal, "keep", reads_body=False)
+    script = Script(rejection, "keep", reads_body=False)
     spare = StandInWorker(respond)
 
     async def check(b: RouterHarness) -> None:
@@ -314,12 +318,12 @@
         assert script.requests == 1
 
     run_with_timeout(lambda: with_scripted(script, [spare], check))
-    (rest,) = script.rested
-    assert set(rest) <= set(b"x"), "another request followed on a connection with an unfinished one"
+    (received,) = script.received_later
+    assert set(received) <= set(b"x"), "another request followed an incomplete one on the connection"
 
 
 @pytest.mark.parametrize("status", [b"101 Switching Protocols", b"200 OK"])
-def test_an_answer_that_names_no_request_is_no_answer(status: bytes) -> None:
+def test_a_response_without_request_id_is_not_accepted(status: bytes) -> None:
     script = Script(b"HTTP/1.1 " + status + b"\r\nContent-Length: 0\r\n\r\n", "keep")
 
     async def check(b: RouterHarness) -> None:
@@ -330,7 +334,7 @@
 
 
 @pytest.mark.parametrize(("code", "status"), [(400, 200), (503, 502)])
-def test_a_refusal_without_an_id_is_believed_only_of_a_request_that_could_not_be_read(
+def test_a_rejection_without_request_id_is_accepted_only_for_a_malformed_request(
     code: int, status: int
 ) -> None:
     head = b"HTTP/1.1 %d No\r\nX-Finchladder-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n" % code
@@ -342,8 +346,8 @@
     run_with_timeout(lambda: with_scripted(script, [StandInWorker(respond)], check))
 
 
-def test_a_connection_with_a_second_answer_carries_no_other_request() -> None:
-    script = Script(COUNTED.whole * 2, "keep")
+def test_a_connection_with_a_second_response_is_not_reused() -> None:
+    script = Script(COUNTED.response * 2, "keep")
 
     async def check(b: RouterHarness) -> None:
         assert await outcome(b, "/once/") == (200, BODY)
@@ -351,7 +355,7 @@
         assert script.requests == 2
 
     run_with_timeout(lambda: with_scripted(script, [], check))
-    assert script.rested == [b"", b""]
+    assert script.received_later == [b"", b""]
 
 
 # --- between processes
@@ -359,10 +363,10 @@
 
 @pytest.mark.parametrize("ending", [FIN, RESET])
 @pytest.mark.parametrize("framed", [True, False])
-def test_a_reply_between_processes_is_used_only_if_it_is_whole(framed: bool, ending: str) -> None:
+def test_a_reply_between_processes_is_used_only_if_it_is_complete(framed: bool, ending: str) -> None:
     reply = encoder.encode(StateReply(None, "no"))
     length = b"Content-Length: %d\r\n" % len(reply) if framed else b""
-    whole = b"HTTP/1.1 200 OK\r\n" + length + b"\r\n" + reply
+    response = b"HTTP/1.1 200 OK\r\n" + length + b"\r\n" + reply
 
     async def call(data: bytes) -> object:
         script = Script(data, ending)
@@ -378,9 +382,9 @@
             server.close()
 
     async def work() -> None:
-        is_whole = framed or ending == FIN
-        assert await call(whole) == (StateReply(None, "no") if is_whole else None)
+        is_complete = framed or ending == FIN
+        assert await call(response) == (StateReply(None, "no") if is_complete else None)
         if framed:
-            assert await call(whole[:-1]) is None
+            assert await call(response[:-1]) is None
 
     run_with_timeout(work)
