--- a/finchladder/cluster/types/__init__.py
+++ b/finchladder/cluster/types/__init__.py
@@ -1,1 +1,1 @@
-"""Records and messages of the system."""
+"""Records, messages and errors of the cluster."""
--- a/finchladder/cluster/types/errors.py
+++ b/finchladder/cluster/types/errors.py
@@ -1,16 +1,17 @@
-"""Errors of the system; each names the step and the peer at which it arose."""
+"""Errors of the cluster, each with the step and the peer that failed."""
 
 import errno
 
 import msgspec
 
-DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError)  # what msgspec raises for malformed input
+DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError)  # exceptions of msgspec for malformed input
 
 
 def error_kind(error: BaseException) -> str:
-    """What kind of error it is, for logs and responses.
+    """Class name and errno name of an error, for logs and responses.
 
-    Its own text may quote what a client, an operator or a worker sent, and with it an API key.
+    The message of the error is omitted, because it may quote data from a client, an operator or a worker,
+    including an API key.
     """
     number = error.errno if isinstance(error, OSError) else None
     name = errno.errorcode.get(number) if number is not None else None
@@ -18,7 +19,7 @@
 
 
 def error_location(error: BaseException) -> str:
-    """Module and line where the error was raised; empty for one that was never raised."""
+    """Module and line that raised the error; empty if it was not raised."""
     trace = error.__traceback__
     if trace is None:
         return ""
@@ -28,17 +29,17 @@
 
 
 class ClusterError(Exception):
-    """Base class of the system's errors.
+    """Base class of the cluster's errors.
 
     Attributes:
-        step: Name of the request or of the step that failed.
+        step: Name of the request or step that failed.
         peer: Address, name or file that was involved; empty if there was none.
-        problem: The cause.
+        problem: Cause of the error.
     """
 
     def __init__(self, step: str, peer: str, problem: str) -> None:
-        """Creates the error with a message of all three."""
-        super().__init__(f"{step} with {peer or 'nobody'}: {problem}")
+        """Creates an error whose message contains step, peer and problem."""
+        super().__init__(f"{step} with {peer or 'no peer'}: {problem}")
         self.step = step
         self.peer = peer
         self.problem = problem
@@ -49,7 +50,7 @@
 
 
 class PeerRefusedError(ClusterError):
-    """The peer replied that it could not carry out the request, or its reply is malformed."""
+    """The peer replied that it could not execute the request, or its reply is malformed."""
 
 
 class StorageError(ClusterError):
@@ -57,4 +58,4 @@
 
 
 class InvalidSettingsError(ClusterError):
-    """The settings file can't be read or is invalid."""
+    """The settings file cannot be read or is invalid."""
--- a/finchladder/cluster/types/messages.py
+++ b/finchladder/cluster/types/messages.py
@@ -1,4 +1,4 @@
-"""The internal protocol: requests and replies between processes, as tagged MessagePack arrays."""
+"""Messages of the internal protocol between processes, encoded as tagged MessagePack arrays."""
 
 import msgspec
 
@@ -8,17 +8,17 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """Base of all messages."""
+    """Base class of all messages."""
 
 
 # --- requests ---------------------------------------------------------------------------------------------
 
 
 class Ping(Message, frozen=True, tag=1):
-    """Failure detection between members; also requests to join where the sender is in no view."""
+    """Heartbeat between members for failure detection; a sender outside of the view may request to join."""
 
     sender: Member
-    view: int  # number of the newest decided one that the sender knows
+    view: int  # number of the newest decided view that the sender knows
     wants_to_join: bool
 
 
@@ -43,16 +43,16 @@
 
 
 class Replicate(Message, frozen=True, tag=5):
-    """From a member to its successor: an operation, the full state, or neither to confirm what is stored."""
+    """Sends an operation or the full state to the successor; without either it requests a confirmation."""
 
     view: int
-    sequence: int  # after the operation
+    sequence: int  # sequence number of the state after the operation
     operation: Operation | None = None
     state: ControlState | None = None
 
 
 class Submit(Message, frozen=True, tag=6):
-    """A change of the configuration, forwarded to the head. `patch`: a PATCH, not a PUT."""
+    """Forwards a change of the configuration to the head; `patch` is true for PATCH and false for PUT."""
 
     base: int
     patch: bool
@@ -65,31 +65,31 @@
 
 
 class PullUpdates(Message, frozen=True, tag=8):
-    """Requests what the sender lacks, by version vector; a long poll where `wait_ms` is positive."""
+    """Requests the changes after a version vector; a long poll if `wait_ms` is positive."""
 
     sender: str
     vector: dict[str, int]
-    version: int  # of the configuration that the sender has
+    version: int  # version of the configuration that the sender has
     view: int
     wait_ms: int
     is_dispatcher: bool
-    placer_term: int = 0  # fencing token of the placer that the sender knows; 0: it knows none
+    placer_term: int = 0  # fencing token of the placer that the sender knows; 0 if it knows none
 
 
 class Demand(Message, frozen=True):
-    """Requests for one model or adapter that one dispatcher received since its last report."""
+    """Demand for one model or adapter at one dispatcher since its last report."""
 
     service: str
     model: str
     adapter: str
     requests: int
-    queued: int  # requests that wait because no worker has it loaded
+    queued: int  # requests that wait because no worker has loaded the model or adapter
     in_flight: int
-    prompt_tokens: int  # of the prompts of these requests
+    prompt_tokens: int  # total prompt tokens of `requests`
 
 
 class ModelUse(Message, frozen=True):
-    """Requests of one model, its adapters included, that a dispatcher has in flight at one worker."""
+    """Requests in flight of one dispatcher at one worker for one model, including its adapters."""
 
     instance: str
     model: str
@@ -97,19 +97,19 @@
 
 
 class DemandReport(Message, frozen=True, tag=9):
-    """From a dispatcher to the placer: demand and load."""
+    """Reports the demand and load of a dispatcher to the placer."""
 
     sender: str
-    interval_s: float  # since the previous report
+    interval_s: float  # time since the previous report
     demands: tuple[Demand, ...]
-    # by worker instance: prompt tokens to prefill; requests where there is no model
+    # Load by worker instance, in prompt tokens to prefill, or in requests for services without models.
     worker_loads: dict[str, int] = {}
     model_uses: tuple[ModelUse, ...] = ()
-    prefill_s_per_token: dict[str, float] = {}  # by service, where it is known
+    prefill_s_per_token: dict[str, float] = {}  # known prefill times by service
 
 
 class RenewLease(Message, frozen=True, tag=10):
-    """Requests from the head that the placer's lease be renewed."""
+    """Requests the renewal of the placer's lease from the head."""
 
     holder: str
     token: int
@@ -119,11 +119,11 @@
     """Requests the vacant lease of the placer from the head."""
 
     holder: str
-    token: int  # last fencing token that the sender knows
+    token: int  # latest fencing token that the sender knows
 
 
 class ReleaseLease(Message, frozen=True, tag=12):
-    """Releases the placer's lease; the last order was sent `idle_ms` ago."""
+    """Releases the placer's lease; the holder sent its last order `idle_ms` ago."""
 
     holder: str
     token: int
@@ -131,38 +131,38 @@
 
 
 class FetchReplica(Message, frozen=True, tag=13):
-    """From the head of a view without survivors: requests the replica of a member of its chain."""
+    """Requests the replica of a member of the chain, for the head of a view without survivors."""
 
     view: int
 
 
 class RetireWorker(Message, frozen=True, tag=14):
-    """Forwards the retirement of a worker to the head, for the chain to store."""
+    """Forwards the retirement of a worker to the head, which stores it in the chain."""
 
     retirement: WorkerRetirement
 
 
 class QuotaDemand(Message, frozen=True):
-    """Requests of one tenant that wait for quota at one dispatcher: their costs, in order of arrival."""
+    """Costs of one tenant's requests that wait for quota at one dispatcher, in order of arrival."""
 
     tenant: str
     costs: tuple[int, ...]
 
 
 class QuotaReturn(Message, frozen=True):
-    """Quota of one tenant that was granted and neither spent nor will be."""
+    """Units of one tenant that were granted and will not be spent."""
 
     tenant: str
     units: int
 
 
 class ReserveQuota(Message, frozen=True, tag=15):
-    """From a dispatcher to the holder of the quota account: needs, and what it returns of earlier grants."""
+    """Requests quota from the holder of the quota account and returns unspent units of earlier grants."""
 
     sender: str
     demands: tuple[QuotaDemand, ...]
     returns: tuple[QuotaReturn, ...] = ()
-    returned_term: int = 0  # of the account that granted what is returned
+    returned_term: int = 0  # term of the account that granted the returned units
 
 
 Request = (
@@ -187,20 +187,20 @@
 
 
 class Pong(Message, frozen=True, tag=51):
-    """State of a core member."""
+    """Answer to Ping with the state of a control process."""
 
     sender: Member
     view: int
-    newer_view: View | None  # set where the sender of the ping knows an older one
+    newer_view: View | None  # set if the sender of the ping has an older view
     state_view: int
     sequence: int
-    disk_healthy: bool  # its disk completes writes
-    has_accepted: bool  # it has accepted a proposal for the next view
-    shutting_down: bool = False  # it is shutting down gracefully
+    disk_healthy: bool  # whether its disk completes writes
+    has_accepted: bool  # whether it has accepted a proposal for the next view
+    shutting_down: bool = False  # whether it is shutting down gracefully
 
 
 class Promise(Message, frozen=True, tag=52):
-    """Answer to Prepare. `view`: the newest decided one that the voter knows."""
+    """Answer to Prepare; `view` is the newest decided view that the voter knows."""
 
     granted: bool
     promised: Ballot
@@ -218,7 +218,7 @@
 
 
 class Replicated(Message, frozen=True, tag=54):
-    """Answer to Replicate: whether it is stored from here to the tail; else the problem and its member."""
+    """Answer to Replicate: whether all members down to the tail stored it; otherwise problem and member."""
 
     stored: bool
     view: View
@@ -227,7 +227,7 @@
 
 
 class Submitted(Message, frozen=True, tag=55):
-    """Outcome of a change. `status`: as in HTTP, 200, 400, 412 or 503."""
+    """Answer to Submit; `status` is the HTTP status 200, 400, 412 or 503."""
 
     status: int
     version: int
@@ -235,29 +235,29 @@
 
 
 class StateReply(Message, frozen=True, tag=56):
-    """The newest acknowledged state, or the reason why it is not known."""
+    """Answer to ReadState with the newest acknowledged state, or the reason why it is unknown."""
 
     state: ControlState | None
     problem: str = ""
 
 
 class Update(Message, frozen=True, tag=57):
-    """What the puller lacked, with the status of the sender."""
+    """Answer to PullUpdates with the requested changes and the status of the sender."""
 
     origin: str
     vector: dict[str, int]
-    view: View | None  # set where the puller knows an older one
+    view: View | None  # set if the subscriber has an older view
     workers: tuple[StampedWorker, ...]
     placements: tuple[StampedPlacement, ...]
     version: int
-    document: bytes  # the newer configuration, compressed; empty: there is none
-    knows_all_workers: bool  # the sender has run for long enough to know all workers
-    is_full: bool  # full tables, not a delta
-    placer: str  # peer address of the placer; empty: unknown
-    dispatchers: int  # number of those that pull from the sender
-    chain_confirmed: bool  # the chain has confirmed the sender lately
-    quorum_lost: bool = False  # most control processes answer the sender, and too few voters
-    placer_term: int = 0  # fencing token of `placer`; 0: unknown
+    document: bytes  # compressed newer configuration; empty if there is none
+    knows_all_workers: bool  # whether the sender has run for long enough to know all workers
+    is_full: bool  # whether the tables are complete instead of changes only
+    placer: str  # peer address of the placer; empty if unknown
+    dispatchers: int  # number of dispatchers that pull from the sender
+    chain_confirmed: bool  # whether the chain has confirmed the sender recently
+    quorum_lost: bool = False  # most control processes answer the sender, but too few voters do
+    placer_term: int = 0  # fencing token of `placer`; 0 if unknown
 
 
 class LeaseReply(Message, frozen=True, tag=58):
@@ -266,7 +266,7 @@
     granted: bool
     token: int
     retry_after_ms: int = 0
-    vacant_ms: int = 0  # for which certainly nobody had held a lease that is granted
+    vacant_ms: int = 0  # time before a grant for which certainly no process held the lease
 
 
 class DemandReply(Message, frozen=True, tag=59):
@@ -274,18 +274,18 @@
 
     interval_ms: int
     is_placer: bool
-    peer_loads: dict[str, int] = {}  # of all other dispatchers, by worker instance, as last reported
+    peer_loads: dict[str, int] = {}  # last reported load of all other dispatchers by worker instance
 
 
 class Failure(Message, frozen=True, tag=60):
-    """Answer to a request that could not be handled."""
+    """Answer to a request that failed."""
 
     step: str
     problem: str
 
 
 class ReplicaReply(Message, frozen=True, tag=61):
-    """Answer to FetchReplica. No state: the sender is not a member of that view, but knows `view`."""
+    """Answer to FetchReplica with the newest known view; no state if it is not the requested view."""
 
     view: View
     state_view: int = 0
@@ -293,25 +293,25 @@
 
 
 class RetireWorkerReply(Message, frozen=True, tag=62):
-    """Answer to RetireWorker: whether the full chain has stored it; if not, it may or may not last."""
+    """Answer to RetireWorker: whether the whole chain has stored it; otherwise the outcome is unknown."""
 
     stored: bool
 
 
 class QuotaGrant(Message, frozen=True):
-    """Answer to one `QuotaDemand`: for each of its costs whether it is granted."""
+    """Answer to one `QuotaDemand`, with a flag for each of its costs that tells whether it is granted."""
 
     tenant: str
     granted: tuple[bool, ...]
-    retry_after_ms: int = 0  # until the first cost that was not granted could be
-    is_exhausted: bool = False  # nothing is left, whatever a request costs
+    retry_after_ms: int = 0  # time until the first rejected cost can be granted
+    is_exhausted: bool = False  # whether no request can be granted now, regardless of its cost
 
 
 class QuotaReply(Message, frozen=True, tag=63):
-    """Answer to ReserveQuota: grants in the order of the needs; none where the sender is not the holder."""
+    """Answer to ReserveQuota with grants in the order of the demands; none unless sent by the holder."""
 
     is_holder: bool
-    term: int = 0  # of the account
+    term: int = 0  # term of the account
     grants: tuple[QuotaGrant, ...] = ()
 
 
--- a/finchladder/cluster/types/operations.py
+++ b/finchladder/cluster/types/operations.py
@@ -1,17 +1,17 @@
-"""The replicated control state and the operations that change it."""
+"""Replicated control state and the operations that change it."""
 
 import msgspec
 
 
 class Revision(msgspec.Struct, frozen=True, array_like=True):
-    """An accepted change of the configuration; the digest identifies retries of the same change."""
+    """An accepted change of the configuration; the digest identifies retries of the change."""
 
     version: int
     digest: bytes
 
 
 class WorkerRetirement(msgspec.Struct, frozen=True, array_like=True):
-    """A worker incarnation that is draining or deregistered; `sequence` is that of its last call."""
+    """A draining or deregistered worker incarnation, with the sequence number of its last call."""
 
     instance: str
     sequence: int
@@ -22,16 +22,16 @@
     """All replicated state; `sequence` counts the operations applied."""
 
     sequence: int = 0
-    version: int = 0  # of the configuration; 0: none yet
-    document: bytes = b""  # the configuration, JSON
-    accepted_revisions: tuple[Revision, ...] = ()  # the newest last, at most MAX_REVISIONS
-    fence_token: int = 0  # the last one granted
+    version: int = 0  # version of the configuration; 0 before the first one
+    document: bytes = b""  # configuration as JSON
+    accepted_revisions: tuple[Revision, ...] = ()  # at most MAX_REVISIONS, the newest last
+    fence_token: int = 0  # latest granted fencing token
     placer: str = ""  # name of the member that holds the placer's lease
-    retirements: tuple[WorkerRetirement, ...] = ()  # the newest last, at most MAX_RETIREMENTS
+    retirements: tuple[WorkerRetirement, ...] = ()  # at most MAX_RETIREMENTS, the newest last
 
 
 class SetConfiguration(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Replaces the configuration by `document`, the full resulting one."""
+    """Replaces the configuration by the full configuration in `document`."""
 
     base: int
     version: int
@@ -40,14 +40,14 @@
 
 
 class ClaimPlacer(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Grants the placer's lease and the token after `token` to `holder`; `token` is the last one granted."""
+    """Grants the placer's lease with fencing token `token` + 1 to `holder`; `token` was granted last."""
 
     holder: str
     token: int
 
 
 class RecordRetirements(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Records workers that are draining or deregistered, and forgets instances that ended long ago."""
+    """Records draining or deregistered workers and removes `forgotten` instances, which ended long ago."""
 
     retirements: tuple[WorkerRetirement, ...]
     forgotten: tuple[str, ...] = ()
@@ -55,12 +55,12 @@
 
 Operation = SetConfiguration | ClaimPlacer | RecordRetirements
 MAX_REVISIONS = 1024
-# Retirements are forgotten by their age; this bounds the state if they come faster than 100 a second.
+# Retirements are removed by age; this limits the state if there are more than 100 of them per second.
 MAX_RETIREMENTS = 16_384
 
 
 def apply(state: ControlState, operation: Operation) -> ControlState:
-    """The state after an operation that the caller has validated."""
+    """Returns the state after an operation that the caller has validated."""
     if isinstance(operation, SetConfiguration):
         revision = Revision(operation.version, operation.digest)
         return msgspec.structs.replace(
@@ -87,7 +87,7 @@
 
 
 def is_retired(state: ControlState, retirement: WorkerRetirement) -> bool:
-    """Whether the state records that drain or deregistration already."""
+    """Whether the state already records the drain or deregistration of the worker."""
     return any(
         known.instance == retirement.instance and known.deregistered >= retirement.deregistered
         for known in state.retirements
@@ -99,7 +99,7 @@
     retirements: tuple[WorkerRetirement, ...],
     forgotten: frozenset[str],
 ) -> tuple[WorkerRetirement, ...]:
-    """Both sets without the forgotten ones, each instance once; deregistered supersedes draining."""
+    """Merges retirements except forgotten ones, one per instance; deregistered supersedes draining."""
     by_instance = {
         retirement.instance: retirement for retirement in known if retirement.instance not in forgotten
     }
--- a/finchladder/cluster/types/replicas.py
+++ b/finchladder/cluster/types/replicas.py
@@ -1,11 +1,11 @@
-"""Identity of a model replica; shared by what dispatchers report and what the placer sums up."""
+"""Key of a model replica, for the dispatchers' demand counts and the placer's totals."""
 
 from attrs import frozen
 
 
 @frozen
 class ReplicaKey:
-    """A model at one worker incarnation, its adapters included."""
+    """Identifies a model, including its adapters, at one worker incarnation."""
 
     instance: str
     model: str
--- a/finchladder/cluster/types/worker_api.py
+++ b/finchladder/cluster/types/worker_api.py
@@ -1,4 +1,4 @@
-"""Messages between workers and the system, as JSON; unknown fields are ignored."""
+"""JSON messages between workers and the cluster; unknown fields are ignored."""
 
 import msgspec
 
@@ -14,7 +14,7 @@
 
 
 class Heartbeat(msgspec.Struct):
-    """A worker's heartbeat; `sequence` rises with each."""
+    """A worker's heartbeat; `sequence` increases with each heartbeat."""
 
     service: str
     address: str
@@ -27,7 +27,7 @@
 
 
 class WorkerReport(msgspec.Struct):
-    """A worker's status, up to some hundred ms old. `sequence` counts the orders that it has taken."""
+    """Status of a worker, up to some hundred ms old; `sequence` is the number of accepted orders."""
 
     sequence: int = 0
     busy: bool = False
@@ -39,7 +39,7 @@
 
 
 class OrderRequest(msgspec.Struct, omit_defaults=True):
-    """An order of the placer to a worker; `holder` of the lease, with its fencing token."""
+    """An order of the placer to a worker, with the lease holder and its fencing token."""
 
     operation: str
     model: str
@@ -50,7 +50,7 @@
 
 
 def loaded_models(models: list[ModelReport]) -> tuple[LoadedModel, ...]:
-    """Converts a report; the result is sorted, so that equal sets compare equal."""
+    """Converts reported models to a sorted tuple, so that equal sets compare equal."""
     return tuple(
         sorted(
             (LoadedModel(m.name, tuple(sorted(m.adapters))) for m in models), key=lambda loaded: loaded.model
--- a/finchladder/cluster/types/workers.py
+++ b/finchladder/cluster/types/workers.py
@@ -1,4 +1,4 @@
-"""Records of the replicated tables: workers, and the placements of models at them."""
+"""Records of the replicated tables: workers and the placements of models."""
 
 from enum import Enum
 
@@ -10,26 +10,26 @@
 
     READY = "ready"
     DRAINING = "draining"
-    LOST = "lost"  # its heartbeats stopped; a new one makes it ready again
-    DEREGISTERED = "gone"  # final
+    LOST = "lost"  # heartbeats timed out; a new heartbeat makes the worker ready again
+    DEREGISTERED = "gone"  # final state
 
 
 class LoadedModel(msgspec.Struct, frozen=True, array_like=True):
-    """A model in a worker's memory, with its adapters that are loaded, too."""
+    """A model in a worker's memory with its loaded adapters."""
 
     model: str
     adapters: tuple[str, ...] = ()
 
 
 class Stamp(msgspec.Struct, frozen=True, array_like=True):
-    """Identifies a change: the control process that made it and its counter; an entry of a version vector."""
+    """Identifies a change by the control process that made it and by its counter."""
 
     origin: str
     counter: int
 
 
 class WorkerRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One worker incarnation, as the owner of its session knows it."""
+    """State of one worker incarnation at the owner of its session."""
 
     instance: str
     service: str
@@ -37,18 +37,18 @@
     zone: str
     slots: int
     phase: SessionPhase
-    sequence: int  # of the worker's heartbeats; higher is newer
-    owner: str  # origin of the control process that receives its heartbeats
+    sequence: int  # sequence number of the last heartbeat; higher is newer
+    owner: str  # origin of the control process that receives the heartbeats
     loaded_models: tuple[LoadedModel, ...] = ()
-    remaining_ms: int | None = None  # time left to a worker that will be preempted
+    remaining_ms: int | None = None  # time until the worker is preempted, if announced
 
     def rank(self) -> tuple[bool, int, bool]:
-        """Orders two records of one worker: a final one, then the newer heartbeat, then its loss."""
+        """Sort key for a worker's records: a final state is newest, then a later heartbeat, then a loss."""
         return self.phase is SessionPhase.DEREGISTERED, self.sequence, self.phase is SessionPhase.LOST
 
 
 class PendingLoad(msgspec.Struct, frozen=True, array_like=True):
-    """A model or adapter that is being loaded, and the time that this will still take."""
+    """A model or adapter that is being loaded, with the remaining time."""
 
     model: str
     adapter: str
@@ -56,10 +56,11 @@
 
 
 class PlacementRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The models that the placer allows dispatchers to use at a worker. A higher (token, serial) wins.
+    """Models that the placer allows dispatchers to use at a worker; a higher (token, serial) supersedes.
 
-    `orders_taken`: how many the worker will have taken when the present one has ended; `load_ages_ms`: time
-    since each recent load from the store that this placer began there, so that a successor keeps their rate.
+    `orders_taken` is the number of orders that the worker will have accepted when the current one ends.
+    `load_ages_ms` contains the time since each recent load from the weight store that this placer started at
+    the worker, so that a successor can limit the rate of loads.
     """
 
     instance: str
@@ -72,7 +73,7 @@
 
 
 class StampedWorker(msgspec.Struct, frozen=True, array_like=True):
-    """A worker's record with its stamp."""
+    """A worker record with its stamp."""
 
     stamp: Stamp
     record: WorkerRecord
