--- a/finchladder/cli/etcd.py
+++ b/finchladder/cli/etcd.py
@@ -242,9 +242,9 @@
 async def list_entries(client: Client, args: argparse.Namespace) -> None:
     """Prints the entries; unusable keys are reported on standard error."""
     keys = Keys(client.options.prefix)
-    async for item in client.all():
-        keys.take(item)
-    for line in keys.news:
+    async for item in client.scan():
+        keys.apply(item)
+    for line in keys.unreported:
         print(line, file=sys.stderr)
     entries, addresses = keys.workers(sorted(keys.names()))
     rows = [("NAME", "STATE", "ADDRESS", "ZONE", "TYPE", "NOTICE")]
--- a/finchladder/cli/serve.py
+++ b/finchladder/cli/serve.py
@@ -61,17 +61,17 @@
     # would hold up the loop for 100 ms and more: it comes seldom, and not at what stays
     gc.set_threshold(*GC_THRESHOLDS)
     node = DispatcherNode(setup, options, partial(read_setup, os.environ), machine, file=file)
-    machine.keep()
+    machine.freeze_objects()
     await node.serve()
 
 
 def run_dispatcher(setup: DispatcherSetup, options: Options, file: OperatorFile | None) -> None:
     """Creates the event loop and runs the dispatcher on it."""
     if options.overload is None:
-        asyncio.run(serve(setup, options, file, HostEnvironment(keep=gc.freeze)))
+        asyncio.run(serve(setup, options, file, HostEnvironment(freeze_objects=gc.freeze)))
         return
     selector = Selector()
-    machine = HostEnvironment(idle=selector.idle, keep=gc.freeze)
+    machine = HostEnvironment(idle=selector.idle, freeze_objects=gc.freeze)
     with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
         runner.run(serve(setup, options, file, machine))
 
--- a/finchladder/net/client_connection.py
+++ b/finchladder/net/client_connection.py
@@ -275,7 +275,7 @@
             dump.over()
 
     def _closes(self, head: Head) -> bool:
-        return not head.keeps or (self.intake.leaving.must_close(self.clock()) and not self.calls_back)
+        return not head.keeps or (self.intake.shutdown.must_close(self.clock()) and not self.calls_back)
 
     async def _turn_away(self, e: MalformedMessageError) -> None:
         """The connection is closed: whoever sends again as soon as it is turned away has to connect again."""
--- a/finchladder/net/client_listener.py
+++ b/finchladder/net/client_listener.py
@@ -18,7 +18,7 @@
 CLIENT_SOCKET_SHARE = (
     0.55  # part of all sockets: edge connections; more than open flows, as call-backs need the rest
 )
-JUST_CAME = 0.25
+NEW_CONNECTION_S = 0.25
 # accepted in one turn of the loop; looked again for room after so many seconds, and so often without a gate
 MAX_ACCEPTED_AT_ONCE, REST_S, LOOKS = 64, 0.025, 20
 
@@ -28,7 +28,7 @@
 
     def __init__(self, handler: RequestHandler, bodies: BodyMemory, sockets: int) -> None:
         self.handler, self.bodies, self.clock = handler, bodies, handler.intake.clock
-        self.edges: ClientConnectionTable[ClientConnection] = ClientConnectionTable(
+        self.connections: ClientConnectionTable[ClientConnection] = ClientConnectionTable(
             int(CLIENT_SOCKET_SHARE * sockets)
         )
         self.tasks: set[asyncio.Task[None]] = set()
@@ -71,9 +71,9 @@
         crowd that comes at once must not have a call-back among it closed unread.
         """
         for n in range(MAX_ACCEPTED_AT_ONCE):
-            if self.edges.is_full and n:
+            if self.connections.is_full and n:
                 return  # nobody is closed before it is known that another is there
-            if self.edges.is_full and not self._closes_one() and self._waits():
+            if self.connections.is_full and not self._closes_one() and self._waits():
                 return
             try:
                 client_socket, address = listening.accept()
@@ -96,15 +96,15 @@
 
     def _accepted(self, client_socket: socket.socket, address: Any) -> None:
         """Counts at once, as many connections come in one turn of the loop: a count that lags runs over."""
-        if self.edges.is_full and not self._closes_one():
-            logger.error("all {} edge connections are busy: one was closed unread", len(self.edges))
+        if self.connections.is_full and not self._closes_one():
+            logger.error("all {} edge connections are busy: one was closed unread", len(self.connections))
             client_socket.close()
             return
         self.looks = 0
         connection = ClientConnection(
-            client_socket, str(address[0]), self.handler, self.edges, Reservation(self.bodies)
+            client_socket, str(address[0]), self.handler, self.connections, Reservation(self.bodies)
         )
-        self.edges.add(self.clock(), connection)
+        self.connections.add(self.clock(), connection)
         if self.handler.admission is None:
             self._begin(connection)
         else:
@@ -127,7 +127,7 @@
 
     def _drop(self, connection: ClientConnection) -> None:
         connection.body.resize(0)
-        self.edges.remove(connection)
+        self.connections.remove(connection)
         if self.handler.admission is not None:
             self.handler.admission.drop(connection)
 
@@ -137,25 +137,25 @@
             self._drop(connection)
 
     def _closes_one(self) -> bool:
-        connection = self.edges.evict(self.clock(), lambda connection: connection.quiet())
+        connection = self.connections.evict(self.clock(), lambda connection: connection.quiet())
         if connection is None:
             return False
         connection.close()
         self._drop(connection)
         return True
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """Drains after SIGTERM: accepts for a while, closes idle connections, waits for the answers."""
         intake = self.handler.intake
         intake.shut_down()
         if self.handler.admission is not None:
             self.handler.admission.shut_down()
-        await asyncio.sleep(intake.leaving.keep_open_s)
+        await asyncio.sleep(intake.shutdown.keep_open_s)
         while True:
             over, stays = not intake.flows.open, False
-            for connection in list(self.edges):
+            for connection in list(self.connections):
                 # one just accepted is not idle while jobs are open: a result may be on its way
-                idle = over or self.edges.is_older(self.clock(), connection, JUST_CAME)
+                idle = over or self.connections.is_older(self.clock(), connection, NEW_CONNECTION_S)
                 if connection.busy or (not connection.calls_back and not (idle and connection.quiet())):
                     stays = True  # also where a request has come that was not looked at yet
                 elif not connection.calls_back:
@@ -166,7 +166,7 @@
 
     def _last_ones(self) -> bool:
         """Listens no more. True: some had connected, and nobody had looked; they are still to be heard."""
-        before = len(self.edges)
+        before = len(self.connections)
         self.stop()
         for listening in self.listening:
             with suppress(OSError):  # until there is none; then whoever comes is refused, and goes elsewhere
@@ -176,4 +176,4 @@
                     self._accepted(client_socket, address)
             listening.close()
         self.listening.clear()
-        return len(self.edges) > before
+        return len(self.connections) > before
--- a/finchladder/net/config_reload.py
+++ b/finchladder/net/config_reload.py
@@ -33,7 +33,7 @@
         self.task: asyncio.Task[None] | None = None
         self.again = False
 
-    def ask(self) -> None:
+    def request_reload(self) -> None:
         """Requests a reload; one that is asked for during another runs after it."""
         self.again = True
         if self.task is None or self.task.done():
--- a/finchladder/net/decision_actor.py
+++ b/finchladder/net/decision_actor.py
@@ -78,13 +78,13 @@
         super().__init__("module", MAILBOX_SIZE)
         self.dispatcher, self.flows, self.clock = dispatcher, flows, clock
         self.carrier: AttemptSender | None = None
-        self.tap: DecisionRecorder | None = None
+        self.recorder: DecisionRecorder | None = None
         self.starts: Callable[[float], None] | None = None  # told how many seconds a job took to its start
         self.lists = 0  # of those that wait in the mailbox
         self.beat = math.inf  # when the module's own timer is due: later than that, the loop is late
         self.subscribe: Callable[[bool], None] = lambda on: None  # where the list must be asked for
 
-    def tell(self, item: Item) -> None:
+    def submit(self, item: Item) -> None:
         """Posts an event; a worker list overtakes queued work, which is then decided on the new list."""
         self.post(item)
         if self.box and self.box[-1] is item and isinstance(item, api.WorkerList):
@@ -115,7 +115,7 @@
         if timer.token == SWEEP_TIMER:
             self._look(self.clock())
             self.beat = math.inf
-        self.tell(timer)
+        self.submit(timer)
 
     def _look(self, now: float) -> None:
         """What came while the loop was late could not be looked at: the real servers must not be blamed."""
@@ -128,11 +128,11 @@
         try:
             actions = self.dispatcher.handle(now, event)
         except Exception as e:
-            if self.tap is not None:
-                self.tap.decided(now, event, [], e)
+            if self.recorder is not None:
+                self.recorder.decided(now, event, [], e)
             raise
-        if self.tap is not None:
-            self.tap.decided(now, event, actions)
+        if self.recorder is not None:
+            self.recorder.decided(now, event, actions)
         return actions
 
     def _carry_out(self, action: api.Action, now: float) -> None:
@@ -180,4 +180,4 @@
         if flow is not None:
             self.flows.finish(flow, Answer("failed"))
         if isinstance(item, api.Timer):  # the module lives on its timers: one lost would leave it deaf
-            IOLoop.current().call_later(self.dispatcher.settings.clock_tick_s, self.tell, item)
+            IOLoop.current().call_later(self.dispatcher.settings.clock_tick_s, self.submit, item)
--- a/finchladder/net/endpoint_watcher.py
+++ b/finchladder/net/endpoint_watcher.py
@@ -30,7 +30,7 @@
 MAILBOX_SIZE = 64
 LONG_LIST_BYTES = 48 * 1024  # bytes: some 350 entries; a shorter line is read and applied at once
 # entries of a longer one in one turn of the loop: some 2 ms each
-READ_AT_ONCE, SIFT_AT_ONCE, APPLY_AT_ONCE = 512, 256, 16
+MAX_READ_AT_ONCE, MAX_FILTERED_AT_ONCE, MAX_APPLIED_AT_ONCE = 512, 256, 16
 SETTLES = 1000  # entries of long lists
 
 Apply = Callable[[api.WorkerList, dict[str, tuple[str, int]]], None]
@@ -115,11 +115,11 @@
         self.spoken = asyncio.Event()  # discovery has said whether the list known from before still holds
         self.table, self.subset = EndpointTable(), subset
         # entries that the subset is still to be told, and their addresses
-        self.told: dict[str, api.WorkerEntry] = {}
+        self.unfiltered: dict[str, api.WorkerEntry] = {}
         self.told_addresses: dict[str, tuple[str, int]] = {}
         # entries still to be applied, by name: the newest word alone; those not ready go first
         self.urgent: dict[str, api.WorkerEntry] = {}
-        self.rest: dict[str, api.WorkerEntry] = {}
+        self.queued: dict[str, api.WorkerEntry] = {}
         self.addresses: dict[str, tuple[str, int]] = {}
         self.applied = 0  # entries out of long lists, since `settled` was last called
         self.settled: Callable[[], None] = lambda: None  # a long list that changed many is applied
@@ -132,8 +132,8 @@
         for e in workers.entries:
             self._drop(e.worker)
         if workers.kind is not api.ListKind.PATCH:
-            self.urgent, self.rest, self.addresses = {}, {}, {}
-            self.told, self.told_addresses = {}, {}
+            self.urgent, self.queued, self.addresses = {}, {}, {}
+            self.unfiltered, self.told_addresses = {}, {}
         if self.subset is not None:
             workers, addresses = self.subset.apply(workers, addresses)
             self._forestall(workers.entries)
@@ -143,7 +143,7 @@
         # an empty list from before is no list: nothing could be served on it
         self.up = self.up or bool(news.workers.entries) or news.workers.kind is not api.ListKind.STALE
 
-    async def take(self, line: bytes, known: bool = False) -> None:
+    async def read_line(self, line: bytes, known: bool = False) -> None:
         """Reads a line of the watch, or the saved list (`known`).
 
         Raises:
@@ -156,7 +156,7 @@
             return
         if not known and not self._takes(*version_and_is_full(line)):
             return
-        reading = self.table.read(line, READ_AT_ONCE, known)
+        reading = self.table.read(line, MAX_READ_AT_ONCE, known)
         while True:
             try:
                 next(reading)
@@ -177,7 +177,7 @@
             self._queue(change.entries, change.addresses)
         else:  # what is gone comes last: the subset moves once where one goes and another comes
             entries = sorted(change.entries, key=lambda e: e.state is api.WorkerStatus.REMOVED)
-            self.told.update((e.worker, e) for e in entries)
+            self.unfiltered.update((e.worker, e) for e in entries)
             self.told_addresses |= change.addresses
         self.retire([e.worker for e in change.entries if e.state is not api.WorkerStatus.READY])
         self.index, self.up = change.version, self.up or bool(self.table.known) or not known
@@ -186,19 +186,19 @@
 
     def _queue(self, entries: Iterable[api.WorkerEntry], addresses: dict[str, tuple[str, int]]) -> None:
         for e in entries:
-            (self.rest if e.state is api.WorkerStatus.READY else self.urgent)[e.worker] = e
+            (self.queued if e.state is api.WorkerStatus.READY else self.urgent)[e.worker] = e
         self.addresses |= addresses
 
     async def _apply_on(self) -> None:
-        while waiting := self.told or self.urgent or self.rest:
-            if self.told:
-                change = _taken(self.told, self.told_addresses, SIFT_AT_ONCE)
+        while waiting := self.unfiltered or self.urgent or self.queued:
+            if self.unfiltered:
+                change = _taken(self.unfiltered, self.told_addresses, MAX_FILTERED_AT_ONCE)
                 assert self.subset is not None
                 workers, addresses = self.subset.apply(*change)
                 self._forestall(workers.entries)
                 self._queue(workers.entries, addresses)
             else:
-                some = _taken(waiting, self.addresses, APPLY_AT_ONCE)
+                some = _taken(waiting, self.addresses, MAX_APPLIED_AT_ONCE)
                 self.apply(*some)
                 self.applied += len(some[0].entries)
             await asyncio.sleep(0)
@@ -208,7 +208,7 @@
 
     def _drop(self, name: str) -> None:
         """What is still to be done about it is overtaken."""
-        self.told.pop(name, None)
+        self.unfiltered.pop(name, None)
         self.told_addresses.pop(name, None)
         self._forestall_one(name)
 
@@ -219,7 +219,7 @@
 
     def _forestall_one(self, name: str) -> None:
         self.urgent.pop(name, None)
-        self.rest.pop(name, None)
+        self.queued.pop(name, None)
         self.addresses.pop(name, None)
 
     def start(self, known: bytes = b"") -> None:
@@ -242,7 +242,7 @@
 
     async def _watch_on(self, known: bytes = b"") -> None:
         if known:
-            await self.take(known, known=True)
+            await self.read_line(known, known=True)
         down = False
         while True:
             before = self.index
@@ -284,7 +284,7 @@
             while True:
                 for line in lines.feed(channel.parser.take_piece()):
                     if line:
-                        await self.take(line)
+                        await self.read_line(line)
                     else:
                         self.source_is_alive()
                     last = loop.time()
--- a/finchladder/net/etcd/client.py
+++ b/finchladder/net/etcd/client.py
@@ -84,7 +84,7 @@
         """Deletes a key; returns whether it existed."""
         return bool((await self.call("kv/deleterange", messages.delete(self._key(kind, name)))).deleted)
 
-    async def all(self) -> AsyncIterator[Item]:
+    async def scan(self) -> AsyncIterator[Item]:
         """Yields all keys below the prefix, as of one revision."""
         prefix, after, revision = f"{self.options.prefix}/".encode(), b"", 0
         while True:
--- a/finchladder/net/etcd/keys.py
+++ b/finchladder/net/etcd/keys.py
@@ -39,7 +39,7 @@
         self.members: dict[str, Member] = {}
         self.drains: dict[str, None] = {}
         self.bad: dict[bytes, str] = {}
-        self.news: list[str] = []  # for the log: unusable keys not yet told of
+        self.unreported: list[str] = []  # for the log: unusable keys not yet told of
 
     def begin_anew(self) -> "Keys":
         """Returns an empty state for a new list, which remembers the unusable keys reported so far."""
@@ -47,7 +47,7 @@
         new.bad = self.bad
         return new
 
-    def take(self, item: Item, before: "Keys | None" = None) -> str | None:
+    def apply(self, item: Item, before: "Keys | None" = None) -> str | None:
         """Applies one key; returns the name of the worker that it may have changed.
 
         Args:
@@ -107,7 +107,7 @@
             self.bad.pop(next(iter(self.bad)))  # a flood of them may be told of again; no memory grows
         self.bad[key] = why
         shown = key[:128].decode("utf-8", "backslashreplace")
-        self.news.append(f"{shown}: {why}; it is left out")
+        self.unreported.append(f"{shown}: {why}; it is left out")
 
     def worker(self, name: str) -> api.WorkerEntry:
         """Returns the entry of a worker; its state is REMOVED where no key names it."""
--- a/finchladder/net/etcd/state.py
+++ b/finchladder/net/etcd/state.py
@@ -316,7 +316,7 @@
         elif a.header.cluster_id != self.of:
             return self._list_anew("another cluster answers each page")
         for item in a.items:
-            self.listed.take(item, self.keys)
+            self.listed.apply(item, self.keys)
         if a.more and a.items:
             self.after = a.items[-1].key
             self._do(List(self.after, self.revision))
@@ -400,7 +400,7 @@
         for item in new:
             top = max(top, item.mod)
             self.count += item.fresh - item.deleted
-            if (name := self.keys.take(item)) is not None:
+            if (name := self.keys.apply(item)) is not None:
                 self.changed[name] = None
         self._told_of(self.keys)
         self._heard()
@@ -477,8 +477,8 @@
 
     def _told_of(self, keys: Keys) -> None:
         most = 20
-        for line in keys.news[:most]:
+        for line in keys.unreported[:most]:
             self._do(Log("error", f"etcd: {line}"))
-        if len(keys.news) > most:
-            self._do(Log("error", f"etcd: {len(keys.news) - most} more keys can't be used"))
-        keys.news.clear()
+        if len(keys.unreported) > most:
+            self._do(Log("error", f"etcd: {len(keys.unreported) - most} more keys can't be used"))
+        keys.unreported.clear()
--- a/finchladder/net/flows.py
+++ b/finchladder/net/flows.py
@@ -43,7 +43,7 @@
         "flow",
         "number",
         "worker",
-        "sent",
+        "sent_at",
         "until",
         "begins_by",
         "stage",
@@ -55,7 +55,7 @@
     ) -> None:
         """Times by the clock: its first byte must go by `begins_by`, or it is void."""
         self.flow, self.number, self.worker = flow, number, worker
-        self.sent, self.until, self.begins_by = sent, until, begins_by
+        self.sent_at, self.until, self.begins_by = sent, until, begins_by
         self.stage = Stage.WAITING
         self.connection: Connection | None = None  # until the job is accepted
 
--- a/finchladder/net/host_environment.py
+++ b/finchladder/net/host_environment.py
@@ -102,7 +102,11 @@
     allow_descriptors: Callable[[int], None] = allow_descriptors
     connect: Connect = connect
     datagrams: Callable[[tuple[str, int]], socket.socket] = datagrams
-    files: Callable[[CaptureOptions, str, int], Disk | None] = capture_files
+    open_capture_files: Callable[[CaptureOptions, str, int], Disk | None] = capture_files
     last_good: "Callable[[str], ListFile] | None" = None  # None: a file on the machine's own disk
-    keep: Callable[[], None] = lambda: None  # what has been made will stay: the collector may leave it out
-    aside: Callable[[Callable[[], Any]], Awaitable[Any]] = asyncio.to_thread  # what would hold up the loop
+    freeze_objects: Callable[[], None] = (
+        lambda: None
+    )  # what has been made will stay: the collector may leave it out
+    run_in_thread: Callable[[Callable[[], Any]], Awaitable[Any]] = (
+        asyncio.to_thread
+    )  # what would hold up the loop
--- a/finchladder/net/job_intake.py
+++ b/finchladder/net/job_intake.py
@@ -39,9 +39,9 @@
         sockets: int,
     ) -> None:
         self.classes, self.flows, self.module, self.clock = classes, flows, module, module.clock
-        self.timers, self.arrivals, self.leaving = timers, arrivals, leaving
-        self.most_open = int(OPEN_FLOW_SHARE * sockets)
-        self.held: dict[Flow, Effect] = {}  # by a drill
+        self.timers, self.arrivals, self.shutdown = timers, arrivals, leaving
+        self.max_open_flows = int(OPEN_FLOW_SHARE * sockets)
+        self.delayed_flows: dict[Flow, Effect] = {}  # by a drill
         self.routes = NO_ROUTES
 
     def arrive(self, client: str, id: str, job_class: str, left_s: float) -> Verdict:
@@ -57,9 +57,9 @@
     def deadline(self, left_s: float) -> float:
         """Returns the deadline (seconds of the clock) of a request that may take `left_s` more seconds."""
         now = self.clock()
-        return self.leaving.latest_answer_at(now, now + left_s)
+        return self.shutdown.latest_answer_at(now, now + left_s)
 
-    def take(self, flow: Flow, drill: Effect | None = None) -> None:
+    def open_flow(self, flow: Flow, drill: Effect | None = None) -> None:
         """Opens a flow and passes it to the decisions, or refuses it where too many are open.
 
         Raises:
@@ -69,35 +69,35 @@
             raise DuplicateRequestError
         self.flows.add(flow)
         flow.since = self.clock()
-        if self.flows.open > self.most_open:
+        if self.flows.open > self.max_open_flows:
             self.flows.finish(flow, Answer("refused", retry_after=1.0))
             return
         self.timers.put(flow, flow.deadline, partial(self._overdue, flow))
         flow.timer = partial(self.timers.drop, flow)
         if drill is None:
-            self.module.tell(flow)
+            self.module.submit(flow)
         else:
             self._drill(flow, drill)
 
     def client_left(self, flow: Flow) -> None:
         """Ends a flow without an answer and cancels its attempts."""
         if self.flows.finish(flow, Answer("left")):
-            self.module.tell(api.ClientDisconnected(flow.id))
+            self.module.submit(api.ClientDisconnected(flow.id))
 
     def shut_down(self) -> None:
         """Starts the shutdown: requests held by fault injection are released."""
         now = self.clock()
-        self.leaving.begin(now)
+        self.shutdown.begin(now)
         self.arrivals.leave(now)
-        for flow in list(self.held):  # no drill is worth a job that SIGKILL finds unanswered
-            self.held[flow] = Effect()
+        for flow in list(self.delayed_flows):  # no drill is worth a job that SIGKILL finds unanswered
+            self.delayed_flows[flow] = Effect()
             self._release(flow)
 
     def _drill(self, flow: Flow, drill: Effect) -> None:
         what = "delay" if drill.hold else "abort"
         bound = logger.bind(drill=what, **_fields(flow))
         bound.info("drill={} class={} id={} hold={:g}", what, flow.job_class, flow.id, drill.hold)
-        self.held[flow] = drill
+        self.delayed_flows[flow] = drill
         if not drill.hold:
             return self._release(flow)
         loop, overdue = IOLoop.current(), flow.timer
@@ -107,20 +107,20 @@
             if overdue is not None:
                 overdue()
             loop.remove_timeout(handle)
-            self.held.pop(flow, None)
+            self.delayed_flows.pop(flow, None)
 
         flow.timer = forget
 
     def _release(self, flow: Flow) -> None:
-        if (drill := self.held.pop(flow, None)) is None or flow.answer is not None:
+        if (drill := self.delayed_flows.pop(flow, None)) is None or flow.answer is not None:
             return
         if drill.abort:
             self.flows.finish(flow, Answer("refused"))
         else:
-            self.module.tell(flow)
+            self.module.submit(flow)
 
     def _overdue(self, flow: Flow) -> None:
         """The module answers before this; should it ever not, the client still gets its one answer."""
         if self.flows.finish(flow, Answer("failed")):
             logger.bind(**_fields(flow)).error("a flow was overdue: the module had not answered it")
-            self.module.tell(api.ClientDisconnected(flow.id))
+            self.module.submit(api.ClientDisconnected(flow.id))
--- a/finchladder/net/membership_actor.py
+++ b/finchladder/net/membership_actor.py
@@ -28,7 +28,7 @@
 )
 from finchladder.core.membership.watch import LINE_TIMEOUT_S
 from finchladder.net.actor import Actor
-from finchladder.net.endpoint_watcher import LONG_LIST_BYTES, READ_AT_ONCE, EndpointWatcher
+from finchladder.net.endpoint_watcher import LONG_LIST_BYTES, MAX_READ_AT_ONCE, EndpointWatcher
 from finchladder.net.http1 import Connect
 from finchladder.store.last_good_list import LastGood, LastGoodFile
 
@@ -71,10 +71,12 @@
 class EndpointConsumer(Protocol):
     """Receives the accepted endpoint list."""
 
-    def tell(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
+    def apply(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
         """Applies a list at once."""
 
-    def change(self, entries: Sequence[api.WorkerEntry], addresses: dict[str, tuple[str, int]]) -> None:
+    def apply_in_slices(
+        self, entries: Sequence[api.WorkerEntry], addresses: dict[str, tuple[str, int]]
+    ) -> None:
         """Applies changed entries in slices."""
 
 
@@ -142,9 +144,9 @@
             self._say(fact)
         entries = decided.workers.entries
         if len(entries) > self.at_once:
-            self.applying.change(entries, decided.addresses)
+            self.applying.apply_in_slices(entries, decided.addresses)
         elif entries:
-            self.applying.tell(decided.workers, decided.addresses)
+            self.applying.apply(decided.workers, decided.addresses)
         if entries and self.file is not None:
             self._save_after(WRITE_DELAY_S)
         due = self.membership.next_due
@@ -168,7 +170,7 @@
 
     # --- the list on disk
 
-    async def begin(self, known: bytes) -> bytes:
+    async def load_last_good(self, known: bytes) -> bytes:
         """Takes the last good list where it is the better one; returns `known` where that is still needed."""
         if self.file is None:
             return known
@@ -246,7 +248,7 @@
     """ValueError: it can't be used."""
     if len(line) <= LONG_LIST_BYTES:
         return read_list(line, kind)
-    reading = read_list_in_slices(line, READ_AT_ONCE, kind)
+    reading = read_list_in_slices(line, MAX_READ_AT_ONCE, kind)
     while True:
         try:
             next(reading)
@@ -262,11 +264,13 @@
     def __init__(self, actor: EndpointWatcher) -> None:
         self.actor = actor
 
-    def tell(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
+    def apply(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
         """Applies a list at once."""
         self.actor.post(EndpointUpdate(0, workers, addresses))
 
-    def change(self, entries: Sequence[api.WorkerEntry], addresses: dict[str, tuple[str, int]]) -> None:
+    def apply_in_slices(
+        self, entries: Sequence[api.WorkerEntry], addresses: dict[str, tuple[str, int]]
+    ) -> None:
         """Applies changed entries in slices."""
         self.actor._changed(EndpointChange(0, list(entries), addresses), known=False)
 
@@ -283,7 +287,7 @@
         self.members.report(Report(DISCOVERY, news.version, news.workers, news.addresses))
         self.index = news.version
 
-    async def take(self, line: bytes, known: bool = False) -> None:
+    async def read_line(self, line: bytes, known: bool = False) -> None:
         """Reads a line of the watch in slices and posts the list.
 
         Raises:
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -28,13 +28,13 @@
 from finchladder.net.config_reload import ConfigReloader, count
 from finchladder.net.control import ControlCalls
 from finchladder.net.decision_actor import Clock, DecisionActor
-from finchladder.net.endpoint_watcher import APPLY_AT_ONCE, EndpointWatcher
+from finchladder.net.endpoint_watcher import MAX_APPLIED_AT_ONCE, EndpointWatcher
 from finchladder.net.flows import FlowTable
 from finchladder.net.host_environment import Disk, HostEnvironment
 from finchladder.net.job_intake import JobIntake
 from finchladder.net.request_handler import RequestHandler
 from finchladder.net.timers import Timers
-from finchladder.net.workers import IN_USE_EACH, WorkerPool
+from finchladder.net.workers import MAX_CONNECTIONS_PER_WORKER, WorkerPool
 
 if TYPE_CHECKING:
     from finchladder.config.operator_file import Loaded
@@ -93,7 +93,7 @@
         share = self._share if peers is not None else None
         decided = make_decisions(self.setup.settings, seed, routes, self.options.spillover_settings(), share)
         self.dispatcher = decided.inner if isinstance(decided, RouteLimitedDispatcher) else decided
-        self.module = DecisionActor(decided, self.flows, self.clock)
+        self.decisions = DecisionActor(decided, self.flows, self.clock)
         return decided
 
     def _build_peers(self, peers: "Peers | None", arrivals: Arrivals) -> None:
@@ -111,18 +111,20 @@
         self.files: Disk | None = None
         if self.options.capture is None:
             return
-        self.files = self.machine.files(self.options.capture, self.setup.name, int(self.clock() * 1000))
+        self.files = self.machine.open_capture_files(
+            self.options.capture, self.setup.name, int(self.clock() * 1000)
+        )
         states = snapshot.Taking(decided, arrivals)
         self.capture = Capture(self.options.capture, self.setup.seed, states, self.files)
         self.capture.begin(self.clock())
         recorder = CaptureRecorder(self.capture)
-        self.module.tap = recorder
+        self.decisions.recorder = recorder
         arrivals.tap = recorder
         self.capture.soon = recorder.soon
 
     def _build_workers(self) -> "SubsetFilter | None":
         """The pool of workers; returns the filter of the list where only a subset of it is used."""
-        subset, max_connections_each = None, IN_USE_EACH
+        subset, max_connections_each = None, MAX_CONNECTIONS_PER_WORKER
         if self.options.aperture is not None:
             # only a dispatcher that uses a subset loads it
             from finchladder.core.membership.subset_filter import SubsetFilter
@@ -130,9 +132,9 @@
             aperture, own = self.options.aperture.settings(), self.setup.settings
             subset = SubsetFilter(own.index, own.dispatchers, aperture)
             max_connections_each = aperture.connections_each
-        self.servers = WorkerPool(
+        self.workers = WorkerPool(
             self.flows,
-            self.module,
+            self.decisions,
             self.timers,
             self.setup.caps.connect_timeout_s,
             self.setup.caps.conn_idle_s,
@@ -140,15 +142,15 @@
             self.machine.connect,
             max_connections_each,
         )
-        self.module.carrier = self.servers
+        self.decisions.carrier = self.workers
         return subset
 
     def _build_discovery(self, subset: "SubsetFilter | None", seed: int) -> None:
         """The sources of the worker list, and the membership rules over them, where they are on."""
         self.service = EndpointWatcher(
-            self.setup.discovery, self.servers.update, self.servers.retire, self.machine.connect, subset
+            self.setup.discovery, self.workers.update, self.workers.retire, self.machine.connect, subset
         )
-        self.service.settled = self.machine.keep
+        self.service.settled = self.machine.freeze_objects
         self.members: MembershipActor | None = None
         self.etcd: EtcdActor | None = None
         if self.options.membership is not None or self.options.etcd is not None:
@@ -168,7 +170,7 @@
         self.intake = JobIntake(
             self.classes,
             self.flows,
-            self.module,
+            self.decisions,
             self.timers,
             arrivals,
             leaving,
@@ -177,9 +179,9 @@
 
     def _build_reload(self, file: OperatorFile | None) -> None:
         """The reloading of the operator's file, where there is one."""
-        self.reload: ConfigReloader | None = None
+        self.reloader: ConfigReloader | None = None
         if file is not None:
-            self.reload = ConfigReloader(file.loaded, file.read, self.machine.aside, self._hold)
+            self.reloader = ConfigReloader(file.loaded, file.read, self.machine.run_in_thread, self._hold)
             self.intake.routes = file.loaded.routes
 
     def _build_controls(self, arrivals: Arrivals, peers: "Peers | None") -> ControlCalls:
@@ -197,7 +199,7 @@
                 self.judging,
                 self.dispatcher,
                 self.clock,
-                self.module.tell,
+                self.decisions.submit,
                 peers,
             )
             if self.peers is not None:
@@ -212,17 +214,17 @@
         settings = self.setup.settings
         limits = self.options.overload.settings(settings.max_retry_after_s)
         self.admission = Admission(settings.classes, limits, seed, self.clock, self.flows.known, self.machine)
-        self.module.starts = self.admission.started
+        self.decisions.starts = self.admission.started
 
     def _build_clients(self, controls: ControlCalls) -> None:
         """The handler of messages and the listener for client connections."""
         lists = self.members or self.service
         handler = RequestHandler(
-            self.intake, controls, lambda: lists.up, self.servers.called_back, self.admission
+            self.intake, controls, lambda: lists.up, self.workers.called_back, self.admission
         )
         limits = self.setup.limits
-        self.bodies = BodyMemory(limits.memory_mb * 1024 * 1024, self.options.memory_bytes())
-        self.clients = ClientListener(handler, self.bodies, limits.sockets)
+        self.body_memory = BodyMemory(limits.memory_mb * 1024 * 1024, self.options.memory_bytes())
+        self.listener = ClientListener(handler, self.body_memory, limits.sockets)
 
     def _join(self, options: PeersOptions, seed: int) -> "Peers":
         """This one's place among the dispatchers."""
@@ -269,7 +271,7 @@
         if options.peers.counts:
             attach(self.dispatcher)
         if options.peers.counts or options.judgement is not None:
-            heard = self.module.tell
+            heard = self.decisions.submit
         self.peers = PeersActor(
             joined,
             options.peers.fleet,
@@ -300,7 +302,7 @@
             own.settings(),
             self.clock,
             membership_actor.EndpointApplier(self.service),
-            APPLY_AT_ONCE,
+            MAX_APPLIED_AT_ONCE,
             file,
         )
         self.service = membership_actor.DiscoverySource(self.setup.discovery, members, machine.connect)
@@ -310,7 +312,7 @@
                 members.report,
                 members.source_is_alive,
                 machine.connect,
-                machine.aside,
+                machine.run_in_thread,
                 machine.monotonic,
                 Random(f"{seed}/etcd"),
             )
@@ -321,10 +323,10 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, left.set)
         self.machine.allow_descriptors(setup.limits.sockets)
-        self.servers.start()
+        self.workers.start()
         if self.admission is not None:
             self.admission.start()
-        known = setup.known if self.members is None else await self.members.begin(setup.known)
+        known = setup.known if self.members is None else await self.members.load_last_good(setup.known)
         self.service.start(known)
         if self.etcd is not None:
             self.etcd.start()
@@ -335,14 +337,14 @@
         # whoever connects before is refused at once, and has lost nothing
         await self.service.first_word()
         for listening in self.machine.listen(setup.listen, setup.limits.sockets):
-            self.clients.add_socket(listening)
+            self.listener.add_socket(listening)
         logger.info("{}: serving at {}:{}", setup.name, *setup.listen)
-        if self.reload is not None:
-            loaded = self.reload.loaded
+        if self.reloader is not None:
+            loaded = self.reloader.loaded
             logger.info("routes: version {} holds, {}", loaded.version, count(loaded.routes))
         await left.wait()
         logger.info("{}: leaving", setup.name)
-        await self.clients.leave()
+        await self.listener.shut_down()
         if self.peers is not None:
             self.peers.stop()
         if self.etcd is not None:
@@ -358,8 +360,8 @@
 
         All else holds from the next start.
         """
-        if self.reload is not None:
-            self.reload.ask()
+        if self.reloader is not None:
+            self.reloader.request_reload()
         try:
             discovery = self.reread().discovery
         except (ValueError, RecursionError) as e:
@@ -384,4 +386,4 @@
     def _hold(self, routes: Routes) -> None:
         """In one step: a job that has come under a route of before is decided by that."""
         self.intake.routes = routes
-        self.module.tell(NewRoutes(routes))
+        self.decisions.submit(NewRoutes(routes))
--- a/finchladder/net/peers/actor.py
+++ b/finchladder/net/peers/actor.py
@@ -13,7 +13,7 @@
 
 from finchladder.core.api import OperatorOverrides, PeerLoads, PeerReports
 from finchladder.core.peers.exchange import Packets, Peers
-from finchladder.net.peers.datagrams import MOST, MalformedDatagramError, decode, encode
+from finchladder.net.peers.datagrams import MAX_DATAGRAM_BYTES, MalformedDatagramError, decode, encode
 
 EACH = 64  # datagrams read in one turn of the loop
 AGAIN_S = 5.0  # until a socket is tried again
@@ -64,7 +64,7 @@
             heard: Receives all peers' load counts and their reports on workers.
             bind: Opens the socket.
         """
-        self.peers, self.fleet, self.own, self.clock, self.heard, self.bind = (
+        self.peers, self.fleet, self.own_address, self.clock, self.heard, self.bind = (
             peers,
             fleet,
             own,
@@ -100,17 +100,17 @@
             return
         loop = asyncio.get_running_loop()
         try:
-            self.socket = self.bind(self.own)
+            self.socket = self.bind(self.own_address)
         except OSError as e:
             if not self.complained:
                 logger.error(
-                    "peers: no UDP at {}:{}: {}; each goes on by its own share", *self.own, e.strerror
+                    "peers: no UDP at {}:{}: {}; each goes on by its own share", *self.own_address, e.strerror
                 )
             self.complained = True
             loop.call_later(AGAIN_S, self._open)
             return
         if self.complained:
-            logger.info("peers: UDP at {}:{} is there now", *self.own)
+            logger.info("peers: UDP at {}:{} is there now", *self.own_address)
         loop.add_reader(self.socket.fileno(), self._read)
 
     def _close(self) -> None:
@@ -126,7 +126,7 @@
             if self.socket is None:
                 return
             try:
-                data, source = self.socket.recvfrom(MOST + 1)
+                data, source = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:  # an answer to what was sent to one that is down: Linux tells it here
@@ -161,7 +161,7 @@
             if address is None or self.socket is None:
                 continue
             data = encode(self.fleet, packet)
-            if len(data) > MOST:
+            if len(data) > MAX_DATAGRAM_BYTES:
                 self._drop("too long to send")
                 continue
             try:
--- a/finchladder/net/peers/datagrams.py
+++ b/finchladder/net/peers/datagrams.py
@@ -18,7 +18,7 @@
 from finchladder.core.peers.messages import Grant, Kind, Packet, Part, Return, Row, Rumour, Standing, Want
 
 VERSION = 2
-MOST = 1_200  # bytes: no link on the way is to cut it in pieces
+MAX_DATAGRAM_BYTES = 1_200  # bytes: no link on the way is to cut it in pieces
 EIGHTH, MOST_COUNT = 8, 0xFFFF
 EACH = 6  # bytes of a real server in a part
 TENTH = 10
@@ -162,7 +162,7 @@
     Raises:
         MalformedDatagramError: It is too long, malformed, or of another version or fleet.
     """
-    if len(data) > MOST:
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise MalformedDatagramError("too long")
     try:
         d = _decoder.decode(data)
--- a/finchladder/net/request_handler.py
+++ b/finchladder/net/request_handler.py
@@ -64,7 +64,7 @@
             connection.used(ConnectionValue.SERVED)
             return Reply(204)
         if path == HEALTH_PATH:
-            up = self.ready() and not self.intake.leaving.has_begun
+            up = self.ready() and not self.intake.shutdown.has_begun
             connection.used(ConnectionValue.QUERIED)
             return Reply(200, b"up\n") if up else Reply(503, b"not up\n")
         if path.startswith("/_") and (reply := self.controls.answer(head, body)) is not None:
@@ -103,7 +103,7 @@
             flow = Flow(id, job_class, key, facts, message, deadline, connection.deliver)
             if route is not None:
                 flow.route, flow.repeat = route.name, read_repeat(head)
-            self.intake.take(flow, verdict.drill)
+            self.intake.open_flow(flow, verdict.drill)
         except DuplicateRequestError:
             raise MalformedMessageError(
                 400, "a request with this X-Correlation-Id has come already"
--- a/finchladder/net/slots.py
+++ b/finchladder/net/slots.py
@@ -9,12 +9,12 @@
 
     def __init__(self, count: int) -> None:
         self.free = count
-        self.queue: deque[asyncio.Future[None]] = deque()
+        self.waiters: deque[asyncio.Future[None]] = deque()
 
     @property
     def open(self) -> bool:
         """Whether a slot can be acquired without waiting."""
-        return self.free > 0 and not self.queue
+        return self.free > 0 and not self.waiters
 
     def acquire(self) -> None:
         """Acquires a slot; only allowed where `open`."""
@@ -25,20 +25,20 @@
         if self.open:
             return self.acquire()
         turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.queue.append(turn)
+        self.waiters.append(turn)
         try:
             await turn
         except BaseException:
             if turn.done() and not turn.cancelled():
                 self.release()  # its turn had come as it gave up waiting
             else:
-                self.queue.remove(turn)
+                self.waiters.remove(turn)
             raise
 
     def release(self) -> None:
         """Returns a slot, directly to the first waiter if there is one."""
-        while self.queue:
-            turn = self.queue.popleft()
+        while self.waiters:
+            turn = self.waiters.popleft()
             if not turn.done():
                 return turn.set_result(None)  # the place goes from hand to hand
         self.free += 1
--- a/finchladder/net/worker_connection.py
+++ b/finchladder/net/worker_connection.py
@@ -37,7 +37,7 @@
         self.since = 0.0  # it is free since then
         self.idle = 0.0  # how long it was free before its present exchange
         self.exchange: Exchange | None = None
-        self.busy = self.over = False
+        self.busy = self.has_ended = False
         self.held = True  # by whoever had it made, or took it from the kept ones
         self.begun = False  # the request was handed to the stream
         self.writing: asyncio.Future[None] | None = None
@@ -93,9 +93,9 @@
         return not self.channel.stream.closed()
 
     def _end(self) -> None:
-        if self.over:
+        if self.has_ended:
             return
-        self.over = True
+        self.has_ended = True
         self.channel.close()
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
@@ -114,24 +114,24 @@
     """
 
     def __init__(self, most: int) -> None:
-        self.most = most
-        self.lines: OrderedDict[WorkerConnection, None] = OrderedDict()
+        self.max_connections = most
+        self.connections: OrderedDict[WorkerConnection, None] = OrderedDict()
 
     def put(self, connection: WorkerConnection, now: float) -> None:
         """Adds a connection that became idle at `now`."""
         connection.since = now
-        self.lines[connection] = None
-        if len(self.lines) > self.most:
-            self.lines.popitem(last=False)[0].close()
+        self.connections[connection] = None
+        if len(self.connections) > self.max_connections:
+            self.connections.popitem(last=False)[0].close()
 
     def drop(self, connection: WorkerConnection) -> None:
         """Removes a connection without closing it."""
-        self.lines.pop(connection, None)
+        self.connections.pop(connection, None)
 
     def close_before(self, since: float, most: int) -> None:
         """Closes connections that are idle since `since` or longer, `most` at the most in one call."""
         for _ in range(most):
-            if not self.lines or (connection := next(iter(self.lines))).since > since:
+            if not self.connections or (connection := next(iter(self.connections))).since > since:
                 return
-            del self.lines[connection]
+            del self.connections[connection]
             connection.close()
--- a/finchladder/net/workers.py
+++ b/finchladder/net/workers.py
@@ -27,7 +27,7 @@
 
 MAILBOX_SIZE = 8192
 IN_USE, KEPT = 0.23, 0.11  # parts of all sockets, for busy and idle connections to the real servers together
-IN_USE_EACH = 24  # a silent real server must not take the connections of the rest
+MAX_CONNECTIONS_PER_WORKER = 24  # a silent real server must not take the connections of the rest
 IDLE_PART = 0.6  # of the time after which a real server closes: a request must never cross its closing
 REAP_AT_ONCE = 200  # idle connections, and real servers that have left, in one turn of the loop: some 2 ms
 DELETE_TIMEOUT_S = 1.0  # for a DELETE
@@ -124,24 +124,24 @@
     ) -> None:
         super().__init__(f"real server {name}", MAILBOX_SIZE)
         self.connect = connect
-        self.server, self.address = name, address
+        self.worker, self.address = name, address
         self.flows, self.module, self.clock, self.timers = flows, module, module.clock, timers
         self.connect_timeout, self.trust, self.kept = connect_timeout, trust, kept
         self.ready = True
-        self.live: dict[str, Attempt] = {}
+        self.attempts: dict[str, Attempt] = {}
         self.idle: list[WorkerConnection] = []  # the one used last is the last
         self.busy = 0
-        self.in_use, self.all_in_use = Slots(each), all_in_use
+        self.slots, self.shared_slots = Slots(each), all_in_use
 
     @property
     def log(self) -> "Logger":
         """The logger, bound to this worker's name."""
-        return super().log.bind(server=self.server)
+        return super().log.bind(server=self.worker)
 
     @property
-    def at_rest(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no attempt, connection, message or task of this worker is left."""
-        return not (self.live or self.busy or self.backlog or self.tasks)
+        return not (self.attempts or self.busy or self.backlog or self.tasks)
 
     # --- what the mailbox brings --------------------------------------------------------------------------
 
@@ -157,7 +157,7 @@
     def failed(self, item: Attempt | Withdrawal | CallBack) -> None:
         """Ends the attempt of an item whose handling raised an error."""
         if isinstance(item, CallBack):
-            attempt = self.live.get(item.id)
+            attempt = self.attempts.get(item.id)
         else:
             attempt = item.attempt if isinstance(item, Withdrawal) else item
         if attempt is not None:
@@ -166,12 +166,12 @@
     def _begin(self, attempt: Attempt) -> None:
         if (
             not self.ready
-            or attempt.flow.id in self.live
+            or attempt.flow.id in self.attempts
             or any(other is not attempt and other.worker == attempt.worker for other in attempt.flow.attempts)
         ):
             # a late call-back about the first attempt here could not be told from one about the second
             return self.end(attempt, E.VOID)
-        self.live[attempt.flow.id] = attempt
+        self.attempts[attempt.flow.id] = attempt
         self.timers.put(attempt, attempt.until, partial(self.end, attempt, E.TIMED_OUT))
         if (connection := self._connection_at_once()) is not None:
             self._write(attempt, connection)
@@ -180,18 +180,18 @@
 
     def _called_back(self, call_back: CallBack) -> None:
         """Matched by id and sender: it may come before the 202, again, or about a job nobody knows here."""
-        attempt = self.live.get(call_back.id)
+        attempt = self.attempts.get(call_back.id)
         if attempt is not None and not STAGE_RULES[attempt.stage].accepts_callbacks:
             return
         if self.flows.status is not None:  # is told also of one given up here
-            self.flows.status.told(self.clock(), call_back.id, self.server, call_back.state, call_back.share)
+            self.flows.status.told(self.clock(), call_back.id, self.worker, call_back.state, call_back.share)
         if attempt is None:
             return
         if call_back.state == "started":
             self.begun(attempt)
-            self.module.tell(api.Started(call_back.id, attempt.number))
+            self.module.submit(api.Started(call_back.id, attempt.number))
         elif call_back.state == "running":
-            self.module.tell(api.Progress(call_back.id, attempt.number, call_back.share))
+            self.module.submit(api.Progress(call_back.id, attempt.number, call_back.share))
         elif call_back.state in CALL_BACK_ENDS:
             self.end(
                 attempt,
@@ -255,13 +255,13 @@
         give_up = STAGE_RULES[attempt.stage].on_abandon
         attempt.step(Step.END)
         if self.flows.status is not None:
-            self.flows.status.ended(attempt.flow.id, self.server, ending)
+            self.flows.status.ended(attempt.flow.id, self.worker, ending)
         self.timers.drop(attempt)
-        if self.live.get(attempt.flow.id) is attempt:
-            del self.live[attempt.flow.id]
+        if self.attempts.get(attempt.flow.id) is attempt:
+            del self.attempts[attempt.flow.id]
         if ending is E.OK:
             self.flows.finish(attempt.flow, Answer("served", result))
-        ended = Ending(attempt, ending, self.clock() - attempt.sent, report)
+        ended = Ending(attempt, ending, self.clock() - attempt.sent_at, report)
         if ending in (E.CANCELLED, E.TIMED_OUT):
             if give_up is AbandonAction.DELETE:
                 if attempt.flow.answer is None and self._alone() and self.clock() < attempt.flow.deadline:
@@ -277,7 +277,7 @@
         return not self.module.dispatcher.settings.may_hedge
 
     def _told(self, ended: Ending) -> None:
-        self.module.tell(ended)
+        self.module.submit(ended)
         self.flows.forget_if_over(ended.attempt.flow)
 
     async def _give_up_first(self, ended: Ending) -> None:
@@ -311,18 +311,18 @@
     def _connection_at_once(self) -> WorkerConnection | None:
         """A kept line, if one can be had without waiting for a place."""
         if (
-            not (self.idle and self.in_use.open and self.all_in_use.open)
+            not (self.idle and self.slots.open and self.shared_slots.open)
             or (connection := self._kept()) is None
         ):
             return None
-        self.in_use.acquire()
-        self.all_in_use.acquire()
+        self.slots.acquire()
+        self.shared_slots.acquire()
         return self._held(connection)
 
     async def _connection(self) -> WorkerConnection:
         """A line for one exchange, kept or new. It holds its places until it is free again, or gone."""
         async with asyncio.timeout(self.connect_timeout), AsyncExitStack() as places:
-            for place in (self.in_use, self.all_in_use):
+            for place in (self.slots, self.shared_slots):
                 await place.wait()
                 places.callback(place.release)
             connection = self._kept() or WorkerConnection(
@@ -351,8 +351,8 @@
         connection.held = False
         self.busy -= 1
         self.timers.drop(connection)
-        self.in_use.release()
-        self.all_in_use.release()
+        self.slots.release()
+        self.shared_slots.release()
 
     def _free(self, connection: WorkerConnection) -> None:
         self._let_go(connection)
@@ -387,7 +387,7 @@
         conn_idle: float,
         sockets: int,
         connect: Connect,
-        each: int = IN_USE_EACH,
+        each: int = MAX_CONNECTIONS_PER_WORKER,
     ) -> None:
         """`each`: the maximum number of connections to one worker; times in seconds."""
         self.flows, self.module, self.clock, self.timers = flows, module, module.clock, timers
@@ -398,9 +398,9 @@
         )
         self.actors: dict[str, WorkerActor] = {}
         self.starts: dict[str, float] = {}
-        self.fading: dict[str, WorkerActor] = {}  # not ready: they go once nothing is under way with them
-        self.all_in_use = Slots(int(IN_USE * sockets))
-        self.kept = IdleConnections(int(KEPT * sockets))
+        self.leaving: dict[str, WorkerActor] = {}  # not ready: they go once nothing is under way with them
+        self.slots = Slots(int(IN_USE * sockets))
+        self.idle_connections = IdleConnections(int(KEPT * sockets))
         self.reaper = PeriodicCallback(self._reap, 1000)
 
     def start(self) -> None:
@@ -423,7 +423,7 @@
             if actor.address != address or self.starts.get(e.worker, e.started_at) != e.started_at:
                 actor.drop_idle()  # connections to a process that is no more
             actor.address, self.starts[e.worker] = address, e.started_at
-        self.module.tell(worker_list)
+        self.module.submit(worker_list)
 
     def retire(self, names: list[str]) -> None:
         """Marks workers as not ready at once, ahead of the slices in which the decisions learn of them."""
@@ -434,9 +434,9 @@
     def _set_ready(self, actor: WorkerActor, ready: bool) -> None:
         actor.ready = ready
         if ready:
-            self.fading.pop(actor.server, None)
+            self.leaving.pop(actor.worker, None)
         else:
-            self.fading[actor.server] = actor
+            self.leaving[actor.worker] = actor
 
     def _add(self, name: str, address: tuple[str, int]) -> WorkerActor:
         actor = self.actors[name] = WorkerActor(
@@ -447,8 +447,8 @@
             self.timers,
             self.connect_timeout,
             self.trust,
-            self.all_in_use,
-            self.kept,
+            self.slots,
+            self.idle_connections,
             self.connect,
             self.each,
         )
@@ -463,7 +463,7 @@
             attempt.step(Step.END)
             if self.flows.status is not None:
                 self.flows.status.ended(attempt.flow.id, attempt.worker, E.VOID)
-            self.module.tell(Ending(attempt, E.VOID, 0.0, None))
+            self.module.submit(Ending(attempt, E.VOID, 0.0, None))
 
     def withdraw(self, attempt: Attempt) -> None:
         """Cancels an attempt."""
@@ -477,16 +477,16 @@
 
     def _reap(self) -> None:
         now = self.clock()
-        self.kept.close_before(now - self.trust.limit_s(now), REAP_AT_ONCE)
-        self._bury(list(self.fading))
+        self.idle_connections.close_before(now - self.trust.limit_s(now), REAP_AT_ONCE)
+        self._bury(list(self.leaving))
 
     def _bury(self, names: list[str]) -> None:
         """Removes unlisted workers in slices: half of a large fleet may leave at once."""
         for name in names[:REAP_AT_ONCE]:
-            if (actor := self.fading.get(name)) is not None:
+            if (actor := self.leaving.get(name)) is not None:
                 actor.drop_idle()
-                if actor.at_rest:
-                    del self.actors[name], self.fading[name]
+                if actor.is_idle:
+                    del self.actors[name], self.leaving[name]
                     self.starts.pop(name, None)
         if rest := names[REAP_AT_ONCE:]:
             IOLoop.current().add_callback(self._bury, rest)
--- a/finchladder/sim/inner.py
+++ b/finchladder/sim/inner.py
@@ -10,7 +10,7 @@
 from finchladder.net.capture_recorder import CaptureRecorder
 from finchladder.net.node import DispatcherNode
 from finchladder.net.worker_connection import WorkerConnection
-from finchladder.net.workers import IN_USE_EACH
+from finchladder.net.workers import MAX_CONNECTIONS_PER_WORKER
 
 if TYPE_CHECKING:
     from finchladder.sim.process import Process
@@ -60,13 +60,13 @@
 
     def __init__(self, process: "Process", node: DispatcherNode) -> None:
         self.process, self.node, self.run = process, node, process.run
-        further = node.module.tap
+        further = node.decisions.recorder
         self.tap = Tap(self, further if isinstance(further, CaptureRecorder) else None)
-        node.module.tap = self.tap
-        self.loaded = node.reload.loaded if node.reload is not None else None  # as of the start
+        node.decisions.recorder = self.tap
+        self.loaded = node.reloader.loaded if node.reloader is not None else None  # as of the start
         self.sockets = node.setup.limits.sockets
-        self.places = node.servers.all_in_use.free
-        self.room = node.bodies.free_bytes
+        self.places = node.workers.slots.free
+        self.room = node.body_memory.free_bytes
         self.turns = 0
         self.spin_at, self.spin_turns = process.run.kernel.now, 0
 
@@ -86,16 +86,16 @@
         for key in unwanted:
             if key in self.tap.out:
                 self.found("not given up", f"{key} was given up by the decisions, and is still out")
-        if node.module.backlog:
-            self.found("mailbox", f"{node.module.backlog} items wait for the module though it rests")
-        if node.flows.open > node.intake.most_open:
-            self.found("bounds", f"{node.flows.open} flows are open, {node.intake.most_open} may be")
-        if len(node.clients.edges) > node.clients.edges.max_connections:
-            self.found("bounds", f"{len(node.clients.edges)} edge connections")
-        if not 0 <= node.servers.all_in_use.free <= self.places:
-            self.found("bounds", f"{node.servers.all_in_use.free} places of {self.places} are free")
-        if len(node.servers.kept.lines) > node.servers.kept.most:
-            self.found("bounds", f"{len(node.servers.kept.lines)} kept lines")
+        if node.decisions.backlog:
+            self.found("mailbox", f"{node.decisions.backlog} items wait for the module though it rests")
+        if node.flows.open > node.intake.max_open_flows:
+            self.found("bounds", f"{node.flows.open} flows are open, {node.intake.max_open_flows} may be")
+        if len(node.listener.connections) > node.listener.connections.max_connections:
+            self.found("bounds", f"{len(node.listener.connections)} edge connections")
+        if not 0 <= node.workers.slots.free <= self.places:
+            self.found("bounds", f"{node.workers.slots.free} places of {self.places} are free")
+        if len(node.workers.idle_connections.connections) > node.workers.idle_connections.max_connections:
+            self.found("bounds", f"{len(node.workers.idle_connections.connections)} kept lines")
         loop = self.process.loop
         if loop is not None and len(loop.sockets) > self.sockets:
             self.found("bounds", f"{len(loop.sockets)} sockets, {self.sockets} may be")
@@ -131,48 +131,48 @@
         for flow in node.flows.by_id.values():
             if flow.answer is not None and all(s.ended for s in flow.attempts):
                 self.found("tables", f"{flow.id} is over and still in the table")
-        for actor in node.servers.actors.values():
-            for id, s in actor.live.items():
-                if isinstance(s.connection, WorkerConnection) and s.connection.over:
+        for actor in node.workers.actors.values():
+            for id, s in actor.attempts.items():
+                if isinstance(s.connection, WorkerConnection) and s.connection.has_ended:
                     self.found("tables", f"{actor.name}: {id} waits on a line that is gone")
                 if s.stage is Stage.WAITING and not self.run.was_stopped(self.process):
-                    waits = node.clock() - s.sent
+                    waits = node.clock() - s.sent_at
                     if waits > node.setup.caps.connect_timeout_s + WAITS_MORE_S:
                         self.found(
-                            "waits", f"{id} waits for a connection to {actor.server} for {waits:.3f} s"
+                            "waits", f"{id} waits for a connection to {actor.worker} for {waits:.3f} s"
                         )
                 if s.ended or node.flows.by_id.get(id) is not s.flow:
                     self.found("tables", f"{actor.name} holds {id}, which is over")
-            if not 0 <= actor.in_use.free <= IN_USE_EACH:
-                self.found("bounds", f"{actor.name}: {actor.in_use.free} places are free")
+            if not 0 <= actor.slots.free <= MAX_CONNECTIONS_PER_WORKER:
+                self.found("bounds", f"{actor.name}: {actor.slots.free} places are free")
 
     def quiet(self) -> None:
         """Nothing is asked and nothing is under way: what is still held is held for good."""
         node = self.node
         self.whole()
         module = node.dispatcher
-        actors = node.servers.actors.values()
+        actors = node.workers.actors.values()
         left = {
             "flows": list(node.flows.by_id),
             "open flows": node.flows.open,
-            "drilled flows": len(node.intake.held),
+            "drilled flows": len(node.intake.delayed_flows),
             "sends without an end": list(self.tap.out),
             "jobs of the decisions": list(module.jobs),
             "held jobs": [
                 j for queue in module.queues.by_class.values() for jobs in queue.values() for j in jobs
             ],
             "timers": len(node.timers.wheel),
-            "bytes for bodies": self.room - node.bodies.free_bytes,
-            "places in use": self.places - node.servers.all_in_use.free,
-            "jobs at real servers": [id for a in actors for id in a.live],
+            "bytes for bodies": self.room - node.body_memory.free_bytes,
+            "places in use": self.places - node.workers.slots.free,
+            "jobs at real servers": [id for a in actors for id in a.attempts],
             "busy lines": sum(a.busy for a in actors),
-            "places of one real server": sum(IN_USE_EACH - a.in_use.free for a in actors),
-            "waiting for a place": len(node.servers.all_in_use.queue),
+            "places of one real server": sum(MAX_CONNECTIONS_PER_WORKER - a.slots.free for a in actors),
+            "waiting for a place": len(node.workers.slots.waiters),
             "real servers with load": [w.address for w in module.workers.values() if w.load],
         }
-        fading = [name for name, actor in node.servers.fading.items() if actor.at_rest]
+        fading = [name for name, actor in node.workers.leaving.items() if actor.is_idle]
         left["real servers that are gone for long"] = fading
-        if isinstance(guarded := node.module.dispatcher, RouteLimitedDispatcher):
+        if isinstance(guarded := node.decisions.dispatcher, RouteLimitedDispatcher):
             left["jobs under routes"] = [*guarded.runs, *guarded.alarms.due_at]
         if node.flows.status is not None:
             left["jobs whose status is open"] = list(node.flows.status.open)
@@ -189,7 +189,7 @@
             line for block in self.node.capture.dump(self.node.clock()) for line in block.splitlines(True)
         ]
         routes = None
-        if (reload := self.node.reload) is not None:
+        if (reload := self.node.reloader) is not None:
             routes = self.loaded.routes if self.loaded is not None else None
             if reload.loaded is not self.loaded and self.node.capture.ring.content()[0]:
                 return  # what held where it begins is not known
--- a/finchladder/sim/process.py
+++ b/finchladder/sim/process.py
@@ -104,12 +104,12 @@
         self.machine = HostEnvironment(
             wall=lambda: wall + kernel.now + self.wall_off,
             cpu=lambda: 0.0,  # a turn takes no time
-            aside=self._aside,
+            run_in_thread=self._aside,
             monotonic=lambda: since + kernel.now,
             listen=self._listen,
             allow_descriptors=lambda sockets: None,
             connect=partial(http1.connect, make=self._socket),
-            files=self._files,
+            open_capture_files=self._files,
         )
         setup, options = self.setup(), self.run.options
         run.struck("started", self.name)
--- a/tests/core/test_members.py
+++ b/tests/core/test_members.py
@@ -147,7 +147,7 @@
 
     async def play() -> None:
         monkeypatch.setattr(endpoint_watcher, "LONG_LIST_BYTES", 2000)
-        monkeypatch.setattr(endpoint_watcher, "SIFT_AT_ONCE", 16)
+        monkeypatch.setattr(endpoint_watcher, "MAX_FILTERED_AT_ONCE", 16)
         applied: list[api.WorkerEntry] = []
         members = SubsetFilter(7, 40, TEN)
 
@@ -156,7 +156,7 @@
 
         actor = EndpointWatcher(AT, apply, lambda names: None, http1.connect, members)
         whole = [entry(name) for name in names(200)]
-        await actor.take(line(whole, True, 1))
+        await actor.read_line(line(whole, True, 1))
         while not members.listed:
             await asyncio.sleep(0)
         actor.post(
@@ -164,7 +164,7 @@
                 line([entry("s-199", WorkerStatus.DRAINING), entry("s-3", WorkerStatus.REMOVED)], False, 2)
             )
         )
-        while actor.told or actor.urgent or actor.rest:
+        while actor.unfiltered or actor.urgent or actor.queued:
             await asyncio.sleep(0)
         ready = {name: e.state for e in applied for name in [e.worker]}
         final = Aperture(7, 40, TEN)
--- a/tests/test_believing.py
+++ b/tests/test_believing.py
@@ -152,10 +152,10 @@
         self.calls: list[tuple[str, int]] = []
         self.states: dict[str, api.WorkerStatus] = {}
 
-    def tell(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
+    def apply(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
         self._keep("tell", workers.entries)
 
-    def change(self, entries: Any, addresses: dict[str, tuple[str, int]]) -> None:
+    def apply_in_slices(self, entries: Any, addresses: dict[str, tuple[str, int]]) -> None:
         self._keep("change", entries)
 
     def _keep(self, how: str, entries: Any) -> None:
@@ -233,7 +233,7 @@
         rules = MembershipSettings()
         actor = MembershipActor([Source("discovery")], rules, lambda: 1000.0, applied, 16, disk)
         line = list_line(known, [], True) if known is not None else b""
-        assert await actor.begin(line) == (b"" if used else line)
+        assert await actor.load_last_good(line) == (b"" if used else line)
         assert applied.states == ({"a": R, "b": D} if used else {})
         actor.close()
         assert disk.good == good  # a list of before is not written again, as if it were of now
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -566,13 +566,13 @@
     admission = None
 
     def __init__(self, then: Callable[[], object] = lambda: None) -> None:
-        self.leaving, self.clock, self.then = GracefulShutdown(3.0), time.monotonic, then
-        self.leaving.keep_open_s = 0.0
+        self.shutdown, self.clock, self.then = GracefulShutdown(3.0), time.monotonic, then
+        self.shutdown.keep_open_s = 0.0
         self.flows: Any = SimpleNamespace(open=0)
         self.intake = self
 
     def shut_down(self) -> None:
-        self.leaving.begin(self.clock())
+        self.shutdown.begin(self.clock())
 
     async def answer(self, edge: Any, head: Any, body: bytes) -> Reply:
         self.then()
@@ -622,8 +622,8 @@
         reader, writer = await asyncio.open_connection(*listening.getsockname(), limit=4096)
         writer.write(HEALTH)
         assert await reader.readexactly(12) == b"HTTP/1.1 200"
-        left = asyncio.create_task(parts.leave())
-        await until(lambda: desk.leaving.has_begun)
+        left = asyncio.create_task(parts.shut_down())
+        await until(lambda: desk.shutdown.has_begun)
         await asyncio.sleep(0)
         assert not left.done()
         await reader.readuntil(b"\r\n\r\n")
@@ -652,7 +652,7 @@
         desk.flows = Open()
         parts = client_listener.ClientListener(cast(RequestHandler, desk), BodyMemory(1 << 20, 0), 128)
         parts.add_socket(listening)
-        await parts.leave()
+        await parts.shut_down()
         reader, writer = await asyncio.open_connection(sock=raw[0])
         assert (await read_message(reader)).status == 200
         writer.close()
@@ -674,7 +674,8 @@
         listening = listener()
         parts = client_listener.ClientListener(cast(RequestHandler, Desk()), BodyMemory(1 << 20, 0), 128)
         crowd = [
-            socket.create_connection(listening.getsockname()) for _ in range(parts.edges.max_connections + 20)
+            socket.create_connection(listening.getsockname())
+            for _ in range(parts.connections.max_connections + 20)
         ]
         raw = socket.create_connection(listening.getsockname())
         raw.sendall(HEALTH)
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -31,7 +31,13 @@
     flaw,
 )
 from finchladder.net.peers.actor import PeersActor
-from finchladder.net.peers.datagrams import MOST, VERSION, MalformedDatagramError, decode, encode
+from finchladder.net.peers.datagrams import (
+    MAX_DATAGRAM_BYTES,
+    VERSION,
+    MalformedDatagramError,
+    decode,
+    encode,
+)
 
 NAME = st.text("abcdefgh.-_0123456789", min_size=1, max_size=32)
 INT, FIGURE = st.integers(0, MOST_INCARNATION), st.floats(0, 1e9)
@@ -102,8 +108,8 @@
         and all(c.isascii() for row in p.rows for w in row.wants for c in w.budget)
         and all(g.budget.isascii() for g in p.grants)
     ):
-        assert len(data) <= MOST
-    if len(data) <= MOST:
+        assert len(data) <= MAX_DATAGRAM_BYTES
+    if len(data) <= MAX_DATAGRAM_BYTES:
         assert decode("a-fleet-of-thirty-two-characters", data) == p
 
 
@@ -223,7 +229,7 @@
         (b"", "malformed"),
         (ENDED[:-1], "malformed"),
         (ENDED + b"\0", "malformed"),
-        (b"x" * (MOST + 1), "too long"),
+        (b"x" * (MAX_DATAGRAM_BYTES + 1), "too long"),
         (encode("g", GOOD), "fleet"),
         (msgspec.msgpack.encode([VERSION + 1, "f", {}]), "version"),
         (ENDED.replace(bytes([0x9E, VERSION]), bytes([0x9E, VERSION + 1])), "version"),
@@ -275,7 +281,7 @@
         assert shown["dropped"] == {"address": 1, "unlisted": 1}
         assert shown["datagrams"]["received"] == 3
         other.settimeout(5)
-        answer = decode("f", other.recv(MOST))
+        answer = decode("f", other.recv(MAX_DATAGRAM_BYTES))
         assert (answer.kind, answer.sender, answer.number) == (Kind.ACK, "n1", 4)
         text = "\n".join(format_answer(shown))
         assert "n1: 3 listed, 2 alive, 0 suspected, 1 gone" in text
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -224,17 +224,17 @@
     async def play() -> None:
         flows = FlowTable()
         module, seen = DecisionActor(Dispatcher(settings(), 1), flows, Clock()), list[object]()
-        module.tell = seen.append  # type: ignore[assignment]
+        module.submit = seen.append  # type: ignore[assignment]
         intake = JobIntake(
             {"u"}, flows, module, Timers(Clock()), Arrivals(OFF, 1), GracefulShutdown(3.0), 128
         )
         message = HttpMessage("POST", "/u", Headers([]), b"")
         flow = Flow("a", "u", None, {}, message, Clock()() + 900, lambda answer: None)
-        intake.take(flow, Effect(600.0))
-        assert intake.held
+        intake.open_flow(flow, Effect(600.0))
+        assert intake.delayed_flows
         assert not seen
         flows.finish(flow, Answer("left"))
-        assert not intake.held
+        assert not intake.delayed_flows
         assert not flows.by_id
 
     run(play())
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -47,7 +47,7 @@
         flows = FlowTable()
         self.module = DecisionActor(Dispatcher(facts(), 1), flows, Clock())
         self.told: list[object] = []
-        self.module.tell = self.told.append  # type: ignore[assignment]
+        self.module.submit = self.told.append  # type: ignore[assignment]
         self.intake = intake(flows, self.module)
         self.intake.classes = {"safe"}
         self.gate = Admission(
@@ -106,7 +106,7 @@
     yield made
     made.clients.stop()
     made.listening.close()
-    for each in list(made.clients.edges):
+    for each in list(made.clients.connections):
         each.close()
 
 
@@ -198,7 +198,7 @@
             assert not p.taken
             assert not any(w.done() for w in waiting)
             assert not any(
-                e.message for e in p.clients.edges._closable_as
+                e.message for e in p.clients.connections._closable_as
             )  # none is looked at for being closed
             p.let(1)
             await p.serve(1)
@@ -296,12 +296,12 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", p.port)
             writer.write(JOB)
             await p.wait(1)
-            [waiting] = p.clients.edges
+            [waiting] = p.clients.connections
             real = waiting.socket
             fake = SimpleNamespace(send=send, close=real.close, fileno=real.fileno)
             waiting.socket = cast(socket.socket, fake)
             p.turn_away()
-            assert not p.clients.edges
+            assert not p.clients.connections
             assert await reader.read() == b""
             writer.close()
 
@@ -403,7 +403,7 @@
                 writer.close()
             else:
                 writer.transport.abort()
-            while len(p.clients.edges) or p.control.unread.size:
+            while len(p.clients.connections) or p.control.unread.size:
                 await asyncio.sleep(0.005)
             assert not p.told
             assert not p.gate.edges
@@ -449,7 +449,7 @@
         async with place() as p:
             waiting = [ask(p, request(f"a{i}", "/safe/k")) for i in range(3)]
             await p.wait(3)
-            left = asyncio.create_task(p.clients.leave())
+            left = asyncio.create_task(p.clients.shut_down())
             await p.serve(3)
             waiting.append(ask(p, request("a3", "/safe/k")))
             await p.serve(4)
@@ -465,7 +465,7 @@
 
     async def play() -> None:
         async with place(sockets=8) as p:
-            most = p.clients.edges.max_connections
+            most = p.clients.connections.max_connections
             streams = [await asyncio.open_connection("127.0.0.1", p.port) for _ in range(most)]
             for i, (_, writer) in enumerate(streams):
                 writer.write(request(f"a{i}", "/safe/k", left=str(9 - i)))
@@ -474,7 +474,7 @@
             assert (await read_message(streams[0][0])).status == 503  # the oldest, and closed for the other
             assert await streams[0][0].read() == b""
             assert p.control.unread.size == most - 1
-            assert len(p.clients.edges) <= most
+            assert len(p.clients.connections) <= most
             p.let(most)
             await p.serve(most - 1)
             for reader, writer in streams[1:]:
@@ -577,7 +577,7 @@
         listener = await asyncio.start_server(lambda r, w: w.write(b"HTTP/1.1 202 A\r\n\r\n"), "127.0.0.1", 0)
         flows, took = FlowTable(), list[float]()
         module = DecisionActor(Dispatcher(facts(reports_start=tells_start), 1), flows, Clock())
-        module.tell, module.starts = lambda item: None, took.append  # type: ignore[method-assign]
+        module.submit, module.starts = lambda item: None, took.append  # type: ignore[method-assign]
         group = workers.WorkerPool(flows, module, Timers(Clock()), 5, 30.0, 128, http1.connect)
         address = {"w1": listener.sockets[0].getsockname()[:2]}
         group.update(api.WorkerList(api.ListKind.FULL, (entry("w1"),)), address)
@@ -585,11 +585,11 @@
             flow = flow_of(flows, [])
             flow.id, flow.since = id, module.clock() - 5
             group.send(Attempt(flow, number % 2, "w1", module.clock(), module.clock() + 9))
-            while group.actors["w1"].live[id].stage is not Stage.ACCEPTED:
+            while group.actors["w1"].attempts[id].stage is not Stage.ACCEPTED:
                 await asyncio.sleep(0.005)
             if tells_start:
                 group.called_back(messages.CallBack(id, "w1", "started"))
-            group.actors["w1"].live.clear()
+            group.actors["w1"].attempts.clear()
         assert len(took) == 2
         assert all(5 <= t < 20 for t in took)
         listener.close()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -22,12 +22,12 @@
     admission = None
 
     def __init__(self) -> None:
-        self.leaving, self.clock, self.flows = GracefulShutdown(3.0), time.monotonic, SimpleNamespace(open=0)
-        self.leaving.keep_open_s = 0.0
+        self.shutdown, self.clock, self.flows = GracefulShutdown(3.0), time.monotonic, SimpleNamespace(open=0)
+        self.shutdown.keep_open_s = 0.0
         self.intake = self
 
     def shut_down(self) -> None:
-        self.leaving.begin(self.clock())
+        self.shutdown.begin(self.clock())
 
     async def answer(self, edge: Any, head: Any, body: bytes) -> Reply:
         return Reply(200)
@@ -48,11 +48,11 @@
                 assert (await read_message(reader)).status == 200
             used, idle = kept
             used[1].write(HEALTH)  # it is sent at once: it has come, and the loop has not looked
-            await parts.leave()
-            assert all(edge.channel.stream.closed() for edge in parts.edges)
+            await parts.shut_down()
+            assert all(edge.channel.stream.closed() for edge in parts.connections)
             assert (await read_message(used[0])).status == 200
             assert await used[0].read() == await idle[0].read() == b""
             parts.stop()
 
-    monkeypatch.setattr(client_listener, "JUST_CAME", 60.0 if young else 0.0)
+    monkeypatch.setattr(client_listener, "NEW_CONNECTION_S", 60.0 if young else 0.0)
     asyncio.run(asyncio.wait_for(play(), 20))
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -80,7 +80,7 @@
 class Slices:
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(endpoint_watcher, "LONG_LIST_BYTES", 0)
-        monkeypatch.setattr(endpoint_watcher, "APPLY_AT_ONCE", 2)
+        monkeypatch.setattr(endpoint_watcher, "MAX_APPLIED_AT_ONCE", 2)
         self.applied: list[tuple[list[str], set[str]]] = []
         self.retired: list[str] = []
         self.actor = EndpointWatcher(("127.0.0.1", 1), self.apply, self.retired.extend, http1.connect)
@@ -89,14 +89,16 @@
         self.applied.append(([e.worker for e in workers.entries], set(addresses)))
 
     async def settle(self) -> None:
-        while self.actor.urgent or self.actor.rest:
+        while self.actor.urgent or self.actor.queued:
             await asyncio.sleep(0)
 
 
 def test_what_drains_is_applied_first_and_retired_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         s = Slices(monkeypatch)
-        await s.actor.take(line({"a": "ready", "b": "ready", "c": "ready", "d": "draining", "e": "draining"}))
+        await s.actor.read_line(
+            line({"a": "ready", "b": "ready", "c": "ready", "d": "draining", "e": "draining"})
+        )
         assert s.retired == ["d", "e"]
         assert s.applied == []
         assert s.actor.up
@@ -109,12 +111,12 @@
 def test_later_news_overtake_the_slices_still_to_come(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         s = Slices(monkeypatch)
-        await s.actor.take(line({"a": "ready", "b": "ready", "c": "ready"}))
+        await s.actor.read_line(line({"a": "ready", "b": "ready", "c": "ready"}))
         s.actor.post(read_list(line({"b": "draining"}, 2, whole=False)))
         await s.settle()
         assert s.applied == [(["b"], {"b"}), (["a", "c"], {"a", "c"})]
         assert s.actor.index == 2
-        await s.actor.take(line({"a": "gone", "c": "draining"}, 3, whole=False))
+        await s.actor.read_line(line({"a": "gone", "c": "draining"}, 3, whole=False))
         s.actor.post(read_list(line({"c": "ready"}, 4)))  # whole: of what was to come nothing holds
         await s.settle()
         assert s.applied[2:] == [(["c"], {"c"})]
@@ -130,7 +132,7 @@
 ) -> None:
     async def play() -> None:
         s = Slices(monkeypatch)
-        await s.actor.take(line(entries), known)
+        await s.actor.read_line(line(entries), known)
         assert s.actor.up == up
 
     asyncio.run(play())
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -252,7 +252,7 @@
         flows, answers, log = FlowTable(), list[Answer](), list[str]()
         sink = logger.add(log.append, format="{message}")
         module = DecisionActor(Broken(settings(), 1), flows, Clock())
-        module.tell(flow_of(flows, answers))
+        module.submit(flow_of(flows, answers))
         await asyncio.sleep(0.01)
         logger.remove(sink)
         assert [a.kind for a in answers] == ["failed"]
@@ -271,12 +271,12 @@
         def handle(self, now: float, event: api.Event) -> list[api.Action]:
             if not seen:
                 for item in (api.Timer(1), first, api.Timer(2), second):
-                    module.tell(item)
+                    module.submit(item)
             seen.append(event)
             return []
 
     module = DecisionActor(Watcher(settings(), 1), FlowTable(), Clock())
-    module.tell(api.Timer(0))
+    module.submit(api.Timer(0))
     assert seen == [api.Timer(0), first, second, api.Timer(1), api.Timer(2)]
 
 
@@ -286,7 +286,7 @@
         listener = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         flows, told = FlowTable(), list[object]()
         module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
-        module.tell = told.append  # type: ignore[assignment]
+        module.submit = told.append  # type: ignore[assignment]
         address = {"w1": listener.sockets[0].getsockname()[:2]}
 
         def drain() -> None:
@@ -319,13 +319,13 @@
     async def play() -> None:
         flows, told, answers = FlowTable(), list[object](), list[Answer]()
         module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
-        module.tell = told.append  # type: ignore[assignment]
+        module.submit = told.append  # type: ignore[assignment]
         group = workers.WorkerPool(flows, module, Timers(Clock()), 1, 1, 128, http1.connect)
         server = group._add("w1", ("127.0.0.1", 9))
         flow = flow_of(flows, answers)
         attempt = Attempt(flow, 0, "w1", 0.0, 1e12)
         flow.attempts.append(attempt)
-        server.live[flow.id] = attempt
+        server.attempts[flow.id] = attempt
         attempt.step(Step.WRITE)
         for state in ("done", "lost", "done"):
             server.receive(messages.CallBack("r1", "w1", state, result="x"))
@@ -348,10 +348,10 @@
         flows, answers, seen = FlowTable(), list[Answer](), list[str]()
         sink = logger.add(seen.append, format="{message}", level="ERROR")
         module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
-        module.tell = lambda item: None  # type: ignore[method-assign]
+        module.submit = lambda item: None  # type: ignore[method-assign]
         taking = intake(flows, module, sockets)
         flow = flow_of(FlowTable(), answers, Clock()() + 0.02)
-        taking.take(flow)
+        taking.open_flow(flow)
         while not answers:
             await asyncio.sleep(0.01)
         logger.remove(sink)
@@ -359,7 +359,7 @@
         assert not flows.by_id
         assert [line[: len(want)] for line, want in zip(seen, log, strict=True)] == log
         with pytest.raises(DuplicateRequestError):
-            taking.take(flow)  # its id stays known: what may have run must not run again
+            taking.open_flow(flow)  # its id stays known: what may have run must not run again
 
     asyncio.run(play())
 
@@ -378,7 +378,7 @@
         edge.add_socket(sock)
         answer = await exchange(sock.getsockname()[1], request("a1", body=b"x" * 11))
         assert (answer.status, answer.headers["retry-after"]) == (503, "1")
-        while edge.edges:
+        while edge.connections:
             await asyncio.sleep(0.01)
         assert bodies.free_bytes == 10
         assert not flows.by_id
@@ -391,7 +391,7 @@
     async def play() -> None:
         flows, told = FlowTable(), list[object]()
         module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
-        module.tell = told.append  # type: ignore[assignment]
+        module.submit = told.append  # type: ignore[assignment]
         edge = listener(intake(flows, module), BodyMemory(32 * 1024 * 1024))
         [sock] = bind_sockets(0, "127.0.0.1")
         edge.add_socket(sock)
@@ -399,7 +399,7 @@
         while not told:
             await asyncio.sleep(0.01)
         assert (await exchange(sock.getsockname()[1], request("a1"))).status == 400
-        while len(edge.edges) > 1:  # its connection is closed, and that has been seen
+        while len(edge.connections) > 1:  # its connection is closed, and that has been seen
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)
         assert len(told) == 1
@@ -420,7 +420,7 @@
         flows, told, log = FlowTable(), list[object](), list[str]()
         sink = logger.add(log.append, format="{message}")
         module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
-        module.tell = told.append  # type: ignore[assignment]
+        module.submit = told.append  # type: ignore[assignment]
         group = workers.WorkerPool(flows, module, Timers(Clock()), 1, 1, 128, http1.connect)
         server = group._add("w1", ("127.0.0.1", 9))
         server.post(Attempt(flow_of(flows, []), 0, "w1", 0.0, 1e12))
@@ -448,10 +448,10 @@
         now = [100.0]
         clock = Clock(lambda: now[0], lambda: now[0])
         module = DecisionActor(Watcher(settings(), 1), FlowTable(), clock)
-        module.tell(api.WorkerList(api.ListKind.FULL, (entry("w1"),)))  # its sweep is due in 0.05 s
+        module.submit(api.WorkerList(api.ListKind.FULL, (entry("w1"),)))  # its sweep is due in 0.05 s
         now[0] += 0.05 + late
-        module.tell(api.ClientDisconnected("x"))
-        module.tell(api.ClientDisconnected("y"))
+        module.submit(api.ClientDisconnected("x"))
+        module.submit(api.ClientDisconnected("y"))
 
     asyncio.run(play())
     told = [e.duration_s for e in seen if isinstance(e, api.LoopStall)]
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -176,7 +176,7 @@
         held = list[Routes]()
         reload = ConfigReloader(old, lambda: old, aside, held.append)
         for _ in range(3):
-            reload.ask()
+            reload.request_reload()
             await asyncio.sleep(0)
         assert len(reads) == 1
         reads[0].set_result(old)
