--- a/finchladder/cluster/process/action_executor.py
+++ b/finchladder/cluster/process/action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the planner's actions at workers and learns how long loads take."""
+"""Execution of the planner's actions at workers, and measurement of load durations."""
 
 import asyncio
 
@@ -21,13 +21,15 @@
 from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.workers import PendingLoad
 
-EVICTION_NOTICE_S = 0.05  # from the announcement of an eviction until its order
-MAX_IDLE_REQUESTS = 0.02  # expected within the notice: what is in less demand is evicted without one
+EVICTION_NOTICE_S = 0.05  # time between the announcement of an eviction and its order
+MAX_UNNOTIFIED_REQUESTS = (
+    0.02  # expected requests during the notice; with fewer, a model is evicted without notice
+)
 
 
 @define
 class ActionExecutor:
-    """Owns the learned durations of loads."""
+    """Executes load actions, and owns the measured durations of loads."""
 
     updates: UpdateServer
     orders: WorkerOrders
@@ -35,14 +37,14 @@
     budget: StoreLoadBudget
     disks: DiskInventory
     demand: DemandIntake
-    _durations: dict[str, LoadDurations] = field(factory=dict)  # by service
+    _durations: dict[str, LoadDurations] = field(factory=dict)  # keyed by service
 
     def durations(self, service: str) -> LoadDurations:
-        """How long loads take at the workers of a service."""
+        """Returns the measured durations of loads at the workers of a service."""
         return self._durations.setdefault(service, LoadDurations())
 
     async def execute(self, worker: ManagedWorker, action: LoadAction, engine: Engine) -> None:
-        """Evicts, then loads; after a failure the worker's state is unknown."""
+        """Executes an action's evictions, then its load; after a failure the worker's state is unknown."""
         try:
             if await self._evict(worker, action, engine) and _still_fits(worker, action, engine):
                 await self._load(worker, action, engine)
@@ -56,7 +58,7 @@
                 self.workers.announce(worker)
 
     async def _evict(self, worker: ManagedWorker, action: LoadAction, engine: Engine) -> bool:
-        """Announces the evictions to the dispatchers, then orders them; False if one was not accepted."""
+        """Announces the evictions to the dispatchers, then orders them; returns whether all were accepted."""
         if not action.evictions:
             return True
         notice_s = self._eviction_notice_s(worker.state.service, action)
@@ -75,12 +77,12 @@
         return True
 
     def _eviction_notice_s(self, service: str, action: LoadAction) -> float:
-        if all(self._is_unused(service, eviction) for eviction in action.evictions):
+        if all(self._is_hardly_used(service, eviction) for eviction in action.evictions):
             return 0.0
         return EVICTION_NOTICE_S + self.updates.batch_interval_s()
 
-    def _is_unused(self, service: str, eviction: Eviction) -> bool:
-        """Whether no request uses it, and hardly any will before dispatchers know of the eviction."""
+    def _is_hardly_used(self, service: str, eviction: Eviction) -> bool:
+        """Returns whether no request uses it, and hardly any will before dispatchers receive the notice."""
         tracker = self.demand.tracker
         keys = [
             key
@@ -90,7 +92,7 @@
         ]
         is_in_use = any(tracker.queued(key) or tracker.running_now(key) for key in keys)
         expected_requests = sum(map(tracker.rate, keys)) * EVICTION_NOTICE_S
-        return not is_in_use and expected_requests < MAX_IDLE_REQUESTS
+        return not is_in_use and expected_requests < MAX_UNNOTIFIED_REQUESTS
 
     async def _load(self, worker: ManagedWorker, action: LoadAction, engine: Engine) -> None:
         is_warm = self.disks.has_model(worker.state.instance, action.model)
@@ -131,7 +133,7 @@
         is_warm: bool,
         load_duration_s: float,
     ) -> None:
-        """Learns from the duration of a load, also whether a worker that is back has kept its disk."""
+        """Records the duration of a load, which also shows whether a returned worker has kept its disk."""
         configured_load_s = engine.models[action.model].load_s
         durations = self.durations(worker.state.service)
         instance = worker.state.instance
@@ -155,7 +157,10 @@
 
 
 def _still_fits(worker: ManagedWorker, action: LoadAction, engine: Engine) -> bool:
-    """Checks a load against what the worker has loaded now: one that exceeds its memory would end it."""
+    """Returns whether a load is still needed and fits the worker's memory with its current models.
+
+    A load that exceeds the memory would terminate the worker.
+    """
     state = worker.state
     model = engine.models.get(action.model)
     if model is None:
--- a/finchladder/cluster/process/attempt.py
+++ b/finchladder/cluster/process/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one worker: what is sent, and what its outcome proves."""
+"""One attempt to send a request to a worker: the data that is sent, and the classification of its outcome."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -34,19 +34,19 @@
 from finchladder.cluster.types.errors import error_kind
 
 CONNECT_TIMEOUT_S = 0.6
-FIRST_REDIRECTION_STATUS = 300  # the first status that is no success
+FIRST_REDIRECTION_STATUS = 300  # lowest status code that is not a success
 
 
 @dataclass(frozen=True)
 class NotSent:
-    """No byte of the request has left: it may go to another worker."""
+    """No byte of the request was sent, so it may be sent to another worker."""
 
     problem: str
 
 
 @dataclass(frozen=True)
 class NotExecuted:
-    """The worker states that it has not run the request and will not."""
+    """The worker reported that it has not run the request and will not run it."""
 
     status: int
     retry_after_s: float
@@ -54,19 +54,19 @@
 
 @dataclass(frozen=True)
 class Broken:
-    """The request may have run; there is no usable response."""
+    """The request may have run, but there is no usable response."""
 
     problem: str
 
 
 @dataclass(frozen=True)
 class TimedOut:
-    """The request may have run; there was no response in time."""
+    """The request may have run, but no response arrived before the deadline."""
 
 
 @dataclass(frozen=True)
 class Responded:
-    """The head of the worker's response; the caller reads its body and closes it."""
+    """The head of the worker's response arrived; the caller reads the body and closes the response."""
 
     response: aiohttp.ClientResponse
 
@@ -74,18 +74,18 @@
 FailedAttempt = NotSent | NotExecuted | Broken | TimedOut
 Outcome = FailedAttempt | Responded
 
-DEADLINE_PASSED = NotSent("its time is over")
+DEADLINE_PASSED = NotSent("the deadline of the request has passed")
 
 
 @dataclass(frozen=True)
 class OutgoingRequest:
-    """What each attempt of one request sends.
+    """The data of a request that each of its attempts sends.
 
     Attributes:
-        priority: Replaces the client's; None: the client's is forwarded.
-        deadline: Monotonic seconds.
-        hides_identity: Whether the client's API key and what it says of its tenant are withheld.
-        tenant_name: The tenant that the worker is told; None: none.
+        priority: Replaces the client's priority; None: the client's priority is forwarded.
+        deadline: Deadline of the request, in monotonic seconds.
+        hides_identity: Whether the client's API key and tenant headers are not forwarded.
+        tenant_name: The tenant name that is sent to the worker; None: no name is sent.
     """
 
     client_request: web.BaseRequest
@@ -97,7 +97,7 @@
     tenant_name: str | None = None
 
     def headers(self, worker: Worker, last_event_id: str) -> list[tuple[str, str]]:
-        """Headers for that worker, in wire order; `last_event_id` resumes a stream, if not empty."""
+        """Returns the headers for that worker in wire order; a non-empty `last_event_id` resumes a stream."""
         written = [
             (DEADLINE_HEADER, str(self._remaining_ms())),
             (EXPECTED_INSTANCE_HEADER, worker.instance),
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True)
 class AdmittedRequest:
-    """A client's request that is sent to workers: what allows it, what it costs, what each attempt sends."""
+    """An admitted request: its authorization, classification and quota, and the data that attempts send."""
 
     authorized: Authorized
     classified: ClassifiedRequest
@@ -129,14 +129,14 @@
 
     @property
     def route(self) -> Route:
-        """Its route."""
+        """The route that the request matched."""
         return self.authorized.route
 
 
 async def send(
     session: aiohttp.ClientSession, outgoing: OutgoingRequest, worker: Worker, last_event_id: str = ""
 ) -> Outcome:
-    """Sends the request and waits for the head of the response; the caller bounds the time."""
+    """Sends the request and waits for the head of the response; the caller sets the timeout."""
     remaining_s = outgoing.deadline - steady()
     if remaining_s <= 0:
         return DEADLINE_PASSED
@@ -166,25 +166,28 @@
 
 
 def _classify_response(response: aiohttp.ClientResponse, outgoing: OutgoingRequest) -> Outcome:
-    """The outcome that a response head proves; a response that is not passed on is closed or released."""
+    """Classifies a response by its head; a response that is not forwarded is closed or released."""
     headers = response.headers
     if response.status < FIRST_FINAL_STATUS:
         response.close()
-        return Broken("the connection was switched to another protocol")
+        return Broken("the worker switched the connection to another protocol")
     if not _is_response_to(response, outgoing):
         response.close()
-        return Broken("the answer belongs to another request")
+        return Broken("the response has the id of another request or none")
     if NOT_EXECUTED_HEADER in headers or response.status == HTTPStatus.MISDIRECTED_REQUEST:
         response.release()
         return NotExecuted(response.status, _parse_retry_after_s(headers.get(RETRY_AFTER_HEADER)))
     if response.status < FIRST_REDIRECTION_STATUS and RESPONSE_SIGNATURE_HEADER not in headers:
         response.close()
-        return Broken("the answer has no signature")
+        return Broken("the response has no signature header")
     return Responded(response)
 
 
 def _is_response_to(response: aiohttp.ClientResponse, outgoing: OutgoingRequest) -> bool:
-    """Whether the response has the request's id; a worker that could not parse the request has none."""
+    """Returns whether the response has the request's id.
+
+    A response without an id counts if the worker could not parse the request.
+    """
     request_id = response.headers.get(REQUEST_ID_HEADER)
     if request_id is None:
         return response.status == HTTPStatus.BAD_REQUEST and NOT_EXECUTED_HEADER in response.headers
--- a/finchladder/cluster/process/attempt_sender.py
+++ b/finchladder/cluster/process/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sends attempts within their deadlines and this dispatcher's retry budgets."""
+"""Sending of attempts, limited by the requests' deadlines and this dispatcher's retry budgets."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -26,14 +26,14 @@
 from finchladder.cluster.routing.workers import Worker
 from finchladder.cluster.transport.peers import steady
 
-SEND_AFTER_QUEUE_CLOSED_S = 0.05  # for requests that got a worker just before the queue closed
+SEND_AFTER_QUEUE_CLOSED_S = 0.05  # grace for requests that got a worker just before the queue closed
 
 
 @define
 class AttemptSender:
     """Sends the attempts of all requests, and times them out.
 
-    `may_send`: whether the newest configuration still allows a request.
+    `may_send`: returns whether the newest configuration still allows a request.
     """
 
     session: aiohttp.ClientSession
@@ -56,7 +56,7 @@
     async def resume(
         self, request: AdmittedRequest, attempted: frozenset[str], last_event_id: str
     ) -> WorkerStream | None:
-        """Continues a stream after that event at another worker; None if that is not possible.
+        """Resumes a stream after that event at another worker; returns None if that is not possible.
 
         The caller closes the stream.
         """
@@ -78,7 +78,7 @@
                 outcome.response.close()
                 return None
             in_flight.record_first_token()
-            attempt.pop_all()  # the stream ends the attempt
+            attempt.pop_all()  # closing the stream ends the attempt
             return WorkerStream(worker, outcome.response, in_flight)
 
     @asynccontextmanager
@@ -92,7 +92,7 @@
                 self._open_timeouts.discard(timeout)
 
     def expire_open_timeouts(self) -> None:
-        """Times out all that runs: each request still gets its response before the process ends."""
+        """Times out all running attempts, so that each request gets a response before the process ends."""
         now = asyncio.get_running_loop().time()
         for timeout in self._open_timeouts:
             timeout.reschedule(now)
--- a/finchladder/cluster/process/chain_service.py
+++ b/finchladder/cluster/process/chain_service.py
@@ -1,4 +1,4 @@
-"""A control process in the replication chain: stores operations, takes writes as head, reads as tail."""
+"""Chain replication in a control process: it stores operations, writes as head and serves reads as tail."""
 
 import asyncio
 
@@ -25,8 +25,8 @@
 )
 from finchladder.cluster.types.operations import ControlState, Operation, SetConfiguration
 
-REPLICATE_TIMEOUT_S = 1.2  # until all successors have stored an operation
-MIN_BYTES_PER_S = 1_000_000  # extends that timeout by the size of the message
+REPLICATE_TIMEOUT_S = 1.2  # time for all successors to store an operation
+MIN_BYTES_PER_S = 1_000_000  # minimum transfer rate, by which the size of a message extends the timeout
 FETCH_TIMEOUT_S = 1.0
 READ_TIMEOUT_S = 0.4
 
@@ -36,16 +36,17 @@
     """Chain replication in one control process.
 
     Attributes:
-        confirm_interval_s: Between two confirmations by the head.
-        acknowledged: The newest state that all members of a chain are known to hold; only this one is visible
-            outside of the chain.
-        write_lock: Held by the head from the check of an operation to its end.
-        confirmed_view: As head, the view that its chain has confirmed.
-        confirmed_at: When the last successful confirmation began, here or at a predecessor.
-        last_request_view: As member, the view of the predecessor's last request.
-        last_request_at: When that request arrived.
-        started_view: As head, the last view whose confirmation has begun.
-        renewable_until: When the lease may last have been renewed before `started_view`; None: unknown.
+        confirm_interval_s: Seconds between two confirmations by the head.
+        acknowledged: The newest state that all members of a chain are known to hold; only this state is
+            visible outside of the chain.
+        write_lock: The head holds this lock from the check of an operation until the operation has ended.
+        confirmed_view: The last view in which the chain has confirmed this process as head.
+        confirmed_at: Start time of the last successful confirmation, by this process or a predecessor.
+        last_request_view: View of the last request from the predecessor.
+        last_request_at: Arrival time of that request.
+        started_view: The last view in which this process, as head, has begun a confirmation.
+        renewable_until: Latest time at which the lease can have been renewed before `started_view`; None:
+            unknown.
     """
 
     agreement: ViewAgreement
@@ -69,7 +70,7 @@
 
     @property
     def is_head(self) -> bool:
-        """Whether this process takes writes."""
+        """Whether this process is the head of the chain, which accepts writes."""
         head = self.view.head
         return head is not None and head.disk_id == self.agreement.me.disk_id
 
@@ -78,13 +79,13 @@
     async def on_replicate(self, request: Replicate) -> Replicated:
         """Handles an operation, a full state or a confirmation from the predecessor."""
         agreement = self.agreement
-        began = steady()
+        began_at = steady()
         async with agreement.lock:
             view = agreement.view
             if view.position(agreement.me.disk_id) is None:
                 return Replicated(False, view, problem=f"{agreement.me.name} is not in the chain")
             if request.view == view.number:
-                self.last_request_view, self.last_request_at = view.number, began
+                self.last_request_view, self.last_request_at = view.number, began_at
             outcome = chain.receive(agreement.replica, view.number, request)
             if isinstance(outcome, Reject):
                 return Replicated(False, view, problem=f"{agreement.me.name}: {outcome.problem}")
@@ -97,7 +98,7 @@
         problem = await self._forward(view, replica, operation)
         if problem:
             return Replicated(False, agreement.view, problem=problem)
-        self._acknowledge(replica, view, began)
+        self._acknowledge(replica, view, began_at)
         return Replicated(True, view)
 
     async def _store(self, replica: Replica) -> None:
@@ -105,7 +106,7 @@
         self.agreement.replica = replica
 
     async def _forward(self, view: View, replica: Replica, operation: Operation | None) -> str:
-        """Replicates to all successors; the problem, or an empty string once all of them have stored it."""
+        """Replicates to all successors; returns the problem, or an empty string once all have stored it."""
         successor = view.successor(self.agreement.me.disk_id)
         if successor is None:
             return ""
@@ -114,7 +115,7 @@
         if reply.needs_state:
             reply = await self._send(successor, Replicate(view.number, sequence, None, replica.state))
         await self.agreement.learn(reply.view)
-        return "" if reply.stored else reply.problem or "not stored"
+        return "" if reply.stored else reply.problem or "the successor did not store the operation"
 
     async def _send(self, successor: Member, request: Replicate) -> Replicated:
         timeout_s = REPLICATE_TIMEOUT_S + _message_bytes(request) / MIN_BYTES_PER_S
@@ -123,12 +124,14 @@
         except ClusterError as error:
             return Replicated(False, self.view, problem=str(error))
         if not isinstance(reply, Replicated):
-            return Replicated(False, self.view, problem=f"unexpected {type(reply).__name__}")
+            return Replicated(
+                False, self.view, problem=f"the successor sent an unexpected {type(reply).__name__}"
+            )
         return reply
 
-    def _acknowledge(self, replica: Replica, view: View, began: float) -> None:
-        """Records that every member holds the replica: predecessors store it before they forward it."""
-        self.confirmed_at = max(self.confirmed_at, began)
+    def _acknowledge(self, replica: Replica, view: View, began_at: float) -> None:
+        """Records that every member holds the replica, since predecessors store it before they forward it."""
+        self.confirmed_at = max(self.confirmed_at, began_at)
         if replica.state_view != view.number or replica.state.sequence < self.acknowledged.sequence:
             return
         if replica.state != self.acknowledged:
@@ -138,13 +141,13 @@
     # --- as head ------------------------------------------------------------------------------------------
 
     async def confirm(self) -> bool:
-        """As head, has all members confirm that they hold its state in the present view."""
+        """As head, requests that all members confirm that they hold its state in the current view."""
         async with self.write_lock:
             return await self.confirm_locked()
 
     async def confirm_locked(self) -> bool:
-        """`confirm` for a caller that holds the write lock."""
-        began = steady()
+        """Does the same as `confirm` for a caller that holds the write lock."""
+        began_at = steady()
         view = self.agreement.view
         if not self.is_head:
             return False
@@ -160,13 +163,13 @@
                 event("chain.confirmation_failed", view=view.number, problem=problem)
             self.last_confirm_problem = problem
             return False
-        self._acknowledge(replica, view, began)
+        self._acknowledge(replica, view, began_at)
         if self.confirmed_view != view.number:
             self._record_first_confirmation(view, replica)
         return self.view.number == view.number
 
     async def _replica_as_head(self, view: View) -> Replica | None:
-        """The head's replica, stored in the view; None if another view began or members do not answer."""
+        """Returns the head's replica, stored in the view; None after a view change or without replies."""
         agreement = self.agreement
         initial = await self._initial_replica(view)
         async with agreement.lock:
@@ -182,12 +185,13 @@
         event("chain.confirmed", view=view.number, sequence=replica.state.sequence)
 
     def _renewable_until(self, view: View) -> float | None:
-        """The latest moment at which a former head can have renewed the placer's lease; None: unknown.
+        """Returns the latest time at which a former head can have renewed the placer's lease; None: unknown.
 
-        Called before the head stores the state in the new view. Only a head renews, and only after the whole
-        chain of its view has confirmed it. The former head itself knows when; where its own view was never
-        confirmed, nobody renewed in it. A member that had stored the state in the former view knows when its
-        predecessor last asked it to confirm; since it learned of the new view it has confirmed nothing.
+        This method runs before the head stores the state in the new view. Only a head renews the lease, and
+        only after the whole chain of its view has confirmed it. If this process was the former head, it has
+        recorded the time; if its view was never confirmed, the lease was not renewed in that view. A member
+        that had stored the state in the former view has recorded when its predecessor last requested a
+        confirmation; it has confirmed nothing since it learned of the new view.
         """
         before = view.number - 1
         if self.confirmed_view == before and self.lease.renewed_at is not None:
@@ -200,9 +204,9 @@
         return self.last_request_at if self.last_request_view == before else agreement.adopted_at
 
     async def _initial_replica(self, view: View) -> Replica | None:
-        """The replica that the head of a view starts from; None if a member that may hold it does not answer.
+        """Returns the initial replica of a view's head; None if a member that may hold it does not reply.
 
-        It is the head's own, or in a view without survivors the newest of all members.
+        It is the head's own replica, or in a view without survivors the newest replica of all members.
         """
         own = self.agreement.replica
         if own.state_view == view.number or view.survivors:
@@ -212,18 +216,18 @@
         replies = await call_all(
             [call(member.peer_address, FetchReplica(view.number), FETCH_TIMEOUT_S) for member in others]
         )
-        found = [own]
+        replicas = [own]
         for reply in replies:
             if not isinstance(reply, ReplicaReply):
                 return None
             if reply.state is None:
                 await self.agreement.learn(reply.view)
                 return None
-            found.append(Replica(reply.state_view, reply.state))
-        return chain.newest_replica(found)
+            replicas.append(Replica(reply.state_view, reply.state))
+        return chain.newest_replica(replicas)
 
     async def on_fetch(self, request: FetchReplica) -> ReplicaReply:
-        """Replies with this member's replica once older views can't change it any more."""
+        """Replies with this member's replica once older views can no longer change it."""
         agreement = self.agreement
         async with agreement.lock:
             view, replica = agreement.view, agreement.replica
@@ -232,7 +236,7 @@
         return ReplicaReply(view, replica.state_view, replica.state)
 
     async def confirmed_state(self) -> ControlState | None:
-        """The state that the next write builds on, with the write lock held; None without confirmation."""
+        """Returns the state for the next write, or None if unconfirmed; the caller holds the write lock."""
         is_confirmed = (
             self.confirmed_view == self.view.number and self.agreement.replica.state == self.acknowledged
         )
@@ -241,13 +245,13 @@
         return self.agreement.replica.state
 
     async def write(self, operation: Operation) -> bool:
-        """Replicates an operation, with the write lock held.
+        """Replicates an operation; the caller holds the write lock.
 
         Returns:
             True once all members have stored it; False if it may or may not survive.
         """
         agreement = self.agreement
-        began = steady()
+        began_at = steady()
         async with agreement.lock:
             view = agreement.view
             if not self.is_head or self.confirmed_view != view.number:
@@ -259,11 +263,11 @@
             sequence = replica.state.sequence
             event("chain.write_outcome_unknown", view=view.number, sequence=sequence, problem=problem)
             return False
-        self._acknowledge(replica, view, began)
+        self._acknowledge(replica, view, began_at)
         return True
 
     async def run_confirmations(self) -> None:
-        """As head, confirms the chain at an interval, and at once when the view changes."""
+        """As head, confirms the chain periodically, and at once when the view changes."""
         while True:
             view = self.view
             if self.is_head and self.agreement.is_healthy():
@@ -282,13 +286,13 @@
         view, replica = agreement.view, agreement.replica
         tail = view.tail
         if tail is None or tail.disk_id != agreement.me.disk_id or replica.state_view != view.number:
-            return StateReply(None, f"{agreement.me.name} is not the tail")
+            return StateReply(None, f"{agreement.me.name} is not the tail of the chain")
         if not await self._view_is_newest(view):
-            return StateReply(None, f"view {view.number} is not confirmed by a majority")
+            return StateReply(None, f"view {view.number} is not confirmed by a majority of its voters")
         return StateReply(replica.state)
 
     async def _view_is_newest(self, view: View) -> bool:
-        """Whether a majority of the voters knows no later view and has accepted none."""
+        """Returns whether a majority of the voters has learned and accepted no later view."""
         agreement = self.agreement
         ping = Ping(agreement.me, view.number, False)
         others = [voter.peer_address for voter in view.voters if voter.disk_id != agreement.me.disk_id]
@@ -305,26 +309,26 @@
         return len(agreeing) >= view.quorum
 
     async def read(self) -> ControlState:
-        """The newest acknowledged state, as the tail confirms it.
+        """Returns the newest acknowledged state, as confirmed by the tail.
 
         Raises:
             ClusterError: There is no chain, or its tail can't confirm a state.
         """
         tail = self.view.tail
         if tail is None:
-            raise PeerRefusedError("ReadState", "", "there is no chain")
+            raise PeerRefusedError("ReadState", "", "no view has been decided yet, so the chain has no tail")
         if tail.disk_id == self.agreement.me.disk_id:
             reply = await self.on_read(ReadState())
         else:
             response = await self.agreement.call_member(tail, ReadState(), 2 * READ_TIMEOUT_S)
-            reply = response if isinstance(response, StateReply) else StateReply(None, "unexpected reply")
+            reply = response if isinstance(response, StateReply) else StateReply(None, "unexpected message")
         if reply.state is None:
             raise PeerRefusedError("ReadState", tail.name, reply.problem)
         return reply.state
 
 
 def _message_bytes(request: Replicate) -> int:
-    """Approximate size of a message: that of the configuration document in it."""
+    """Returns the approximate size of a message, which is the size of its configuration document."""
     if request.state is not None:
         return len(request.state.document)
     return len(request.operation.document) if isinstance(request.operation, SetConfiguration) else 0
--- a/finchladder/cluster/process/client_responses.py
+++ b/finchladder/cluster/process/client_responses.py
@@ -1,4 +1,4 @@
-"""Responses that the dispatcher itself gives to clients."""
+"""Responses that the dispatcher generates itself."""
 
 from enum import Enum
 from http import HTTPStatus
@@ -14,7 +14,7 @@
 
 
 class RejectReason(Enum):
-    """Why a request is rejected with 503; the values stand in the log event `request.refused`."""
+    """Reason for a rejection with 503; the values appear in the log event `request.refused`."""
 
     CONFIGURATION_STALE = "doubtful"
     CONFIGURATION_UNCONFIRMED = "unconfirmed"
@@ -25,16 +25,16 @@
     QUOTA_UNAVAILABLE = "quota"
 
 
-AUTHENTICATION_CHALLENGE = "Token"  # the scheme that `Authorization` must have
+AUTHENTICATION_CHALLENGE = "Token"  # authentication scheme that the `Authorization` header must use
 
 
 class ClientDisconnectedError(Exception):
-    """The client's connection is lost; there is nobody to respond to."""
+    """The client's connection is lost, so no response can be sent."""
 
 
 @define
 class ClientResponses:
-    """Makes responses. `draining`: connections close after their next response."""
+    """Creates responses. `draining`: connections close after their next response."""
 
     draining: bool = False
 
@@ -45,7 +45,7 @@
         request: ClassifiedRequest | None = None,
         tenant_name: str | None = None,
     ) -> web.StreamResponse:
-        """A 503 with `Retry-After`: the request was not executed, the client may retry it."""
+        """Returns a 503 with `Retry-After`: the request was not executed, so the client may retry it."""
         event(
             "request.refused",
             reason=reason.value,
@@ -53,35 +53,37 @@
             tenant=tenant_name or "",
             waited_s=0.0 if request is None else round(steady() - request.arrived_at, 2),
         )
-        response = web.Response(status=HTTPStatus.SERVICE_UNAVAILABLE, text="no worker can take it now\n")
+        response = web.Response(
+            status=HTTPStatus.SERVICE_UNAVAILABLE, text="the request can't be served now\n"
+        )
         response.headers[RETRY_AFTER_HEADER] = f"{retry_after_s:.2f}"
         return self.finish(response)
 
     def unauthorized(self, reason: UnauthorizedReason) -> web.StreamResponse:
-        """A 401: no configuration in force has the request's key."""
+        """Returns a 401: no configuration in force has the request's key."""
         event("request.unauthorized", reason=reason.value)
-        response = web.Response(status=HTTPStatus.UNAUTHORIZED, text="no valid API key\n")
+        response = web.Response(status=HTTPStatus.UNAUTHORIZED, text="the request has no valid API key\n")
         response.headers[AUTHENTICATE_HEADER] = AUTHENTICATION_CHALLENGE
         return self.finish(response)
 
     def over_quota(self, retry_after_s: float) -> web.StreamResponse:
-        """A 429 with `Retry-After`: the request was not executed, its tenant has used up its quota."""
-        response = web.Response(status=HTTPStatus.TOO_MANY_REQUESTS, text="the tenant's quota is used up\n")
+        """Returns a 429 with `Retry-After`: the request was not executed, its tenant's quota is exhausted."""
+        response = web.Response(status=HTTPStatus.TOO_MANY_REQUESTS, text="the tenant's quota is exhausted\n")
         response.headers[RETRY_AFTER_HEADER] = f"{retry_after_s:.2f}"
         return self.finish(response)
 
     def error(self, status: HTTPStatus, text: str) -> web.StreamResponse:
-        """A response with that status and one line of text."""
+        """Returns a response with that status and one line of text."""
         return self.finish(web.Response(status=status, text=text + "\n"))
 
     def finish(self, response: web.StreamResponse) -> web.StreamResponse:
-        """Closes the connection after the response while draining; call before its head is sent."""
+        """Closes the connection after the response while draining; must be called before its head is sent."""
         if self.draining:
             response.force_close()
         return response
 
 
 def abort_connection(request: web.BaseRequest) -> None:
-    """Closes the client's connection, so that a response that was cut off never looks complete."""
+    """Closes the client's connection, so that a truncated response never looks complete."""
     if request.transport is not None:
         request.transport.abort()
--- a/finchladder/cluster/process/configuration_refresher.py
+++ b/finchladder/cluster/process/configuration_refresher.py
@@ -1,4 +1,4 @@
-"""Refreshes a dispatcher's configuration before it claims that an API key is in no configuration in force."""
+"""Refresh of a dispatcher's configuration before it rejects an API key that its configuration lacks."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,31 +8,31 @@
 from finchladder.cluster.process.tasks import Tasks
 from finchladder.cluster.transport.peers import steady
 
-PULL_TIMEOUT_S = 0.2  # a client waits for it
-MIN_PULL_INTERVAL_S = 0.2  # bounds what clients without valid keys can cost the control processes
+PULL_TIMEOUT_S = 0.2  # short, since a client waits for the pull
+MIN_PULL_INTERVAL_S = 0.2  # bounds the load that clients without valid keys put on control processes
 NEVER = -1e9
 
 
 @define
 class ConfigurationRefresher:
-    """Pulls at most once in `MIN_PULL_INTERVAL_S`; one pull serves all that wait.
+    """Pulls at most once per `MIN_PULL_INTERVAL_S`; all waiting callers share one pull.
 
-    `pull_once`: pulls with that timeout in seconds; whether the chain has confirmed the source lately.
+    `pull_once`: pulls with a timeout in seconds; returns whether the chain has recently confirmed the source.
     """
 
     pull_once: Callable[[float], Awaitable[bool]]
     tasks: Tasks
     _pull: asyncio.Task[bool] | None = None
-    _pulled_at: float = NEVER  # when the last pull ended
-    _is_confirmed: bool = False  # by the last pull
+    _pulled_at: float = NEVER  # end time of the last pull
+    _is_confirmed: bool = False  # result of the last pull
 
     async def refresh(self) -> bool:
-        """Brings the configuration up to date; whether the chain has confirmed its source lately."""
+        """Refreshes the configuration; returns whether the chain has recently confirmed its source."""
         if self._pull is None:
             if steady() - self._pulled_at < MIN_PULL_INTERVAL_S:
                 return self._is_confirmed
             self._pull = self.tasks.spawn(self._run_pull(), "configuration refresh")
-        # a client that disconnects must not cancel the pull of the others
+        # a client that disconnects must not cancel the pull that other callers share
         return await asyncio.shield(self._pull)
 
     async def _run_pull(self) -> bool:
--- a/finchladder/cluster/process/control_api.py
+++ b/finchladder/cluster/process/control_api.py
@@ -19,8 +19,8 @@
 
 CONFIG_PATH = "/api/config"
 INSTANCES_PREFIX = "/api/instances/"
-RESPONSE_DEADLINE_S = 0.9  # callers try another process after a second without an answer
-MIN_BYTES_PER_S = 1_000_000  # extends that deadline by the size of the body
+RESPONSE_DEADLINE_S = 0.9  # callers try another process after 1 s without a response
+MIN_BYTES_PER_S = 1_000_000  # minimum transfer rate, by which the size of the body extends the deadline
 MAX_BODY_BYTES = 64 << 20
 
 
@@ -29,38 +29,38 @@
 
 
 class ProblemResponse(msgspec.Struct):
-    """Body of a response to a rejected call."""
+    """Body of the response to a rejected request."""
 
     problem: str
     version: int = 0
 
 
 class ConfigurationAccepted(msgspec.Struct):
-    """Body of a response to an accepted configuration."""
+    """Body of the response to an accepted configuration."""
 
     version: int
 
 
 class HeartbeatResponse(msgspec.Struct):
-    """Body of a response to a heartbeat."""
+    """Body of the response to a heartbeat."""
 
     heartbeat_url: str
 
 
 class ControlApi:
-    """Handlers of the public control address."""
+    """HTTP handlers of the public control address."""
 
     def __init__(
         self, changes: ConfigurationChanges, chain: ChainService, sessions: WorkerSessions, address: str
     ) -> None:
-        """Creates the handlers; `address` is the control address that workers are to call."""
+        """Creates the handlers; `address` is the control address that workers send heartbeats to."""
         self._changes = changes
         self._chain = chain
         self._sessions = sessions
         self._address = address
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Routes one call by method and path."""
+        """Routes one request by its method and path."""
         path, method = request.path, request.method
         if path == CONFIG_PATH and method in ("PUT", "PATCH"):
             return await self._put_configuration(request)
@@ -68,16 +68,16 @@
             return await self._get_configuration()
         if path.startswith(INSTANCES_PREFIX) and method in ("PUT", "DELETE"):
             return await self._handle_instance(request, path[len(INSTANCES_PREFIX) :])
-        return _json(404, ProblemResponse("no such call"))
+        return _json(404, ProblemResponse("unknown method or path"))
 
     async def _put_configuration(self, request: web.BaseRequest) -> web.StreamResponse:
         try:
             base = int(request.headers.get("If-Match", "0").strip('" '))
         except ValueError:
-            return _json(400, ProblemResponse("If-Match is not a number"))
+            return _json(400, ProblemResponse("the If-Match header must be a version number"))
         body = await _read_body(request)
         if body is None:
-            return _json(400, ProblemResponse("the body broke off"))
+            return _json(400, ProblemResponse("the request body is incomplete or too large"))
         deadline_s = RESPONSE_DEADLINE_S + len(body) / MIN_BYTES_PER_S
         outcome = await self._changes.submit(base, request.method == "PATCH", body, deadline_s)
         if outcome.status == ACCEPTED:
@@ -92,13 +92,13 @@
         except ClusterError as error:
             return _json(503, ProblemResponse(str(error)))
         if not state.version:
-            return _json(404, ProblemResponse("there is no configuration yet"))
+            return _json(404, ProblemResponse("no configuration has been accepted yet"))
         return web.Response(body=state.document, content_type="application/json")
 
     async def _handle_instance(self, request: web.BaseRequest, instance: str) -> web.StreamResponse:
         body = await _read_body(request)
         if body is None:
-            return _json(400, ProblemResponse("the body broke off"))
+            return _json(400, ProblemResponse("the request body is incomplete or too large"))
         if request.method == "DELETE":
             return await self._acknowledge_heartbeat(self._sessions.on_deregister(instance))
         try:
@@ -109,20 +109,22 @@
 
     async def _acknowledge_heartbeat(self, work: Awaitable[bool]) -> web.StreamResponse:
         if not await work:
-            return _json(503, ProblemResponse("nobody else was told in time"))
+            return _json(
+                503, ProblemResponse("the drain or deregistration was not stored and replicated in time")
+            )
         return _json(200, HeartbeatResponse(self._address))
 
 
 async def _read_body(request: web.BaseRequest) -> bytes | None:
-    """The complete body; None if the connection broke or the body is too large."""
-    parts: list[bytes] = []
+    """Returns the complete body; None if the connection was lost or the body is too large."""
+    chunks: list[bytes] = []
     size = 0
     try:
-        async for part in request.content.iter_any():
-            size += len(part)
+        async for chunk in request.content.iter_any():
+            size += len(chunk)
             if size > MAX_BODY_BYTES:
                 return None
-            parts.append(part)
+            chunks.append(chunk)
     except (web.RequestPayloadError, ConnectionError):
         return None
-    return b"".join(parts)
+    return b"".join(chunks)
--- a/finchladder/cluster/process/control_plane.py
+++ b/finchladder/cluster/process/control_plane.py
@@ -1,6 +1,6 @@
 """The replicated control state of a control process: views, chain, configuration and the placer's lease.
 
-Disk and peers are passed in: the same code runs on machines and in `finchladder.lab.cluster`.
+The disk and the peers are injected, so the same code runs on machines and in `finchladder.lab.cluster`.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
     Submit,
 )
 
-LEASE_FRACTION = 0.25  # of the window within which no two lease holders may both act
+LEASE_FRACTION = 0.25  # fraction of the window within which no two lease holders may both act
 DISK_PROBE_INTERVAL_S = 1.0
 
 Handler = Callable[[Any], Awaitable[Reply]]
@@ -52,7 +52,7 @@
 
 @frozen
 class RecoveredState:
-    """The durable state that was found on the local disk at the start."""
+    """The durable state that was read from the local disk at startup."""
 
     founder: bool
     acceptor: Acceptor
@@ -61,7 +61,7 @@
 
 @define
 class ControlPlane:
-    """The services of one control process, and which of them handles which request."""
+    """The services of one control process, and the dispatch of requests to them."""
 
     agreement: ViewAgreement
     failure_detector: FailureDetector
@@ -87,19 +87,19 @@
         confirm_interval_s: float,
         random: Random,
     ) -> "ControlPlane":
-        """Creates the services; none of them runs yet.
+        """Creates the services without starting them.
 
         Args:
             me: This process as a member.
             store: The local disk.
-            peers: Calls to other processes.
-            recovered: What the disk held.
-            tolerated_losses: Disks that may be lost at once.
+            peers: Sends requests to other processes.
+            recovered: State that was read from the disk.
+            tolerated_losses: Number of disks that may be lost at once.
             seeds: Peer addresses of the processes that form the first view.
             exclusion_window_s: No two lease holders may both act within this time.
             fenced: Whether workers reject orders of former lease holders.
             confirm_interval_s: Seconds between two confirmations of the chain by its head.
-            random: Source of the proposers' backoff.
+            random: Random source for the backoff of proposers.
         """
         agreement = ViewAgreement(
             me,
@@ -112,7 +112,7 @@
         )
         detector = FailureDetector(agreement, peers, seeds)
         proposer = ViewProposer(agreement, detector, peers, random)
-        agreement.adoption_listeners += [proposer.reset_turn, detector.forget_former_members]
+        agreement.adoption_listeners += [proposer.reset_proposal_delay, detector.forget_former_members]
         lease_s = exclusion_window_s * LEASE_FRACTION
         lease = GrantedLease(lease_s, exclusion_window_s, fenced=fenced)
         chain = ChainService(agreement, lease, confirm_interval_s)
@@ -144,14 +144,14 @@
         }
 
     async def handle(self, request: Request) -> Reply:
-        """The reply to a request of the internal protocol that concerns the control state."""
+        """Returns the reply to a request of the internal protocol that concerns the control state."""
         handler = self._handlers.get(type(request))
         if handler is None:
-            return Failure(type(request).__name__, "not understood")
+            return Failure(type(request).__name__, "unknown type of request")
         return await handler(request)
 
     def loops(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """The background loops of the services, by task name."""
+        """Returns the background loops of the services, keyed by task name."""
         return {
             "ping": self.failure_detector.run_pings,
             "views": self.proposer.run,
@@ -161,7 +161,7 @@
         }
 
     async def _probe_failed_disk(self) -> None:
-        """Writes to a disk that has failed until it takes writes again."""
+        """Probes a failed disk until it accepts writes again."""
         store = self.agreement.store
         while True:
             if store.last_write_failed:
--- a/finchladder/cluster/process/core_node.py
+++ b/finchladder/cluster/process/core_node.py
@@ -25,7 +25,7 @@
 from finchladder.cluster.types.messages import DemandReport, PullUpdates, Reply, Request, ReserveQuota
 
 SHUTDOWN_LINGER_S = 0.3  # peers may still fetch updates before the listeners close
-LEAVE_CHAIN_TIMEOUT_S = 1.5  # until the others have adopted a view without this process
+LEAVE_CHAIN_TIMEOUT_S = 1.5  # time for the other members to adopt a view without this process
 
 
 @define
@@ -69,7 +69,7 @@
         self.quotas = QuotaService.build(self.control.placer_lease, bounds.quota)
 
     def _build_control_plane(self) -> ControlPlane:
-        """Opens the disk and creates the control plane from what it holds."""
+        """Opens the disk and creates the control plane from the stored state."""
         settings = self.settings
         store = LmdbStore(settings.data_dir, settings.disk_bytes)
         founder = settings.bootstrap and store.was_empty and settings.control in settings.seeds
@@ -94,7 +94,7 @@
         )
 
     async def handle(self, request: Request) -> Reply:
-        """The reply to a request of the internal protocol."""
+        """Returns the reply to a request of the internal protocol."""
         match request:
             case PullUpdates():
                 return await self.core_sessions.updates.on_pull(request)
--- a/finchladder/cluster/process/core_sessions.py
+++ b/finchladder/cluster/process/core_sessions.py
@@ -1,6 +1,6 @@
-"""The part of a control process that knows workers: their sessions here, and the tables of its peers.
+"""Worker sessions of a control process, and the exchange of replicated tables with other processes.
 
-Its control state and its peers are handed in: the same code runs on machines and in
+The control state and the peers are injected, so the same code runs on machines and in
 `finchladder.lab.cluster`.
 """
 
@@ -22,8 +22,8 @@
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.messages import Update
 
-ANNOUNCE_INTERVAL_S = 1.0  # subscribers are woken at least so often
-ANY_VERSION = 1 << 60  # a control process has its configuration from the chain and pulls none
+ANNOUNCE_INTERVAL_S = 1.0  # maximum interval between two notifications of subscribers
+ANY_VERSION = 1 << 60  # a control process gets its configuration from the chain, so it pulls none
 
 IsRunning = Callable[[str, str], Awaitable[bool]]
 
@@ -50,16 +50,16 @@
         random: Random,
         is_running: IsRunning,
     ) -> "CoreSessions":
-        """Wires the parts together.
+        """Creates and connects the components.
 
         Args:
             control: The control state of this process.
             heartbeat_s: Seconds between two heartbeats of a worker.
-            timeouts: How soon a loss of contact is noticed.
+            timeouts: Timeouts for detecting a loss of contact.
             peers: Sends requests to other processes.
             tasks: Owns the background tasks.
-            random: Source of the origin's name and of the pulls' jitter.
-            is_running: Asks a worker, by address and instance, whether it runs.
+            random: Random source for the origin's name and the jitter of pulls.
+            is_running: Returns whether a worker, given by address and instance, is running.
         """
         me = control.agreement.me
         tables = ReplicatedTables(f"{me.name}/{random.getrandbits(32):x}")
@@ -74,7 +74,7 @@
             view=lambda: control.agreement.view,
             placer_address=lambda: placer_address(control),
             is_chain_confirmed=is_chain_confirmed,
-            is_quorum_lost=control.failure_detector.quorum_is_lost,
+            is_quorum_lost=control.failure_detector.is_quorum_lost,
         )
         retirements = RetirementPropagation(me.name, tables, updates, control.retirements.record)
         sessions = WorkerSessions(tables, retirements, updates.changed)
@@ -88,7 +88,7 @@
         )
 
         def on_update(update: Update, changed: list[str]) -> None:
-            expiry.on_owner_seen(update.origin)
+            expiry.record_owner_update(update.origin)
             puller.view = control.agreement.view
             if changed:
                 updates.changed.fire()
@@ -110,7 +110,7 @@
         return cls(control, updates, sessions, expiry, puller)
 
     def loops(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """The background loops, by name."""
+        """Returns the background loops, keyed by task name."""
         return {
             "expiry": self.expiry.run,
             "announce": self._announce_state,
@@ -119,7 +119,7 @@
         }
 
     async def _announce_state(self) -> None:
-        """Wakes the subscribers whenever the chain has acknowledged a state."""
+        """Notifies the subscribers whenever the chain has acknowledged a state."""
         while True:
             self.sessions.apply_retirements(self.control.chain.acknowledged.retirements)
             await self.control.chain.changed.wait(ANNOUNCE_INTERVAL_S)
@@ -133,7 +133,7 @@
 
 
 def placer_address(control: ControlPlane) -> str:
-    """The peer address of the placer; empty while there is none."""
+    """Returns the peer address of the placer; empty while there is none."""
     name = control.chain.acknowledged.placer
     for member in control.agreement.view.members():
         if member.name == name:
--- a/finchladder/cluster/process/demand_intake.py
+++ b/finchladder/cluster/process/demand_intake.py
@@ -1,4 +1,4 @@
-"""Takes in the dispatchers' reports of demand."""
+"""Receipt of the dispatchers' demand reports."""
 
 from attrs import define, field
 
@@ -10,31 +10,31 @@
 from finchladder.cluster.types.messages import DemandReply, DemandReport
 
 MIN_REPORT_INTERVAL_MS = 400
-MAX_REPORTS_PER_S = 150  # of all dispatchers together
+MAX_REPORTS_PER_S = 150  # total over all dispatchers
 
 
 @define
 class DemandIntake:
     """Owns the demand tracker; `demand_queued` fires when a report shows queued requests."""
 
-    role: PlacerLeaseService
+    lease_service: PlacerLeaseService
     updates: UpdateServer
     tracker: DemandTracker = field(factory=DemandTracker)
     demand_queued: Signal = field(factory=Signal)
     _queued_since: dict[DemandKey, float] = field(factory=dict)
 
     def on_report(self, report: DemandReport) -> DemandReply:
-        """Folds in a dispatcher's report."""
+        """Adds a dispatcher's report to the tracked demand."""
         self.tracker.add_report(steady(), report)
         if any(demand.queued for demand in report.demands):
             self._record_queued()
             self.demand_queued.fire()
         return DemandReply(
-            self._report_interval_ms(), self.role.is_held(), self.tracker.peer_loads(report.sender)
+            self._report_interval_ms(), self.lease_service.is_held(), self.tracker.peer_loads(report.sender)
         )
 
     def _report_interval_ms(self) -> int:
-        """Grows with the dispatchers, so that their reports stay within the placer's capacity."""
+        """Returns an interval that grows with the number of dispatchers, to limit the load on the placer."""
         dispatchers = max(1, self.updates.dispatcher_count())
         return max(MIN_REPORT_INTERVAL_MS, 1000 * dispatchers // MAX_REPORTS_PER_S)
 
@@ -43,5 +43,5 @@
         self._queued_since = {key: self._queued_since.get(key, now) for key in self.tracker.queued_keys()}
 
     def queued_for_s(self, key: DemandKey, now: float) -> float:
-        """How long requests have been queued for a model or adapter; 0 if there are none."""
+        """Returns how long requests have been queued for a model or adapter; 0 if none are queued."""
         return now - self._queued_since.get(key, now)
--- a/finchladder/cluster/process/demand_reporter.py
+++ b/finchladder/cluster/process/demand_reporter.py
@@ -1,4 +1,4 @@
-"""Reports a dispatcher's demand to the placer, and takes over the load of the other dispatchers."""
+"""Reports of a dispatcher's demand to the placer, which replies with the load of other dispatchers."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,21 +12,21 @@
 from finchladder.cluster.types.errors import ClusterError
 from finchladder.cluster.types.messages import DemandReply, DemandReport
 
-REPORT_INTERVAL_S = 0.4  # until the placer asks for another
+REPORT_INTERVAL_S = 0.4  # initial interval, until the placer requests another one
 REPORT_TIMEOUT_S = 0.6
 REPORT_BATCH_DELAY_S = 0.01  # requests that are queued within this time go into one report
-PEER_LOADS_EXPIRY_S = 2.0  # beyond the interval; the peers' load is dropped without an update
+PEER_LOADS_EXPIRY_S = 2.0  # time beyond the interval after which peer loads without an update are dropped
 
 
 @define
 class DemandReporter:
-    """Reports at the interval that the placer asks for, and at once when a request waits for a replica.
+    """Reports at the interval that the placer requests, and at once when a request waits for a replica.
 
     Attributes:
-        placer_address: The placer's address; empty while it is unknown.
-        pools: The current pools.
-        demand_queued: Fired when a request begins to wait for a replica.
-        peer_loads_received_at: When the placer last sent the peers' load (monotonic seconds).
+        placer_address: Returns the placer's address; empty while it is unknown.
+        pools: Returns the current pools.
+        demand_queued: Fires when a request begins to wait for a replica.
+        peer_loads_received_at: Time at which the placer last sent the peers' loads (monotonic seconds).
     """
 
     node_name: str
@@ -71,6 +71,6 @@
         )
 
     def expire_peer_loads(self, now: float, interval_s: float) -> None:
-        """Drops the peers' load if it was not updated for long, since it soon misleads selection."""
+        """Drops the peers' loads if they are outdated, since they would mislead worker selection."""
         if now - self.peer_loads_received_at > interval_s + PEER_LOADS_EXPIRY_S:
             self.pools().set_peer_loads(now, {})
--- a/finchladder/cluster/process/dispatcher_node.py
+++ b/finchladder/cluster/process/dispatcher_node.py
@@ -31,20 +31,20 @@
 from finchladder.cluster.types.messages import Update
 
 READY_PATH = "/api/readyz"
-WORKER_KEEPALIVE_S = 20.0  # less where workers announce less
-UNCONFIRMED_READY_AFTER_S = 4.0  # ready without confirmation of the chain, if that has a fault
+WORKER_KEEPALIVE_S = 20.0  # shorter for workers that announce a shorter timeout
+UNCONFIRMED_READY_AFTER_S = 4.0  # time until a dispatcher is ready although the chain has not confirmed it
 
 # Phases of a graceful shutdown
-READINESS_PROPAGATION_S = 2.5  # until the platform sends no new connections
-MAX_READINESS_GRACE_SHARE = 0.4  # of the grace that the platform gives, if that is short
+READINESS_PROPAGATION_S = 2.5  # time until the platform sends no new connections
+MAX_READINESS_GRACE_FRACTION = 0.4  # fraction of the platform's grace period, if that is short
 SHUTDOWN_POLL_S = 0.05
-FINAL_RESPONSES_S = 0.3  # for responses to requests that were timed out
-EXIT_MARGIN_S = 0.6  # between the last response and the platform's kill
+FINAL_RESPONSES_S = 0.3  # time for the responses to requests that were timed out
+EXIT_MARGIN_S = 0.6  # time between the last response and the SIGKILL of the platform
 
 
 @define
 class DispatcherNode:
-    """The parts of a dispatcher, and their life from start to shutdown.
+    """Components of a dispatcher and their lifecycle from startup to shutdown.
 
     Attributes:
         has_confirmed_state: Whether a state that the chain confirmed was received.
@@ -126,7 +126,7 @@
             self.has_confirmed_state = True
 
     def _activate(self, newer: snapshot.ConfigurationSnapshot) -> None:
-        """Routes by that configuration from now on."""
+        """Replaces the configuration by which requests are routed."""
         self.router.snapshot = newer
         keys = newer.keys
         event(
@@ -140,7 +140,7 @@
     # --- readiness ----------------------------------------------------------------------------------------
 
     def is_ready(self) -> bool:
-        """Whether the platform should send clients here."""
+        """Returns whether the platform should send client connections to this process."""
         if self.stopping or not self.router.snapshot.version or not self.router.pools.members:
             return False
         if self.puller.has_core_lost_quorum() or self.quotas.is_unreachable():
@@ -180,17 +180,19 @@
         await readiness.stop()
 
     async def _graceful_shutdown(self, frontend: Listener) -> None:
-        """Becomes unready, waits for the end of open requests, then times out those that remain.
+        """Becomes unready, waits for open requests, then times out those that remain.
 
         Requests that arrive before the listening socket closes get a response, too.
         """
         began_at = steady()
         grace_s = self.settings.bounds.grace_s
         drain_deadline = began_at + grace_s - EXIT_MARGIN_S - FINAL_RESPONSES_S
-        unready_known_at = began_at + min(READINESS_PROPAGATION_S, MAX_READINESS_GRACE_SHARE * grace_s)
+        readiness_propagated_at = began_at + min(
+            READINESS_PROPAGATION_S, MAX_READINESS_GRACE_FRACTION * grace_s
+        )
         self.stopping = True
-        self.router.drain(unready_known_at, drain_deadline)
-        await self._wait_for_open_requests(frontend, unready_known_at, drain_deadline)
+        self.router.drain(readiness_propagated_at, drain_deadline)
+        await self._wait_for_open_requests(frontend, readiness_propagated_at, drain_deadline)
         await frontend.stop_accepting()
         await self._wait_for_connections(frontend, drain_deadline)
         event("node.stopping", open_requests=self.router.open_requests)
@@ -199,11 +201,11 @@
             await asyncio.sleep(FINAL_RESPONSES_S)
 
     async def _wait_for_open_requests(
-        self, frontend: Listener, unready_known_at: float, drain_deadline: float
+        self, frontend: Listener, readiness_propagated_at: float, drain_deadline: float
     ) -> None:
         while steady() < drain_deadline:
             await asyncio.sleep(SHUTDOWN_POLL_S)
-            if steady() < unready_known_at:
+            if steady() < readiness_propagated_at:
                 continue
             frontend.close_idle()
             if not self.router.open_requests:
@@ -211,5 +213,5 @@
 
     async def _wait_for_connections(self, frontend: Listener, drain_deadline: float) -> None:
         while frontend.connection_count and steady() < drain_deadline:
-            await asyncio.sleep(SHUTDOWN_POLL_S)  # a request that was just sent is read before
+            await asyncio.sleep(SHUTDOWN_POLL_S)  # requests already sent are read before the close
             frontend.close_idle()
--- a/finchladder/cluster/process/failure_detection.py
+++ b/finchladder/cluster/process/failure_detection.py
@@ -14,13 +14,13 @@
 
 PING_INTERVAL_S = 0.2
 PING_TIMEOUT_S = 0.4
-SUSPICION_TIMEOUT_S = 0.75  # a member without an answer for longer is suspected to have failed
-UNKNOWN_VIEW = -1  # state view of a member that has not answered yet
+SUSPICION_TIMEOUT_S = 0.75  # a member that has not replied for longer is suspected to have failed
+UNKNOWN_VIEW = -1  # state view of a member that has not replied yet
 
 
 @frozen
 class PeerStatus:
-    """The last status that a member sent, and when it was received."""
+    """The last status of a member, and the time at which it was received."""
 
     pong: Pong
     received_at: float
@@ -28,7 +28,7 @@
 
 @frozen
 class JoinRequest:
-    """A process that asks to join the chain, and when it last asked."""
+    """A process that requests to join the chain, and the time of its last request."""
 
     member: Member
     received_at: float
@@ -36,13 +36,13 @@
 
 @define
 class FailureDetector:
-    """Pings the other control processes and judges by their answers who is alive."""
+    """Pings the other control processes, and derives from their replies which of them are alive."""
 
     agreement: ViewAgreement
     peers: Peers
     seeds: tuple[str, ...]  # peer addresses
-    peer_statuses: dict[str, PeerStatus] = field(factory=dict)  # by disk id
-    join_requests: dict[str, JoinRequest] = field(factory=dict)  # by disk id
+    peer_statuses: dict[str, PeerStatus] = field(factory=dict)  # keyed by disk id
+    join_requests: dict[str, JoinRequest] = field(factory=dict)  # keyed by disk id
 
     async def on_ping(self, request: Ping) -> Pong:
         """Replies with the status of this process, and records a request to join."""
@@ -51,7 +51,7 @@
         return self.agreement.pong(request.view)
 
     def forget_former_members(self) -> None:
-        """Drops what is known of lost disks, which would grow with every disk that is replaced."""
+        """Drops the status of lost disks, which would otherwise accumulate with every replaced disk."""
         view = self.agreement.view
         members = {member.disk_id for group in (view.members(), *view.state_sources) for member in group}
         now = steady()
@@ -67,7 +67,7 @@
         }
 
     def ping_targets(self) -> set[str]:
-        """Peer addresses of members, seeds and processes that want to join."""
+        """Returns the peer addresses of members, seeds and processes that request to join."""
         addresses = {member.peer_address for member in self.agreement.view.members()}
         addresses.update(self.seeds)
         addresses.update(member.peer_address for member in self.joining_members())
@@ -75,7 +75,7 @@
         return addresses
 
     async def run_pings(self) -> None:
-        """Pings all targets at a fixed interval; a ping without an answer delays no other."""
+        """Pings all targets at a fixed interval; a ping without a reply delays no other ping."""
         running: set[asyncio.Task[None]] = set()
         try:
             while True:
@@ -90,7 +90,7 @@
                 task.cancel()
 
     def wants_to_join(self) -> bool:
-        """Whether this process asks to join the chain."""
+        """Returns whether this process requests to join the chain."""
         agreement = self.agreement
         is_member = agreement.view.position(agreement.me.disk_id) is not None
         return not is_member and agreement.is_healthy() and not agreement.shutting_down
@@ -104,10 +104,10 @@
             if reply.newer_view is not None:
                 await self.agreement.learn(reply.newer_view)
         except ClusterError:
-            return  # an unreachable peer or a failed disk of our own: `alive_members` shows both
+            return  # `alive_members` reflects both an unreachable peer and a failed local disk
 
     def alive_members(self) -> dict[str, MemberStatus]:
-        """By disk id, the members that are not suspected, this process among them."""
+        """Returns the members that are not suspected, including this process, keyed by disk id."""
         agreement = self.agreement
         now = steady()
         alive = {
@@ -121,7 +121,7 @@
             if now - status.received_at < SUSPICION_TIMEOUT_S
         }
         if now - agreement.adopted_at < SUSPICION_TIMEOUT_S:
-            # members of a new view have not had the time to answer
+            # members of a new view may not have had time to reply
             for member in agreement.view.chain:
                 alive.setdefault(member.disk_id, MemberStatus(member, UNKNOWN_VIEW, True))
         alive[agreement.me.disk_id] = MemberStatus(
@@ -130,11 +130,11 @@
         return alive
 
     def stored_state_views(self) -> dict[str, int]:
-        """By disk id, the view in which each member had stored the state as of its last answer."""
+        """Returns the view of each member's stored state as of its last reply, keyed by disk id."""
         return {disk_id: status.pong.state_view for disk_id, status in self.peer_statuses.items()}
 
     def joining_members(self) -> list[Member]:
-        """Processes that asked to join within the suspicion timeout."""
+        """Returns the processes that requested to join within the suspicion timeout."""
         now = steady()
         return [
             request.member
@@ -142,11 +142,11 @@
             if now - request.received_at < SUSPICION_TIMEOUT_S
         ]
 
-    def quorum_is_lost(self) -> bool:
-        """Whether a majority of machines answers, but no majority of the voters.
+    def is_quorum_lost(self) -> bool:
+        """Returns whether a majority of machines replies, but no majority of the voters.
 
-        Some machines then restarted without their disks, and the last acknowledged operations may be known
-        only to a voter that does not answer.
+        Some machines have then restarted without their disks, and the last acknowledged operations may be
+        stored only by a voter that does not reply.
         """
         view = self.agreement.view
         alive = self.alive_members()
--- a/finchladder/cluster/process/fleet_observer.py
+++ b/finchladder/cluster/process/fleet_observer.py
@@ -1,4 +1,4 @@
-"""What each control process records of the fleet, so that it is ready to become the placer."""
+"""State of the fleet that each control process records to be ready to become the placer."""
 
 from attrs import define, field
 
--- a/finchladder/cluster/process/in_flight.py
+++ b/finchladder/cluster/process/in_flight.py
@@ -9,7 +9,7 @@
 class InFlightRequest:
     """Context manager that adds a request to a worker's load and to the demand while an attempt runs.
 
-    An attempt may end earlier than its context: a stream that is cut off goes on at another worker.
+    An attempt may end earlier than its context: an interrupted stream continues at another worker.
     """
 
     def __init__(self, demand: DemandCounter, request: ClassifiedRequest, worker: Worker) -> None:
@@ -44,7 +44,7 @@
         self.end()
 
     def end(self) -> None:
-        """Removes what is left of the request's load; does nothing if the attempt has ended already."""
+        """Removes the remaining load of the request; does nothing if the attempt has already ended."""
         if not self._is_running:
             return
         self._is_running = False
--- a/finchladder/cluster/process/log.py
+++ b/finchladder/cluster/process/log.py
@@ -1,4 +1,4 @@
-"""Structured logs by eliot: one JSON object per line on standard error, at a bounded rate."""
+"""Structured logging with eliot: one JSON object per line on standard error, at a bounded rate."""
 
 import json
 import logging
@@ -11,8 +11,8 @@
 
 from finchladder.cluster.types.errors import error_kind, error_location
 
-BURST_LINES = 200  # capacity of the token bucket
-LINES_PER_S = 20.0
+MAX_BURST_LINES = 200  # capacity of the token bucket
+MAX_LINES_PER_S = 20.0
 
 
 class TokenBucket:
@@ -20,14 +20,14 @@
 
     def __init__(self) -> None:
         """Creates a full bucket."""
-        self._tokens = float(BURST_LINES)
+        self._tokens = float(MAX_BURST_LINES)
         self._refilled_at = time.monotonic()
         self._dropped = 0
 
     def take(self) -> tuple[bool, int]:
-        """Whether a line may be written, and how many were dropped before it."""
+        """Returns whether a line may be written, and how many lines were dropped before it."""
         now = time.monotonic()
-        self._tokens = min(float(BURST_LINES), self._tokens + (now - self._refilled_at) * LINES_PER_S)
+        self._tokens = min(float(MAX_BURST_LINES), self._tokens + (now - self._refilled_at) * MAX_LINES_PER_S)
         self._refilled_at = now
         if self._tokens < 1:
             self._dropped += 1
@@ -41,7 +41,7 @@
 
 
 def start(node: str) -> None:
-    """Starts logging; every line carries the name of the node."""
+    """Starts logging; every line contains the name of the node."""
 
     def write(message: dict[str, Any]) -> None:
         message["node"] = node
@@ -62,7 +62,7 @@
 
 
 class LibraryHandler(logging.Handler):
-    """Logs what libraries log as events; their texts may quote requests and are left out."""
+    """Logs the records of libraries as events without their texts, which may quote requests."""
 
     def emit(self, record: logging.LogRecord) -> None:
         """Logs one event without the text."""
--- a/finchladder/cluster/process/main.py
+++ b/finchladder/cluster/process/main.py
@@ -25,7 +25,7 @@
 
 
 def _serve(settings: Settings) -> None:
-    """Runs a control process or a dispatcher, as the settings say."""
+    """Runs a control process or a dispatcher, depending on the settings."""
     log.start(settings.node_name)
     gc.freeze()
     if settings.control:
@@ -45,7 +45,7 @@
 
 @main.command()
 def node() -> None:
-    """Run one process of the system, as FINCHLADDER_NODE_FILE says."""
+    """Run one process of the system with the settings file that FINCHLADDER_NODE_FILE names."""
     try:
         settings = load_settings()
     except InvalidSettingsError as error:
--- a/finchladder/cluster/process/managed_worker.py
+++ b/finchladder/cluster/process/managed_worker.py
@@ -1,4 +1,4 @@
-"""A worker as the placer of one term keeps track of it."""
+"""The state of a worker that the placer tracks during one term."""
 
 import asyncio
 
@@ -12,18 +12,18 @@
 
 @define
 class ManagedWorker:
-    """A worker with the order that is under way there, and what was announced of it.
+    """A worker, the order in progress there, and the state that was announced to dispatchers.
 
-    `last_report` is None while the worker's state is unknown: it gets no orders until it has reported again.
+    `last_report` is None while the worker's state is unknown; it gets no orders until it has reported again.
     """
 
     state: PlannerWorker
     term: int = 0
     last_report: WorkerReport | None = None
-    orders_taken: int = 0  # by the worker, from any placer
-    announced_orders: int = 0  # of the action under way, which the worker has not taken yet
-    serial: int = 0  # of the last placement record
-    evicting: set[Eviction] = field(factory=set)  # loaded, but withheld from dispatchers
+    orders_taken: int = 0  # number of orders that the worker took from any placer
+    announced_orders: int = 0  # orders of the current action that the worker has not taken yet
+    serial: int = 0  # serial number of the last placement record
+    evicting: set[Eviction] = field(factory=set)  # loaded, but hidden from dispatchers
     task: asyncio.Task[None] | None = None
     retry_at: float = 0.0
     action: LoadAction | None = None
@@ -32,10 +32,10 @@
     is_loading_from_store: bool = False
     orders_announced_before_term: int = 0
     orders_taken_before_term: int | None = None  # None: the worker has not reported in this term
-    store_load_times: list[float] = field(factory=list)  # when loads from the store began, in this term
+    store_load_times: list[float] = field(factory=list)  # start times of loads from the store in this term
 
     def placement_record(self, now: float, window_s: float) -> PlacementRecord:
-        """What dispatchers may use, what is being loaded, and what a successor of this placer has to know."""
+        """Returns the record of usable models and the pending load, with data for a successor placer."""
         usable_models = tuple(
             LoadedModel(model, self._usable_adapters(model, adapters))
             for model, adapters in sorted(self.state.loaded_models.items())
@@ -55,25 +55,25 @@
         return tuple(adapter for adapter in sorted(adapters) if Eviction(model, adapter) not in self.evicting)
 
     def _recent_load_ages_ms(self, now: float, window_s: float) -> tuple[int, ...]:
-        """Ages of the loads from the store that began here within the window; forgets older ones."""
+        """Returns the ages of loads from the store that began here within the window; drops older ones."""
         self.store_load_times = [at for at in self.store_load_times if at > now - window_s]
         return tuple(int(1000 * (now - at)) for at in self.store_load_times)
 
     def unannounced_orders(self) -> int:
-        """Orders that the worker took before this term and no placement record announced; 1 if unknown."""
+        """Returns the number of unannounced orders that the worker took before this term; 1 if unknown."""
         if self.orders_taken_before_term is None:
             return 1
         return max(0, self.orders_taken_before_term - self.orders_announced_before_term)
 
     def order_request(self, operation: str, model: str, adapter: str, lease_holder: str) -> OrderRequest:
-        """An order that the worker takes only after all it took so far and no other, once those have ended.
+        """Returns an order that a worker accepts only if it took exactly the known orders and all have ended.
 
-        So what it holds when it takes the order is what the placer assumes.
+        So the models that the worker holds when it accepts the order are those that the placer assumes.
         """
         return OrderRequest(operation, model, lease_holder, self.term, adapter or None, self.orders_taken)
 
     def finish_action(self) -> None:
-        """Clears all that belongs to the action under way, which has ended or failed."""
+        """Clears the state of the current action, which has ended or failed."""
         self.task = None
         self.action = None
         self.pending_load = None
--- a/finchladder/cluster/process/managed_workers.py
+++ b/finchladder/cluster/process/managed_workers.py
@@ -1,4 +1,4 @@
-"""Workers that the placer of one term gives orders to, and what it announces of them to dispatchers."""
+"""The workers that the placer manages during one term, and the placement records that it announces."""
 
 from collections.abc import Iterator
 
@@ -23,7 +23,7 @@
 
 @define
 class ManagedWorkers:
-    """Owns the workers of one term; `term`: its fencing token, `NO_TERM` outside of one."""
+    """Owns the workers of one term. `term`: its fencing token; `NO_TERM` outside of a term."""
 
     updates: UpdateServer
     orders: WorkerOrders
@@ -33,23 +33,23 @@
     by_instance: dict[str, ManagedWorker] = field(factory=dict)
 
     def begin_term(self, token: int) -> None:
-        """Ends the term before, if there is one, and begins without any workers."""
+        """Ends the previous term, if there is one, and begins a term without workers."""
         self.end_term()
         self.term = token
 
     def end_term(self) -> None:
-        """Cancels all orders and forgets the workers."""
+        """Cancels all orders and drops the workers."""
         for worker in self.by_instance.values():
             _cancel_task(worker)
         self.by_instance.clear()
         self.term = NO_TERM
 
     def of_service(self, service: str) -> list[ManagedWorker]:
-        """Workers of one service."""
+        """Returns the workers of one service."""
         return [worker for worker in self.by_instance.values() if worker.state.service == service]
 
     def __iter__(self) -> Iterator[ManagedWorker]:
-        """All workers."""
+        """Iterates over all workers."""
         return iter(self.by_instance.values())
 
     def follow_sessions(self, snapshot: ConfigurationSnapshot) -> None:
@@ -82,16 +82,16 @@
         if placement is None:
             return ManagedWorker(state, self.term)
         announced = placement.record
-        # A worker that was lost and is back within the term has records of this term already.
+        # A worker that was lost and has returned within the term already has records of this term.
         serial = announced.serial if announced.token == self.term else 0
         return ManagedWorker(
             state, self.term, serial=serial, orders_announced_before_term=announced.orders_taken
         )
 
     async def refresh(self, worker: ManagedWorker) -> None:
-        """Asks a worker for its state once no order is under way there, and announces it if it has changed.
+        """Fetches a worker's state once no order is in progress there, and announces it if it has changed.
 
-        What was announced last may be of a placer that was lost in the middle of an action.
+        The last announcement may be that of a placer that was lost in the middle of an action.
         """
         try:
             self.accept_report(worker, await self.orders.fetch_idle_report(worker))
@@ -102,7 +102,7 @@
             worker.task = None
 
     def accept_report(self, worker: ManagedWorker, report: WorkerReport) -> None:
-        """Takes a worker's report as its state; no order may be under way there."""
+        """Adopts a worker's report as its state; no order may be in progress there."""
         state = worker.state
         worker.last_report = report
         worker.orders_taken = report.sequence
@@ -114,7 +114,7 @@
             self.announce(worker)
 
     def _is_announcement_stale(self, worker: ManagedWorker) -> bool:
-        """Whether dispatchers assume something else than what the worker has loaded."""
+        """Returns whether dispatchers assume other models than the worker has loaded."""
         tables = self.updates.tables
         session = tables.workers.get(worker.state.instance)
         if session is None:
--- a/finchladder/cluster/process/placer.py
+++ b/finchladder/cluster/process/placer.py
@@ -1,4 +1,4 @@
-"""The placer: while a control process holds its lease, it decides which worker loads which model."""
+"""The placer: decides which worker loads which model while its process holds the placer's lease."""
 
 import secrets
 
@@ -25,13 +25,13 @@
 
 @define
 class Placer:
-    """Runs in each control process; plans in that which holds the lease, and begins anew with each term.
+    """Runs in each control process, plans only while that process holds the lease, and resets in each term.
 
-    `takeover_delay_s`: how long at least the last order of a lease holder lies back when another process gets
-    it.
+    `takeover_delay_s`: minimum time from the last order of a lease holder until another process gets the
+    lease.
     """
 
-    role: PlacerLeaseService
+    lease_service: PlacerLeaseService
     updates: UpdateServer
     orders: WorkerOrders
     tasks: Tasks
@@ -47,10 +47,10 @@
     planner: ServicePlanner = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Builds the parts, each of which owns its state."""
+        """Creates the components, each of which owns its state."""
         self.observer = FleetObserver(self.updates, self.load_window_s)
         disks = self.observer.disks
-        self.demand = DemandIntake(self.role, self.updates)
+        self.demand = DemandIntake(self.lease_service, self.updates)
         self.budget = StoreLoadBudget(
             self.load_window_s, self.allowed_load_overage, self.takeover_delay_s, disks
         )
@@ -64,29 +64,29 @@
         )
 
     def on_demand(self, report: DemandReport) -> DemandReply:
-        """Takes in a dispatcher's report."""
+        """Handles a dispatcher's demand report."""
         return self.demand.on_report(report)
 
     async def run(self) -> None:
-        """Plans in an interval, and as soon as requests are queued, while the process holds the lease."""
+        """Plans periodically, and as soon as requests are queued, while the process holds the lease."""
         while True:
             if not self.workers.term:
                 self.observer.record_disks()
             self.observer.record_loads()
-            if self.role.is_held():
+            if self.lease_service.is_held():
                 self._begin_term()
                 self._plan()
-            elif self.workers.term and self.role.lease.is_dropped:
+            elif self.workers.term and self.lease_service.lease.is_dropped:
                 self.workers.end_term()
             await self.demand.demand_queued.wait(PLANNING_INTERVAL_S)
 
     def _begin_term(self) -> None:
-        """Begins a term if the lease has a new token; a renewed lease goes on with the present term."""
-        token = self.role.lease.token
+        """Begins a term if the lease has a new token; after a renewal the current term continues."""
+        token = self.lease_service.lease.token
         if token == self.workers.term:
             return
         self.workers.begin_term(token)
-        self.budget.begin_term(token, steady(), is_reelected=self.role.reacquired)
+        self.budget.begin_term(token, steady(), is_reelected=self.lease_service.reacquired)
         self.workers.follow_sessions(self.snapshot)
         if token > 1:
             self.tasks.spawn(self.takeover.run(token), "survey of the workers")
--- a/finchladder/cluster/process/placer_lease.py
+++ b/finchladder/cluster/process/placer_lease.py
@@ -1,4 +1,4 @@
-"""The placer's lease: granted and renewed by the head of the chain, claimed by one process."""
+"""The placer's lease: the head of the chain grants and renews it, and one process at a time holds it."""
 
 import asyncio
 
@@ -25,10 +25,10 @@
     Attributes:
         chain: The replication chain, whose head grants the lease.
         lease: The lease as this process holds it.
-        last_order_at: When this process last sent an order to a worker.
+        last_order_at: Time at which this process last sent an order to a worker.
         latest_token: The highest fencing token that this process has received.
         reacquired: Whether the lease belonged to a former incarnation of this process when it was granted.
-        vacant_since: Before this process was last elected, a moment after which no former holder acted.
+        vacant_since: Time before the last election of this process after which no former holder acted.
     """
 
     chain: ChainService
@@ -40,11 +40,11 @@
 
     @property
     def me(self) -> Member:
-        """This process."""
+        """This process as a member."""
         return self.chain.agreement.me
 
     def is_held(self) -> bool:
-        """Whether this process may send orders now."""
+        """Returns whether this process holds the lease and may send orders now."""
         return self.lease.is_valid(steady())
 
     # --- as head ------------------------------------------------------------------------------------------
@@ -60,7 +60,7 @@
         return LeaseReply(True, state.fence_token)
 
     async def on_claim(self, request: ClaimLease) -> LeaseReply:
-        """Grants a free lease with the next token; the present holder may reacquire its own at any time."""
+        """Grants a free lease with the next token; the current holder may always reacquire its own lease."""
         async with self.chain.write_lock:
             state = await self.chain.confirmed_state()
             if state is None:
@@ -75,14 +75,14 @@
             return LeaseReply(True, state.fence_token + 1, vacant_ms=int(vacant_s * 1000))
 
     def _claim_wait_s(self, holder: str, claimant: str) -> float | None:
-        """Seconds until the claim may be granted; None: unknown. Without another holder the lease is free."""
+        """Returns the seconds until the claim may be granted; None: unknown. An unheld lease is free."""
         chain = self.chain.view.chain
         holder_left = all(member.name != holder for member in chain)
         wait_s = self.chain.lease.wait_s(steady(), holder_left=holder_left)
         return 0.0 if holder in ("", claimant) and wait_s is not None else wait_s
 
     async def on_release(self, request: ReleaseLease) -> LeaseReply:
-        """Releases the lease: a successor waits only until the holder's last order is old enough."""
+        """Releases the lease; a successor then waits only until the holder's last order is old enough."""
         state = self.chain.acknowledged
         if state.placer == request.holder and state.fence_token == request.token:
             self.chain.lease.release(steady(), request.idle_ms / 1000)
@@ -145,12 +145,11 @@
             self.lease.extend(requested_at, reply.token)
             event("placer.elected", token=reply.token)
         elif reply.retry_after_ms:
-            await self.chain.agreement.changed.wait(
-                reply.retry_after_ms / 1000
-            )  # another view may shorten it
+            # a view change may shorten the wait
+            await self.chain.agreement.changed.wait(reply.retry_after_ms / 1000)
 
     def _is_candidate(self) -> bool:
-        """Whether this process may claim the lease: any member of the chain may."""
+        """Returns whether this process may claim the lease, as every member of the chain may."""
         return self.chain.view.position(self.me.disk_id) is not None
 
     async def release(self) -> None:
--- a/finchladder/cluster/process/placer_takeover.py
+++ b/finchladder/cluster/process/placer_takeover.py
@@ -1,4 +1,4 @@
-"""What a new placer learns of the loads that its predecessor began."""
+"""Recovery of the loads that a new placer's predecessor began."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 @define
 class PlacerTakeover:
-    """Surveys the workers at the beginning of a term."""
+    """Queries the workers at the beginning of a term."""
 
     updates: UpdateServer
     orders: WorkerOrders
@@ -30,23 +30,23 @@
     snapshot: Callable[[], ConfigurationSnapshot]
 
     async def run(self, term: int) -> None:
-        """Asks all workers for their state, and restores the rate limiters from what they report.
+        """Fetches the reports of all workers, and restores the rate limiters from them.
 
-        A process that started within the window has not received all that was announced in it, and goes on
-        with what the rate limiters assume.
+        A process that started within the window has not received all announcements made in it, so its rate
+        limiters keep their assumptions.
         """
-        await asyncio.gather(*(self._survey(worker) for worker in self.workers))
+        await asyncio.gather(*(self._query_worker(worker) for worker in self.workers))
         now = steady()
-        has_seen_window = now - self.updates.started_at >= self.observer.load_window_s
-        if self.workers.term != term or not has_seen_window:
+        has_full_window = now - self.updates.started_at >= self.observer.load_window_s
+        if self.workers.term != term or not has_full_window:
             return
         self.observer.record_loads()
         for name, service in self.snapshot().services.items():
             if service.engine is not None:
                 self._restore_loads(now, name, service.engine)
 
-    async def _survey(self, worker: ManagedWorker) -> None:
-        # a worker that does not answer counts as one unannounced order
+    async def _query_worker(self, worker: ManagedWorker) -> None:
+        # a worker that does not respond counts as one unannounced order
         with suppress(PeerUnreachableError):
             report = await self.orders.fetch_report(worker)
             if worker.last_report is None and worker.orders_taken_before_term is None:
--- a/finchladder/cluster/process/pool_updater.py
+++ b/finchladder/cluster/process/pool_updater.py
@@ -1,4 +1,4 @@
-"""Updates the pools of a dispatcher from the worker and placement records that it pulls."""
+"""Updates of a dispatcher's pools from the worker and placement records that it pulls."""
 
 from attrs import define, field
 
@@ -9,13 +9,13 @@
 
 @define
 class PoolUpdater:
-    """Builds pools from tables. `expected_replicas`: by worker instance."""
+    """Builds pools from the replicated tables. `expected_replicas`: keyed by worker instance."""
 
     tables: ReplicatedTables
     expected_replicas: dict[str, ExpectedReplica] = field(factory=dict)
 
     def updated_pools(self, pools: Pools, changed_instances: list[str]) -> Pools:
-        """The pools after the records of those workers changed. O(changed instances and number of keys)."""
+        """Returns the pools after those workers' records changed. O(changed instances + number of keys)."""
         self._update_expected_replicas(changed_instances)
         changes = {}
         for instance in changed_instances:
@@ -29,7 +29,7 @@
         return pools.with_changes(changes, self.expected_replicas.values())
 
     def _update_expected_replicas(self, changed_instances: list[str]) -> None:
-        """Converts the remaining time of each load to a time of the own clock."""
+        """Converts the remaining time of each load to a time of the local clock."""
         now = steady()
         for instance in changed_instances:
             worker = self.tables.workers.get(instance)
--- a/finchladder/cluster/process/quota_service.py
+++ b/finchladder/cluster/process/quota_service.py
@@ -1,4 +1,4 @@
-"""Serves the quota account at the holder of the placer's lease."""
+"""The quota account, served by the holder of the placer's lease."""
 
 from collections.abc import Callable
 
@@ -18,9 +18,9 @@
 
 @frozen
 class Term:
-    """A term of the account: one election of its holder.
+    """A term of the account, which begins with the election of its holder.
 
-    `began_at`: a moment after which no former holder granted anything (monotonic seconds of this process).
+    `began_at`: a time after which no former holder granted anything (monotonic seconds of this process).
     """
 
     number: int
@@ -29,12 +29,12 @@
 
 @define
 class QuotaService:
-    """Grants quota while this process holds the account, which is looked at in the step that grants.
+    """Grants quota while this process holds the account, which is checked in the same step as the grant.
 
     Attributes:
-        current_term: The term while this process holds the account; None while it does not.
-        document: The newest acknowledged configuration, JSON; empty if there is none.
-        account: The buckets of the present term, or of the last one that this process held.
+        current_term: Returns the term while this process holds the account; None while it does not.
+        document: Returns the newest acknowledged configuration as JSON; empty if there is none.
+        account: Token buckets of the current term, or of the last one that this process held.
     """
 
     current_term: Callable[[], Term | None]
@@ -44,7 +44,7 @@
 
     @classmethod
     def build(cls, role: PlacerLeaseService, rule: QuotaRule) -> "QuotaService":
-        """A service whose terms are the elections of the placer."""
+        """Creates a service whose terms begin with the elections of the placer."""
 
         def current_term() -> Term | None:
             return Term(role.lease.token, role.vacant_since) if role.is_held() else None
@@ -52,7 +52,7 @@
         return cls(current_term, lambda: role.chain.acknowledged.document, QuotaAccount(rule))
 
     def on_reserve(self, request: ReserveQuota) -> QuotaReply:
-        """Takes back what the dispatcher returns, then grants what it needs and there is."""
+        """Takes back the returned quota, then grants the requested quota as far as it is available."""
         now = steady()
         term = self.current_term()
         if term is None:
@@ -66,7 +66,7 @@
         return QuotaReply(is_holder=True, term=self.account.term, grants=grants)
 
     def _begin(self, term: Term) -> None:
-        """Begins a term with an account that was empty when the former holder ended, and refills since."""
+        """Begins a term with an account that was empty at the former term's end and has refilled since."""
         if self.account.term != term.number:
             self.account.begin_term(term.number, term.began_at)
             event("quota.term_began", term=term.number)
@@ -75,7 +75,7 @@
         return self._limits.tenant(self.document(), name)
 
     def _grant(self, need: QuotaDemand, now: float) -> QuotaGrant:
-        """Grants in order; a tenant that this process does not know yet gets nothing for the moment."""
+        """Grants costs in order; a tenant that is not in this process's configuration yet gets nothing."""
         tenant = self._tenant(need.tenant)
         if tenant is None:
             return QuotaGrant(need.tenant, (False,) * len(need.costs))
--- a/finchladder/cluster/process/request_failures.py
+++ b/finchladder/cluster/process/request_failures.py
@@ -1,11 +1,11 @@
-"""Log events of requests that a listener itself answers: what kind of problem, never their contents."""
+"""Log events for requests that a listener rejects: the kind of the problem, never the contents."""
 
 from finchladder.cluster.process.log import event
 from finchladder.cluster.transport.http_connection import RequestFailure
 
 
 def log_request_failure(failure: RequestFailure) -> None:
-    """Logs a malformed request, or an error in the handler of one."""
+    """Logs a malformed request, or an error in a request's handler."""
     if failure.is_malformed:
         event("request.malformed", problem=failure.problem)
     else:
--- a/finchladder/cluster/process/request_quota.py
+++ b/finchladder/cluster/process/request_quota.py
@@ -10,40 +10,40 @@
 
 
 class QuotaSource(Protocol):
-    """Grants quota."""
+    """Source of quota reservations."""
 
-    async def reserve(self, tenant: Tenant, cost: int, give_up_at: float) -> Reservation | QuotaRefusal:
-        """A reservation for one request, or why there is none."""
+    async def reserve(self, tenant: Tenant, cost: int, deadline: float) -> Reservation | QuotaRefusal:
+        """Returns a reservation for one request, or the reason why there is none."""
         ...
 
     def give_back(self, reservation: Reservation) -> None:
-        """Returns a reservation that was not spent."""
+        """Gives back a reservation that was not spent."""
         ...
 
 
 class NoAccount:
-    """Source of a dispatcher that has no account to ask: nothing is granted."""
+    """Quota source of a dispatcher without a quota account: it refuses every reservation."""
 
-    async def reserve(self, tenant: Tenant, cost: int, give_up_at: float) -> Reservation | QuotaRefusal:
-        """No reservation."""
+    async def reserve(self, tenant: Tenant, cost: int, deadline: float) -> Reservation | QuotaRefusal:
+        """Refuses the reservation."""
         return QuotaUnavailable()
 
     def give_back(self, reservation: Reservation) -> None:
-        """There is none to return."""
+        """Does nothing, since no reservation was granted."""
 
 
 @define
 class RequestQuota:
-    """The reservation of one request. Without a tenant, or without a limit, nothing is reserved.
+    """The quota reservation of one request; a request without a tenant or a limit needs none.
 
-    An attempt spends the reservation before it is sent. An attempt that certainly did not run gives it back
-    to the request, for the next attempt.
+    The reservation is spent before an attempt is sent. After an attempt that certainly did not run, the
+    request takes it back for the next attempt.
     """
 
     source: QuotaSource
     tenant: Tenant | None
     cost: int
-    max_wait_s: float
+    timeout_s: float
     _reservation: Reservation | None = None
     _spent: Reservation | None = None
 
@@ -53,24 +53,27 @@
         return self.tenant is not None and self.tenant.is_limited
 
     def is_reserved(self) -> bool:
-        """Whether an attempt may be sent at this moment."""
+        """Returns whether an attempt may be sent now."""
         if not self.is_limited:
             return True
         return self._reservation is not None and self._reservation.is_valid(steady())
 
     async def reserve(self) -> QuotaRefusal | None:
-        """Reserves quota for the next attempt; one that has lapsed is lost, and its cost counts twice."""
+        """Reserves quota for the next attempt; returns the refusal, if there is one.
+
+        A lapsed reservation is lost, so the cost of the request then counts twice.
+        """
         if self.tenant is None or self.is_reserved():
             return None
         self._reservation = None
-        outcome = await self.source.reserve(self.tenant, self.cost, steady() + self.max_wait_s)
+        outcome = await self.source.reserve(self.tenant, self.cost, steady() + self.timeout_s)
         if not isinstance(outcome, Reservation):
             return outcome
         self._reservation = outcome
         return None
 
     def spend(self) -> None:
-        """Spends the reservation for an attempt that is sent now."""
+        """Spends the reservation on an attempt that is sent now."""
         self._spent, self._reservation = self._reservation, None
 
     def restore(self) -> None:
@@ -78,7 +81,7 @@
         self._reservation, self._spent = self._spent, None
 
     def release(self) -> None:
-        """Returns what was not spent; the request is over."""
+        """Gives back an unspent reservation at the end of the request."""
         if self._reservation is not None:
             self.source.give_back(self._reservation)
             self._reservation = None
--- a/finchladder/cluster/process/retirement_propagation.py
+++ b/finchladder/cluster/process/retirement_propagation.py
@@ -1,4 +1,4 @@
-"""Makes sure that a worker's retirement is durable and known before the worker's call is acknowledged."""
+"""Storage and replication of a worker's retirement before the worker's call is acknowledged."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,7 +11,7 @@
 from finchladder.cluster.types.operations import WorkerRetirement
 from finchladder.cluster.types.workers import SessionPhase, Stamp
 
-PROPAGATION_TIMEOUT_S = 0.5  # for the live subscribers; they may be slow or cut off
+PROPAGATION_TIMEOUT_S = 0.5  # limit of the wait for live subscribers, which may be slow or cut off
 PROPAGATION_POLL_INTERVAL_S = 0.02
 
 
@@ -19,7 +19,7 @@
 class RetirementPropagation:
     """Stores retirements in the chain and waits until subscribers have them.
 
-    `record`: has the chain store a retirement; True once it has.
+    `record`: stores a retirement in the chain; returns True once it is stored.
     """
 
     name: str
@@ -29,9 +29,9 @@
     acknowledged: set[str] = field(factory=set)  # instances whose retirement was acknowledged here
 
     async def propagate(self, instance: str) -> bool:
-        """Returns whether the retirement is stored and most voters know it.
+        """Returns whether the retirement is stored in the chain and most voters have its record.
 
-        Every dispatcher that is in touch with most voters then learns of it in time.
+        Every dispatcher that is connected to most voters then receives the record in time.
         """
         worker = self.tables.workers.get(instance)
         if worker is None or worker.record.phase is SessionPhase.READY:
@@ -49,22 +49,24 @@
         return True
 
     async def _wait_for_subscribers(self, stamp: Stamp) -> bool:
-        """Waits for the live subscribers; returns whether one, and most voters, have the record."""
+        """Waits for the live subscribers; returns whether one of them and most voters have the record."""
         deadline = steady() + PROPAGATION_TIMEOUT_S
         while True:
             subscribers = [s for s in self.updates.live_subscribers() if s.long_polls]
-            all_have_it = bool(subscribers) and all(s.has(stamp) for s in subscribers)
-            if all_have_it or steady() >= deadline:
+            all_have_record = bool(subscribers) and all(s.has(stamp) for s in subscribers)
+            if all_have_record or steady() >= deadline:
                 break
             await asyncio.sleep(PROPAGATION_POLL_INTERVAL_S)
         return any(s.has(stamp) for s in subscribers) and self._has_majority(stamp)
 
     def _has_majority(self, stamp: Stamp) -> bool:
-        """Whether most voters have a record, this process included if it is one.
+        """Returns whether most voters have a record, counting this process if it is a voter.
 
-        A subscriber that has not pulled lately may have ended, and its tables with it.
+        A subscriber that has not pulled recently does not count: it may have ended and lost its tables.
         """
         voters = {voter.name for voter in self.updates.view().voters}
-        informed = {s.name for s in self.updates.live_subscribers() if not s.is_dispatcher and s.has(stamp)}
-        informed.add(self.name)
-        return 2 * len(voters & informed) > len(voters)
+        names_with_record = {
+            s.name for s in self.updates.live_subscribers() if not s.is_dispatcher and s.has(stamp)
+        }
+        names_with_record.add(self.name)
+        return 2 * len(voters & names_with_record) > len(voters)
--- a/finchladder/cluster/process/router.py
+++ b/finchladder/cluster/process/router.py
@@ -1,4 +1,4 @@
-"""The life of a request on the data plane: classify, admit, select a worker, attempt, retry, respond."""
+"""Request handling on the data plane: classify, admit, select a worker, attempt, retry, respond."""
 
 from collections.abc import Awaitable, Callable
 from http import HTTPStatus
@@ -60,19 +60,20 @@
 from finchladder.cluster.tenancy.reservations import QuotaExhausted, QuotaRefusal, QuotaUnavailable
 from finchladder.cluster.transport.peers import steady
 
-CLIENT_RETRY_GRACE_S = 0.5  # after its `Retry-After` a rejected client has retried or given up
-MAX_CONNECT_FAILURES = 4  # of one request
-QUOTA_WAIT_SHARE = 0.25  # of the latency target, after which a refusal costs its value
-MIN_QUOTA_WAIT_S = 0.05
-RETRY_AFTER_NO_ACCOUNT_S = 1.5  # a new holder is there by then; clients retry once or twice
-NO_ANSWER = "the worker gave no answer"
+CLIENT_RETRY_GRACE_S = 0.5  # a rejected client has retried or given up this long after its `Retry-After`
+MAX_CONNECT_FAILURES = 4  # limit for one request
+QUOTA_TIMEOUT_FRACTION = 0.25  # fraction of the latency target; a later refusal loses the request's value
+MIN_QUOTA_TIMEOUT_S = 0.05
+RETRY_AFTER_NO_ACCOUNT_S = 1.5  # the account has a new holder by then; clients retry once or twice
+NO_RESPONSE = "the worker sent no usable response"
 
 
 @define
 class AttemptHistory:
     """Attempts of one request.
 
-    `attempted`: instances that may have received it; `may_have_run`: whether one of them may have run it.
+    `attempted`: instances that may have received the request; `may_have_run`: whether one of them may have
+    run it.
     """
 
     attempted: frozenset[str] = frozenset()
@@ -80,7 +81,7 @@
     may_have_run: bool = False
 
     def record(self, worker: Worker, failure: FailedAttempt) -> None:
-        """Adds an attempt that failed."""
+        """Records a failed attempt."""
         if isinstance(failure, NotSent):
             self.connect_failures += 1
         else:
@@ -89,12 +90,12 @@
 
 
 async def _confirm_configuration() -> bool:
-    """For a router whose configuration has no source to pull from."""
+    """Returns True: a router without a source of configurations has nothing to refresh."""
     return True
 
 
 def _authorize(client_request: web.BaseRequest, snapshot: ConfigurationSnapshot) -> AuthorizationDecision:
-    """What one configuration says of a request."""
+    """Returns the decision of one configuration on a request."""
     headers = client_request.headers
     host = headers.get(HOST_HEADER, "").partition(":")[0]
     path = client_request.raw_path.partition("?")[0]
@@ -106,14 +107,14 @@
     """Routes requests by the current snapshot and pools, each replaced as one object.
 
     Attributes:
-        make_retry_budget: Makes the retry budget of a service.
-        dispatcher_count: How many dispatchers there are; 0: unknown.
-        is_configuration_stale: Whether a newer configuration may be in force.
-        refresh_configuration: Replaces `snapshot` if a newer configuration can be had at once; whether the
-            chain has confirmed its source lately.
-        quotas: Grants the quota of tenants that have a limit.
+        make_retry_budget: Creates the retry budget of a service.
+        dispatcher_count: Returns the number of dispatchers; 0: unknown.
+        is_configuration_stale: Returns whether a newer configuration may be in force.
+        refresh_configuration: Replaces `snapshot` if a newer configuration is available at once; returns
+            whether the chain has recently confirmed the source of the configuration.
+        quotas: Grants quota to tenants that have a limit.
         reject_unfinishable_from: Requests that arrive later are rejected if they may outlast the process.
-        open_requests: Requests without a complete response.
+        open_requests: Number of requests without a complete response.
     """
 
     session: aiohttp.ClientSession
@@ -133,7 +134,7 @@
     open_requests: int = 0
 
     def __attrs_post_init__(self) -> None:
-        """Makes the parts that share what this router was given."""
+        """Creates the components that share the dependencies of this router."""
         self.queue = RequestQueue(self.selector, self.dispatcher_count, self.demand)
         self.retry_budgets = RetryBudgets(self.make_retry_budget, self.dispatcher_count)
         self.sender = AttemptSender(self.session, self.queue, self.retry_budgets, self.demand, self._may_send)
@@ -157,15 +158,15 @@
 
         Args:
             reject_unfinishable_from: Requests that arrive later (monotonic seconds) and may last until
-                `queue_closes_at` are rejected, since the end of the process would cut them off.
-            queue_closes_at: No request waits for a worker after this time.
+                `queue_closes_at` are rejected, since the end of the process would interrupt them.
+            queue_closes_at: No request is queued after this time.
         """
         self.responses.draining = True
         self.reject_unfinishable_from = reject_unfinishable_from
         self.queue.closes_at = queue_closes_at
 
     def expire_open_timeouts(self) -> None:
-        """Times out all requests that still run, so that they get a response before the process ends."""
+        """Times out all running requests, so that they get a response before the process ends."""
         self.sender.expire_open_timeouts()
 
     # --- classify and admit -------------------------------------------------------------------------------
@@ -182,11 +183,11 @@
             self.open_requests -= 1
 
     async def _process(self, client_request: web.BaseRequest) -> web.StreamResponse:
-        """Classifies and admits a request, and serves it; the response to one that is not admitted."""
+        """Classifies, admits and serves a request, or returns the response that rejects it."""
         if not self.snapshot.version or self.is_configuration_stale():
             return self.responses.reject(RETRY_AFTER_NO_REPLICA_S, RejectReason.CONFIGURATION_STALE)
         arrived_at = steady()
-        snapshot = self.snapshot  # for the request's whole life, but for `_may_send`
+        snapshot = self.snapshot  # valid for the whole request, except in `_may_send`
         decision = _authorize(client_request, snapshot)
         is_confirmed = True
         if isinstance(decision, Unauthorized):
@@ -196,7 +197,7 @@
         match decision:
             case NoRoute():
                 await client_request.content.read()
-                return self.responses.error(HTTPStatus.NOT_FOUND, "no route")
+                return self.responses.error(HTTPStatus.NOT_FOUND, "no route matches the request")
             case Unauthorized(reason):
                 await self._read_body(client_request, snapshot.max_body_bytes)
                 return self._reject_unauthorized(reason, is_confirmed)
@@ -204,7 +205,10 @@
                 return await self._admit_and_serve(client_request, snapshot, decision, arrived_at)
 
     def _reject_unauthorized(self, reason: UnauthorizedReason, is_confirmed: bool) -> web.StreamResponse:
-        """A 401 claims that no configuration in force has the key: only a confirmed one allows that."""
+        """Responds with 401 only if the configuration is confirmed.
+
+        A 401 states that no configuration in force has the key.
+        """
         if is_confirmed:
             return self.responses.unauthorized(reason)
         return self.responses.reject(RETRY_AFTER_NO_REPLICA_S, RejectReason.CONFIGURATION_UNCONFIRMED)
@@ -216,11 +220,11 @@
         authorized: Authorized,
         arrived_at: float,
     ) -> web.StreamResponse:
-        """Serves a request that the snapshot allows, if it can still be served."""
+        """Serves an authorized request unless it is too large, too late or over its quota."""
         classified = classify(client_request.headers, authorized.route, arrived_at)
         body = await self._read_body(client_request, snapshot.max_body_bytes)
         if body is None:
-            return self.responses.error(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
+            return self.responses.error(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the request body is too large")
         if self._may_outlast_process(classified):
             return self.responses.reject(
                 RETRY_AFTER_BUSY_S, RejectReason.SHUTTING_DOWN, classified, authorized.tenant_name
@@ -237,16 +241,16 @@
             quota.release()
 
     def _quota(self, authorized: Authorized, classified: ClassifiedRequest) -> RequestQuota:
-        """What the request costs of its tenant's quota; nothing is reserved yet."""
+        """Returns the quota of the request with its cost; nothing is reserved yet."""
         tenant = authorized.tenant
         cost = 0 if tenant is None else tenant.cost(classified.total_tokens)
-        max_wait_s = max(MIN_QUOTA_WAIT_S, QUOTA_WAIT_SHARE * classified.latency_target_s)
-        return RequestQuota(self.quotas, tenant, cost, max_wait_s)
+        timeout_s = max(MIN_QUOTA_TIMEOUT_S, QUOTA_TIMEOUT_FRACTION * classified.latency_target_s)
+        return RequestQuota(self.quotas, tenant, cost, timeout_s)
 
     def _reject_without_quota(
         self, refusal: QuotaRefusal, classified: ClassifiedRequest, tenant_name: str | None
     ) -> web.StreamResponse:
-        """The response to a request that no worker may have run."""
+        """Returns the response to a request that got no quota and that no worker can have run."""
         match refusal:
             case QuotaExhausted(retry_after_s):
                 return self.responses.over_quota(retry_after_s)
@@ -256,7 +260,7 @@
                 )
 
     async def _read_body(self, client_request: web.BaseRequest, max_bytes: int) -> bytes | None:
-        """The body; None if it exceeds the limit."""
+        """Returns the body; None if it exceeds the limit."""
         chunks = []
         size = 0
         try:
@@ -270,8 +274,8 @@
         return b"".join(chunks)
 
     def _may_outlast_process(self, classified: ClassifiedRequest) -> bool:
-        is_late = classified.arrived_at >= self.reject_unfinishable_from
-        return is_late and classified.deadline > self.queue.closes_at
+        arrived_during_shutdown = classified.arrived_at >= self.reject_unfinishable_from
+        return arrived_during_shutdown and classified.deadline > self.queue.closes_at
 
     def _admit(
         self,
@@ -300,7 +304,7 @@
     # --- select, attempt, retry ---------------------------------------------------------------------------
 
     async def _serve(self, request: AdmittedRequest) -> web.StreamResponse:
-        """Attempts the request at one worker after the other until there is a response."""
+        """Sends the request to one worker after another until there is a response."""
         history = AttemptHistory()
         while True:
             worker = await self._next_worker(request, history)
@@ -325,7 +329,7 @@
     async def _next_worker(
         self, request: AdmittedRequest, history: AttemptHistory
     ) -> Worker | web.StreamResponse:
-        """The worker that the next attempt may be sent to now, or the response if there is none."""
+        """Returns the worker for the next attempt, or the response if there is none."""
         while True:
             worker = await self.queue.select_worker(request.classified, history.attempted)
             if worker is None:
@@ -336,7 +340,7 @@
                 break
             refusal = await request.quota.reserve()
             if refusal is not None and history.may_have_run:
-                return self.responses.error(HTTPStatus.BAD_GATEWAY, NO_ANSWER)
+                return self.responses.error(HTTPStatus.BAD_GATEWAY, NO_RESPONSE)
             if refusal is not None:
                 return self._reject_without_quota(refusal, request.classified, request.authorized.tenant_name)
         if history.attempted and not self._withdraw_retry(request):
@@ -344,17 +348,17 @@
         return worker
 
     def _may_send(self, request: AdmittedRequest) -> bool:
-        """Whether the newest configuration still has the request's key, at the same tenant."""
+        """Returns whether the newest configuration still assigns the request's key to the same tenant."""
         return is_still_authorized(request.authorized, self.snapshot)
 
     def _reject_changed(self, request: AdmittedRequest, history: AttemptHistory) -> web.StreamResponse:
-        """The response to a request that may no longer be sent as it was judged at its arrival.
+        """Returns the response to a request whose authorization has changed since its arrival.
 
-        Clients don't retry after 401: it is for what the newest configuration does not allow. What it allows,
-        as another tenant's request, is judged anew when the client retries.
+        Clients do not retry after a 401, so it is used only for requests that the newest configuration does
+        not allow. A request that it allows for another tenant is authorized again when the client retries.
         """
         if history.may_have_run:
-            return self.responses.error(HTTPStatus.BAD_GATEWAY, NO_ANSWER)
+            return self.responses.error(HTTPStatus.BAD_GATEWAY, NO_RESPONSE)
         if isinstance(_authorize(request.outgoing.client_request, self.snapshot), Unauthorized):
             return self.responses.unauthorized(UnauthorizedReason.REVOKED)
         return self.responses.reject(
@@ -365,18 +369,18 @@
         )
 
     def _withdraw_retry(self, request: AdmittedRequest) -> bool:
-        """Withdraws a retry from the budget of the request's service."""
+        """Withdraws a retry from the retry budget of the request's service; returns whether one was left."""
         return self.retry_budgets.try_withdraw(request.classified.key.service, steady())
 
     def _response_unless_retried(
         self, request: AdmittedRequest, history: AttemptHistory, failure: FailedAttempt
     ) -> web.StreamResponse | None:
-        """The response after a failed attempt; None if the request may be sent to another worker."""
+        """Returns the response after a failed attempt; None if the request may be sent to another worker."""
         may_retry = len(history.attempted) < request.route.max_attempts
         match failure:
             case NotSent():
-                has_failed = history.connect_failures >= MAX_CONNECT_FAILURES
-                if has_failed or steady() >= request.classified.deadline:
+                is_out_of_attempts = history.connect_failures >= MAX_CONNECT_FAILURES
+                if is_out_of_attempts or steady() >= request.classified.deadline:
                     return self._reject_no_capacity(request)
                 return None
             case NotExecuted():
@@ -384,14 +388,14 @@
             case Broken():
                 if may_retry and request.route.is_idempotent:
                     return None
-                return self.responses.error(HTTPStatus.BAD_GATEWAY, NO_ANSWER)
+                return self.responses.error(HTTPStatus.BAD_GATEWAY, NO_RESPONSE)
             case TimedOut():
-                return self.responses.error(HTTPStatus.GATEWAY_TIMEOUT, NO_ANSWER)
+                return self.responses.error(HTTPStatus.GATEWAY_TIMEOUT, NO_RESPONSE)
 
     # --- respond ------------------------------------------------------------------------------------------
 
     async def _relay(self, request: AdmittedRequest, stream: WorkerStream) -> web.StreamResponse:
-        """Passes a worker's response on."""
+        """Forwards a worker's response to the client."""
         try:
             if request.route.kind is RequestKind.STREAMING and stream.response.status == HTTPStatus.OK:
                 return await StreamRelay(request, self.sender, self.responses).relay(stream)
@@ -402,14 +406,16 @@
     async def _relay_complete(
         self, request: AdmittedRequest, response: aiohttp.ClientResponse
     ) -> web.StreamResponse:
-        """Reads the complete response first, so that one that is cut off never looks complete."""
+        """Reads the complete response before forwarding it, so that a truncated one never looks complete."""
         try:
             async with self.sender.timeout_at(request.classified.deadline):
                 body = await response.read()
         except TimeoutError:
-            return self.responses.error(HTTPStatus.GATEWAY_TIMEOUT, "the answer did not end in time")
+            return self.responses.error(
+                HTTPStatus.GATEWAY_TIMEOUT, "the worker's response was incomplete at the deadline"
+            )
         except (aiohttp.ClientError, OSError):
-            return self.responses.error(HTTPStatus.BAD_GATEWAY, "the answer broke off")
+            return self.responses.error(HTTPStatus.BAD_GATEWAY, "the worker's response was interrupted")
         return self.responses.finish(
             web.Response(
                 status=response.status,
@@ -430,8 +436,8 @@
     def _reject_without_worker(self, request: AdmittedRequest) -> web.StreamResponse:
         """Rejects a request that found no worker in time.
 
-        Without a replica it counts as queued until its client may have retried: else the placer would load
-        the model for nobody, or not at all.
+        If the model has no replica, the request counts as queued until its client may have retried. Otherwise
+        the placer would load the model after its clients have left, or not at all.
         """
         classified, tenant_name = request.classified, request.authorized.tenant_name
         retry_after_s = self.queue.retry_after_s(classified)
--- a/finchladder/cluster/process/service_planner.py
+++ b/finchladder/cluster/process/service_planner.py
@@ -1,4 +1,4 @@
-"""Runs the planner for one service at a time and starts what it decides."""
+"""Planning for one service at a time, and the start of the planned actions."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -24,7 +24,7 @@
 
 @define
 class ServicePlanner:
-    """Owns the occupancy by cold starts."""
+    """Plans the placement of each service, and owns the occupancy by cold starts."""
 
     tasks: Tasks
     workers: ManagedWorkers
@@ -32,10 +32,10 @@
     executor: ActionExecutor
     disks: DiskInventory
     demand: DemandTracker
-    _cold_starts: dict[str, ColdStartOccupancy] = field(factory=dict)  # by service
+    _cold_starts: dict[str, ColdStartOccupancy] = field(factory=dict)  # keyed by service
 
     def plan(self, now: float, service: str, engine: Engine) -> None:
-        """Asks workers of unknown state for it, plans, and starts an order for each action. O(workers)."""
+        """Refreshes workers whose state is unknown, plans, and starts a task per action. O(workers)."""
         workers = self.workers.of_service(service)
         for worker in workers:
             self._refresh_if_due(worker, now)
@@ -59,7 +59,7 @@
             worker.task = self.tasks.spawn(self.workers.refresh(worker), "worker refresh")
 
     def _update_state(self, worker: ManagedWorker, now: float) -> None:
-        """Brings the planner's view of a worker up to date."""
+        """Updates the state of a worker for the planner."""
         state, action = worker.state, worker.action
         state.is_busy = worker.task is not None or now < worker.retry_at
         state.models_on_disk = self.disks.models_on(state.instance)
--- a/finchladder/cluster/process/settings.py
+++ b/finchladder/cluster/process/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: parsed, validated and with units in the names."""
+"""Parsing and validation of a process's settings file; the names of the settings contain their units."""
 
 import os
 import tomllib
@@ -14,7 +14,7 @@
 from finchladder.cluster.types.errors import InvalidSettingsError
 
 FILE_VARIABLE = "FINCHLADDER_NODE_FILE"
-ADDRESS = {"type": "string", "pattern": "^[0-9.]+:[0-9]+$"}
+ADDRESS_SCHEMA = {"type": "string", "pattern": "^[0-9.]+:[0-9]+$"}
 SCHEMA: dict[str, Any] = {
     "type": "object",
     "required": ["node_name", "ip", "zone", "port_range", "listen"],
@@ -24,7 +24,7 @@
         "zone": {"type": "string"},
         "region": {"type": "string"},
         "port_range": {"type": "array", "items": {"type": "integer"}, "minItems": 2, "maxItems": 2},
-        "seeds": {"type": "array", "items": ADDRESS},
+        "seeds": {"type": "array", "items": ADDRESS_SCHEMA},
         "bootstrap": {"type": "boolean"},
         "serves": {"type": "array", "items": {"type": "string"}},
         "heartbeat_ms": {"type": "number", "exclusiveMinimum": 0},
@@ -41,7 +41,7 @@
 
 @frozen
 class Bounds:
-    """Bounds of the operators' rules; names ending in `_s` are seconds."""
+    """Bounds from the operators' rules; names ending in `_s` are in seconds."""
 
     drain_s: float
     grace_s: float
@@ -60,7 +60,7 @@
 
     @property
     def contact_timeouts(self) -> ContactTimeouts:
-        """How soon a loss of contact is noticed."""
+        """Timeouts for detecting a loss of contact."""
         return ContactTimeouts(self.contact_s)
 
 
@@ -79,7 +79,7 @@
     heartbeat_s: float
     data_dir: str
     disk_bytes: int
-    tolerated_losses: int  # disks that may be lost at once
+    tolerated_losses: int  # number of disks that may be lost at once
     frontend: str
     readiness: str
     control: str
@@ -87,11 +87,11 @@
 
     @property
     def peer_address(self) -> str:
-        """The address of the internal protocol of this process."""
+        """The address of this process in the internal protocol."""
         return f"{self.ip}:{self.peer_port}"
 
     def peer_address_of(self, control_address: str) -> str:
-        """The peer address of the process with that control address; all machines use the same ports."""
+        """Returns the peer address for a control address; all machines use the same ports."""
         return f"{control_address.rpartition(':')[0]}:{self.peer_port}"
 
 
@@ -122,14 +122,14 @@
 
 
 def parse_settings(text: str, source: str) -> Settings:
-    """Settings from the text of a file.
+    """Parses the settings from the text of a file.
 
     Args:
-        text: Content of the file, TOML.
-        source: Where it comes from, for error messages.
+        text: Content of the file as TOML.
+        source: Path of the file, for error messages.
 
     Raises:
-        InvalidSettingsError: With the first problem of the file.
+        InvalidSettingsError: The settings are invalid; the message has the first problem.
     """
     try:
         value = tomllib.loads(text)
@@ -141,7 +141,7 @@
     listen = value["listen"]
     bounds = _bounds(value.get("bounds", {}))
     heartbeat_s = float(value.get("heartbeat_ms", DEFAULT_HEARTBEAT_MS)) / 1000
-    problem = _contradiction(bounds, heartbeat_s)
+    problem = _bounds_conflict(bounds, heartbeat_s)
     if problem:
         raise InvalidSettingsError("check settings", source, problem)
     return Settings(
@@ -164,8 +164,8 @@
     )
 
 
-def _contradiction(bounds: Bounds, heartbeat_s: float) -> str:
-    """What makes the bounds impossible to keep together; empty if nothing does."""
+def _bounds_conflict(bounds: Bounds, heartbeat_s: float) -> str:
+    """Returns the reason why the bounds can't be kept together; empty if they can."""
     if bounds.contact_s < heartbeat_s:
         contact_ms, heartbeat_ms = bounds.contact_s * 1000, heartbeat_s * 1000
         return f"bounds.contact_ms {contact_ms:g} is shorter than heartbeat_ms {heartbeat_ms:g}"
@@ -173,10 +173,10 @@
 
 
 def load_settings() -> Settings:
-    """Settings from the file named by the environment.
+    """Loads the settings from the file that the environment names.
 
     Raises:
-        InvalidSettingsError: The file can't be read, or with its first problem.
+        InvalidSettingsError: The file can't be read or is invalid; the message has the first problem.
     """
     path = os.environ.get(FILE_VARIABLE, "")
     try:
--- a/finchladder/cluster/process/store_load_budget.py
+++ b/finchladder/cluster/process/store_load_budget.py
@@ -1,6 +1,7 @@
-"""How many loads from the weight store the placer may begin, by service.
+"""Budget for loads from the weight store that the placer may begin, per service.
 
-The store limits loads over a sliding window, whoever gives the orders, and does only so many at once well.
+The store limits loads over a sliding window, whichever process orders them, and is efficient only up to a
+limited number of concurrent loads.
 """
 
 from collections.abc import Iterable, Sequence
@@ -18,26 +19,25 @@
 class StoreLoadBudget:
     """Owns the rate limiters of one term.
 
-    `takeover_delay_s`: how long at least a predecessor's last order lies back when another process gets the
-    lease.
+    `takeover_delay_s`: minimum age of a predecessor's last order when another process gets the lease.
     """
 
     window_s: float
     allowed_overage: float
     takeover_delay_s: float
     disks: DiskInventory
-    limiters: dict[str, LoadRateLimiter] = field(factory=dict)  # by service
+    limiters: dict[str, LoadRateLimiter] = field(factory=dict)  # keyed by service
     _predecessor_active_until: float | None = None
 
     def begin_term(self, token: int, now: float, is_reelected: bool) -> None:
-        """Begins anew; `is_reelected`: the lease was held by a former incarnation of this process."""
+        """Resets the limiters; `is_reelected`: a former incarnation of this process held the lease."""
         self.limiters = {}
         has_predecessor = token > 1
         delay_s = 0.0 if is_reelected else self.takeover_delay_s
         self._predecessor_active_until = now - delay_s if has_predecessor else None
 
     def limiter(self, service: str, engine: Engine) -> LoadRateLimiter:
-        """The rate limiter of a service; a new one assumes that a predecessor used its full budget."""
+        """Returns the limiter of a service; a new one assumes that a predecessor used its full budget."""
         limiter = self.limiters.get(service)
         if limiter is None:
             limiter = LoadRateLimiter(engine.max_loads_per_s, self.window_s, self.allowed_overage)
@@ -47,7 +47,7 @@
         return limiter
 
     def restore(self, service: str, engine: Engine, load_times: Iterable[float]) -> None:
-        """Replaces what was assumed of a predecessor by the loads that it is known to have begun."""
+        """Replaces the assumption about a predecessor by the loads that it is known to have begun."""
         self.limiter(service, engine).restore(load_times)
 
     def remaining(
@@ -58,9 +58,9 @@
         workers: Sequence[ManagedWorker],
         reserved_workers_factor: float,
     ) -> int:
-        """How many more loads from the store may be planned.
+        """Returns how many more loads from the store may be planned.
 
-        Loads that wait for an eviction take none of the store's concurrency yet, but each of them will.
+        Loads that wait for an eviction do not occupy the store yet, but each of them will.
         """
         max_concurrent = max_concurrent_store_loads(engine, len(workers), reserved_workers_factor)
         loading = sum(worker.is_loading_from_store for worker in workers)
@@ -72,7 +72,7 @@
         )
 
     def _will_load_from_store(self, worker: ManagedWorker) -> bool:
-        """Whether the worker will load from the store once its evictions have ended."""
+        """Returns whether the worker will load from the store once its evictions have ended."""
         action = worker.action
         if action is None or action.adapter or worker.is_loading_from_store:
             return False
@@ -81,10 +81,10 @@
 
 @define
 class StoreLoadPermit:
-    """Permission of one load from the store.
+    """Permit for one load from the store.
 
-    The load counts from when its order is sent, unless the worker rejects it: that may be long after it was
-    planned, if an evicted model is still in use.
+    The load counts from the time at which its order is sent, unless the worker rejects the order. That time
+    may be long after the load was planned if an evicted model is still in use.
     """
 
     rate_limiter: LoadRateLimiter
@@ -92,7 +92,7 @@
     acquired_at: float = 0.0
 
     def acquire(self, now: float) -> bool:
-        """Counts the load, if the rate limit allows it."""
+        """Counts the load if the rate limit allows it; returns whether it does."""
         if not self.rate_limiter.allows(now):
             return False
         self.rate_limiter.record(now)
--- a/finchladder/cluster/process/stream_relay.py
+++ b/finchladder/cluster/process/stream_relay.py
@@ -1,4 +1,4 @@
-"""Relays a streaming response to the client, and resumes it at another worker if it is cut off."""
+"""Relay of a streaming response to the client; an interrupted stream is resumed at another worker."""
 
 import aiohttp
 from aiohttp import web
@@ -22,7 +22,7 @@
 
 @define
 class StreamRelay:
-    """Relay of one stream. `events`: None unless the route's streams can be resumed."""
+    """Relays one stream. `events`: its event buffer; None unless the route's streams can be resumed."""
 
     request: AdmittedRequest
     sender: AttemptSender
@@ -30,11 +30,11 @@
     events: EventBuffer | None = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Buffers events only if the stream can be resumed."""
+        """Creates the event buffer if the stream can be resumed."""
         self.events = EventBuffer() if self.request.route.resumable else None
 
     async def relay(self, stream: WorkerStream) -> web.StreamResponse:
-        """Passes the stream on until its end; a stream that can't be resumed ends by an aborted connection.
+        """Relays the stream until its end; aborts the client connection if the stream can't be resumed.
 
         All of its attempts are closed when this returns, raises or is cancelled.
 
@@ -45,7 +45,7 @@
         attempted: frozenset[str] = frozenset()
         try:
             await client_response.prepare(self.request.outgoing.client_request)
-            while not await self._copy(stream.response, client_response):
+            while not await self._relay_body(stream.response, client_response):
                 stream.close()
                 attempted |= {stream.worker.instance}
                 resumed = await self._resume(attempted)
@@ -69,8 +69,10 @@
             client_response.enable_chunked_encoding()
         return self.responses.finish(client_response)
 
-    async def _copy(self, response: aiohttp.ClientResponse, client_response: web.StreamResponse) -> bool:
-        """Copies until the end; False if the worker's response was cut off or the deadline has passed."""
+    async def _relay_body(
+        self, response: aiohttp.ClientResponse, client_response: web.StreamResponse
+    ) -> bool:
+        """Relays the body; returns False if the response was interrupted or the deadline has passed."""
         try:
             async with self.sender.timeout_at(self.request.classified.deadline):
                 async for received in response.content.iter_any():
@@ -82,7 +84,7 @@
         return self.events is None or not self.events.has_incomplete
 
     async def _resume(self, attempted: frozenset[str]) -> WorkerStream | None:
-        """Continues after the last complete event; None if the stream can't be resumed."""
+        """Resumes the stream after its last complete event; returns None if it can't be resumed."""
         if self.events is None or len(attempted) >= self.request.route.max_attempts:
             return None
         self.events.discard_incomplete()
--- a/finchladder/cluster/process/tasks.py
+++ b/finchladder/cluster/process/tasks.py
@@ -16,7 +16,7 @@
     """Owns the background tasks of a process; a loop that fails is logged and restarted."""
 
     def __init__(self) -> None:
-        """Creates an owner without tasks."""
+        """Creates an empty set of tasks."""
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
@@ -29,16 +29,16 @@
     def repeat(self, work: Callable[[], Awaitable[None]], name: str) -> asyncio.Task[Any]:
         """Runs a loop until `stop`; after an error or a return it is restarted."""
 
-        async def guarded() -> None:
+        async def run_with_restarts() -> None:
             while True:
                 try:
                     await work()
-                # any error: a process without one of its loops would be half dead
+                # catches any error, since the process can't work without one of its loops
                 except Exception as error:  # noqa: BLE001
                     event("task.failed", task=name, error=error_kind(error), place=error_location(error))
                 await asyncio.sleep(RESTART_DELAY_S)
 
-        return self.spawn(guarded(), name)
+        return self.spawn(run_with_restarts(), name)
 
     def _on_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
@@ -55,7 +55,7 @@
 
 
 async def result_within(work: "asyncio.Future[T]", timeout_s: float) -> T | None:
-    """The result of the work, or its error raised; None after the timeout.
+    """Returns the result of the work or raises its error; returns None after the timeout.
 
     Work that has timed out continues; its later result or error is ignored.
     """
@@ -67,31 +67,31 @@
 
 
 def _retrieve_exception(work: "asyncio.Future[Any]") -> None:
-    # asyncio logs errors that nobody has retrieved
+    # asyncio logs exceptions that are never retrieved
     if not work.cancelled():
         work.exception()
 
 
 class Signal:
-    """Notifies all waiters of the next change, in the order in which they began to wait."""
+    """Notifies all waiters of a change, in the order in which they began to wait."""
 
     def __init__(self) -> None:
         """Creates a signal without waiters."""
         self._waiting: dict[asyncio.Future[None], None] = {}
 
     def fire(self) -> None:
-        """Notifies all present waiters."""
+        """Notifies all current waiters."""
         waiting, self._waiting = self._waiting, {}
         for future in waiting:
             if not future.done():
                 future.set_result(None)
 
     async def wait(self, timeout_s: float) -> bool:
-        """Waits for the next `fire`; False after the timeout."""
+        """Waits for the next `fire`; returns False after the timeout."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting[future] = None
         try:
-            # not wait_for: in 3.11 it loses a cancellation that comes together with the result
+            # `asyncio.wait_for` of Python 3.11 loses a cancellation that arrives together with the result
             async with asyncio.timeout(timeout_s):
                 await future
         except TimeoutError:
--- a/finchladder/cluster/process/update_puller.py
+++ b/finchladder/cluster/process/update_puller.py
@@ -1,4 +1,4 @@
-"""Pulls the replicated tables, the configuration and the view from control processes.
+"""Pulls of the replicated tables, the configuration and the view from control processes.
 
 A control process long-polls all its peers. A dispatcher long-polls one, its primary, and polls the others in
 turn, so that its load does not grow with their number. It polls each of them often while its primary fails or
@@ -21,35 +21,35 @@
 from finchladder.cluster.types.members import GENESIS, Member, View
 from finchladder.cluster.types.messages import PullUpdates, Update
 
-MAX_SOURCES = 5  # control processes that one puller polls
+MAX_SOURCES = 5  # maximum number of control processes that one puller polls
 EXPIRY_INTERVAL_S = 5.0
 NEVER = -1e9
 
 
 @define
 class UpdateSource:
-    """A control process that is pulled from."""
+    """A control process from which updates are pulled."""
 
     address: str
     task: asyncio.Task[None]
     origin: str = ""
-    received_at: float = NEVER  # when its last update arrived
+    received_at: float = NEVER  # arrival time of its last update
     knows_all_workers: bool = False
     chain_confirmed: bool = False
     quorum_lost: bool = False
     last_call_failed: bool = False
 
     def is_confirmed(self) -> bool:
-        """Whether it answers, and the chain has confirmed it lately."""
+        """Returns whether it replies and the chain has recently confirmed it."""
         return self.chain_confirmed and not self.last_call_failed
 
 
 @define
 class UpdatePuller:
-    """Keeps `tables` and the configuration as new as any control process that can be reached.
+    """Keeps `tables` and the configuration as new as those of any reachable control process.
 
     `on_update`: called with each update after its records were merged, and with the instances that changed.
-    `seeds`: peer addresses that are used while no member answers.
+    `seeds`: peer addresses that are used while no member replies.
     """
 
     name: str
@@ -65,15 +65,15 @@
     on_update: Callable[[Update, list[str]], None]
     timeouts: ContactTimeouts
     view: View = GENESIS
-    sources: dict[str, UpdateSource] = field(factory=dict)  # by peer address
-    primary: str = ""  # address of the source that a dispatcher long-polls; empty: there is none
+    sources: dict[str, UpdateSource] = field(factory=dict)  # keyed by peer address
+    primary: str = ""  # address of the source that a dispatcher long-polls; empty if there is none
     placer: str = ""  # peer address of the placer; empty: unknown
-    placer_term: int = 0  # its fencing token
+    placer_term: int = 0  # fencing token of the placer
     dispatcher_count: int = 0
-    confirmed_at: float = NEVER  # when a source last reported a confirmation by the chain
-    quorum_lost_at: float = NEVER  # when a source first reported the loss, after none did
-    expired_at: float = field(factory=steady)  # when the tables were last cleaned up
-    poll_now: Signal = field(factory=Signal)  # the primary has changed, or is no longer confirmed
+    confirmed_at: float = NEVER  # time of the last reported confirmation by the chain
+    quorum_lost_at: float = NEVER  # time of the first report of the loss after a period without reports
+    expired_at: float = field(factory=steady)  # time of the last cleanup of the tables
+    poll_now: Signal = field(factory=Signal)  # fires if the primary has changed or is no longer confirmed
 
     async def run(self) -> None:
         """Keeps the set of sources up to date."""
@@ -83,7 +83,7 @@
             await asyncio.sleep(self.timeouts.source_update_interval_s)
 
     def update_sources(self) -> None:
-        """Starts and stops pulls: from the members of the view, and from the seeds while none answers."""
+        """Starts and stops pulls from the members of the view, and from the seeds while no member replies."""
         members = self.view.members()
         addresses = [member.peer_address for member in members]
         if not self._has_valid_status():
@@ -100,24 +100,24 @@
             self.sources.pop(address).task.cancel()
 
     def has_core_lost_quorum(self) -> bool:
-        """Whether most of the core runs without a quorum.
+        """Returns whether most of the core runs without a quorum.
 
-        A newer configuration, or the drain of a worker, may then have been acknowledged that no process which
-        answers knows of. A dispatcher that is cut off from most of the core gets no such report: it goes on
-        with what it has.
+        The core may then have acknowledged a newer configuration or the drain of a worker that no replying
+        process has stored. A dispatcher that is cut off from most of the core gets no such report and
+        continues with its current state.
         """
         since = max(self.confirmed_at, self.quorum_lost_at)
         return self._is_quorum_loss_reported() and steady() - since > self.timeouts.unconfirmed_timeout_s
 
     def poll_interval_s(self) -> float:
-        """Seconds between two polls of the same source."""
+        """Returns the seconds between two polls of the same source."""
         primary = self.sources.get(self.primary)
         if primary is None or not primary.is_confirmed():
             return self.timeouts.poll_interval_s
         return self.timeouts.poll_interval_s * max(1, len(self.sources) - 1)
 
     def _choose_primary(self, members: tuple[Member, ...]) -> str:
-        """Address of a live member: confirmed and in the own zone if possible, drawn by rendezvous hash."""
+        """Chooses a live member by rendezvous hash, if possible a confirmed one in the own zone."""
         live = [m for m in members if m.peer_address in self.sources and self._is_live(m.peer_address)]
         confirmed = [m for m in live if self.sources[m.peer_address].is_confirmed()] or live
         candidates = [m for m in confirmed if m.zone == self.zone] or confirmed
@@ -127,9 +127,9 @@
         return chosen.peer_address
 
     def _is_live(self, address: str) -> bool:
-        """Whether the last pull that was due has been answered, or is still within its timeout."""
-        since_due_s = 0.0 if self._long_polls(address) else self.poll_interval_s()
-        return steady() - self.sources[address].received_at < self.timeouts.source_timeout_s + since_due_s
+        """Returns whether the last pull that was due got a reply or is still within its timeout."""
+        polling_delay_s = 0.0 if self._long_polls(address) else self.poll_interval_s()
+        return steady() - self.sources[address].received_at < self.timeouts.source_timeout_s + polling_delay_s
 
     def _has_valid_status(self) -> bool:
         now = steady()
@@ -142,11 +142,11 @@
         return any(s.quorum_lost and now - s.received_at < validity_s for s in self.sources.values())
 
     def _long_polls(self, address: str) -> bool:
-        """Whether that source is long-polled; a dispatcher without a primary long-polls all."""
+        """Returns whether that source is long-polled; a dispatcher without a primary long-polls all."""
         return not self.is_dispatcher or address == self.primary or not self.primary
 
     def _expire_tables(self) -> None:
-        """Removes expired entries; in a control process `WorkerExpiry` does so."""
+        """Removes expired entries in a dispatcher; in a control process `WorkerExpiry` removes them."""
         now = steady()
         if self.is_dispatcher and now - self.expired_at > EXPIRY_INTERVAL_S:
             self.expired_at = now
@@ -172,10 +172,10 @@
                 await self.poll_now.wait(self.poll_interval_s() * self.random.uniform(0.9, 1.1))
 
     async def pull_once(self, timeout_s: float) -> bool:
-        """Pulls from the primary now; whether it answered in time and the chain has confirmed it lately.
+        """Pulls from the primary; returns whether it replied in time and the chain has recently confirmed it.
 
-        The source's status stays as the regular pulls leave it: they resynchronise by it, and their timeout
-        is longer.
+        The status of the source does not change: the regular pulls use it to detect that a resynchronization
+        is needed, and their timeout is longer.
         """
         if not self.primary:
             return False
@@ -206,7 +206,7 @@
         self._poll_others_if_primary_unconfirmed(source, was_confirmed)
 
     def _poll_others_if_primary_unconfirmed(self, source: UpdateSource, was_confirmed: bool) -> None:
-        """Polls all other sources at once if the primary has just ceased to be confirmed."""
+        """Polls all other sources at once if the primary is no longer confirmed."""
         if source.address == self.primary and was_confirmed and not source.is_confirmed():
             self.poll_now.fire()
 
@@ -214,12 +214,12 @@
         must_resynchronize = update.knows_all_workers and (
             source.origin != update.origin or not source.knows_all_workers
         )
-        self._note_status(source, update)
+        self._record_status(source, update)
         self._merge(update)
         if must_resynchronize and self.is_dispatcher:
             await self._resynchronize(source)
 
-    def _note_status(self, source: UpdateSource, update: Update) -> None:
+    def _record_status(self, source: UpdateSource, update: Update) -> None:
         was_confirmed = source.is_confirmed()
         source.origin = update.origin
         source.received_at = steady()
@@ -237,18 +237,18 @@
         self.tables.advance_vector(update.vector)
         if update.view is not None and update.view.number > self.view.number:
             self.view = update.view
-        self._note_placer(update)
+        self._record_placer(update)
         self.dispatcher_count = update.dispatchers or self.dispatcher_count
         self.on_update(update, changed)
 
-    def _note_placer(self, update: Update) -> None:
-        """Adopts the placer that the update names, unless a source that is ahead has named a later one."""
+    def _record_placer(self, update: Update) -> None:
+        """Adopts the placer in the update, unless a source that is ahead has reported a later one."""
         if update.placer and update.placer_term >= self.placer_term:
             self.placer = update.placer
             self.placer_term = update.placer_term
 
     async def _resynchronize(self, source: UpdateSource) -> None:
-        """Drops the workers that a control process which knows all workers does not know."""
+        """Drops the workers that are missing in a control process that knows all workers."""
         try:
             reply = await self.peers.call(source.address, self._pull({}, 0), self.timeouts.pull_timeout_s)
         except ClusterError:
--- a/finchladder/cluster/process/update_server.py
+++ b/finchladder/cluster/process/update_server.py
@@ -1,7 +1,7 @@
-"""Serves the replicated tables, the configuration and the view to the processes that pull them.
+"""Server for the processes that pull the replicated tables, the configuration and the view.
 
-A subscriber long-polls: it is answered at once if it lacks anything, else when something changes. Updates for
-many dispatchers are batched, unless one takes a worker out of use.
+A subscriber long-polls: it gets a reply at once if it lacks any data, otherwise when the data changes.
+Updates for many dispatchers are batched, unless one takes a worker out of use.
 """
 
 from asyncio import sleep
@@ -20,12 +20,12 @@
 from finchladder.cluster.types.operations import ControlState
 from finchladder.cluster.types.workers import SessionPhase, Stamp
 
-SUBSCRIBER_TIMEOUT_S = 2.5  # without a pull, after which a subscriber no longer counts as live
+SUBSCRIBER_TIMEOUT_S = 2.5  # a subscriber that has not pulled for longer does not count as live
 SUBSCRIBER_RETENTION_S = 60.0
 MAX_LONG_POLL_S = 2.0
-BATCH_INTERVAL_PER_DISPATCHER_S = 0.001  # between two updates to one dispatcher, for each that there is
+BATCH_INTERVAL_PER_DISPATCHER_S = 0.001  # minimum time between updates to a dispatcher, times their count
 MAX_BATCH_INTERVAL_S = 0.25
-URGENCY_CHECK_INTERVAL_S = 0.02  # changes are frequent: not each of them is examined
+URGENCY_CHECK_INTERVAL_S = 0.02  # changes are too frequent to examine each of them
 DISPATCHER_COUNT_INTERVAL_S = 0.1
 NEVER = -1e9
 
@@ -38,24 +38,25 @@
     vector: dict[str, int]
     last_pull_at: float
     is_dispatcher: bool
-    long_polls: bool  # it learns of changes here at once; others poll from time to time
-    last_update_at: float = NEVER  # when its last long poll was answered with changes
+    long_polls: bool  # True: it receives changes at once; False: it polls periodically
+    last_update_at: float = NEVER  # time of the last reply to it that had changes
 
     def has(self, stamp: Stamp) -> bool:
-        """Whether it has the record with that stamp, or a newer one."""
+        """Returns whether it has the record with that stamp or a newer one."""
         return self.vector.get(stamp.origin, 0) >= stamp.counter
 
     def is_live(self, now: float) -> bool:
-        """Whether it has pulled lately; `now` in steady seconds."""
+        """Returns whether it has pulled recently; `now` is in monotonic seconds."""
         return now - self.last_pull_at < SUBSCRIBER_TIMEOUT_S
 
 
 @define
 class UpdateServer:
-    """Answers pulls, and knows which subscriber has which records.
+    """Replies to pulls, and tracks which subscriber has which records.
 
-    `is_chain_confirmed`: whether the chain answered lately; `is_quorum_lost`: whether too few voters answer
-    although most control processes do; `placer_address`: empty while there is no placer.
+    `is_chain_confirmed`: returns whether the chain was recently confirmed; `is_quorum_lost`: returns whether
+    too few voters reply although most control processes do; `placer_address`: returns an empty string while
+    there is no placer.
     """
 
     tables: ReplicatedTables
@@ -66,15 +67,15 @@
     is_chain_confirmed: Callable[[], bool]
     is_quorum_lost: Callable[[], bool]
     changed: Signal = field(factory=Signal)
-    subscribers: dict[str, Subscriber] = field(factory=dict)  # by name
+    subscribers: dict[str, Subscriber] = field(factory=dict)  # keyed by name
     started_at: float = field(factory=steady)
     _compressor: DocumentCompressor = field(factory=DocumentCompressor, init=False)
     _dispatcher_count: int = field(default=0, init=False)
     _dispatchers_counted_at: float = field(default=NEVER, init=False)
-    _open_long_polls: Counter[str] = field(factory=Counter, init=False)  # by subscriber
+    _open_long_polls: Counter[str] = field(factory=Counter, init=False)  # keyed by subscriber
 
     async def on_pull(self, pull: PullUpdates) -> Update:
-        """Answers at once if the subscriber lacks anything, else after a change or the end of its poll."""
+        """Replies at once if the subscriber lacks any data, otherwise after a change or its timeout."""
         self._register(pull)
         await self._wait(pull)
         subscriber = self._register(pull)
@@ -83,12 +84,12 @@
         return self._update(pull)
 
     def live_subscribers(self) -> list[Subscriber]:
-        """Those that have pulled lately."""
+        """Returns the subscribers that have pulled recently."""
         now = steady()
         return [subscriber for subscriber in self.subscribers.values() if subscriber.is_live(now)]
 
     def dispatcher_count(self) -> int:
-        """Number of dispatchers that have pulled lately."""
+        """Returns the number of dispatchers that have pulled recently."""
         now = steady()
         if now - self._dispatchers_counted_at > DISPATCHER_COUNT_INTERVAL_S:
             self._dispatchers_counted_at = now
@@ -99,15 +100,15 @@
         return self._dispatcher_count
 
     def batch_interval_s(self) -> float:
-        """Seconds between two updates to one dispatcher: changes meanwhile are sent together."""
+        """Returns the seconds between two updates to one dispatcher; changes in between are sent together."""
         return min(MAX_BATCH_INTERVAL_S, BATCH_INTERVAL_PER_DISPATCHER_S * self.dispatcher_count())
 
     def knows_all_workers(self) -> bool:
-        """Whether every live worker must have sent a heartbeat since this process started."""
+        """Returns whether every live worker must have sent a heartbeat since this process started."""
         return steady() - self.started_at > registration_timeout_s(self.heartbeat_s)
 
     def expire_subscribers(self, now: float) -> None:
-        """Removes those that have not pulled for long; `now` in steady seconds."""
+        """Removes subscribers that have not pulled for long; `now` is in monotonic seconds."""
         self.subscribers = {
             name: subscriber
             for name, subscriber in self.subscribers.items()
@@ -123,7 +124,7 @@
             vector=pull.vector,
             last_pull_at=steady(),
             is_dispatcher=pull.is_dispatcher,
-            # a dispatcher that refreshes its configuration goes on to long-poll
+            # a dispatcher that refreshes its configuration still has a long poll open
             long_polls=pull.wait_ms > 0 or pull.sender in self._open_long_polls,
             last_update_at=NEVER if known is None else known.last_update_at,
         )
@@ -150,7 +151,7 @@
                 break
 
     async def _wait_for_batch(self, pull: PullUpdates) -> None:
-        """Delays changes that follow the last update closely, unless one is urgent."""
+        """Delays changes that closely follow the last update, unless one of them is urgent."""
         if not pull.is_dispatcher:
             return
         due_at = self.subscribers[pull.sender].last_update_at + self.batch_interval_s()
@@ -164,7 +165,7 @@
         return self._has_newer_control_state(pull) or self.tables.is_ahead(pull.vector)
 
     def _has_urgent_changes(self, pull: PullUpdates) -> bool:
-        """Whether there is a newer configuration, view or placer, or a worker that is no longer ready."""
+        """Returns whether a newer configuration, view or placer exists, or a worker is no longer ready."""
         if self._has_newer_control_state(pull):
             return True
         workers = self.tables.records_after(pull.vector).workers
--- a/finchladder/cluster/process/view_agreement.py
+++ b/finchladder/cluster/process/view_agreement.py
@@ -1,4 +1,4 @@
-"""A control process as acceptor and learner of views: its durable votes and the newest decided view."""
+"""The Paxos acceptor and learner of a control process: its durable votes and the newest decided view."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,15 +28,15 @@
     Request,
 )
 
-DISK_STALL_TIMEOUT_S = 0.6  # a disk with a write pending for longer counts as failed
+DISK_STALL_TIMEOUT_S = 0.6  # a disk counts as failed while a write has been pending for longer
 
 
 @define
 class ViewAgreement:
-    """Durable state of one control process, and its part in Paxos as acceptor and learner.
+    """Durable state of one control process, which is a Paxos acceptor and learner.
 
     `lock` orders all changes of durable state. Each of `adoption_listeners` is called when a newer decided
-    view has become durable, before `changed` fires.
+    view is durable, before `changed` fires.
     """
 
     me: Member
@@ -50,27 +50,27 @@
     changed: Signal = field(factory=Signal)
     adoption_listeners: list[Callable[[], None]] = field(factory=list)
     started_at: float = field(factory=steady)
-    adopted_at: float = -1e9  # when the present view was learned
-    accepted_at: float = field(factory=steady)  # when the last vote was cast
+    adopted_at: float = -1e9  # time at which the current view was adopted
+    accepted_at: float = field(factory=steady)  # time of the last vote
     shutting_down: bool = False
 
     @property
     def view(self) -> View:
-        """The newest decided view that this process knows."""
+        """The newest decided view that this process has learned."""
         return self.acceptor.view
 
     def may_vote(self) -> bool:
-        """Whether this process is an acceptor of the next view."""
+        """Returns whether this process is an acceptor for the next view."""
         if self.view.number == 0:
             return self.founder
         return self.view.has_voter(self.me.disk_id)
 
     def is_healthy(self) -> bool:
-        """Whether the own disk takes writes."""
+        """Returns whether the local disk accepts writes."""
         return not self.store.last_write_failed and self.store.pending_write_age_s() < DISK_STALL_TIMEOUT_S
 
     def pong(self, known_view: int) -> Pong:
-        """The status of this process, for a peer that knows the view of that number."""
+        """Returns the status of this process, for a peer whose newest view has the number `known_view`."""
         view = self.view
         return Pong(
             sender=self.me,
@@ -84,7 +84,7 @@
         )
 
     async def on_prepare(self, request: Prepare) -> Promise:
-        """First phase of Paxos; the promise is durable before the reply."""
+        """Handles the first phase of Paxos; the promise is durable before the reply is sent."""
         async with self.lock:
             acceptor, reply = agreement.prepare(self.acceptor, self.may_vote(), request)
             if acceptor != self.acceptor:
@@ -93,7 +93,7 @@
             return reply
 
     async def on_accept(self, request: Accept) -> Accepted:
-        """Second phase of Paxos; the vote is durable before the reply."""
+        """Handles the second phase of Paxos; the vote is durable before the reply is sent."""
         async with self.lock:
             acceptor, reply = agreement.accept(self.acceptor, self.may_vote(), request)
             if acceptor != self.acceptor:
@@ -103,12 +103,12 @@
             return reply
 
     async def on_learn(self, request: Learn) -> Learn:
-        """A proposer announces a decided view; the reply holds the newest one known here."""
+        """Adopts a decided view from a proposer; the reply holds the newest view of this process."""
         await self.learn(request.view)
         return Learn(self.view)
 
     async def learn(self, view: View) -> None:
-        """Adopts a decided view if it is newer than the present one."""
+        """Adopts a decided view if it is newer than the current one."""
         if view.number <= self.view.number:
             return
         async with self.lock:
@@ -130,10 +130,10 @@
         self.changed.fire()
 
     async def call_member(self, member: Member, request: Request, timeout_s: float) -> Reply:
-        """Calls a member of the chain and gives up as soon as a view excludes it: its reply would be stale.
+        """Calls a member of the chain; gives up once a view excludes it, since its reply would be stale.
 
         Raises:
-            ClusterError: the member sent no reply, refused, or is no longer in the chain.
+            ClusterError: The member sent no reply, rejected the request, or is no longer in the chain.
         """
         call = asyncio.ensure_future(self.peers.call(member.peer_address, request, timeout_s))
         change: asyncio.Future[bool] | None = None
@@ -145,7 +145,9 @@
                 change.cancel()
             if call.done():
                 return call.result()
-            raise PeerUnreachableError(type(request).__name__, member.name, "it has left the chain")
+            raise PeerUnreachableError(
+                type(request).__name__, member.name, "the member is no longer in the chain"
+            )
         finally:
             if change is not None:
                 change.cancel()
@@ -153,9 +155,10 @@
                 call.cancel()
 
     async def leave_chain(self, timeout_s: float) -> bool:
-        """Announces the shutdown of this process; True once a view without it is adopted, within the timeout.
+        """Announces the shutdown of this process, and waits until a view without it is adopted.
 
-        A chain of the minimum length is not left: without this process it could lose acknowledged state.
+        Returns False after the timeout. A process does not leave a chain of the minimum length, because the
+        remaining members could lose acknowledged state.
         """
         if len(self.view.chain) <= self.limits.min_chain_length:
             return False
--- a/finchladder/cluster/process/view_proposer.py
+++ b/finchladder/cluster/process/view_proposer.py
@@ -1,4 +1,4 @@
-"""A control process as proposer of views: when to propose which view, and both phases of Paxos."""
+"""The Paxos proposer of a control process: decides when to propose which view, and runs both phases."""
 
 import asyncio
 from random import Random
@@ -18,51 +18,51 @@
 VOTE_TIMEOUT_S = 0.6
 PROPOSAL_INTERVAL_S = PING_INTERVAL_S / 2
 MAX_PROPOSAL_BACKOFF_S = 0.25
-BACKOFF_JITTER = (0.2, 1.0)  # range of the random share of the backoff
-BOOTSTRAP_TIMEOUT_S = 1.0  # the first view waits so long for all seeds, then takes a majority
-PROPOSAL_STAGGER_S = 0.12  # delay per rank, so that voters do not outbid each other
-UNDECIDED_TIMEOUT_S = 1.0  # an accepted view without a known decision is proposed again after this
+BACKOFF_JITTER = (0.2, 1.0)  # range of the random factor of the backoff
+BOOTSTRAP_TIMEOUT_S = 1.0  # the first view waits this long for all seeds, then takes a majority
+PROPOSAL_STAGGER_S = 0.12  # delay per rank, so that voters do not outbid each other's ballots
+UNDECIDED_TIMEOUT_S = 1.0  # an accepted view without a known decision is proposed again after this time
 
 
 @define
 class ViewProposer:
-    """Proposes the next view whenever the members that are alive call for one."""
+    """Proposes the next view whenever the set of live members requires one."""
 
     agreement: ViewAgreement
     detector: FailureDetector
     peers: Peers
     random: Random
-    highest_round: int = 0  # of all ballots seen
+    highest_round: int = 0  # highest round of all ballots that were received
     change_needed_since: float | None = None
 
     @property
     def view(self) -> View:
-        """The newest decided view that this process knows."""
+        """The newest decided view that this process has learned."""
         return self.agreement.view
 
-    def reset_turn(self) -> None:
-        """A view was adopted: the order of proposers starts anew."""
+    def reset_proposal_delay(self) -> None:
+        """Restarts the staggered delays of the proposers after a view was adopted."""
         self.change_needed_since = None
 
     async def run(self) -> None:
-        """Proposes views as long as the process runs."""
+        """Proposes views until it is cancelled."""
         while True:
             await self.propose_if_needed()
             await asyncio.sleep(PROPOSAL_INTERVAL_S)
 
     async def propose_if_needed(self) -> None:
-        """Proposes a view if one is needed and it is the turn of this process."""
+        """Proposes a view if one is needed and the delay of this process has passed."""
         proposal = self.view_to_propose()
         if proposal is None:
             self.change_needed_since = None
             return
-        if not self.is_my_turn():
+        if not self.is_proposal_due():
             return
         if not await self.propose(proposal):
             await asyncio.sleep(self.random.uniform(*BACKOFF_JITTER) * MAX_PROPOSAL_BACKOFF_S)
 
     def view_to_propose(self) -> View | None:
-        """The view that should follow the present one; None if no change is needed or possible."""
+        """Returns the view that should follow the current one; None if no change is needed or possible."""
         if not self.agreement.may_vote() or not self.agreement.is_healthy():
             return None
         if self.view.number == 0:
@@ -78,12 +78,12 @@
         return following or self._undecided_view()
 
     def _undecided_view(self) -> View | None:
-        """An accepted view whose decision is unknown: reads are refused until it is decided."""
+        """Returns an accepted view whose decision is unknown; reads are rejected until it is decided."""
         waited_s = steady() - self.agreement.accepted_at
         return self.agreement.acceptor.accepted if waited_s > UNDECIDED_TIMEOUT_S else None
 
     def _bootstrap_view(self) -> View | None:
-        """The first view, of all seeds, or of a majority of them after the timeout."""
+        """Returns the first view, which has all seeds, or a majority of them after the timeout."""
         seeds = self._seed_addresses()
         alive = self.detector.alive_members().values()
         found = [status.member for status in alive if status.healthy and status.member.peer_address in seeds]
@@ -94,8 +94,8 @@
             return None
         return first_view(found, self.agreement.limits)
 
-    def is_my_turn(self) -> bool:
-        """Whether the delay of this process's rank among the voters has passed since a change was needed."""
+    def is_proposal_due(self) -> bool:
+        """Returns whether the delay for this process's rank has passed since a change was first needed."""
         now = steady()
         if self.change_needed_since is None:
             self.change_needed_since = now
@@ -106,7 +106,7 @@
         return now - self.change_needed_since >= rank * PROPOSAL_STAGGER_S
 
     async def propose(self, proposal: View) -> bool:
-        """Runs both phases of Paxos; True if a view was decided, perhaps one that was accepted before."""
+        """Runs both phases of Paxos; returns whether a view was decided, possibly an earlier accepted one."""
         base = self.view
         addresses = self._voter_addresses()
         quorum = len(addresses) // 2 + 1
@@ -150,9 +150,9 @@
     async def _request_votes(
         self, addresses: list[str], request: Prepare | Accept, quorum: int
     ) -> list[Reply]:
-        """The replies of all voters, or of those that have answered once a quorum has granted the request.
+        """Returns the replies of all voters, or those received until a quorum has granted the request.
 
-        Calls that are still open then are cancelled, but not the own vote, which is a write to the own disk.
+        The remaining calls are then cancelled, but not the local vote, which is a write to the local disk.
         """
         own_address = self.agreement.me.peer_address
         by_address = {
@@ -181,10 +181,10 @@
                 return await self.agreement.on_prepare(request)
             return await self.agreement.on_accept(request)
         except ClusterError:
-            return None  # no vote counts as not granted
+            return None  # a missing vote counts as not granted
 
     async def _learn_from(self, replies: list[Promise] | list[Accepted]) -> None:
-        """Takes higher rounds and newer decided views from the voters' replies."""
+        """Adopts higher rounds and newer decided views from the voters' replies."""
         for reply in replies:
             self.highest_round = max(self.highest_round, reply.promised.round)
             await self.agreement.learn(reply.view)
--- a/finchladder/cluster/process/worker_backoff.py
+++ b/finchladder/cluster/process/worker_backoff.py
@@ -9,14 +9,14 @@
 from finchladder.cluster.transport.peers import steady
 
 REJECTION_BACKOFF_S = 0.1
-MAX_REJECTION_BACKOFF_S = 1.0  # where the worker itself asks for longer
-MISDIRECTED_BACKOFF_S = 0.4  # of one key, at a worker that does not have it
+MAX_REJECTION_BACKOFF_S = 1.0  # limit for the backoff that a worker requests
+MISDIRECTED_BACKOFF_S = 0.4  # applies to one key at a worker that does not have its model
 MIN_FAILURE_BACKOFF_S = 0.5
 MAX_FAILURE_BACKOFF_S = 4.0
 
 
 def record_failure(worker: Worker, request: ClassifiedRequest, failure: FailedAttempt) -> None:
-    """Lets a worker back off: for the request's key if it rejected the request, else exponentially."""
+    """Starts a backoff: for the request's key after a rejection, otherwise exponential for the worker."""
     now = steady()
     if isinstance(failure, NotExecuted):
         _back_off_after_rejection(worker, request, failure, now)
--- a/finchladder/cluster/process/worker_client.py
+++ b/finchladder/cluster/process/worker_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of control processes to workers: orders, reports, whether an instance runs."""
+"""HTTP client of control processes for workers: orders, reports and health checks."""
 
 import asyncio
 from http import HTTPStatus
@@ -16,7 +16,7 @@
 HEALTH_PATH = "/healthz"
 ORDER_PATH = "/api/order"
 REPORT_PATH = "/api/report"
-ORDER_STEP = "order"  # named by errors
+ORDER_STEP = "order"  # name in error messages
 REPORT_STEP = "report"
 CALL_TIMEOUT_S = 0.8
 KEEPALIVE_S = 2.0
@@ -31,19 +31,19 @@
 
 
 class WorkerClient:
-    """Calls workers over kept connections; a control process has one.
+    """Calls workers over persistent connections; a control process has one client.
 
-    Responses name no call. Orders have connections of their own, so that a surplus response to a call for a
-    report, which has status 200, can't be taken for that to a load.
+    A response does not identify its request. Orders use separate connections, so that a surplus response to
+    a report request, which has status 200, can't be taken for the response to a load order.
     """
 
     def __init__(self) -> None:
-        """Opens no connection yet; needs a running event loop."""
+        """Creates the HTTP sessions without opening connections; requires a running event loop."""
         self._session = make_session(keepalive_s=KEEPALIVE_S)
         self._order_session = make_session(keepalive_s=KEEPALIVE_S)
 
     async def order(self, address: str, instance: str, body: OrderRequest, timeout_s: float) -> int:
-        """Sends an order; no byte of it leaves after `timeout_s`.
+        """Sends an order; no byte of it is sent after `timeout_s`.
 
         Returns:
             The status of the worker's response.
@@ -68,19 +68,23 @@
         """Fetches a worker's report of its models, queue and memory.
 
         Raises:
-            PeerUnreachableError: There was no readable report.
+            PeerUnreachableError: The worker sent no valid report.
         """
         headers = {EXPECTED_INSTANCE_HEADER: instance}
         response = await self._call(self._session, REPORT_STEP, address, hdrs.METH_GET, REPORT_PATH, headers)
         if response.status != HTTPStatus.OK:
-            raise PeerUnreachableError(REPORT_STEP, address, f"status {response.status}")
+            raise PeerUnreachableError(
+                REPORT_STEP, address, f"the worker responded with status {response.status}"
+            )
         try:
             return report_decoder.decode(response.body)
         except DECODE_ERRORS as error:
-            raise PeerUnreachableError(REPORT_STEP, address, f"unreadable: {error_kind(error)}") from None
+            raise PeerUnreachableError(
+                REPORT_STEP, address, f"malformed report: {error_kind(error)}"
+            ) from None
 
     async def is_running(self, address: str, instance: str) -> bool:
-        """Whether that instance responds at the address, whatever its health."""
+        """Returns whether that instance responds at the address, whatever its health."""
         try:
             async with (
                 asyncio.timeout(CALL_TIMEOUT_S),
--- a/finchladder/cluster/process/worker_expiry.py
+++ b/finchladder/cluster/process/worker_expiry.py
@@ -1,4 +1,4 @@
-"""Declares workers lost whose heartbeats have stopped, and drops what has expired."""
+"""Detection of lost workers by missing heartbeats, and removal of expired entries."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,9 +15,9 @@
 from finchladder.cluster.types.workers import SessionPhase, WorkerRecord
 
 CHECK_INTERVAL_S = 0.25
-MAX_CHECK_DELAY_S = 0.5  # a check that is later shows that the process stood still, not its workers
+MAX_CHECK_DELAY_S = 0.5  # a later check shows that this process was stalled, not its workers
 CLEANUP_INTERVAL_S = 5.0
-OWNER_TIMEOUT_S = 4.0  # without an update from an owner, before others judge its workers
+OWNER_TIMEOUT_S = 4.0  # time without an update from an owner before other processes check its workers
 OWNER_RETENTION_S = 60.0
 NEVER = -1e9
 
@@ -27,10 +27,10 @@
 
 @define
 class WorkerExpiry:
-    """Judges this process's own workers, and those of owners that it can't reach.
+    """Checks this process's own workers, and those of owners that it can't reach.
 
-    `is_running(address, instance)`: asks a worker itself; `is_chain_confirmed`: whether the chain answered
-    lately.
+    `is_running(address, instance)`: queries the worker itself; `is_chain_confirmed`: returns whether the
+    chain was recently confirmed.
     """
 
     tables: ReplicatedTables
@@ -39,28 +39,28 @@
     heartbeat_s: float
     is_running: Callable[[str, str], Awaitable[bool]]
     is_chain_confirmed: Callable[[], bool]
-    owners_seen_at: dict[str, float] = field(factory=dict)  # by origin of another control process
-    workers_answered_at: dict[str, float] = field(factory=dict)  # by instance, of unreachable owners
+    owners_last_seen_at: dict[str, float] = field(factory=dict)  # keyed by origin of another control process
+    workers_responded_at: dict[str, float] = field(factory=dict)  # keyed by instance, of unreachable owners
     _cleaned_up_at: float = field(factory=steady, init=False)
     _checked_at: float = field(factory=steady, init=False)
-    _resumed_at: float = field(default=NEVER, init=False)  # when this process last went on after a standstill
+    _resumed_at: float = field(default=NEVER, init=False)  # end of the last stall of this process
 
     async def run(self) -> None:
-        """Checks all workers again and again."""
+        """Checks all workers periodically."""
         while True:
             self.expire_own_workers()
             await self.expire_orphans()
             await asyncio.sleep(CHECK_INTERVAL_S)
 
-    def on_owner_seen(self, origin: str) -> None:
-        """An update of that origin has been received."""
-        self.owners_seen_at[origin] = steady()
+    def record_owner_update(self, origin: str) -> None:
+        """Records that an update of that origin was received."""
+        self.owners_last_seen_at[origin] = steady()
 
     def expire_own_workers(self) -> None:
-        """Declares own workers lost that sent no heartbeat for too long, and drops expired entries.
+        """Marks own workers as lost that sent no heartbeat for too long, and removes expired entries.
 
-        Heartbeats that came while this process stood still may not have been read: its workers get the whole
-        timeout once it goes on.
+        Heartbeats that arrived while this process was stalled may not have been read, so its workers get the
+        full timeout once it resumes.
         """
         now = steady()
         if now - self._checked_at > CHECK_INTERVAL_S + MAX_CHECK_DELAY_S:
@@ -78,28 +78,30 @@
                     self._declare_lost(record, heartbeat.sequence)
 
     async def expire_orphans(self) -> None:
-        """Declares workers lost whose owner is unreachable and that do not answer themselves.
+        """Marks workers as lost whose owner is unreachable and that do not respond themselves.
 
-        The owner may be cut off from this process and not from them. A process that is cut off from the chain
-        judges nobody.
+        The owner may be cut off from this process but not from its workers. A process that is cut off from
+        the chain marks no worker as lost.
         """
         if not self.is_chain_confirmed():
             return
         now = steady()
         orphans = [w.record for w in self.tables.workers.values() if self._is_orphan(w.record, now)]
-        answers = await asyncio.gather(*(self.is_running(r.address, r.instance) for r in orphans))
-        for record, answered in zip(orphans, answers, strict=True):
-            if answered:
-                self.workers_answered_at[record.instance] = now
+        responses = await asyncio.gather(*(self.is_running(r.address, r.instance) for r in orphans))
+        for record, is_responding in zip(orphans, responses, strict=True):
+            if is_responding:
+                self.workers_responded_at[record.instance] = now
             elif self._is_orphan(record, now) and self.tables.workers[record.instance].record == record:
                 self._declare_lost(record, record.sequence)
 
     def _is_orphan(self, record: WorkerRecord, now: float) -> bool:
         if record.owner == self.tables.origin or record.phase in FINAL_PHASES:
             return False
-        owner_seen_at = self.owners_seen_at.setdefault(record.owner, now)
-        answered_at = self.workers_answered_at.get(record.instance, owner_seen_at)
-        return now - max(owner_seen_at, answered_at) > OWNER_TIMEOUT_S + loss_timeout_s(self.heartbeat_s)
+        owner_last_seen_at = self.owners_last_seen_at.setdefault(record.owner, now)
+        responded_at = self.workers_responded_at.get(record.instance, owner_last_seen_at)
+        return now - max(owner_last_seen_at, responded_at) > OWNER_TIMEOUT_S + loss_timeout_s(
+            self.heartbeat_s
+        )
 
     def _declare_lost(self, record: WorkerRecord, sequence: int) -> None:
         lost = msgspec.structs.replace(
@@ -115,11 +117,11 @@
         self._cleaned_up_at = now
         for instance in self.tables.expire_ended_workers(now):
             self.sessions.forget(instance)
-            self.workers_answered_at.pop(instance, None)
+            self.workers_responded_at.pop(instance, None)
         self.tables.expire_origins(now)
         self.updates.expire_subscribers(now)
-        self.owners_seen_at = {
-            origin: seen_at
-            for origin, seen_at in self.owners_seen_at.items()
-            if now - seen_at < OWNER_RETENTION_S
+        self.owners_last_seen_at = {
+            origin: last_seen_at
+            for origin, last_seen_at in self.owners_last_seen_at.items()
+            if now - last_seen_at < OWNER_RETENTION_S
         }
--- a/finchladder/cluster/process/worker_orders.py
+++ b/finchladder/cluster/process/worker_orders.py
@@ -1,8 +1,8 @@
-"""Sends orders to workers under the placer's lease, one at a time to each, and learns when they have ended.
+"""Orders to workers under the placer's lease, one at a time to each worker, and detection of their end.
 
-A worker's report is some hundred ms old, but its answer to an order is current. A load that is sent again is
-answered with 202 while it is under way and with 200 as soon as it has ended, and counts as no further order.
-So the end of a load is learned by sending it again.
+A worker's report is some hundred ms old, but its response to an order is current. A worker responds to a
+repeated load order with 202 while the load is in progress and with 200 as soon as it has ended, and does not
+count it as another order. So the placer detects the end of a load by sending the order again.
 """
 
 import asyncio
@@ -28,33 +28,33 @@
 
 POLL_INTERVAL_S = 0.1
 MIN_POLL_INTERVAL_S = 0.02
-POLL_INTERVAL_FRACTION = 0.1  # of the time that a load has taken so far
-QUICK_EVICTION_S = 0.06  # most evictions end within it
+POLL_INTERVAL_FRACTION = 0.1  # fraction of the time that a load has taken so far
+QUICK_EVICTION_S = 0.06  # most evictions end within this time
 EVICTION_TIMEOUT_S = 10.0
-LOAD_OVERDUE_S = 0.5  # after the expected end of a load, from when the worker's report is checked
-WORKER_RETRY_DELAY_S = 0.5  # after which an unreachable worker is asked again
+LOAD_OVERDUE_S = 0.5  # time after the expected end of a load from which the worker's report is checked
+WORKER_RETRY_DELAY_S = 0.5  # delay before an unreachable worker is queried again
 
 
 @define
 class WorkerOrders:
     """Sends orders while the process holds the placer's lease."""
 
-    role: PlacerLeaseService
+    lease_service: PlacerLeaseService
     client: WorkerClient
 
     async def fetch_report(self, worker: ManagedWorker) -> WorkerReport:
-        """Asks a worker for its state.
+        """Fetches a worker's report.
 
         Raises:
-            PeerUnreachableError: It does not answer.
+            PeerUnreachableError: The worker does not respond.
         """
         return await self.client.report(worker.state.address, worker.state.instance)
 
     async def fetch_idle_report(self, worker: ManagedWorker) -> WorkerReport:
-        """Asks a worker for its state until no order is under way there.
+        """Fetches a worker's report, repeatedly until no order is in progress there.
 
         Raises:
-            PeerUnreachableError: It does not answer.
+            PeerUnreachableError: The worker does not respond.
         """
         while True:
             report = await self.fetch_report(worker)
@@ -73,7 +73,7 @@
         """Sends one order until it is accepted.
 
         Args:
-            worker: Where to; its state has to be known.
+            worker: Recipient of the order; its state has to be known.
             operation: `LOAD` or `EVICT`.
             model: The model, or the one that the adapter belongs to.
             adapter: Empty for the model itself.
@@ -83,10 +83,10 @@
             Whether it was accepted; if not, the worker's state is unknown.
 
         Raises:
-            PeerUnreachableError: The worker does not answer.
+            PeerUnreachableError: The worker does not respond.
         """
         submitted_at = steady()
-        while worker.last_report is not None and self._is_in_term(worker) and self.role.is_held():
+        while worker.last_report is not None and self._is_in_term(worker) and self.lease_service.is_held():
             if store_permit is not None and not store_permit.acquire(steady()):
                 await asyncio.sleep(MIN_POLL_INTERVAL_S)
                 continue
@@ -105,19 +105,19 @@
     async def wait_until_loaded(
         self, worker: ManagedWorker, model: str, adapter: str, expected_s: float
     ) -> bool:
-        """Sends an accepted load again from when it should have ended, until the worker has loaded it.
+        """Sends an accepted load order again, from its expected end until the worker has loaded the model.
 
         Returns:
             Whether it was loaded; if not, the worker's state is unknown.
 
         Raises:
-            PeerUnreachableError: The worker does not answer.
+            PeerUnreachableError: The worker does not respond.
         """
         accepted_at = steady()
         await asyncio.sleep(expected_s)
         while self._is_in_term(worker):
-            if not self.role.is_held():
-                await asyncio.sleep(MIN_POLL_INTERVAL_S)  # a lease that has run out may be renewed
+            if not self.lease_service.is_held():
+                await asyncio.sleep(MIN_POLL_INTERVAL_S)  # an expired lease may be renewed
                 continue
             status = await self._send(worker, LOAD, model, adapter)
             if status == STATUS_DONE:
@@ -132,31 +132,31 @@
         return False
 
     def _is_in_term(self, worker: ManagedWorker) -> bool:
-        lease = self.role.lease
+        lease = self.lease_service.lease
         return lease.token == worker.term and not lease.is_dropped
 
     def _invalidate_report(self, worker: ManagedWorker) -> None:
-        """Marks a worker's state as unknown: it has to report before it gets another order."""
+        """Marks a worker's state as unknown; it has to report before it gets another order."""
         worker.last_report = None
         worker.retry_at = steady() + WORKER_RETRY_DELAY_S
 
     async def _send(self, worker: ManagedWorker, operation: str, model: str, adapter: str) -> int:
-        """Sends an order, at most until the lease ends; the order counts as sent until its call has ended."""
-        body = worker.order_request(operation, model, adapter, self.role.me.name)
+        """Sends an order before the lease ends; the order counts as sent until its call has ended."""
+        body = worker.order_request(operation, model, adapter, self.lease_service.me.name)
         address = worker.state.address
-        timeout_s = self.role.lease.expires_at - steady()
-        self.role.last_order_at = steady()
+        timeout_s = self.lease_service.lease.expires_at - steady()
+        self.lease_service.last_order_at = steady()
         try:
             status = await self.client.order(address, worker.state.instance, body, timeout_s)
         finally:
-            self.role.last_order_at = steady()
+            self.lease_service.last_order_at = steady()
         event("placer.order", body=body, worker=address, status=status)
         if status == STATUS_STALE_FENCE:
-            self.role.lease.drop()
+            self.lease_service.lease.drop()
         return status
 
     async def _should_resubmit(self, worker: ManagedWorker, submitted_at: float) -> bool:
-        """After a rejection: whether the order before is still under way."""
+        """Returns whether a rejected order may be sent again, since the previous one is in progress."""
         if steady() - submitted_at < QUICK_EVICTION_S:
             await asyncio.sleep(QUICK_EVICTION_S / 2)
             return True
@@ -165,11 +165,11 @@
         return report.sequence <= worker.orders_taken and steady() - submitted_at < EVICTION_TIMEOUT_S
 
     async def _is_loading(self, worker: ManagedWorker) -> bool:
-        """Whether the worker reports that the last order is still under way."""
+        """Returns whether the worker reports that its last order is still in progress."""
         report = await self.fetch_report(worker)
         return report.sequence == worker.orders_taken and report.busy
 
 
 def _poll_interval_s(elapsed_s: float) -> float:
-    """Between two attempts to learn whether a load has ended that has taken so long."""
+    """Returns the interval between two checks of a load that has taken `elapsed_s` so far."""
     return min(POLL_INTERVAL_S, max(MIN_POLL_INTERVAL_S, POLL_INTERVAL_FRACTION * elapsed_s))
--- a/finchladder/cluster/process/worker_retirement.py
+++ b/finchladder/cluster/process/worker_retirement.py
@@ -1,8 +1,8 @@
-"""Retirements of workers: the chain stores each before it is acknowledged.
+"""Retirements of workers, which the chain stores before they are acknowledged.
 
 The tables of workers are in memory, and all control processes may end at once. A dispatcher that was cut off
-when a drain was acknowledged would then go on using that worker; so what the chain has stored is applied to
-the tables again. Retirements that arrive together, as when a zone is emptied, are stored in one operation.
+when a drain was acknowledged would then continue to use that worker, so the stored retirements are applied to
+the tables again. Retirements that arrive together, as when a zone is drained, are stored in one operation.
 """
 
 import asyncio
@@ -22,22 +22,24 @@
     is_retired,
 )
 
-RECORD_TIMEOUT_S = 0.7  # less than the second after which a worker calls the next control process
-# How long the chain keeps a retirement: twice as long as tables keep an ended worker, within which every
-# dispatcher that is in touch has learned of it, and one that restarts finds no record of the worker.
+RECORD_TIMEOUT_S = 0.7  # shorter than the 1 s after which a worker calls the next control process
+# The chain keeps a retirement twice as long as the tables keep an ended worker. Within that time every
+# connected dispatcher receives the retirement, and one that restarts finds no record of the worker.
 RETENTION_S = 120.0
 
 
 @define
 class RetirementRecorder:
-    """Forwards retirements to the head; as head writes them to the chain."""
+    """Forwards retirements to the head, which writes them to the chain."""
 
     chain: ChainService
-    pending: dict[str, WorkerRetirement] = field(factory=dict)  # by instance: not stored yet
-    _seen_at: dict[str, float] = field(factory=dict, init=False)  # by instance, when this head first saw it
+    pending: dict[str, WorkerRetirement] = field(factory=dict)  # not stored yet, keyed by instance
+    _first_read_at: dict[str, float] = field(
+        factory=dict, init=False
+    )  # time of the first reading, by instance
 
     async def record(self, retirement: WorkerRetirement) -> bool:
-        """Has the chain store a retirement; True once it has."""
+        """Stores a retirement in the chain; returns True once it is stored."""
         if is_retired(self.chain.acknowledged, retirement):
             return True
         if self.chain.is_head:
@@ -53,11 +55,11 @@
         return isinstance(reply, RetireWorkerReply) and reply.stored
 
     async def on_retire(self, request: RetireWorker) -> RetireWorkerReply:
-        """Handles a request that another process has forwarded; it is not forwarded again."""
+        """Handles a retirement that another process forwarded; it is not forwarded again."""
         return RetireWorkerReply(self.chain.is_head and await self._record_as_head(request.retirement))
 
     async def _record_as_head(self, retirement: WorkerRetirement) -> bool:
-        """Writes it to the chain; the write goes on after the timeout."""
+        """Writes a retirement to the chain; the write continues after the timeout."""
         write = asyncio.ensure_future(self._write_pending(retirement))
         try:
             return await result_within(write, RECORD_TIMEOUT_S) or False
@@ -78,16 +80,16 @@
             forgotten = tuple(self._expired(state) - batch.keys())
             if not await self.chain.write(RecordRetirements(tuple(batch.values()), forgotten)):
                 return False
-            self._seen_at |= dict.fromkeys(batch, steady())
+            self._first_read_at |= dict.fromkeys(batch, steady())
             self._discard_pending(batch)
             return True
 
     def _expired(self, state: ControlState) -> set[str]:
-        """Instances that were retired long ago; a new head counts from its first look at each."""
+        """Returns instances that were retired long ago; a new head counts from its first reading of each."""
         now = steady()
-        seen_at = self._seen_at
-        self._seen_at = {r.instance: seen_at.get(r.instance, now) for r in state.retirements}
-        return {instance for instance, at in self._seen_at.items() if now - at > RETENTION_S}
+        first_read_at = self._first_read_at
+        self._first_read_at = {r.instance: first_read_at.get(r.instance, now) for r in state.retirements}
+        return {instance for instance, at in self._first_read_at.items() if now - at > RETENTION_S}
 
     def _discard_pending(self, stored: dict[str, WorkerRetirement]) -> None:
         self.pending = {
--- a/finchladder/cluster/process/worker_selection.py
+++ b/finchladder/cluster/process/worker_selection.py
@@ -1,4 +1,4 @@
-"""Selects a worker for each request, and queues requests while no worker is available."""
+"""Selection of a worker for each request, and the queue of requests without an available worker."""
 
 from collections.abc import Callable
 from math import inf
@@ -13,20 +13,20 @@
 from finchladder.cluster.routing.workers import Worker
 from finchladder.cluster.transport.peers import steady
 
-MAX_QUEUE_TIME_SHARE = 0.8  # of the client's time; a request that would queue longer is rejected
-UNKNOWN_LOAD_QUEUE_TIME_SHARE = 0.6  # of that time, where no replica is known to be loading
-LOAD_DELAY_ALLOWANCE_S = 1.5  # by which a replica may be later than announced
-AVAILABILITY_POLL_S = 0.03  # the end of a worker's backoff raises no signal
+MAX_QUEUE_TIME_FRACTION = 0.8  # fraction of the client's time; a request that would queue longer is rejected
+UNKNOWN_LOAD_QUEUE_TIME_FRACTION = 0.6  # fraction of that time if no replica is known to be loading
+LOAD_DELAY_ALLOWANCE_S = 1.5  # a replica may become usable this much later than announced
+AVAILABILITY_POLL_INTERVAL_S = 0.03  # polling interval, since the end of a worker's backoff fires no signal
 RETRY_AFTER_BUSY_S = 0.3
 RETRY_AFTER_NO_REPLICA_S = 1.0
 
 
 @define
 class RequestQueue:
-    """Queue of the requests that wait for a worker.
+    """Queue of requests that wait for a worker.
 
     Attributes:
-        dispatcher_count: How many dispatchers select workers at the same time.
+        dispatcher_count: Returns the number of dispatchers that select workers at the same time.
         pools: The current pools, replaced as one object.
         pools_changed: Fired after `pools` was replaced.
         closes_at: No request is queued after this time (monotonic seconds).
@@ -40,11 +40,11 @@
     closes_at: float = inf
 
     async def select_worker(self, request: ClassifiedRequest, attempted: frozenset[str]) -> Worker | None:
-        """A worker for the request; waits while there is none and the request can still be in time.
+        """Selects a worker; waits while none is available and the request can still finish in time.
 
         Args:
             request: The request.
-            attempted: Instances that it was already sent to.
+            attempted: Instances to which the request was already sent.
 
         Returns:
             The worker, or None if none became available in time.
@@ -67,28 +67,30 @@
                     self.demand.add_queued(request.key, 1)
                 remaining_s = queue_deadline - now
                 await self.pools_changed.wait(
-                    min(AVAILABILITY_POLL_S, remaining_s) if has_replicas else remaining_s
+                    min(AVAILABILITY_POLL_INTERVAL_S, remaining_s) if has_replicas else remaining_s
                 )
         finally:
             if is_queued:
                 self.demand.add_queued(request.key, -1)
 
     def _queue_deadline(self, request: ClassifiedRequest, has_replicas: bool) -> float:
-        """Until when a request may be queued: longer if a replica is known to be usable in time.
+        """Returns the time until which a request may be queued, later if a replica becomes usable in time.
 
-        A load that is overdue when the request arrives gets the allowance once, from then on.
+        If a load is overdue when the request arrives, the allowance counts once, from the arrival.
         """
         client_s = min(request.client_stall_timeout_s, request.deadline - request.arrived_at)
-        latest = request.arrived_at + MAX_QUEUE_TIME_SHARE * client_s
-        without_load = request.arrived_at + UNKNOWN_LOAD_QUEUE_TIME_SHARE * (latest - request.arrived_at)
+        latest_deadline = request.arrived_at + MAX_QUEUE_TIME_FRACTION * client_s
+        deadline_without_load = request.arrived_at + UNKNOWN_LOAD_QUEUE_TIME_FRACTION * (
+            latest_deadline - request.arrived_at
+        )
         ready_at = self.pools.ready_at(request.key)
-        if has_replicas or ready_at is None or ready_at > latest:
-            return without_load
+        if has_replicas or ready_at is None or ready_at > latest_deadline:
+            return deadline_without_load
         expected_by = max(ready_at, request.arrived_at) + LOAD_DELAY_ALLOWANCE_S
-        return max(without_load, min(latest, expected_by))
+        return max(deadline_without_load, min(latest_deadline, expected_by))
 
     def retry_after_s(self, request: ClassifiedRequest) -> float:
-        """Seconds after which a rejected client should retry."""
+        """Returns the seconds after which a rejected client should retry."""
         if self.pools.pool(request.key).workers:
             return RETRY_AFTER_BUSY_S
         ready_at = self.pools.ready_at(request.key)
