--- a/finchladder/cluster/process/worker_sessions.py
+++ b/finchladder/cluster/process/worker_sessions.py
@@ -12,7 +12,7 @@
 from finchladder.cluster.types.worker_api import Heartbeat, loaded_models
 from finchladder.cluster.types.workers import SessionPhase, StampedWorker, WorkerRecord
 
-DRAINING_STATE = "draining"  # of a heartbeat
+DRAINING_STATE = "draining"  # state in the heartbeats of a draining worker
 
 
 @define
@@ -25,12 +25,12 @@
 
 @define
 class WorkerSessions:
-    """Turns the calls of workers into records of the tables."""
+    """Converts the calls of workers into records of the replicated tables."""
 
     tables: ReplicatedTables
     retirements: RetirementPropagation
     changed: Signal
-    last_heartbeats: dict[str, LastHeartbeat] = field(factory=dict)  # by instance
+    last_heartbeats: dict[str, LastHeartbeat] = field(factory=dict)  # keyed by instance
     _applied_retirements: tuple[WorkerRetirement, ...] = field(default=(), init=False)
 
     async def on_heartbeat(self, instance: str, heartbeat: Heartbeat) -> bool:
@@ -47,7 +47,7 @@
         return record.phase is SessionPhase.READY or await self.retirements.propagate(instance)
 
     async def on_deregister(self, instance: str) -> bool:
-        """Marks a worker as deregistered for good; returns whether the call may be acknowledged."""
+        """Marks a worker as permanently deregistered; returns whether the call may be acknowledged."""
         known = self.tables.workers.get(instance)
         if known is None or known.record.phase is not SessionPhase.DEREGISTERED:
             # a worker that is unknown here may be known to processes that this one cannot reach
@@ -66,7 +66,7 @@
         return await self.retirements.propagate(instance)
 
     def apply_retirements(self, retirements: tuple[WorkerRetirement, ...]) -> None:
-        """Applies what the chain has stored: it outlives the loss of all tables."""
+        """Applies the retirements that the chain has stored, which survive the loss of all tables."""
         if retirements is self._applied_retirements:
             return
         applied = frozenset(self._applied_retirements)
@@ -76,7 +76,7 @@
                 self._apply_retirement(retirement)
 
     def forget(self, instance: str) -> None:
-        """Drops what is known of a worker that has left the tables."""
+        """Drops the data of a worker that was removed from the tables."""
         self.last_heartbeats.pop(instance, None)
         self.retirements.acknowledged.discard(instance)
 
@@ -127,7 +127,7 @@
 
 
 def _unknown_worker(instance: str) -> WorkerRecord:
-    """The record of a retired worker of which nothing else is known."""
+    """Returns a record for a retired worker without any other data."""
     return WorkerRecord(
         instance=instance,
         service="",
@@ -141,12 +141,12 @@
 
 
 def _retires(retirement: WorkerRetirement, record: WorkerRecord) -> bool:
-    """Whether a stored retirement changes the phase of that worker."""
+    """Returns whether a stored retirement changes the phase of that worker."""
     if retirement.deregistered:
         return record.phase is not SessionPhase.DEREGISTERED
     return record.phase is SessionPhase.READY and record.sequence <= retirement.sequence
 
 
 def _is_unchanged(known: WorkerRecord, received: WorkerRecord) -> bool:
-    """Whether a heartbeat changes nothing but the sequence, which the others need not learn."""
+    """Returns whether a heartbeat changes only the sequence, which is not replicated."""
     return msgspec.structs.replace(known, sequence=received.sequence) == received
--- a/finchladder/cluster/process/worker_stream.py
+++ b/finchladder/cluster/process/worker_stream.py
@@ -1,4 +1,4 @@
-"""A worker's response while it is relayed to the client."""
+"""A worker's response that is being relayed to the client."""
 
 import aiohttp
 from attrs import define
@@ -16,6 +16,6 @@
     in_flight: InFlightRequest
 
     def close(self) -> None:
-        """Ends the attempt: unless its body is complete, the worker sees the connection close."""
+        """Ends the attempt; the connection to the worker is closed unless the body is complete."""
         self.response.close()
         self.in_flight.end()
--- a/tests/cluster/test_review_resume.py
+++ b/tests/cluster/test_review_resume.py
@@ -1,4 +1,4 @@
-"""Guards that a review of the quotas found missing: what a resumed stream and a repeated request cost."""
+"""Quota cost of resumed streams and retried requests, which a review found to be untested."""
 
 from collections.abc import Callable
 
@@ -22,7 +22,7 @@
 )
 from tests.cluster.test_tenant_requests import NORTH, key, tenant_harness, tenant_snapshot
 
-Answer = Callable[[Tenant, int], Reservation | QuotaRefusal]
+QuotaOutcome = Callable[[Tenant, int], Reservation | QuotaRefusal]
 
 
 def granted(tenant: Tenant, cost: int) -> Reservation:
@@ -39,18 +39,18 @@
 
 @define
 class Source:
-    """Answers in that order, the last one from then on."""
+    """Returns the given outcomes in order, and then repeats the last one."""
 
-    answers: list[Answer]
+    outcomes: list[QuotaOutcome]
     reserved: int = 0
     returned: list[Reservation] = field(factory=list)
 
     async def reserve(
-        self, tenant: Tenant, cost: int, give_up_at: float, replaced: Reservation | None = None
+        self, tenant: Tenant, cost: int, deadline: float, replaced: Reservation | None = None
     ) -> Reservation | QuotaRefusal:
-        answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
+        outcome = self.outcomes.pop(0) if len(self.outcomes) > 1 else self.outcomes[0]
         self.reserved += 1
-        return answer(tenant, cost)
+        return outcome(tenant, cost)
 
     def give_back(self, reservation: Reservation) -> None:
         self.returned.append(reservation)
@@ -59,7 +59,7 @@
 LIMITED = tenant_snapshot(1, {**NORTH, "rate_per_s": 100, "burst": 100})
 
 
-async def cut_off(request: web.BaseRequest) -> web.StreamResponse:
+async def interrupted_stream(request: web.BaseRequest) -> web.StreamResponse:
     return await stream_events(request, 1, 2, b"id: 3\nda")
 
 
@@ -69,17 +69,17 @@
     ids=["granted", "lapsed meanwhile", "exhausted"],
 )
 def test_a_stream_that_is_resumed_reaches_the_second_worker_with_a_grant_of_its_own(
-    second: Answer, arrivals: int, returned: int
+    second: QuotaOutcome, arrivals: int, returned: int
 ) -> None:
     async def work() -> None:
         source = Source([granted, second])
-        workers = [StandInWorker(cut_off), StandInWorker(resumed_stream, complete_stream)]
+        workers = [StandInWorker(interrupted_stream), StandInWorker(resumed_stream, complete_stream)]
         async with tenant_harness(*workers) as harness:
             harness.router.snapshot, harness.router.quotas = LIMITED, source
             try:
                 async with harness.send("/resumed/", b"{}", **key("north-1")) as response:
                     await response.read()
-            except Exception:  # noqa: BLE001 - any: the connection was aborted
+            except Exception:  # noqa: BLE001 - any exception: the connection was aborted
                 assert arrivals == 1
         assert sum(len(worker.requests) for worker in workers) == arrivals
         assert (source.reserved, len(source.returned)) == (2, returned)
@@ -92,41 +92,41 @@
     [(abort, exhausted, 502, 2, 1), (abort, granted, 200, 2, 2)],
     ids=["may have run, exhausted", "may have run, granted"],
 )
-def test_an_attempt_that_may_have_run_is_paid_for_and_never_answered_429(
-    first: Handler, second: Answer, status: int, reserved: int, arrivals: int
+def test_an_attempt_that_may_have_run_costs_quota_and_never_gets_429(
+    first: Handler, second: QuotaOutcome, status: int, reserved: int, arrivals: int
 ) -> None:
     async def work() -> None:
         source = Source([granted, second])
-        seen: list[int] = []
+        attempts: list[int] = []
 
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
-            seen.append(1)
-            return await (first if len(seen) == 1 else respond)(request)
+            attempts.append(1)
+            return await (first if len(attempts) == 1 else respond)(request)
 
         workers = [StandInWorker(handle), StandInWorker(handle)]
         async with tenant_harness(*workers) as harness:
             harness.router.snapshot, harness.router.quotas = LIMITED, source
             async with harness.send("/again/", b"{}", **key("north-1")) as response:
                 assert response.status == status
-        assert (len(seen), source.reserved, source.returned) == (arrivals, reserved, [])
+        assert (len(attempts), source.reserved, source.returned) == (arrivals, reserved, [])
 
     run_with_timeout(work)
 
 
-def test_an_attempt_that_did_not_run_pays_nothing_more_at_the_next_worker() -> None:
+def test_an_attempt_that_did_not_run_costs_nothing_more_at_the_next_worker() -> None:
     async def work() -> None:
         source = Source([granted])
-        seen: list[int] = []
+        attempts: list[int] = []
 
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
-            seen.append(1)
-            return await (not_executed(503) if len(seen) == 1 else respond)(request)
+            attempts.append(1)
+            return await (not_executed(503) if len(attempts) == 1 else respond)(request)
 
         async with tenant_harness(StandInWorker(handle), StandInWorker(handle)) as harness:
             harness.router.snapshot, harness.router.quotas = LIMITED, source
             async with harness.send("/once/", b"{}", **key("north-1")) as response:
                 assert response.status == 200
-        assert (len(seen), source.reserved, source.returned) == (2, 1, [])
+        assert (len(attempts), source.reserved, source.returned) == (2, 1, [])
 
     run_with_timeout(work)
 
--- a/tests/cluster/test_silence.py
+++ b/tests/cluster/test_silence.py
@@ -1,4 +1,4 @@
-"""No response that a process itself makes, and no line that it logs, quotes what was sent to it."""
+"""Neither the own responses of a process nor its log lines quote received data."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 SECRET_TEXT = SECRET.decode()
 HOST = b"Host: a.example\r\n"
 CHUNKED = b"POST / HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n"
-LONG = 9000  # bytes, above the parser's limit for one line or field
+LONG = 9000  # bytes; above the parser's limit for one line or field
 MALFORMED = {
     "method": SECRET + b"\x01 / HTTP/1.1\r\n\r\n",
     "first-line": SECRET + b"\r\n\r\n",
@@ -45,11 +45,11 @@
 
 @pytest.fixture
 def logged(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[dict[str, Any]]]:
-    """What is logged as events, with a full bucket."""
+    """Collects the logged events, with a full bucket."""
     monkeypatch.setattr(log, "_limit", log.TokenBucket())
     messages: list[dict[str, Any]] = []
     eliot.add_destinations(messages.append)
-    messages.clear()  # the first destination of a process gets what was logged before it
+    messages.clear()  # the first destination of a process gets earlier messages
     yield messages
     eliot.remove_destination(messages.append)
 
@@ -58,14 +58,16 @@
     return [message["message_type"] for message in logged]
 
 
-def assert_silent(logged: list[dict[str, Any]], caplog: pytest.LogCaptureFixture, response: bytes) -> None:
+def assert_secret_not_quoted(
+    logged: list[dict[str, Any]], caplog: pytest.LogCaptureFixture, response: bytes
+) -> None:
     assert SECRET not in response
     assert SECRET_TEXT not in json.dumps(logged, default=str)
     assert caplog.text == ""
 
 
 async def response_to(listener: Listener, request: bytes) -> bytes:
-    """All bytes that are received until the server closes the connection."""
+    """Returns all bytes received until the server closes the connection."""
     host, _, port = listener.bound_address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(request)
@@ -93,7 +95,7 @@
 
 
 @pytest.mark.parametrize("request_bytes", MALFORMED.values(), ids=MALFORMED.keys())
-def test_a_malformed_request_gets_400_and_is_quoted_nowhere(
+def test_a_malformed_request_gets_400_and_is_not_quoted(
     request_bytes: bytes, logged: list[dict[str, Any]], caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.DEBUG, logger="aiohttp")
@@ -101,10 +103,10 @@
     assert response.startswith(b"HTTP/1.0 400 ") or response.startswith(b"HTTP/1.1 400 ")
     assert kinds(logged) == ["request.malformed"]
     assert logged[0]["problem"]
-    assert_silent(logged, caplog, response)
+    assert_secret_not_quoted(logged, caplog, response)
 
 
-def test_an_error_of_a_handler_gets_500_and_its_text_stands_nowhere(
+def test_an_error_of_a_handler_gets_500_and_its_text_is_not_quoted(
     logged: list[dict[str, Any]], caplog: pytest.LogCaptureFixture
 ) -> None:
     async def fail(request: web.BaseRequest) -> web.StreamResponse:
@@ -116,7 +118,7 @@
     assert kinds(logged) == ["request.failed"]
     assert logged[0]["problem"] == "ValueError"
     assert logged[0]["place"].startswith(f"{__name__}:")
-    assert_silent(logged, caplog, response)
+    assert_secret_not_quoted(logged, caplog, response)
 
 
 def test_a_handler_without_a_response_gets_500_and_an_event(
@@ -128,7 +130,7 @@
     response = exchange(forget, b"GET / HTTP/1.1\r\n" + HOST + b"Connection: close\r\n\r\n")
     assert response.startswith(b"HTTP/1.1 500 ")
     assert kinds(logged) == ["request.failed"]
-    assert_silent(logged, caplog, response)
+    assert_secret_not_quoted(logged, caplog, response)
 
 
 @pytest.mark.parametrize(
@@ -148,7 +150,7 @@
     head = b"PUT /api/instances/i-0 HTTP/1.1\r\n" + HOST + b"Connection: close\r\nContent-Length: %d\r\n\r\n"
     response = exchange(ControlApi(none, none, none, "").handle, head % len(body) + body)
     assert response.startswith(b"HTTP/1.1 400 ")
-    assert_silent(logged, caplog, response)
+    assert_secret_not_quoted(logged, caplog, response)
 
 
 def test_a_malformed_message_of_a_peer_gets_400_and_is_not_quoted(
@@ -167,13 +169,13 @@
     )
     response = exchange(peer_handler(none), head % len(body) + body)
     assert response.startswith(b"HTTP/1.1 400 ")
-    assert_silent(logged, caplog, response)
+    assert_secret_not_quoted(logged, caplog, response)
 
 
 def test_a_failed_attempt_is_logged_without_the_headers_that_were_sent(
     logged: list[dict[str, Any]], caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Without tenants the worker gets the client's key, and aiohttp's error lists all headers sent."""
+    """Without tenants the client's key is forwarded, and aiohttp's error lists all sent headers."""
 
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -193,7 +195,7 @@
         async with router_harness(StandInWorker()) as harness:
             response = await send(harness)
         assert "attempt.failed" in kinds(logged)
-        assert_silent(logged, caplog, response)
+        assert_secret_not_quoted(logged, caplog, response)
 
     run_with_timeout(work)
 
@@ -215,7 +217,7 @@
     assert SECRET_TEXT not in json.dumps(logged, default=str)
 
 
-def test_what_a_library_logs_becomes_an_event_without_its_text(logged: list[dict[str, Any]]) -> None:
+def test_a_library_log_record_becomes_an_event_without_its_text(logged: list[dict[str, Any]]) -> None:
     logger = logging.Logger("some.library")
     logger.addHandler(log.LibraryHandler(logging.WARNING))
     try:
@@ -228,9 +230,9 @@
     assert SECRET_TEXT not in json.dumps(logged, default=str)
 
 
-def test_what_libraries_log_stays_within_the_limit_of_lines(logged: list[dict[str, Any]]) -> None:
+def test_library_log_records_count_towards_the_line_limit(logged: list[dict[str, Any]]) -> None:
     logger = logging.Logger("some.library")
     logger.addHandler(log.LibraryHandler(logging.WARNING))
-    for _ in range(2 * log.BURST_LINES):
+    for _ in range(2 * log.MAX_BURST_LINES):
         logger.error("again")
-    assert log.BURST_LINES <= len(logged) < 2 * log.BURST_LINES
+    assert log.MAX_BURST_LINES <= len(logged) < 2 * log.MAX_BURST_LINES
--- a/tests/cluster/test_worker_selection.py
+++ b/tests/cluster/test_worker_selection.py
@@ -1,16 +1,16 @@
-"""Queueing of requests for a model, at virtual time."""
+"""Queueing of requests for a model, in virtual time."""
 
 import asyncio
 
 import pytest
 
 from finchladder.cluster.process.worker_selection import (
-    AVAILABILITY_POLL_S,
+    AVAILABILITY_POLL_INTERVAL_S,
     LOAD_DELAY_ALLOWANCE_S,
-    MAX_QUEUE_TIME_SHARE,
+    MAX_QUEUE_TIME_FRACTION,
     RETRY_AFTER_BUSY_S,
     RETRY_AFTER_NO_REPLICA_S,
-    UNKNOWN_LOAD_QUEUE_TIME_SHARE,
+    UNKNOWN_LOAD_QUEUE_TIME_FRACTION,
     RequestQueue,
 )
 from finchladder.cluster.routing.demand import DemandCounter
@@ -41,14 +41,14 @@
 
 
 async def queue_time_s(queue: RequestQueue, attempted: frozenset[str] = frozenset()) -> float:
-    """How long a request that finds no worker is queued."""
+    """Returns how long a request without a worker is queued."""
     began_at = steady()
     assert await queue.select_worker(make_request(), attempted) is None
     return steady() - began_at
 
 
-def test_a_request_waits_a_share_of_its_time_for_a_replica_that_is_not_loading() -> None:
-    expected_s = UNKNOWN_LOAD_QUEUE_TIME_SHARE * MAX_QUEUE_TIME_SHARE * TIMEOUT_S
+def test_a_request_waits_a_fraction_of_its_time_for_a_replica_that_is_not_loading() -> None:
+    expected_s = UNKNOWN_LOAD_QUEUE_TIME_FRACTION * MAX_QUEUE_TIME_FRACTION * TIMEOUT_S
     assert run(queue_time_s(make_queue())) == pytest.approx(expected_s)
 
 
@@ -62,7 +62,7 @@
 
 
 def test_the_allowance_for_a_late_load_begins_no_later_than_the_request() -> None:
-    """A load that has been overdue for long is not waited for as if it were expected anew at each moment."""
+    """The expected end of a load that is long overdue must not move with the current time."""
 
     async def work() -> float:
         queue = make_queue()
@@ -82,7 +82,9 @@
         queue.pools = Pools().with_changes({}, [ExpectedReplica(KEY, steady())])
         return await queue_time_s(queue)
 
-    assert run(work()) == pytest.approx(UNKNOWN_LOAD_QUEUE_TIME_SHARE * MAX_QUEUE_TIME_SHARE * TIMEOUT_S)
+    assert run(work()) == pytest.approx(
+        UNKNOWN_LOAD_QUEUE_TIME_FRACTION * MAX_QUEUE_TIME_FRACTION * TIMEOUT_S
+    )
 
 
 def test_a_closed_queue_lets_no_request_wait() -> None:
@@ -123,7 +125,7 @@
         assert await queue.select_worker(make_request(), frozenset()) is worker
         return steady() - began_at
 
-    assert 0.5 <= run(work()) <= 0.5 + AVAILABILITY_POLL_S
+    assert 0.5 <= run(work()) <= 0.5 + AVAILABILITY_POLL_INTERVAL_S
 
 
 def test_a_rejected_client_should_retry_when_a_replica_is_usable() -> None:
