--- a/tests/cluster/placer_scene.py
+++ b/tests/cluster/placer_scene.py
@@ -1,4 +1,4 @@
-"""A placer over stand-in workers, at virtual time."""
+"""A placer with stand-in workers, in virtual time."""
 
 import asyncio
 from types import SimpleNamespace
@@ -29,14 +29,14 @@
 
 
 class Scene:
-    """A placer with the role under that fencing token, over stand-in workers of one service."""
+    """A placer that holds the lease with that fencing token, and stand-in workers of one service."""
 
     def __init__(self, token: int = 1, **workers: StandInWorker) -> None:
         self.tables = ReplicatedTables("core-1/1")
         for name, worker in workers.items():
-            holdings = tuple(LoadedModel(m, ()) for m in sorted(worker.models))
+            loaded_models = tuple(LoadedModel(m, ()) for m in sorted(worker.models))
             record = WorkerRecord(
-                name, "llm", f"{name}:1", "z", 64, SessionPhase.READY, 1, "core-1/1", holdings
+                name, "llm", f"{name}:1", "z", 64, SessionPhase.READY, 1, "core-1/1", loaded_models
             )
             self.tables.put_worker(record)
         updates = SimpleNamespace(
@@ -66,13 +66,13 @@
         )
         self.placer.snapshot = SNAPSHOT
 
-    def ask(self, model: str, adapter: str = "", waiting: int = 1, running: int = 0) -> None:
-        """A dispatcher has a request waiting, or running."""
-        demand = Demand("llm", model, adapter, waiting, waiting, running, 10)
+    def report_demand(self, model: str, adapter: str = "", queued: int = 1, running: int = 0) -> None:
+        """Reports a dispatcher's queued or running requests for a model."""
+        demand = Demand("llm", model, adapter, queued, queued, running, 10)
         self.placer.on_demand(DemandReport(f"edge {model} {adapter}", 0.1, (demand,)))
 
     async def until_usable(self, model: str, adapter: str = "") -> float:
-        """Seconds until dispatchers may use it somewhere."""
+        """Returns the seconds until dispatchers may use the model at some worker."""
         began = steady()
         async with asyncio.timeout(20.0):
             while not self.is_usable(model, adapter):
@@ -80,19 +80,19 @@
         return steady() - began
 
     async def until_hidden(self, *models: str) -> float:
-        """Seconds until dispatchers are told not to use one of these anywhere any more."""
+        """Returns the seconds until one of the models is announced as unusable at all workers."""
         began = steady()
         async with asyncio.timeout(20.0):
             while not self.tables.placements or all(self.is_usable(model, "") for model in models):
                 await asyncio.sleep(0.001)
         return steady() - began
 
-    def lose(self, name: str) -> None:
-        """Its heartbeats have stopped."""
+    def mark_lost(self, name: str) -> None:
+        """Marks a worker as lost, as after missing heartbeats."""
         self._put(name, SessionPhase.LOST)
 
-    def bring_back(self, name: str) -> None:
-        """It is heard again, as the same instance."""
+    def mark_ready(self, name: str) -> None:
+        """Marks a lost worker as ready again, as the same instance."""
         self._put(name, SessionPhase.READY)
 
     def _put(self, name: str, phase: SessionPhase) -> None:
@@ -101,12 +101,12 @@
         assert self.tables.put_worker(changed)
 
     def usable_at(self, name: str) -> list[str]:
-        """Models that dispatchers may use at that worker."""
+        """Returns the models that dispatchers may use at that worker."""
         worker, placement = self.tables.workers[name], self.tables.placements.get(name)
-        told = usable_models(worker.record, None if placement is None else placement.record)
-        return [holding.model for holding in told]
+        usable = usable_models(worker.record, None if placement is None else placement.record)
+        return [loaded.model for loaded in usable]
 
     def is_usable(self, model: str, adapter: str) -> bool:
         placements = [p.record for p in self.tables.placements.values()]
-        held = [h for record in placements for h in record.usable_models if h.model == model]
-        return any(not adapter or adapter in h.adapters for h in held)
+        usable = [h for record in placements for h in record.usable_models if h.model == model]
+        return any(not adapter or adapter in h.adapters for h in usable)
--- a/tests/cluster/quota_scene.py
+++ b/tests/cluster/quota_scene.py
@@ -1,4 +1,4 @@
-"""A holder of the quota account that dispatchers reach without a network."""
+"""A holder of the quota account that dispatchers call without a network."""
 
 import json
 from typing import Any
@@ -14,7 +14,7 @@
 
 @define
 class AccountHolder:
-    """Implements `Peers` towards the service, whose term begins when it is made."""
+    """Implements `Peers` by calling the service directly; its term begins with its creation."""
 
     service: QuotaService
 
--- a/tests/cluster/session_scene.py
+++ b/tests/cluster/session_scene.py
@@ -1,4 +1,4 @@
-"""Workers' sessions with a control process, without its control state, at virtual time."""
+"""Worker sessions of a control process without its control state, in virtual time."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -25,7 +25,7 @@
 
 @frozen
 class SessionScene:
-    """The parts of one control process that know workers."""
+    """The components of one control process that handle workers."""
 
     tables: ReplicatedTables
     updates: UpdateServer
@@ -40,16 +40,16 @@
     confirmed: bool = True,
     answering: tuple[str, ...] = (),
     voters: tuple[str, ...] = ("core-1",),
-    stores: bool = True,
+    is_stored_by_chain: bool = True,
 ) -> SessionScene:
-    """A control process that has started just now.
+    """Creates a control process that has just started.
 
     Args:
-        name: Its name.
-        confirmed: Whether the chain has confirmed it lately.
-        answering: Instances that answer when they are asked whether they run.
+        name: Name of the process.
+        confirmed: Whether the chain has recently confirmed the process.
+        answering: Instances that respond to a health check.
         voters: Names of the voters.
-        stores: Whether the chain stores retirements.
+        is_stored_by_chain: Whether the chain stores retirements.
     """
     members = tuple(member(voter) for voter in voters)
     view = View(1, members, members, len(members))
@@ -58,7 +58,7 @@
         return instance in answering
 
     async def record(retirement: WorkerRetirement) -> bool:
-        return stores
+        return is_stored_by_chain
 
     tables = ReplicatedTables(f"{name}/1")
     updates = UpdateServer(
--- a/tests/cluster/test_configuration_refresher.py
+++ b/tests/cluster/test_configuration_refresher.py
@@ -1,4 +1,4 @@
-"""Refreshes of a dispatcher's configuration for clients with unknown keys, at virtual time."""
+"""Refreshes of a dispatcher's configuration for clients with unknown keys, in virtual time."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class Source:
-    """A source that takes a while; `outcomes` has what each pull returns or raises, the last one again."""
+    """A slow source; `outcomes`: result or exception of each pull, of which the last one repeats."""
 
     def __init__(self, *outcomes: bool | Exception) -> None:
         self.outcomes = list(outcomes)
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("is_confirmed", [True, False])
-def test_one_pull_serves_all_that_wait(is_confirmed: bool) -> None:
+def test_one_pull_serves_all_waiting_callers(is_confirmed: bool) -> None:
     async def work() -> None:
         source = Source(is_confirmed)
         refresher = ConfigurationRefresher(source.pull_once, Tasks())
@@ -37,7 +37,7 @@
     run(work())
 
 
-def test_pulls_are_spaced_and_the_last_answer_holds_meanwhile() -> None:
+def test_pulls_are_spaced_and_the_last_result_is_reused_in_between() -> None:
     async def work() -> None:
         source = Source(True, False)
         refresher = ConfigurationRefresher(source.pull_once, Tasks())
@@ -50,7 +50,7 @@
     run(work())
 
 
-def test_a_client_that_leaves_does_not_cancel_the_pull_of_the_others() -> None:
+def test_a_disconnected_client_does_not_cancel_the_pull_of_the_others() -> None:
     async def work() -> None:
         source = Source(True)
         refresher = ConfigurationRefresher(source.pull_once, Tasks())
--- a/tests/cluster/test_demand_reporter.py
+++ b/tests/cluster/test_demand_reporter.py
@@ -1,4 +1,4 @@
-"""Demand reports of a dispatcher at virtual time."""
+"""Demand reports of a dispatcher, in virtual time."""
 
 import asyncio
 from typing import cast
@@ -36,7 +36,7 @@
     assert worker.load == 1
 
 
-def test_a_dispatcher_reports_its_load_and_takes_over_that_of_its_peers() -> None:
+def test_a_dispatcher_reports_its_load_and_applies_that_of_its_peers() -> None:
     reports: list[DemandReport] = []
 
     class Peers:
@@ -56,6 +56,6 @@
         assert [(r.sender, r.worker_loads) for r in reports] == [("edge-1", {"a": 1})]
         assert (one.load, two.load) == (1, 5)
         await asyncio.sleep(2.0)
-        assert len(reports) == 3, "as often as the placer asks for"
+        assert len(reports) == 3, "at the interval that the placer requests"
 
     run(work())
--- a/tests/cluster/test_dispatcher_node.py
+++ b/tests/cluster/test_dispatcher_node.py
@@ -26,7 +26,7 @@
 
 
 class LateRequestListener(Listener):
-    """A client connects and sends just after the dispatcher found no open request."""
+    """Lets a client connect and send a request just after the dispatcher found no open request."""
 
     late_connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
@@ -93,7 +93,7 @@
     }
 
     class Primary:
-        """Knows the newer configuration, but the chain has not confirmed it."""
+        """A primary with the newer configuration that the chain has not confirmed."""
 
         async def call(self, address: str, request: Request, timeout_s: float) -> Reply:
             assert address == "core-1:1"
--- a/tests/cluster/test_incident_config.py
+++ b/tests/cluster/test_incident_config.py
@@ -1,4 +1,4 @@
-"""Incident of tenants and keys, part CONFIG: invalid tenants are refused, a change of keys is in force."""
+"""Incident with tenants and keys: rejection of invalid tenants, and activation of changed keys."""
 
 import asyncio
 import json
@@ -87,7 +87,7 @@
     assert isinstance(patch(document(1, HUKA, NOZI), upsert={"tenants": [SHARES_THE_KEY]}), InvalidChange)
 
 
-def test_the_answer_about_a_shared_key_names_both_tenants_and_not_the_key() -> None:
+def test_the_problem_of_a_shared_key_names_both_tenants_and_not_the_key() -> None:
     for outcome in (
         put(document(1, HUKA, SHARES_THE_KEY)),
         patch(document(1, HUKA, NOZI), upsert={"tenants": [SHARES_THE_KEY]}),
@@ -146,7 +146,7 @@
 
 
 async def status_after_change_while_waiting(worker: StandInWorker, newer: Document) -> int:
-    """Sends a request whose model nobody has, activates `newer` while it waits, then brings the model."""
+    """Queues a request without a replica of its model, activates `newer`, then adds the replica."""
     async with router_harness(worker) as harness:
         activate(harness, document(1, HUKA, NOZI))
         (member,) = harness.router.pools.members.values()
@@ -161,7 +161,7 @@
         return await waiting
 
 
-def test_a_request_whose_key_is_taken_away_while_it_waits_is_not_sent() -> None:
+def test_a_queued_request_whose_key_is_removed_is_not_sent() -> None:
     async def work() -> None:
         worker = StandInWorker(respond)
         assert await status_after_change_while_waiting(worker, document(3, NOZI)) == 401
@@ -170,7 +170,7 @@
     run_with_timeout(work)
 
 
-def test_a_request_whose_key_moves_to_another_tenant_while_it_waits_is_not_sent() -> None:
+def test_a_queued_request_whose_key_moves_to_another_tenant_is_not_sent() -> None:
     async def work() -> None:
         worker = StandInWorker(respond)
         newer = document(3, tenant("huka270", "k-huka-2"), SHARES_THE_KEY)
@@ -180,7 +180,7 @@
     run_with_timeout(work)
 
 
-def test_a_request_whose_key_stays_while_it_waits_is_sent_for_its_tenant() -> None:
+def test_a_queued_request_whose_key_stays_is_sent_for_its_tenant() -> None:
     async def work() -> None:
         worker = StandInWorker(respond)
         assert await status_after_change_while_waiting(worker, document(3, HUKA)) == 200
@@ -202,7 +202,7 @@
     run_with_timeout(work)
 
 
-def test_a_tenant_that_is_removed_and_put_back_by_patch_works() -> None:
+def test_a_tenant_that_is_removed_and_added_again_by_patch_works() -> None:
     async def work() -> None:
         worker = StandInWorker(respond)
         first = document(1, HUKA, NOZI)
--- a/tests/cluster/test_incident_quota.py
+++ b/tests/cluster/test_incident_quota.py
@@ -1,7 +1,7 @@
-"""The incident of quotas: dispatchers that keep no count together serve a tenant more than its limit.
+"""Quota incident: dispatchers that counted separately served a tenant more than its limit.
 
-Real sockets; several dispatchers before one worker. What the worker sees is judged by `quota_oracle`, which
-is told tenant and cost of a request by the id that its client gave it, not by what dispatchers say of it.
+The tests use real sockets and several dispatchers with one worker. `quota_oracle` checks the requests that
+the worker receives; it gets the tenant and cost of a request from the request id, not from the dispatchers.
 """
 
 import asyncio
@@ -42,13 +42,13 @@
 TENANT = "t1"
 KEY = "key-of-t1"
 CLIENTS = 8
-PAUSE_S = 0.02  # of a client, between an answer and its next request
+CLIENT_PAUSE_S = 0.02  # time between a response and the next request of a client
 
 WINDOW_S = 1.0
 OVERAGE = 0.1
 SLACK = 0.0
 FLOOD_S = 1.2
-LEAST_SERVED_S = 0.4  # of its rate is served to a tenant that floods for `FLOOD_S`, also by an empty account
+MIN_SERVED_S = 0.4  # a flood of `FLOOD_S` gets at least the rate of this time, even from an empty account
 
 TOKEN_COUNT = {"X-Finchladder-Token-Count": "300,100"}
 TOKENS = 400
@@ -56,33 +56,35 @@
 
 
 class Answer(NamedTuple):
-    """What a client got."""
+    """Status and `Retry-After` header of a response."""
 
     status: int
     retry_after: str | None
 
 
 class Scene:
-    """Dispatchers, and the oracle of what reaches their worker."""
+    """Dispatchers, and the oracle that checks the requests at their worker."""
 
     def __init__(self, dispatchers: list[RouterHarness], oracle: QuotaOracle) -> None:
         self.dispatchers, self.oracle = dispatchers, oracle
 
-    async def flood(self, for_s: float, headers: dict[str, str], asked: int | None = None) -> list[Answer]:
-        """All answers to clients of the tenant that ask the first `asked` dispatchers again and again."""
-        dispatchers = self.dispatchers[:asked]
+    async def flood(
+        self, for_s: float, headers: dict[str, str], dispatchers_used: int | None = None
+    ) -> list[Answer]:
+        """Floods the first `dispatchers_used` dispatchers with the tenant's requests; returns all answers."""
+        dispatchers = self.dispatchers[:dispatchers_used]
         answers: list[Answer] = []
-        ends = steady() + for_s
+        ends_at = steady() + for_s
 
-        async def ask(number: int) -> None:
+        async def send_requests(number: int) -> None:
             dispatcher = dispatchers[number % len(dispatchers)]
-            while steady() < ends:
+            while steady() < ends_at:
                 sent = {REQUEST_ID_HEADER: f"{TENANT}-{number}", "Authorization": f"Token {KEY}", **headers}
                 async with dispatcher.send("/once/x", b"{}", **sent) as response:
                     answers.append(Answer(response.status, response.headers.get("Retry-After")))
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(CLIENT_PAUSE_S)
 
-        await asyncio.gather(*(ask(number) for number in range(CLIENTS)))
+        await asyncio.gather(*(send_requests(number) for number in range(CLIENTS)))
         return answers
 
     def excess(self, rate: float, burst: float) -> float:
@@ -92,7 +94,7 @@
 
 
 def make_router(session: aiohttp.ClientSession, dispatcher_count: int, quotas: QuotaClient) -> Router:
-    """A dispatcher's router."""
+    """Creates the router of a dispatcher."""
     return Router(
         session,
         WorkerSelector("edge", "z", 0.5),
@@ -105,7 +107,7 @@
 
 @asynccontextmanager
 async def scene_of(cost: int, *, dispatcher_count: int = 2, **tenant: Any) -> AsyncIterator[Scene]:
-    """Dispatchers with one worker and one tenant. `cost`: what a request of its costs by the rule."""
+    """Runs dispatchers with one worker and one tenant. `cost`: cost of each request by the rule."""
     oracle = QuotaOracle()
 
     async def respond(request: web.BaseRequest) -> web.StreamResponse:
@@ -145,16 +147,16 @@
     burst: float,
     headers: dict[str, str],
     dispatcher_count: int = 2,
-    asked: int | None = None,
+    dispatchers_used: int | None = None,
     **tenant: Any,
 ) -> None:
-    """No window has an excess; and something is served, as refusing everybody is no way to keep a limit."""
+    """Checks that no window exceeds the limit, and that a minimum of requests is served."""
 
     async def work() -> None:
         limits = {"rate_per_s": rate, "burst": burst, **tenant}
         async with scene_of(cost, dispatcher_count=dispatcher_count, **limits) as scene:
-            await scene.flood(FLOOD_S, headers, asked)
-            assert scene.oracle.total(TENANT) >= LEAST_SERVED_S * rate
+            await scene.flood(FLOOD_S, headers, dispatchers_used)
+            assert scene.oracle.total(TENANT) >= MIN_SERVED_S * rate
             assert scene.excess(rate, burst) <= 0
 
     run_with_timeout(work)
@@ -162,15 +164,15 @@
 
 @pytest.mark.parametrize("dispatcher_count", [2, 8])
 def test_dispatchers_together_serve_no_more_than_a_tenants_limit(dispatcher_count: int) -> None:
-    """With 8, counts that each keeps alone are over the limit even if they are careful and begin at none."""
+    """With 8 dispatchers, separate counts exceed the limit even if each of them starts with no quota."""
     assert_limit_is_kept_and_used(
         TOKENS, 1000, 1000, TOKEN_COUNT, dispatcher_count=dispatcher_count, unit="token_count"
     )
 
 
-def test_a_tenant_that_asks_one_dispatcher_of_many_is_not_held_to_a_share_of_its_limit() -> None:
+def test_a_tenant_that_uses_one_dispatcher_of_many_gets_its_whole_limit() -> None:
     assert_limit_is_kept_and_used(
-        TOKENS, 1000, 1000, TOKEN_COUNT, dispatcher_count=8, asked=1, unit="token_count"
+        TOKENS, 1000, 1000, TOKEN_COUNT, dispatcher_count=8, dispatchers_used=1, unit="token_count"
     )
 
 
--- a/tests/cluster/test_incident_route.py
+++ b/tests/cluster/test_incident_route.py
@@ -1,4 +1,4 @@
-"""Keys on real sockets: where the configuration has tenants, no request runs without a key of one of them."""
+"""API keys on real sockets: if the configuration has tenants, only requests with a tenant's key run."""
 
 import asyncio
 import json
@@ -27,7 +27,7 @@
 KEY = "k7qzhuka0banfqasnmgk"
 SECOND_KEY = "k9m68k7b2ex5wa5xwyhk"
 UNKNOWN_KEY = "k0nobodyeverheldthis"
-REFUSED = {400, 401, 431}
+REJECTION_STATUSES = {400, 401, 431}
 UNAUTHORIZED = 401
 
 TENANTS_DOCUMENT = {
@@ -52,11 +52,11 @@
     ],
 }
 
-Answer = tuple[int, bytes]  # status, and all bytes of the response
+Answer = tuple[int, bytes]  # status and all bytes of the response
 
 
-async def ask(harness: RouterHarness, path: str, *authorization: bytes) -> Answer:
-    """Sends each value as an `Authorization` of its own, byte for byte, on a new connection."""
+async def send_raw(harness: RouterHarness, path: str, *authorization: bytes) -> Answer:
+    """Sends each value unchanged in a separate `Authorization` header, on a new connection."""
     host, _, port = harness.listener.bound_address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     lines = [
@@ -84,15 +84,15 @@
 
 
 def answer_and_runs(path: str, *authorization: bytes) -> tuple[int, int]:
-    """The status, and how often a worker got the request; the dispatcher then still serves a good one."""
+    """Returns the status and the number of runs; checks that the dispatcher then serves a valid request."""
     results: list[tuple[int, int]] = []
 
     async def work() -> None:
         worker = StandInWorker(respond)
         async with tenants_harness(worker) as harness:
-            status, _ = await ask(harness, path, *authorization)
+            status, _ = await send_raw(harness, path, *authorization)
             results.append((status, len(worker.requests)))
-            served, _ = await ask(harness, "/once/", b" Token " + KEY.encode())
+            served, _ = await send_raw(harness, "/once/", b" Token " + KEY.encode())
             assert served == 200
 
     run_with_timeout(work)
@@ -101,12 +101,12 @@
 
 def assert_never_runs(path: str, *authorization: bytes) -> None:
     status, runs = answer_and_runs(path, *authorization)
-    assert (status in REFUSED, runs) == (True, 0), f"status {status}, {runs} runs"
+    assert (status in REJECTION_STATUSES, runs) == (True, 0), f"status {status}, {runs} runs"
 
 
 @pytest.fixture
 def logged(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[dict[str, Any]]]:
-    """What finchladder.cluster.process.log writes, with a full bucket, so that no line is dropped."""
+    """Collects the events of finchladder.cluster.process.log, with a full bucket to avoid drops."""
     monkeypatch.setattr(log, "_limit", log.TokenBucket())
     messages: list[dict[str, Any]] = []
     eliot.add_destinations(messages.append)
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(
-    "almost",
+    "similar_key",
     [
         TENANT,
         KEY[:-1],
@@ -132,8 +132,8 @@
     ],
     ids=["name-of-tenant", "prefix", "longer", "other-case", "two-keys", "quoted", "tenant-and-key"],
 )
-def test_what_only_resembles_a_key_gets_401_and_never_runs(almost: str) -> None:
-    assert answer_and_runs("/once/", b" Token " + almost.encode()) == (UNAUTHORIZED, 0)
+def test_a_value_that_only_resembles_a_key_gets_401_and_never_runs(similar_key: str) -> None:
+    assert answer_and_runs("/once/", b" Token " + similar_key.encode()) == (UNAUTHORIZED, 0)
 
 
 def test_a_request_without_a_key_never_runs() -> None:
@@ -145,9 +145,9 @@
     assert_never_runs("/once/", f" {scheme}{KEY}".encode())
 
 
-# RFC 9110, 11.1: names of schemes are case-insensitive.
+# RFC 9110, section 11.1: the names of schemes are case-insensitive.
 @pytest.mark.parametrize("scheme", ["Token", "token", "TOKEN"])
-def test_the_scheme_is_known_in_any_case(scheme: str) -> None:
+def test_the_scheme_is_case_insensitive(scheme: str) -> None:
     assert answer_and_runs("/once/", f" {scheme} {KEY}".encode()) == (200, 1)
 
 
@@ -167,7 +167,7 @@
 
 # The lengths lie below, at and above the limit of the HTTP parser for one field.
 @pytest.mark.parametrize("length", [8000, 8192, 12000])
-def test_a_key_of_8_kb_is_refused_without_a_crash(length: int) -> None:
+def test_a_key_of_8_kb_is_rejected_without_a_crash(length: int) -> None:
     assert_never_runs("/once/", b" Token " + b"k" * length)
 
 
@@ -176,16 +176,16 @@
     ["schlüssel".encode(), "schlüssel".encode("latin-1"), b"\xff\xfe\x80", KEY.encode() + b"\x80"],
     ids=["utf-8", "latin-1", "no-text", "known-and-more"],
 )
-def test_a_key_that_is_not_ascii_is_refused_without_a_crash(key: bytes) -> None:
+def test_a_key_that_is_not_ascii_is_rejected_without_a_crash(key: bytes) -> None:
     assert_never_runs("/once/", b" Token " + key)
 
 
 @pytest.mark.parametrize("control", [b"\x00", b"\x01", b"\x7f"], ids=["nul", "control", "delete"])
-def test_a_key_with_a_control_character_is_refused_without_a_crash(control: bytes) -> None:
+def test_a_key_with_a_control_character_is_rejected_without_a_crash(control: bytes) -> None:
     assert_never_runs("/once/", b" Token " + KEY.encode() + control)
 
 
-# RFC 9110, 5.5 and 11.4: white space around a field's value is no part of it; a scheme ends with 1*SP.
+# RFC 9110, sections 5.5 and 11.4: a field value excludes surrounding white space; 1*SP follows a scheme.
 @pytest.mark.parametrize(
     "value",
     ["Token {}", "   Token {}  ", "\tToken {}\t", " Token   {}"],
@@ -217,14 +217,14 @@
     ],
     ids=["known", "unknown", "other-scheme", "no-scheme", "control", "long"],
 )
-def test_a_key_stands_in_no_log_and_in_no_response(
+def test_a_key_appears_in_no_log_and_in_no_response(
     value: str, secret: str, logged: list[dict[str, Any]], caplog: pytest.LogCaptureFixture
 ) -> None:
     async def work() -> None:
         worker = StandInWorker(not_executed(503))
         async with tenants_harness(worker) as harness:
-            refused, _ = await ask(harness, "/once/", f" Token {KEY}".encode())
-            _, response = await ask(harness, "/once/", value.encode())
+            refused, _ = await send_raw(harness, "/once/", f" Token {KEY}".encode())
+            _, response = await send_raw(harness, "/once/", value.encode())
             assert (refused, secret.encode() in response) == (503, False)
         assert any(message.get("message_type") == "request.refused" for message in logged)
         assert secret not in json.dumps(logged, default=str)
--- a/tests/cluster/test_incident_unasked.py
+++ b/tests/cluster/test_incident_unasked.py
@@ -1,4 +1,4 @@
-"""Issue 65, UNASKED: workers were shown clients' keys, and not the names of the keys' tenants."""
+"""Issue 65: workers received clients' API keys instead of the names of the keys' tenants."""
 
 import asyncio
 import json
@@ -54,7 +54,7 @@
 
 
 class HeaderRecorder:
-    """The header lines that reached a worker; `StandInWorker` keeps one of each name only."""
+    """Records all header lines that a worker received; `StandInWorker` keeps only one per name."""
 
     def __init__(self, handler: Handler = respond) -> None:
         self.handler = handler
@@ -66,17 +66,17 @@
         return await self.handler(request)
 
     def values(self, name: str) -> list[list[str]]:
-        """The values of that header, for each request."""
+        """Returns the values of that header for each request."""
         return [[value for key, value in lines if key == name.lower()] for lines in self.received]
 
     def has_key(self) -> bool:
-        """Whether a key was in any line of any request, under whatever name."""
+        """Returns whether any header of any request contained a key."""
         lines = [value for received in self.received for _, value in received]
         return any(key in value for key in (KEY, SECOND_KEY, OTHER_KEY) for value in lines)
 
 
 async def status_of(harness: RouterHarness, path: str, *lines: tuple[str, str]) -> int:
-    """The status of a request with these header lines, written as they are: a client library joins some."""
+    """Returns the status of a request with exactly these header lines; a client library would merge some."""
     sent = [
         ("Host", "a.example"),
         (REQUEST_ID_HEADER, "id-1"),
@@ -97,7 +97,7 @@
 def send_to_recorder(
     path: str, *lines: tuple[str, str], document: Any = TENANTS_DOCUMENT
 ) -> tuple[int, HeaderRecorder]:
-    """The status of one request, and what its worker received."""
+    """Returns the status of one request, and the recorder of its worker."""
     recorder = HeaderRecorder(complete_stream if path.startswith(("/stream/", "/resumed/")) else respond)
     statuses = []
 
@@ -181,7 +181,7 @@
         assert recorder.values(KEY_HEADER) == [[]]
 
 
-def test_a_public_route_shows_the_worker_the_tenant_of_a_known_key_and_not_the_key() -> None:
+def test_a_public_route_forwards_the_tenant_of_a_known_key_and_not_the_key() -> None:
     own = (TENANT_HEADER, OTHER_TENANT)
     status, worker = send_to_recorder("/public/x", (KEY_HEADER, f"Token {KEY}"), own)
     assert (status, worker.values(TENANT_HEADER)) == (200, [[TENANT]])
@@ -193,7 +193,7 @@
     [[], [(KEY_HEADER, "Token knobodys")], [(KEY_HEADER, "Token")], [(KEY_HEADER, f"Basic {KEY}")]],
     ids=["none", "unknown", "empty", "not-a-token"],
 )
-def test_a_public_route_runs_what_has_no_known_key_without_tenant_and_key(
+def test_a_public_route_forwards_requests_without_a_known_key_without_tenant_and_key(
     lines: Sequence[tuple[str, str]],
 ) -> None:
     status, worker = send_to_recorder("/public/x", *lines, (TENANT_HEADER, TENANT))
@@ -201,7 +201,7 @@
     assert worker.values(KEY_HEADER) == [[]]
 
 
-def test_without_tenants_a_key_and_other_headers_go_along_unchanged() -> None:
+def test_without_tenants_a_key_and_other_headers_are_forwarded_unchanged() -> None:
     lines = [(KEY_HEADER, f"Token {KEY}"), ("Own", "1"), ("Own", "2"), ("Cookie", "a=b")]
     status, worker = send_to_recorder("/once/x", *lines, document=DOCUMENT)
     assert status == 200
--- a/tests/cluster/test_placer.py
+++ b/tests/cluster/test_placer.py
@@ -1,4 +1,4 @@
-"""What the placer tells dispatchers, and what it does after a refused order; at virtual time."""
+"""Replies of the placer to dispatchers, and its handling of rejected orders, in virtual time."""
 
 import asyncio
 from contextlib import suppress
@@ -26,23 +26,23 @@
 from finchladder.cluster.types.worker_api import OrderRequest, WorkerReport
 from finchladder.lab.cluster.virtual import run
 
-REVISION = 4  # orders that the worker has taken, the eviction under way being the last
+ORDERS_TAKEN = 4  # number of orders the worker has taken, including the current eviction
 
 
 class Worker:
-    """A worker that says something else at each look, the last of it for ever."""
+    """A worker that returns the given reports in order, and then repeats the last one."""
 
     def __init__(self, *reports: WorkerReport) -> None:
         self.reports = list(reports)
-        self.looks = 0
+        self.report_count = 0
 
     async def report(self, address: str, instance: str) -> WorkerReport:
-        self.looks += 1
-        return self.reports[min(self.looks, len(self.reports)) - 1]
+        self.report_count += 1
+        return self.reports[min(self.report_count, len(self.reports)) - 1]
 
 
-def asked_again(worker: Worker, began_before_s: float) -> tuple[bool, float]:
-    """Whether the placer gives its order again, and after how long."""
+def resubmission(worker: Worker, began_before_s: float) -> tuple[bool, float]:
+    """Returns whether the placer sends its order again, and the seconds until its decision."""
     nothing = cast(Any, SimpleNamespace())
     orders = WorkerOrders(nothing, cast(Any, worker))
     state = PlannerWorker("i-1", "llm", "a:1", "z", False, False)
@@ -50,37 +50,37 @@
     async def work() -> tuple[bool, float]:
         before = steady()
         again = await orders._should_resubmit(
-            ManagedWorker(state, orders_taken=REVISION), before - began_before_s
+            ManagedWorker(state, orders_taken=ORDERS_TAKEN), before - began_before_s
         )
         return again, steady() - before
 
     return run(work())
 
 
-def test_most_evictions_are_over_soon_so_that_nobody_is_asked() -> None:
+def test_an_order_is_sent_again_without_a_report_soon_after_an_eviction() -> None:
     worker = Worker()
-    again, waited_s = asked_again(worker, 0.0)
+    again, waited_s = resubmission(worker, 0.0)
     assert again
     assert waited_s == pytest.approx(QUICK_EVICTION_S / 2)
-    assert worker.looks == 0
+    assert worker.report_count == 0
 
 
-def test_an_order_is_given_again_soon_while_the_eviction_before_it_goes_on() -> None:
-    again, waited_s = asked_again(Worker(WorkerReport(sequence=REVISION, busy=True)), 0.2)
+def test_an_order_is_sent_again_while_the_previous_eviction_is_in_progress() -> None:
+    again, waited_s = resubmission(Worker(WorkerReport(sequence=ORDERS_TAKEN, busy=True)), 0.2)
     assert again
     assert waited_s == pytest.approx(POLL_INTERVAL_S)
 
 
-def test_a_worker_that_took_an_order_of_another_holder_gets_no_more() -> None:
-    assert not asked_again(Worker(WorkerReport(sequence=REVISION + 1)), 0.2)[0]
+def test_a_worker_that_took_an_order_of_another_holder_gets_no_more_orders() -> None:
+    assert not resubmission(Worker(WorkerReport(sequence=ORDERS_TAKEN + 1)), 0.2)[0]
 
 
-def test_an_eviction_without_an_end_is_given_up() -> None:
-    again, _ = asked_again(Worker(WorkerReport(sequence=REVISION, busy=True)), EVICTION_TIMEOUT_S)
+def test_an_endless_eviction_times_out() -> None:
+    again, _ = resubmission(Worker(WorkerReport(sequence=ORDERS_TAKEN, busy=True)), EVICTION_TIMEOUT_S)
     assert not again
 
 
-def test_a_dispatcher_is_told_what_all_others_have_in_flight() -> None:
+def test_a_dispatcher_receives_the_loads_of_all_others() -> None:
     updates = SimpleNamespace(dispatcher_count=lambda: 300)
     placer = Placer(
         cast(Any, SimpleNamespace(is_held=lambda: True)),
@@ -96,31 +96,31 @@
         placer.on_demand(DemandReport("one", 0.4, (), {"a": 1, "b": 2}))
         return placer.on_demand(DemandReport("two", 0.4, (), {"a": 4}))
 
-    told = run(work())
-    assert told.peer_loads == {"a": 1, "b": 2}
-    assert told.interval_ms == 2000, "300 dispatchers may report 150 times a second together"
+    reply = run(work())
+    assert reply.peer_loads == {"a": 1, "b": 2}
+    assert reply.interval_ms == 2000, "300 dispatchers may report 150 times a second together"
 
 
 class SlowWorker:
-    """Takes each order after a while, or never; `limits_s`: how long each call was allowed to last."""
+    """Accepts each order after a delay, or times out; `limits_s`: the timeout of each call."""
 
-    def __init__(self, takes_s: float) -> None:
-        self.takes_s = takes_s
+    def __init__(self, duration_s: float) -> None:
+        self.duration_s = duration_s
         self.limits_s: list[float] = []
 
     async def order(self, address: str, instance: str, body: OrderRequest, timeout_s: float) -> int:
         self.limits_s.append(timeout_s)
-        await asyncio.sleep(min(self.takes_s, timeout_s))
-        if self.takes_s > timeout_s:
+        await asyncio.sleep(min(self.duration_s, timeout_s))
+        if self.duration_s > timeout_s:
             raise PeerUnreachableError("order", address, "no answer in time")
         return STATUS_ACCEPTED
 
 
-@pytest.mark.parametrize(("takes_s", "ended_s"), [(0.3, 0.3), (5.0, 0.6)])
-def test_no_order_lasts_longer_than_the_lease_and_the_role_is_idle_from_its_end(
-    takes_s: float, ended_s: float
+@pytest.mark.parametrize(("duration_s", "ended_s"), [(0.3, 0.3), (5.0, 0.6)])
+def test_an_order_ends_with_the_lease_at_the_latest_and_its_end_is_the_last_order_time(
+    duration_s: float, ended_s: float
 ) -> None:
-    """A successor counts the pause between two holders from the last order."""
+    """A successor measures the pause between two holders from the last order."""
 
     async def work() -> tuple[float, float, float]:
         began = steady()
@@ -129,7 +129,7 @@
         role = SimpleNamespace(
             lease=lease, me=me, last_order_at=began, is_held=lambda: lease.is_valid(steady())
         )
-        worker = SlowWorker(takes_s)
+        worker = SlowWorker(duration_s)
         orders = WorkerOrders(cast(Any, role), cast(Any, worker))
         managed = ManagedWorker(
             PlannerWorker("i-1", "llm", "a:1", "z", False, False), 7, last_report=WorkerReport()
@@ -143,8 +143,8 @@
     assert idle_from_s == lasted_s == pytest.approx(ended_s)
 
 
-def test_a_placer_whose_lease_ends_between_the_choice_and_the_order_gives_none() -> None:
-    """As after a freeze: dispatchers were told that a model goes, and the role may be another's by now."""
+def test_a_placer_whose_lease_ends_between_plan_and_order_sends_no_order() -> None:
+    """After a freeze an eviction may be announced already, but another process may hold the lease."""
 
     async def work() -> tuple[bool, list[float]]:
         began = steady()
--- a/tests/cluster/test_placer_lease.py
+++ b/tests/cluster/test_placer_lease.py
@@ -1,4 +1,4 @@
-"""The placer's lease: who acquires it and when, on a virtual clock with three machines."""
+"""Acquisition of the placer's lease, with three machines in virtual time."""
 
 import asyncio
 
@@ -12,14 +12,14 @@
 
 
 async def start_three(world: World) -> Machine:
-    """Starts three machines and returns the one that becomes placer."""
+    """Starts three machines, and returns the one that becomes the placer."""
     for _ in range(3):
         world.start(world.add(True))
     return await wait_for_holder(world, 6.0)
 
 
 async def wait_for_holder(world: World, within_s: float, besides: str = "") -> Machine:
-    """Waits for a machine that holds the lease."""
+    """Returns the first machine, other than `besides`, that holds the lease."""
     async with asyncio.timeout(within_s):
         while True:
             for machine in world.running():
@@ -30,7 +30,7 @@
 
 
 async def settled(world: World) -> tuple[Machine, int]:
-    """The first lease holder, some seconds after it acquired the lease, and its fencing token."""
+    """Returns the first lease holder some seconds after its election, and its fencing token."""
     machine = await start_three(world)
     assert machine.plane is not None
     token = machine.plane.placer_lease.lease.token
@@ -61,11 +61,11 @@
         machine = await start_three(world)
         await asyncio.sleep(3.0)
         world.kill(machine, power=True)
-        died = loop.time()
+        failed_at = loop.time()
         other = await wait_for_holder(world, 8.0, machine.name)
         assert other.plane is not None
         assert not other.plane.placer_lease.reacquired
-        assert TURN_S <= loop.time() - died <= TURN_S + 3.0
+        assert TURN_S <= loop.time() - failed_at <= TURN_S + 3.0
         assert world.violation is None
 
     run(work())
@@ -103,8 +103,8 @@
     assert granted.wait_s(11.0) == pytest.approx(1.0)
 
 
-SUSPECTED_S = 1.0  # until an unreachable machine is out of the chain
-CALLS_S = 0.3  # for some calls within the chain
+SUSPECTED_S = 1.0  # time until an unreachable machine is excluded from the chain
+CALLS_S = 0.3  # time for some calls within the chain
 
 
 @pytest.mark.parametrize("place", [1, 2])
@@ -112,7 +112,7 @@
 def test_a_head_does_not_wait_for_the_reply_of_a_member_that_has_left_the_chain(
     seed: int, place: int
 ) -> None:
-    """There is no write, rejection or lease until the new view is confirmed."""
+    """No write, rejection or lease is possible until the new view is confirmed."""
 
     async def work() -> None:
         world, loop = World(seed), asyncio.get_running_loop()
@@ -137,18 +137,18 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_with_fencing_a_lost_placer_is_replaced_when_its_lease_has_expired(seed: int) -> None:
-    """Workers reject its orders by then; a longer wait would only be time without a placer."""
+    """Workers reject the lost placer's orders; a longer wait would only delay the next placer."""
 
     async def work() -> None:
         world, loop = World(seed, fenced=True), asyncio.get_running_loop()
         machine, token = await settled(world)
-        await asyncio.sleep(0.37 * seed)  # varies when the others last received a wait
+        await asyncio.sleep(0.37 * seed)  # varies the time at which the others last received a wait
         world.kill(machine, power=True)
-        died = loop.time()
+        failed_at = loop.time()
         other = await wait_for_holder(world, 8.0, machine.name)
         assert other.plane is not None
         assert other.plane.placer_lease.lease.token > token
-        assert loop.time() - died <= SUSPECTED_S + CALLS_S, (
+        assert loop.time() - failed_at <= SUSPECTED_S + CALLS_S, (
             "the lease expired before the failure was detected"
         )
         assert world.violation is None
--- a/tests/cluster/test_placer_notice.py
+++ b/tests/cluster/test_placer_notice.py
@@ -1,4 +1,4 @@
-"""How soon a dispatcher learns of a new placer, which holds the quota account, at virtual time."""
+"""Notification of dispatchers about a new placer, which holds the quota account, in virtual time."""
 
 import msgspec
 import pytest
@@ -18,7 +18,7 @@
 
 
 def poll_seconds(known_term: int, placer: str, term: int) -> float:
-    """How long a long poll takes while the server knows that placer."""
+    """Returns the duration of a long poll at a server that knows that placer."""
 
     async def work() -> float:
         updates = session_scene().updates
@@ -32,26 +32,24 @@
     return seconds
 
 
-def test_a_new_placer_answers_a_long_poll_at_once() -> None:
+def test_a_new_placer_ends_a_long_poll_at_once() -> None:
     assert poll_seconds(known_term=1, placer="core-2:1", term=2) == 0.0
 
 
 @pytest.mark.parametrize(
     ("known_term", "placer", "term"),
     [(2, "core-2:1", 2), (3, "core-2:1", 2), (0, "core-2:1", 2), (1, "", 2)],
-    ids=["known", "server is behind", "subscriber does not ask", "address unknown"],
+    ids=["known", "server is behind", "subscriber reports no term", "address unknown"],
 )
-def test_a_long_poll_is_not_cut_short_for_a_placer_that_is_no_news(
-    known_term: int, placer: str, term: int
-) -> None:
+def test_a_long_poll_does_not_end_early_for_a_known_placer(known_term: int, placer: str, term: int) -> None:
     assert poll_seconds(known_term, placer, term) == pytest.approx(LONG_POLL_MS / 1000)
 
 
-def test_a_source_that_is_behind_does_not_bring_back_a_former_placer() -> None:
+def test_a_source_that_is_behind_does_not_restore_a_former_placer() -> None:
     async def work() -> str:
         puller = new_puller(Cores(), Tasks())
-        for news in (update("core-2:1", 2), update("core-1:1", 1), update("", 3)):
-            puller._merge(news)
+        for received in (update("core-2:1", 2), update("core-1:1", 1), update("", 3)):
+            puller._merge(received)
         return puller.placer
 
     assert run_virtual(work) == "core-2:1"
--- a/tests/cluster/test_quota_client.py
+++ b/tests/cluster/test_quota_client.py
@@ -1,4 +1,4 @@
-"""A dispatcher's reservations of quota against an account that fails, moves or is late, at virtual time."""
+"""Quota reservations of a dispatcher whose account fails, moves or is slow, in virtual time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -31,11 +31,11 @@
 
 @define
 class Holder:
-    """A holder of the account behind a network. `loses_answers`: of the next calls, once handled."""
+    """A remote holder of the account. `lost_reply_count`: number of next calls whose replies are lost."""
 
     account: QuotaAccount
     delay_s: float = 0.001
-    loses_answers: int = 0
+    lost_reply_count: int = 0
     is_holder: bool = True
     is_reachable: bool = True
     requests: list[ReserveQuota] = field(factory=list)
@@ -60,14 +60,14 @@
             )
             for need in request.demands
         )
-        if self.loses_answers:
-            self.loses_answers -= 1
+        if self.lost_reply_count:
+            self.lost_reply_count -= 1
             await asyncio.sleep(timeout_s)
             raise PeerUnreachableError("ReserveQuota", address, "the answer was lost")
         return QuotaReply(is_holder=True, term=self.account.term, grants=grants)
 
     def units_left(self) -> int:
-        """How much could be granted now."""
+        """Takes all available units, and returns their number."""
         left = 0
         while self.account.reserve(TENANT, (10,), steady()) == (True,):
             left += 10
@@ -76,7 +76,7 @@
 
 @define
 class Scene:
-    """One dispatcher and the holder; the bucket holds 1,090 units when it is full."""
+    """One dispatcher and the holder of the account; a full bucket has 1,090 units."""
 
     holder: Holder
     client: QuotaClient
@@ -85,7 +85,7 @@
         return RequestQuota(self.client, tenant, cost, wait_s)
 
 
-def play(work: Callable[[Scene], Awaitable[None]]) -> None:
+def run_scene(work: Callable[[Scene], Awaitable[None]]) -> None:
     async def main() -> None:
         account = QuotaAccount(QuotaRule(window_s=1.0, overage=0.5, slack=0.0))
         account.begin_term(1, steady() - 100.0)
@@ -101,7 +101,7 @@
     run_virtual(main)
 
 
-def test_requests_that_wait_together_go_in_one_message() -> None:
+def test_requests_that_wait_together_are_sent_in_one_message() -> None:
     async def work(scene: Scene) -> None:
         quotas = [scene.quota(10) for _ in range(20)]
         outcomes = await asyncio.gather(*(quota.reserve() for quota in quotas))
@@ -109,10 +109,10 @@
         assert all(quota.is_reserved() for quota in quotas)
         assert len(scene.holder.requests) == 1
 
-    play(work)
+    run_scene(work)
 
 
-def test_a_reservation_lapses_counted_from_when_it_was_asked_for() -> None:
+def test_the_validity_of_a_reservation_starts_with_its_request() -> None:
     async def work(scene: Scene) -> None:
         scene.holder.delay_s = 0.1
         quota = scene.quota()
@@ -124,20 +124,20 @@
         await asyncio.sleep(0.02)
         assert not quota.is_reserved()
 
-    play(work)
+    run_scene(work)
 
 
-def test_a_process_that_stood_still_beyond_its_grant_does_not_send() -> None:
+def test_a_process_that_stalled_beyond_its_grant_does_not_send() -> None:
     async def work(scene: Scene) -> None:
         quota = scene.quota()
         await quota.reserve()
         await asyncio.sleep(60.0)
         assert not quota.is_reserved()
 
-    play(work)
+    run_scene(work)
 
 
-def test_a_lapsed_reservation_is_asked_for_anew_and_not_returned() -> None:
+def test_a_lapsed_reservation_is_requested_again_and_not_returned() -> None:
     async def work(scene: Scene) -> None:
         quota = scene.quota(400)
         await quota.reserve()
@@ -150,10 +150,10 @@
         assert len(scene.holder.requests) >= 2
         assert not any(request.returns for request in scene.holder.requests)
 
-    play(work)
+    run_scene(work)
 
 
-def test_what_is_not_spent_is_returned_once() -> None:
+def test_an_unspent_reservation_is_returned_once() -> None:
     async def work(scene: Scene) -> None:
         before = scene.holder.units_left()
         await asyncio.sleep(60.0)
@@ -165,7 +165,7 @@
         assert sum(len(request.returns) for request in scene.holder.requests) == 1
         assert scene.holder.units_left() == before
 
-    play(work)
+    run_scene(work)
 
 
 def test_a_spent_reservation_is_not_returned() -> None:
@@ -178,10 +178,10 @@
         await asyncio.sleep(1.0)
         assert not any(request.returns for request in scene.holder.requests)
 
-    play(work)
+    run_scene(work)
 
 
-def test_an_attempt_that_did_not_run_leaves_its_reservation_to_the_next() -> None:
+def test_an_attempt_that_did_not_run_passes_its_reservation_to_the_next() -> None:
     async def work(scene: Scene) -> None:
         quota = scene.quota(900)
         await quota.reserve()
@@ -190,17 +190,17 @@
         assert quota.is_reserved()
         assert len(scene.holder.requests) == 1
 
-    play(work)
+    run_scene(work)
 
 
-def test_a_lost_answer_counts_as_granted() -> None:
+def test_a_lost_reply_counts_as_granted() -> None:
     async def work(scene: Scene) -> None:
-        scene.holder.loses_answers = 1
+        scene.holder.lost_reply_count = 1
         quota = scene.quota(600, wait_s=0.1)
         assert await quota.reserve() == QuotaUnavailable()
         assert scene.holder.units_left() < 600
 
-    play(work)
+    run_scene(work)
 
 
 def test_returns_of_a_lost_message_are_not_sent_again() -> None:
@@ -214,20 +214,20 @@
         await asyncio.sleep(1.0)
         assert sum(len(request.returns) for request in scene.holder.requests) == 1
 
-    play(work)
+    run_scene(work)
 
 
-def test_nothing_is_reserved_without_an_account_in_reach() -> None:
+def test_nothing_is_reserved_without_a_reachable_account() -> None:
     async def work(scene: Scene) -> None:
         scene.holder.is_reachable = False
         began_at = steady()
         assert await scene.quota().reserve() == QuotaUnavailable()
         assert steady() - began_at == pytest.approx(WAIT_S)
 
-    play(work)
+    run_scene(work)
 
 
-def test_a_request_goes_on_when_a_holder_is_there_again_in_time() -> None:
+def test_a_request_continues_when_a_holder_is_available_again_in_time() -> None:
     async def work(scene: Scene) -> None:
         scene.holder.is_holder = False
         waiting = asyncio.ensure_future(scene.quota(wait_s=1.0).reserve())
@@ -235,10 +235,10 @@
         scene.holder.is_holder = True
         assert await waiting is None
 
-    play(work)
+    run_scene(work)
 
 
-def test_a_late_holder_delays_nobody_beyond_the_wait() -> None:
+def test_a_slow_holder_delays_no_request_beyond_the_timeout() -> None:
     async def work(scene: Scene) -> None:
         scene.holder.delay_s = CALL_TIMEOUT_S - 0.01
         quota = scene.quota(wait_s=0.1)
@@ -249,33 +249,33 @@
         returned = [r for request in scene.holder.requests for r in request.returns]
         assert [r.units for r in returned] == [500]
 
-    play(work)
+    run_scene(work)
 
 
-def test_an_exhausted_tenant_is_refused_without_asking_for_a_moment() -> None:
+def test_an_exhausted_tenant_is_refused_for_a_while_without_a_message() -> None:
     async def work(scene: Scene) -> None:
         while await scene.quota(50).reserve() is None:
             pass
-        asked = len(scene.holder.requests)
+        message_count = len(scene.holder.requests)
         again = [await scene.quota(cost).reserve() for cost in (1, 50, 1_000) * 20]
         assert all(isinstance(outcome, QuotaExhausted) for outcome in again)
-        assert len(scene.holder.requests) == asked
+        assert len(scene.holder.requests) == message_count
         await asyncio.sleep(MAX_EXHAUSTION_CACHE_S)
         assert await scene.quota(50).reserve() is None
-        assert len(scene.holder.requests) == asked + 1
+        assert len(scene.holder.requests) == message_count + 1
 
-    play(work)
+    run_scene(work)
 
 
-def test_a_large_request_that_is_refused_does_not_refuse_the_small_ones() -> None:
+def test_a_refused_large_request_does_not_block_small_ones() -> None:
     async def work(scene: Scene) -> None:
         assert isinstance(await scene.quota(5_000).reserve(), QuotaExhausted)
         assert await scene.quota(50).reserve() is None
 
-    play(work)
+    run_scene(work)
 
 
-def test_a_dispatcher_without_an_account_in_reach_says_so_and_asks_until_it_is_back() -> None:
+def test_a_dispatcher_without_a_reachable_account_reports_it_and_retries() -> None:
     async def work(scene: Scene) -> None:
         scene.holder.is_reachable = False
         assert not scene.client.is_unreachable()
@@ -286,14 +286,14 @@
         scene.holder.is_reachable = True
         await asyncio.sleep(1.0)
         assert not scene.client.is_unreachable()
-        asked = len(scene.holder.requests)
+        message_count = len(scene.holder.requests)
         await asyncio.sleep(10.0)
-        assert len(scene.holder.requests) == asked
+        assert len(scene.holder.requests) == message_count
 
-    play(work)
+    run_scene(work)
 
 
-def test_a_client_that_leaves_while_it_waits_leaves_nothing_reserved() -> None:
+def test_a_client_that_disconnects_while_waiting_leaves_nothing_reserved() -> None:
     async def work(scene: Scene) -> None:
         before = scene.holder.units_left()
         await asyncio.sleep(60.0)
@@ -304,11 +304,11 @@
         await asyncio.sleep(2.0)
         assert scene.holder.units_left() == before
 
-    play(work)
+    run_scene(work)
 
 
 @pytest.mark.parametrize("tenant", [None, FREE], ids=["no tenant", "no limit"])
-def test_without_a_limit_nobody_is_asked(tenant: Tenant | None) -> None:
+def test_without_a_limit_no_message_is_sent(tenant: Tenant | None) -> None:
     async def work(scene: Scene) -> None:
         quota = scene.quota(10**9, tenant)
         assert await quota.reserve() is None
@@ -317,7 +317,7 @@
         quota.release()
         assert not scene.holder.requests
 
-    play(work)
+    run_scene(work)
 
 
 def test_a_grant_of_another_term_is_not_returned_to_this_one() -> None:
@@ -335,4 +335,4 @@
         returns = [r for request in scene.holder.requests for r in request.returns]
         assert [r.units for r in returns] == [1]
 
-    play(work)
+    run_scene(work)
--- a/tests/cluster/test_quota_service.py
+++ b/tests/cluster/test_quota_service.py
@@ -1,4 +1,4 @@
-"""The quota account as its holder serves it: terms, lease, configuration; at virtual time."""
+"""The quota account at its holder: terms, lease and configuration, in virtual time."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 RULE = QuotaRule(window_s=8.0, overage=0.1, slack=17_000)
 RATE = 1_000
 LOW_RATE = 100
-REFILLED_S = 100.0  # by then a bucket is full
+REFILLED_S = 100.0  # time after which a bucket is full
 
 
 def document(*names: str, rate: float = RATE) -> bytes:
@@ -28,13 +28,13 @@
 
 
 def capacity(rate: float = RATE) -> float:
-    """What a full bucket of a tenant grants at once."""
+    """Returns the units that a tenant's full bucket grants at once."""
     return RULE.bucket_limits(rate, rate).capacity
 
 
 @define
 class Scene:
-    """A process with the account, its role and its newest configuration."""
+    """A process with the account, its term and its newest configuration."""
 
     term: Term | None = field(factory=lambda: Term(1, 0.0))
     document: bytes = field(factory=lambda: document("a"))
@@ -43,37 +43,37 @@
     def __attrs_post_init__(self) -> None:
         self.service = QuotaService(lambda: self.term, lambda: self.document, QuotaAccount(RULE))
 
-    def ask(self, *costs: int, tenant: str = "a", returns: int = 0, term: int = 1) -> QuotaReply:
+    def reserve(self, *costs: int, tenant: str = "a", returns: int = 0, term: int = 1) -> QuotaReply:
         returned = (QuotaReturn(tenant, returns),) if returns else ()
         needs = (QuotaDemand(tenant, costs),) if costs else ()
         return self.service.on_reserve(ReserveQuota("edge-1", needs, returned, term))
 
     def granted(self, *costs: int, tenant: str = "a") -> tuple[bool, ...]:
-        """Which of the costs are granted."""
-        return self.ask(*costs, tenant=tenant).grants[0].granted
+        """Returns for each of the costs whether it is granted."""
+        return self.reserve(*costs, tenant=tenant).grants[0].granted
 
     def drain(self) -> int:
-        """Takes all that there is, in steps of 10 units."""
+        """Takes all available units in steps of 10, and returns their number."""
         taken = 0
         while self.granted(10) == (True,):
             taken += 10
         return taken
 
 
-def play(work: Callable[[Scene], Awaitable[Any]], scene: Scene | None = None) -> None:
+def run_scene(work: Callable[[Scene], Awaitable[Any]], scene: Scene | None = None) -> None:
     async def main() -> None:
         await work(scene or Scene())
 
     run(main())
 
 
-def test_who_is_not_the_holder_grants_nothing() -> None:
+def test_a_process_that_is_not_the_holder_grants_nothing() -> None:
     async def work(scene: Scene) -> None:
         await asyncio.sleep(REFILLED_S)
-        assert scene.ask(1) == NOT_THE_HOLDER
-        assert scene.ask(1, returns=100) == QuotaReply(is_holder=False)
+        assert scene.reserve(1) == NOT_THE_HOLDER
+        assert scene.reserve(1, returns=100) == QuotaReply(is_holder=False)
 
-    play(work, Scene(term=None))
+    run_scene(work, Scene(term=None))
 
 
 def test_nothing_is_granted_once_the_lease_has_ended_between_two_calls() -> None:
@@ -81,22 +81,22 @@
         await asyncio.sleep(REFILLED_S)
         assert scene.granted(1) == (True,)
         scene.term = None
-        assert not scene.ask(1).is_holder
-        assert scene.ask(1).grants == ()
+        assert not scene.reserve(1).is_holder
+        assert scene.reserve(1).grants == ()
 
-    play(work)
+    run_scene(work)
 
 
-def test_a_lease_that_is_renewed_late_goes_on_with_the_same_term() -> None:
+def test_a_lease_that_is_renewed_late_continues_the_same_term() -> None:
     async def work(scene: Scene) -> None:
         await asyncio.sleep(REFILLED_S)
         scene.drain()
         term, scene.term = scene.term, None
-        assert not scene.ask(1).is_holder
+        assert not scene.reserve(1).is_holder
         scene.term = term
         assert scene.granted(10) == (False,)
 
-    play(work)
+    run_scene(work)
 
 
 def test_an_unknown_tenant_gets_nothing_until_its_configuration_is_read() -> None:
@@ -108,15 +108,15 @@
         scene.document = b""
         assert scene.granted(1, tenant="b") == (False,)
 
-    play(work)
+    run_scene(work)
 
 
 def test_returns_of_an_unknown_tenant_are_dropped() -> None:
     async def work(scene: Scene) -> None:
         await asyncio.sleep(REFILLED_S)
-        assert scene.ask(tenant="b", returns=5_000).is_holder
+        assert scene.reserve(tenant="b", returns=5_000).is_holder
 
-    play(work)
+    run_scene(work)
 
 
 def test_a_lowered_limit_holds_from_the_next_call_on() -> None:
@@ -128,10 +128,10 @@
         await asyncio.sleep(1.0)
         assert scene.drain() <= LOW_RATE + 10
 
-    play(work)
+    run_scene(work)
 
 
-def test_a_lowered_limit_lets_no_old_capacity_gather_again() -> None:
+def test_a_lowered_limit_does_not_refill_to_the_old_capacity() -> None:
     async def work(scene: Scene) -> None:
         scene.drain()
         scene.document = document("a", rate=LOW_RATE)
@@ -139,7 +139,7 @@
         await asyncio.sleep(REFILLED_S * RATE / LOW_RATE)
         assert scene.drain() <= capacity(LOW_RATE)
 
-    play(work)
+    run_scene(work)
 
 
 def test_a_newer_document_is_read() -> None:
@@ -151,29 +151,29 @@
         await asyncio.sleep(1.0)
         assert scene.drain() == pytest.approx(10 * RATE, abs=10)
 
-    play(work)
+    run_scene(work)
 
 
-def test_what_is_returned_can_be_granted_in_the_same_message() -> None:
+def test_returned_quota_can_be_granted_in_the_same_message() -> None:
     async def work(scene: Scene) -> None:
         await asyncio.sleep(REFILLED_S)
         assert scene.granted(5_000) == (True,)
         scene.drain()
-        reply = scene.ask(5_000, returns=5_000)
+        reply = scene.reserve(5_000, returns=5_000)
         assert reply.grants[0].granted == (True,)
         assert scene.granted(10) == (False,)
 
-    play(work)
+    run_scene(work)
 
 
-def test_what_another_term_granted_is_not_taken_back() -> None:
+def test_grants_of_another_term_are_not_taken_back() -> None:
     async def work(scene: Scene) -> None:
         await asyncio.sleep(REFILLED_S)
         scene.drain()
         scene.term = Term(2, asyncio.get_running_loop().time())
-        assert scene.ask(5_000, returns=5_000, term=1).grants[0].granted == (False,)
+        assert scene.reserve(5_000, returns=5_000, term=1).grants[0].granted == (False,)
 
-    play(work)
+    run_scene(work)
 
 
 def test_the_term_begins_empty_at_the_election_and_not_at_the_first_call() -> None:
@@ -182,14 +182,14 @@
         scene.drain()
         scene.term = Term(2, REFILLED_S)
         await asyncio.sleep(2.0)
-        assert scene.ask(1).term == 2
+        assert scene.reserve(1).term == 2
         assert scene.drain() == pytest.approx(2 * RATE, abs=11)
 
-    play(work)
+    run_scene(work)
 
 
-def test_a_process_that_is_elected_again_does_not_go_on_with_its_old_buckets() -> None:
-    """Another process held the account meanwhile and granted all that there was."""
+def test_a_process_that_is_elected_again_does_not_reuse_its_old_buckets() -> None:
+    """Another process held the account in between, and granted all available units."""
 
     async def work(scene: Scene) -> None:
         await asyncio.sleep(REFILLED_S)
@@ -199,13 +199,13 @@
         scene.term = Term(3, asyncio.get_running_loop().time())
         assert scene.granted(10) == (False,)
 
-    play(work)
+    run_scene(work)
 
 
-def test_what_waited_with_its_grant_and_is_granted_anew_keeps_the_rule() -> None:
-    """Requests whose grants lapse in the queue return them for new ones; the bucket has refilled meanwhile.
+def test_queued_requests_that_are_granted_again_keep_the_rule() -> None:
+    """Queued requests return their lapsed grants for new ones, and the bucket refills meanwhile.
 
-    The tenant asks no worker for 4 s, so that in this time nothing arrives, and then for all that there is.
+    No request of the tenant reaches a worker for 4 s; then the tenant requests all available units.
     """
 
     async def work(scene: Scene) -> None:
@@ -214,7 +214,7 @@
         waiting = scene.drain()
         await asyncio.sleep(4.0)
         oracle.record(loop.time(), "a", scene.drain())
-        reply = scene.ask(waiting, returns=waiting)
+        reply = scene.reserve(waiting, returns=waiting)
         if reply.grants[0].granted == (True,):
             oracle.record(loop.time(), "a", waiting)
         for _ in range(80):
@@ -225,4 +225,4 @@
         )
         assert excess <= 0
 
-    play(work)
+    run_scene(work)
--- a/tests/cluster/test_retirement_propagation.py
+++ b/tests/cluster/test_retirement_propagation.py
@@ -1,4 +1,4 @@
-"""When the retirement of a worker is acknowledged, at virtual time."""
+"""Acknowledgement of worker retirements, in virtual time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,8 +11,8 @@
 
 def test_a_drain_is_acknowledged_once_a_subscriber_has_it_and_not_without() -> None:
     async def work() -> tuple[bool, bool]:
-        alone = session_scene()
-        without = await alone.sessions.on_heartbeat("i-1", heartbeat(1, "draining"))
+        without_subscribers = session_scene()
+        without = await without_subscribers.sessions.on_heartbeat("i-1", heartbeat(1, "draining"))
         scene = session_scene()
         await scene.sessions.on_heartbeat("i-1", heartbeat(1))
 
@@ -32,29 +32,29 @@
 
 
 async def subscribe(scene: SessionScene, name: str, is_dispatcher: bool) -> None:
-    """A subscriber that long-polls again and again."""
+    """Long-polls as a subscriber until it is cancelled."""
     vector: dict[str, int] = {}
     while True:
         update = await scene.updates.on_pull(PullUpdates(name, vector, 0, 1, 1000, is_dispatcher))
         vector = dict(update.vector)
 
 
-def acknowledged(
+def results_of_calls(
     subscribers: dict[str, bool],
     calls: Callable[[SessionScene], Awaitable[list[bool]]],
     *,
-    stores: bool = True,
+    is_stored_by_chain: bool = True,
 ) -> list[bool]:
-    """Answers to calls at one of three voters.
+    """Returns the results of calls at one of three voters.
 
     Args:
-        subscribers: By name, whether it is a dispatcher.
-        calls: Calls the control process as a worker does.
-        stores: Whether the chain stores retirements.
+        subscribers: Whether each subscriber is a dispatcher, keyed by name.
+        calls: Makes the calls of a worker.
+        is_stored_by_chain: Whether the chain stores retirements.
     """
 
     async def work() -> list[bool]:
-        scene = session_scene(voters=("core-1", "core-2", "core-3"), stores=stores)
+        scene = session_scene(voters=("core-1", "core-2", "core-3"), is_stored_by_chain=is_stored_by_chain)
         tasks = [
             asyncio.create_task(subscribe(scene, name, is_dispatcher))
             for name, is_dispatcher in subscribers.items()
@@ -91,31 +91,31 @@
 def test_a_retirement_is_acknowledged_only_once_most_voters_have_it(
     calls: Callable[[SessionScene], Awaitable[list[bool]]], subscribers: dict[str, bool], answer: bool
 ) -> None:
-    """A control process that is cut off with some dispatchers must not: the others would go on sending."""
-    assert acknowledged(subscribers, calls) == [answer] * 3
+    """A control process cut off with some dispatchers must not acknowledge: others would still send."""
+    assert results_of_calls(subscribers, calls) == [answer] * 3
 
 
 @pytest.mark.parametrize("calls", [drain_three_times, deregister_three_times])
 def test_a_retirement_that_the_chain_does_not_store_is_not_acknowledged(
     calls: Callable[[SessionScene], Awaitable[list[bool]]],
 ) -> None:
-    """All control processes may lose power in the next moment, and their tables with it."""
+    """All control processes may lose power, and with it their tables, right after the acknowledgement."""
     subscribers = {"core-2": False, "core-3": False, "edge-1": True}
-    assert acknowledged(subscribers, calls, stores=False) == [False] * 3
+    assert results_of_calls(subscribers, calls, is_stored_by_chain=False) == [False] * 3
 
 
-def test_a_late_heartbeat_of_a_drain_that_nobody_knows_is_not_acknowledged() -> None:
+def test_a_late_heartbeat_of_an_unreplicated_drain_is_not_acknowledged() -> None:
     async def calls(scene: SessionScene) -> list[bool]:
         return [
             await scene.sessions.on_heartbeat("i-1", heartbeat(5, "draining")),
             await scene.sessions.on_heartbeat("i-1", heartbeat(4, "draining")),
         ]
 
-    assert acknowledged({}, calls) == [False, False]
+    assert results_of_calls({}, calls) == [False, False]
 
 
-def test_a_voter_that_has_not_pulled_lately_does_not_count_as_knowing_a_retirement() -> None:
-    """It may have ended since, and its tables with it."""
+def test_a_voter_that_has_not_pulled_recently_does_not_count_towards_the_majority() -> None:
+    """Such a voter may have ended and lost its tables."""
 
     async def work() -> bool:
         scene = session_scene(voters=("core-1", "core-2", "core-3"))
--- a/tests/cluster/test_review_quota.py
+++ b/tests/cluster/test_review_quota.py
@@ -1,4 +1,4 @@
-"""Findings of a review of the quotas: what the fix of issue 65 left open."""
+"""Faults that a review of the quotas found after the fix of issue 65."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -42,8 +42,8 @@
 
 
 @define
-class OnTheWire:
-    """Peers whose messages are encoded and decoded, as between processes."""
+class EncodingPeers:
+    """Encodes and decodes the messages to peers, as between processes."""
 
     peers: Peers
 
@@ -52,11 +52,11 @@
         return reply_decoder.decode(encoder.encode(await self.peers.call(address, sent, timeout_s)))
 
 
-def play(work: Callable[[QuotaClient], Awaitable[None]]) -> None:
-    """Plays the work at virtual time with one dispatcher and a holder whose buckets are full."""
+def run_with_client(work: Callable[[QuotaClient], Awaitable[None]]) -> None:
+    """Runs the work in virtual time with one dispatcher and a holder with full buckets."""
 
     async def main() -> None:
-        holder = OnTheWire(AccountHolder.of(RULE, DOCUMENT))
+        holder = EncodingPeers(AccountHolder.of(RULE, DOCUMENT))
         client = QuotaClient("edge-1", holder, lambda: "core-1:1")
         tasks = Tasks()
         tasks.repeat(client.run, "quota")
@@ -69,8 +69,8 @@
     run_virtual(main)
 
 
-def test_what_comes_back_late_lets_no_window_through_beyond_the_rule() -> None:
-    """A tenant's drafts wait seconds for a model that never comes, others of it are served meanwhile."""
+def test_quota_that_is_returned_late_keeps_every_window_within_the_rule() -> None:
+    """Some requests of a tenant queue for seconds without a replica, while others of it are served."""
 
     async def work(client: QuotaClient) -> None:
         oracle = QuotaOracle()
@@ -80,12 +80,12 @@
             quota = RequestQuota(client, TENANT, DRAFT, 0.2)
             if await quota.reserve() is None:
                 quota.spend()
-                oracle.record(steady(), "small", DRAFT)  # sent by its client in the same moment
+                oracle.record(steady(), "small", DRAFT)  # the client sends it at the same time
 
         for _ in range(3):
-            wave = [RequestQuota(client, TENANT, DRAFT, 0.2) for _ in range(5)]
-            assert await asyncio.gather(*(quota.reserve() for quota in wave)) == [None] * 5
-            waiting += wave
+            batch = [RequestQuota(client, TENANT, DRAFT, 0.2) for _ in range(5)]
+            assert await asyncio.gather(*(quota.reserve() for quota in batch)) == [None] * 5
+            waiting += batch
             await asyncio.sleep(3.0)
         ends = steady() + WINDOW_S
         while steady() < ends:
@@ -98,20 +98,20 @@
         )
         assert excess <= 0
 
-    play(work)
+    run_with_client(work)
 
 
-def test_a_token_count_that_no_message_can_hold_harms_no_other_request() -> None:
+def test_a_token_count_that_exceeds_the_message_format_harms_no_other_request() -> None:
     async def work(client: QuotaClient) -> None:
-        greedy = RequestQuota(client, TENANT, 10**30, 0.2)
+        oversized = RequestQuota(client, TENANT, 10**30, 0.2)
         others = [RequestQuota(client, TENANT, 1, 0.2) for _ in range(3)]
-        outcomes = await asyncio.gather(*(quota.reserve() for quota in (greedy, *others)))
+        outcomes = await asyncio.gather(*(quota.reserve() for quota in (oversized, *others)))
         assert outcomes[1:] == [None] * 3
 
-    play(work)
+    run_with_client(work)
 
 
-def test_one_request_that_claims_a_huge_count_does_not_lock_its_tenant_out_for_long() -> None:
+def test_one_request_with_a_huge_token_count_does_not_block_its_tenant_for_long() -> None:
     async def work(client: QuotaClient) -> None:
         huge = RequestQuota(client, TENANT, 10**12, 0.2)
         if await huge.reserve() is None:
@@ -119,30 +119,30 @@
         await asyncio.sleep(60.0)
         assert await RequestQuota(client, TENANT, DRAFT, 0.2).reserve() is None
 
-    play(work)
+    run_with_client(work)
 
 
 @pytest.mark.parametrize("rate", [RATE, 30_000.0, 155_000.0])
-def test_a_tenant_over_its_limit_has_its_large_requests_served_too(rate: float) -> None:
-    """The gate fails where a kind of request is served more than twice as often as its largest tenth."""
+def test_large_requests_of_a_tenant_over_its_limit_are_served_too(rate: float) -> None:
+    """The share of served requests may be at most twice that of the largest tenth of the requests."""
     random = Random(65)
     tenant = Tenant("hot", unit=QuotaUnit.TOKENS, rate_per_s=rate, burst=rate)
     account = QuotaAccount(RULE)
     account.begin_term(1, 0.0)
     now, outcomes = 0.0, []
     while now < 40.0:
-        now += random.expovariate(6.0 * rate / DRAFT)  # six times what it may
+        now += random.expovariate(6.0 * rate / DRAFT)  # six times the tenant's rate
         cost = int(DRAFT * exp(random.gauss(0.0, 0.5)))
         outcomes.append((cost, account.reserve(tenant, (cost,), now) == (True,)))
     outcomes.sort()
     largest = outcomes[-len(outcomes) // 10 :]
     share, share_of_largest = (
-        sum(is_granted for _, is_granted in part) / len(part) for part in (outcomes, largest)
+        sum(is_granted for _, is_granted in group) / len(group) for group in (outcomes, largest)
     )
     assert share <= 2 * share_of_largest
 
 
-def test_a_grant_that_comes_in_the_moment_in_which_its_client_leaves_is_returned() -> None:
+def test_a_grant_that_arrives_as_its_client_disconnects_is_returned() -> None:
     async def work(client: QuotaClient) -> None:
         quota = RequestQuota(client, TENANT, DRAFT * 7, 0.2)
         reserving = asyncio.ensure_future(quota.reserve())
@@ -159,21 +159,21 @@
         await asyncio.sleep(0.3)
         assert await RequestQuota(client, TENANT, DRAFT * 7, 0.2).reserve() is None
 
-    play(work)
+    run_with_client(work)
 
 
 @pytest.mark.parametrize(
     "tenants", ['[{"name": "a"}]', '[{"api_keys": []}]', '{"a": {}}'], ids=["no keys", "no name", "no list"]
 )
-def test_a_patch_on_what_an_older_version_stored_is_answered(tenants: str) -> None:
-    """The version before checked nothing of `tenants`, and acknowledged it."""
+def test_a_patch_on_a_document_of_an_older_release_gets_a_response(tenants: str) -> None:
+    """The previous release did not validate `tenants`, and accepted such documents."""
     stored = f'{{"version": 1, "routes": [], "services": [], "tenants": {tenants}}}'.encode()
     change = b'{"version": 2, "upsert": {"routes": []}}'
     assert isinstance(validate_change(stored, 1, True, change), InvalidChange)
 
 
-def test_a_number_beyond_all_bounds_makes_a_configuration_invalid() -> None:
-    """`build_snapshot` fails on it at every dispatcher."""
+def test_a_number_that_overflows_makes_a_configuration_invalid() -> None:
+    """`build_snapshot` would fail on such a number at every dispatcher."""
     tenant = '{"name": "a", "api_keys": ["k"], "raw_tokens": 1e400}'
     document = f'{{"version": 1, "routes": [], "services": [], "tenants": [{tenant}]}}'.encode()
     assert isinstance(validate_change(b"", 0, False, document), InvalidChange)
--- a/tests/cluster/test_review_takeover.py
+++ b/tests/cluster/test_review_takeover.py
@@ -1,4 +1,4 @@
-"""A guard that a review of the quotas found missing: where the account of a new holder begins."""
+"""Start of a new holder's quota account, which a review of the quotas found to be untested."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("power", [True, False], ids=["another machine", "the same machine, started again"])
 def test_the_term_of_a_new_holder_begins_when_it_is_elected_and_not_before(power: bool) -> None:
-    """Its buckets are empty then; a term that began earlier would grant again what the former holder did."""
+    """The buckets start empty; an earlier start would grant again what the former holder granted."""
 
     async def work() -> None:
         world = World(2, fenced=True)
--- a/tests/cluster/test_router.py
+++ b/tests/cluster/test_router.py
@@ -61,7 +61,7 @@
 
 
 class StandInWorker:
-    """A stand-in worker; `requests` has path, headers and body of each request."""
+    """A stand-in worker; `requests`: path, headers and body of each request."""
 
     def __init__(self, *handlers: Handler) -> None:
         self.handlers = list(handlers)
@@ -282,7 +282,7 @@
 
 
 def test_a_rejected_client_counts_as_queued_until_it_may_have_retried() -> None:
-    """Else its model is loaded for nobody, or not at all, and its retry is rejected as well."""
+    """Otherwise the model would be loaded too late or not at all, and the retry would be rejected."""
 
     async def work() -> None:
         async with router_harness(StandInWorker(respond)) as harness:
@@ -355,7 +355,7 @@
     run_with_timeout(work)
 
 
-def test_a_stream_that_is_cut_off_does_not_look_complete() -> None:
+def test_an_interrupted_stream_does_not_look_complete() -> None:
     async def work() -> None:
         async with (
             router_harness(StandInWorker(cut_off_stream), StandInWorker(complete_stream)) as harness,
@@ -394,7 +394,7 @@
 
 
 class ResumingWorker:
-    """A stand-in that resumes a stream, sends one event more and goes on until its caller leaves."""
+    """Resumes a stream, sends one more event, and keeps the stream open until the caller disconnects."""
 
     def __init__(self) -> None:
         self.has_request = asyncio.Event()
@@ -412,7 +412,7 @@
 
 
 async def own_loads_are(harness: RouterHarness, expected: list[float]) -> bool:
-    """Whether the workers, in order, come to have these loads of the dispatcher's own requests in time."""
+    """Returns whether the workers, in order, reach these loads by the dispatcher's requests in time."""
     workers = [member.worker for _, member in sorted(harness.router.pools.members.items())]
     for _ in range(100):
         if [worker.own_load for worker in workers] == expected:
@@ -421,7 +421,7 @@
     return False
 
 
-def test_a_resumed_stream_is_load_of_its_present_worker_alone_and_ends_when_the_client_leaves() -> None:
+def test_a_resumed_stream_loads_only_its_current_worker_and_ends_when_the_client_disconnects() -> None:
     async def work() -> None:
         breaks = asyncio.Event()
 
@@ -448,8 +448,8 @@
 
 
 @pytest.mark.parametrize("steps", range(8))
-def test_a_client_that_leaves_as_a_resume_begins_leaves_no_request_behind(steps: int) -> None:
-    """Some steps of the event loop after the first worker's break, each of which is another await."""
+def test_a_client_that_disconnects_as_a_resume_begins_leaves_no_open_request(steps: int) -> None:
+    """The client leaves after a varying number of event loop steps, each of which is another await."""
 
     async def work() -> None:
         first_requests: list[web.BaseRequest] = []
@@ -525,7 +525,7 @@
 def test_a_late_request_during_shutdown_is_accepted_only_if_it_ends_in_time(
     late: bool, left_s: float, path: str, status: int
 ) -> None:
-    """A deadline of 150 ms ends before the process does, one of 2.5 s may not."""
+    """A deadline of 150 ms passes before the process ends, one of 2.5 s may not."""
 
     async def work() -> None:
         worker = StandInWorker(respond)
--- a/tests/cluster/test_settings.py
+++ b/tests/cluster/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: values, defaults and the first problem."""
+"""Settings file of a process: values, defaults and the report of the first problem."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 """
 
 
-def test_a_settings_file_is_read_and_what_is_unknown_is_skipped() -> None:
+def test_a_settings_file_is_read_and_unknown_settings_are_ignored() -> None:
     settings = parse_settings(SETTINGS, "boot.toml")
     assert settings.peer_address == "10.0.0.1:7000"
     assert settings.peer_address_of("10.0.0.2:80") == "10.0.0.2:7000"
@@ -28,7 +28,7 @@
     assert settings.bounds.drain_s == 2.0
 
 
-def test_each_figure_of_the_rule_on_quotas_is_read_by_its_own_name() -> None:
+def test_each_value_of_the_quota_rule_is_read_by_its_own_name() -> None:
     text = SETTINGS + "quota_window_s = 3\nquota_overage = 0.25\nquota_slack = 17\n"
     assert parse_settings(text, "boot.toml").bounds.quota == QuotaRule(window_s=3, overage=0.25, slack=17)
 
@@ -42,12 +42,12 @@
         (('zone = "z"', "zone = "), "read settings"),
     ],
 )
-def test_a_settings_file_that_cannot_be_used_says_where(change: tuple[str, str], named: str) -> None:
+def test_the_error_of_an_invalid_settings_file_names_the_file(change: tuple[str, str], named: str) -> None:
     with pytest.raises(InvalidSettingsError, match=named):
         parse_settings(SETTINGS.replace(*change), "boot.toml")
 
 
-def test_a_bound_on_contact_that_no_heartbeat_can_keep_is_refused_with_both_values() -> None:
+def test_a_contact_bound_below_the_heartbeat_interval_is_rejected_with_both_values() -> None:
     text = SETTINGS.replace('zone = "z"', 'zone = "z"\nheartbeat_ms = 1200') + "contact_ms = 900\n"
     with pytest.raises(InvalidSettingsError, match=r"contact_ms 900 .* heartbeat_ms 1200"):
         parse_settings(text, "boot.toml")
--- a/tests/cluster/test_tenant_requests.py
+++ b/tests/cluster/test_tenant_requests.py
@@ -1,4 +1,4 @@
-"""Requests with API keys on real sockets: who may run, as whose request, and what the worker is told."""
+"""Requests with API keys on real sockets: authorization, tenant, and the headers sent to the worker."""
 
 import asyncio
 import json
@@ -66,7 +66,7 @@
 
 
 def with_loaded_model(harness: RouterHarness, service: str = "s") -> Pools:
-    """Pools in which all workers have the model `m9`, and serve that service."""
+    """Returns pools in which all workers serve that service and have loaded the model `m9`."""
     members = {}
     for instance, member in harness.router.pools.members.items():
         member.worker.service = service
@@ -74,7 +74,7 @@
     return Pools().with_changes(members)
 
 
-# --- who may run
+# --- authorization
 
 
 @pytest.mark.parametrize(
@@ -112,7 +112,7 @@
 
 
 async def status_of(harness: RouterHarness, *header_lines: str) -> int:
-    """Status of a request with these lines as they stand; the client library merges headers of one name."""
+    """Returns the status of a request with exactly these lines; the client library would merge headers."""
     reader, writer = await asyncio.open_connection(*harness.listener.bound_address.split(":"))
     lines = ["POST /once/ HTTP/1.1", "Host: a.example", f"{REQUEST_ID_HEADER}: id-1", *header_lines]
     writer.write("\r\n".join([*lines, "Connection: close", "", ""]).encode("latin-1"))
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("text", ["north-1\xe9", "n\xf6rth-1", "\xff", "north-1\t", "north\t-1"])
-def test_bytes_beyond_ascii_never_end_a_request_with_an_error(text: str) -> None:
+def test_bytes_beyond_ascii_never_cause_an_error(text: str) -> None:
     async def work() -> None:
         worker = StandInWorker(respond)
         async with tenant_harness(worker) as harness:
@@ -179,7 +179,7 @@
     run_with_timeout(work)
 
 
-# --- what the worker is told
+# --- headers sent to the worker
 
 
 @pytest.mark.parametrize(
@@ -198,7 +198,7 @@
         ("/public/", {**key("south-1"), TENANT_HEADER: "north"}, "south"),
     ],
 )
-def test_the_worker_is_told_the_tenant_and_never_the_key(
+def test_the_worker_receives_the_tenant_and_never_the_key(
     path: str, headers: dict[str, str], tenant: str | None
 ) -> None:
     async def work() -> None:
@@ -213,7 +213,7 @@
     run_with_timeout(work)
 
 
-def test_a_client_names_no_tenant_however_often_it_tries() -> None:
+def test_tenant_headers_of_a_client_are_never_forwarded() -> None:
     async def work() -> None:
         seen: list[list[str]] = []
 
@@ -230,7 +230,7 @@
     run_with_timeout(work)
 
 
-def test_without_tenants_the_headers_pass_unchanged() -> None:
+def test_without_tenants_the_headers_are_forwarded_unchanged() -> None:
     async def work() -> None:
         worker = StandInWorker(respond)
         async with router_harness(worker) as harness:
@@ -253,7 +253,7 @@
     ],
     ids=["the tenant's", "the route's", "a service without an engine"],
 )
-def test_the_priority_of_a_tenant_goes_before_that_of_the_route(
+def test_the_priority_of_a_tenant_overrides_that_of_the_route(
     path: str, sent_key: str, priority: str
 ) -> None:
     async def work() -> None:
@@ -271,7 +271,7 @@
     run_with_timeout(work)
 
 
-# --- a key that is not known yet
+# --- keys that are not known yet
 
 
 def refreshing(
@@ -319,7 +319,9 @@
     run_with_timeout(work)
 
 
-def test_a_request_that_can_not_be_judged_is_logged_as_unconfirmed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_rejection_by_an_unconfirmed_configuration_is_logged_as_unconfirmed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     reasons: list[str] = []
     monkeypatch.setattr(
         "finchladder.cluster.process.client_responses.event",
@@ -346,10 +348,10 @@
     ],
 )
 @pytest.mark.parametrize("model", ["", "absent"])
-def test_a_refused_request_is_logged_with_its_tenant(
+def test_a_rejected_request_is_logged_with_its_tenant(
     path: str, headers: dict[str, str], tenant: str, model: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The worker refuses it, or nobody has its model."""
+    """Either the worker rejects the request, or no worker has its model."""
     events: list[tuple[str, dict[str, Any]]] = []
     monkeypatch.setattr(
         "finchladder.cluster.process.client_responses.event",
@@ -380,13 +382,13 @@
     run_with_timeout(work)
 
 
-# --- a configuration that changes while a request is under way
+# --- configuration changes during a request
 
 
 async def response_after_change_in_queue(
     harness: RouterHarness, path: str, headers: dict[str, str], newer: ConfigurationSnapshot
 ) -> ClientResponse:
-    """Sends a request whose model nobody has, activates `newer` while it waits, then brings the model."""
+    """Queues a request without a replica of its model, activates `newer`, then adds the replica."""
     sent = {**headers, "X-Finchladder-Model": "m9"}
     sending = asyncio.create_task(harness.send(path, b"{}", **sent).__aenter__())
     while not harness.router.demand.collect(0.0):
@@ -463,7 +465,7 @@
         (key("nobody"), snapshot(2), 200),
     ],
 )
-def test_a_queued_request_is_not_refused_for_good_when_tenants_appear_that_have_its_key(
+def test_a_queued_request_may_be_retried_when_new_tenants_have_its_key(
     headers: dict[str, str],
     newer: ConfigurationSnapshot,
     status: int,
@@ -499,7 +501,7 @@
         ({}, snapshot(2), 503),
     ],
 )
-def test_a_queued_request_of_nobody_on_a_public_route_is_sent_while_there_are_tenants(
+def test_a_queued_request_without_a_tenant_on_a_public_route_is_sent_while_there_are_tenants(
     headers: dict[str, str], newer: ConfigurationSnapshot, status: int
 ) -> None:
     async def work() -> None:
@@ -519,7 +521,7 @@
 @pytest.mark.parametrize(
     "headers", [{}, key("north-1"), key("nobody"), {TENANT_HEADER: "south"}, {"Authorization": "Basic abc"}]
 )
-def test_no_key_and_no_claim_is_passed_on_from_a_public_route_when_tenants_appear(
+def test_a_public_route_forwards_no_key_and_no_tenant_header_when_tenants_appear(
     headers: dict[str, str],
 ) -> None:
     async def work() -> None:
@@ -582,7 +584,7 @@
     run_with_timeout(work)
 
 
-def test_a_running_stream_goes_on_after_its_key_was_revoked_but_is_not_resumed() -> None:
+def test_a_running_stream_continues_after_its_key_was_revoked_but_is_not_resumed() -> None:
     async def work(is_cut_off: bool) -> tuple[bytes, int]:
         may_end = asyncio.Event()
 
@@ -604,7 +606,7 @@
             may_end.set()
             try:
                 received += await response.content.read()
-            except Exception:  # noqa: BLE001 - any: the connection was aborted
+            except Exception:  # noqa: BLE001 - any exception: the connection was aborted
                 received += b"broken"
         return received, len(second_worker.requests)
 
@@ -619,7 +621,7 @@
     run_with_timeout(both)
 
 
-def test_a_resumed_stream_has_the_label_of_its_tenant() -> None:
+def test_a_resumed_stream_has_its_tenant_header() -> None:
     async def work() -> None:
         async def first(request: web.BaseRequest) -> web.StreamResponse:
             return await stream_events(request, 1, 2, b"id: 3\nda")
@@ -636,8 +638,8 @@
     run_with_timeout(work)
 
 
-def test_a_request_is_judged_and_served_by_the_configuration_of_its_arrival() -> None:
-    """Its body arrives while the newer one replaces the limit, the service's engine and the route."""
+def test_a_request_is_authorized_and_served_by_the_configuration_of_its_arrival() -> None:
+    """While the body arrives, a newer configuration replaces the size limit, the engine and the route."""
 
     async def work() -> None:
         worker = StandInWorker(respond)
--- a/tests/cluster/test_tenants_of_nodes.py
+++ b/tests/cluster/test_tenants_of_nodes.py
@@ -1,4 +1,4 @@
-"""Tenants and quotas of a control process and a dispatcher as `run` wires them, on real sockets."""
+"""Tenants and quotas of a control process and a dispatcher as connected by `run`, on real sockets."""
 
 import asyncio
 import json
@@ -25,14 +25,14 @@
 TENANT_HEADER = "X-Finchladder-Tenant"
 TOKEN_COUNT_HEADER = "X-Finchladder-Token-Count"
 POLL_S = 0.02
-UNSERVED = {401, 503}  # of an unknown key: 503 where no source confirms it within 0.2 s, as on a busy machine
-MAX_WAIT_S = 6.0  # for a status that must come, so that a failure tells what came instead
+UNKNOWN_KEY_STATUSES = {401, 503}  # 503 if no source confirms within 0.2 s, as on a busy machine
+MAX_WAIT_S = 6.0  # limit for an expected status, so that a failure reports the others
 HEARTBEAT_S = 0.2
 RATE_PER_S = BURST = 1000
 WINDOW_S, OVERAGE, SLACK = 1.0, 0.1, 0.0
-REFILL_PER_S = 1200 / 1.9  # what the rule leaves beyond the burst, over a window and the validity of a grant
+REFILL_PER_S = 1200 / 1.9  # units beyond the burst, over a window and the validity of a grant
 FLOOD_COST = 100
-LONGEST_WAIT_S = max(MIN_RETRY_AFTER_S, FLOOD_COST / REFILL_PER_S)
+MAX_RETRY_AFTER_S = max(MIN_RETRY_AFTER_S, FLOOD_COST / REFILL_PER_S)
 LIMITED = {"unit": "token_count", "rate_per_s": RATE_PER_S, "burst": BURST}
 NORTH = {"name": "north", "api_keys": ["north-1", "north-2"], **LIMITED}
 SOUTH = {"name": "south", "api_keys": ["south-1"]}
@@ -70,7 +70,7 @@
 
 
 class Answer(NamedTuple):
-    """A response; `retry_after`: its header, empty if it has none."""
+    """A response; `retry_after`: header value, empty if there is none."""
 
     status: int
     retry_after: str
@@ -78,7 +78,7 @@
 
 @define
 class TokenWorker:
-    """A stand-in worker that keeps the headers of each request and records its arrival."""
+    """A stand-in worker that records the headers and the arrival of each request."""
 
     oracle: QuotaOracle = field(factory=QuotaOracle)
     received: list[dict[str, str]] = field(factory=list)
@@ -94,7 +94,7 @@
 
 @define
 class Cluster:
-    """A control process, a dispatcher and a worker that run."""
+    """A running control process, dispatcher and worker."""
 
     core: CoreNode
     dispatcher: DispatcherNode
@@ -104,7 +104,7 @@
     sent: int = 0
 
     async def send(self, api_key: str, **headers: str) -> Answer:
-        """A client's request with that key."""
+        """Sends a client's request with that key."""
         self.sent += 1
         all_headers = {
             "Host": "a.example",
@@ -118,33 +118,33 @@
             return Answer(response.status, response.headers.get("Retry-After", ""))
 
     async def send_until(self, status: int, api_key: str) -> list[int]:
-        """All statuses up to the first one that is expected."""
+        """Repeats a request until it gets the expected status; returns all statuses."""
         statuses: list[int] = []
-        give_up_at = steady() + MAX_WAIT_S
+        deadline = steady() + MAX_WAIT_S
         while status not in statuses:
-            assert steady() < give_up_at, f"only {set(statuses)}"
+            assert steady() < deadline, f"only {set(statuses)}"
             statuses.append((await self.send(api_key)).status)
             await asyncio.sleep(POLL_S)
         return statuses
 
     async def configure(self, method: str, base: int, change: dict[str, Any]) -> int:
-        """The status of an operator's change."""
+        """Sends an operator's configuration change, and returns the status."""
         url = f"http://{self.core.settings.control}/api/config"
         body = json.dumps(change).encode()
         async with self.client.request(method, url, data=body, headers={"If-Match": str(base)}) as response:
             return response.status
 
     async def set_keys(self, version: int, *api_keys: str) -> None:
-        """Gives the unlimited tenant these keys alone."""
+        """Replaces the keys of the unlimited tenant."""
         tenant = {**SOUTH, "api_keys": list(api_keys)}
         change = {"version": version, "upsert": {"tenants": [tenant]}}
         assert await self.configure("PATCH", version - 1, change) == 200
 
 
 def settings_of_both(data_dir: Path) -> tuple[Settings, Settings]:
-    """Settings of the control process and of the dispatcher.
+    """Returns the settings of the control process and of the dispatcher.
 
-    The dispatcher has no peer port of its own; its other address tells it from its source of updates.
+    The dispatcher has no separate peer port; its IP address differs from that of its source of updates.
     """
     common: dict[str, Any] = {
         "data_dir": data_dir,
@@ -163,13 +163,13 @@
 
 @asynccontextmanager
 async def running(node: CoreNode | DispatcherNode) -> AsyncIterator[Callable[[], Awaitable[None]]]:
-    """Runs a node; what is yielded stops it and waits for its end."""
+    """Runs a node; yields a function that stops it and waits for its end."""
     stop = asyncio.Event()
-    life = asyncio.create_task(node.run(stop))
+    node_task = asyncio.create_task(node.run(stop))
 
     async def end() -> None:
         stop.set()
-        await life
+        await node_task
 
     try:
         yield end
@@ -178,7 +178,7 @@
 
 
 async def send_heartbeats(client: aiohttp.ClientSession, control: str, address: str) -> None:
-    """A worker's heartbeats until it is cancelled; while no control process listens they are lost."""
+    """Sends a worker's heartbeats until it is cancelled; ignores an unreachable control process."""
     heartbeat = {"service": "s", "address": address, "zone": "z", "slots": 32, "sequence": 0}
     while True:
         heartbeat["sequence"] = int(str(heartbeat["sequence"])) + 1
@@ -204,7 +204,7 @@
 
 @asynccontextmanager
 async def running_cluster(data_dir: Path) -> AsyncIterator[Cluster]:
-    """A cluster that has the configuration and serves."""
+    """Runs a cluster with an active configuration and a ready dispatcher."""
     core_settings, dispatcher_settings = settings_of_both(data_dir)
     core, dispatcher = CoreNode(core_settings), DispatcherNode(dispatcher_settings)
     async with AsyncExitStack() as stack:
@@ -220,7 +220,7 @@
 
 
 async def put_configuration(cluster: Cluster) -> None:
-    """The operator's first document, again while the chain comes to be."""
+    """Sends the first configuration, repeatedly until the chain exists."""
     status = 0
     while status != 200:
         await asyncio.sleep(POLL_S)
@@ -229,7 +229,7 @@
 
 
 async def check_identity(cluster: Cluster) -> None:
-    """A key names the tenant, and does not leave the dispatcher."""
+    """Checks that a key selects the tenant and is not forwarded."""
     assert (await cluster.send("south-1", **{TENANT_HEADER: "north"})).status == 200
     headers = cluster.worker.received[-1]
     assert headers[TENANT_HEADER] == "south"
@@ -237,27 +237,27 @@
     assert (await cluster.send("north-2")).status == 200
     assert cluster.worker.received[-1][TENANT_HEADER] == "north"
     served = len(cluster.worker.received)
-    assert set(await cluster.send_until(401, "nobody")) <= UNSERVED
+    assert set(await cluster.send_until(401, "nobody")) <= UNKNOWN_KEY_STATUSES
     assert len(cluster.worker.received) == served
 
 
 async def check_changed_keys(cluster: Cluster) -> None:
-    """A key that was added works within the bound on changes, one that was taken away no longer."""
+    """Checks that added and removed keys take effect within the bound on changes."""
     config_apply_s = cluster.dispatcher.settings.bounds.config_apply_s
     await cluster.set_keys(2, "south-1", "south-2")
     added_at = steady()
-    assert set(await cluster.send_until(200, "south-2")) <= {200, *UNSERVED}
+    assert set(await cluster.send_until(200, "south-2")) <= {200, *UNKNOWN_KEY_STATUSES}
     assert steady() - added_at <= config_apply_s
     await cluster.set_keys(3, "south-2")
     removed_at = steady()
-    assert set(await cluster.send_until(401, "south-1")) <= {200, *UNSERVED}
+    assert set(await cluster.send_until(401, "south-1")) <= {200, *UNKNOWN_KEY_STATUSES}
     assert steady() - removed_at <= config_apply_s
-    assert {(await cluster.send("south-1")).status for _ in range(5)} <= UNSERVED
+    assert {(await cluster.send("south-1")).status for _ in range(5)} <= UNKNOWN_KEY_STATUSES
     assert (await cluster.send("south-2")).status == 200
 
 
 async def check_without_core(cluster: Cluster) -> None:
-    """What only the control process can tell gets 503; a key and a tenant without a limit need none."""
+    """Checks that unknown keys and limited tenants get 503, known keys of unlimited tenants 200."""
     await cluster.stop_core()
     unknown = await cluster.send("nobody")
     assert unknown.status == 503 and float(unknown.retry_after) > 0
@@ -266,12 +266,12 @@
     assert limited.status == 503 and float(limited.retry_after) > 0
 
 
-def test_keys_of_the_operator_decide_who_is_served_and_a_change_of_them_reaches_the_dispatcher(
+def test_configured_keys_and_their_changes_take_effect_at_the_dispatcher(
     tmp_path: Path,
 ) -> None:
     async def work() -> None:
         async with running_cluster(tmp_path) as cluster:
-            await cluster.send_until(200, "north-1")  # the account has a holder
+            await cluster.send_until(200, "north-1")  # waits until the account has a holder
             await check_identity(cluster)
             await check_changed_keys(cluster)
             await check_without_core(cluster)
@@ -280,7 +280,7 @@
 
 
 async def flood(cluster: Cluster, until: float) -> list[Answer]:
-    """One client of the limited tenant that does not wait."""
+    """Sends requests of the limited tenant without backoff."""
     answers = []
     while steady() < until:
         answers.append(await cluster.send("north-1", **{TOKEN_COUNT_HEADER: "60,40"}))
@@ -288,8 +288,8 @@
     return answers
 
 
-async def serve_meanwhile(cluster: Cluster, until: float) -> list[Answer]:
-    """A client of the tenant without a limit, which uses more than the other tenant may."""
+async def send_unlimited(cluster: Cluster, until: float) -> list[Answer]:
+    """Sends requests of the unlimited tenant that exceed the limit of the other tenant."""
     answers = []
     while steady() < until:
         answers.append(await cluster.send("south-1", **{TOKEN_COUNT_HEADER: "600,400"}))
@@ -298,12 +298,12 @@
 
 
 def check_flood(cluster: Cluster, answers: list[Answer]) -> None:
-    """Served up to the limit, then 429; what arrived keeps the rule."""
+    """Checks that requests beyond the limit get 429, and that the served ones keep the rule."""
     statuses = {answer.status for answer in answers}
     assert statuses == {200, 429}
     assert answers[0].status == 200
     waits_s = [float(answer.retry_after) for answer in answers if answer.status == 429]
-    assert min(waits_s) >= 0 and 0 < max(waits_s) <= LONGEST_WAIT_S + 0.01, "rounded to 0.01 s"
+    assert min(waits_s) >= 0 and 0 < max(waits_s) <= MAX_RETRY_AFTER_S + 0.01, "rounded to 0.01 s"
     excess = cluster.worker.oracle.worst_excess(
         "north", window_s=WINDOW_S, rate=RATE_PER_S, burst=BURST, overage=OVERAGE, slack=SLACK
     )
@@ -312,13 +312,13 @@
     assert FLOOD_COST * len(answers) > 3 * bound, "the flood is more than the bound allows"
 
 
-def test_a_flood_is_cut_to_the_quota_of_the_settings_and_delays_no_other_tenant(tmp_path: Path) -> None:
+def test_a_flood_is_limited_to_the_configured_quota_and_delays_no_other_tenant(tmp_path: Path) -> None:
     async def work() -> None:
         async with running_cluster(tmp_path) as cluster:
             await cluster.send_until(200, "north-1")
             until = steady() + 3 * WINDOW_S
             clients = [flood(cluster, until) for _ in range(4)]
-            *flooded, others = await asyncio.gather(*clients, serve_meanwhile(cluster, until))
+            *flooded, others = await asyncio.gather(*clients, send_unlimited(cluster, until))
             for answers in flooded:
                 assert 429 in {answer.status for answer in answers}
             check_flood(cluster, [answer for answers in flooded for answer in answers])
--- a/tests/cluster/test_update_puller.py
+++ b/tests/cluster/test_update_puller.py
@@ -1,4 +1,4 @@
-"""Which control processes a dispatcher long-polls and polls, at virtual time."""
+"""Choice of the control processes that a dispatcher long-polls and polls, in virtual time."""
 
 import asyncio
 from collections import Counter
@@ -26,7 +26,7 @@
 
 @define
 class Cores:
-    """Control processes that answer pulls; some are cut off from the dispatcher or from the other cores."""
+    """Control processes; some are unreachable for the dispatcher or cut off from the other ones."""
 
     unreachable: set[str] = field(factory=set)
     unconfirmed: set[str] = field(factory=set)
@@ -82,7 +82,7 @@
 
 
 async def started_puller(cores: Cores) -> UpdatePuller:
-    """A dispatcher that has pulled for a while."""
+    """Returns the puller of a dispatcher that has run for 10 s."""
     tasks = Tasks()
     puller = new_puller(cores, tasks)
     tasks.repeat(puller.run, "sources")
@@ -156,9 +156,9 @@
         (ALL - {"core-3:1"}, {"core-2:1"}, set(), False),
         (ALL, {"core-2:1"}, ALL, False),
     ],
-    ids=["healthy", "nobody confirms", "lost", "lost, primary unreachable", "one confirms", "nobody answers"],
+    ids=["healthy", "none confirmed", "lost", "lost, primary unreachable", "one confirmed", "none reachable"],
 )
-def test_a_dispatcher_knows_that_most_of_the_core_runs_without_a_quorum(
+def test_a_dispatcher_detects_that_most_of_the_core_runs_without_a_quorum(
     unconfirmed: set[str], without_quorum: set[str], unreachable: set[str], is_lost: bool
 ) -> None:
     async def work() -> None:
@@ -193,7 +193,7 @@
     [(set(), set(), True), ({"core-2:1"}, set(), False), (set(), {"core-2:1"}, False)],
     ids=["confirmed", "unconfirmed", "unreachable"],
 )
-def test_a_pull_beside_the_regular_ones_says_whether_the_primary_is_confirmed(
+def test_a_single_pull_returns_whether_the_primary_is_confirmed(
     unconfirmed: set[str], unreachable: set[str], is_confirmed: bool
 ) -> None:
     async def work() -> None:
@@ -208,7 +208,7 @@
     run(work())
 
 
-def test_a_pull_without_a_primary_confirms_nothing() -> None:
+def test_a_single_pull_without_a_primary_returns_false() -> None:
     async def work() -> None:
         cores = Cores()
         assert not await new_puller(cores, Tasks()).pull_once(0.2)
--- a/tests/cluster/test_update_server.py
+++ b/tests/cluster/test_update_server.py
@@ -1,4 +1,4 @@
-"""How often the update server answers dispatchers, at virtual time."""
+"""Batching of updates to dispatchers, in virtual time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,7 +15,7 @@
 
 
 async def update_count(scene: SessionScene, dispatchers: int, write: Callable[[int], Awaitable[Any]]) -> int:
-    """Number of updates that one dispatcher gets while something changes 100 times in 2 s."""
+    """Returns the number of updates that one dispatcher gets during 100 changes in 2 s."""
     for number in range(dispatchers - 1):
         await scene.updates.on_pull(msgspec.structs.replace(pull({}), sender=f"other-{number}"))
     answers = 0
@@ -62,8 +62,8 @@
     assert run_virtual(work) == 100
 
 
-def test_a_poll_beside_a_long_poll_leaves_its_subscriber_a_long_polling_one() -> None:
-    """Who acknowledges a drain waits for those that long-poll."""
+def test_a_poll_during_a_long_poll_leaves_its_subscriber_long_polling() -> None:
+    """The acknowledgement of a drain waits for long-polling subscribers."""
 
     async def work() -> list[bool]:
         scene = session_scene()
--- a/tests/cluster/test_worker_backoff.py
+++ b/tests/cluster/test_worker_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff of workers after each kind of failed attempt, at virtual time."""
+"""Backoff of workers after each kind of failed attempt, in virtual time."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 def backoffs_s(worker: Worker, request: ClassifiedRequest, failure: FailedAttempt) -> tuple[float, float]:
-    """Seconds for which the worker, and the request's key there, back off after a failure."""
+    """Returns the backoff after a failure, of the worker and of the request's key, in seconds."""
 
     async def work() -> tuple[float, float]:
         record_failure(worker, request, failure)
--- a/tests/cluster/test_worker_client.py
+++ b/tests/cluster/test_worker_client.py
@@ -1,4 +1,4 @@
-"""The client of control processes to workers, on real sockets."""
+"""Client of control processes for workers, on real sockets."""
 
 import asyncio
 import time
@@ -18,7 +18,7 @@
 
 
 def is_running_before_and_after_stop(status: int, instance: str) -> tuple[bool, bool]:
-    """Whether i-1 runs, while a worker responds with that status and instance, and after it stopped."""
+    """Returns whether i-1 runs while a worker responds with that status and instance, and afterwards."""
 
     async def healthz(request: web.BaseRequest) -> web.StreamResponse:
         assert request.path == HEALTH_PATH
@@ -72,7 +72,7 @@
 
 
 def test_a_surplus_response_to_a_report_is_not_taken_for_that_to_an_order() -> None:
-    """A worker that answers each report twice, the second time just before the order comes."""
+    """The worker responds to each report call twice, the second time just before an order arrives."""
 
     async def work() -> int:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/cluster/test_worker_expiry.py
+++ b/tests/cluster/test_worker_expiry.py
@@ -1,4 +1,4 @@
-"""Loss of workers whose heartbeats stop, and expiry of old entries, at virtual time."""
+"""Loss of workers without heartbeats, and expiry of old entries, in virtual time."""
 
 import asyncio
 from typing import Any
@@ -26,8 +26,8 @@
     assert run_virtual(work) == [SessionPhase.READY, SessionPhase.LOST, SessionPhase.READY]
 
 
-def test_a_control_process_that_wakes_from_a_standstill_waits_for_the_next_heartbeats() -> None:
-    """Nobody's heartbeats could be read meanwhile; whose do not come after it either is lost."""
+def test_a_control_process_that_resumes_after_a_stall_waits_for_the_next_heartbeats() -> None:
+    """No heartbeats can be read during a stall; a worker without later heartbeats is lost."""
 
     async def work() -> list[SessionPhase]:
         scene = session_scene()
@@ -49,7 +49,7 @@
 
 
 def phases_at_a_peer(after_s: tuple[float, ...], **scene_options: Any) -> list[SessionPhase]:
-    """The phases of a worker at a control process that cannot reach its owner."""
+    """Returns the phases of a worker at a control process that cannot reach its owner."""
 
     async def work() -> list[SessionPhase]:
         owner, other = session_scene("core-1"), session_scene("core-2", **scene_options)
@@ -72,12 +72,12 @@
     assert phases_at_a_peer((6.0, 2.0)) == [SessionPhase.READY, SessionPhase.LOST]
 
 
-def test_a_worker_that_answers_itself_stays_ready_while_its_owner_is_cut_off() -> None:
+def test_a_worker_that_responds_stays_ready_while_its_owner_is_cut_off() -> None:
     assert phases_at_a_peer((8.0,) * 5, answering=("i-1",)) == [SessionPhase.READY] * 5
     assert phases_at_a_peer((8.0,) * 2, answering=("i-2",)) == [SessionPhase.LOST] * 2
 
 
-def test_a_control_process_that_is_cut_off_from_the_chain_judges_nobody() -> None:
+def test_a_control_process_that_is_cut_off_from_the_chain_marks_no_worker_as_lost() -> None:
     assert phases_at_a_peer((8.0, 8.0), confirmed=False) == [SessionPhase.READY] * 2
 
 
--- a/tests/cluster/test_worker_retirement.py
+++ b/tests/cluster/test_worker_retirement.py
@@ -1,4 +1,4 @@
-"""Retirements of workers in the chain, at virtual time."""
+"""Retirements of workers in the chain, in virtual time."""
 
 import asyncio
 
@@ -51,7 +51,7 @@
 
 
 async def control_planes(world: World) -> list[ControlPlane]:
-    """Of a settled core, in the order of the chain."""
+    """Returns the control planes of a core with a confirmed chain, in the order of the chain."""
     for _ in range(world.count):
         world.start(world.add(True))
     await asyncio.sleep(4.0)
@@ -71,7 +71,7 @@
 
 
 def test_retirements_are_kept_by_their_age_and_not_by_their_number() -> None:
-    """2,000 drains within a minute are all kept; after the retention the next one takes their places."""
+    """2,000 drains within a minute are all kept; the next one after the retention replaces them."""
 
     async def work() -> None:
         head = (await control_planes(World(5)))[0]
--- a/tests/cluster/test_worker_sessions.py
+++ b/tests/cluster/test_worker_sessions.py
@@ -1,4 +1,4 @@
-"""Heartbeats, draining and deregistration of workers, at virtual time."""
+"""Heartbeats, draining and deregistration of workers, in virtual time."""
 
 import pytest
 
