--- a/finchladder/cluster/process/chain_service.py
+++ b/finchladder/cluster/process/chain_service.py
@@ -292,7 +292,7 @@
         return StateReply(replica.state)
 
     async def _view_is_newest(self, view: View) -> bool:
-        """Returns whether a majority of the voters has learned and accepted no later view."""
+        """Returns whether a majority of the voters has neither learned nor accepted a later view."""
         agreement = self.agreement
         ping = Ping(agreement.me, view.number, False)
         others = [voter.peer_address for voter in view.voters if voter.disk_id != agreement.me.disk_id]
--- a/finchladder/cluster/process/quota_client.py
+++ b/finchladder/cluster/process/quota_client.py
@@ -91,7 +91,7 @@
                 self._abandon(waiter)
         return outcome
 
-    def give_back(self, reservation: Reservation) -> None:
+    def return_reservation(self, reservation: Reservation) -> None:
         """Queues the return of a reservation that was not spent and will not be spent."""
         self._returns.append(reservation)
         self._changed.fire()
@@ -109,7 +109,7 @@
             return
         outcome = None if waiter.outcome_future.cancelled() else waiter.outcome_future.result()
         if isinstance(outcome, Reservation):
-            self.give_back(outcome)
+            self.return_reservation(outcome)
 
     async def run(self) -> None:
         """Sends waiting requests until it is cancelled; one message is in flight at a time.
@@ -181,7 +181,7 @@
             if all(grant.granted):
                 reservation = Reservation(waiter.tenant, waiter.cost, reply.term, grant_valid_until(asked_at))
                 if waiter.outcome_future.done():
-                    self.give_back(reservation)
+                    self.return_reservation(reservation)
                 else:
                     waiter.outcome_future.set_result(reservation)
             else:
--- a/finchladder/cluster/process/request_quota.py
+++ b/finchladder/cluster/process/request_quota.py
@@ -16,7 +16,7 @@
         """Returns a reservation for one request, or the reason why there is none."""
         ...
 
-    def give_back(self, reservation: Reservation) -> None:
+    def return_reservation(self, reservation: Reservation) -> None:
         """Gives back a reservation that was not spent."""
         ...
 
@@ -28,7 +28,7 @@
         """Refuses the reservation."""
         return QuotaUnavailable()
 
-    def give_back(self, reservation: Reservation) -> None:
+    def return_reservation(self, reservation: Reservation) -> None:
         """Does nothing, since no reservation was granted."""
 
 
@@ -83,5 +83,5 @@
     def release(self) -> None:
         """Gives back an unspent reservation at the end of the request."""
         if self._reservation is not None:
-            self.source.give_back(self._reservation)
+            self.source.return_reservation(self._reservation)
             self._reservation = None
--- a/finchladder/cluster/process/update_server.py
+++ b/finchladder/cluster/process/update_server.py
@@ -23,7 +23,7 @@
 SUBSCRIBER_TIMEOUT_S = 2.5  # a subscriber that has not pulled for longer does not count as live
 SUBSCRIBER_RETENTION_S = 60.0
 MAX_LONG_POLL_S = 2.0
-BATCH_INTERVAL_PER_DISPATCHER_S = 0.001  # minimum time between updates to a dispatcher, times their count
+BATCH_INTERVAL_PER_DISPATCHER_S = 0.001  # time between updates to a dispatcher, per dispatcher
 MAX_BATCH_INTERVAL_S = 0.25
 URGENCY_CHECK_INTERVAL_S = 0.02  # changes are too frequent to examine each of them
 DISPATCHER_COUNT_INTERVAL_S = 0.1
--- a/finchladder/cluster/process/worker_retirement.py
+++ b/finchladder/cluster/process/worker_retirement.py
@@ -36,7 +36,7 @@
     pending: dict[str, WorkerRetirement] = field(factory=dict)  # not stored yet, keyed by instance
     _first_read_at: dict[str, float] = field(
         factory=dict, init=False
-    )  # time of the first reading, by instance
+    )  # time of the first reading, keyed by instance
 
     async def record(self, retirement: WorkerRetirement) -> bool:
         """Stores a retirement in the chain; returns True once it is stored."""
--- a/tests/cluster/test_quota_client.py
+++ b/tests/cluster/test_quota_client.py
@@ -329,8 +329,8 @@
         while not isinstance(after, Reservation):
             after = await scene.client.reserve(TENANT, 1, steady() + 1.0)
             await asyncio.sleep(0.05)
-        scene.client.give_back(before)
-        scene.client.give_back(after)
+        scene.client.return_reservation(before)
+        scene.client.return_reservation(after)
         await asyncio.sleep(1.0)
         returns = [r for request in scene.holder.requests for r in request.returns]
         assert [r.units for r in returns] == [1]
--- a/tests/cluster/test_review_resume.py
+++ b/tests/cluster/test_review_resume.py
@@ -52,7 +52,7 @@
         self.reserved += 1
         return outcome(tenant, cost)
 
-    def give_back(self, reservation: Reservation) -> None:
+    def return_reservation(self, reservation: Reservation) -> None:
         self.returned.append(reservation)
 
 
