--- a/finchladder/core/overload/unread_queue.py
+++ b/finchladder/core/overload/unread_queue.py
@@ -1,4 +1,4 @@
-"""Queue of complete messages that were received and not yet parsed, by job class and lateness."""
+"""Queue of complete messages that were received but not parsed yet, by job class and lateness."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -7,36 +7,38 @@
 
 from finchladder.core.api import JobClass
 
-MAX_IN_TIME_QUEUED = 0.5  # of its latency target that a job may wait unread and still be answered within it
-# of its latency target that the oldest job may have waited while jobs are read in order
+# Fraction of its latency target that a job may wait unread and still be answered in time.
+MAX_IN_TIME_QUEUED = 0.5
+# Fraction of its latency target that the oldest job may wait while jobs are read in order of arrival.
 MAX_FIFO_QUEUED = 0.2
-MIN_HEAP_SIZE = 64  # the heap of deadlines is compacted only beyond this size
-MAX_HEAP_ENTRIES_PER_ITEM = 4  # and beyond so many entries for each queued item
+# The heap of deadlines is compacted beyond MIN_HEAP_SIZE plus MAX_HEAP_ENTRIES_PER_ITEM entries per item.
+MIN_HEAP_SIZE = 64
+MAX_HEAP_ENTRIES_PER_ITEM = 4
 
 ItemT = TypeVar("ItemT")
 
 
 class _Position(NamedTuple, Generic[ItemT]):
-    """Where an item is queued."""
+    """The position of an item in the queues."""
 
     queue: OrderedDict[ItemT, float]
-    sequence: int  # of its entry among the deadlines
+    sequence: int  # sequence number of its valid heap entry
 
 
 class UnreadQueue(Generic[ItemT]):
-    """Queued items: for each class one queue of those in time, and one of those past their latency target.
+    """Queued items: per class one queue of items in time, and one of items past their latency target.
 
-    An item is kept with the time at which its client sent it first, as far as known, and with a deadline, by
-    which it is to be rejected. Times are in seconds of the caller's clock. Methods take O(classes), and
-    O(log n) for the deadlines. At most 5 deadlines per item are kept, or 64 in all.
+    Each item has the time at which its client first sent it, as far as known, and a deadline by which it must
+    be rejected. Times are in seconds of the caller's clock. Methods take O(classes), and O(log n) for the
+    deadlines. At most 5 deadlines per item are stored, or 64 in total.
     """
 
     def __init__(self, classes: Sequence[JobClass]) -> None:
-        # ordered: a plain dict finds its first entry only past all that were removed from there
+        # OrderedDict, as a plain dict scans all entries removed at its start to find the first one
         self.in_time: dict[str, OrderedDict[ItemT, float]] = {c.name: OrderedDict() for c in classes}
         self.late: dict[str, OrderedDict[ItemT, float]] = {c.name: OrderedDict() for c in classes}
         self.positions: dict[ItemT, _Position[ItemT]] = {}
-        # a heap of (deadline, sequence, item); of an item only the entry with its sequence is valid
+        # heap of (deadline, sequence, item); only the entry with the item's sequence number is valid
         self.deadlines: list[tuple[float, int, ItemT]] = []
         self.last_sequence = 0
 
@@ -51,9 +53,9 @@
         Args:
             now: The current time.
             job_class: The item's class, one of those passed to the constructor.
-            item: What is queued; it is in no queue yet.
-            sent_at: When its client sent the request first.
-            reject_at: The deadline by which it is to be rejected.
+            item: The item; it must not be queued already.
+            sent_at: When its client first sent the request.
+            reject_at: The deadline by which the item must be rejected.
         """
         queues = self.in_time if now - sent_at < job_class.latency_target_s else self.late
         queue = queues[job_class.name]
@@ -66,15 +68,15 @@
             heapify(self.deadlines)
 
     def remove(self, item: ItemT) -> None:
-        """Removes an item whose client has left; does nothing if it is not queued."""
+        """Removes an item whose client has disconnected; does nothing if it is not queued."""
         if (position := self.positions.pop(item, None)) is not None:
             del position.queue[item]
 
     def pop_in_time(self, now: float, classes: Sequence[JobClass]) -> ItemT | None:
-        """Removes and returns an item of the first class that has one to be answered in time.
+        """Removes and returns an item of the first class with an item that can be answered in time.
 
-        That is the oldest, and the newest once the oldest has waited for MAX_FIFO_QUEUED of the latency
-        target: then most items wait hardly at all and a few until their deadline, rather than all too long.
+        This is the oldest item, or the newest one if the oldest has waited for MAX_FIFO_QUEUED of the latency
+        target: then most items hardly wait and a few wait until their deadline, rather than all too long.
 
         Args:
             now: The current time.
@@ -94,7 +96,7 @@
         return None
 
     def pop_newest(self, classes: Sequence[JobClass]) -> ItemT | None:
-        """Removes and returns the newest item of the first class that has any, a late one if there is one.
+        """Removes and returns the newest item of the first nonempty class, a late one if there is one.
 
         Args:
             classes: All classes, the most valuable first.
@@ -110,7 +112,7 @@
         return None
 
     def pop_expired(self, now: float) -> ItemT | None:
-        """Removes and returns the item with the earliest deadline if that has passed, otherwise None."""
+        """Removes and returns the item with the earliest deadline if it has passed, otherwise None."""
         while self.deadlines and (self.deadlines[0][0] <= now or not self._is_valid(self.deadlines[0])):
             entry = heappop(self.deadlines)
             if self._is_valid(entry):
@@ -119,7 +121,7 @@
         return None
 
     def pop_least_valuable(self, classes: Sequence[JobClass]) -> ItemT | None:
-        """Removes and returns the oldest item of the last class that has any, late items before the others.
+        """Removes and returns the oldest item of the last nonempty class, late items before the others.
 
         Args:
             classes: All classes, the most valuable first.
@@ -136,7 +138,7 @@
         return None
 
     def _move_late(self, now: float, job_class: JobClass) -> None:
-        """Moves items that have waited too long to be answered in time to the late ones of their class."""
+        """Moves items that can no longer be answered in time to the late queue of their class."""
         in_time, late = self.in_time[job_class.name], self.late[job_class.name]
         max_age_s = MAX_IN_TIME_QUEUED * job_class.latency_target_s
         while in_time and now - in_time[item := next(iter(in_time))] >= max_age_s:
@@ -144,6 +146,6 @@
             self.positions[item] = _Position(late, self.positions[item].sequence)
 
     def _is_valid(self, entry: tuple[float, int, ItemT]) -> bool:
-        """Whether the entry is the deadline of a queued item, not of one that was removed."""
+        """Whether the entry is the current deadline of a queued item."""
         position = self.positions.get(entry[2])
         return position is not None and position.sequence == entry[1]
--- a/tests/core/oracle.py
+++ b/tests/core/oracle.py
@@ -1,4 +1,4 @@
-"""What the indexes replace: scans of the whole fleet and of all open jobs, and rings built anew."""
+"""A reference dispatcher without indexes: scans all workers and open jobs, and rebuilds its hash rings."""
 
 from bisect import bisect_right
 from collections.abc import Iterator, Mapping
@@ -31,24 +31,26 @@
     return [p for n in range(POINTS // 8) for p in hashes(f"{address}/{ring}/{n}".encode(), 64)]
 
 
-class OldPool:
-    """The pool as it was before the index: two sorted rings, and the least-loaded of the next few in turn."""
+class ReferencePool:
+    """A worker pool without index: two sorted rings, and samples of consecutive workers from `offset` on."""
 
-    def __init__(self, workers: list[Worker], at: int = 0) -> None:
-        self.workers, self.at = workers, at
+    def __init__(self, workers: list[Worker], offset: int = 0) -> None:
+        self.workers, self.offset = workers, offset
         self.rings = []
         for ring in (0, 1):
-            marks = sorted((p, n) for n, w in enumerate(workers) for p in points(w.address, ring))
-            self.rings.append(([p for p, _ in marks], [workers[n] for _, n in marks]))
+            owned = sorted((p, n) for n, w in enumerate(workers) for p in points(w.address, ring))
+            self.rings.append(([p for p, _ in owned], [workers[n] for _, n in owned]))
 
     def pairs(self, key: int, count: int) -> list[list[Worker]]:
-        both = zip(self.rings, hashes(b"%d" % key, 16), strict=True)
-        at = [bisect_right(points, h) for (points, _), h in both]
+        ring_hashes = zip(self.rings, hashes(b"%d" % key, 16), strict=True)
+        starts = [bisect_right(points, h) for (points, _), h in ring_hashes]
         pairs: list[list[Worker]] = []
         seen: dict[str, None] = {}
         for step in range(len(self.rings[0][1])):
-            found = [owners[(i + step) % len(owners)] for i, (_, owners) in zip(at, self.rings, strict=True)]
-            pair = [w for w in dict.fromkeys(found) if w.address not in seen]
+            next_owners = [
+                owners[(i + step) % len(owners)] for i, (_, owners) in zip(starts, self.rings, strict=True)
+            ]
+            pair = [w for w in dict.fromkeys(next_owners) if w.address not in seen]
             seen.update((w.address, None) for w in pair)
             pairs += [pair] if pair else []
             if len(pairs) == count:
@@ -58,40 +60,40 @@
     def sample(self) -> list[Worker]:
         n = len(self.workers)
         return (
-            [self.workers[(self.at + i) % n] for i in range(MAX_CANDIDATES)]
+            [self.workers[(self.offset + i) % n] for i in range(MAX_CANDIDATES)]
             if n > MAX_CANDIDATES
             else self.workers
         )
 
 
-class ScanPool(PoolIndex):
+class ScanPoolIndex(PoolIndex):
     workers: dict[str, Worker]
     kind: NeededPool
     zone: str
-    built: OldPool = OldPool([])
+    cached: ReferencePool = ReferencePool([])
 
     def ready(self) -> list[Worker]:
         return [w for w in self.workers.values() if w.is_ready and self.kind in (None, w.kind)]
 
-    def old(self) -> OldPool:
-        if self.built.workers != (ready := self.ready()):
-            self.built = OldPool(ready)
-        return self.built
+    def reference(self) -> ReferencePool:
+        if self.cached.workers != (ready := self.ready()):
+            self.cached = ReferencePool(ready)
+        return self.cached
 
     def walk_pairs(self, key: int, count: int, first: int = 0) -> Iterator[list[Worker]]:
-        pairs = self.old().pairs(key, count)
+        pairs = self.reference().pairs(key, count)
         return iter(pairs[first:] + pairs[:first])
 
-    def by_load(self, most: int) -> Iterator[Worker]:
-        return islice(sorted(self.ready(), key=lambda w: (w.load, w.zone != self.zone, w.position)), most)
+    def by_load(self, limit: int) -> Iterator[Worker]:
+        return islice(sorted(self.ready(), key=lambda w: (w.load, w.zone != self.zone, w.position)), limit)
 
-    def random_workers(self, random: Random, most: int) -> Iterator[Worker]:
-        points, owners = self.old().rings[0]
-        for _ in range(most):
+    def random_workers(self, random: Random, limit: int) -> Iterator[Worker]:
+        points, owners = self.reference().rings[0]
+        for _ in range(limit):
             yield owners[bisect_right(points, random.getrandbits(64)) % len(owners)]
 
 
-class ScanFleet(WorkerIndex):
+class ScanWorkerIndex(WorkerIndex):
     @property  # type: ignore[override]
     def suspects(self) -> list[Worker]:
         return [w for w in self.workers.values() if w.failure_share > SUSPECT_THRESHOLD]
@@ -100,7 +102,7 @@
     def suspects(self, value: Any) -> None:
         pass
 
-    def update_suspect(self, w: Worker) -> None:
+    def update_suspect(self, worker: Worker) -> None:
         pass
 
     def count_warm(self, now: float) -> int:
@@ -111,14 +113,14 @@
             del self.workers[w.address]
 
 
-class ScanAgenda(JobSchedule):
+class ScanJobSchedule(JobSchedule):
     jobs: dict[str, Job]
 
-    def pop_due(self, now: float, waits: Mapping[str, float], no_retries: bool) -> list[Job]:
+    def pop_due(self, now: float, max_waits_s: Mapping[str, float], no_retries: bool) -> list[Job]:
         return list(self.jobs.values())
 
 
-class AllCounts(KeyFrequency):
+class ExactKeyFrequency(KeyFrequency):
     def __init__(self, settings: Settings) -> None:
         self.all: dict[int, float] = {}
         self.settings = settings
@@ -136,18 +138,18 @@
         self.total *= 1 - SMOOTHING
 
 
-class Scanning(Dispatcher):
-    """The same decisions without any index: what is looked for is looked for among all."""
+class ScanningDispatcher(Dispatcher):
+    """A dispatcher that finds workers and due jobs by scanning all of them."""
 
     def reindex(self) -> None:
         super().reindex()
-        self.worker_index.__class__ = ScanFleet
+        self.worker_index.__class__ = ScanWorkerIndex
         for kind, pool in self.worker_index.pools.items():
-            pool.__class__ = ScanPool
-            assert isinstance(pool, ScanPool)
+            pool.__class__ = ScanPoolIndex
+            assert isinstance(pool, ScanPoolIndex)
             pool.workers, pool.kind, pool.zone = self.workers, kind, self.settings.zone
         job_schedule = self.state.job_schedule
-        job_schedule.__class__ = ScanAgenda
-        assert isinstance(job_schedule, ScanAgenda)
+        job_schedule.__class__ = ScanJobSchedule
+        assert isinstance(job_schedule, ScanJobSchedule)
         job_schedule.jobs = self.jobs
-        self.state.key_frequency = AllCounts(self.settings)
+        self.state.key_frequency = ExactKeyFrequency(self.settings)
--- a/tests/core/test_overload.py
+++ b/tests/core/test_overload.py
@@ -1,4 +1,4 @@
-"""Overload control: what it turns away, when it begins and ends, and whole minutes of it in virtual time."""
+"""Overload controller: which requests it rejects, when it starts and stops, and runs in virtual time."""
 
 from dataclasses import replace
 from functools import cache
@@ -41,7 +41,7 @@
 
 
 def make_shedding(**changed: float) -> tuple[OverloadController[int], float]:
-    """At twice what it can do: views and confirms at a thousand a second each, a millisecond a job."""
+    """Returns a controller at twice its capacity: 1000 views and 1000 confirms per second, 1 ms per job."""
     controller, now = make_controller(**changed), 0.0
     for _ in range(3):
         for _ in range(100):
@@ -55,13 +55,13 @@
 @pytest.mark.parametrize(
     ("lag", "age", "busy", "n", "state"),
     [
-        (0.0, 0.0, 0.07, 400, State.CALM),  # 70 jobs a second of 1 ms
-        (0.0, 0.0, 1.0, 400, State.CALM),  # always at work, and nothing waits
-        (0.5, 0.5, 0.5, 400, State.CALM),  # late, but not by its own work: slow real servers, a pause
+        (0.0, 0.0, 0.07, 400, State.CALM),  # 70 jobs per second of 1 ms each
+        (0.0, 0.0, 1.0, 400, State.CALM),  # always busy, but no queue
+        (0.5, 0.5, 0.5, 400, State.CALM),  # delays with other causes, such as slow workers or a pause
         (0.07, 0.0, 1.0, 8, State.SHEDDING),
-        (0.0, 0.07, 1.0, 8, State.SHEDDING),  # jobs start late, and the loop is at work all the time
-        (0.05, 0.05, 1.0, 400, State.CALM),  # below a fifth of the shortest aim
-        (0.07, 0.0, 1.0, 2, State.CALM),  # not for an interval yet
+        (0.0, 0.07, 1.0, 8, State.SHEDDING),  # jobs start late, and the loop is always busy
+        (0.05, 0.05, 1.0, 400, State.CALM),  # below a fifth of the shortest latency target
+        (0.07, 0.0, 1.0, 2, State.CALM),  # shorter than a control interval
     ],
 )
 def test_shedding_begins_only_with_a_standing_queue_and_a_busy_loop(
@@ -111,13 +111,13 @@
 
 def test_a_request_that_times_out_within_the_queue_delay_is_rejected() -> None:
     controller, now = make_shedding()
-    now = run_ticks(controller, now, 40, 0.07, 1.0)  # nothing more comes, and the queue stays so long
+    now = run_ticks(controller, now, 40, 0.07, 1.0)  # no new requests, and the queue persists
     assert controller.state is State.SHEDDING
     assert controller.admit(now, "confirm", 0.08) is None
     assert controller.admit(now, "confirm", 0.06) is not None
 
 
-def test_reads_in_order_until_the_oldest_waits_long_then_the_newest_and_never_a_late_one() -> None:
+def test_reads_in_order_until_the_oldest_waits_long_then_the_newest_but_never_a_late_one() -> None:
     controller, now = make_shedding()
     for at in (0.0, 0.02, 0.04):
         controller.enqueue(now + at, "view", 5.0, int(100 * at))
@@ -146,7 +146,7 @@
     [
         (5.0, 2.625, 3.5),
         (4.8, 2.52, 3.36),
-        (2.0, 1.9, 1.95),  # comes late: once more, and no sooner than must be
+        (2.0, 1.9, 1.95),  # late: rejected as late as possible
         (0.1, 0.0, 0.05),
         (ANSWER_MARGIN_S, 0.0, 0.0),
         (-1.0, 0.0, 0.0),
@@ -165,7 +165,7 @@
         while (action := controller.next_action(now)).item is not None:
             if action.must_reject:
                 rejected_after_s[action.item] = now - start
-    assert set(rejected_after_s) == set(range(ITEMS))  # none was read, and none is left
+    assert set(rejected_after_s) == set(range(ITEMS))  # all were rejected, none was read
     assert soonest <= min(rejected_after_s.values()) <= max(rejected_after_s.values()) <= latest + 0.01
     assert max(rejected_after_s.values()) - min(rejected_after_s.values()) >= 0.8 * (latest - soonest) - 0.01
 
@@ -175,7 +175,7 @@
     for item in range(ITEMS):
         controller.enqueue(now, "view", 5.0, item)
     controller.remove(7)
-    controller.remove(7)  # again: no harm
+    controller.remove(7)  # a second removal has no effect
     assert controller.must_enqueue
     assert controller.unread.size == ITEMS - 1
     controller.state = State.CALM
@@ -233,7 +233,7 @@
 
 
 @cache
-def overload(retry: str) -> Tally:
+def play_overload(retry: str) -> Tally:
     return play("chosen", Load(ramp(4, 6.0), retry), 7, costs_of(retry))
 
 
@@ -245,13 +245,13 @@
 def test_at_four_times_the_load_goodput_stays_and_latency_recovers_within_two_seconds(
     retry: str, jobs: float
 ) -> None:
-    tally, job_s = overload(retry), costs_of(retry).job_s
-    assert tally.mean(tally.jobs, 7, 11) * job_s >= jobs  # each refusal takes 0.045 of a job
-    assert tally.mean(tally.worth, 7, 11) * job_s >= 9.5 * jobs  # confirms are all that is read
+    tally, job_s = play_overload(retry), costs_of(retry).job_s
+    assert tally.mean(tally.jobs, 7, 11) * job_s >= jobs  # a rejection costs 0.045 of a job
+    assert tally.mean(tally.worth, 7, 11) * job_s >= 9.5 * jobs  # only confirms are read
     assert tally.normal_at(11, 21) <= 2
-    (_, begun), (until, ended) = tally.shed_s  # once each
-    assert (begun, ended) == (State.SHEDDING, State.CALM)
-    assert until - 11 <= CONFIRM.deadline_s + 1  # when the last that asked then is served or has left
+    (_, first), (end_s, second) = tally.shed_s  # exactly two state changes
+    assert (first, second) == (State.SHEDDING, State.CALM)
+    assert end_s - 11 <= CONFIRM.deadline_s + 1  # all clients of the overload are served or timed out by then
 
 
 def test_rejections_without_cost_leave_nearly_full_goodput() -> None:
--- a/tests/core/test_sizes.py
+++ b/tests/core/test_sizes.py
@@ -1,4 +1,4 @@
-"""Ties among many dispatchers, and the homes of hot keys: what is drawn, and what it must leave as it is."""
+"""Random tie-breaking in large fleets, learned capacities, and the pairs of hot keys."""
 
 import random
 from collections import Counter
@@ -17,55 +17,55 @@
 from tests.helpers import Bench, entry, settings, workers
 from tests.test_mechanism import key_with_pair, pair_of
 
-MANY = 200
+MANY = 200  # dispatchers
 
 
 def bench(seed: int, weights: dict[int, float], dispatchers: int = MANY, n: int = 8) -> Bench:
-    listed = [entry(w, weight=weights.get(i, 1.0)) for i, w in enumerate(workers(n))]
-    return Bench(listed, seed=seed, dispatchers=dispatchers)
+    entries = [entry(w, weight=weights.get(i, 1.0)) for i, w in enumerate(workers(n))]
+    return Bench(entries, seed=seed, dispatchers=dispatchers)
 
 
-def wins(weight: float, dispatchers: int = MANY, draws: int = 200, load: int = 0) -> float:
-    """How often the second of a key's pair gets a job that neither has, its weight being as said."""
+def win_share(weight: float, dispatchers: int = MANY, draws: int = 200, load: int = 0) -> float:
+    """Returns how often the second candidate of a key's pair, with this weight and load, gets a job."""
     first = bench(0, {})
     key = key_with_pair(first, 2)
     second = pair_of(first, key)[1]
-    got = 0
+    win_count = 0
     for seed in range(draws):
         b = bench(seed, {workers(8).index(second): weight}, dispatchers)
         b.d.worker_index.add_load(b.d.workers[second], load)
-        got += b.ask(key=key)[1][0].worker == second
-    return got / draws
+        win_count += b.ask(key=key)[1][0].worker == second
+    return win_count / draws
 
 
 @pytest.mark.parametrize(
-    ("weight", "dispatchers", "least", "most"),
+    ("weight", "dispatchers", "minimum", "maximum"),
     [
         (1.0, MANY, 0.3, 0.7),
         (0.4, MANY, 0.05, 0.3),
         (3.0, MANY, 0.75, 0.97),
-        (0.4, 3, 1.0, 1.0),  # a few dispatchers: a tie goes to the second
+        (0.4, 3, 1.0, 1.0),  # small fleet: a tie goes to the second candidate
         (0.4, 8, 1.0, 1.0),
     ],
 )
-def test_a_tie_of_a_pair_is_drawn_by_size_among_many(
-    weight: float, dispatchers: int, least: float, most: float
+def test_a_tie_of_a_pair_is_drawn_by_capacity_in_a_large_fleet(
+    weight: float, dispatchers: int, minimum: float, maximum: float
 ) -> None:
-    assert least <= wins(weight, dispatchers) <= most
+    assert minimum <= win_share(weight, dispatchers) <= maximum
 
 
-def test_a_lower_own_load_wins_whatever_the_sizes() -> None:
-    assert wins(10.0, draws=20, load=1) == 0.0
+def test_a_lower_local_load_wins_whatever_the_capacities() -> None:
+    assert win_share(10.0, draws=20, load=1) == 0.0
 
 
 @pytest.mark.parametrize("weight", [nan, inf, 0.0, -1.0, 1e300, 17.0])
-def test_an_unusable_weight_counts_as_one_and_harms_no_other(weight: float) -> None:
+def test_an_implausible_weight_counts_as_1_and_affects_no_other_worker(weight: float) -> None:
     b = bench(1, {0: weight})
-    sizes = b.d.worker_load.learned_capacity
-    assert [sizes.capacity_of(b.d.workers[w]) for w in workers(8)] == [1.0] * 8
+    capacity = b.d.worker_load.learned_capacity
+    assert [capacity.capacity_of(b.d.workers[w]) for w in workers(8)] == [1.0] * 8
 
 
-def test_an_absurd_live_weight_leaves_the_others_as_they_are() -> None:
+def test_an_implausible_live_weight_affects_no_other_worker() -> None:
     b = Bench(workers(8), weights_report_load=True, dispatchers=MANY)
     b.patch(*(entry(w, weight=4.0) for w in workers(8)))
     b.patch(entry("w3", weight=1e12))
@@ -76,8 +76,8 @@
 
 
 @pytest.mark.parametrize("live", [True, False])
-def test_a_first_list_of_an_overloaded_fleet_condemns_no_later_weight(live: bool) -> None:
-    """A dispatcher that starts while each core holds 99 requests, and the list of the time after it."""
+def test_after_a_first_list_of_an_overloaded_fleet_later_weights_are_plausible(live: bool) -> None:
+    """The dispatcher starts while each core has 99 requests; the later lists are of the idle fleet."""
     b = Bench([entry(w, weight=0.04) for w in workers(30)], weights_report_load=live, dispatchers=MANY)
     for _ in range(6):
         b.patch(*(entry(w, weight=4.0) for w in workers(30)))
@@ -86,159 +86,166 @@
 
 
 def test_kinds_whose_speed_is_learned_are_bounded() -> None:
-    sizes = WorkerCapacity(settings(dispatchers=MANY))
+    capacity = WorkerCapacity(settings(dispatchers=MANY))
     for n in range(1000):
-        sizes.record_run(Worker(entry(f"w{n}", kind=f"k{n}"), 2.0), SAFE, 0.2)
-    assert len(sizes.samples_by_kind) == MAX_KINDS
+        capacity.record_run(Worker(entry(f"w{n}", kind=f"k{n}"), 2.0), SAFE, 0.2)
+    assert len(capacity.samples_by_kind) == MAX_KINDS
 
 
 SAFE = api.JobClass("safe", api.Effect.SAFE, latency_target_s=1.0, deadline_s=5.0)
 
 
-def learned(slow: dict[str, float], jobs: int, kinds: dict[str, str]) -> dict[str, float]:
-    """Sizes after so many jobs at each worker; `slow`: how long a job takes there, 0.2 elsewhere."""
-    sizes = WorkerCapacity(settings(dispatchers=MANY))
-    found = {name: Worker(entry(name, kind=kind), 2.0) for name, kind in kinds.items()}
-    for name in list(found)[::-1][:5]:  # so that a usual run time is known
-        sizes.record_run(found[name], SAFE, slow.get(name, 0.2))
+def learned_capacities(slow: dict[str, float], jobs: int, kinds: dict[str, str]) -> dict[str, float]:
+    """Returns the capacities after so many jobs per worker. `slow`: run times in seconds; 0.2 elsewhere."""
+    capacity = WorkerCapacity(settings(dispatchers=MANY))
+    by_name = {name: Worker(entry(name, kind=kind), 2.0) for name, kind in kinds.items()}
+    for name in list(by_name)[::-1][:5]:  # initializes the mean run time
+        capacity.record_run(by_name[name], SAFE, slow.get(name, 0.2))
     for _ in range(jobs):
-        for name, w in found.items():
-            sizes.record_run(w, SAFE, slow.get(name, 0.2))
-    return {name: sizes.capacity_of(w) for name, w in found.items()}
+        for name, w in by_name.items():
+            capacity.record_run(w, SAFE, slow.get(name, 0.2))
+    return {name: capacity.capacity_of(w) for name, w in by_name.items()}
 
 
-TEN = {f"w{n}": "" for n in range(10)}
+TEN_WORKERS = {f"w{n}": "" for n in range(10)}
 
 
-def test_one_that_crawls_is_told_by_its_run_times_and_one_job_proves_little() -> None:
-    one, some = learned({"w0": 1.2}, 1, TEN), learned({"w0": 1.2}, 12, TEN)
-    assert 0.3 < one["w0"] / one["w5"] < 0.8
-    assert some["w0"] / some["w5"] < 0.4
-    assert all(0.7 < size < 1.3 for name, size in some.items() if name != "w0")
+def test_a_slow_worker_is_detected_by_its_run_times_and_a_single_run_has_little_effect() -> None:
+    after_1, after_12 = (
+        learned_capacities({"w0": 1.2}, 1, TEN_WORKERS),
+        learned_capacities({"w0": 1.2}, 12, TEN_WORKERS),
+    )
+    assert 0.3 < after_1["w0"] / after_1["w5"] < 0.8
+    assert after_12["w0"] / after_12["w5"] < 0.4
+    assert all(0.7 < capacity < 1.3 for name, capacity in after_12.items() if name != "w0")
 
 
-def test_a_kind_that_is_slow_is_told_by_its_kind_though_each_one_was_hardly_met() -> None:
+def test_a_slow_kind_is_detected_although_each_worker_ran_few_jobs() -> None:
     kinds = {f"w{n}": "slow" if n < 100 else "fast" for n in range(200)}
-    sizes = learned({f"w{n}": 0.4 for n in range(100)}, 1, kinds)
-    assert sizes["w0"] / sizes["w150"] < 0.85
+    capacities = learned_capacities({f"w{n}": 0.4 for n in range(100)}, 1, kinds)
+    assert capacities["w0"] / capacities["w150"] < 0.85
 
 
-def test_a_factor_is_bounded_and_a_restart_forgets_it() -> None:
-    sizes = learned({"w0": 1e9}, 50, TEN)
-    assert sizes["w0"] >= MIN_SPEED**2
+def test_a_learned_speed_is_bounded_and_reset_by_a_restart() -> None:
+    capacities = learned_capacities({"w0": 1e9}, 50, TEN_WORKERS)
+    assert capacities["w0"] >= MIN_SPEED**2
     w = Worker(entry("w0"), 2.0)
-    known = WorkerCapacity(settings(dispatchers=MANY))
+    capacity = WorkerCapacity(settings(dispatchers=MANY))
     other = Worker(entry("w1"), 2.0)
     for _ in range(20):
-        known.record_run(other, SAFE, 0.2)
-        known.record_run(w, SAFE, 2.0)
-    slow = known.capacity_of(w)
+        capacity.record_run(other, SAFE, 0.2)
+        capacity.record_run(w, SAFE, 2.0)
+    slow = capacity.capacity_of(w)
     w.restart(5.0, 2.0, 0.0)
-    assert known.capacity_of(w) > 1.5 * slow
+    assert capacity.capacity_of(w) > 1.5 * slow
 
 
-# --- homes of hot keys
+# --- pairs of hot keys
 
 
-def counts(seed: int, index: int = 0) -> KeyFrequency:
+def key_frequency(seed: int, index: int = 0) -> KeyFrequency:
     return KeyFrequency(settings(dispatchers=MANY, index=index), seed)
 
 
-def ask(c: KeyFrequency, rng: random.Random, n: int, share: float, hot: int = 7) -> list[tuple[int, int]]:
-    """The homes of each request for the hot key among n, the others being for keys of their own."""
-    found = []
+def request_keys(
+    c: KeyFrequency, rng: random.Random, n: int, share: float, hot: int = 7
+) -> list[tuple[int, int]]:
+    """Counts n requests, of which `share` are for the hot key, each other for another key.
+
+    Returns the number of pairs and the pair index for each request for the hot key.
+    """
+    pairs = []
     for i in range(n):
         key = hot if rng.random() < share else 1000 + rng.randrange(10**9)
         c.add(key)
         if key == hot:
-            found.append(c.next_pair(key, 60))
+            pairs.append(c.next_pair(key, 60))
         else:
-            assert c.next_pair(key, 60) == (1, 0)  # seen once: no hot key
+            assert c.next_pair(key, 60) == (1, 0)  # a key with a single request is not hot
         if i % 5 == 0:
             c.decay()
-    return found
+    return pairs
 
 
-def test_a_dispatcher_that_sees_little_finds_a_hot_key_soon_and_for_good() -> None:
-    found = ask(counts(3), random.Random(1), 300, 0.08)
-    assert found[3][0] >= 3  # some 40 requests, at 2.4 a second 17 s
-    assert 15 <= found[-1][0] <= 60
+def test_a_dispatcher_with_few_requests_detects_a_hot_key_soon() -> None:
+    pairs = request_keys(key_frequency(3), random.Random(1), 300, 0.08)
+    assert pairs[3][0] >= 3  # after about 40 requests, which take 17 s at 2.4 per second
+    assert 15 <= pairs[-1][0] <= 60
 
 
-def test_two_hundred_dispatchers_fill_the_homes_of_a_hot_key_evenly() -> None:
-    """Counts come to rest at one figure everywhere: homes taken by the count would all be the same one."""
-    got: Counter[int] = Counter()
+def test_two_hundred_dispatchers_use_the_pairs_of_a_hot_key_evenly() -> None:
+    """The counts of all dispatchers converge to one value, so pairs chosen by count would be the same."""
+    uses: Counter[int] = Counter()
     for index in range(MANY):
-        found = ask(counts(index, index), random.Random(index), 120, 0.3)
-        got.update(first for homes, first in found if homes == 30)
-    mean = sum(got.values()) / 30
-    assert len(got) == 30
-    assert max(got.values()) < 1.5 * mean
-    assert min(got.values()) > 0.5 * mean
+        pairs = request_keys(key_frequency(index, index), random.Random(index), 120, 0.3)
+        uses.update(first for count, first in pairs if count == 30)
+    mean = sum(uses.values()) / 30
+    assert len(uses) == 30
+    assert max(uses.values()) < 1.5 * mean
+    assert min(uses.values()) > 0.5 * mean
 
 
-def test_a_key_that_would_need_all_is_not_left_to_its_first_pair() -> None:
-    """Of 60 workers a key has some 45 pairs: who begins past the last begins with the first, as all would."""
-    pool, got = PoolIndex(), Counter[str]()
+def test_a_key_that_needs_all_workers_does_not_overload_its_first_pair() -> None:
+    """With 60 workers a key has about 45 pairs; an index past the last pair would select the first one."""
+    pool, uses = PoolIndex(), Counter[str]()
     for name in workers(60):
         w = Worker(entry(name), 2.0)
         pool.update_rings(w, True, (ring_points(name, 0), ring_points(name, 1)))
     for seed in range(60):
-        for homes, first in ask(counts(seed), random.Random(seed), 120, 0.5):
-            pair = next(iter(pool.walk_pairs(7, homes, first)))
-            got.update({w.address: 2 // len(pair) for w in pair})
-    assert max(got.values()) < 4 * sum(got.values()) / 60, got.most_common(3)
+        for count, first in request_keys(key_frequency(seed), random.Random(seed), 120, 0.5):
+            pair = next(iter(pool.walk_pairs(7, count, first)))
+            uses.update({w.address: 2 // len(pair) for w in pair})
+    assert max(uses.values()) < 4 * sum(uses.values()) / 60, uses.most_common(3)
 
 
 @pytest.mark.parametrize("index", [0, -1])
-def test_equal_or_absent_numbers_still_fill_them(index: int) -> None:
-    got: Counter[int] = Counter()
+def test_pairs_are_used_evenly_if_all_dispatchers_have_the_same_index(index: int) -> None:
+    uses: Counter[int] = Counter()
     for seed in range(MANY):
-        found = ask(counts(seed, index), random.Random(seed), 150, 0.3)
-        got.update(first for homes, first in found if homes == 30)
-    mean = sum(got.values()) / 30
-    assert len(got) == 30
-    assert max(got.values()) < 2.0 * mean
+        pairs = request_keys(key_frequency(seed, index), random.Random(seed), 150, 0.3)
+        uses.update(first for count, first in pairs if count == 30)
+    mean = sum(uses.values()) / 30
+    assert len(uses) == 30
+    assert max(uses.values()) < 2.0 * mean
 
 
-def test_when_another_key_becomes_the_hot_one_the_first_is_let_go() -> None:
-    c, rng = counts(1), random.Random(2)
-    ask(c, rng, 600, 0.1, hot=1)
-    ask(c, rng, 2500, 0.1, hot=2)
+def test_a_key_is_no_longer_hot_after_another_key_becomes_hot() -> None:
+    c, rng = key_frequency(1), random.Random(2)
+    request_keys(c, rng, 600, 0.1, hot=1)
+    request_keys(c, rng, 2500, 0.1, hot=2)
     assert c.next_pair(1, 60) == (1, 0)
     assert c.next_pair(2, 60)[0] > 20
 
 
-# --- what of the ring is whose
+# --- key shares on the ring
 
 
-@pytest.mark.parametrize("asked", [0, 50])
-def test_portions_are_those_of_a_ring_made_anew_whoever_comes_and_goes(asked: int) -> None:
-    """`asked`: from which step on anyone wants to know."""
+@pytest.mark.parametrize("first_query_step", [0, 50])
+def test_key_shares_equal_those_of_a_rebuilt_ring_after_joins_and_leaves(first_query_step: int) -> None:
     rng = random.Random(3)
     ring: Ring[Worker] = Ring()
-    there: dict[str, Worker] = {}
+    members: dict[str, Worker] = {}
     for step in range(120):
         name = f"w{rng.randrange(12)}"
-        if name in there:
-            ring.remove(there.pop(name), ring_points(name, 0))
+        if name in members:
+            ring.remove(members.pop(name), ring_points(name, 0))
         else:
-            there[name] = Worker(entry(name), 2.0)
-            ring.add(there[name], ring_points(name, 0))
-        if step >= asked and step % 10 == 0 and there:
-            marks = sorted((p, name) for name in there for p in ring_points(name, 0))
-            want: Counter[str] = Counter()
-            for i, (p, name) in enumerate(marks):
-                want[name] += (p - marks[i - 1][0]) % 2**64 if len(marks) > 1 else 2**64
-            for name, w in there.items():
-                assert ring.key_share(w) == pytest.approx(want[name] / 2**64 * len(there))
+            members[name] = Worker(entry(name), 2.0)
+            ring.add(members[name], ring_points(name, 0))
+        if step >= first_query_step and step % 10 == 0 and members:
+            points = sorted((p, name) for name in members for p in ring_points(name, 0))
+            expected: Counter[str] = Counter()
+            for i, (p, name) in enumerate(points):
+                expected[name] += (p - points[i - 1][0]) % 2**64 if len(points) > 1 else 2**64
+            for name, w in members.items():
+                assert ring.key_share(w) == pytest.approx(expected[name] / 2**64 * len(members))
     assert ring.key_share(Worker(entry("other"), 2.0)) == 1.0
 
 
-def test_a_state_taken_up_goes_by_the_settings_of_now() -> None:
-    before = Bench(workers(8), dispatchers=MANY, zone="a").d
-    few = Bench([], dispatchers=3, zone="b").d
-    snapshot.restore(snapshot.take(before, Arrivals(Options(), 1)), few, Arrivals(Options(), 1))
-    assert not few.worker_load.draws_ties
-    assert not few.state.key_frequency.is_large_fleet
-    assert few.worker_load.learned_capacity.settings.zone == "b"
+def test_a_restored_state_follows_the_current_settings() -> None:
+    old = Bench(workers(8), dispatchers=MANY, zone="a").d
+    restored = Bench([], dispatchers=3, zone="b").d
+    snapshot.restore(snapshot.take(old, Arrivals(Options(), 1)), restored, Arrivals(Options(), 1))
+    assert not restored.worker_load.draws_ties
+    assert not restored.state.key_frequency.is_large_fleet
+    assert restored.worker_load.learned_capacity.settings.zone == "b"
--- a/tests/core/test_zones.py
+++ b/tests/core/test_zones.py
@@ -1,4 +1,4 @@
-"""Jobs stay in their zone while it has room, a part goes and comes back, and none is refused for it."""
+"""Zone spillover: jobs stay in the home zone while it has capacity, a share spills over and returns."""
 
 import json
 from collections import Counter
@@ -27,51 +27,52 @@
 
 
 class Zones(Bench):
-    """A fleet whose real servers start at most `room` jobs at once each; more are turned away."""
+    """A fleet of two zones whose workers run at most `capacity` jobs at a time and reject others."""
 
-    def __init__(self, home: int, other: int, room: int = 4, **changes: object) -> None:
+    def __init__(self, home: int, other: int, capacity: int = 4, **changes: object) -> None:
         super().__init__(seed=1)
         self.d: ZoneDispatcher = ZoneDispatcher(settings(**(TWO | changes)), 1, SPILL)
-        self.room = room
+        self.capacity = capacity
         self.busy = Counter[str]()
         self.ends: list[tuple[float, str, str]] = []
         self.zone = {f"a{i}": "a" for i in range(home)} | {f"b{i}": "b" for i in range(other)}
         self.feed(api.WorkerList(ListKind.FULL, tuple(entry(n, zone=z) for n, z in self.zone.items())))
 
-    def went(self, request: str) -> list[str]:
+    def zones_of(self, request: str) -> list[str]:
+        """Returns the zones that a request was sent to, in order."""
         return [self.zone[s.worker] for s in self.sends(request)]
 
     def play(self, seconds: float, rate: float, took: float = 0.5) -> Counter[str]:
-        """Jobs come evenly; where they went."""
-        found, end, known = Counter[str](), self.now + seconds, len(self.log)
+        """Submits jobs at an even rate; returns counts of sends by zone, rejected sends and rejected jobs."""
+        counts, end, known = Counter[str](), self.now + seconds, len(self.log)
         while self.now < end:
             self.ask("safe")
-            known = self._carry(known, found, took)
-            until = self.now + 1 / rate
-            while self.ends and min(self.ends)[0] <= until:
+            known = self._handle_actions(known, counts, took)
+            next_at = self.now + 1 / rate
+            while self.ends and min(self.ends)[0] <= next_at:
                 at, request, worker = min(self.ends)
                 self.ends.remove((at, request, worker))
                 self.run_until(at)
                 self.busy[worker] -= 1
                 if not any(r == request for _, r, w in self.ends if w != worker):
                     self.end(request, Ending.OK, len(self.sends(request)) - 1)
-                known = self._carry(known, found, took)
-            self.run_until(until)
-            known = self._carry(known, found, took)
-        return found
+                known = self._handle_actions(known, counts, took)
+            self.run_until(next_at)
+            known = self._handle_actions(known, counts, took)
+        return counts
 
-    def _carry(self, known: int, found: Counter[str], took: float) -> int:
+    def _handle_actions(self, known: int, counts: Counter[str], took: float) -> int:
         while known < len(self.log):
             _, a = self.log[known]
             known += 1
             if not isinstance(a, api.Send):
                 if isinstance(a, api.Reject | api.Fail):
-                    found["refused"] += 1
+                    counts["refused"] += 1
                 continue
-            found[self.zone[a.worker]] += 1
+            counts[self.zone[a.worker]] += 1
             attempt = len(self.d.jobs[a.request].attempts) - 1
-            if self.busy[a.worker] >= self.room:
-                found["turned away"] += 1
+            if self.busy[a.worker] >= self.capacity:
+                counts["turned away"] += 1
                 self.end(a.request, Ending.OVERLOADED, attempt)
             else:
                 self.busy[a.worker] += 1
@@ -84,10 +85,10 @@
 
 
 def test_jobs_stay_at_home_spill_when_it_is_full_and_come_back_without_flapping() -> None:
-    """Eight real servers of four slots serve 64 jobs of half a second each second."""
+    """Eight workers of four slots serve 64 jobs of 0.5 s per second."""
     z = Zones(8, 8)
-    calm = z.play(20, 30)
-    assert set(calm) == {"a"}
+    before = z.play(20, 30)
+    assert set(before) == {"a"}
     assert z.states() == []
     full = z.play(30, 90)
     assert z.states()[:1] == ["spilling"]
@@ -99,22 +100,22 @@
     assert set(after) == {"a"}
 
 
-def test_a_job_that_finds_no_room_at_home_waits_a_part_of_its_aim_and_is_then_sent_anywhere() -> None:
+def test_a_job_waits_for_its_full_home_zone_for_a_share_of_its_latency_target_only() -> None:
     z = Zones(1, 1)
     z.d.workers["a0"].backoff_until = 1e9
     name, sent = z.ask("safe")
     assert sent == []
     z.run_until(z.now + HOME_ONLY_SHARE * 0.9)
-    assert z.went(name) == []
+    assert z.zones_of(name) == []
     z.run_until(z.now + HOME_ONLY_SHARE * 0.3)
-    assert z.went(name) == ["b"]
+    assert z.zones_of(name) == ["b"]
 
 
-def test_what_was_sent_before_and_what_may_not_run_at_home_goes_anywhere_at_once() -> None:
+def test_resends_and_jobs_without_workers_at_home_are_sent_to_any_zone_at_once() -> None:
     z = Zones(1, 1)
     name, _ = z.ask("safe")
     z.end(name, Ending.OVERLOADED)
-    assert z.went(name) == ["a", "b"]
+    assert z.zones_of(name) == ["a", "b"]
     z.end(name, Ending.OK, 1)
     own = api.RequestLimits(3, pool=WorkerPool(zones=frozenset("b")))
     other, [sent] = z.ask("safe", limits=own)
@@ -126,31 +127,32 @@
 
 
 @pytest.mark.parametrize("size", [6, MAX_OBSERVED_WORKERS + 40])
-def test_a_zone_is_seen_in_slots_and_who_is_cold_or_resting_is_not_open(size: int) -> None:
+def test_workers_in_backoff_are_not_open_and_those_in_slow_start_are_no_capacity(size: int) -> None:
     z = Zones(size, 2)
-    part = z.d.worker_index.pool(None).by_zone["a"]
-    seen, load = z.d._measure_zone(part, None, "a")
-    assert [seen.slots, seen.free, seen.open_slots] == pytest.approx([2 * size] * 3)
+    pool = z.d.worker_index.pool(None).by_zone["a"]
+    zone_load, load = z.d._measure_zone(pool, None, "a")
+    assert [zone_load.slots, zone_load.free, zone_load.open_slots] == pytest.approx([2 * size] * 3)
     assert load == 0
     for w in z.d.workers.values():
         w.backoff_until = 1e9
-    assert z.d._measure_zone(part, None, "a")[0].open_share == 0
+    assert z.d._measure_zone(pool, None, "a")[0].open_share == 0
     for w in z.d.workers.values():
         w.backoff_until, w.load_threshold = 0.0, 20.0
         z.d.worker_index.add_load(w, 19.5)
-    seen, load = z.d._measure_zone(part, None, "a")  # a threshold that follows the load up is no full house
-    assert [seen.free_share, seen.open_share] == pytest.approx([0.025, 1])
+    # a worker whose load is just below its threshold is not full
+    zone_load, load = z.d._measure_zone(pool, None, "a")
+    assert [zone_load.free_share, zone_load.open_share] == pytest.approx([0.025, 1])
     assert load == pytest.approx(19.5 * size)
     for name in z.zone:
         z.patch(entry(name, zone=z.zone[name], started_at=z.now))
-    assert z.d._measure_zone(part, None, "a")[0].slots == 0
+    assert z.d._measure_zone(pool, None, "a")[0].slots == 0
 
 
-def test_refusals_alone_make_home_full() -> None:
+def test_rejections_alone_make_the_home_zone_full() -> None:
     z = Zones(2, 2)
     for _ in range(40):
         name, _ = z.ask("safe")
-        if z.went(name) == ["a"]:
+        if z.zones_of(name) == ["a"]:
             z.end(name, Ending.OVERLOADED)
         z.end(name, Ending.OK, len(z.sends(name)) - 1)
         for w in z.d.workers.values():
@@ -161,28 +163,30 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_day_with_spill_replays_from_the_seed_and_from_a_state_in_the_middle(seed: int) -> None:
-    zoned = make_decisions(HISTORY_SETTINGS, 5, NO_ROUTES if seed else None, SPILL)
-    assert isinstance(zoned.inner if isinstance(zoned, RouteLimitedDispatcher) else zoned, ZoneDispatcher)
-    day = History(Random(seed), 20, zoned)  # type: ignore[arg-type]
-    day.begin()
+def test_a_history_with_spillover_replays_from_the_seed_and_from_a_state_in_the_middle(seed: int) -> None:
+    spilling = make_decisions(HISTORY_SETTINGS, 5, NO_ROUTES if seed else None, SPILL)
+    assert isinstance(
+        spilling.inner if isinstance(spilling, RouteLimitedDispatcher) else spilling, ZoneDispatcher
+    )
+    history = History(Random(seed), 20, spilling)  # type: ignore[arg-type]
+    history.begin()
     for step in range(600):
-        day.step()
+        history.step()
         if step == 300:
             arrivals, other = (
                 Arrivals(Options(), 1),
                 make_decisions(HISTORY_SETTINGS, 9, NO_ROUTES if seed else None, SPILL),
             )
-            state = json.loads(json.dumps(snapshot.take(zoned, arrivals), default=list))
+            state = json.loads(json.dumps(snapshot.take(spilling, arrivals), default=list))
             snapshot.restore(state, other, arrivals)
-            day.dispatchers.append(other)  # type: ignore[arg-type]
-    assert day.sends > 30
+            history.dispatchers.append(other)  # type: ignore[arg-type]
+    assert history.sends > 30
     plain = make_decisions(HISTORY_SETTINGS, 9, NO_ROUTES if seed else None)
-    snapshot.restore(snapshot.take(zoned, arrivals), plain, arrivals)  # and where it is off by now
-    snapshot.restore(snapshot.take(plain, arrivals), zoned, arrivals)
+    snapshot.restore(snapshot.take(spilling, arrivals), plain, arrivals)  # also without spillover
+    snapshot.restore(snapshot.take(plain, arrivals), spilling, arrivals)
 
 
-def test_a_capture_with_spill_on_replays_by_the_operators_file() -> None:
+def test_a_capture_with_spillover_replays_with_the_settings_of_the_operators_file() -> None:
     z, arrivals = Zones(3, 3), Arrivals(Options(), 1)
     z.d = ZoneDispatcher(settings(**TWO), read_seed("5"), SPILL)
     capture = Capture(CaptureOptions(ring_bytes=150_000), "5", snapshot.Taking(z.d, arrivals))
@@ -195,14 +199,14 @@
 
     z.d.handle = recorded  # type: ignore[method-assign]
     z.feed(api.WorkerList(ListKind.FULL, tuple(entry(n, zone=z.zone[n]) for n in z.zone)))
-    del z.d.handle  # a state holds the fields
+    del z.d.handle  # so that the captured state does not contain it
     z.feed = lambda event: feed(z, recorded, event)  # type: ignore[method-assign]
     z.play(20, 40)
     assert z.states()
     data = b"".join(capture.dump(z.now))
     assert b'"lost":0' not in data.partition(b"\n")[0]
-    said, warned, replay = replayed(data, Options(spill=SpillOptions()), **(TWO | NO_TENANTS))
-    assert (said, warned) == ([], [])
+    differences, warnings, replay = replayed(data, Options(spill=SpillOptions()), **(TWO | NO_TENANTS))
+    assert (differences, warnings) == ([], [])
     assert replay.compared > 100
     assert replayed(data, Options(), **(TWO | NO_TENANTS))[0]
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A dispatcher under test, and a fleet that answers what the test says."""
+"""A harness for a dispatcher under test; tests provide the answers of its fleet."""
 
 from collections.abc import Iterable
 
@@ -49,7 +49,7 @@
 
 
 class Bench:
-    """Feeds events, keeps time, and plays the timers that were asked for."""
+    """Feeds events to a dispatcher, keeps a virtual clock, and fires the timers that were set."""
 
     def __init__(self, workers: Iterable[str | api.WorkerEntry] = (), seed: int = 1, **changes: object):
         self.d = Dispatcher(settings(**changes), seed)
@@ -70,7 +70,7 @@
         return actions
 
     def run_until(self, end: float) -> list[api.Action]:
-        """Lets timers come due up to that time."""
+        """Advances the clock and fires the timers that are due; returns the resulting actions."""
         start = len(self.log)
         while self.timers and min(self.timers)[0] <= end:
             due = min(self.timers)
@@ -86,7 +86,7 @@
     def ask(
         self, job_class: str = "safe", timeout_s: float = 10.0, **more: object
     ) -> tuple[str, list[api.Send]]:
-        """A new request; returns its id and what was sent for it at once."""
+        """Submits a new request; returns its id and the sends that resulted immediately."""
         self.serial += 1
         name = f"r{self.serial}"
         actions = self.feed(api.Request(name, job_class, timeout_s, **more))  # type: ignore[arg-type]
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,11 +1,11 @@
-"""The clauses of the design, one test each."""
+"""Worker selection, load tracking, estimates and ejection of the dispatcher."""
 
 import pytest
 
 from finchladder import api
 from tests.helpers import Bench, entry, workers
 
-NEVER_OR_NOT = [e for e in api.Ending]
+ENDINGS = [e for e in api.Ending]
 
 
 def pair_of(b: Bench, key: int) -> list[str]:
@@ -23,13 +23,13 @@
     assert sent[0].worker == pair_of(b, key)[1]
 
 
-def test_a_tie_goes_to_the_candidate_in_the_own_zone() -> None:
-    """Each crossing has its price; strictly lower load still wins."""
-    for near in range(2):
+def test_a_tie_goes_to_the_candidate_in_the_local_zone() -> None:
+    """Traffic between zones costs extra; a strictly lower load still wins."""
+    for local in range(2):
         b = Bench(workers(8), zone="here")
         pair = pair_of(b, key := key_with_pair(b, 2))
-        b.patch(entry(pair[near], zone="here"))
-        assert [b.ask(key=key)[1][0].worker for _ in range(2)] == [pair[near], pair[1 - near]]
+        b.patch(entry(pair[local], zone="here"))
+        assert [b.ask(key=key)[1][0].worker for _ in range(2)] == [pair[local], pair[1 - local]]
         b.patch(*(entry(w, zone="here" if w == "w3" else "") for w in workers(8)))
         assert b.ask()[1][0].worker == "w3" or b.d.workers["w3"].load
 
@@ -58,12 +58,12 @@
     assert used[2] in [w.address for w in b.d.worker_index.pools[None].pairs(key, 2)[1]]
 
 
-def test_without_a_key_the_least_loaded_ready_worker_gets_it() -> None:
+def test_without_a_key_the_least_loaded_ready_worker_gets_the_job() -> None:
     b = Bench(workers(5))
     assert len({b.ask()[1][0].worker for _ in range(5)}) == 5
 
 
-def test_only_workers_of_the_needed_kind() -> None:
+def test_jobs_are_only_sent_to_workers_of_the_needed_kind() -> None:
     bound = api.JobClass("bound", api.Effect.SAFE, latency_target_s=1.0, deadline_s=5.0, kind="gpu")
     b = Bench([entry("a", kind="cpu"), entry("b", kind="gpu")], classes=(bound,), kinds=("cpu", "gpu"))
     for key in range(10):
@@ -71,7 +71,7 @@
         assert [s.worker for s in sent] in ([], ["b"])
 
 
-def test_no_ready_worker_of_the_kind_holds_then_answers() -> None:
+def test_a_job_without_ready_worker_of_its_kind_is_queued_then_rejected() -> None:
     bound = api.JobClass("bound", api.Effect.UNSAFE, latency_target_s=1.0, deadline_s=5.0, kind="gpu")
     b = Bench([entry("a", kind="cpu")], classes=(bound,), kinds=("cpu", "gpu"))
     name, sent = b.ask("bound", timeout_s=5.0, key=1)
@@ -82,7 +82,7 @@
     assert at < 105.0
 
 
-@pytest.mark.parametrize("ending", NEVER_OR_NOT)
+@pytest.mark.parametrize("ending", ENDINGS)
 def test_slots_are_released_at_every_ending(ending: api.Ending) -> None:
     b = Bench(["only"], max_attempts=1)
     name, sent = b.ask("unsafe", slots=2.0)
@@ -96,10 +96,10 @@
     before, after = Bench(workers(40)), Bench(workers(39))
     keys = range(2000)
     moved = sum(pair_of(before, k) != pair_of(after, k) for k in keys)
-    assert moved / len(keys) < 0.12  # one of forty workers, two hashes: about a twentieth
+    assert moved / len(keys) < 0.12  # expected: about 1/20, for one of 40 workers and two hashes
 
 
-def test_same_events_same_actions() -> None:
+def test_the_same_events_lead_to_the_same_actions() -> None:
     def play() -> list[tuple[float, api.Action]]:
         b = Bench(workers(20), seed=7)
         for n in range(50):
@@ -112,7 +112,7 @@
     assert play() == play()
 
 
-def test_a_hot_key_is_spread_over_as_many_homes_as_its_traffic_needs() -> None:
+def test_a_hot_key_is_spread_over_as_many_workers_as_its_traffic_needs() -> None:
     b = Bench(workers(100))
     used: dict[int, set[str]] = {7: set(), 8: set()}
     for n in range(2000):
@@ -122,11 +122,11 @@
         if key in used and n > 1000:
             used[key].add(sent[0].worker)
         b.serve(name)
-    assert len(used[7]) >= 15  # a fifth of the traffic, a hundred workers
+    assert len(used[7]) >= 15  # a fifth of the traffic, 100 workers
     assert len(used[8]) <= 4
 
 
-def test_a_held_job_is_given_up_once_it_cannot_end_in_time() -> None:
+def test_a_queued_job_is_rejected_once_it_cannot_end_in_time() -> None:
     b = Bench(["only"])
     b.d.workers["only"].load_threshold = 1.0
     b.ask("unsafe")
@@ -134,39 +134,40 @@
     assert not sent
     b.run_until(104.0)
     [(at, _)] = b.answers(name)
-    # aim 1 s and twice its running time of 1 s: a start later than that would end late and waste the worker
+    # Allowed: latency target of 1 s plus twice the run time of 1 s, so the job must start within 2 s. A later
+    # start would end late and waste the worker's time.
     assert 102.0 <= at <= 102.2
 
 
-def test_a_freed_slot_goes_to_the_waiting_class_with_most_worth_per_work() -> None:
-    cheap = api.JobClass("cheap", api.Effect.SAFE, latency_target_s=5.0, deadline_s=10.0, value=1.0)
-    dear = api.JobClass("dear", api.Effect.SAFE, latency_target_s=5.0, deadline_s=10.0, value=12.0)
-    b = Bench(["only"], classes=(cheap, dear))
+def test_a_freed_slot_goes_to_the_queued_class_with_the_most_value_per_work() -> None:
+    low = api.JobClass("low", api.Effect.SAFE, latency_target_s=5.0, deadline_s=10.0, value=1.0)
+    high = api.JobClass("high", api.Effect.SAFE, latency_target_s=5.0, deadline_s=10.0, value=12.0)
+    b = Bench(["only"], classes=(low, high))
     b.d.workers["only"].load_threshold = 1.0
-    running, _ = b.ask("cheap", key=1)
+    running, _ = b.ask("low", key=1)
     b.start(running)
     b.d.workers["only"].load_threshold = 1.0
-    waiting = [b.ask("cheap", key=2)[0], b.ask("dear", key=3)[0]]
+    queued = [b.ask("low", key=2)[0], b.ask("high", key=3)[0]]
     b.run_until(100.5)
     b.end(running, api.Ending.OK)
-    assert [len(b.sends(name)) for name in waiting] == [0, 1]
+    assert [len(b.sends(name)) for name in queued] == [0, 1]
 
 
 def test_a_worker_that_fails_all_its_jobs_is_ejected() -> None:
     b = Bench(["good", "bad"], max_attempts=1)
-    at_bad = 0
+    sent_to_bad = 0
     for n in range(400):
         b.run_until(100.0 + n / 20)
         name, sent = b.ask("unsafe", key=n)
         if sent and sent[0].worker == "bad":
-            at_bad += 1
+            sent_to_bad += 1
             b.end(name, api.Ending.ERROR)
         elif sent:
             b.serve(name)
-    assert 1 <= at_bad < 20  # it holds no slots, so it would win every comparison that it does not tie
+    assert 1 <= sent_to_bad < 20  # without ejection its load of 0 would win every comparison
 
 
-def test_nothing_is_ejected_when_all_look_sick() -> None:
+def test_no_worker_is_ejected_if_all_fail() -> None:
     b = Bench(workers(6), max_attempts=1)
     sent = 0
     for n in range(300):
@@ -174,22 +175,22 @@
         name, s = b.ask("unsafe", key=n)
         sent += len(s)
         b.end(name, api.Ending.ERROR)
-    assert sent > 200  # the signal is wrong, not the fleet
+    assert sent > 200  # failures of all workers are not evidence against any of them
 
 
-def test_a_start_that_a_handshake_delays_does_not_make_its_worker_look_full() -> None:
+def test_a_start_delayed_by_a_handshake_does_not_make_a_worker_look_full() -> None:
     b = Bench(["w"])
     name, _ = b.ask()
-    b.run_until(100.2)  # a fifth of the shortest aim
-    assert b.ask()[1]  # nor does it before its start is known
+    b.run_until(100.2)  # a fifth of the shortest latency target
+    assert b.ask()[1]  # the worker does not look full before the start is known
     b.start(name)
     assert b.d.workers["w"].load_threshold >= 2.0
     b.run_until(100.55)
-    assert b.ask()[1] == []  # the second job has not started yet, in more than that
+    assert b.ask()[1] == []  # the second job has not started within 0.35 s
 
 
-def test_what_may_not_be_repeated_avoids_a_suspect_and_is_no_trial() -> None:
-    """A worker that fails a part of its jobs is found out by jobs that can be sent again."""
+def test_unsafe_jobs_are_not_sent_to_a_suspect_and_not_used_as_trials() -> None:
+    """Whether a suspected worker still fails is found out with jobs that can be sent again."""
     b = Bench(["bad", "good", "fine"])
     name, sent = b.ask("safe")
     suspect = sent[0].worker
@@ -200,7 +201,7 @@
         0.9,
         b.now,
         w,
-    )  # ejected, and due for its trial
+    )  # ejected, and due for a trial
     assert all(s.worker != suspect for s in b.ask("unsafe")[1])
     name, sent = b.ask("safe")
     assert sent[0].worker == suspect
@@ -210,10 +211,10 @@
     assert all(s.worker != suspect for s in b.ask("unsafe")[1])
 
 
-def test_a_job_that_may_be_repeated_leaves_a_silent_worker_but_not_a_busy_one() -> None:
+def test_an_idempotent_job_is_moved_from_a_silent_worker_but_not_from_a_busy_one() -> None:
     b = Bench(["w1", "w2"])
     (name, sent), (other, _) = b.ask("safe"), b.ask("unsafe")
-    b.start(other)  # the other worker tells of itself, this one does not
+    b.start(other)  # only the other worker reports on its job
     assert api.Cancel(name, 0) in b.run_until(103.5)
     assert api.Cancel(other, 0) not in [a for _, a in b.log]
     b.end(name, api.Ending.CANCELLED)
@@ -228,61 +229,61 @@
     assert not any(isinstance(a, api.Cancel) for _, a in busy.log[:-1])
 
 
-def test_a_lost_job_does_not_keep_its_worker_looking_full_to_its_deadline() -> None:
-    """Some workers take a job and never tell of it again; one such must not idle the worker for seconds."""
+def test_a_lost_job_does_not_make_its_worker_look_full_until_its_deadline() -> None:
+    """A worker may accept a job and never report on it; its slot must not be unused for seconds."""
     b = Bench(["w1"])
     lost, _ = b.ask("unsafe")
     b.run_until(102.9)
-    assert b.d.workers["w1"].load == 1  # unstarted for less than three aims: the worker may be full
+    assert b.d.workers["w1"].load == 1  # within three latency targets the worker may be busy
     b.run_until(103.4)
     assert b.d.workers["w1"].load == 0
     assert b.ask("safe")[1]
-    b.start(lost)  # not lost after all
+    b.start(lost)  # a late report shows that it is not lost
     assert b.d.workers["w1"].load == 2
     b.end(lost, api.Ending.OK)
     assert b.d.workers["w1"].load == 1
 
 
-@pytest.mark.parametrize("told", [True, False])
-def test_a_started_job_of_which_nothing_more_is_told_is_taken_elsewhere(told: bool) -> None:
+@pytest.mark.parametrize("is_reported", [True, False])
+def test_a_started_job_without_progress_reports_is_sent_elsewhere(is_reported: bool) -> None:
     b = Bench(["w1", "w2"])
     name, _ = b.ask("safe")
     b.start(name)
     for second in range(1, 6):
         b.run_until(100.0 + second)
-        if told or second == 1:
+        if is_reported or second == 1:
             b.feed(api.Progress(name, 0, 0.1 * second))
-    assert (api.Cancel(name, 0) in b.run_until(105.5)) is not told
-    assert b.d.workers[b.sends(name)[0].worker].load == told
+    assert (api.Cancel(name, 0) in b.run_until(105.5)) is not is_reported
+    assert b.d.workers[b.sends(name)[0].worker].load == is_reported
 
 
-def unseen_bench() -> tuple[Bench, str]:
-    """A job sent at 100.0, and then a second in which its start came but could not be looked at."""
+def bench_after_1_s() -> tuple[Bench, str]:
+    """Returns a bench one second after a job was sent, whose start has not been processed."""
     b = Bench(["w1"])
     name, [_] = b.ask(timeout_s=100.0)
     b.now += 1.0
     return b, name
 
 
-def test_a_start_is_late_only_by_what_the_worker_can_be_blamed_for() -> None:
-    b, name = unseen_bench()
+def test_event_loop_stalls_do_not_count_as_late_starts() -> None:
+    b, name = bench_after_1_s()
     b.feed(api.LoopStall(0.9))
     t = b.d.workers["w1"].load_threshold
     b.start(name)
     assert b.d.workers["w1"].load_threshold >= t
     assert not b.d.workers["w1"].backoff_count
-    b, name = unseen_bench()  # the same second, and the loop was there to look
+    b, name = bench_after_1_s()  # the same second without a stall
     b.start(name)
     assert b.d.workers["w1"].backoff_count == 1
 
 
 def test_a_pause_of_the_dispatcher_makes_no_worker_look_full_or_silent() -> None:
-    b, _ = unseen_bench()
+    b, _ = bench_after_1_s()
     b.now += 9.0
     b.feed(api.LoopStall(9.9))
     b.feed(api.Timer(0))
     assert b.d.placement.is_under_threshold(b.d.workers["w1"])
     assert not b.d.workers["w1"].failure_share
-    b.now += 5.0  # and now it was looked for
+    b.now += 5.0  # without a stall
     b.feed(api.Timer(0))
     assert b.d.workers["w1"].failure_share
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules; every test fails without the guard that it is about."""
+"""The four rules of the dispatcher: answers in time, no double effects, drains and slow start."""
 
 import pytest
 
@@ -11,10 +11,10 @@
 NEVER_RAN = sorted(api.NEVER_RAN, key=lambda e: e.value)
 
 
-# --- every request answered once, in time -----------------------------------------------------------------
+# --- every request is answered once and in time -----------------------------------------------------------
 
 
-def test_held_request_is_answered_before_the_client_gives_up() -> None:
+def test_queued_request_is_answered_before_the_client_times_out() -> None:
     b = Bench()
     name, sent = b.ask("unsafe", timeout_s=0.5)
     b.run_until(102.0)
@@ -23,15 +23,15 @@
     assert at < 100.5
 
 
-def test_request_that_comes_with_little_time_left_is_answered() -> None:
+def test_request_with_a_short_timeout_is_answered() -> None:
     b = Bench()
-    name, _ = b.ask("unsafe", timeout_s=0.01)  # shorter than the wait for the next sweep
+    name, _ = b.ask("unsafe", timeout_s=0.01)  # shorter than the sweep interval
     b.run_until(102.0)
     [(at, _)] = b.answers(name)
     assert at < 100.01
 
 
-def test_running_request_is_answered_before_the_client_gives_up() -> None:
+def test_running_request_is_answered_before_the_client_times_out() -> None:
     b = Bench(["only"])
     name, sent = b.ask("unsafe", timeout_s=2.0)
     b.start(name)
@@ -42,7 +42,7 @@
     assert at < 102.0
 
 
-def test_time_out_at_the_deadline_gets_a_failure_at_once() -> None:
+def test_attempt_timeout_at_the_deadline_fails_the_request_at_once() -> None:
     b = Bench(["only"])
     name, _ = b.ask("unsafe", timeout_s=1.0)
     b.now += 1.0
@@ -77,7 +77,7 @@
     assert len(b.answers(name)) == 1
 
 
-def test_events_for_what_is_no_longer_held_are_passed_over() -> None:
+def test_events_for_unknown_requests_and_attempts_are_ignored() -> None:
     b = Bench(["only"])
     b.feed(api.Ended("nobody", 0, Ending.OK, True, 0.1))
     b.feed(api.Started("nobody", 3))
@@ -89,7 +89,7 @@
     assert b.d.workers["only"].load == 0
 
 
-def test_client_that_left_is_owed_nothing() -> None:
+def test_request_of_a_disconnected_client_is_dropped() -> None:
     b = Bench()
     name, _ = b.ask()
     b.feed(api.ClientDisconnected(name))
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("ending", MAY_HAVE_RUN)
-def test_unsafe_job_that_may_have_run_is_failed_never_resent_or_refused(ending: Ending) -> None:
+def test_unsafe_job_that_may_have_run_is_failed_never_resent_or_rejected(ending: Ending) -> None:
     b = Bench(workers(6))
     name, _ = b.ask("unsafe")
     b.end(name, ending)
@@ -121,7 +121,7 @@
     assert len(b.sends(name)) == 2
 
 
-def test_unsafe_job_is_never_copied_while_it_runs() -> None:
+def test_unsafe_job_is_never_sent_twice_while_it_runs() -> None:
     b = Bench(workers(6))
     name, _ = b.ask("unsafe", timeout_s=20.0)
     b.run_until(119.0)
@@ -133,18 +133,18 @@
 
 
 @pytest.mark.parametrize(
-    ("group", "field"), [(DeduplicationScope.ZONE, "zone"), (DeduplicationScope.CELL, "cell")]
+    ("scope", "field"), [(DeduplicationScope.ZONE, "zone"), (DeduplicationScope.CELL, "cell")]
 )
 @pytest.mark.parametrize("ending", MAY_HAVE_RUN)
-def test_keyed_job_stays_in_the_group_that_drops_repeats(
-    group: DeduplicationScope, field: str, ending: Ending
+def test_keyed_job_stays_in_its_deduplication_scope(
+    scope: DeduplicationScope, field: str, ending: Ending
 ) -> None:
     cls = api.JobClass(
         "k",
         Effect.KEYED,
         latency_target_s=2.0,
         deadline_s=10.0,
-        deduplication_scope=group,
+        deduplication_scope=scope,
         deduplication_window_s=5.0,
         run_time_allowance=2.0,
     )
@@ -153,16 +153,16 @@
         name, first = b.ask("k", key=key)
         b.end(name, ending)
         b.run_until(101.0)
-        groups = {getattr(b.d.workers[s.worker], field) for s in b.sends(name)}
-        assert groups == {getattr(b.d.workers[first[0].worker], field)}
+        scopes = {getattr(b.d.workers[s.worker], field) for s in b.sends(name)}
+        assert scopes == {getattr(b.d.workers[first[0].worker], field)}
         assert all(isinstance(a, api.Fail) for _, a in b.answers(name))
 
 
-def test_keyed_job_is_not_resent_after_its_window() -> None:
+def test_keyed_job_is_not_resent_after_its_deduplication_window() -> None:
     b = Bench(keyed_fleet())
     name, _ = b.ask("keyed", key=1)
     b.start(name)
-    b.run_until(103.0)  # the window is 3 s from the send
+    b.run_until(103.0)  # the window ends 3 s after the send
     sent = len(b.sends(name))
     b.end(name, Ending.BROKEN)
     b.run_until(115.0)
@@ -170,7 +170,7 @@
     assert [type(a) for _, a in b.answers(name)] == [api.Fail]
 
 
-def test_keyed_job_of_a_fleet_wide_group_may_be_refused() -> None:
+def test_keyed_job_with_fleet_wide_deduplication_may_be_rejected() -> None:
     cls = api.JobClass(
         "k",
         Effect.KEYED,
@@ -186,14 +186,14 @@
     assert [type(a) for _, a in b.answers(name)] == [api.Reject]
 
 
-def test_no_second_copy_where_settings_forbid_it() -> None:
+def test_no_hedging_if_the_settings_forbid_it() -> None:
     b = Bench(workers(6), may_hedge=False)
     name, _ = b.ask("safe")
     b.run_until(109.0)
     assert len(b.sends(name)) == 1
 
 
-def test_no_probe_no_message_no_cancel_where_forbidden() -> None:
+def test_no_cancel_and_no_peer_message_if_the_settings_forbid_them() -> None:
     b = Bench(workers(4), may_cancel=False)
     names = [b.ask(timeout_s=2.0, key=1)[0] for _ in range(9)]
     b.end(names[0], Ending.ERROR)
@@ -205,7 +205,7 @@
 
 
 @pytest.mark.parametrize("state", [WorkerStatus.DRAINING, WorkerStatus.REMOVED])
-def test_nothing_new_to_a_worker_that_drains_or_is_gone(state: WorkerStatus) -> None:
+def test_draining_and_removed_workers_are_sent_no_jobs(state: WorkerStatus) -> None:
     b = Bench(["a", "b"])
     b.patch(entry("a", state))
     for n in range(20):
@@ -214,7 +214,7 @@
     assert {a.worker for _, a in b.log if isinstance(a, api.Send)} == {"b"}
 
 
-def test_worker_missing_from_a_whole_list_is_gone() -> None:
+def test_worker_missing_from_a_full_list_is_removed() -> None:
     b = Bench(["a", "b"])
     b.feed(api.WorkerList(api.ListKind.FULL, (entry("b"),)))
     for n in range(20):
@@ -222,14 +222,14 @@
     assert {a.worker for _, a in b.log if isinstance(a, api.Send)} == {"b"}
 
 
-def test_stale_list_is_used_until_news_comes() -> None:
+def test_stale_list_is_used_until_the_next_update() -> None:
     b = Bench()
     b.feed(api.WorkerList(api.ListKind.STALE, (entry("a"),)))
     _, sent = b.ask()
     assert [s.worker for s in sent] == ["a"]
 
 
-def test_list_that_must_be_asked_is_subscribed_to_again_after_failures() -> None:
+def test_list_is_subscribed_to_again_after_failures_with_backoff() -> None:
     b = Bench(["a"], must_subscribe=True, subscribe_timeout_s=10.0)
     assert sum(isinstance(a, api.Subscribe) for _, a in b.log) == 1
     times = []
@@ -238,12 +238,12 @@
         b.feed(api.WorkerList(api.ListKind.BROKEN))
         while not any(isinstance(a, api.Subscribe) for t, a in b.log if t > before):
             b.run_until(b.now + 0.1)
-            assert b.now < before + 10.0  # later than this the node would be deemed told
+            assert b.now < before + 10.0  # after this time the dispatcher would count as notified
         times.append(b.now - before)
     assert times[-1] > times[0]
 
 
-def test_nodes_do_not_ask_again_in_step() -> None:
+def test_dispatchers_do_not_resubscribe_at_the_same_time() -> None:
     waits = set()
     for seed in range(8):
         b = Bench(["a"], seed=seed, must_subscribe=True)
@@ -253,41 +253,44 @@
     assert len(waits) > 2
 
 
-# --- cold workers -----------------------------------------------------------------------------------------
+# --- slow start -------------------------------------------------------------------------------------------
 
 
-def cold_work(nodes: int, restart: bool = False) -> float:
-    """Work sent within the rule's span to one cold worker, by all nodes, as a multiple of the allowance."""
-    span, multiple, cold_from = 1.5, 4.0, 0.12
+def slow_start_load(dispatchers: int, restart: bool = False) -> float:
+    """Returns the maximum work sent to a worker in slow start per overload window, relative to the limit."""
+    window_s, multiple, initial_share = 1.5, 4.0, 0.12
     sent: list[tuple[float, float]] = []
-    rate = 40.0 / nodes  # jobs a second at each node, 0.2 s each, ten warm workers: 0.8 s a second each
-    for seed in range(nodes):
-        rule = {
-            "overload_window_s": span,
+    # jobs per second at each dispatcher; jobs of 0.2 s on ten warm workers are 0.8 s of work per second each
+    rate = 40.0 / dispatchers
+    for seed in range(dispatchers):
+        limits = {
+            "overload_window_s": window_s,
             "overload_multiple": multiple,
-            "slow_start_initial_share": cold_from,
+            "slow_start_initial_share": initial_share,
             "slow_start_s": 20.0,
         }
-        b = Bench(workers(10), seed=seed, **rule)
-        step, born = 1 / rate, 0.0
+        b = Bench(workers(10), seed=seed, **limits)
+        step, started_at = 1 / rate, 0.0
         for n in range(int(30 * rate)):
-            b.run_until(100.0 + (n + seed / nodes) * step)
-            if b.now > 115.0 and not born:
-                born = 114.0
-                b.patch(entry("w0", started_at=born) if restart else entry("cold", started_at=born))
+            b.run_until(100.0 + (n + seed / dispatchers) * step)
+            if b.now > 115.0 and not started_at:
+                started_at = 114.0
+                b.patch(
+                    entry("w0", started_at=started_at) if restart else entry("cold", started_at=started_at)
+                )
             name, s = b.ask(key=n * 7 % 50)
             if s:
                 b.serve(name, after=min(0.2, step / 2))
-                if born and s[0].worker in ("w0" if restart else "cold"):
+                if started_at and s[0].worker in ("w0" if restart else "cold"):
                     sent.append((b.now, 0.2))
-    worst = max((sum(w for t, w in sent if at <= t < at + span) for at, _ in sent), default=0.0)
-    return worst / (span * multiple * cold_from * 0.8)
+    maximum = max((sum(w for t, w in sent if at <= t < at + window_s) for at, _ in sent), default=0.0)
+    return maximum / (window_s * multiple * initial_share * 0.8)
 
 
-@pytest.mark.parametrize("nodes", [1, 4, 16])
+@pytest.mark.parametrize("dispatchers", [1, 4, 16])
 @pytest.mark.parametrize("restart", [False, True])
-def test_cold_worker_gets_no_more_than_the_rule_from_all_nodes_together(nodes: int, restart: bool) -> None:
-    assert cold_work(nodes, restart) <= 1.0
+def test_worker_in_slow_start_is_not_overloaded_by_all_dispatchers(dispatchers: int, restart: bool) -> None:
+    assert slow_start_load(dispatchers, restart) <= 1.0
 
 
 # --- settings ---------------------------------------------------------------------------------------------
@@ -303,7 +306,7 @@
         ({"clock_tick_s": 0.0}, "clock_tick_s"),
     ],
 )
-def test_settings_that_make_no_sense_are_named(change: dict[str, object], name: str) -> None:
+def test_errors_name_the_invalid_setting(change: dict[str, object], name: str) -> None:
     with pytest.raises(ValueError, match=name):
         Dispatcher(settings(**change), 1)
 
@@ -318,17 +321,17 @@
     assert sends <= 100 + 10 + 0.2 * 100
 
 
-def test_tenant_beyond_its_share_is_turned_away_only_when_the_fleet_is_strained() -> None:
+def test_tenant_over_its_quota_is_rejected_only_while_the_fleet_is_overloaded() -> None:
     tenants = (api.Tenant("big", 5.0), api.Tenant("small", 5.0))
-    for fleet, expected in ((1, True), (40, False)):
-        b = Bench(workers(fleet), tenants=tenants)
+    for worker_count, expected in ((1, True), (40, False)):
+        b = Bench(workers(worker_count), tenants=tenants)
         failed = {"big": 0, "small": 0}
         for n in range(600):
             b.run_until(100.0 + n / 50)
             tenant = "small" if n % 25 == 0 else "big"
             name, sent = b.ask("unsafe", tenant=tenant)
             failed[tenant] += any(isinstance(a, api.Fail) for _, a in b.answers(name))
-            if fleet > 1:
+            if worker_count > 1:
                 b.serve(name)
         assert (failed["big"] > 200) is expected
         assert failed["small"] == 0
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -1,4 +1,4 @@
-"""The stages of an attempt: every pair, and what each stage means to a job that breaks or is given up."""
+"""The stages of an attempt: all transitions, and the handling of a failed connection or abandoned job."""
 
 import pytest
 
@@ -6,7 +6,8 @@
 from finchladder.core.dispatch.attempt_stages import STAGE_RULES, AbandonAction, Stage, Step, next_stage
 
 WAITING, WRITTEN, ACCEPTED, ENDED = Stage
-FOLLOWS = {  # write, break, accept, end; None: can't be
+# The next stage for each step, in the order write, break, accept, end. None: the step is not allowed.
+NEXT_STAGES = {
     WAITING: (WRITTEN, None, None, ENDED),
     WRITTEN: (None, WAITING, ACCEPTED, ENDED),
     ACCEPTED: (None, None, None, ENDED),
@@ -15,17 +16,17 @@
 
 
 @pytest.mark.parametrize("stage", Stage)
-def test_what_follows_what(stage: Stage) -> None:
-    for step, then in zip(Step, FOLLOWS[stage], strict=True):
-        if then is None:
+def test_transitions(stage: Stage) -> None:
+    for step, expected in zip(Step, NEXT_STAGES[stage], strict=True):
+        if expected is None:
             with pytest.raises(ValueError, match=f"{stage.value} can't {step.value}"):
                 next_stage(stage, step)
         else:
-            assert next_stage(stage, step) is then
+            assert next_stage(stage, step) is expected
 
 
 @pytest.mark.parametrize(
-    ("steps", "told", "never_ran", "give_up"),
+    ("steps", "accepts_callbacks", "never_ran", "on_abandon"),
     [
         ([], False, True, AbandonAction.NOTHING),
         ([Step.WRITE], True, False, AbandonAction.CLOSE),
@@ -33,15 +34,15 @@
         ([Step.WRITE, Step.ACCEPT], True, False, AbandonAction.DELETE),
     ],
 )
-def test_a_job_never_ran_until_it_may_have(
-    steps: list[Step], told: bool, never_ran: bool, give_up: AbandonAction
+def test_a_job_may_have_run_once_its_attempt_is_written(
+    steps: list[Step], accepts_callbacks: bool, never_ran: bool, on_abandon: AbandonAction
 ) -> None:
     stage = WAITING
     for step in steps:
         stage = next_stage(stage, step)
-    meaning = STAGE_RULES[stage]
-    assert (meaning.accepts_callbacks, meaning.ending_if_broken in NEVER_RAN, meaning.on_abandon) == (
-        told,
+    rules = STAGE_RULES[stage]
+    assert (rules.accepts_callbacks, rules.ending_if_broken in NEVER_RAN, rules.on_abandon) == (
+        accepts_callbacks,
         never_ran,
-        give_up,
+        on_abandon,
     )
--- a/tests/test_unlike_settings.py
+++ b/tests/test_unlike_settings.py
@@ -1,6 +1,6 @@
-"""Two deployments unlike in names, effects, deadlines, limits and window, played on real sockets.
+"""Two deployments with different names, effects, deadlines, limits and windows, run on real sockets.
 
-And a look for names of any deployment in what `run` uses: they come from the settings alone.
+Also checks that no name of a deployment occurs in the program: names come from the settings only.
 """
 
 import asyncio
@@ -19,15 +19,21 @@
 
 
 def service(
-    name: str, effect: str, deadline: float, aim: float, worth: float, **more: object
+    name: str, effect: str, deadline: float, latency_target: float, value: float, **more: object
 ) -> dict[str, object]:
-    fixed = {"name": name, "idempotency": effect, "giveUpS": deadline, "onTimeS": aim, "importance": worth}
+    fixed = {
+        "name": name,
+        "idempotency": effect,
+        "giveUpS": deadline,
+        "onTimeS": latency_target,
+        "importance": value,
+    }
     return fixed | {"lateShare": 0.2, "stream": False, "group": "all", "windowS": 5.0} | more
 
 
 class Deployment(NamedTuple):
     settings: dict[str, Any]
-    safe: str | None  # a class of each effect, by name
+    safe: str | None  # the name of a class of each effect
     keyed: str
     unsafe: str
     tells_start: bool
@@ -122,25 +128,27 @@
     writer.write(b"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 
 
-class Placed(RealServer):
-    """One with a place of its own."""
+class PlacedServer(RealServer):
+    """A worker with a zone, cell and kind."""
 
     def __init__(self, name: str, zone: str, cell: int, kind: str, behaviour: Any = done) -> None:
         super().__init__(name, behaviour)
-        self.place = {"zone": zone, "group": cell, "type": kind}
+        self.location = {"zone": zone, "group": cell, "type": kind}
 
     def entry(self, status: str = "ready", **more: object) -> dict[str, object]:
-        return super().entry(status, **(self.place | more))
+        return super().entry(status, **(self.location | more))
 
 
 def pair(d: Deployment, behaviour: Any, apart: bool = False) -> list[RealServer]:
-    """Two real servers; `apart`: of different groups."""
+    """Returns two workers. `apart`: in different deduplication groups."""
     zones, kind = d.settings["zones"], d.settings["flavors"][0]
-    return [Placed(f"r{n}", zones[n * apart % len(zones)], n * apart, kind, behaviour) for n in range(2)]
+    return [
+        PlacedServer(f"r{n}", zones[n * apart % len(zones)], n * apart, kind, behaviour) for n in range(2)
+    ]
 
 
 @BOTH
-def test_a_job_of_each_class_is_served_and_one_of_another_deployment_is_none(
+def test_a_job_of_each_class_is_served_and_classes_of_another_deployment_are_unknown(
     tmp_path: Path, d: Deployment
 ) -> None:
     async def play() -> None:
@@ -157,7 +165,7 @@
 
 @BOTH
 @pytest.mark.parametrize("apart", [False, True])
-def test_what_may_have_run_is_repeated_just_as_its_class_allows(
+def test_a_job_that_may_have_run_is_resent_only_if_its_class_allows(
     tmp_path: Path, d: Deployment, apart: bool
 ) -> None:
     async def play() -> None:
@@ -175,7 +183,7 @@
 
 
 @BOTH
-def test_what_never_ran_goes_elsewhere_up_to_the_limit_of_attempts(tmp_path: Path, d: Deployment) -> None:
+def test_a_job_that_never_ran_is_resent_up_to_the_attempt_limit(tmp_path: Path, d: Deployment) -> None:
     async def play() -> None:
         servers = [*pair(d, full), *pair(d, full)]
         for i, s in enumerate(servers):
@@ -192,22 +200,24 @@
 
 
 @BOTH
-def test_a_job_of_which_nothing_is_heard_is_answered_in_its_time(tmp_path: Path, d: Deployment) -> None:
+def test_a_job_without_reports_is_answered_before_its_deadline(tmp_path: Path, d: Deployment) -> None:
     async def play() -> None:
         servers = pair(d, accept_only)
         async with node(tmp_path, *servers, settings=d.settings) as n:
-            began = time.monotonic()
+            started_at = time.monotonic()
             answer = await n.ask("a1", f"/{d.unsafe}/k1", left="1.0")
             assert answer.status == 502
-            assert time.monotonic() - began < 1.3
-            [seen] = [m for s in servers for m in s.got]
-            assert float(seen.headers["x-time-left"]) <= 1.0
+            assert time.monotonic() - started_at < 1.3
+            [received] = [m for s in servers for m in s.got]
+            assert float(received.headers["x-time-left"]) <= 1.0
 
     run(play())
 
 
 @BOTH
-def test_after_sigterm_no_connection_stays_until_sigkill_may_come(tmp_path: Path, d: Deployment) -> None:
+def test_connections_are_closed_after_sigterm_before_a_sigkill_may_follow(
+    tmp_path: Path, d: Deployment
+) -> None:
     longest = max(s["giveUpS"] for s in d.settings["services"])
 
     async def play() -> None:
@@ -216,16 +226,16 @@
             writer.write(request("a1", f"/{d.unsafe}/k1"))
             assert await reader.read(15) == b"HTTP/1.1 200 OK"
             n.process.send_signal(signal.SIGTERM)
-            told = time.monotonic()
-            await reader.read()  # it ends the connection by itself
-            assert time.monotonic() - told < min(longest, 3.0) + 0.7
+            signalled_at = time.monotonic()
+            await reader.read()  # the dispatcher closes the connection
+            assert time.monotonic() - signalled_at < min(longest, 3.0) + 0.7
             writer.close()
             assert await n.process.wait() == 0
 
     run(play())
 
 
-# --- names
+# --- names of deployments
 
 
 def names_of(site: dict[str, Any]) -> Iterator[str]:
@@ -238,8 +248,8 @@
         yield from (entry["name"] for entry in site.get(part, []))
 
 
-def test_no_name_of_a_deployment_stands_in_what_run_uses() -> None:
-    """Those of the variants that are kept beside the program, and of its example."""
+def test_no_name_of_a_deployment_occurs_in_the_program() -> None:
+    """Checks the names of the deployments in deploy/sites and of the example configuration."""
     example = json.loads((ROOT / "examples" / "config.json").read_text())["settings"]
     names = {example["az"], *example["zones"], *example["flavors"], *(s["name"] for s in example["services"])}
     sites = sorted((ROOT / "deploy" / "sites").glob("*/*.toml"))
