--- a/finchladder/core/health/detection/__init__.py
+++ b/finchladder/core/health/detection/__init__.py
@@ -1,1 +1,1 @@
-"""Which real servers are bad, by what one dispatcher sees and others tell. Loaded where [judgement] is on."""
+"""Outlier detection from the attempts of all dispatchers; loaded only if [judgement] is configured."""
--- a/finchladder/core/health/detection/detector.py
+++ b/finchladder/core/health/detection/detector.py
@@ -1,28 +1,35 @@
-"""Takes the place of core/health.py: one judgement of a real server, by evidence, one's own and others'.
+"""Outlier detector: ejects workers by the evidence of this dispatcher and its peers.
 
-| what is held of a real server, for a class of jobs | may a job of that class go there |
+It replaces health/outlier_ejection.py where [judgement] is configured.
+
+| state of a worker for a job class | may a job of that class be sent there |
 | --- | --- |
-| nothing, or cleared | as the rules and its load say |
-| suspected, by one's own evidence or by all that is told | one that may not be repeated: no |
-| put out by oneself: own evidence above ALONE_FROM | no, for `period` x 2, 4, 8, 16; then one trial |
-| condemned (verdicts.py) | no |
-| on trial | of the dispatchers whose turn it is, one job each at a time, none that may not be repeated |
-
-A class is judged by its own jobs; endings of other classes there count against it unless its own go well. So
-one that fails all is left for all after few, and one that fails a class is left for that one.
-
-Bounds: of each kind and zone at most `most_out` of the ready ones is condemned here at one time, and never
-the last. More that look bad than that at one moment (BREWING, a first bad ending each) is a *mass*: taken for
-the network's or one's own fault until MASS_S later, and evidence counts beyond the median of the kind and
-zone: where most are alike, who goes must be far worse. Who is in doubt about itself (it was late, has just
-started, or over half of the real servers that it hears of look bad to it alone) tells nothing.
-
-The fleet's own rate of bad endings follows what happens by some seconds. Where many begin to fail alike, one
-of them may look bad by chance before that: so for MASS_S from when one would be condemned its endings are
-weighed once more, against the rate at which all others of its kind and zone fail by the same words.
-
-O(1) for each ending; a look at open cases O(words told of them), at most each LOOK_S. Memory: a case for each
-real server and class at the most, words of MAX_WORKER_REPORTS subjects from each other dispatcher.
+| no evidence, or clear | as the rules and the worker's load allow |
+| suspected, by local or combined evidence | an UNSAFE job: no |
+| ejected locally: local score of LOCAL_EJECT_SCORE | not for base_ejection_s x 2, 4, 8, 16; then one trial |
+| condemned (verdicts.py): ejected by combined evidence | no |
+| on trial | by selected dispatchers, one job at a time from each, no UNSAFE one |
+
+Each class is judged by its own attempts. Bad attempts of other classes at the same worker also count against
+it, unless its own attempts there succeed. A worker that fails all classes is thus ejected for all after few
+attempts, and one that fails a single class is ejected for that class alone.
+
+Bounds: of each kind and zone at most `max_ejected_share` of the ready workers is ejected here at one time,
+and never the last one. If more than that look bad at one moment (MASS_FAILURE_SCORE, about one bad attempt
+each), this is a mass failure: the cause is assumed to be the network or this dispatcher, no worker is ejected
+for MASS_FAILURE_S, and only evidence above the median of the kind and zone counts. If most workers look
+equally bad, only a much worse one is thus ejected. A dispatcher that doubts its own observations (its event
+loop stalled, it has just started, or over half of the workers that it recently used look bad to it) reports
+nothing.
+
+The fleet's base rate of bad attempts rises some seconds after a change. If many workers begin to fail alike,
+one of them may look like an outlier by chance before that. So for MASS_FAILURE_S from when a worker would
+first be ejected, its score is also computed with the bad rate of the other workers of its kind and zone, from
+the same reports; the lower score counts.
+
+An attempt costs O(1). An evaluation of all subjects in question costs O(reports on them), at most once per
+EVALUATION_INTERVAL_S. Memory: evidence for at most each worker and class, MAX_WORKER_REPORTS reports of each
+peer.
 """
 
 from collections.abc import Callable, Iterable
@@ -34,26 +41,40 @@
 from finchladder.core.dispatch.dispatcher import Dispatcher
 from finchladder.core.dispatch.records import Job, Worker
 from finchladder.core.dispatch.worker_index import WorkerIndex
-from finchladder.core.health.detection.aggregation import NOTHING, SILENT_S, Sum, Word, merged, weigh
-from finchladder.core.health.detection.evidence import HALF, WEIGHTS, Case, Rate, Usual, weights
+from finchladder.core.health.detection.aggregation import (
+    NO_EVIDENCE,
+    REPORT_TIMEOUT_S,
+    CombinedEvidence,
+    ReceivedReport,
+    combine,
+    merge_by_reporter,
+)
+from finchladder.core.health.detection.evidence import (
+    HALF_WEIGHT,
+    WEIGHTS,
+    BaseRate,
+    Evidence,
+    RunTimeBaseline,
+    log_likelihood_ratios,
+)
 from finchladder.core.health.detection.reports import (
+    MAX_COUNT,
+    MAX_DURATION_S,
     MAX_WORKER_REPORTS,
     MIN_URGENT_BAD_ATTEMPTS,
-    MOST_COUNT,
-    MOST_S,
     OwnReport,
     WorkerReport,
     subject_id,
     zone_number,
 )
 from finchladder.core.health.detection.verdicts import (
-    CONDEMNED_FROM,
-    LONGEST_S,
-    SHARES,
-    Facts,
+    EJECT_SCORE,
+    MAX_TERM_S,
+    TRIAL_SHARES,
+    Observation,
     Verdict,
     VerdictState,
-    condemn,
+    eject,
     step,
 )
 from finchladder.core.health.outlier_ejection import (
@@ -63,616 +84,737 @@
     OutlierEjection,
 )
 
-LOOK_S = 0.1  # between looks at what is open
-ALONE_FROM = 6.0  # own evidence from which on it is put out by oneself: two bad endings of few
-SUSPECT_FROM = 2.0  # own evidence from which on no job goes there that may not be repeated
-BREWING = 3.0  # as verdicts.SUSPECTED_FROM: a first bad ending of one
-MASS_S = 2.5
-START_S, LATE_S = 2.0, 1.0  # after a start, and after it was late, a dispatcher is in doubt about itself
-LATE_FROM_S = 0.3
-LAST_S, LAST_FEW, LAST_MOST = (
+EVALUATION_INTERVAL_S = 0.1  # minimum time between evaluations of all subjects in question
+LOCAL_EJECT_SCORE = 6.0  # local evidence that ejects: two bad attempts of few
+LOCAL_SUSPECT_SCORE = 2.0  # local evidence above this keeps UNSAFE jobs away
+MASS_FAILURE_SCORE = 3.0  # equals verdicts.SUSPECT_SCORE: the first bad attempt at a worker
+MASS_FAILURE_S = 2.5
+# a dispatcher doubts its own observations for this long after a start, and after an event loop stall
+START_DOUBT_S, STALL_DOUBT_S = 2.0, 1.0
+MIN_STALL_S = 0.3  # shorter stalls are ignored
+# the latest attempts of this dispatcher at its workers show whether all workers look bad to it: maximum age,
+# fewest workers for a conclusion, most workers remembered
+OUTCOME_AGE_S, MIN_OUTCOMES, MAX_OUTCOMES = (
     5.0,
     4,
     16,
-)  # own latest endings at so many real servers tell whether all look bad
-FADED = 0.05  # endings, in a case that says nothing any more
-CLEARED_FROM = -2.0  # a case is closed once all that is told of it adds up to this
-FRESH_S = 3.0  # others' verdicts that are older say nothing
-COUNT_S = 1.0  # between counts of the ready ones
-SPARED = -1.0  # a class whose own evidence is below this is not judged by others' there
-FIND_S = 1.0
-FORGET_S = 15.0  # own evidence alone that is not renewed so long after its time is over
-MOST_TELLERS, PURGE_S = 2048, 1.0  # as many as can be listed; those that are silent are dropped
+)
+NEGLIGIBLE_COUNT = 0.05  # evidence with fewer decayed attempts than this is dropped
+CLEARED_SCORE = -2.0  # evidence is dropped once the combined score of all classes is this low
+EJECTION_REPORT_AGE_S = 3.0  # peers' ejections that were reported earlier are ignored
+READY_COUNT_INTERVAL_S = 1.0  # minimum time between counts of the ready workers
+SPARED_SCORE = -1.0  # a class with a lower score of its own is not affected by other classes
+INDEX_INTERVAL_S = 1.0  # minimum time between rebuilds of the subject index, while subjects are unknown
+LOCAL_EJECTION_GRACE_S = 15.0  # a local ejection is forgotten this long after its end if not renewed
+# a dispatcher list has at most this many entries; seconds between removals of silent reporters
+MAX_REPORTERS, PURGE_INTERVAL_S = 2048, 1.0
 
 
 class DetectorSettings(NamedTuple):
-    most_out: float = 0.3  # share of each kind and zone
-    term_s: float = 2.0  # of a first condemnation
+    """Limits of the detector that the operator configures."""
+
+    max_ejected_share: float = 0.3  # share of the ready workers of each kind and zone
+    first_term_s: float = 2.0  # length of a first ejection
 
 
 class ActiveOverride(NamedTuple):
-    """The operator's word of one real server, until then."""
+    """The operator's override for one worker."""
 
-    out: bool
+    is_ejected: bool  # otherwise the worker is kept in
     until: float
-    why: str
+    reason: str
 
 
 class OutlierDetector(OutlierEjection):
+    """Local and combined evidence on workers, and the ejections that follow from it."""
+
     __slots__ = (
         "name",
-        "rules",
+        "limits",
         "zone",
-        "zones",
-        "cases",
+        "zone_count",
+        "evidence",
         "verdicts",
-        "words",
-        "rate",
-        "usual",
-        "alive",
-        "unwell",
-        "look_at",
-        "began",
-        "late_until",
-        "last",
-        "mass_at",
-        "witnesses",
-        "orders",
+        "reports",
+        "base_rate",
+        "run_times",
+        "dispatcher_count",
+        "is_degraded",
+        "next_evaluation_at",
+        "started_at",
+        "doubtful_until",
+        "outcomes",
+        "mass_failure_since",
+        "peer_attempts",
+        "overrides",
         "subjects",
         "log",
-        "alone",
-        "untold",
-        "ready",
-        "ready_at",
-        "tellers",
-        "usual_score",
+        "local_ejections",
+        "has_unreported",
+        "ready_counts",
+        "next_count_at",
+        "reporters",
+        "median_scores",
         "index",
-        "index_at",
-        "strange",
-        "purge_at",
-        "questioned_at",
+        "next_index_at",
+        "unknown_subjects",
+        "next_purge_at",
+        "first_eject_score_at",
     )
 
     def __init__(
         self,
         settings: Settings,
-        period: float,
-        own: str,
-        rules: DetectorSettings,
+        base_ejection_s: float,
+        name: str,
+        limits: DetectorSettings,
         now: float,
         log: Callable[[str], None] = lambda text: None,
     ) -> None:
-        """`log`: gets a line for each judgement that changes whom jobs go to."""
-        super().__init__(settings, period)
-        self.name, self.rules, self.log = own, rules, log
-        self.zone, self.zones = zone_number(settings.zone), len(settings.zones)
-        self.cases: dict[str, dict[str, Case]] = {}  # by real server and class
-        self.verdicts: dict[str, dict[str, Verdict]] = {}  # those that are not clear
-        self.alone: dict[str, dict[str, tuple[float, int]]] = {}  # put out by oneself: until when, how often
-        self.words: dict[int, dict[str, tuple[float, Word]]] = {}  # by subject and teller: when it came
-        self.tellers: dict[str, tuple[float, tuple[int, ...]]] = {}  # as of when, and of whom
-        self.purge_at = now
-        self.index: dict[int, tuple[str, str]] = {}  # of all real servers, as they were then
-        self.index_at = now
-        self.strange: set[int] = set()  # subjects that are none of these
-        self.subjects: dict[int, tuple[str, str]] = {}  # of whom something is told
-        self.witnesses: tuple[float, float] = (0.0, 0.0)  # endings that all others tell of, and bad ones
-        # the median of a kind and zone, where it is above 0
-        self.usual_score: dict[tuple[str, str], float] = {}
-        self.rate, self.usual = Rate(now), Usual()
-        self.alive, self.unwell = 1, False
-        self.look_at = now
-        self.began, self.late_until = now, 0.0
-        self.last: dict[str, tuple[float, bool]] = {}
-        self.mass_at: dict[tuple[str, str], float] = {}  # by kind and zone: since when a mass looks bad
-        self.orders: dict[str, ActiveOverride] = {}
-        self.questioned_at: dict[str, float] = {}  # when it would have been condemned but for the others
-        self.untold = False
-        self.ready: dict[tuple[str, str], int] = {}  # by kind and zone
-        self.ready_at = now
-
-    # --- own evidence
+        """Creates a detector without evidence.
+
+        Args:
+            settings: Settings of the dispatcher.
+            base_ejection_s: Half of the shortest local ejection, in seconds.
+            name: Name of this dispatcher.
+            limits: Limits of the detector.
+            now: Current time, in seconds of the caller's clock.
+            log: Receives a line for each ejection and each readmission.
+        """
+        super().__init__(settings, base_ejection_s)
+        self.name, self.limits, self.log = name, limits, log
+        self.zone, self.zone_count = zone_number(settings.zone), len(settings.zones)
+        self.evidence: dict[str, dict[str, Evidence]] = {}  # keyed by worker and class
+        self.verdicts: dict[str, dict[str, Verdict]] = {}  # the states other than clear, by worker and class
+        # time at which the ejection ends and number of ejections in a row, by worker and class
+        self.local_ejections: dict[str, dict[str, tuple[float, int]]] = {}
+        # reports with the times of their receipt, by subject and reporter
+        self.reports: dict[int, dict[str, tuple[float, ReceivedReport]]] = {}
+        # time at which the latest reports were written and their subjects, by reporter
+        self.reporters: dict[str, tuple[float, tuple[int, ...]]] = {}
+        self.next_purge_at = now
+        self.index: dict[int, tuple[str, str]] = {}  # worker and class by subject, as of the last rebuild
+        self.next_index_at = now
+        self.unknown_subjects: set[int] = set()  # reported subjects that the index does not contain
+        self.subjects: dict[int, tuple[str, str]] = {}  # worker and class of each reported subject
+        self.peer_attempts: tuple[float, float] = (0.0, 0.0)  # recent attempts of all peers, and bad ones
+        # median score of the workers of each kind and zone, if it is above 0
+        self.median_scores: dict[tuple[str, str], float] = {}
+        self.base_rate, self.run_times = BaseRate(now), RunTimeBaseline()
+        self.dispatcher_count, self.is_degraded = 1, False
+        self.next_evaluation_at = now
+        self.started_at, self.doubtful_until = now, 0.0
+        self.outcomes: dict[str, tuple[float, bool]] = {}  # time of the last attempt, and is it bad
+        self.mass_failure_since: dict[tuple[str, str], float] = {}  # keyed by kind and zone
+        self.overrides: dict[str, ActiveOverride] = {}  # keyed by worker
+        # time at which the score of a worker first sufficed for an ejection
+        self.first_eject_score_at: dict[str, float] = {}
+        self.has_unreported = False  # there is an urgent report that was not sent yet
+        self.ready_counts: dict[tuple[str, str], int] = {}  # keyed by kind and zone
+        self.next_count_at = now
+
+    # --- local evidence
 
     def record_ending(
         self,
         now: float,
-        w: Worker,
-        cls: JobClass,
-        sign: AttemptSignal,
-        sent: float,
-        ran: float,
-        fleet: WorkerIndex,
+        worker: Worker,
+        job_class: JobClass,
+        signal: AttemptSignal,
+        sent_at: float,
+        run_time_s: float,
+        worker_index: WorkerIndex,
     ) -> None:
-        cold = fleet.is_slow_starting(w, now)
-        weight = WEIGHTS.get(sign, 0.0)
-        if sign is AttemptSignal.GOOD and not cold and self.usual.slow(cls.name, w.kind, ran):
-            weight = HALF
-        elif cold and sign in (AttemptSignal.SILENT, AttemptSignal.OVERTAKEN):
-            return  # it is slow for another cause
+        """Adds an ended attempt to the evidence; `run_time_s`: 0 if it is not known. O(1)."""
+        cold = worker_index.is_slow_starting(worker, now)
+        weight = WEIGHTS.get(signal, 0.0)
+        if (
+            signal is AttemptSignal.GOOD
+            and not cold
+            and self.run_times.is_slow(job_class.name, worker.kind, run_time_s)
+        ):
+            weight = HALF_WEIGHT
+        elif cold and signal in (AttemptSignal.SILENT, AttemptSignal.OVERTAKEN):
+            return  # a worker in slow start is slow without being faulty
         bad = weight > 0
-        verdict = self.verdicts.get(w.address, {}).get(cls.name)
+        verdict = self.verdicts.get(worker.address, {}).get(job_class.name)
         if verdict is not None and verdict.state is VerdictState.CONDEMNED:
-            return  # what was on its way when it was condemned proves nothing more
-        if verdict is not None and verdict.state is VerdictState.TRIAL and sent < verdict.since:
+            return  # attempts sent before the ejection are no further evidence
+        if verdict is not None and verdict.state is VerdictState.TRIAL and sent_at < verdict.since:
             return
-        self.last.pop(w.address, None)
-        self.last[w.address] = now, bad
-        if len(self.last) > LAST_MOST:
-            del self.last[next(iter(self.last))]
-        if self.mass_at or w.address not in self.verdicts:
-            # what one does that is in question already is no part of the fleet's own rate, unless most are
-            self.rate.add(now, bad)
-        cases = self.cases.get(w.address, {})
-        case = cases.get(cls.name)
-        if case is None:
-            open_ = bad or (self.words and subject_id(w.address, w.started_at, cls.name) in self.words)
-            if not open_ and not cases:
+        self.outcomes.pop(worker.address, None)
+        self.outcomes[worker.address] = now, bad
+        if len(self.outcomes) > MAX_OUTCOMES:
+            del self.outcomes[next(iter(self.outcomes))]
+        if self.mass_failure_since or worker.address not in self.verdicts:
+            # a suspected worker's attempts do not enter the base rate, except during a mass failure
+            self.base_rate.add(now, bad)
+        by_class = self.evidence.get(worker.address, {})
+        evidence = by_class.get(job_class.name)
+        if evidence is None:
+            is_opened = bad or (
+                self.reports and subject_id(worker.address, worker.started_at, job_class.name) in self.reports
+            )
+            if not is_opened and not by_class:
                 return
-            case = self.cases.setdefault(w.address, {})[cls.name] = Case(now)
-        case.add(now, sign, weight)
-        self.untold = self.untold or case.bad + case.link > MIN_URGENT_BAD_ATTEMPTS and bad
-        self._alone(now, w, cls.name, bad)
-        self.evaluate(now, fleet, w)
-
-    def _score_alone(self, now: float, address: str, job_class: str) -> float:
-        """Own evidence alone, of all kinds."""
-        bad, good = weights(self._rate())
+            evidence = self.evidence.setdefault(worker.address, {})[job_class.name] = Evidence(now)
+        evidence.add(now, signal, weight)
+        self.has_unreported = (
+            self.has_unreported or evidence.bad + evidence.link > MIN_URGENT_BAD_ATTEMPTS and bad
+        )
+        self._update_local_ejection(now, worker, job_class.name, bad)
+        self.evaluate(now, worker_index, worker)
+
+    def _local_score(self, now: float, address: str, job_class: str) -> float:
+        """Returns the score of this dispatcher's own evidence, link failures included."""
+        bad, good = log_likelihood_ratios(self._base_rate())
         scores = {}
-        for name, case in self.cases.get(address, {}).items():
-            case.fade(now)
-            scores[name] = (case.bad + case.link) * bad + case.good * good
-        return _of_class(scores, job_class)
+        for name, evidence in self.evidence.get(address, {}).items():
+            evidence.decay(now)
+            scores[name] = (evidence.bad + evidence.link) * bad + evidence.good * good
+        return _score_of_class(scores, job_class)
 
-    def _alone(self, now: float, w: Worker, job_class: str, bad: bool) -> None:
-        held = self.alone.get(w.address, {}).get(job_class)
+    def _update_local_ejection(self, now: float, worker: Worker, job_class: str, bad: bool) -> None:
+        ejection = self.local_ejections.get(worker.address, {}).get(job_class)
         if not bad:
-            if held is not None and now >= held[0]:  # a trial that went well
-                self.alone[w.address].pop(job_class)
-                if (case := self.cases.get(w.address, {}).get(job_class)) is not None:
-                    # one good ending is no proof yet: it stays a suspect for a while
-                    case.bad, case.link, case.good = min(case.bad, 1.0), 0.0, case.good
-        elif held is not None or self._score_alone(now, w.address, job_class) >= ALONE_FROM:
-            times = held[1] + 1 if held is not None else 1
+            if ejection is not None and now >= ejection[0]:  # its trial job succeeded
+                self.local_ejections[worker.address].pop(job_class)
+                if (evidence := self.evidence.get(worker.address, {}).get(job_class)) is not None:
+                    # one good attempt does not prove recovery: the worker stays suspected for a while
+                    evidence.bad, evidence.link, evidence.good = min(evidence.bad, 1.0), 0.0, evidence.good
+        elif ejection is not None or self._local_score(now, worker.address, job_class) >= LOCAL_EJECT_SCORE:
+            times = ejection[1] + 1 if ejection is not None else 1
             until = now + self.base_ejection_s * 2 ** min(times, MAX_DOUBLINGS)
-            self.alone.setdefault(w.address, {})[job_class] = until, times
+            self.local_ejections.setdefault(worker.address, {})[job_class] = until, times
 
-    def _rate(self) -> float:
-        return self.rate.of(*self.witnesses)
+    def _base_rate(self) -> float:
+        return self.base_rate.value(*self.peer_attempts)
 
-    # --- what others say
+    # --- reports to and from peers
 
-    def late(self, now: float, seconds: float) -> None:
-        if seconds >= LATE_FROM_S:
-            self.late_until = now + LATE_S
+    def record_stall(self, now: float, duration_s: float) -> None:
+        """Records a stall of this dispatcher's event loop."""
+        if duration_s >= MIN_STALL_S:
+            self.doubtful_until = now + STALL_DOUBT_S
 
-    def doubtful(self, now: float) -> bool:
-        """Whether what it sees may be its own fault."""
-        if now < self.began + START_S or now < self.late_until or self.unwell:
+    def doubts_itself(self, now: float) -> bool:
+        """Whether the bad attempts may be caused by this dispatcher instead of the workers."""
+        if now < self.started_at + START_DOUBT_S or now < self.doubtful_until or self.is_degraded:
             return True
-        last = [bad for at, bad in self.last.values() if now - at < LAST_S]
-        return len(last) >= LAST_FEW and 2 * sum(last) > len(last)
+        recent = [bad for at, bad in self.outcomes.values() if now - at < OUTCOME_AGE_S]
+        return len(recent) >= MIN_OUTCOMES and 2 * sum(recent) > len(recent)
 
-    def says(self, now: float, workers: dict[str, Worker]) -> tuple[WorkerReport, ...]:
-        """One's own word, to be told."""
-        self.untold = False
-        if self.doubtful(now):
+    def worker_reports(self, now: float, workers: dict[str, Worker]) -> tuple[WorkerReport, ...]:
+        """Returns this dispatcher's reports to its peers, and clears the mark of urgent ones."""
+        self.has_unreported = False
+        if self.doubts_itself(now):
             return ()
         found = []
-        names = [*self.cases, *(a for a in self.verdicts if a not in self.cases)]
-        for address in names:
-            if (w := workers.get(address)) is None:
+        addresses = [*self.evidence, *(a for a in self.verdicts if a not in self.evidence)]
+        for address in addresses:
+            if (worker := workers.get(address)) is None:
                 continue
-            cases, held = self.cases.get(address, {}), self.verdicts.get(address, {})
-            for name in {*cases, *held}:
-                case, v = cases.get(name), held.get(name)
-                if case is not None:
-                    case.fade(now)
-                    counts = case.bad, case.link, case.good
-                    opened = now - case.opened
+            by_class, held = self.evidence.get(address, {}), self.verdicts.get(address, {})
+            for name in {*by_class, *held}:
+                evidence, verdict = by_class.get(name), held.get(name)
+                if evidence is not None:
+                    evidence.decay(now)
+                    counts = evidence.bad, evidence.link, evidence.good
+                    opened_s = now - evidence.opened_at
                 else:
-                    counts, opened = (0.0, 0.0, 0.0), 0.0
-                out = v is not None and v.state is VerdictState.CONDEMNED
-                left = max(0.0, v.until - now) if v is not None and out else 0.0
-                stage = v.stage if v is not None and v.state is VerdictState.TRIAL else 0
-                if max(counts) < 0.05 and not (left or stage):
+                    counts, opened_s = (0.0, 0.0, 0.0), 0.0
+                ejected = verdict is not None and verdict.state is VerdictState.CONDEMNED
+                left_s = max(0.0, verdict.until - now) if verdict is not None and ejected else 0.0
+                stage = verdict.stage if verdict is not None and verdict.state is VerdictState.TRIAL else 0
+                if max(counts) < 0.05 and not (left_s or stage):
                     continue
-                worst, link, good = (min(MOST_COUNT, c) for c in counts)
-                number = subject_id(address, w.started_at, name)
+                bad, link, good = (min(MAX_COUNT, c) for c in counts)
+                subject = subject_id(address, worker.started_at, name)
                 found.append(
-                    WorkerReport(number, worst, link, good, min(MOST_S, opened), min(MOST_S, left), stage)
+                    WorkerReport(
+                        subject,
+                        bad,
+                        link,
+                        good,
+                        min(MAX_DURATION_S, opened_s),
+                        min(MAX_DURATION_S, left_s),
+                        stage,
+                    )
                 )
-        found.sort(key=lambda s: (-(s.left_s > 0), -(s.bad + s.link), s.subject_id))
+        found.sort(key=lambda r: (-(r.left_s > 0), -(r.bad + r.link), r.subject_id))
         return tuple(found[:MAX_WORKER_REPORTS])
 
     def has_urgent_report(self) -> bool:
-        """Whether there is a bad ending to be told at once."""
-        return self.untold
+        """Whether a bad attempt must be reported at once."""
+        return self.has_unreported
 
-    def hear(self, now: float, e: PeerReports, fleet: WorkerIndex) -> None:
-        self.alive, self.unwell = max(1, e.dispatchers), e.is_degraded
-        self.witnesses = e.attempts, e.bad_attempts
+    def receive_reports(self, now: float, event: PeerReports, worker_index: WorkerIndex) -> None:
+        """Replaces the reports of all peers in the event, and evaluates the workers."""
+        self.dispatcher_count, self.is_degraded = max(1, event.dispatchers), event.is_degraded
+        self.peer_attempts = event.attempts, event.bad_attempts
         new = []
-        for w in e.reports:
-            self._unsay(w.reporter)
-            if len(self.tellers) >= MOST_TELLERS or not w.worker_reports or w.age_s >= SILENT_S:
+        for peer in event.reports:
+            self._remove_reports(peer.reporter)
+            if (
+                len(self.reporters) >= MAX_REPORTERS
+                or not peer.worker_reports
+                or peer.age_s >= REPORT_TIMEOUT_S
+            ):
                 continue
-            self.tellers[w.reporter] = now - w.age_s, tuple(s.subject_id for s in w.worker_reports)
-            for s in w.worker_reports:
-                words = self.words.get(s.subject_id)
-                if words is None:
-                    words = self.words[s.subject_id] = {}
-                    new.append(s.subject_id)
-                words[w.reporter] = now, Word(w.reporter, w.zone, w.age_s, s)
-        if self.strange:
-            self._find(now, (), fleet.workers.values())
-        if now >= self.purge_at:
-            self.purge_at = now + PURGE_S
-            for owner in [o for o, (at, _) in self.tellers.items() if now - at >= SILENT_S]:
-                self._unsay(owner)
+            self.reporters[peer.reporter] = now - peer.age_s, tuple(r.subject_id for r in peer.worker_reports)
+            for r in peer.worker_reports:
+                reports = self.reports.get(r.subject_id)
+                if reports is None:
+                    reports = self.reports[r.subject_id] = {}
+                    new.append(r.subject_id)
+                reports[peer.reporter] = now, ReceivedReport(peer.reporter, peer.zone, peer.age_s, r)
+        if self.unknown_subjects:
+            self._resolve_subjects(now, (), worker_index.workers.values())
+        if now >= self.next_purge_at:
+            self.next_purge_at = now + PURGE_INTERVAL_S
+            for reporter in [r for r, (at, _) in self.reporters.items() if now - at >= REPORT_TIMEOUT_S]:
+                self._remove_reports(reporter)
         if new:
-            self._find(now, new, fleet.workers.values())
-        self.evaluate(now, fleet)
-
-    def _unsay(self, owner: str) -> None:
-        for number in self.tellers.pop(owner, (0.0, ()))[1]:
-            words = self.words.get(number)
-            if words is not None:
-                words.pop(owner, None)
-                if not words:
-                    del self.words[number]
-                    self.subjects.pop(number, None)
-
-    def _find(self, now: float, numbers: Iterable[int], workers: Iterable[Worker]) -> None:
-        """Whom subjects stand for. O(1) each, but for strange ones: O(real servers x classes) each FIND_S."""
-        self.strange.update(n for n in numbers if n not in self.index)
-        if self.strange and now >= self.index_at:
-            self.index_at = now + FIND_S
+            self._resolve_subjects(now, new, worker_index.workers.values())
+        self.evaluate(now, worker_index)
+
+    def _remove_reports(self, reporter: str) -> None:
+        for subject in self.reporters.pop(reporter, (0.0, ()))[1]:
+            reports = self.reports.get(subject)
+            if reports is not None:
+                reports.pop(reporter, None)
+                if not reports:
+                    del self.reports[subject]
+                    self.subjects.pop(subject, None)
+
+    def _resolve_subjects(self, now: float, subjects: Iterable[int], workers: Iterable[Worker]) -> None:
+        """Finds the workers and classes of reported subjects.
+
+        O(1) per subject; with unknown ones also O(workers x classes), once per INDEX_INTERVAL_S.
+        """
+        self.unknown_subjects.update(s for s in subjects if s not in self.index)
+        if self.unknown_subjects and now >= self.next_index_at:
+            self.next_index_at = now + INDEX_INTERVAL_S
             names = [c.name for c in self.settings.classes]
             self.index = {
                 subject_id(w.address, w.started_at, n): (w.address, n) for w in workers for n in names
             }
-            numbers = [*numbers, *self.strange]
-            # a list that comes later may know them
-            self.strange = {n for n in self.strange if n not in self.index and n in self.words}
-        for n in numbers:
-            if n in self.words and (found := self.index.get(n)) is not None:
-                self.subjects[n] = found
-
-    # --- judging
-
-    def evaluate(self, now: float, fleet: WorkerIndex, only: Worker | None = None) -> None:
-        """At all that is open, or at what has just changed of one."""
-        if now < self.look_at and only is None:
+            subjects = [*subjects, *self.unknown_subjects]
+            # those that are still unknown may be of workers that a later endpoint list contains
+            self.unknown_subjects = {
+                s for s in self.unknown_subjects if s not in self.index and s in self.reports
+            }
+        for subject in subjects:
+            if subject in self.reports and (found := self.index.get(subject)) is not None:
+                self.subjects[subject] = found
+
+    # --- evaluation
+
+    def evaluate(self, now: float, worker_index: WorkerIndex, only: Worker | None = None) -> None:
+        """Updates the verdicts of all workers in question, or of `only` after an attempt there."""
+        if now < self.next_evaluation_at and only is None:
             return
         if only is None:
-            self.look_at = now + LOOK_S
-        bad, good = weights(self._rate())
-        doubtful = self.doubtful(now)
-        if now >= self.ready_at:
-            self.ready_at, self.ready = now + COUNT_S, {}
-            for w in fleet.workers.values():
-                if w.is_ready:
-                    self.ready[self._group(w)] = self.ready.get(self._group(w), 0) + 1
-        open_: dict[str, None] = dict.fromkeys(self.cases) | dict.fromkeys(self.verdicts)
-        open_ |= dict.fromkeys(self.alone)
-        open_ |= dict.fromkeys(address for address, _ in self.subjects.values()) | dict.fromkeys(self.orders)
+            self.next_evaluation_at = now + EVALUATION_INTERVAL_S
+        bad, good = log_likelihood_ratios(self._base_rate())
+        doubtful = self.doubts_itself(now)
+        if now >= self.next_count_at:
+            self.next_count_at, self.ready_counts = now + READY_COUNT_INTERVAL_S, {}
+            for worker in worker_index.workers.values():
+                if worker.is_ready:
+                    self.ready_counts[self._group(worker)] = self.ready_counts.get(self._group(worker), 0) + 1
+        in_question: dict[str, None] = dict.fromkeys(self.evidence) | dict.fromkeys(self.verdicts)
+        in_question |= dict.fromkeys(self.local_ejections)
+        in_question |= dict.fromkeys(a for a, _ in self.subjects.values()) | dict.fromkeys(self.overrides)
         if only is not None:
-            open_ = {only.address: None}
+            in_question = {only.address: None}
         scores = {
-            a: self._scores(now, fleet.workers[a], bad, good, doubtful) for a in open_ if a in fleet.workers
+            a: self._combined_by_class(now, worker_index.workers[a], bad, good, doubtful)
+            for a in in_question
+            if a in worker_index.workers
         }
-        for a in [a for a in open_ if a not in fleet.workers]:
-            self._forget(a)
+        for a in [a for a in in_question if a not in worker_index.workers]:
+            self._remove_worker(a)
         if only is None:
-            self._masses(now, fleet, scores)
-        worst = sorted(scores, key=lambda a: (-max((s.score for s in scores[a].values()), default=0.0), a))
-        for address in worst:
-            self._judge(now, fleet.workers[address], scores[address], fleet)
-
-    def _scores(self, now: float, w: Worker, bad: float, good: float, doubtful: bool) -> dict[str, Sum]:
-        """By class: its own words, and those of classes that go badly there unless its own go well."""
-        spoken: dict[str, list[Word]] = {}
+            self._detect_mass_failures(now, worker_index, scores)
+        worst_first = sorted(
+            scores, key=lambda a: (-max((c.score for c in scores[a].values()), default=0.0), a)
+        )
+        for address in worst_first:
+            self._evaluate_worker(now, worker_index.workers[address], scores[address], worker_index)
+
+    def _combined_by_class(
+        self, now: float, worker: Worker, bad: float, good: float, doubtful: bool
+    ) -> dict[str, CombinedEvidence]:
+        """Returns the combined evidence on each class of the worker.
+
+        The evidence of a class includes that of other classes with a positive score, unless its own score is
+        below SPARED_SCORE.
+        """
+        by_class: dict[str, list[ReceivedReport]] = {}
         for name in [c.name for c in self.settings.classes]:
-            case = self.cases.get(w.address, {}).get(name)
-            heard = (
-                self.words.get(subject_id(w.address, w.started_at, name), {}).values() if self.words else ()
+            evidence = self.evidence.get(worker.address, {}).get(name)
+            received = (
+                self.reports.get(subject_id(worker.address, worker.started_at, name), {}).values()
+                if self.reports
+                else ()
             )
-            if case is None and not heard:
+            if evidence is None and not received:
                 continue
-            v = self.verdicts.get(w.address, {}).get(name)
-            words = []
-            for came, word in heard:
-                age = word.age_s + now - came
-                # what was counted before it went out proves nothing for its trial
+            verdict = self.verdicts.get(worker.address, {}).get(name)
+            reports = []
+            for received_at, r in received:
+                age_s = r.age_s + now - received_at
+                # counts that were opened before the ejection are no evidence in the trial after it
                 if (
-                    v is None
-                    or v.state is not VerdictState.TRIAL
-                    or word.said.opened_s + age <= now - v.since + 0.5
+                    verdict is None
+                    or verdict.state is not VerdictState.TRIAL
+                    or r.report.opened_s + age_s <= now - verdict.since + 0.5
                 ):
-                    words.append(word._replace(age_s=age))
-            if case is not None and not doubtful:
-                case.fade(now)
-                said = WorkerReport(0, case.bad, case.link, case.good, 0.0, 0.0, 0)
-                words.append(Word(self.name, self.zone, 0.0, said))
-            if words:
-                spoken[name] = words
-        if not spoken:
+                    reports.append(r._replace(age_s=age_s))
+            if evidence is not None and not doubtful:
+                evidence.decay(now)
+                own_report = WorkerReport(0, evidence.bad, evidence.link, evidence.good, 0.0, 0.0, 0)
+                reports.append(ReceivedReport(self.name, self.zone, 0.0, own_report))
+            if reports:
+                by_class[name] = reports
+        if not by_class:
             return {}
-        sums = {name: weigh(words, self.zone, self.zones, bad, good) for name, words in spoken.items()}
-        badly = [name for name, s in sums.items() if s.score > 0]
-        found: dict[str, Sum] = {}
+        combined = {
+            name: combine(reports, self.zone, self.zone_count, bad, good)
+            for name, reports in by_class.items()
+        }
+        failing = [name for name, c in combined.items() if c.score > 0]
+        found: dict[str, CombinedEvidence] = {}
         for name in [c.name for c in self.settings.classes]:
-            own = sums.get(name, NOTHING)
-            others = [w for other in badly if other != name for w in spoken[other]]
-            if own.score >= SPARED and others:
-                # a teller weighs no more by naming many classes
-                whole = merged([*spoken.get(name, ()), *others])
-                found[name] = weigh(whole, self.zone, self.zones, bad, good)._replace(good=own.good)
-            elif name in sums:
+            own = combined.get(name, NO_EVIDENCE)
+            others = [r for other in failing if other != name for r in by_class[other]]
+            if own.score >= SPARED_SCORE and others:
+                # merged first, so that a reporter of several classes has no more weight than of one
+                merged = merge_by_reporter([*by_class.get(name, ()), *others])
+                found[name] = combine(merged, self.zone, self.zone_count, bad, good)._replace(good=own.good)
+            elif name in combined:
                 found[name] = own
         return found
 
-    def _group(self, w: Worker) -> tuple[str, str]:
-        return w.kind, w.zone
+    def _group(self, worker: Worker) -> tuple[str, str]:
+        return worker.kind, worker.zone
 
-    def _allowed(self, group: tuple[str, str]) -> int:
-        """How many of a kind and zone may be out at one time."""
-        ready = self.ready.get(group, 0)
-        return min(max(1, int(self.rules.most_out * ready)), ready - 1)
+    def _max_ejected(self, group: tuple[str, str]) -> int:
+        """Returns how many workers of a kind and zone may be ejected at one time."""
+        ready = self.ready_counts.get(group, 0)
+        return min(max(1, int(self.limits.max_ejected_share * ready)), ready - 1)
 
-    def _out(self, group: tuple[str, str], fleet: WorkerIndex) -> list[str]:
+    def _ejected_in(self, group: tuple[str, str], worker_index: WorkerIndex) -> list[str]:
+        """Returns the workers of a kind and zone that are ejected or on trial."""
         return [
             a
             for a, held in self.verdicts.items()
-            if a in fleet.workers
-            and self._group(fleet.workers[a]) == group
+            if a in worker_index.workers
+            and self._group(worker_index.workers[a]) == group
             and any(v.state in (VerdictState.CONDEMNED, VerdictState.TRIAL) for v in held.values())
         ]
 
-    def _masses(self, now: float, fleet: WorkerIndex, scores: dict[str, dict[str, Sum]]) -> None:
-        groups: dict[tuple[str, str], int] = {}
+    def _detect_mass_failures(
+        self, now: float, worker_index: WorkerIndex, scores: dict[str, dict[str, CombinedEvidence]]
+    ) -> None:
+        failing: dict[tuple[str, str], int] = {}
         worst: dict[tuple[str, str], list[float]] = {}
-        for a, of in scores.items():
-            group = self._group(fleet.workers[a])
-            most = max((s.score for s in of.values()), default=0.0)
-            worst.setdefault(group, []).append(max(0.0, most))
-            if most >= BREWING:
-                groups[group] = groups.get(group, 0) + 1
-        # who is not in question counts as 0
-        self.usual_score = {
-            group: sorted(of)[len(of) - 1 - self.ready.get(group, 0) // 2]
-            for group, of in worst.items()
-            if len(of) > self.ready.get(group, 0) // 2
+        for a, by_class in scores.items():
+            group = self._group(worker_index.workers[a])
+            max_score = max((c.score for c in by_class.values()), default=0.0)
+            worst.setdefault(group, []).append(max(0.0, max_score))
+            if max_score >= MASS_FAILURE_SCORE:
+                failing[group] = failing.get(group, 0) + 1
+        # the median over all ready workers, those without evidence counted as 0
+        self.median_scores = {
+            group: sorted(by_worker)[len(by_worker) - 1 - self.ready_counts.get(group, 0) // 2]
+            for group, by_worker in worst.items()
+            if len(by_worker) > self.ready_counts.get(group, 0) // 2
         }
-        for group in [g for g in self.mass_at if g not in groups]:
-            del self.mass_at[group]
-        for group, n in groups.items():
-            if n + len(self._out(group, fleet)) > max(2, self._allowed(group)):
-                self.mass_at.setdefault(group, now)
+        for group in [g for g in self.mass_failure_since if g not in failing]:
+            del self.mass_failure_since[group]
+        for group, n in failing.items():
+            if n + len(self._ejected_in(group, worker_index)) > max(2, self._max_ejected(group)):
+                self.mass_failure_since.setdefault(group, now)
             else:
-                self.mass_at.pop(group, None)
+                self.mass_failure_since.pop(group, None)
 
-    def _judge(self, now: float, w: Worker, of: dict[str, Sum], fleet: WorkerIndex) -> None:
-        if not w.is_ready:
+    def _evaluate_worker(
+        self, now: float, worker: Worker, by_class: dict[str, CombinedEvidence], worker_index: WorkerIndex
+    ) -> None:
+        if not worker.is_ready:
             return
-        held = self.verdicts.get(w.address, {})
-        group = self._group(w)
-        needed = 2 if self.alive < 6 else 3
-        order = self._order(now, w.address)
-        plain = {name: s.score for name, s in of.items()}
-        worst_class = max(plain, key=plain.__getitem__, default="")
+        held = self.verdicts.get(worker.address, {})
+        group = self._group(worker)
+        required_reporters = 2 if self.dispatcher_count < 6 else 3
+        override = self._active_override(now, worker.address)
+        scores = {name: c.score for name, c in by_class.items()}
+        worst_class = max(scores, key=scores.__getitem__, default="")
         for name in [c.name for c in self.settings.classes]:
-            s, v = of.get(name, NOTHING), held.get(name)
-            if s is NOTHING and v is None and order is None and not of:
+            combined, verdict = by_class.get(name, NO_EVIDENCE), held.get(name)
+            if combined is NO_EVIDENCE and verdict is None and override is None and not by_class:
                 continue
-            v = v or Verdict(now)
-            before = v.state
-            free = any(x.state in (VerdictState.CONDEMNED, VerdictState.TRIAL) for x in held.values())
-            room = free or len(self._out(group, fleet)) < self._allowed(group)
-            mass = now < self.mass_at.get(group, -MASS_S) + MASS_S
-            if order is not None:
-                self._obey(now, v, order, room)
+            verdict = verdict or Verdict(now)
+            state_before = verdict.state
+            is_counted = any(v.state in (VerdictState.CONDEMNED, VerdictState.TRIAL) for v in held.values())
+            may_eject = is_counted or len(self._ejected_in(group, worker_index)) < self._max_ejected(group)
+            is_mass_failure = now < self.mass_failure_since.get(group, -MASS_FAILURE_S) + MASS_FAILURE_S
+            if override is not None:
+                self._apply_override(now, verdict, override, may_eject)
             else:
-                score = s.score - self.usual_score.get(group, 0.0)
+                score = combined.score - self.median_scores.get(group, 0.0)
                 if (
-                    v.state in (VerdictState.CLEAR, VerdictState.SUSPECTED)
-                    and score >= CONDEMNED_FROM
-                    and room
+                    verdict.state in (VerdictState.CLEAR, VerdictState.SUSPECTED)
+                    and score >= EJECT_SCORE
+                    and may_eject
                 ):
-                    score = self._score_beside_others(now, w, name, score, fleet)
+                    score = self._score_at_group_rate(now, worker, name, score, worker_index)
                 elif name == worst_class:
-                    self.questioned_at.pop(w.address, None)
-                step(v, now, Facts(score, s.tellers, s.good, needed, room, mass), self.rules.term_s)
-                if v.state in (VerdictState.CLEAR, VerdictState.SUSPECTED) and room:
-                    self._believe(now, v, w, name, needed)
-            if v.state is VerdictState.CLEAR:
+                    self.first_eject_score_at.pop(worker.address, None)
+                step(
+                    verdict,
+                    now,
+                    Observation(
+                        score,
+                        combined.reporters,
+                        combined.good,
+                        required_reporters,
+                        may_eject,
+                        is_mass_failure,
+                    ),
+                    self.limits.first_term_s,
+                )
+                if verdict.state in (VerdictState.CLEAR, VerdictState.SUSPECTED) and may_eject:
+                    self._adopt_peer_ejections(now, verdict, worker, name, required_reporters)
+            if verdict.state is VerdictState.CLEAR:
                 held.pop(name, None)
             else:
-                held[name] = v
-                self.verdicts[w.address] = held
-            if v.state is not before:
-                self._changed(now, w, name, v, before)
+                held[name] = verdict
+                self.verdicts[worker.address] = held
+            if verdict.state is not state_before:
+                self._on_state_change(now, worker, name, verdict, state_before)
         if not held:
-            self.verdicts.pop(w.address, None)
-        for name, (until, _) in list(self.alone.get(w.address, {}).items()):
-            if now >= until + FORGET_S:
-                del self.alone[w.address][name]
-        if not held and not self.alone.get(w.address):
-            cases = self.cases.get(w.address, {})
-            faded = all(c.bad + c.link + c.good < FADED for c in cases.values())
-            if faded or (of and all(s.score <= CLEARED_FROM for s in of.values())):
-                self.cases.pop(w.address, None)
-        self._mark(now, w, plain, fleet)
-
-    def _score_beside_others(
-        self, now: float, w: Worker, job_class: str, score: float, fleet: WorkerIndex
+            self.verdicts.pop(worker.address, None)
+        for name, (until, _) in list(self.local_ejections.get(worker.address, {}).items()):
+            if now >= until + LOCAL_EJECTION_GRACE_S:
+                del self.local_ejections[worker.address][name]
+        if not held and not self.local_ejections.get(worker.address):
+            evidence = self.evidence.get(worker.address, {})
+            faded = all(e.bad + e.link + e.good < NEGLIGIBLE_COUNT for e in evidence.values())
+            if faded or (by_class and all(c.score <= CLEARED_SCORE for c in by_class.values())):
+                self.evidence.pop(worker.address, None)
+        self._update_worker(now, worker, scores, worker_index)
+
+    def _score_at_group_rate(
+        self, now: float, worker: Worker, job_class: str, score: float, worker_index: WorkerIndex
     ) -> float:
-        """The score of a class, weighed by the rate at which the others of its kind and zone fail now.
+        """Returns the score with the current bad rate of the other workers of the kind and zone, if lower.
 
-        A mass that was recognised is judged by its median instead. O(words of the kind and zone).
+        In a recognised mass failure `score` is returned, as the median is already subtracted. O(reports on
+        the kind and zone).
         """
-        questioned_at = self.questioned_at.setdefault(w.address, now)
-        if self._group(w) in self.mass_at or now >= questioned_at + MASS_S:
+        first_at = self.first_eject_score_at.setdefault(worker.address, now)
+        if self._group(worker) in self.mass_failure_since or now >= first_at + MASS_FAILURE_S:
             return score
-        elsewhere = self._rate_elsewhere(now, w, job_class, fleet)
-        if elsewhere <= self._rate():
+        group_rate = self._bad_rate_of_others(now, worker, job_class, worker_index)
+        if group_rate <= self._base_rate():
             return score
-        bad, good = weights(elsewhere)
-        scores = self._scores(now, w, bad, good, self.doubtful(now))
-        return min(score, scores.get(job_class, NOTHING).score)
+        bad, good = log_likelihood_ratios(group_rate)
+        by_class = self._combined_by_class(now, worker, bad, good, self.doubts_itself(now))
+        return min(score, by_class.get(job_class, NO_EVIDENCE).score)
 
-    def _rate_elsewhere(self, now: float, w: Worker, job_class: str, fleet: WorkerIndex) -> float:
-        """Bad endings at the other ready ones of its kind and zone that are not out, as a share.
+    def _bad_rate_of_others(
+        self, now: float, worker: Worker, job_class: str, worker_index: WorkerIndex
+    ) -> float:
+        """Returns the share of bad attempts at the other ready, not ejected workers of the kind and zone.
 
-        Of one without bad endings nothing is told, so each counts as having had as many endings as this one.
+        Workers without bad attempts are not reported, so each worker is assumed to have had as many attempts
+        as this one.
         """
-        group, doubtful = self._group(w), self.doubtful(now)
-        bad, good = weights(self._rate())
-        own = self._scores(now, w, bad, good, doubtful).get(job_class, NOTHING)
-        endings = own.bad + own.good
-        held_out = set(self._out(group, fleet))
-        in_question = dict.fromkeys(self.cases) | dict.fromkeys(a for a, _ in self.subjects.values())
+        group, doubtful = self._group(worker), self.doubts_itself(now)
+        bad, good = log_likelihood_ratios(self._base_rate())
+        own = self._combined_by_class(now, worker, bad, good, doubtful).get(job_class, NO_EVIDENCE)
+        attempts = own.bad + own.good
+        ejected = set(self._ejected_in(group, worker_index))
+        in_question = dict.fromkeys(self.evidence) | dict.fromkeys(a for a, _ in self.subjects.values())
         bad_elsewhere = 0.0
         for address in in_question:
-            other = fleet.workers.get(address)
-            if other is None or other is w or self._group(other) != group or address in held_out:
+            other = worker_index.workers.get(address)
+            if other is None or other is worker or self._group(other) != group or address in ejected:
                 continue
-            of_other = self._scores(now, other, bad, good, doubtful).get(job_class, NOTHING)
-            bad_elsewhere += min(of_other.bad, endings)
-        others = self.ready.get(group, 0) - len(held_out) - 1
-        return bad_elsewhere / (endings * others) if endings and others > 0 else 0.0
-
-    def _believe(self, now: float, v: Verdict, w: Worker, job_class: str, needed: int) -> None:
-        """Enough others hold it out already: who has just started need not be hurt first."""
-        left = sorted(
-            word.said.left_s - (word.age_s + now - came)
-            for came, word in self.words.get(subject_id(w.address, w.started_at, job_class), {}).values()
-            if word.age_s + now - came < FRESH_S and word.said.left_s > word.age_s + now - came
+            combined = self._combined_by_class(now, other, bad, good, doubtful).get(job_class, NO_EVIDENCE)
+            bad_elsewhere += min(combined.bad, attempts)
+        others = self.ready_counts.get(group, 0) - len(ejected) - 1
+        return bad_elsewhere / (attempts * others) if attempts and others > 0 else 0.0
+
+    def _adopt_peer_ejections(
+        self, now: float, verdict: Verdict, worker: Worker, job_class: str, required_reporters: int
+    ) -> None:
+        """Ejects a worker that enough peers have ejected; a new dispatcher need not fail jobs there first."""
+        left_s = sorted(
+            r.report.left_s - (r.age_s + now - received_at)
+            for received_at, r in self.reports.get(
+                subject_id(worker.address, worker.started_at, job_class), {}
+            ).values()
+            if r.age_s + now - received_at < EJECTION_REPORT_AGE_S
+            and r.report.left_s > r.age_s + now - received_at
         )
-        if len(left) >= max(needed, min(5, ceil(0.1 * self.alive))):
-            for_s = min(LONGEST_S, left[(len(left) - 1) // 2])
-            condemn(v, now, for_s, f"{len(left)} others' word")
-            v.term_s = v.term_s or self.rules.term_s
-
-    def _changed(self, now: float, w: Worker, job_class: str, v: Verdict, before: VerdictState) -> None:
-        if v.state is VerdictState.TRIAL:
-            self.cases.get(w.address, {}).pop(job_class, None)  # what comes from now on counts anew
-        elif v.state is VerdictState.CONDEMNED:
-            self.alone.get(w.address, {}).pop(job_class, None)
+        if len(left_s) >= max(required_reporters, min(5, ceil(0.1 * self.dispatcher_count))):
+            for_s = min(MAX_TERM_S, left_s[(len(left_s) - 1) // 2])
+            eject(verdict, now, for_s, f"ejected by {len(left_s)} peers")
+            verdict.term_s = verdict.term_s or self.limits.first_term_s
+
+    def _on_state_change(
+        self, now: float, worker: Worker, job_class: str, verdict: Verdict, before: VerdictState
+    ) -> None:
+        if verdict.state is VerdictState.TRIAL:
+            self.evidence.get(worker.address, {}).pop(job_class, None)  # the trial counts from zero
+        elif verdict.state is VerdictState.CONDEMNED:
+            self.local_ejections.get(worker.address, {}).pop(job_class, None)
             self.log(
-                f"{w.address} is out for {job_class}, {v.until - now:.1f} s: {v.by}, score {v.score:.1f}"
+                f"worker {worker.address} ejected for class {job_class} for {verdict.until - now:.1f} s:"
+                f" {verdict.cause}, score {verdict.score:.1f}"
             )
-        elif before is VerdictState.TRIAL and v.state is VerdictState.CLEAR:
-            self.log(f"{w.address} is back for {job_class}")
-
-    def _mark(self, now: float, w: Worker, plain: dict[str, float], fleet: WorkerIndex) -> None:
-        """Puts what is held where the decisions look."""
-        out = any(v.state is VerdictState.CONDEMNED for v in self.verdicts.get(w.address, {}).values())
-        alone = self.alone.get(w.address)
-        if alone is not None and not alone:
-            del self.alone[w.address]
-        until = max((until for until, _ in (alone or {}).values()), default=0.0)
-        if out:
-            until = max(until, *(v.until for v in self.verdicts[w.address].values()))
-        w.ejected_until = until
-        if until and w.is_ready:
-            self.ejected[w.address] = w
+        elif before is VerdictState.TRIAL and verdict.state is VerdictState.CLEAR:
+            self.log(f"worker {worker.address} readmitted for class {job_class}")
+
+    def _update_worker(
+        self, now: float, worker: Worker, scores: dict[str, float], worker_index: WorkerIndex
+    ) -> None:
+        """Stores the ejection and the suspicion in the worker's record, which the dispatcher reads."""
+        ejected = any(
+            v.state is VerdictState.CONDEMNED for v in self.verdicts.get(worker.address, {}).values()
+        )
+        local = self.local_ejections.get(worker.address)
+        if local is not None and not local:
+            del self.local_ejections[worker.address]
+        until = max((until for until, _ in (local or {}).values()), default=0.0)
+        if ejected:
+            until = max(until, *(v.until for v in self.verdicts[worker.address].values()))
+        worker.ejected_until = until
+        if until and worker.is_ready:
+            self.ejected[worker.address] = worker
         else:
-            self.ejected.pop(w.address, None)
-        suspect = w.address in self.verdicts or any(
-            self._score_alone(now, w.address, c) > SUSPECT_FROM for c in self.cases.get(w.address, ())
+            self.ejected.pop(worker.address, None)
+        suspect = worker.address in self.verdicts or any(
+            self._local_score(now, worker.address, c) > LOCAL_SUSPECT_SCORE
+            for c in self.evidence.get(worker.address, ())
         )
-        w.failure_share = 1.0 if until or w.address in self.verdicts else 0.3 if suspect else 0.0
-        fleet.update_suspect(w)
-
-    # --- the decisions ask
-
-    def may_receive(self, now: float, job: Job, w: Worker, fleet: WorkerIndex) -> bool:
-        """Asked of those that are marked: a mark may be older than what is held now."""
-        if now >= self.look_at:
-            self.evaluate(now, fleet)
-        order = self._order(now, w.address)
-        if order is not None and not order.out:
-            return True  # own evidence counts as little as others'
+        worker.failure_share = 1.0 if until or worker.address in self.verdicts else 0.3 if suspect else 0.0
+        worker_index.update_suspect(worker)
+
+    # --- queries of the dispatcher
+
+    def may_receive(self, now: float, job: Job, worker: Worker, worker_index: WorkerIndex) -> bool:
+        """Whether a worker marked as suspect may get the job; the mark may be outdated."""
+        if now >= self.next_evaluation_at:
+            self.evaluate(now, worker_index)
+        override = self._active_override(now, worker.address)
+        if override is not None and not override.is_ejected:
+            return True  # the override also outranks local evidence
         name = job.job_class.name
         unsafe = job.job_class.effect is Effect.UNSAFE and self.spares_unsafe
-        v = self.verdicts.get(w.address, {}).get(name)
-        if v is not None and v.state is VerdictState.CONDEMNED:
+        verdict = self.verdicts.get(worker.address, {}).get(name)
+        if verdict is not None and verdict.state is VerdictState.CONDEMNED:
             return False
-        if v is not None and v.state is VerdictState.TRIAL:
-            if unsafe and v.stage < len(SHARES):
+        if verdict is not None and verdict.state is VerdictState.TRIAL:
+            if unsafe and verdict.stage < len(TRIAL_SHARES):
                 return False
-            return w.load == 0 and self._turn(w, v)
-        if len(self.ejected) > MAX_EJECTED_SHARE * len(fleet.workers):
+            return worker.load == 0 and self._has_trial_turn(worker, verdict)
+        if len(self.ejected) > MAX_EJECTED_SHARE * len(worker_index.workers):
             return True
-        if (held := self.alone.get(w.address, {}).get(name)) is not None:
-            if unsafe:  # no trial; what speaks against it fades
-                return now >= held[0] and self._score_alone(now, w.address, name) <= SUSPECT_FROM
-            return now >= held[0] and w.load == 0
-        if unsafe and (v is not None or self._score_alone(now, w.address, name) > SUSPECT_FROM):
-            return len(fleet.suspects) > MAX_EJECTED_SHARE * len(fleet.workers)
+        if (ejection := self.local_ejections.get(worker.address, {}).get(name)) is not None:
+            if unsafe:  # never a trial job: it may go once the evidence has decayed
+                return (
+                    now >= ejection[0] and self._local_score(now, worker.address, name) <= LOCAL_SUSPECT_SCORE
+                )
+            return now >= ejection[0] and worker.load == 0
+        if unsafe and (
+            verdict is not None or self._local_score(now, worker.address, name) > LOCAL_SUSPECT_SCORE
+        ):
+            return len(worker_index.suspects) > MAX_EJECTED_SHARE * len(worker_index.workers)
         return True
 
-    def _turn(self, w: Worker, v: Verdict) -> bool:
-        share = max(SHARES[v.stage - 1], min(1.0, 2 / self.alive))
-        place = crc32(f"{self.name}/{w.address}/{w.started_at:.3f}/{v.term_s:g}".encode()) / (1 << 32)
-        return place < share
-
-    def forget(self, w: Worker) -> None:
-        super().forget(w)
-        self._forget(w.address)
-
-    def _forget(self, address: str) -> None:
-        for table in (self.cases, self.verdicts, self.alone, self.last, self.questioned_at):
+    def _has_trial_turn(self, worker: Worker, verdict: Verdict) -> bool:
+        share = max(TRIAL_SHARES[verdict.stage - 1], min(1.0, 2 / self.dispatcher_count))
+        position = crc32(
+            f"{self.name}/{worker.address}/{worker.started_at:.3f}/{verdict.term_s:g}".encode()
+        ) / (1 << 32)
+        return position < share
+
+    def forget(self, worker: Worker) -> None:
+        """Forgets a worker that was removed or has restarted."""
+        super().forget(worker)
+        self._remove_worker(worker.address)
+
+    def _remove_worker(self, address: str) -> None:
+        for table in (
+            self.evidence,
+            self.verdicts,
+            self.local_ejections,
+            self.outcomes,
+            self.first_eject_score_at,
+        ):
             table.pop(address, None)
 
-    # --- the operator
-
-    def order(self, now: float, e: OperatorOverrides, fleet: WorkerIndex) -> None:
-        """These hold and no others; who is not named is left to the evidence."""
-        for address, order in self.orders.items():
-            if order.out and address not in e.overrides:  # it is let back as after a judgement, on trial
-                for v in self.verdicts.get(address, {}).values():
-                    v.until = min(v.until, now)
-        self.orders = {a: ActiveOverride(out, now + left, why) for a, (out, left, why) in e.overrides.items()}
-        self.look_at = now
-        self.evaluate(now, fleet)
-
-    def _order(self, now: float, address: str) -> ActiveOverride | None:
-        order = self.orders.get(address)
-        if order is not None and now >= order.until:
-            del self.orders[address]
+    # --- operator overrides
+
+    def apply_overrides(self, now: float, event: OperatorOverrides, worker_index: WorkerIndex) -> None:
+        """Replaces all overrides; workers without one are judged by the evidence."""
+        for address, override in self.overrides.items():
+            if override.is_ejected and address not in event.overrides:  # it begins a trial, as after a term
+                for verdict in self.verdicts.get(address, {}).values():
+                    verdict.until = min(verdict.until, now)
+        self.overrides = {
+            a: ActiveOverride(out, now + left_s, reason)
+            for a, (out, left_s, reason) in event.overrides.items()
+        }
+        self.next_evaluation_at = now
+        self.evaluate(now, worker_index)
+
+    def _active_override(self, now: float, address: str) -> ActiveOverride | None:
+        override = self.overrides.get(address)
+        if override is not None and now >= override.until:
+            del self.overrides[address]
             return None
-        return order
+        return override
 
-    def _obey(self, now: float, v: Verdict, order: ActiveOverride, room: bool) -> None:
-        if not order.out:
-            v.enter(now, VerdictState.CLEAR)
-        elif room and v.state is not VerdictState.CONDEMNED:
-            condemn(v, now, order.until - now, f"the operator: {order.why}")
+    def _apply_override(
+        self, now: float, verdict: Verdict, override: ActiveOverride, may_eject: bool
+    ) -> None:
+        if not override.is_ejected:
+            verdict.enter(now, VerdictState.CLEAR)
+        elif may_eject and verdict.state is not VerdictState.CONDEMNED:
+            eject(verdict, now, override.until - now, f"operator: {override.reason}")
 
     def show(self, now: float, workers: dict[str, Worker]) -> list[dict[str, Any]]:
-        """Who is out or in question, why, by whose word, since when, until when; times are ages."""
+        """Returns a JSON object for each verdict that is not clear and for each local ejection.
+
+        Times are durations up to or from now, in seconds.
+        """
         found = []
         for address, held in sorted(self.verdicts.items()):
-            for name, v in sorted(held.items()):
-                born = workers[address].started_at if address in workers else 0.0
-                words = self.words.get(subject_id(address, born, name), {}).values()
+            for name, verdict in sorted(held.items()):
+                started_at = workers[address].started_at if address in workers else 0.0
+                reports = self.reports.get(subject_id(address, started_at, name), {}).values()
                 found.append(
                     {
                         "server": address,
                         "class": name,
-                        "state": v.state.name.lower(),
-                        "by": v.by,
-                        "since_s": round(now - v.since, 3),
-                        "left_s": round(max(0.0, v.until - now), 3),
-                        "stage": v.stage,
-                        "score": round(v.score, 2),
-                        "against": sorted(w.teller for _, w in words if w.said.bad + w.said.link > 0)[:8],
+                        "state": verdict.state.name.lower(),
+                        "by": verdict.cause,
+                        "since_s": round(now - verdict.since, 3),
+                        "left_s": round(max(0.0, verdict.until - now), 3),
+                        "stage": verdict.stage,
+                        "score": round(verdict.score, 2),
+                        "against": sorted(r.reporter for _, r in reports if r.report.bad + r.report.link > 0)[
+                            :8
+                        ],
                     }
                 )
-        for address, alone in sorted(self.alone.items()):
-            for name, (until, times) in sorted(alone.items()):
+        for address, local in sorted(self.local_ejections.items()):
+            for name, (until, times) in sorted(local.items()):
                 found.append(
                     {
                         "server": address,
@@ -686,58 +828,66 @@
         return found
 
 
-def _of_class(scores: dict[str, float], job_class: str) -> float:
-    """A class is judged by its own, and by others' that go badly unless its own go well."""
+def _score_of_class(scores: dict[str, float], job_class: str) -> float:
+    """Returns the score of a class plus the positive ones of others, unless its own is below SPARED_SCORE."""
     own = scores.get(job_class, 0.0)
-    if own < SPARED:
+    if own < SPARED_SCORE:
         return own
     return own + sum(max(0.0, s) for name, s in scores.items() if name != job_class)
 
 
 def attach(
-    d: Dispatcher,
-    own: str,
-    rules: DetectorSettings,
+    dispatcher: Dispatcher,
+    name: str,
+    limits: DetectorSettings,
     now: float,
     log: Callable[[str], None] = lambda text: None,
 ) -> OutlierDetector:
-    """Has these decisions judge by evidence; without it they are as ever."""
-    judging = d.state.health = OutlierDetector(
-        d.settings, d.state.health.base_ejection_s, own, rules, now, log
+    """Replaces the dispatcher's outlier ejection by an outlier detector, and returns the detector."""
+    detector = dispatcher.state.health = OutlierDetector(
+        dispatcher.settings, dispatcher.state.health.base_ejection_s, name, limits, now, log
     )
 
-    def unseen(e: LoopStall) -> None:
-        judging.late(d.now, e.duration_s)
+    def on_loop_stall(event: LoopStall) -> None:
+        detector.record_stall(dispatcher.now, event.duration_s)
 
-    def heard(e: PeerReports) -> None:
-        judging.hear(d.now, e, d.worker_index)
+    def on_peer_reports(event: PeerReports) -> None:
+        detector.receive_reports(dispatcher.now, event, dispatcher.worker_index)
 
-    def ordered(e: OperatorOverrides) -> None:
-        judging.order(d.now, e, d.worker_index)
+    def on_overrides(event: OperatorOverrides) -> None:
+        detector.apply_overrides(dispatcher.now, event, dispatcher.worker_index)
 
-    d.handlers[LoopStall] = unseen
-    d.handlers[PeerReports] = heard
-    d.handlers[OperatorOverrides] = ordered
-    return judging
+    dispatcher.handlers[LoopStall] = on_loop_stall
+    dispatcher.handlers[PeerReports] = on_peer_reports
+    dispatcher.handlers[OperatorOverrides] = on_overrides
+    return detector
 
 
 class ReportSource:
-    """What these decisions have to say to peers."""
+    """This dispatcher's reports, as the exchange with its peers reads them."""
 
-    def __init__(self, judging: OutlierDetector, d: Dispatcher) -> None:
-        self.judging, self.d = judging, d
+    def __init__(self, detector: OutlierDetector, dispatcher: Dispatcher) -> None:
+        self.detector, self.dispatcher = detector, dispatcher
 
     def has_urgent_report(self) -> bool:
-        return self.judging.has_urgent_report()
+        """Whether a bad attempt must be reported at once."""
+        return self.detector.has_urgent_report()
 
-    def is_ejected(self, subject_id: int) -> bool:
-        address, job_class = self.judging.subjects.get(subject_id, ("", ""))
-        verdict = self.judging.verdicts.get(address, {}).get(job_class)
+    def is_ejected(self, subject: int) -> bool:
+        """Whether the subject is ejected here, so that further reports on it are not urgent."""
+        address, job_class = self.detector.subjects.get(subject, ("", ""))
+        verdict = self.detector.verdicts.get(address, {}).get(job_class)
         return verdict is not None and verdict.state is VerdictState.CONDEMNED
 
     def own_report(self, now: float) -> OwnReport:
-        j = self.judging
-        if j.doubtful(now):
-            return OwnReport(j.zone, 0.0, 0.0, ())
-        j.rate.fade(now)
-        return OwnReport(j.zone, j.rate.ended, j.rate.bad, j.says(now, self.d.workers))
+        """Returns the report to send; an empty one while this dispatcher doubts its own observations."""
+        detector = self.detector
+        if detector.doubts_itself(now):
+            return OwnReport(detector.zone, 0.0, 0.0, ())
+        detector.base_rate.decay(now)
+        return OwnReport(
+            detector.zone,
+            detector.base_rate.attempts,
+            detector.base_rate.bad_attempts,
+            detector.worker_reports(now, self.dispatcher.workers),
+        )
--- a/finchladder/core/health/detection/evidence.py
+++ b/finchladder/core/health/detection/evidence.py
@@ -1,109 +1,119 @@
-"""What endings prove of a real server: a sequential test (Wald 1945) of bad against like the others.
+"""Evidence that a worker is bad: a sequential probability ratio test (Wald 1945) over its attempts.
 
-Each ending adds the logarithm of how much likelier it is at a bad one than at one like the fleet, so evidence
-of several dispatchers adds up, in any order, and little of it is judged as far as it goes. A case is opened
-by a first bad ending and counts from then on, as Page's test does (1954): a good past hides no fault.
+Each attempt adds the logarithm of a likelihood ratio: the probability of its outcome at a bad worker divided
+by that at a worker with the fleet's base rate of bad attempts. The evidence of several dispatchers therefore
+adds up in any order, and few attempts yield a correspondingly weak score. Counting starts with the first bad
+attempt, as in Page's CUSUM test (1954), so that earlier good attempts do not mask a new fault.
 
-| fleet's own rate of bad endings | a bad one fails | a bad ending adds | a good one | break-even |
+| base rate of bad attempts | rate at a bad worker | a bad attempt adds | a good one adds | break-even rate |
 | --- | --- | --- | --- | --- |
 | 0.01 and less | 0.51 | 3.9 | -0.69 | 0.15 |
 | 0.1 | 0.55 | 1.7 | -0.69 | 0.29 |
 | 0.3 | 0.65 | 0.8 | -0.69 | 0.47 |
 | 0.6 and more | 0.8 | 0.3 | -0.69 | 0.71 |
 
-Where all fail alike nobody is a bad one. Counts fade by time (FADE_S) and with each ending (EACH).
+If all workers fail at the same rate, none of them is an outlier. Counts decay with time (DECAY_S) and with
+each attempt (DECAY_PER_ATTEMPT).
 """
 
 from math import exp, log
 
 from finchladder.core.health.outlier_ejection import AttemptSignal
 
-LEAST_RATE, MOST_RATE = 0.01, 0.6  # of bad endings, as the fleet's own
-FADE_S, EACH = 8.0, 0.98
-RATE_S = 5.0  # after which an ending counts by 1/e in the fleet's own rate
-PRIOR = 20.0  # endings at LEAST_RATE that count as seen
-SLOW = 5.0  # times the usual running time of its class and kind: from there on a job was too slow
-HALF = 0.5
-# silence may be a queue: who sends it little hears nothing of its other jobs
+MIN_BASE_RATE, MAX_BASE_RATE = 0.01, 0.6  # limits of the fleet's base rate of bad attempts
+DECAY_S, DECAY_PER_ATTEMPT = 8.0, 0.98
+RATE_DECAY_S = 5.0  # time after which an attempt counts 1/e in the base rate
+PRIOR_ATTEMPTS = 20.0  # assumed attempts at MIN_BASE_RATE
+SLOW_FACTOR = 5.0  # a job that ran longer than this multiple of the mean of its class and kind was too slow
+HALF_WEIGHT = 0.5
+# a silent or overtaken attempt may have waited in the worker's queue: a dispatcher that sends few jobs to a
+# worker cannot tell this from its other jobs
 WEIGHTS = {
     AttemptSignal.FAILED: 1.0,
-    AttemptSignal.SILENT: HALF,
+    AttemptSignal.SILENT: HALF_WEIGHT,
     AttemptSignal.LINK: 1.0,
-    AttemptSignal.OVERTAKEN: HALF,
+    AttemptSignal.OVERTAKEN: HALF_WEIGHT,
 }
-STEP = 0.05  # how far one running time moves the usual one
-MOST_USUAL = 256  # the list may name any kind
-CLIP = 3.0  # a running time counts as so many usual ones at the most
+MIN_STEP = 0.05  # weight of a new run time in the mean, once enough are known
+MAX_BASELINES = 256  # bound on memory, as endpoint lists may name any kind
+MAX_RUN_TIME_FACTOR = 3.0  # a run time enters the mean as at most this multiple of it
 
 
-def weights(rate: float) -> tuple[float, float]:
-    """What a bad and a good ending add, by the fleet's own rate of bad ones."""
-    p = min(MOST_RATE, max(LEAST_RATE, rate))
+def log_likelihood_ratios(base_rate: float) -> tuple[float, float]:
+    """Returns what a bad and a good attempt add at this base rate of bad attempts."""
+    p = min(MAX_BASE_RATE, max(MIN_BASE_RATE, base_rate))
     q = (1 + p) / 2
     return log(q / p), log((1 - q) / (1 - p))
 
 
-class Case:
-    """One's own counts of one subject, since a first bad ending was seen or heard of."""
+class Evidence:
+    """This dispatcher's decaying counts for one subject, since the first bad attempt here or at a peer."""
 
-    __slots__ = ("bad", "link", "good", "opened", "at")
+    __slots__ = ("bad", "link", "good", "opened_at", "updated_at")
 
     def __init__(self, now: float) -> None:
         self.bad = self.link = self.good = 0.0
-        self.opened = self.at = now
-
-    def fade(self, now: float, each: float = 1.0) -> None:
-        by = each * exp((self.at - now) / FADE_S)
-        self.bad, self.link, self.good, self.at = self.bad * by, self.link * by, self.good * by, now
-
-    def add(self, now: float, sign: AttemptSignal, weight: float) -> None:
-        self.fade(now, EACH)
-        if sign is AttemptSignal.GOOD:
-            self.good += 1.0 - weight
-            self.bad += weight
-        elif sign is AttemptSignal.LINK:
-            self.link += weight
+        self.opened_at = self.updated_at = now
+
+    def decay(self, now: float, factor: float = 1.0) -> None:
+        """Decays the counts up to `now`, and by a further `factor`."""
+        by = factor * exp((self.updated_at - now) / DECAY_S)
+        self.bad, self.link, self.good, self.updated_at = self.bad * by, self.link * by, self.good * by, now
+
+    def add(self, now: float, signal: AttemptSignal, bad_weight: float) -> None:
+        """Counts an attempt; `bad_weight` from 0 to 1 is the part of it that counts as bad."""
+        self.decay(now, DECAY_PER_ATTEMPT)
+        if signal is AttemptSignal.GOOD:
+            self.good += 1.0 - bad_weight
+            self.bad += bad_weight
+        elif signal is AttemptSignal.LINK:
+            self.link += bad_weight
         else:
-            self.bad += weight
+            self.bad += bad_weight
 
 
-class Rate:
-    """Bad endings among all lately, fading."""
+class BaseRate:
+    """The share of bad attempts among all recent ones; the counts decay with time."""
 
-    __slots__ = ("ended", "bad", "at")
+    __slots__ = ("attempts", "bad_attempts", "updated_at")
 
     def __init__(self, now: float) -> None:
-        self.ended = self.bad = 0.0
-        self.at = now
+        self.attempts = self.bad_attempts = 0.0
+        self.updated_at = now
 
-    def add(self, now: float, bad: bool) -> None:
-        self.fade(now)
-        self.ended += 1
-        self.bad += bad
+    def add(self, now: float, is_bad: bool) -> None:
+        """Counts an attempt."""
+        self.decay(now)
+        self.attempts += 1
+        self.bad_attempts += is_bad
 
-    def fade(self, now: float) -> None:
-        by = exp((self.at - now) / RATE_S)
-        self.ended, self.bad, self.at = self.ended * by, self.bad * by, now
+    def decay(self, now: float) -> None:
+        """Decays the counts up to `now`."""
+        by = exp((self.updated_at - now) / RATE_DECAY_S)
+        self.attempts, self.bad_attempts, self.updated_at = self.attempts * by, self.bad_attempts * by, now
 
-    def of(self, ended: float = 0.0, bad: float = 0.0) -> float:
-        """With what others saw."""
-        return (LEAST_RATE * PRIOR + self.bad + bad) / (PRIOR + self.ended + ended)
+    def value(self, peer_attempts: float = 0.0, peer_bad_attempts: float = 0.0) -> float:
+        """Returns the rate over the attempts of this dispatcher, its peers and the prior."""
+        return (MIN_BASE_RATE * PRIOR_ATTEMPTS + self.bad_attempts + peer_bad_attempts) / (
+            PRIOR_ATTEMPTS + self.attempts + peer_attempts
+        )
 
 
-class Usual:
-    """Running times of each class at each kind, as they mostly are."""
+class RunTimeBaseline:
+    """Mean run time of each job class on each kind of worker."""
 
-    __slots__ = ("of",)
+    __slots__ = ("means",)
 
     def __init__(self) -> None:
-        self.of: dict[tuple[str, str], tuple[float, float]] = {}  # mean, and the weight of the next one
+        # mean in seconds and weight of the next run time, by class and kind
+        self.means: dict[tuple[str, str], tuple[float, float]] = {}
 
-    def slow(self, job_class: str, kind: str, ran_s: float) -> bool:
-        """Whether a job ran far too long; takes account of it. 0: not known."""
-        if ran_s <= 0 or (len(self.of) >= MOST_USUAL and (job_class, kind) not in self.of):
+    def is_slow(self, job_class: str, kind: str, run_time_s: float) -> bool:
+        """Updates the mean, and returns whether the run time is far above it; 0 is an unknown run time."""
+        if run_time_s <= 0 or (len(self.means) >= MAX_BASELINES and (job_class, kind) not in self.means):
             return False
-        mean, step = self.of.get((job_class, kind), (ran_s, 1.0))
-        slow = step < 0.2 and ran_s > SLOW * mean
-        mean += step * (min(ran_s, CLIP * mean) - mean)
-        self.of[job_class, kind] = mean, max(STEP, step / (1 + step))
+        mean, step = self.means.get((job_class, kind), (run_time_s, 1.0))
+        slow = step < 0.2 and run_time_s > SLOW_FACTOR * mean
+        mean += step * (min(run_time_s, MAX_RUN_TIME_FACTOR * mean) - mean)
+        self.means[job_class, kind] = mean, max(MIN_STEP, step / (1 + step))
         return slow
--- a/finchladder/core/health/detection/overrides.py
+++ b/finchladder/core/health/detection/overrides.py
@@ -1,15 +1,16 @@
-"""The operator's word of a real server, said at any dispatcher and told on by all until it is over.
+"""Operator overrides of the outlier detector, issued at any dispatcher and gossiped until they expire.
 
-| a word comes | what is held then |
+| an override arrives | result |
 | --- | --- |
-| of a server of which none is held | it, unless its time is over |
-| of a higher (stamp, by) than the one held | it |
-| the same or lower | as before |
-| its time is over | nothing |
-
-A stamp is one more than any that its sayer had heard of, so of two the later counts wherever one had heard of
-the other, and of two at once the one by the higher name. Clocks are not compared: a word is told with what
-is left of its time. `let` takes a word back: it is held and told on for the time that the word had left.
+| none is stored for its worker | it is stored, unless it has expired |
+| (stamp, issuer) above that of the stored one | it replaces the stored one |
+| (stamp, issuer) equal or lower | no change |
+| the stored one expires | it is removed |
+
+A stamp is a Lamport timestamp: one more than any that the issuer has received. Of two overrides the later one
+therefore wins if its issuer had received the other, and of two concurrent ones that of the issuer whose name
+sorts last. Clocks are not compared: an override is sent with its remaining time. The stance "let" revokes an
+override; it is stored and gossiped for the time that the revoked one had left.
 """
 
 from collections.abc import Iterable
@@ -18,114 +19,131 @@
 
 from finchladder.core.api import OperatorOverrides
 
-STANCES = ("out", "in", "let")
-MOST = 64  # words at one time; beyond it a new one is refused
-MOST_TOLD = 4  # with one packet
-MOST_S = 86_400.0
+STANCES = ("out", "in", "let")  # eject the worker, keep it in, revoke the override
+MAX_OVERRIDES = 64  # stored at one time; beyond it a new one is refused
+MAX_NEW_PER_PACKET = 4
+MAX_OVERRIDE_S = 86_400.0
 MAX_REASON_LENGTH, MAX_WORKER_NAME_LENGTH = 80, 64
-MOST_STAMP = 1 << 50
+MAX_STAMP = 1 << 50
 
 
 class Override(NamedTuple):
+    """An operator's override of the outlier detector for one worker."""
+
     worker: str
     stance: str
     left_s: float
     stamp: int
-    issuer: str  # the dispatcher at which it was said
+    issuer: str  # the dispatcher at which the operator issued it
     reason: str
 
     @property
     def room(self) -> int:
+        """Upper bound of the encoded size, in bytes."""
         return len(self.worker.encode()) + len(self.reason.encode()) + len(self.issuer) + 28
 
 
-def has_invalid_values(orders: Iterable[Override]) -> bool:
+def has_invalid_values(overrides: Iterable[Override]) -> bool:
+    """Whether a value of any override is out of range."""
     return not all(
         o.stance in STANCES
         and isfinite(o.left_s)
-        and 0 <= o.left_s <= MOST_S
-        and 0 <= o.stamp <= MOST_STAMP
+        and 0 <= o.left_s <= MAX_OVERRIDE_S
+        and 0 <= o.stamp <= MAX_STAMP
         and 0 < len(o.worker) <= MAX_WORKER_NAME_LENGTH
         and len(o.reason) <= MAX_REASON_LENGTH
-        for o in orders
+        for o in overrides
     )
 
 
 class OverrideTable:
-    def __init__(self, own: str, repeats: int) -> None:
-        self.own, self.repeats = own, repeats
-        self.held: dict[
-            str, tuple[Override, float]
-        ] = {}  # by server: and until when it holds, by one's own clock
-        self.pending: dict[str, int] = {}
-        self.turn = 0
-        self.has_changed = False  # since it was last looked at
-
-    def issue(self, now: float, server: str, stance: str, for_s: float, why: str) -> Override:
-        """ValueError says in one line why not."""
-        self.forget(now)
-        before = self.held.get(server)
+    """The latest override of each worker. Times are in seconds of the caller's clock."""
+
+    def __init__(self, dispatcher: str, repeats: int) -> None:
+        """Creates an empty table.
+
+        Args:
+            dispatcher: Name of this dispatcher.
+            repeats: Number of packets that carry a new override.
+        """
+        self.dispatcher, self.repeats = dispatcher, repeats
+        self.entries: dict[str, tuple[Override, float]] = {}  # override and its expiry, by worker
+        self.pending: dict[str, int] = {}  # packets that are still to carry a new override, by worker
+        self.next_index = 0
+        self.has_changed = False  # reset by the caller
+
+    def issue(self, now: float, worker: str, stance: str, for_s: float, reason: str) -> Override:
+        """Stores a new override of this dispatcher and returns it.
+
+        Raises:
+            ValueError: There is no override to revoke, or the table is full.
+        """
+        self.remove_expired(now)
+        previous = self.entries.get(worker)
         if stance == "let":
-            if before is None or before[0].stance == "let":
-                raise ValueError(f"nobody has said anything of {server}")
-            for_s = max(for_s, before[1] - now)
-        elif before is None and len(self.held) >= MOST:
-            raise ValueError(f"{MOST} words hold already, and more is not kept")
-        stamp = max((o.stamp for o, _ in self.held.values()), default=0) + 1
-        order = Override(server, stance, min(for_s, MOST_S), stamp, self.own, why)
-        self._hold(now, order)
-        return order
-
-    def merge(self, now: float, o: Override) -> bool:
-        """Whether it is news."""
-        self.forget(now)
-        found = self.held.get(o.worker)
-        if o.left_s <= 0 or (found is None and len(self.held) >= MOST):
+            if previous is None or previous[0].stance == "let":
+                raise ValueError(f"no override of {worker} to revoke")
+            for_s = max(for_s, previous[1] - now)
+        elif previous is None and len(self.entries) >= MAX_OVERRIDES:
+            raise ValueError(f"too many overrides: {MAX_OVERRIDES} are stored, the maximum")
+        stamp = max((o.stamp for o, _ in self.entries.values()), default=0) + 1
+        override = Override(worker, stance, min(for_s, MAX_OVERRIDE_S), stamp, self.dispatcher, reason)
+        self._store(now, override)
+        return override
+
+    def merge(self, now: float, override: Override) -> bool:
+        """Stores a received override if it is newer, and returns whether it is."""
+        self.remove_expired(now)
+        found = self.entries.get(override.worker)
+        if override.left_s <= 0 or (found is None and len(self.entries) >= MAX_OVERRIDES):
             return False
-        if found is not None and (o.stamp, o.issuer) <= (found[0].stamp, found[0].issuer):
+        if found is not None and (override.stamp, override.issuer) <= (found[0].stamp, found[0].issuer):
             return False
-        self._hold(now, o)
+        self._store(now, override)
         return True
 
-    def _hold(self, now: float, o: Override) -> None:
-        self.held[o.worker] = o, now + o.left_s
-        self.pending[o.worker] = self.repeats
+    def _store(self, now: float, override: Override) -> None:
+        self.entries[override.worker] = override, now + override.left_s
+        self.pending[override.worker] = self.repeats
         self.has_changed = True
 
-    def forget(self, now: float) -> None:
-        for server in [s for s, (_, until) in self.held.items() if now >= until]:
-            del self.held[server]
-            self.pending.pop(server, None)
+    def remove_expired(self, now: float) -> None:
+        """Removes overrides whose time is over."""
+        for worker in [w for w, (_, until) in self.entries.items() if now >= until]:
+            del self.entries[worker]
+            self.pending.pop(worker, None)
             self.has_changed = True
 
     def select(self, now: float, room: int) -> list[Override]:
-        """For one packet: news first, and one of the rest in turn."""
-        self.forget(now)
-        told: list[Override] = []
-        names = list(self.held)
-        if names:
-            self.turn += 1
-        for server in (
-            [*list(self.pending)[:MOST_TOLD], *names[self.turn % len(names) :][:1]] if names else []
+        """Returns overrides for one packet: new ones first, and one of all in rotation; `room` in bytes."""
+        self.remove_expired(now)
+        selected: list[Override] = []
+        workers = list(self.entries)
+        if workers:
+            self.next_index += 1
+        for worker in (
+            [*list(self.pending)[:MAX_NEW_PER_PACKET], *workers[self.next_index % len(workers) :][:1]]
+            if workers
+            else []
         ):
-            o, until = self.held[server]
+            o, until = self.entries[worker]
             o = o._replace(left_s=until - now)
-            if o.room > room or o in told:
+            if o.room > room or o in selected:
                 continue
             room -= o.room
-            told.append(o)
-            left = self.pending.pop(server, 0) - 1
+            selected.append(o)
+            left = self.pending.pop(worker, 0) - 1
             if left > 0:
-                self.pending[server] = left
-        return told
+                self.pending[worker] = left
+        return selected
 
     def as_event(self, now: float) -> OperatorOverrides:
-        """For the decisions."""
+        """Returns the active overrides as an event for the dispatcher."""
         return OperatorOverrides(
-            {s: (o.stance == "out", until - now, o.reason) for s, (o, until) in self.active(now).items()}
+            {w: (o.stance == "out", until - now, o.reason) for w, (o, until) in self.active(now).items()}
         )
 
     def active(self, now: float) -> dict[str, tuple[Override, float]]:
-        """Those that hold, by server, and until when."""
-        self.forget(now)
-        return {s: (o, until) for s, (o, until) in self.held.items() if o.stance != "let"}
+        """Returns the overrides that are not revoked, by worker, with the time at which each expires."""
+        self.remove_expired(now)
+        return {w: (o, until) for w, (o, until) in self.entries.items() if o.stance != "let"}
--- a/finchladder/core/health/detection/reports.py
+++ b/finchladder/core/health/detection/reports.py
@@ -1,64 +1,66 @@
-"""What one dispatcher tells the others of real servers in question. Times are seconds, ages as of telling."""
+"""Reports on workers that dispatchers exchange. Durations are in seconds, ages are as of the send."""
 
 from math import isfinite
 from typing import NamedTuple
 from zlib import crc32
 
-MAX_WORKER_REPORTS = 12  # of one dispatcher at one time: those with the most against them
-MIN_URGENT_BAD_ATTEMPTS = 0.9  # bad endings from which on a word is told at once
-MOST_COUNT = 6_000.0
-MOST_S = 600.0
+MAX_WORKER_REPORTS = 12  # per dispatcher; the subjects with the most bad attempts are reported
+MIN_URGENT_BAD_ATTEMPTS = 0.9  # a subject with more bad attempts than this is reported at once
+MAX_COUNT = 6_000.0
+MAX_DURATION_S = 600.0
 
 
 class WorkerReport(NamedTuple):
-    """Of one subject: a real server's one life, and a class of jobs there."""
+    """One dispatcher's evidence on one subject: one incarnation of a worker and one job class."""
 
     subject_id: int
-    bad: float  # endings that were its own fault, each as far as it proves that
-    link: float  # endings that may be the link's
+    bad: float  # attempts that failed through the worker, each weighted by how much it proves
+    link: float  # attempts that failed through the worker or the network link to it
     good: float
-    opened_s: float  # since the teller began to count
-    left_s: float  # it is out, as the teller holds it, for so much longer; 0: not, or on trial
-    stage: int  # of the trial; 0: none
+    opened_s: float  # time since the reporter began to count
+    left_s: float  # remaining time of the ejection by the reporter; 0: not ejected, or on trial
+    stage: int  # stage of the trial; 0: not on trial
 
     @property
     def room(self) -> int:
+        """Upper bound of the encoded size, in bytes."""
         return 24
 
 
 class PeerReport(NamedTuple):
-    """One dispatcher's word, as it stands."""
+    """The latest reports of one dispatcher."""
 
     reporter: str
     zone: int
-    age_s: float  # since it was written
+    age_s: float  # time since the reporter wrote them
     worker_reports: tuple[WorkerReport, ...]
 
 
 class OwnReport(NamedTuple):
-    """One's own word, to be told."""
+    """What this dispatcher reports to its peers."""
 
     zone: int
-    attempts: float  # jobs that ended here lately, at all real servers that are not out
-    bad_attempts: float  # of those
+    attempts: float  # recently ended attempts of this dispatcher at all workers that are not ejected
+    bad_attempts: float  # the bad ones among `attempts`
     worker_reports: tuple[WorkerReport, ...]
 
 
-def subject_id(worker: str, born: float, job_class: str) -> int:
-    """32 bits, the same at all: a real server that has started anew is another subject."""
-    return crc32(f"{worker}/{round(born * 1000)}/{job_class}".encode())
+def subject_id(worker: str, started_at: float, job_class: str) -> int:
+    """Returns a 32-bit hash, the same at all dispatchers; a restarted worker gets a new one."""
+    return crc32(f"{worker}/{round(started_at * 1000)}/{job_class}".encode())
 
 
 def zone_number(zone: str) -> int:
+    """Returns a 32-bit hash of a zone's name, the same at all dispatchers."""
     return crc32(zone.encode())
 
 
-def has_invalid_values(says: tuple[WorkerReport, ...]) -> bool:
-    """Whether figures are impossible."""
-    return len(says) > MAX_WORKER_REPORTS or not all(
-        0 <= s.subject_id < 1 << 32
-        and 0 <= s.stage < 16
-        and all(isfinite(n) and 0 <= n <= MOST_COUNT for n in (s.bad, s.link, s.good))
-        and all(isfinite(n) and 0 <= n <= MOST_S for n in (s.opened_s, s.left_s))
-        for s in says
+def has_invalid_values(worker_reports: tuple[WorkerReport, ...]) -> bool:
+    """Whether there are too many reports, or one with a value out of range."""
+    return len(worker_reports) > MAX_WORKER_REPORTS or not all(
+        0 <= r.subject_id < 1 << 32
+        and 0 <= r.stage < 16
+        and all(isfinite(n) and 0 <= n <= MAX_COUNT for n in (r.bad, r.link, r.good))
+        and all(isfinite(n) and 0 <= n <= MAX_DURATION_S for n in (r.opened_s, r.left_s))
+        for r in worker_reports
     )
--- a/tests/core/judging/test_world.py
+++ b/tests/core/judging/test_world.py
@@ -1,4 +1,4 @@
-"""Dispatchers that judge together at virtual time: no rule is broken by any seed, each guard is missed."""
+"""Simulated dispatchers with outlier detection: no rule is broken, and each disabled guard breaks one."""
 
 import sys
 from pathlib import Path
@@ -21,7 +21,7 @@
         assert play.run() is None, f"seed {seed}: {play.broken} in {play.scene}"
 
 
-def test_a_seed_is_played_the_same_again() -> None:
+def test_a_seed_determines_the_run() -> None:
     plays = [Play(5), Play(5)]
     for play in plays:
         play.run()
@@ -40,7 +40,7 @@
     return play.failed
 
 
-def test_nine_that_talk_meet_a_bad_one_less_often_than_nine_that_do_not(
+def test_nine_dispatchers_fail_fewer_jobs_with_reports_than_without(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     s = scene((Bad(2, 8.0, 15.0, "all"),))
@@ -51,53 +51,54 @@
 
 
 SEED = 3
-LOUD_ZONE = "a zone that can't be reached is as loud as all in it, and a link's word comes on top"
-# Who would be condemned is compared with the others first, which hides these two faults with most seeds.
-SEEDS = {"nothing bounds how many are out": 1, LOUD_ZONE: 2}
+UNBOUNDED_LINKS = "link failures of an unreachable zone are not bounded"
+# The comparison with the other workers before an ejection hides these two faults with most seeds.
+SEEDS = {"ejections are not bounded": 1, UNBOUNDED_LINKS: 2}
 MUTANTS: dict[str, tuple[ModuleType, str, str, str, Scene]] = {
-    "nothing bounds how many are out": (
+    "ejections are not bounded": (
         detector,
-        "return min(max(1, int(self.rules.most_out * ready)), ready - 1)",
+        "return min(max(1, int(self.limits.max_ejected_share * ready)), ready - 1)",
         "return ready",
         "bound",
         scene(tuple(Bad(n, 8.0 + n, 15.0, "third") for n in range(6))),
     ),
-    "one teller is enough, however loud": (
+    "one reporter is enough": (
         aggregation,
-        "own = min(most, max(-LEAST, own))",
-        "tellers += own > most",
+        "own = min(max_score, max(-MAX_GOOD_SCORE, own))",
+        "reporters += own > max_score",
         "good",
         scene(liar=4),
     ),
-    "a verdict has no end": (
+    "an ejection does not end": (
         verdicts,
-        "if now >= v.until:",
+        "if now >= verdict.until:",
         "if False:",
         "good",
         scene((Bad(2, 8.0, 15.0, "all"),)),
     ),
-    "a relapse needs nobody's word": (
+    "a relapse needs no reporter": (
         verdicts,
-        "if f.score >= RELAPSED_FROM and f.tellers >= min(2, f.needed) and f.room:",
-        "if f.room:",
+        "if seen.score >= RELAPSE_SCORE and seen.reporters >= min(2, seen.required_reporters)"
+        " and seen.may_eject:",
+        "if seen.may_eject:",
         "good",
         scene((Bad(2, 8.0, 15.0, "all"),)),
     ),
-    LOUD_ZONE: (
+    UNBOUNDED_LINKS: (
         aggregation,
-        "min(link, most - max(0.0, own))",
+        "min(link, max_score - max(0.0, own))",
         "3 * link",
         "good",
         scene(liar=4, zones=3, rate=30.0),
     ),
-    "others' word is taken from two": (
+    "peers' ejections are adopted from one peer": (
         detector,
-        "if len(left) >= max(needed, min(5, ceil(0.1 * self.alive))):",
-        "if left:",
+        "if len(left_s) >= max(required_reporters, min(5, ceil(0.1 * self.dispatcher_count))):",
+        "if left_s:",
         "good",
         scene(liar=4),
     ),
-    "nobody is ever condemned, and own evidence counts for nothing": (
+    "no worker is ever ejected": (
         evidence,
         "return log(q / p), log((1 - q) / (1 - p))",
         "return 0.0, 0.0",
@@ -108,7 +109,7 @@
 
 
 def mutated(module: ModuleType, old: str, new: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Has all of core/judging and its world use that module with other text."""
+    """Replaces text in a module's source, and the module in the detector and the simulation."""
     text = Path(str(module.__file__)).read_text()
     assert text.count(old) == 1, old
     other = ModuleType(module.__name__)
@@ -123,7 +124,7 @@
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_a_guard_that_is_taken_out_is_missed(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_disabled_guard_breaks_a_rule(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     module, old, new, rule, played = MUTANTS[name]
     seed = SEEDS.get(name, SEED)
     assert Play(seed, played).run() is None
