--- a/finchladder/core/health/outlier_ejection.py
+++ b/finchladder/core/health/outlier_ejection.py
@@ -1,14 +1,15 @@
-"""Outlier ejection: whether a worker may get a job, by a moving share of bad endings there.
+"""Outlier ejection by a moving average of each worker's share of bad endings.
 
-| what is known of a worker | an ending | known then |
+| state of a worker | ending of an attempt | new state |
 | --- | --- | --- |
-| failure share | any | moved by FAILURE_SMOOTHING towards it |
+| failure share | any | moved by FAILURE_SMOOTHING towards 1 (bad) or 0 (good) |
 | failure share above EJECT_THRESHOLD | bad | ejected, each time for twice as long |
 | ejected | good | readmitted, as a suspect |
-| failure share above SUSPECT_THRESHOLD | - | suspect: it gets no UNSAFE job |
+| failure share above SUSPECT_THRESHOLD | - | suspect: it receives no UNSAFE job |
 
-An ejected worker gets one trial job at a time, once its ejection is over. If too many are ejected, the
-signal is taken to be wrong and not the fleet, as with Envoy's panic threshold.
+Once its ejection is over, a worker receives one trial job at a time. If more than MAX_EJECTED_SHARE of the
+workers are ejected, the signal is assumed to be wrong instead of the workers, and ejections are ignored, as
+with Envoy's panic threshold.
 """
 
 from enum import Enum
@@ -18,21 +19,21 @@
 from finchladder.core.dispatch.worker_index import WorkerIndex
 
 FAILURE_SMOOTHING = 0.3
-EJECT_THRESHOLD = 0.5  # a moving share of bad endings above this ejects
-SUSPECT_THRESHOLD = 0.15  # above this it gets no UNSAFE job: what fails there is lost for good
-MAX_READMITTED_SHARE = 0.4  # the share after a trial that went well: one good ending is no proof yet
-MAX_EJECTED_SHARE = 0.5  # of all workers; beyond it the signal is taken to be wrong
-MAX_DOUBLINGS = 4  # of an ejection's length
+EJECT_THRESHOLD = 0.5  # failure share above which a worker is ejected
+SUSPECT_THRESHOLD = 0.15  # failure share above which a worker receives no UNSAFE job: a failed one is lost
+MAX_READMITTED_SHARE = 0.4  # failure share after a successful trial job: one success is no proof yet
+MAX_EJECTED_SHARE = 0.5  # share of all workers; above it ejections are ignored
+MAX_DOUBLINGS = 4  # doublings of the length of an ejection
 
 
 class AttemptSignal(Enum):
-    """What an attempt shows of its worker."""
+    """Health signal of an attempt at a worker."""
 
     GOOD = "good"
-    FAILED = "failed"  # it answered, or reported on the job, and did not do it
-    SILENT = "silent"  # it did not report on a job that it had
-    LINK = "link"  # no connection, or one that broke
-    OVERTAKEN = "overtaken"  # an attempt that was sent later ended before it
+    FAILED = "failed"  # the worker answered or reported, and did not complete the job
+    SILENT = "silent"  # the worker sent no report on a job that it had accepted
+    LINK = "link"  # no connection, or a broken one
+    OVERTAKEN = "overtaken"  # an attempt that was sent later ended first
 
 
 SIGNAL_BY_ENDING = {
@@ -45,7 +46,7 @@
 
 
 class OutlierEjection:
-    """Failure shares and ejections; they are kept in the workers' records."""
+    """Tracks failure shares and ejections, which are stored in the workers' records."""
 
     __slots__ = ("settings", "ejected", "base_ejection_s", "spares_unsafe")
 
@@ -54,7 +55,7 @@
         self.settings = settings
         self.base_ejection_s = base_ejection_s
         self.ejected: dict[str, Worker] = {}
-        # where all jobs are UNSAFE, a suspect would never get one that could clear it
+        # a suspect would never receive a job that could clear it if all classes were UNSAFE
         self.spares_unsafe = any(c.effect is not Effect.UNSAFE for c in settings.classes)
 
     def record_ending(
@@ -67,7 +68,7 @@
         run_time_s: float,
         worker_index: WorkerIndex,
     ) -> None:
-        """Learns from the end of an attempt; `run_time_s`: 0 if it is not known. O(1)."""
+        """Updates a worker after an attempt; `run_time_s` is 0 if it is not known. O(1)."""
         is_bad = signal is not AttemptSignal.GOOD
         worker.failure_share += FAILURE_SMOOTHING * (is_bad - worker.failure_share)
         if not is_bad and worker.ejected_until:
@@ -92,7 +93,7 @@
             self.ejected[worker.address] = worker
 
     def may_receive(self, now: float, job: Job, worker: Worker, worker_index: WorkerIndex) -> bool:
-        """Whether a worker above SUSPECT_THRESHOLD may get the job; an UNSAFE one is never its trial."""
+        """Whether a worker above SUSPECT_THRESHOLD may receive the job; an UNSAFE job is never a trial."""
         max_ejected = MAX_EJECTED_SHARE * len(worker_index.workers)
         if len(self.ejected) > max_ejected:
             return True
@@ -101,5 +102,5 @@
         return not worker.ejected_until or (now >= worker.ejected_until and worker.load == 0)
 
     def forget(self, worker: Worker) -> None:
-        """It is not ready any more, or has started anew."""
+        """Removes a worker that is no longer ready or has restarted."""
         self.ejected.pop(worker.address, None)
--- a/finchladder/core/health/slow_start.py
+++ b/finchladder/core/health/slow_start.py
@@ -1,18 +1,18 @@
-"""Slow start: what one dispatcher of many may send to a worker that has just started.
+"""Slow start: limits what one of many dispatchers sends to a worker that has just started.
 
-Such a worker fails if all dispatchers together send it more than `overload_multiple` times its capacity at
-that moment, for `overload_window_s` seconds. Each judges its own part by the work that it has a warm worker
-do; the sum over all dispatchers is what all of them do there. Of the multiple ALLOWANCE_SHARE is used; the
-rest is for skew and stale views. Credit is work in seconds.
+Such a worker fails if all dispatchers together send it more than `overload_multiple` times its current
+capacity for `overload_window_s` seconds. Each dispatcher derives its allowance from the work that it sends to
+a warm worker; summed over all dispatchers, this is all work of a warm worker. ALLOWANCE_SHARE of the multiple
+is used; the rest is a margin for skewed traffic and outdated views. Credit is in seconds of work.
 
-| how many share the fleet | credit at a start | a job may go if the credit is |
+| dispatchers of the fleet | credit at a worker's start | a job may be sent if the credit is |
 | --- | --- | --- |
-| up to FEW | down to one job with its fetch below 0, drawn | at least its cost: saved up before |
-| more | as far below 0 as this dispatcher's phase says | 0 or more: its cost is then owed |
+| up to SMALL_FLEET | random, from 0 down to minus a job with its fetch | at least the job's cost |
+| more | in the same range, by this dispatcher's phase | 0 or more; the job's cost is then subtracted |
 
-Among many a part is worth far less than one job during slow start, so to save one up first would mean that
-nobody ever sends anything. With phases spread evenly over the length of a job, the sends of all add up to the
-sum of all parts, each at its turn, whatever the traffic of each is.
+In a large fleet the allowance of one dispatcher is far less than one job during slow start. If it had to be
+saved up first, no dispatcher would ever send one. With phases spread evenly over the cost of a job, the sends
+of all dispatchers add up to the sum of their allowances, whatever the traffic of each.
 """
 
 from collections.abc import Callable
@@ -24,36 +24,40 @@
 from finchladder.core.membership.watch_backoff import SMALL_FLEET
 from finchladder.core.timing_wheel import TimingWheel
 
-ALLOWANCE_SHARE = 0.3  # of what `overload_multiple` allows
+ALLOWANCE_SHARE = 0.3  # share of `overload_multiple` that is used
 
 
 def van_der_corput(index: int) -> float:
-    """The van der Corput sequence, 0 to 1: the number with its bits reversed, behind the binary point.
+    """Returns an element of the van der Corput sequence, 0 to 1: the index with its bits reversed.
 
-    Any run of numbers is spread evenly: those of a zone may stand together, and see more traffic than others.
+    Any run of consecutive indices is spread evenly: the dispatchers of a zone may have consecutive indices
+    and more traffic than others.
     """
-    found = 0.0
+    value = 0.0
     step = 0.5
     while index:
-        found += step * (index & 1)
+        value += step * (index & 1)
         step /= 2
         index >>= 1
-    return found
+    return value
 
 
 class SlowStart:
-    """The credit of workers in slow start; it is kept in their records."""
+    """Manages the credit of workers in slow start, which is stored in their records."""
 
     __slots__ = ("settings", "is_large_fleet", "phase")
 
     def __init__(self, settings: Settings) -> None:
-        """`settings.index`: gives this dispatcher's turns among all."""
+        """`settings.index` determines the phase of this dispatcher."""
         self.settings = settings
         self.is_large_fleet = settings.dispatchers > SMALL_FLEET
         self.phase = van_der_corput(max(0, settings.index))
 
     def initial_credit_s(self, worker: str, started_at: float, max_cost_s: float, random: Random) -> float:
-        """Credit at a start. `max_cost_s`: of a job with its fetch; each start has turns of its own."""
+        """Returns the credit at a start; `max_cost_s` is the cost of a job with its fetch.
+
+        In a large fleet the phases are shifted by a hash of the worker and its start.
+        """
         if not self.is_large_fleet:
             return -random.random() * max_cost_s
         digest = blake2b(f"{worker}/{started_at}".encode(), digest_size=4).digest()
@@ -62,33 +66,34 @@
     def allows(
         self, worker: Worker, now: float, warm_rate: float, max_cost_s: float, cost_s: Callable[[], float]
     ) -> bool:
-        """Adds what was earned since the last call; whether the credit suffices for a job.
+        """Adds the credit earned since the last call, and returns whether it suffices for a job.
 
         Args:
-            worker: one in slow start.
-            now: seconds.
-            warm_rate: work that this dispatcher has a warm worker do, in seconds a second; in a large fleet
-                one of like size.
-            max_cost_s: of a job with its fetch.
-            cost_s: of this job; called only where it is needed.
+            worker: A worker in slow start.
+            now: Current time, in seconds of the caller's clock.
+            warm_rate: Work that this dispatcher sends to a warm worker, in seconds per second; in a large
+                fleet, to one of a similar size.
+            max_cost_s: Cost of a job with its fetch.
+            cost_s: Returns the cost of this job; called only if it is needed.
         """
         settings = self.settings
-        since = max(worker.credit_updated_at, worker.started_at)
-        # one of many asks seldom, and the worker's capacity grows meanwhile: half of that time counts
-        age_s = since - worker.started_at + ((now - since) / 2 if self.is_large_fleet else 0.0)
+        updated_at = max(worker.credit_updated_at, worker.started_at)
+        # calls are rare in a large fleet and the capacity grows between them: use the middle of the interval
+        age_s = updated_at - worker.started_at + ((now - updated_at) / 2 if self.is_large_fleet else 0.0)
         initial_share = settings.slow_start_initial_share
         capacity_share = initial_share + (1 - initial_share) * age_s / settings.slow_start_s
         rate = ALLOWANCE_SHARE * settings.overload_multiple * capacity_share * warm_rate
         max_credit_s = max(max_cost_s, rate * settings.overload_window_s)
         max_credit_s -= max_cost_s if self.is_large_fleet else 0.0
-        worker.slow_start_credit = min(worker.slow_start_credit + rate * (now - since), max_credit_s)
+        worker.slow_start_credit = min(worker.slow_start_credit + rate * (now - updated_at), max_credit_s)
         worker.credit_updated_at = now
         return worker.slow_start_credit >= (0.0 if self.is_large_fleet else cost_s())
 
     def sample(self, slow_starting: TimingWheel[Worker], count: int, random: Random) -> list[Worker]:
-        """So many workers in slow start, from a drawn position on; none if few dispatchers share the fleet.
+        """Returns up to `count` workers in slow start from a random position on; none in a small fleet.
 
-        One of many has few jobs whose pair such a worker is in: most of its turns would pass unused.
+        In a large fleet few jobs of one dispatcher have such a worker among their two candidates, so most of
+        its allowance would remain unused.
         """
         if not self.is_large_fleet or not slow_starting:
             return []
