--- a/finchladder/core/routing/__init__.py
+++ b/finchladder/core/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of routes round the dispatcher: concurrency, retry budgets, hedged requests."""
+"""Limits of routes around the dispatcher: concurrency, retry budgets, hedged requests."""
--- a/finchladder/core/routing/hedging.py
+++ b/finchladder/core/routing/hedging.py
@@ -6,7 +6,7 @@
 
 from math import ceil, exp, floor, log
 
-RELATIVE_ERROR = 0.02  # of an estimated percentile
+RELATIVE_ERROR = 0.02  # maximum relative error of an estimated percentile
 # logarithm of the ratio of neighbouring buckets' bounds
 LOG_BUCKET_GROWTH = log((1 + RELATIVE_ERROR) / (1 - RELATIVE_ERROR))
 MIN_LATENCY_S, MAX_LATENCY_S = 1e-3, 3600.0  # latencies are clamped to these: 378 buckets at most
@@ -14,7 +14,7 @@
 DECAY_SAMPLES = 1000.0  # samples at which all counts are decayed
 DECAY_FACTOR = 0.5
 ESTIMATE_INTERVAL = 32  # new samples between two estimates
-MAX_HEDGE_TOKENS = 10.0  # hedges that can be saved up
+MAX_HEDGE_TOKENS = 10.0  # tokens that the budget can accumulate, one per hedge
 
 
 class LatencyPercentile:
@@ -38,9 +38,11 @@
         """Number of samples below which the percentile is not estimated."""
         return MIN_SAMPLES_BEYOND / (1 - self.percentile / 100)
 
-    def add(self, took_s: float) -> None:
+    def add(self, latency_s: float) -> None:
         """Adds the latency of a completed attempt."""
-        number = ceil(log(min(max(took_s, MIN_LATENCY_S), MAX_LATENCY_S) / MIN_LATENCY_S) / LOG_BUCKET_GROWTH)
+        number = ceil(
+            log(min(max(latency_s, MIN_LATENCY_S), MAX_LATENCY_S) / MIN_LATENCY_S) / LOG_BUCKET_GROWTH
+        )
         self.buckets[number] = self.buckets.get(number, 0.0) + 1
         self.total += 1
         self.new_count += 1
@@ -51,10 +53,10 @@
             self.new_count = 0
             self.value_s = self._estimate_s()
 
-    def add_longer_than(self, took_s: float) -> None:
-        """Adds an attempt cut off after `took_s`: a lower bound, counted if beyond the percentile."""
-        if self.value_s is not None and took_s >= self.value_s:
-            self.add(took_s)
+    def add_longer_than(self, latency_s: float) -> None:
+        """Adds an attempt cut off after `latency_s`: a lower bound, counted if beyond the percentile."""
+        if self.value_s is not None and latency_s >= self.value_s:
+            self.add(latency_s)
 
     def _estimate_s(self) -> float:
         rank = floor(self.percentile / 100 * (self.total - 1))
--- a/finchladder/core/routing/limited_dispatcher.py
+++ b/finchladder/core/routing/limited_dispatcher.py
@@ -18,8 +18,8 @@
 | any | answered, or its client disconnected | its slot is released |
 
 A job without a route passes through. Each job costs O(1), plus O(log n) in the queue and the timers.
-Bounds: one record and at most two timers for each open job that has a route; a limiter, budget,
-allowance and percentile for each route and class.
+Bounds: one record and at most two timers for each open job that has a route; a limiter, retry budget,
+hedge budget and percentile for each route and class.
 """
 
 from collections.abc import Callable
@@ -53,12 +53,12 @@
 from finchladder.core.routing.retry_budget import RetryBudgetWindow
 from finchladder.core.routing.routes import Queue, RetryBudget, Route, Routes
 
-if TYPE_CHECKING:  # where dispatchers share budgets
+if TYPE_CHECKING:  # loaded only where dispatchers share retry budgets
     from finchladder.core.peers.bucket import Bucket
 
 ROUTE_TIMER_TOKEN = 2  # the Dispatcher's own timer tokens are 0 and 1
 TIMER_TOLERANCE_S = 1e-4  # a timer may fire this much early, as clocks are rounded
-# endings of attempts that would have taken longer
+# endings of attempts that were cut off and would have taken longer
 CUT_OFF_ENDINGS = frozenset({Ending.TIMED_OUT, Ending.CANCELLED})
 
 RouteKey = tuple[str, str]  # a route's name and the job's class
@@ -78,12 +78,12 @@
 
     __slots__ = ("route", "limits", "limiter", "budget", "hedge_budget", "latency")
 
-    def __init__(self, route: Route, own: RequestLimits) -> None:
-        self.route, self.limits = route, own  # `limits`: the part that the Dispatcher applies
+    def __init__(self, route: Route, limits: RequestLimits) -> None:
+        self.route, self.limits = route, limits  # `limits`: the part that the Dispatcher applies
         self.limiter: ConcurrencyLimiter | None = None
         self.budget: RetryBudgetWindow | None = None
         self.hedge_budget: HedgeBudget | None = None
-        self.latency: LatencyPercentile | None = None  # of attempts that ended OK
+        self.latency: LatencyPercentile | None = None  # latency of attempts that ended OK
 
 
 class RoutedJob:
@@ -115,17 +115,17 @@
         budget = scope.route.retry_budget
         self.is_client_retry = (
             request.is_client_retry and budget is not None and budget.repeats
-        )  # its client's own resend
+        )  # the request is a retry by its client
         self.limits = scope.limits
         self.max_sends, self.send_count, self.hedge_count = scope.limits.max_sends, 0, 0
         self.open_attempts = 0  # bit set of the attempts that have not ended
-        self.is_retry_paid = False  # its next retry is already counted in the budget
+        self.is_retry_paid = False  # the next retry is already counted in the budget
         self.is_hedge_offered = False  # at most one hedge is offered per job
         self.is_done = False
 
 
 class RouteLimitedDispatcher:
-    """Applies routes' limits in front of a Dispatcher, `inner`, which must have no other caller."""
+    """Applies the limits of routes in front of a Dispatcher, `inner`, which must have no other caller."""
 
     share: "BucketFactory | None" = None  # set where all dispatchers share their retry budgets
 
@@ -140,14 +140,14 @@
         )  # separate: leaves the Dispatcher's sequence of draws unchanged
         self.margin_s = (
             inner.state.sweep_interval_s + 2 * inner.settings.clock_tick_s
-        )  # what is not sent by then is answered
+        )  # a job that is not sent this long before its deadline is rejected
         self.scopes: dict[RouteKey, RouteLimits] = {}
-        self.gone: list[RouteLimits] = []  # of routes that hold no more, while jobs go by them
+        self.gone: list[RouteLimits] = []  # limits of former routes that open jobs still use
         self.runs: dict[str, RoutedJob] = {}
         self.alarms = Alarms()
         self.now, self.serial = 0.0, 0
-        self.timer_at: float | None = None  # when the earliest requested timer fires
-        self.freed: list[ConcurrencyLimiter] = []  # limiters that gained a free slot during this call
+        self.timer_at: float | None = None  # time at which the earliest requested timer fires
+        self.freed: list[ConcurrencyLimiter] = []  # limiters with a slot that was freed during this call
         self.handlers: dict[type, Callable[[Any], list[Action]]] = {
             Request: self._on_request,
             Ended: self._on_ended,
@@ -184,20 +184,20 @@
         self.serial += 1
         job = self.runs[request.id] = RoutedJob(request, scope, self.now, self.serial)
         if job.is_client_retry and not self._spend_retry(job):
-            return self._refuse(job)
+            return self._reject(job)
         if scope.limiter is None or scope.limiter.try_acquire():
             return self._dispatch(job)
         queue = job.route.queue
         until = job.deadline - self.margin_s
         if queue.longest_wait_s is not None:
             until = min(until, self.now + queue.longest_wait_s)
-        loser: str | None = request.id
+        displaced: str | None = request.id
         if until > self.now:
-            worth = self.inner.classes[request.job_class].value
-            loser = scope.limiter.enqueue(request.id, worth, job.deadline, job.serial)
-        if loser != request.id:
+            value = self.inner.classes[request.job_class].value
+            displaced = scope.limiter.enqueue(request.id, value, job.deadline, job.serial)
+        if displaced != request.id:
             self.alarms.put(request.id, until)
-        return self._refuse(self.runs[loser]) if loser is not None else []
+        return self._reject(self.runs[displaced]) if displaced is not None else []
 
     def _on_ended(self, ended: Ended) -> list[Action]:
         job = self.runs.get(ended.request)
@@ -210,7 +210,7 @@
             self._close(job)
         elif not job.is_done:
             if not job.open_attempts:
-                self.alarms.drop(job.id)  # its hedge
+                self.alarms.drop(job.id)  # the timer of its hedge
             if (limit := self._limit_after_failure(job, ended.ending)) is not None:
                 actions = self._forward(limit)
         actions += self._forward(ended)
@@ -221,9 +221,9 @@
         job = self.runs.get(event.request)
         if job is None:
             return self._forward(event)
-        waited = job.queued_request is not None
+        was_queued = job.queued_request is not None
         self._close(job)
-        return [] if waited else self._forward(event)
+        return [] if was_queued else self._forward(event)
 
     def _on_timer(self, timer: Timer) -> list[Action]:
         if timer.token != ROUTE_TIMER_TOKEN:
@@ -232,12 +232,12 @@
             self.timer_at = None
         actions: list[Action] = []
         while (id := self.alarms.pop_due(self.now + TIMER_TOLERANCE_S)) is not None:
-            actions += self._alarm(self.runs[id])
+            actions += self._on_job_timer(self.runs[id])
         return actions
 
-    def _alarm(self, job: RoutedJob) -> list[Action]:
+    def _on_job_timer(self, job: RoutedJob) -> list[Action]:
         if job.queued_request is not None:
-            return self._refuse(job)
+            return self._reject(job)
         if job.open_attempts:
             return self._hedge(job)
         return self._forward(LimitUpdate(job.id, job.max_sends))  # its backoff is over
@@ -313,7 +313,7 @@
         for action in actions:
             if isinstance(action, Send):
                 job = self.runs.get(action.request)
-                out.append(action if job is None else self._sent(job, action))
+                out.append(action if job is None else self._record_send(job, action))
                 continue
             if isinstance(action, Cancel):
                 job = self.runs.get(action.request)
@@ -324,7 +324,7 @@
             out.append(action)
         return out
 
-    def _sent(self, job: RoutedJob, send: Send) -> Send:
+    def _record_send(self, job: RoutedJob, send: Send) -> Send:
         scope, rules = job.scope, job.route
         job.open_attempts |= 1 << job.send_count
         job.send_count += 1
@@ -348,7 +348,7 @@
         job.is_retry_paid = Ending.CANCELLED in job.route.resend_on and self._spend_retry(job)
         return job.is_retry_paid
 
-    def _refuse(self, job: RoutedJob) -> list[Action]:
+    def _reject(self, job: RoutedJob) -> list[Action]:
         """Rejects a job that was never sent."""
         self._close(job)
         return [Reject(job.id, self.settings.max_retry_after_s)]
@@ -383,33 +383,33 @@
 
     def apply_routes(self, routes: Routes) -> None:
         """Replaces the routes; counters of unchanged settings are preserved. O(routes + jobs + workers)."""
-        old, self.scopes = self.scopes, {}
+        previous, self.scopes = self.scopes, {}
         for route in routes.all:
             max_sends = min(route.attempts or self.settings.max_attempts, self.settings.max_attempts)
             limits = RequestLimits(max_sends, route.priority, self._pool(route))
             self.scopes[route.name, route.job_class] = RouteLimits(route, limits)
         self._assign_limiters()
-        self._assign_budgets(old)
+        self._assign_budgets(previous)
         for job in self.runs.values():
             self._move_to_current_route(job)
-        held = set(self.scopes.values())
-        self.gone = list({job.scope: None for job in self.runs.values() if job.scope not in held})
+        current = set(self.scopes.values())
+        self.gone = list({job.scope: None for job in self.runs.values() if job.scope not in current})
         needed = {scope.limits.pool for scope in self.scopes.values()}
         needed |= {job.limits.pool for job in self.runs.values()}
-        fleet = self.inner.worker_index
-        fleet.drop_pools(
-            [pool for pool in fleet.pools if isinstance(pool, WorkerPool) and pool not in needed]
+        worker_index = self.inner.worker_index
+        worker_index.drop_pools(
+            [pool for pool in worker_index.pools if isinstance(pool, WorkerPool) and pool not in needed]
         )
         for pool in needed - {None}:
-            fleet.pool(pool)
+            worker_index.pool(pool)
 
     def _assign_limiters(self) -> None:
-        made: dict[tuple[str, int, Queue], ConcurrencyLimiter] = {}
+        limiters: dict[tuple[str, int, Queue], ConcurrencyLimiter] = {}
         for scope in self.scopes.values():
             route = scope.route
             if route.concurrency is not None:
                 key = route.name, route.concurrency, route.queue
-                scope.limiter = made.setdefault(key, ConcurrencyLimiter(route.concurrency, route.queue))
+                scope.limiter = limiters.setdefault(key, ConcurrencyLimiter(route.concurrency, route.queue))
 
     def _assign_budgets(self, old: dict[RouteKey, RouteLimits]) -> None:
         classes, settings = self.inner.classes, self.settings
@@ -441,14 +441,16 @@
                     same = times is not None and times.percentile == percentile
                     scope.latency = times if same else LatencyPercentile(percentile)
 
-    def _budget(self, route: Route, rule: RetryBudget, kept: RetryBudgetWindow | None) -> RetryBudgetWindow:
+    def _budget(
+        self, route: Route, rule: RetryBudget, existing: RetryBudgetWindow | None
+    ) -> RetryBudgetWindow:
         if self.share is None:
-            return kept or RetryBudgetWindow(rule)
-        from finchladder.core.peers.retries import SharedBudget  # what is off need not be loaded
+            return existing or RetryBudgetWindow(rule)
+        from finchladder.core.peers.retries import SharedBudget  # loaded only if it is used
 
         # also for an existing budget: its limit may have changed
         bucket = self.share(f"retry.{route.name}", rule.least_per_s)
-        return kept or SharedBudget(rule, bucket)
+        return existing or SharedBudget(rule, bucket)
 
     def _move_to_current_route(self, job: RoutedJob) -> None:
         """Moves a job, with its slot, to the current version of its route, if there is one."""
@@ -464,8 +466,8 @@
         else:
             assert before is not None and scope.limiter is not None
             before.remove(job.id)
-            worth = self.inner.classes[job.route.job_class].value
-            scope.limiter.requeue(job.id, worth, job.deadline, job.serial)
+            value = self.inner.classes[job.route.job_class].value
+            scope.limiter.requeue(job.id, value, job.deadline, job.serial)
         self.freed += [limiter for limiter in (before, scope.limiter) if limiter is not None]
 
 
@@ -498,7 +500,7 @@
     if spill is None:
         dispatcher = Dispatcher(settings, seed)
     else:
-        from finchladder.core.dispatch.zone_dispatcher import ZoneDispatcher  # what is off need not be loaded
+        from finchladder.core.dispatch.zone_dispatcher import ZoneDispatcher  # loaded only if it is used
 
         dispatcher = ZoneDispatcher(settings, seed, spill)
     return dispatcher if routes is None else RouteLimitedDispatcher(dispatcher, routes, seed, share)
--- a/finchladder/core/routing/retry_budget.py
+++ b/finchladder/core/routing/retry_budget.py
@@ -7,8 +7,8 @@
 
 from finchladder.core.routing.routes import RetryBudget
 
-SLICE_COUNT = 10  # of the window: counts expire a slice at a time
-ROUNDING_TOLERANCE = 1e-9  # of sums of floating-point shares
+SLICE_COUNT = 10  # slices of the window; counts expire one slice at a time
+ROUNDING_TOLERANCE = 1e-9  # tolerance for rounding in sums of shares
 
 
 class RetryBudgetWindow:
--- a/finchladder/core/routing/routes.py
+++ b/finchladder/core/routing/routes.py
@@ -11,9 +11,9 @@
 
 from finchladder.core.api import NEVER_RAN, Effect, Ending, JobClass, WorkerPool
 
-MAX_ROUTES = 256  # in one file
-MAX_PATH_PARTS = 8  # of a path's prefix, the class included
-MAX_HEADERS = 4  # of one match
+MAX_ROUTES = 256  # routes of one file
+MAX_PATH_PARTS = 8  # segments of a path prefix, the class included
+MAX_HEADERS = 4  # header fields in one match
 
 ALL_BUT_OK = frozenset(Ending) - {Ending.OK}
 MAY_HAVE_RUN = ALL_BUT_OK - NEVER_RAN
@@ -41,9 +41,9 @@
 class QueueOrder(Enum):
     """Order in which a route's queued jobs are dispatched."""
 
-    WORTH = "worth"  # of the class, the greatest first; among equals the nearest deadline
-    DEADLINE = "deadline"  # the nearest first
-    ARRIVAL = "arrival"  # the oldest first
+    WORTH = "worth"  # highest value of the class first, and of equal values the nearest deadline
+    DEADLINE = "deadline"  # nearest deadline first
+    ARRIVAL = "arrival"  # oldest job first
 
 
 @dataclass(slots=True, frozen=True)
@@ -83,14 +83,14 @@
     most_s: float = 0.0
     jitter: float = 0.0  # 0: the full wait, 1: uniform from zero to the full wait
 
-    def wait_s(self, resend: int, draw: float = 0.0) -> float:
-        """Returns the seconds before retry `resend` (1, 2, ..); `draw` from 0 to 1, the longest wait at 0."""
-        whole = min(self.most_s, self.base_s * 2.0 ** min(resend - 1, 62))
-        return whole * (1.0 - self.jitter * draw)
+    def wait_s(self, retry: int, draw: float = 0.0) -> float:
+        """Returns the seconds before retry `retry` (1, 2, ..); `draw` is from 0 (longest wait) to 1."""
+        full_s = min(self.most_s, self.base_s * 2.0 ** min(retry - 1, 62))
+        return full_s * (1.0 - self.jitter * draw)
 
-    def max_total_wait_s(self, resends: int) -> float:
-        """Returns the longest total wait of so many retries, in seconds."""
-        return sum(self.wait_s(n) for n in range(1, resends + 1))
+    def max_total_wait_s(self, retries: int) -> float:
+        """Returns the longest total wait of `retries` retries, in seconds."""
+        return sum(self.wait_s(n) for n in range(1, retries + 1))
 
 
 @dataclass(slots=True, frozen=True)
@@ -109,10 +109,10 @@
 class RetryBudget:
     """Limits retries, hedges included, within a sliding window of `window_s` seconds."""
 
-    share: float  # of the route's first sends
-    least_per_s: float  # allowed however few first sends there are
+    share: float  # retries as a share of the route's first sends
+    least_per_s: float  # retries per second that are allowed in any case
     window_s: float = 10.0
-    repeats: bool = False  # counts what its client marks as a retry as one, not as a first send
+    repeats: bool = False  # a job that its client marks as a retry counts as a retry
 
 
 @dataclass(slots=True, frozen=True)
@@ -134,26 +134,26 @@
     name: str
     job_class: str
     match: Match = field(default_factory=Match)
-    timeout_s: float | None = None  # from a job's arrival to its answer
-    attempt_timeout_s: float | None = None  # of one attempt, from its send
-    attempts: int | None = None  # sends in all, the first and hedges included
+    timeout_s: float | None = None  # timeout of a job, from its arrival to its answer
+    attempt_timeout_s: float | None = None  # timeout of one attempt, from its send
+    attempts: int | None = None  # maximum number of sends, the first one and hedges included
     backoff: Backoff = Backoff()
     resend_on: frozenset[Ending] = ALL_BUT_OK  # endings of an attempt that may be retried
     hedge: Hedge | None = None
     retry_budget: RetryBudget | None = None
-    concurrency: int | None = None  # unanswered jobs of the route at this dispatcher
+    concurrency: int | None = None  # maximum number of unanswered jobs of the route at this dispatcher
     queue: Queue = Queue()  # applies only with `concurrency`
-    priority: int = 0  # among routes that compete for capacity, the highest is dispatched first
+    priority: int = 0  # the highest of all routes that compete for capacity is dispatched first
     pool: WorkerPool = WorkerPool()
 
     def effective_timeout_s(self, left_s: float) -> float:
-        """Returns the seconds a job may take whose client waits for another `left_s`."""
+        """Returns the timeout of a job whose client waits for another `left_s` seconds."""
         return left_s if self.timeout_s is None else min(left_s, self.timeout_s)
 
 
-def retryable_endings(cls: JobClass) -> frozenset[Ending]:
+def retryable_endings(job_class: JobClass) -> frozenset[Ending]:
     """Returns the endings after which jobs of the class may be retried under any route."""
-    return NEVER_RAN if cls.effect is Effect.UNSAFE else ALL_BUT_OK
+    return NEVER_RAN if job_class.effect is Effect.UNSAFE else ALL_BUT_OK
 
 
 class _Node:
@@ -206,27 +206,27 @@
         node = self.classes.get(job_class)
         if node is None:
             return None
-        seen: dict[str, Sequence[str]] = {}
-        found = _first_match(node, method, headers, seen)
-        parts = path.partition("?")[0].split("/", self.depth + 1)  # "", class, and what the class has below
+        fields: dict[str, Sequence[str]] = {}
+        found = _first_match(node, method, headers, fields)
+        parts = path.partition("?")[0].split("/", self.depth + 1)  # empty string, class, further segments
         for part in parts[2 : self.depth + 1]:
             node = node.children.get(part)
             if node is None:
                 break
-            found = _first_match(node, method, headers, seen) or found
+            found = _first_match(node, method, headers, fields) or found
         return found
 
 
 def _first_match(
-    node: _Node, method: str, headers: HeaderFields, seen: dict[str, Sequence[str]]
+    node: _Node, method: str, headers: HeaderFields, fields: dict[str, Sequence[str]]
 ) -> Route | None:
     for route in node.routes:
         match = route.match
         if match.method is None or match.method == method:
             for name, value in match.headers:
-                given = seen.get(name)
+                given = fields.get(name)
                 if given is None:  # read once per name instead of once per route
-                    given = seen[name] = headers.all(name)
+                    given = fields[name] = headers.all(name)
                 # a repeated field matches no value: otherwise two routes that differ in it could both match
                 if not given or (value != "*" and (len(given) > 1 or given[0] != value)):
                     break
--- a/tests/core/routes.py
+++ b/tests/core/routes.py
@@ -1,4 +1,4 @@
-"""Decisions under routes, on a bench: what a test says of a route stands in its file's words."""
+"""A test bench of a dispatcher with routes."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class RouteBench(Bench):
-    """A job of class X comes under the route X, if there is one."""
+    """A bench whose jobs of class X use the route named X, if there is one."""
 
     def __init__(
         self, routes: Routes, workers: Iterable[str | api.WorkerEntry] = (), seed: int = 1, **changes: Any
@@ -26,11 +26,11 @@
     ) -> tuple[str, list[api.Send]]:
         return super().ask(job_class, timeout_s, **({"route": job_class} | more))
 
-    def renew(self, routes: Routes) -> None:
+    def replace_routes(self, routes: Routes) -> None:
         self.feed(NewRoutes(routes))  # type: ignore[arg-type]
 
-    def quiet(self) -> bool:
-        """Nothing is held of any job."""
+    def is_empty(self) -> bool:
+        """Whether no state of any job is left."""
         g = self.g
         limiters = [s.limiter for s in g.scopes.values() if s.limiter is not None]
         return not (
--- a/tests/core/test_guarded_replay.py
+++ b/tests/core/test_guarded_replay.py
@@ -1,4 +1,4 @@
-"""Days under routes: off they are as without, and a capture of them is decided alike again."""
+"""Runs with routes: idle routes change nothing, and a replay of a capture repeats all decisions."""
 
 import json
 from collections.abc import Callable
@@ -63,7 +63,7 @@
         self.g = RouteLimitedDispatcher(self.d, routes, read_seed(SEED))
         self.d = self.g  # type: ignore[assignment]
         self.capture.states = snapshot.Taking(self.g, self.arrivals)
-        self.capture.soon = self.later.append  # a state is written while the day goes on
+        self.capture.soon = self.later.append  # states are written while the run continues
 
     def feed(self, event: api.Event) -> list[api.Action]:
         actions = super().feed(event)
@@ -80,7 +80,7 @@
         )
 
 
-def test_routes_that_say_nothing_change_nothing() -> None:
+def test_routes_without_limits_change_nothing() -> None:
     plain = Play()
     plain.play(1500)
     for routes in (NONE, IDLE):
@@ -90,7 +90,7 @@
         assert len(play.log) > 2000
 
 
-def day(ring_bytes: int = 50_000_000) -> RoutePlay:
+def run_with_reloads(ring_bytes: int = 50_000_000) -> RoutePlay:
     play = RoutePlay(ROUTES, ring_bytes)
     play.play(1200)
     for routes in (OTHER, ROUTES):
@@ -100,34 +100,34 @@
 
 
 @pytest.mark.parametrize(("ring", "lost"), [(50_000_000, False), (300_000, True), (150_000, True)])
-def test_a_day_under_routes_with_reloads_is_decided_alike_in_a_replay(ring: int, lost: bool) -> None:
-    data = day(ring).dumped()
+def test_a_replay_with_routes_and_reloads_repeats_all_decisions(ring: int, lost: bool) -> None:
+    data = run_with_reloads(ring).dumped()
     assert (json.loads(data.partition(b"\n")[0])["lost"] > 0) is lost
-    for routes, alike in ((ROUTES, True), (OTHER, False), (None, False)):
-        said, warned = list[str](), list[str]()
+    for routes, is_same in ((ROUTES, True), (OTHER, False), (None, False)):
+        differences, warnings = list[str](), list[str]()
         same = settings(tenants=TENANTS, may_message_peers=True)
-        replay = Replay(same, FEATURES, said.append, warned.append, routes)
+        replay = Replay(same, FEATURES, differences.append, warnings.append, routes)
         if routes is None and not lost:
             with pytest.raises(ValueError, match="the operator's file is none in TOML"):
                 replay.run(data.splitlines(keepends=True))
             continue
         replay.run(data.splitlines(keepends=True))
-        assert (not said) is alike
-        assert not (alike and warned)
+        assert (not differences) is is_same
+        assert not (is_same and warnings)
         assert replay.compared > (200 if lost else 4000)
 
 
-def test_a_state_from_right_after_a_reload_leads_to_the_same_decisions() -> None:
-    """Jobs wait, are in their backoff, have copies out, and some are under limits that hold no more."""
-    play = day()
+def test_a_replay_from_a_state_after_a_reload_repeats_all_decisions() -> None:
+    """The state has queued jobs, backoffs, hedges, and jobs under limits of former routes."""
+    play = run_with_reloads()
     g, tries = play.g, 0
 
-    def rich() -> bool:
+    def has_all_states() -> bool:
         runs = g.runs.values()
         both = any(r.queued_request is not None for r in runs) and any(r.hedge_count for r in runs)
         return both and bool(g.alarms.due_at and g.gone) and len({id(r.route) for r in runs}) > 3
 
-    while not (tries % 2 and rich()):  # while OTHER holds
+    while not (tries % 2 and has_all_states()):  # while OTHER is in force
         play.feed(NewRoutes((OTHER, ROUTES)[tries % 2]))  # type: ignore[arg-type]
         play.play(10)
         tries += 1
@@ -139,13 +139,17 @@
     play.capture = Capture(CaptureOptions(ring_bytes=50_000_000), SEED, states)
     play.play(600)
     data = [play.capture.opening(play.now, 1), state, *play.capture.dump(play.now)[1:]]
-    said, warned = list[str](), list[str]()
+    differences, warnings = list[str](), list[str]()
     replay = Replay(
-        settings(tenants=TENANTS, may_message_peers=True), FEATURES, said.append, warned.append, OTHER
+        settings(tenants=TENANTS, may_message_peers=True),
+        FEATURES,
+        differences.append,
+        warnings.append,
+        OTHER,
     )
     replay.run(b"".join(data).splitlines(keepends=True))
-    assert (said, warned) == ([], [])
+    assert (differences, warnings) == ([], [])
     assert replay.compared > 1000
-    inner = Dispatcher(g.settings, 9)  # of one whose file has no routes any more
+    inner = Dispatcher(g.settings, 9)  # a dispatcher without routes
     assert snapshot.restore(carried, inner, Arrivals(FEATURES, 5)) == []
     assert inner.jobs
--- a/tests/core/test_limits.py
+++ b/tests/core/test_limits.py
@@ -1,4 +1,4 @@
-"""The counts that limits go by: places and queue, retry budget, percentile, share of copies, alarms."""
+"""Concurrency limit and queue, retry budget, latency percentile, hedge budget, alarms."""
 
 from math import inf, log
 from random import Random
@@ -25,13 +25,13 @@
 
 
 @pytest.mark.parametrize("order", list(QueueOrder))
-def test_a_queue_hands_out_the_best_and_turns_away_the_worst(order: QueueOrder) -> None:
+def test_a_queue_dequeues_the_best_job_and_rejects_the_worst(order: QueueOrder) -> None:
     random, limiter = Random(7), ConcurrencyLimiter(3, Queue(4, order))
     waiting: list[tuple[str, float, float, int]] = []
     open_ = full = taken = 0
     for serial in range(3000):
-        todo = random.random()
-        if todo < 0.5:
+        choice = random.random()
+        if choice < 0.5:
             job = (f"j{serial}", random.choice((1.0, 10.0)), random.choice((5.0, 6.0)), serial)
             if limiter.try_acquire():
                 assert open_ < 3
@@ -41,13 +41,13 @@
             assert open_ == 3 or waiting
             waiting.append(job)
             waiting.sort(key=RANKS[order])
-            loser = limiter.enqueue(*job)
-            assert (loser is None) is (len(waiting) <= 4)
-            if loser is not None:
-                assert loser == waiting.pop()[0]
-                limiter.remove(loser)
+            displaced = limiter.enqueue(*job)
+            assert (displaced is None) is (len(waiting) <= 4)
+            if displaced is not None:
+                assert displaced == waiting.pop()[0]
+                limiter.remove(displaced)
                 full += 1
-        elif todo < 0.6 and waiting:
+        elif choice < 0.6 and waiting:
             limiter.remove(waiting.pop(random.randrange(len(waiting)))[0])
         elif open_:
             limiter.release()
@@ -63,33 +63,31 @@
 
 
 @pytest.mark.parametrize(("share", "floor", "window"), [(0.2, 1.0, 10.0), (0.0, 2.0, 3.0), (1.0, 0.0, 10.0)])
-def test_resends_of_any_window_stay_within_the_share_of_its_first_sends_and_the_floor(
-    share: float, floor: float, window: float
-) -> None:
+def test_retries_of_any_window_stay_within_share_and_floor(share: float, floor: float, window: float) -> None:
     random, budget = Random(3), RetryBudgetWindow(RetryBudget(share, floor, window))
-    now, firsts, resends, denied = 1e9, list[float](), list[float](), 0
+    now, firsts, retries, denied = 1e9, list[float](), list[float](), 0
     for step in range(10_000):
         now += random.expovariate(40.0) * (50 if step % 4000 == 0 else 1)
         if random.random() < (0.3 if step % 3000 < 1500 else 0.95):
             budget.record_first_send(now)
             firsts.append(now)
         elif budget.try_spend(now):
-            resends.append(now)
-            in_window = sum(t > now - 0.9 * window for t in resends)
+            retries.append(now)
+            in_window = sum(t > now - 0.9 * window for t in retries)
             assert in_window <= share * sum(t > now - window for t in firsts) + floor * 0.9 * window + 1e-6
         else:
-            denied += 1  # and not before they are used up
-            in_window = sum(t > now - window for t in resends)
+            denied += 1  # a retry is denied only if the budget is used up
+            in_window = sum(t > now - window for t in retries)
             allowed = share * sum(t > now - 0.9 * window for t in firsts) + floor * 0.9 * window
             assert in_window + 1 > allowed - 1e-6
             assert not budget.may_retry(now)
         assert len(budget.slices) <= 10
     assert denied > 1000
-    assert len(resends) > 100
+    assert len(retries) > 100
 
 
 @pytest.mark.parametrize("percentile", [50.0, 95.0, 99.0])
-def test_a_percentile_is_known_within_its_error_and_follows_a_change(percentile: float) -> None:
+def test_the_estimated_percentile_is_within_its_error_and_follows_a_change(percentile: float) -> None:
     random, times = Random(5), LatencyPercentile(percentile)
     drawn = list[float]()
     for scale in (0.1, 1.0):
@@ -105,19 +103,19 @@
         assert times.total <= max(DECAY_SAMPLES, 2 * times.min_samples)
 
 
-def test_bounds_of_times_and_those_that_were_cut_off() -> None:
+def test_latencies_are_clamped_and_cut_off_attempts_are_lower_bounds() -> None:
     times = LatencyPercentile(50.0)
     for took in (0.0, 1e9, -1.0) * 40:
         times.add(took)
     assert times.value_s == pytest.approx(1e-3, rel=0.05)
     assert max(times.buckets) <= 378
-    times.add_longer_than(0.5e-3)  # it may have taken any time: nothing is learned
+    times.add_longer_than(0.5e-3)  # below the estimate: such a lower bound is ignored
     assert times.total == 120
     times.add_longer_than(0.1)
     assert times.total == 121
     assert log(0.1 / 1e-3) > 0
     known = times.value_s
-    for _ in range(31 - times.new_count):  # it is worked out again after 32
+    for _ in range(31 - times.new_count):  # the estimate is updated every 32 samples
         times.add(50.0)
         assert times.value_s == known
     unknown = LatencyPercentile(95.0)
@@ -126,39 +124,39 @@
 
 
 @pytest.mark.parametrize("share", [0.05, 0.3, 1.0])
-def test_copies_are_at_no_moment_more_than_their_share_of_the_first_sends(share: float) -> None:
-    random, allowance = Random(1), HedgeBudget(share)
-    sent = copies = 0
+def test_hedges_never_exceed_their_share_of_the_first_sends(share: float) -> None:
+    random, budget = Random(1), HedgeBudget(share)
+    sent = hedges = 0
     for step in range(20_000):
         if random.random() < 0.8:
-            allowance.record_first_send()
+            budget.record_first_send()
             sent += 1
-        if step % 5000 > 1000 and allowance.has_token():
-            allowance.take_token()
-            copies += 1
-        assert copies <= share * sent
-    assert copies > share * sent * 0.7
+        if step % 5000 > 1000 and budget.has_token():
+            budget.take_token()
+            hedges += 1
+        assert hedges <= share * sent
+    assert hedges > share * sent * 0.7
     for _ in range(10_000):
-        allowance.record_first_send()
-    assert allowance.tokens == MAX_HEDGE_TOKENS  # an hour of calm must not pay for a flood
+        budget.record_first_send()
+    assert budget.tokens == MAX_HEDGE_TOKENS  # a quiet hour must not allow a burst of hedges
 
 
-def test_alarms_come_in_order_and_what_is_dropped_leaves_little_behind() -> None:
-    random, alarms, right = Random(2), Alarms(), dict[str, float]()
+def test_alarms_are_due_in_order_and_dropped_ones_use_little_memory() -> None:
+    random, alarms, expected = Random(2), Alarms(), dict[str, float]()
     now = 0.0
     for _ in range(20_000):
         key = f"k{random.randrange(50)}"
         if random.random() < 0.6:
-            right[key] = now + random.random()
-            alarms.put(key, right[key])
+            expected[key] = now + random.random()
+            alarms.put(key, expected[key])
         elif random.random() < 0.7:
-            right.pop(key, None)
+            expected.pop(key, None)
             alarms.drop(key)
         else:
             now += random.random() / 10
             while (due := alarms.pop_due(now)) is not None:
-                assert right.pop(due) <= now
-            assert all(at > now for at in right.values())
-        assert alarms.next_due_at() == min(right.values(), default=inf)
-        assert alarms.due_at == right
-        assert len(alarms.heap) <= 2 * len(right) + 17
+                assert expected.pop(due) <= now
+            assert all(at > now for at in expected.values())
+        assert alarms.next_due_at() == min(expected.values(), default=inf)
+        assert alarms.due_at == expected
+        assert len(alarms.heap) <= 2 * len(expected) + 17
--- a/tests/core/test_routes_model.py
+++ b/tests/core/test_routes_model.py
@@ -1,7 +1,7 @@
-"""All that can happen to one job under a route, path by path, against rules written down once more.
+"""Exhaustive model of one job under a route: every path is checked against an independent set of rules.
 
-A path is a row of choices: how each attempt in flight ends, the route's own timer, the client's leaving.
-All are walked; what a send may follow is judged from what the path's world saw, not from any record.
+A path is a sequence of choices: an ending of an open attempt, the route's timer, or the client's disconnect.
+All paths are walked. Each send is checked against the events of the path, not against the dispatcher's state.
 """
 
 from collections.abc import Iterator
@@ -20,8 +20,8 @@
 from tests.helpers import KEYED, SAFE, UNSAFE, entry
 
 WORKERS = [entry(f"w{n}", zone="ab"[n % 2], cell=n // 2, kind="fast") for n in range(6)]
-PROOF = {"overloaded", "unreachable", "void"}  # endings after which a job has certainly not run
-SURE = RetryBudget(share=1.0, least_per_s=1000.0)
+PROOF = {"overloaded", "unreachable", "void"}  # endings that prove that the job has not run
+UNLIMITED = RetryBudget(share=1.0, least_per_s=1000.0)
 
 
 class Sent(NamedTuple):
@@ -30,15 +30,15 @@
 
 
 class World(RouteBench):
-    """One job after another; what one left behind in the dispatcher's opinion of its workers is wiped out."""
+    """Plays one job after another; the health state of the workers is reset in between."""
 
     def __init__(self, route: Route, **changes: Any) -> None:
         super().__init__(Routes([route]), WORKERS, **changes)
         self.route, self.cls = route, self.g.inner.classes[route.job_class]
-        self.resends = self.copies = self.paths = 0
+        self.retries = self.hedges = self.paths = 0
 
     def walk(self) -> None:
-        path: list[tuple[int, int]] = []  # what was chosen, of how many
+        path: list[tuple[int, int]] = []  # index of each choice, and the number of choices
         while True:
             self.play(path)
             self.paths += 1
@@ -68,22 +68,22 @@
         over = self.answered or self.left
         soon = max([self.now, *(at for at, token in self.timers if token == ROUTE_TIMER_TOKEN)]) + 0.05
         self.run_until(soon if over else self.until)
-        for n in self.out():
-            self.told(n, Ending.CANCELLED)
-        assert self.quiet()
+        for n in self.open_attempts():
+            self.end_attempt(n, Ending.CANCELLED)
+        assert self.is_empty()
         assert self.answered or self.left
 
-    def out(self) -> list[int]:
+    def open_attempts(self) -> list[int]:
         return [n for n in range(len(self.sent)) if n not in self.ended]
 
     def choices(self) -> Iterator[tuple[int, Ending] | float | None]:
         if self.answered or self.left:
             return
-        yield from product(self.out(), Ending)
+        yield from product(self.open_attempts(), Ending)
         due = [at for at, token in self.timers if token == ROUTE_TIMER_TOKEN]
         if due and min(due) < self.until:
             yield min(due)
-        if self.out() or due:
+        if self.open_attempts() or due:
             yield None
 
     def choose(self, choice: tuple[int, Ending] | float | None) -> None:
@@ -93,9 +93,9 @@
         elif isinstance(choice, float):
             self.run_until(choice)
         else:
-            self.told(*choice)
+            self.end_attempt(*choice)
 
-    def told(self, n: int, ending: Ending) -> None:
+    def end_attempt(self, n: int, ending: Ending) -> None:
         self.ended[n] = ending
         self.answered |= ending is Ending.OK
         self.feed(api.Ended(self.name, n, ending, self.answered or self.left, 0.1))
@@ -104,7 +104,7 @@
         actions = super().feed(event)
         for a in actions:
             if isinstance(a, api.Send):
-                self.judge(a)
+                self.check_send(a)
                 self.sent.append(Sent(a.worker, self.now))
             elif isinstance(a, api.Reject | api.Fail):
                 assert not (self.answered)
@@ -117,8 +117,8 @@
     def may_have_run(self, n: int) -> bool:
         return n not in self.ended or self.ended[n].value not in PROOF
 
-    def judge(self, a: api.Send) -> None:
-        """The four rules' part, then the route's."""
+    def check_send(self, a: api.Send) -> None:
+        """Checks a send against the rules of its class, then against those of its route."""
         assert not (self.answered)
         assert not (self.left)
         assert a.worker not in [s.worker for s in self.sent]
@@ -134,49 +134,56 @@
                     assert known[s.worker].zone == known[a.worker].zone
             if n in self.ended:
                 assert self.ended[n] in self.route.resend_on
-                self.resends += 1
+                self.retries += 1
             else:
                 assert self.d.settings.may_hedge
                 assert self.d.settings.may_cancel
                 assert self.route.hedge is not None
-                assert len(self.out()) == 1
+                assert len(self.open_attempts()) == 1
                 assert self.now >= s.at + (self.route.hedge.after_s or 0) - 1e-3
-                self.copies += 1
+                self.hedges += 1
 
 
 EVERY = frozenset(Ending) - {Ending.OK}
-UNRUN = frozenset(e for e in Ending if e.value in PROOF)
+NEVER_RAN = frozenset(e for e in Ending if e.value in PROOF)
 HEDGE = Hedge(after_s=0.3, most=1.0)
-# what the checker would refuse is here as well: the rules hold whatever a route says
+# includes routes that the configuration checker rejects: the rules hold for any route
 CASES: list[tuple[JobClass, dict[str, Any], dict[str, Any]]] = [
-    *((cls, {"attempts": 4, "resend_on": on}, {}) for cls in (UNSAFE, KEYED) for on in (EVERY, UNRUN)),
+    *((cls, {"attempts": 4, "resend_on": on}, {}) for cls in (UNSAFE, KEYED) for on in (EVERY, NEVER_RAN)),
     *((cls, {"attempts": 3, "hedge": HEDGE}, {}) for cls in (SAFE, UNSAFE, KEYED)),
     *((SAFE, {"attempts": 3, "hedge": HEDGE}, {name: False}) for name in ("may_hedge", "may_cancel")),
     (SAFE, {"attempts": 9, "resend_on": EVERY}, {"max_attempts": 3}),
-    (SAFE, {"attempts": 3, "resend_on": UNRUN, "hedge": HEDGE, "backoff": Backoff(0.1, 0.4, 0.5)}, {}),
+    (SAFE, {"attempts": 3, "resend_on": NEVER_RAN, "hedge": HEDGE, "backoff": Backoff(0.1, 0.4, 0.5)}, {}),
     (SAFE, {"attempts": 3, "retry_budget": RetryBudget(0.0, 0.0), "hedge": HEDGE}, {}),
-    (SAFE, {"attempts": 3, "retry_budget": SURE, "attempt_timeout_s": 0.5, "hedge": HEDGE}, {}),
-    (KEYED, {"attempts": 3, "backoff": Backoff(1.6, 3.2)}, {}),  # the second wait is past the window
+    (SAFE, {"attempts": 3, "retry_budget": UNLIMITED, "attempt_timeout_s": 0.5, "hedge": HEDGE}, {}),
+    (KEYED, {"attempts": 3, "backoff": Backoff(1.6, 3.2)}, {}),  # the second ends after the window
     (KEYED, {"attempts": 2, "hedge": Hedge(after_s=3.5, most=1.0)}, {}),
     (UNSAFE, {"attempts": 3, "backoff": Backoff(0.2, 0.2), "concurrency": 1}, {}),
 ]
 
 
 @pytest.mark.parametrize(("cls", "limits", "changes"), CASES)
-def test_no_path_of_a_job_leads_to_a_send_that_its_class_or_its_route_forbids(
+def test_no_path_leads_to_a_send_that_the_class_or_the_route_forbids(
     cls: JobClass, limits: dict[str, Any], changes: dict[str, Any]
 ) -> None:
     route = Route(cls.name, cls.name, **limits)
     world = World(route, **changes)
     world.walk()
     assert world.paths > 10
-    assert bool(world.resends) is (route.retry_budget in (None, SURE))
-    copies = route.hedge is HEDGE and cls is not UNSAFE and not changes and route.retry_budget in (None, SURE)
-    assert bool(world.copies) is copies
-
-
-AGAIN = (None, "['overloaded', 'unreachable', 'void']", "['error', 'timed_out']", "['cancelled', 'unknown']")
-COPIES = ("", "hedge_after_s = 0.2\nhedge_most = 1.0")
+    assert bool(world.retries) is (route.retry_budget in (None, UNLIMITED))
+    hedges = (
+        route.hedge is HEDGE and cls is not UNSAFE and not changes and route.retry_budget in (None, UNLIMITED)
+    )
+    assert bool(world.hedges) is hedges
+
+
+RESEND_ON = (
+    None,
+    "['overloaded', 'unreachable', 'void']",
+    "['error', 'timed_out']",
+    "['cancelled', 'unknown']",
+)
+HEDGES = ("", "hedge_after_s = 0.2\nhedge_most = 1.0")
 MORE = (
     "",
     "backoff.base_s = 0.05\nretry_budget = {share = 1.0, least_per_s = 1000}",
@@ -185,7 +192,7 @@
 
 
 def files(sends: int) -> Iterator[str]:
-    for cls, on, hedge, more in product(("view", "confirm", "book"), AGAIN, COPIES, MORE):
+    for cls, on, hedge, more in product(("view", "confirm", "book"), RESEND_ON, HEDGES, MORE):
         said = f"resend_on = {on}" if on else ""
         yield f"[route.{cls}]\nclass = '{cls}'\nattempts = {sends}\n{hedge}\n{said}\n{more}"
 
@@ -195,8 +202,8 @@
     return found.routes.all[0] if isinstance(found, Loaded) else None
 
 
-def test_no_file_that_is_accepted_lets_a_path_lead_to_a_resend_that_the_class_forbids() -> None:
-    """With three sends, 216 files and 50,810 paths in all: half a minute, so only the first of them here."""
+def test_no_accepted_file_allows_a_retry_that_the_class_forbids() -> None:
+    """Files with three sends are sampled: all 216 files have 50,810 paths, which take half a minute."""
     settings = PLATFORMS[""]
     texts = [*files(1), *files(2), *islice(files(3), 2)]
     routes = [route for text in texts if (route := accepted(text, settings)) is not None]
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes and their reload, on real sockets."""
+"""Routes and their reload, with a dispatcher process and real sockets."""
 
 import asyncio
 import hashlib
@@ -37,7 +37,7 @@
 
 
 def silent_or_serving(*names: str) -> tuple[list[RealServer], list[str]]:
-    """The first of them that is asked takes its job and never ends it, whatever it is told."""
+    """The first worker that receives a job accepts it and never ends it, also not if cancelled."""
     first = list[str]()
 
     async def behave(server: RealServer, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -56,7 +56,7 @@
         await asyncio.sleep(0.01)
 
 
-def test_a_copy_answers_and_the_silent_real_server_is_told_whatever_it_makes_of_it(tmp_path: Path) -> None:
+def test_a_hedge_answers_and_the_attempt_at_the_silent_worker_is_cancelled(tmp_path: Path) -> None:
     async def play() -> None:
         servers, first = silent_or_serving("w1", "w2", "w3")
         async with routed(tmp_path, HEDGED, *servers) as n:
@@ -66,9 +66,9 @@
             assert (got.status, got.body) == (200, f"{quick.name} ran it".encode())
             await until(lambda: slow.deleted == ["/jobs/a"])
             assert 1.0 < float(slow.got[0].headers["x-time-left"]) <= 1.5
-            # it ignores that, and tells of the end all the same: nobody is served twice
+            # it ignores the cancellation and reports the end: the client is not answered twice
             assert await slow.call_back("a", state="done", result="late") == 204
-            others = [("b", "/s/k/1", {}), ("c", "/s/x", MARK), ("d", "/u/k/1", MARK)]  # of no route
+            others = [("b", "/s/k/1", {}), ("c", "/s/x", MARK), ("d", "/u/k/1", MARK)]  # these match no route
             plain = [asyncio.create_task(n.ask(id, path, "1", **more)) for id, path, more in others]
             for id, task in zip("bcd", plain, strict=True):
                 await task
@@ -77,7 +77,7 @@
     run(play())
 
 
-def test_a_client_that_leaves_between_the_copies_ends_both(tmp_path: Path) -> None:
+def test_a_client_disconnect_during_a_hedge_cancels_both_attempts(tmp_path: Path) -> None:
     async def play() -> None:
         servers = [RealServer(f"w{i}", swallow) for i in range(2)]
         async with routed(tmp_path, HEDGED, *servers) as n:
@@ -89,7 +89,7 @@
     run(play())
 
 
-def test_a_route_has_so_many_places_and_a_client_that_repeats_pays_for_it(tmp_path: Path) -> None:
+def test_concurrency_of_a_route_and_a_retry_budget_that_counts_client_retries(tmp_path: Path) -> None:
     text = """
 [route.one]
 class = "s"
@@ -108,14 +108,14 @@
             full = await n.ask("b")
             assert (full.status, full.headers["retry-after"]) == (503, "1.5")
             assert 0.5 < float(server.got[0].headers["x-time-left"]) <= 1.0
-            assert (await ask).status == 503  # its route's time is up
+            assert (await ask).status == 503  # the route's timeout is over
             assert (await n.ask("c", "/u", more="X-Repeat: 1\r\n")).status == 503
             assert len(server.got) == 1
 
     run(play())
 
 
-def test_a_file_is_taken_whole_or_not_at_all_a_hundred_times_under_load(tmp_path: Path) -> None:
+def test_a_hundred_reloads_under_load_apply_a_file_as_a_whole_or_not_at_all(tmp_path: Path) -> None:
     good = "[route.s]\nclass = 's'\nattempts = 1\n"
     bad = ["[route.s]\nclass = 's'\nattempts = 0\n", "[route.s", "", "[capture]\n" + good, "\xff"]
     file, log = tmp_path / "operator.toml", tmp_path / "log"
@@ -150,7 +150,7 @@
             assert (await n.ask("x")).status == 503
             assert sum(m.id == "x" for s in servers for m in s.got) == 1
             file.write_text(new := good.replace("attempts = 1", "attempts = 2").replace("route.s", "route.t"))
-            for _ in range(3):  # one after another, and the last of them at least once more
+            for _ in range(3):  # the file is read at least once after the last signal
                 n.process.send_signal(signal.SIGHUP)
             later = hashlib.sha256(new.encode()).hexdigest()[:12]
             await until(f"version {later} holds, in place of {version}, 1 route", log)
@@ -164,7 +164,7 @@
     run(play())
 
 
-def test_files_are_read_one_at_a_time_and_once_more_if_that_was_asked_for() -> None:
+def test_reloads_are_serialised_and_requests_during_one_cause_one_more() -> None:
     async def play() -> None:
         reads = list[asyncio.Future[Loaded]]()
         old, new = (Loaded(Options(), Routes(), version) for version in ("old", "new"))
