--- a/finchladder/core/connections/client_connections.py
+++ b/finchladder/core/connections/client_connections.py
@@ -4,7 +4,7 @@
 from enum import IntEnum
 from typing import Generic, TypeVar
 
-MIN_IDLE_S = 0.25  # seconds; a client that connected or was answered since may be about to send
+MIN_IDLE_S = 0.25  # a client that connected or was answered more recently may be about to send
 
 E = TypeVar("E", bound=Hashable)
 
@@ -12,7 +12,7 @@
 class ConnectionValue(IntEnum):
     """What a client connection has carried so far; the lowest value is closed first."""
 
-    NEW = 0  # nothing
+    NEW = 0  # no complete message
     QUERIED = 1  # a query
     SERVED = 2  # an answered job, or a callback
 
@@ -29,16 +29,16 @@
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
-        self._active_at: dict[E, float] = {}  # when it was opened or completed its last message
+        self._active_at: dict[E, float] = {}  # time of opening or of the last complete message
         self._closable_as: dict[E, ConnectionValue] = {}
-        # by value; the one idle longest is first in each
+        # connections of each value, the one idle longest first
         self._closable: dict[ConnectionValue, dict[E, None]] = {value: {} for value in ConnectionValue}
 
     def __len__(self) -> int:
         return len(self._active_at)
 
-    def __contains__(self, edge: object) -> bool:
-        return edge in self._active_at
+    def __contains__(self, connection: object) -> bool:
+        return connection in self._active_at
 
     def __iter__(self) -> Iterator[E]:
         return iter(self._active_at)
@@ -48,57 +48,57 @@
         """Whether a further connection needs an eviction."""
         return len(self._active_at) >= self.max_connections
 
-    def add(self, now: float, edge: E) -> None:
+    def add(self, now: float, connection: E) -> None:
         """Adds a new connection, closable until its first message is complete."""
-        self._active_at[edge] = now
-        self.mark_closable(edge, ConnectionValue.NEW)
+        self._active_at[connection] = now
+        self.mark_closable(connection, ConnectionValue.NEW)
 
-    def mark_idle(self, now: float, edge: E, value: ConnectionValue) -> None:
+    def mark_idle(self, now: float, connection: E, value: ConnectionValue) -> None:
         """Marks a connection that completed a message and has received nothing of the next."""
-        if edge in self._active_at:
-            self._active_at[edge] = now
-            self.mark_closable(edge, value)
+        if connection in self._active_at:
+            self._active_at[connection] = now
+            self.mark_closable(connection, value)
 
-    def mark_closable(self, edge: E, value: ConnectionValue) -> None:
+    def mark_closable(self, connection: E, value: ConnectionValue) -> None:
         """Makes a connection closable, after all others of that value."""
-        if edge in self._active_at:  # otherwise it has been closed
-            self.mark_busy(edge)
-            self._closable_as[edge] = value
-            self._closable[value][edge] = None
+        if connection in self._active_at:  # otherwise it has been closed
+            self.mark_busy(connection)
+            self._closable_as[connection] = value
+            self._closable[value][connection] = None
 
-    def mark_busy(self, edge: E) -> None:
+    def mark_busy(self, connection: E) -> None:
         """Marks a connection that received a complete message: not closable until that is answered."""
-        if (value := self._closable_as.pop(edge, None)) is not None:
-            del self._closable[value][edge]
+        if (value := self._closable_as.pop(connection, None)) is not None:
+            del self._closable[value][connection]
 
-    def remove(self, edge: E) -> None:
+    def remove(self, connection: E) -> None:
         """Removes a connection, if it is in the table."""
-        self.mark_busy(edge)
-        self._active_at.pop(edge, None)
+        self.mark_busy(connection)
+        self._active_at.pop(connection, None)
 
-    def is_older(self, now: float, edge: E, age: float) -> bool:
-        """Whether it was opened or last active more than `age` seconds ago."""
-        return now > self._active_at[edge] + age
+    def is_older(self, now: float, connection: E, age_s: float) -> bool:
+        """Whether the connection was opened or last active more than `age_s` seconds ago."""
+        return now > self._active_at[connection] + age_s
 
-    def evict(self, now: float, quiet: Callable[[E], bool]) -> E | None:
+    def evict(self, now: float, is_drained: Callable[[E], bool]) -> E | None:
         """Removes the connection to be closed.
 
         Args:
             now: Current time, in seconds of the caller's clock.
-            quiet: Whether a connection has no unread data.
+            is_drained: Returns whether a connection has no unread data.
 
         Returns:
             The connection, or None if none may be closed.
         """
-        for edges in self._closable.values():
-            for edge in edges:
-                if now < self._active_at[edge] + MIN_IDLE_S:
+        for connections in self._closable.values():
+            for connection in connections:
+                if now < self._active_at[connection] + MIN_IDLE_S:
                     break  # the remaining ones were active later
-                if quiet(edge):
-                    self.remove(edge)
-                    return edge
-        for edge in (e for edges in self._closable.values() for e in edges):
-            if quiet(edge):
-                self.remove(edge)
-                return edge
+                if is_drained(connection):
+                    self.remove(connection)
+                    return connection
+        for connection in (c for connections in self._closable.values() for c in connections):
+            if is_drained(connection):
+                self.remove(connection)
+                return connection
         return None
--- a/finchladder/core/connections/graceful_shutdown.py
+++ b/finchladder/core/connections/graceful_shutdown.py
@@ -9,24 +9,24 @@
 | from then on | is closed, unless a request arrived on it | is answered likewise, and its connection closed |
 """
 
-# of the protocol: SIGKILL follows SIGTERM after the longest deadline, capped at the second, plus the first
+# SIGKILL follows SIGTERM after the longest deadline (at most MAX_COUNTED_DEADLINE_S) plus KILL_GRACE_S
 KILL_GRACE_S, MAX_COUNTED_DEADLINE_S = 0.7, 3.0
-# requests up to this long after SIGTERM have their full timeout: KILL_GRACE_S less the time of a read
+# requests that arrive this long after SIGTERM have their full timeout: KILL_GRACE_S less the time of a read
 FULL_TIME_S = KILL_GRACE_S - 0.1
-KILL_MARGIN_S = 0.2  # between the last answer and SIGKILL
+KILL_MARGIN_S = 0.2  # time between the last answer and SIGKILL
 MAX_KEEP_OPEN_S = 1.8  # clients have abandoned idle connections by then
 
 
 class GracefulShutdown:
     """Decides until when connections stay open and requests are answered after SIGTERM."""
 
-    def __init__(self, longest_s: float) -> None:
+    def __init__(self, longest_deadline_s: float) -> None:
         """Derives the limits from the longest deadline of any class, in seconds."""
-        killed_s = min(longest_s, MAX_COUNTED_DEADLINE_S) + KILL_GRACE_S
-        self.answer_within_s = killed_s - KILL_MARGIN_S
-        # the other half is left for the last requests
-        self.keep_open_s = min(MAX_KEEP_OPEN_S, killed_s / 2)
-        self.began_at: float | None = None  # when SIGTERM came
+        kill_after_s = min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_GRACE_S
+        self.answer_within_s = kill_after_s - KILL_MARGIN_S
+        # the second half of the time is left for the last requests
+        self.keep_open_s = min(MAX_KEEP_OPEN_S, kill_after_s / 2)
+        self.began_at: float | None = None  # time at which SIGTERM was received
 
     @property
     def has_begun(self) -> bool:
--- a/finchladder/core/connections/idle_timeout.py
+++ b/finchladder/core/connections/idle_timeout.py
@@ -1,27 +1,27 @@
 """Adaptive idle timeout of connections to workers."""
 
-RELEARN_S = 30.0  # without a reset of an idle connection, before the limit is doubled
+RELEARN_S = 30.0  # time without a reset of an idle connection after which the limit is doubled
 MIN_IDLE_S = 0.05  # lower bound of the limit when it is doubled
 
 
 class AdaptiveIdleTimeout:
     """Learns how long a connection may be idle and still be reused; `max_idle_s` at most.
 
-    A middlebox may drop idle connections long before the configured timeout, and the loss shows only when the
-    next request ends in a reset, which may not be retried. So each reset halves the allowed idle time,
-    and each RELEARN_S without one doubles it. Times are in seconds of the caller's clock.
+    A middlebox may drop idle connections long before the configured timeout, and the loss is noticed only
+    when the next request ends in a reset, which may not be retried. So each reset halves the allowed idle
+    time, and each RELEARN_S without one doubles it. Times are in seconds of the caller's clock.
     """
 
     def __init__(self, now: float, max_idle_s: float) -> None:
         self.max_idle_s = max_idle_s
-        self._value, self._since = max_idle_s, now
+        self._limit_s, self._changed_at = max_idle_s, now
 
-    def record_reset(self, now: float, idle: float) -> None:
-        """Records that a connection idle for `idle` seconds was reset at its next request."""
-        self._value, self._since = min(self._value, idle / 2), now
+    def record_reset(self, now: float, idle_s: float) -> None:
+        """Records that a connection idle for `idle_s` seconds was reset at its next request."""
+        self._limit_s, self._changed_at = min(self._limit_s, idle_s / 2), now
 
     def limit_s(self, now: float) -> float:
         """Returns the longest idle time, in seconds, after which a connection may be reused."""
-        if self._value < self.max_idle_s and now > self._since + RELEARN_S:
-            self._value, self._since = min(self.max_idle_s, 2 * max(self._value, MIN_IDLE_S)), now
-        return self._value
+        if self._limit_s < self.max_idle_s and now > self._changed_at + RELEARN_S:
+            self._limit_s, self._changed_at = min(self.max_idle_s, 2 * max(self._limit_s, MIN_IDLE_S)), now
+        return self._limit_s
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,7 +1,7 @@
-"""Two events that cross, on real sockets: which comes first is decided by an event, never by a sleep.
+"""Races between two events, on real sockets: the order is forced by an event, never by a sleep.
 
-docs/design/crossings.md lists the pairs. A process that is stopped (SIGSTOP) can't look at what comes: so a
-test makes two things happen "at the same moment" for it, in an order of its own.
+docs/design/crossings.md lists the pairs. A process that is stopped by SIGSTOP reads nothing. A test can thus
+make two events appear simultaneous to it, in an order of the test's choice.
 """
 
 import asyncio
@@ -55,16 +55,16 @@
     return await asyncio.open_connection("127.0.0.1", n.port)
 
 
-def stopped(n: Node) -> None:
-    """Returns once the process is at rest, and looks at nothing any more."""
+def stop(n: Node) -> None:
+    """Stops the process, and returns once it is stopped and reads nothing more."""
     n.process.send_signal(signal.SIGSTOP)
     status = Path(f"/proc/{n.process.pid}/stat")
     while status.read_text().rpartition(")")[2].split()[0] != "T":
         pass
 
 
-def sent_and_left(n: Node, data: bytes, how: str = "close") -> socket.socket:
-    """A client that sends and leaves; all of it is in the system's hands when this returns."""
+def send_and_disconnect(n: Node, data: bytes, how: str = "close") -> socket.socket:
+    """Sends and disconnects; when this returns, the kernel has the data and the disconnect."""
     connection = socket.create_connection(("127.0.0.1", n.port))
     connection.sendall(data)
     if how == "close":
@@ -77,7 +77,7 @@
     return connection
 
 
-# --- a client that leaves
+# --- clients that disconnect
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
@@ -88,10 +88,10 @@
     async def play() -> None:
         server = RealServer("w1")
         async with node(tmp_path, server) as n:
-            assert (await n.ask("warm")).status == 200  # a kept connection: what is sent goes at once
-            stopped(n)
+            assert (await n.ask("warm")).status == 200  # opens the connection to the worker
+            stop(n)
             for i in range(many):
-                sent_and_left(n, request(f"gone{i}", f"/s/k{i}"), how)
+                send_and_disconnect(n, request(f"gone{i}", f"/s/k{i}"), how)
             n.process.send_signal(signal.SIGCONT)
             for i in range(3):
                 assert (await n.ask(f"a{i}")).status == 200
@@ -102,9 +102,9 @@
 
 @pytest.mark.parametrize("behind", [b"POST /s/k HTT", request("behind")])
 def test_a_client_that_closes_with_bytes_behind_its_request_has_gone(tmp_path: Path, behind: bytes) -> None:
-    """Its job is given up, though what lies before its end was not read; and what lies there never runs.
+    """Its job is cancelled although the data before the disconnect was not read, and that data never runs.
 
-    One that may not be repeated and has long to go: nothing else than its client's end gives it up.
+    The job is UNSAFE and has a long deadline, so that only the client's disconnect cancels it.
     """
 
     async def play() -> None:
@@ -132,7 +132,7 @@
 
 
 def test_a_whole_request_behind_an_open_one_is_answered_after_it(tmp_path: Path) -> None:
-    """One that stays: it is read once the first is answered, and runs then."""
+    """The client stays connected: the request is read and runs once the first is answered."""
 
     async def play() -> None:
         server = RealServer("w1", started)
@@ -141,7 +141,7 @@
             writer.write(request("a1"))
             await until(lambda: server.got)
             writer.write(request("a2"))
-            assert (await exchange(n.port, HEALTH)).status == 200  # the second has had its time to come
+            assert (await exchange(n.port, HEALTH)).status == 200  # the second request has arrived by now
             assert [m.id for m in server.got] == ["a1"]
             server.behaviour = accept_and_do
             assert await server.call_back("a1", state="done", result="one") == 204
@@ -166,8 +166,8 @@
     run(play())
 
 
-class Unreachable:
-    """Its machine takes no more connections: they neither come up nor are refused."""
+class FullListenQueue:
+    """A worker whose listen queue is full: connections are neither established nor refused."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -193,17 +193,17 @@
 def test_a_client_that_closes_while_its_job_waits_for_a_connection_gets_no_further_attempt(
     tmp_path: Path,
 ) -> None:
-    """The attempt under way ends as unreachable; the next real server would be there by then."""
+    """The open attempt ends as unreachable; another worker is ready by then."""
 
     async def play() -> None:
-        mute, other = Unreachable("w1"), RealServer("w2")
+        mute, other = FullListenQueue("w1"), RealServer("w2")
         await other.open()
         async with node(tmp_path, RealServer("w0")) as n:
             other.node = n.port
             await n.list({"name": "w0", "address": "127.0.0.1:9", "status": "gone"}, mute.entry())
             _, writer = await opened(n)
             writer.write(request("a1"))
-            assert (await exchange(n.port, HEALTH)).status == 200  # by now it is being connected for
+            assert (await exchange(n.port, HEALTH)).status == 200  # by now the connection is being opened
             writer.close()
             await n.list(other.entry(), index=10)
             await n.list(mute.entry() | {"status": "gone"}, index=11)
@@ -223,7 +223,7 @@
             writer.write(request("a1"))
             assert (await exchange(n.port, HEALTH)).status == 200
             writer.close()
-            assert (await exchange(n.port, HEALTH)).status == 200  # its end was there before this was sent
+            assert (await exchange(n.port, HEALTH)).status == 200  # sent after the disconnect
             await n.list(server.entry(), index=10)
             assert (await n.ask("a2")).status == 200
             assert [m.id for m in server.got] == ["a2"]
@@ -232,7 +232,7 @@
 
 
 def test_what_a_real_server_hands_back_after_its_client_has_left_goes_to_no_other(tmp_path: Path) -> None:
-    """The end of the first attempt and the client's are there at the same moment."""
+    """The end of the first attempt and the client's disconnect are read at the same moment."""
 
     async def play() -> None:
         servers = [RealServer("w1", accept_only), RealServer("w2", accept_only)]
@@ -241,9 +241,9 @@
             writer.write(request("a1"))
             await until(lambda: servers[0].got or servers[1].got)
             first, other = servers if servers[0].got else servers[::-1]
-            stopped(n)
+            stop(n)
             body = json.dumps({"id": "a1", "from": first.name, "state": "returned"}).encode()
-            writer.transport.abort()  # the client's end is there before the call-back
+            writer.transport.abort()  # the disconnect arrives before the callback
             await asyncio.sleep(0)
             call = socket.create_connection(("127.0.0.1", n.port))
             call.sendall(b"POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -256,10 +256,10 @@
     run(play())
 
 
-# --- attempts at real servers
+# --- attempts at workers
 
 
-NO_COPIES: dict[str, Any] = {"settings": SETTINGS | {"caps": CAPS | {"secondCopies": False, "cancel": True}}}
+NO_HEDGES: dict[str, Any] = {"settings": SETTINGS | {"caps": CAPS | {"secondCopies": False, "cancel": True}}}
 TIMED = """
 [route.timed]
 match = { path = "/s" }
@@ -267,8 +267,8 @@
 """
 
 
-class Noting(RealServer):
-    """Once it has taken a job, it takes no new connection until it is told to."""
+class RecordingWorker(RealServer):
+    """Records its requests in `order`; with `shuts`, it accepts no new connection after its first job."""
 
     def __init__(self, name: str, order: list[str], shuts: bool) -> None:
         super().__init__(name, self.takes)
@@ -290,14 +290,14 @@
 def test_where_copies_are_not_allowed_the_next_attempt_waits_until_the_first_is_given_up(
     tmp_path: Path, reached: bool
 ) -> None:
-    """Its time is up, and its DELETE can't be written: nobody knows whether it still runs there."""
+    """The attempt timed out. If its DELETE cannot be written, the job may still run at the first worker."""
     order: list[str] = []
 
     async def play() -> None:
-        servers = [Noting(name, order, not reached) for name in ("w1", "w2")]
+        servers = [RecordingWorker(name, order, not reached) for name in ("w1", "w2")]
         file = tmp_path / "operator.toml"
         file.write_text(TIMED)
-        async with node(tmp_path, *servers, args=("--config", str(file)), **NO_COPIES) as n:
+        async with node(tmp_path, *servers, args=("--config", str(file)), **NO_HEDGES) as n:
             answer = await n.ask("a1", "/s/k1", left="3")
             first, other = servers if servers[0].got else servers[::-1]
             if reached:
@@ -316,8 +316,8 @@
     return {"settings": SETTINGS | {"services": services, "caps": caps}}
 
 
-class Late(RealServer):
-    """Its connections come up only once it is told so: until then its machine answers nothing."""
+class SlowConnectWorker(RealServer):
+    """A worker whose connections are established only after `release`; until then its host is silent."""
 
     def hold(self) -> None:
         self.listening = socket.socket()
@@ -351,14 +351,14 @@
     begun: list[float] = []
 
     async def play() -> None:
-        first, late = RealServer("w1", lose), Late("w2", accept_and_do)
+        first, late = RealServer("w1", lose), SlowConnectWorker("w2", accept_and_do)
         async with node(tmp_path, first, **keyed(window, 8.0)) as n:
             late.hold()
             late.node = n.port
             asked = asyncio.create_task(n.ask("a1", "/s/k1", left="9"))
             await until(lambda: begun)
             await n.list(late.entry())
-            await until(lambda: time.monotonic() > begun[0] + 1.0)  # the window is over, or it is not
+            await until(lambda: time.monotonic() > begun[0] + 1.0)  # after 0.8 s, before 30 s
             await late.release()
             answer = await asked
             assert (answer.status == 200, [m.id for m in late.got]) == (runs, ["a1"] * runs)
@@ -369,13 +369,13 @@
 @pytest.mark.parametrize("status", ["draining", "gone"])
 def test_a_drain_told_while_a_connection_comes_up_holds(tmp_path: Path, status: str) -> None:
     async def play() -> None:
-        first, late = RealServer("w1"), Late("w2", accept_and_do)
+        first, late = RealServer("w1"), SlowConnectWorker("w2", accept_and_do)
         async with node(tmp_path, first, **keyed(5.0, 8.0)) as n:
             late.hold()
             late.node = n.port
             await n.list(first.entry("draining"), late.entry())
             asked = asyncio.create_task(n.ask("a1", "/s/k1", left="9"))
-            assert (await exchange(n.port, HEALTH)).status == 200  # by now it is being connected for
+            assert (await exchange(n.port, HEALTH)).status == 200  # by now the connection is being opened
             await n.list(first.entry(), late.entry(status), index=10)
             await late.release()
             assert (await asked).body == b"w1 ran a1"
@@ -388,7 +388,7 @@
     tmp_path: Path,
 ) -> None:
     async def play() -> None:
-        first, late = RealServer("w1"), Late("w2", accept_and_do)
+        first, late = RealServer("w1"), SlowConnectWorker("w2", accept_and_do)
         async with node(tmp_path, first, **keyed(5.0, 8.0)) as n:
             late.hold()
             late.node = n.port
@@ -405,15 +405,15 @@
     run(play())
 
 
-SPOILT = [
-    b'{"id":"a1","from":"w1","state":"do',  # half a line, and its connection stays open
-    b'{"id":"a1","from":"w1","state":"done","result":"' + b"x" * 70000,  # it never ends
-    b'{"id":"a1","from":"w9","state":"done","result":"other"}',  # of one that was not asked
-    b'{"id":"zz","from":"w1","state":"done","result":"other"}',  # for another job
+MALFORMED_CALLBACKS = [
+    b'{"id":"a1","from":"w1","state":"do',  # truncated, on a connection that stays open
+    b'{"id":"a1","from":"w1","state":"done","result":"' + b"x" * 70000,  # too long, never complete
+    b'{"id":"a1","from":"w9","state":"done","result":"other"}',  # from a worker without an attempt
+    b'{"id":"zz","from":"w1","state":"done","result":"other"}',  # for an unknown job
 ]
 
 
-@pytest.mark.parametrize("body", SPOILT)
+@pytest.mark.parametrize("body", MALFORMED_CALLBACKS)
 def test_a_spoilt_call_back_ends_no_job(tmp_path: Path, body: bytes) -> None:
     async def play() -> None:
         server = RealServer("w1", started)
@@ -426,9 +426,9 @@
             await writer.drain()
             assert await server.call_back("a1", state="done", result="mine") == 204
             assert (await asked).body == b"mine"
-            for state in ("done", "failed"):  # doubled and late
+            for state in ("done", "failed"):  # duplicate and late reports
                 assert await server.call_back("a1", state=state, result="late") == 204
-            assert (await n.ask("a1")).status == 400  # and it does not run again
+            assert (await n.ask("a1")).status == 400  # the id is not run again
 
     run(play())
 
@@ -460,7 +460,7 @@
 def test_where_deadlines_are_short_no_connection_stays_until_sigkill_may_come(
     tmp_path: Path, deadline: float
 ) -> None:
-    """With a client that sends on its connection for as long as that stays open."""
+    """The client sends requests for as long as its connection stays open."""
 
     async def play() -> None:
         server = RealServer("w1")
@@ -490,7 +490,7 @@
             await until(lambda: server.got)
             for number in (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                 n.process.send_signal(number)
-                # 503: it leaves; the question is answered after the signal was handled
+                # 503: the shutdown has begun, so the signal was handled
                 while (await exchange(n.port, HEALTH)).status != 503:
                     pass
             assert await server.call_back("a1", state="done", result="one") == 204
@@ -508,7 +508,7 @@
             reader, writer = await opened(n)
             writer.write(data[:200])
             await writer.drain()
-            stopped(n)
+            stop(n)
             n.process.send_signal(signal.SIGTERM)
             writer.write(data[200:])
             await writer.drain()
@@ -523,7 +523,7 @@
 def test_what_waits_to_be_accepted_at_sigterm_is_answered(tmp_path: Path) -> None:
     async def play() -> None:
         async with node(tmp_path, RealServer("w1")) as n:
-            stopped(n)
+            stop(n)
             n.process.send_signal(signal.SIGTERM)
             connections = [socket.create_connection(("127.0.0.1", n.port)) for _ in range(5)]
             for i, connection in enumerate(connections):
@@ -560,8 +560,8 @@
     run(play())
 
 
-class Desk:
-    """Answers everything at once; `then` is called in the midst of it."""
+class StubHandler:
+    """A stub that answers every request at once; `then` is called before each answer."""
 
     admission = None
 
@@ -586,12 +586,12 @@
 
 
 def test_the_last_answer_is_not_overtaken_by_a_reset() -> None:
-    """The client has sent on: its bytes lie unread in the moment in which the connection is closed."""
+    """The client has sent more data, which is unread when the connection is closed."""
 
     async def play() -> None:
         listening = listener()
         parts = client_listener.ClientListener(
-            cast(RequestHandler, Desk(lambda: raw.sendall(HEALTH))), BodyMemory(1 << 20, 0), 128
+            cast(RequestHandler, StubHandler(lambda: raw.sendall(HEALTH))), BodyMemory(1 << 20, 0), 128
         )
         parts.add_socket(listening)
         raw = socket.create_connection(listening.getsockname())
@@ -608,10 +608,10 @@
 
 
 def test_an_answer_half_written_as_a_dispatcher_leaves_is_written_to_its_end() -> None:
-    """Its client has read the first bytes of what no buffer holds, and reads on once that has begun."""
+    """The answer exceeds all buffers; the client reads its start before the shutdown, and then the rest."""
     size = 16 * 1024 * 1024
 
-    class Large(Desk):
+    class Large(StubHandler):
         async def answer(self, edge: Any, head: Any, body: bytes) -> Reply:
             return Reply(200, b"x" * size)
 
@@ -638,7 +638,7 @@
     raw: list[socket.socket] = []
 
     class Open:
-        """Asked how many jobs are open just before the dispatcher may end: then a client connects."""
+        """Connects a client when the number of open jobs is read, just before the dispatcher may exit."""
 
         @property
         def open(self) -> int:
@@ -648,7 +648,7 @@
             return 0
 
     async def play() -> None:
-        desk = Desk()
+        desk = StubHandler()
         desk.flows = Open()
         parts = client_listener.ClientListener(cast(RequestHandler, desk), BodyMemory(1 << 20, 0), 128)
         parts.add_socket(listening)
@@ -668,11 +668,13 @@
 
 
 def test_a_crowd_that_connects_in_one_moment_has_no_request_among_it_closed_unread() -> None:
-    """More than there is room for, all there before the loop looks for the first time; the last one asks."""
+    """More clients than the table holds connect before the first accept; only the last sends a request."""
 
     async def play() -> None:
         listening = listener()
-        parts = client_listener.ClientListener(cast(RequestHandler, Desk()), BodyMemory(1 << 20, 0), 128)
+        parts = client_listener.ClientListener(
+            cast(RequestHandler, StubHandler()), BodyMemory(1 << 20, 0), 128
+        )
         crowd = [
             socket.create_connection(listening.getsockname())
             for _ in range(parts.connections.max_connections + 20)
@@ -691,7 +693,7 @@
 
 
 def test_idle_clients_that_take_all_descriptors_stop_nothing_that_is_under_way(tmp_path: Path) -> None:
-    """While discovery is down: call-backs, the watch that is opened anew, retries and answers go on."""
+    """While discovery is down, callbacks, the reopened watch, retries and answers continue to work."""
 
     async def play() -> None:
         servers = [RealServer("w1", started), RealServer("w2", started)]
@@ -712,7 +714,7 @@
             before = len(n.discovery.asked)
             await n.discovery.open(n.discovery.port)
             await until(lambda: len(n.discovery.asked) > before)
-            n.discovery.push(b"}")  # the next watch names the list that is in use
+            n.discovery.push(b"}")  # the next watch has the index of the current list
             await until(lambda: n.discovery.asked[-1].endswith("index=9"))
             assert (await n.ask("b1", "/s/k")).body == b"w3 ran b1"
             for connection in idle:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -1,95 +1,97 @@
-"""Which edge connection is closed to make room, and how long a kept one is trusted, with times handed in."""
+"""Eviction of client connections, and the adaptive idle timeout; the tests pass the times."""
 
 import pytest
 
 from finchladder.core.connections.client_connections import MIN_IDLE_S, ClientConnectionTable, ConnectionValue
 from finchladder.core.connections.idle_timeout import RELEARN_S, AdaptiveIdleTimeout
 
-NEW, ASKED, OF_USE = ConnectionValue
+NEW, QUERIED, SERVED = ConnectionValue
 OLD, NOW = 0.0, 10.0
 Step = tuple[
     str, float, ConnectionValue
-]  # the edge connection, since when it waits, its worth; at work: below 0
+]  # connection, time since when it is idle (negative: it is busy), value
 
 
 def table(*steps: Step) -> ClientConnectionTable[str]:
-    edges: ClientConnectionTable[str] = ClientConnectionTable(9)
-    for name, since, worth in steps:
-        edges.add(abs(since), name)
-        edges.mark_idle(abs(since), name, worth)
+    connections: ClientConnectionTable[str] = ClientConnectionTable(9)
+    for name, since, value in steps:
+        connections.add(abs(since), name)
+        connections.mark_idle(abs(since), name, value)
         if since < 0:
-            edges.mark_busy(name)
-    return edges
+            connections.mark_busy(name)
+    return connections
 
 
 @pytest.mark.parametrize(
     ("steps", "unread", "closed"),
     [
         ([], "", None),
-        ([("a", 1.0, NEW), ("b", 2.0, NEW)], "", "a"),  # the one that waits longest
-        ([("b", 1.0, OF_USE), ("c", 2.0, ASKED), ("a", 3.0, NEW)], "", "a"),  # whatever others wait for
-        ([("b", 1.0, OF_USE), ("a", 2.0, ASKED)], "", "a"),
-        ([("a", 1.0, NEW), ("b", 2.0, NEW)], "a", "b"),  # what was sent may be a job
-        ([("a", 1.0, NEW), ("b", 2.0, OF_USE)], "a", "b"),
+        ([("a", 1.0, NEW), ("b", 2.0, NEW)], "", "a"),  # idle longest
+        ([("b", 1.0, SERVED), ("c", 2.0, QUERIED), ("a", 3.0, NEW)], "", "a"),  # lowest value first
+        ([("b", 1.0, SERVED), ("a", 2.0, QUERIED)], "", "a"),
+        ([("a", 1.0, NEW), ("b", 2.0, NEW)], "a", "b"),  # unread data may be a job
+        ([("a", 1.0, NEW), ("b", 2.0, SERVED)], "a", "b"),
         ([("a", 1.0, NEW)], "a", None),
-        ([("a", NOW - MIN_IDLE_S / 2, NEW), ("b", 1.0, OF_USE)], "", "b"),  # a young one may be about to send
-        ([("a", NOW - MIN_IDLE_S, NEW), ("b", 1.0, OF_USE)], "", "a"),
+        ([("a", NOW - MIN_IDLE_S / 2, NEW), ("b", 1.0, SERVED)], "", "b"),  # may be about to send
+        ([("a", NOW - MIN_IDLE_S, NEW), ("b", 1.0, SERVED)], "", "a"),
         (
-            [("b", NOW - MIN_IDLE_S / 2, ASKED), ("a", NOW - MIN_IDLE_S / 3, NEW)],
+            [("b", NOW - MIN_IDLE_S / 2, QUERIED), ("a", NOW - MIN_IDLE_S / 3, NEW)],
             "",
             "a",
-        ),  # all young: as ever
-        ([("a", -1.0, NEW), ("b", 2.0, OF_USE)], "", "b"),  # one at work is never closed
+        ),  # all recently active: by value
+        ([("a", -1.0, NEW), ("b", 2.0, SERVED)], "", "b"),  # a busy connection is never closed
         ([("a", -1.0, NEW)], "", None),
     ],
 )
-def test_whose_place_is_taken(steps: list[Step], unread: str, closed: str | None) -> None:
-    edges = table(*steps)
-    assert edges.evict(NOW, lambda e: e not in unread) == closed
-    assert {*edges} == {name for name, _, _ in steps} - {closed}
+def test_which_connection_is_evicted(steps: list[Step], unread: str, closed: str | None) -> None:
+    connections = table(*steps)
+    assert connections.evict(NOW, lambda e: e not in unread) == closed
+    assert {*connections} == {name for name, _, _ in steps} - {closed}
 
 
-def test_one_that_comes_back_to_waiting_is_last_of_its_worth() -> None:
-    edges = table(("a", 1.0, ASKED), ("b", 2.0, ASKED))
-    edges.mark_idle(3.0, "a", ASKED)
-    assert [edges.evict(NOW, lambda e: True) for _ in range(3)] == ["b", "a", None]
-    edges.mark_idle(4.0, "a", OF_USE)  # its own task goes on a moment after it was closed
-    edges.mark_closable("a", NEW)
-    assert not edges
-    assert "a" not in edges
-    assert edges.evict(NOW, lambda e: True) is None
+def test_a_connection_that_becomes_idle_again_is_last_of_its_value() -> None:
+    connections = table(("a", 1.0, QUERIED), ("b", 2.0, QUERIED))
+    connections.mark_idle(3.0, "a", QUERIED)
+    assert [connections.evict(NOW, lambda e: True) for _ in range(3)] == ["b", "a", None]
+    connections.mark_idle(4.0, "a", SERVED)  # its task still runs for a moment after the eviction
+    connections.mark_closable("a", NEW)
+    assert not connections
+    assert "a" not in connections
+    assert connections.evict(NOW, lambda e: True) is None
 
 
-def test_the_table_is_full_at_its_bound_and_knows_ages() -> None:
-    edges: ClientConnectionTable[int] = ClientConnectionTable(2)
-    edges.add(1.0, 1)
-    assert not edges.is_full
-    assert edges.is_older(1.3, 1, 0.25)
-    assert not edges.is_older(1.25, 1, 0.25)
-    edges.add(2.0, 2)
-    assert edges.is_full
-    assert len(edges) == 2
-    edges.remove(1)
-    assert not edges.is_full
+def test_the_table_is_full_at_its_bound_and_compares_ages() -> None:
+    connections: ClientConnectionTable[int] = ClientConnectionTable(2)
+    connections.add(1.0, 1)
+    assert not connections.is_full
+    assert connections.is_older(1.3, 1, 0.25)
+    assert not connections.is_older(1.25, 1, 0.25)
+    connections.add(2.0, 2)
+    assert connections.is_full
+    assert len(connections) == 2
+    connections.remove(1)
+    assert not connections.is_full
 
 
-LEARNED = 1.0 + RELEARN_S + 0.1
+RELEARNED = 1.0 + RELEARN_S + 0.1
 
 
 @pytest.mark.parametrize(
-    ("lost", "asked", "limits"),
+    ("resets", "times", "limits"),
     [
         ([], [0.0, 99.0], [18.0, 18.0]),
-        ([(1.0, 12.0)], [1.0], [6.0]),  # half of what was too long
-        ([(1.0, 12.0), (2.0, 16.0)], [2.0], [6.0]),  # never up by a loss
+        ([(1.0, 12.0)], [1.0], [6.0]),  # half of the idle time that was too long
+        ([(1.0, 12.0), (2.0, 16.0)], [2.0], [6.0]),  # a reset never raises the limit
         ([(1.0, 12.0), (2.0, 4.0)], [2.0], [2.0]),
-        ([(1.0, 12.0)], [1.0 + RELEARN_S, LEARNED, LEARNED], [6.0, 12.0, 12.0]),  # one doubling each time
-        ([(1.0, 12.0)], [LEARNED, 2 * LEARNED], [12.0, 18.0]),  # and never above the most
-        ([(1.0, 0.0)], [1.0, LEARNED], [0.0, 0.1]),  # from nothing, too
+        ([(1.0, 12.0)], [1.0 + RELEARN_S, RELEARNED, RELEARNED], [6.0, 12.0, 12.0]),  # doubles once
+        ([(1.0, 12.0)], [RELEARNED, 2 * RELEARNED], [12.0, 18.0]),  # never above the maximum
+        ([(1.0, 0.0)], [1.0, RELEARNED], [0.0, 0.1]),  # also from 0
     ],
 )
-def test_trust(lost: list[tuple[float, float]], asked: list[float], limits: list[float]) -> None:
-    trust = AdaptiveIdleTimeout(0.0, 18.0)
-    for now, idle in lost:
-        trust.record_reset(now, idle)
-    assert [trust.limit_s(now) for now in asked] == limits
+def test_adaptive_idle_timeout(
+    resets: list[tuple[float, float]], times: list[float], limits: list[float]
+) -> None:
+    timeout = AdaptiveIdleTimeout(0.0, 18.0)
+    for now, idle in resets:
+        timeout.record_reset(now, idle)
+    assert [timeout.limit_s(now) for now in times] == limits
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""A dispatcher that leaves closes what is idle, and nothing on which a request has come."""
+"""A dispatcher that shuts down closes idle client connections, but none with an unread request."""
 
 import asyncio
 import socket
@@ -16,8 +16,8 @@
 from tests.peers import HEALTH, read_message
 
 
-class Desk:
-    """Answers everything at once; no job is ever open."""
+class StubHandler:
+    """A stub that answers every request at once; no job is ever open."""
 
     admission = None
 
@@ -34,11 +34,13 @@
 
 
 @pytest.mark.parametrize("young", [True, False])
-def test_a_request_that_has_come_is_answered(young: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whatever the age of its kept connection; and all are closed when the dispatcher may end."""
+def test_an_unread_request_is_answered(young: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """This holds for any age of the connection; all are closed when the dispatcher may exit."""
 
     async def play() -> None:
-        parts = client_listener.ClientListener(cast(RequestHandler, Desk()), BodyMemory(1 << 20, 0), 128)
+        parts = client_listener.ClientListener(
+            cast(RequestHandler, StubHandler()), BodyMemory(1 << 20, 0), 128
+        )
         with socket.create_server(("127.0.0.1", 0)) as listening:
             listening.setblocking(False)
             parts.add_socket(listening)
@@ -47,7 +49,7 @@
                 writer.write(HEALTH)
                 assert (await read_message(reader)).status == 200
             used, idle = kept
-            used[1].write(HEALTH)  # it is sent at once: it has come, and the loop has not looked
+            used[1].write(HEALTH)  # sent at once: it has arrived, and the event loop has not read it yet
             await parts.shut_down()
             assert all(edge.channel.stream.closed() for edge in parts.connections)
             assert (await read_message(used[0])).status == 200
