--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -574,7 +574,7 @@
     def shut_down(self) -> None:
         self.shutdown.begin(self.clock())
 
-    async def answer(self, edge: Any, head: Any, body: bytes) -> Reply:
+    async def answer(self, connection: Any, head: Any, body: bytes) -> Reply:
         self.then()
         return Reply(200, b"x" * 1000)
 
@@ -612,7 +612,7 @@
     size = 16 * 1024 * 1024
 
     class Large(StubHandler):
-        async def answer(self, edge: Any, head: Any, body: bytes) -> Reply:
+        async def answer(self, connection: Any, head: Any, body: bytes) -> Reply:
             return Reply(200, b"x" * size)
 
     async def play() -> None:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -29,7 +29,7 @@
     def shut_down(self) -> None:
         self.shutdown.begin(self.clock())
 
-    async def answer(self, edge: Any, head: Any, body: bytes) -> Reply:
+    async def answer(self, connection: Any, head: Any, body: bytes) -> Reply:
         return Reply(200)
 
 
@@ -51,7 +51,7 @@
             used, idle = kept
             used[1].write(HEALTH)  # sent at once: it has arrived, and the event loop has not read it yet
             await parts.shut_down()
-            assert all(edge.channel.stream.closed() for edge in parts.connections)
+            assert all(connection.channel.stream.closed() for connection in parts.connections)
             assert (await read_message(used[0])).status == 200
             assert await used[0].read() == await idle[0].read() == b""
             parts.stop()
