--- a/finchladder/net/actor.py
+++ b/finchladder/net/actor.py
@@ -31,9 +31,9 @@
     """
 
     def __init__(self, name: str, room: int) -> None:
-        self.name, self.room = name, room
-        self.box: deque[T] | None = None  # made when something must wait first: mostly nothing ever does
-        self.at_work = False
+        self.name, self.mailbox_size = name, room
+        self.mailbox: deque[T] | None = None  # made when something must wait first: mostly nothing ever does
+        self.is_handling = False
         self.tasks: set[asyncio.Task[Any]] = set()
 
     @property
@@ -44,7 +44,7 @@
     @property
     def backlog(self) -> int:
         """The number of items that wait in the mailbox."""
-        return len(self.box) if self.box is not None else 0
+        return len(self.mailbox) if self.mailbox is not None else 0
 
     def post(self, item: T) -> None:
         """Handles the item now, or queues it while another is being handled.
@@ -52,22 +52,22 @@
         Raises:
             MailboxFullError: The mailbox already holds its maximum of items.
         """
-        if not self.at_work:
-            return self._live(item)
-        if self.box is None:
-            self.box = deque()
-        if len(self.box) >= self.room:
-            raise MailboxFullError(f"{self.name}: {self.room} items wait")
-        self.box.append(item)
+        if not self.is_handling:
+            return self._handle_all(item)
+        if self.mailbox is None:
+            self.mailbox = deque()
+        if len(self.mailbox) >= self.mailbox_size:
+            raise MailboxFullError(f"{self.name}: {self.mailbox_size} items wait")
+        self.mailbox.append(item)
 
     def spawn(self, work: Coroutine[Any, Any, R]) -> asyncio.Task[R]:
         """Starts a task that belongs to this actor; an error that ends it is logged."""
         task = asyncio.get_running_loop().create_task(work, name=self.name)
         self.tasks.add(task)
-        task.add_done_callback(self._over)
+        task.add_done_callback(self._task_done)
         return task
 
-    def _over(self, task: asyncio.Task[Any]) -> None:
+    def _task_done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.log.opt(exception=error).critical("{}: a task died", self.name)
@@ -77,14 +77,14 @@
         for task in self.tasks:
             task.cancel()
 
-    def _live(self, item: T) -> None:
-        self.at_work = True
+    def _handle_all(self, item: T) -> None:
+        self.is_handling = True
         try:
             self._handle(item)
-            while self.box:
-                self._handle(self.box.popleft())
+            while self.mailbox:
+                self._handle(self.mailbox.popleft())
         finally:
-            self.at_work = False
+            self.is_handling = False
 
     def _handle(self, item: T) -> None:
         try:
--- a/finchladder/net/admission.py
+++ b/finchladder/net/admission.py
@@ -31,24 +31,28 @@
 from finchladder.core.overload.loop_lag import LoopLagMeter
 from finchladder.net.client_connection import FIRST_MESSAGE_TIMEOUT_S, ClientConnection
 
-LOOK = 4096  # bytes received at once; a message that is longer goes to the parser, never turned away raw
-AT_ONCE = 128  # connections looked at, and turns of the control, in one turn of the loop
-ROOM_MADE = 16  # connections that are turned away at once so that others can be heard
-STARTS = 64  # that are looked at in one tick
-OLD_S = 0.005  # a message that lay there for less is as good as new
-OLD_MOST_S = 60.0  # clocks are set: an older one is not believed
-SAID_AGAIN = 10.0  # seconds between two lines of the log about the same
-
-NEWS = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLET
-ENDED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
-STAMPS = 35  # SO_TIMESTAMPNS, which the socket module does not name; each received segment carries its time
-STAMP = struct.Struct("@ll")
-STAMP_SPACE = socket.CMSG_SPACE(STAMP.size)
+MAX_RECEIVED_BYTES = (
+    4096  # bytes received at once; a message that is longer goes to the parser, never turned away raw
+)
+MAX_HANDLED_AT_ONCE = 128  # connections looked at, and turns of the control, in one turn of the loop
+REJECTED_FOR_ROOM = 16  # connections that are turned away at once so that others can be heard
+MAX_START_SAMPLES = 64  # that are looked at in one tick
+MIN_AGE_S = 0.005  # a message that lay there for less is as good as new
+MAX_AGE_S = 60.0  # clocks are set: an older one is not believed
+LOG_INTERVAL_S = 10.0  # seconds between two lines of the log about the same
+
+POLLED_EVENTS = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLET
+CLOSE_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
+SO_TIMESTAMPNS = (
+    35  # SO_TIMESTAMPNS, which the socket module does not name; each received segment carries its time
+)
+TIMESPEC = struct.Struct("@ll")
+TIMESPEC_SPACE = socket.CMSG_SPACE(TIMESPEC.size)
 
 _FACT = rb"[a-z]{1,9}=[0-9]{1,5}(?:\.[0-9]{0,9})?"
 # The head of a job that the parser, and all that looks at a job after it, would take without a word. Anything
 # else is theirs to answer. `(?(2)(?!))` fails where a field comes again.
-_PLAIN = re.compile(
+_PLAIN_JOB = re.compile(
     rb"POST /(?!_|v1/job-events[ ?])([\w.~:@!$&'()*+,;=-]+)"
     rb"(?:[/?](?:[\w.~:/?@!$&'()*+,;=-]|%[0-9A-Fa-f]{2})*)? HTTP/1\.1\r\n(?:(?:"
     rb"(?(2)(?!))(?i:x-correlation-id):[ \t]*([!-~]{1,128})[ \t]*"
@@ -63,9 +67,9 @@
 )
 
 
-def plain_job(data: bytes) -> tuple[bytes, bytes, float] | None:
+def parse_plain_job(data: bytes) -> tuple[bytes, bytes, float] | None:
     """Class, id and the seconds that its client will wait; None: not one whole plain job and nothing more."""
-    if (head := _PLAIN.match(data)) is None:
+    if (head := _PLAIN_JOB.match(data)) is None:
         return None
     job_class, id, left, length = head.group(1, 2, 3, 4)
     if id is None or left is None or len(data) != head.end() + int(length or 0):
@@ -73,13 +77,13 @@
     return (job_class, id, float(left)) if float(left) > 0 else None
 
 
-def refusal_bytes(retry_after_s: float) -> bytes:
+def rejection_bytes(retry_after_s: float) -> bytes:
     """Returns a complete 503 response; `retry_after_s` in seconds, no Retry-After header at 0."""
     after = b"Retry-After: %.3g\r\n" % retry_after_s if retry_after_s > 0 else b""
     return b"HTTP/1.1 503 Service Unavailable\r\n%bContent-Length: 8\r\n\r\nrefused\n" % after
 
 
-class Times(Protocol):
+class Clocks(Protocol):
     """Clocks of the host, in seconds."""
 
     def cpu(self) -> float:
@@ -102,241 +106,252 @@
         seed: int,
         clock: Callable[[], float],
         known: Callable[[str], bool],
-        times: Times,
+        times: Clocks,
     ) -> None:
         """`known`: the ids that have come already."""
-        self.clock, self.known, self.times = clock, known, times
+        self.clock, self.is_known, self.clocks = clock, known, times
         classes = tuple(classes)
-        self.names = {c.name.encode(): c.name for c in classes}
-        self.control: OverloadController[ClientConnection] = OverloadController(classes, settings, seed)
+        self.class_names = {c.name.encode(): c.name for c in classes}
+        self.controller: OverloadController[ClientConnection] = OverloadController(classes, settings, seed)
         self.meter = LoopLagMeter(clock(), times.cpu(), times.idle(), TICK_INTERVAL_S)
-        self.starts: list[float] = []  # seconds that jobs took to start since the last tick
-        self.poll = select.epoll()
-        self.edges: dict[int, ClientConnection] = {}  # by descriptor
-        self.silent: dict[
+        self.start_times_s: list[float] = []  # seconds that jobs took to start since the last tick
+        self.epoll = select.epoll()
+        self.connections: dict[int, ClientConnection] = {}  # by descriptor
+        self.silent_connections: dict[
             ClientConnection, None
         ] = {}  # nothing has come on them yet; the oldest is the first
         # set by their owner: begins to read one, and closes one
-        self.opens: Callable[[ClientConnection], None] = lambda connection: None
-        self.ends: Callable[[ClientConnection], None] = lambda connection: None
-        self.opened = False  # for good: the dispatcher leaves
-        self.asks_again = False
-        self.late, self.polled_at = True, 0.0
-        self.said, self.said_at = False, -SAID_AGAIN
-        self.refused = 0  # since that was last said
+        self.on_open: Callable[[ClientConnection], None] = lambda connection: None
+        self.on_close: Callable[[ClientConnection], None] = lambda connection: None
+        self.admits_all = False  # for good: the dispatcher leaves
+        self.is_retry_scheduled = False
+        self.may_be_late, self.polled_at = True, 0.0
+        self.is_begin_logged, self.logged_at = False, -LOG_INTERVAL_S
+        self.rejected_count = 0  # since that was last said
 
     def start(self) -> None:
         """Starts polling the connections and measuring the lag of the event loop."""
-        asyncio.get_running_loop().add_reader(self.poll.fileno(), self._ready)
+        asyncio.get_running_loop().add_reader(self.epoll.fileno(), self._poll_connections)
         IOLoop.current().call_later(TICK_INTERVAL_S, self._tick)
 
-    def started(self, took_s: float) -> None:
+    def record_start(self, took_s: float) -> None:
         """Records that a job started `took_s` seconds after it was admitted."""
-        if len(self.starts) < STARTS:
-            self.starts.append(took_s)
+        if len(self.start_times_s) < MAX_START_SAMPLES:
+            self.start_times_s.append(took_s)
 
-    def judge(self, job_class: str, left_s: float) -> float | None:
+    def check(self, job_class: str, left_s: float) -> float | None:
         """Of a job that did not wait here, before there is a flow: Retry-After in seconds; None: let in."""
-        if self.opened:
+        if self.admits_all:
             return None
-        return self.control.admit(self.clock(), job_class, left_s)
+        return self.controller.admit(self.clock(), job_class, left_s)
 
     # --- connections
 
-    def begin(self, connection: ClientConnection) -> None:
+    def add(self, connection: ClientConnection) -> None:
         """Registers a new connection; its descriptor is polled from now on."""
-        self.edges[connection.descriptor] = connection
-        self.silent[connection] = None
-        self.poll.register(connection.descriptor, NEWS)
+        self.connections[connection.descriptor] = connection
+        self.silent_connections[connection] = None
+        self.epoll.register(connection.descriptor, POLLED_EVENTS)
 
-    def wait(self, connection: ClientConnection) -> None:
+    def wait_for_message(self, connection: ClientConnection) -> None:
         """Registers that the connection waits for its next message.
 
         The message is passed on by `ClientConnection.received`.
         """
-        if connection.stirred and connection.is_waiting:
-            self._look(connection)
+        if connection.may_have_data and connection.is_waiting:
+            self._receive(connection)
 
-    def drop(self, connection: ClientConnection) -> None:
+    def remove(self, connection: ClientConnection) -> None:
         """Removes a closed connection; its descriptor may have been reused already."""
-        if self.edges.get(connection.descriptor) is connection:
-            del self.edges[connection.descriptor]
-        self.silent.pop(connection, None)
-        self.control.remove(connection)
+        if self.connections.get(connection.descriptor) is connection:
+            del self.connections[connection.descriptor]
+        self.silent_connections.pop(connection, None)
+        self.controller.remove(connection)
 
     def shut_down(self) -> None:
         """Admits all waiting jobs now, while there is time to answer them."""
-        self.opened = True
-        for connection in list(self.control.unread.positions):
-            self.control.remove(connection)
-            self._let_in(connection)
+        self.admits_all = True
+        for connection in list(self.controller.unread.positions):
+            self.controller.remove(connection)
+            self._admit(connection)
 
     def make_room(self) -> None:
         """Refuses some waiting jobs, as the connection table is full and no new client can be accepted."""
-        for _ in range(ROOM_MADE):
-            if (connection := self.control.pop_least_valuable()) is None:
+        for _ in range(REJECTED_FOR_ROOM):
+            if (connection := self.controller.pop_least_valuable()) is None:
                 return
-            self._turn_away(connection, self.clock())
+            self._reject(connection, self.clock())
 
     # --- what the sockets say
 
-    def _ready(self) -> None:
+    def _poll_connections(self) -> None:
         began = self.clock()
-        self.late = began > self.polled_at + OLD_S  # else nothing can have lain there for long
-        for descriptor, what in self.poll.poll(0, AT_ONCE):
-            if (connection := self.edges.get(descriptor)) is None or connection.closed:
+        self.may_be_late = began > self.polled_at + MIN_AGE_S  # else nothing can have lain there for long
+        for descriptor, what in self.epoll.poll(0, MAX_HANDLED_AT_ONCE):
+            if (connection := self.connections.get(descriptor)) is None or connection.is_closed:
                 continue
-            connection.stirred = True
+            connection.may_have_data = True
             if connection.is_waiting:
-                self._look(connection)
-            if what & ENDED and not connection.closed:
-                connection.over = connection.stirred = (
+                self._receive(connection)
+            if what & CLOSE_EVENTS and not connection.is_closed:
+                connection.client_has_closed = connection.may_have_data = (
                     True  # what came before is still read, unless it is a job
                 )
-                if connection.flow is not None or connection.message:
-                    self.control.remove(connection)
-                    self.ends(connection)
-        if self.control.unread.positions:
+                if connection.flow is not None or connection.queued_message:
+                    self.controller.remove(connection)
+                    self.on_close(connection)
+        if self.controller.unread.positions:
             self._drain()
         self.polled_at = self.clock()
-        self.control.record_rejection_time(self.polled_at - began)
+        self.controller.record_rejection_time(self.polled_at - began)
 
-    def _look(self, connection: ClientConnection) -> None:
-        connection.stirred, age_s = False, 0.0
+    def _receive(self, connection: ClientConnection) -> None:
+        connection.may_have_data, age_s = False, 0.0
         try:
-            if self.late:
-                data, stamps, _, _ = connection.socket.recvmsg(LOOK, STAMP_SPACE, socket.MSG_DONTWAIT)
+            if self.may_be_late:
+                data, stamps, _, _ = connection.socket.recvmsg(
+                    MAX_RECEIVED_BYTES, TIMESPEC_SPACE, socket.MSG_DONTWAIT
+                )
                 age_s = self._age_s(stamps)
             else:
-                data = connection.socket.recv(LOOK)
+                data = connection.socket.recv(MAX_RECEIVED_BYTES)
         except BlockingIOError:
             return
         except OSError:
             data = b""
         if not data:
-            return self.ends(connection)
-        connection.stirred = len(data) == LOOK  # there may be more
+            return self.on_close(connection)
+        connection.may_have_data = len(data) == MAX_RECEIVED_BYTES  # there may be more
         now = self.clock()
-        connection.came_at = now - age_s
-        if not connection.opened:
-            self.silent.pop(connection, None)
-        if self.opened or not self.control.must_enqueue or not self._keep(connection, data, now):
-            self._hand_on(connection, data)
+        connection.received_at = now - age_s
+        if not connection.is_open:
+            self.silent_connections.pop(connection, None)
+        if self.admits_all or not self.controller.must_enqueue or not self._enqueue(connection, data, now):
+            self._pass_on(connection, data)
 
-    def _hand_on(self, connection: ClientConnection, data: bytes) -> None:
+    def _pass_on(self, connection: ClientConnection, data: bytes) -> None:
         """To be read now."""
-        if connection.opened:
-            return connection.received(data)
-        connection.message, connection.first = b"", data
-        self.opens(connection)
+        if connection.is_open:
+            return connection.receive(data)
+        connection.queued_message, connection.first_bytes = b"", data
+        self.on_open(connection)
 
     def _age_s(self, stamps: list[tuple[int, int, bytes]]) -> float:
         """Since the last of it was there, by the system."""
         if not stamps:
             return 0.0
-        seconds, nanoseconds = STAMP.unpack_from(stamps[0][2])
-        age = self.times.wall() - seconds - nanoseconds / 1e9
-        return age if OLD_S < age < OLD_MOST_S else 0.0
+        seconds, nanoseconds = TIMESPEC.unpack_from(stamps[0][2])
+        age = self.clocks.wall() - seconds - nanoseconds / 1e9
+        return age if MIN_AGE_S < age < MAX_AGE_S else 0.0
 
-    def _keep(self, connection: ClientConnection, data: bytes, now: float) -> bool:
+    def _enqueue(self, connection: ClientConnection, data: bytes, now: float) -> bool:
         """False: it is not to wait here."""
-        if (job := plain_job(data)) is None:
+        if (job := parse_plain_job(data)) is None:
             return False
         job_class, id, left_s = job
-        if (name := self.names.get(job_class)) is None:
+        if (name := self.class_names.get(job_class)) is None:
             return False
         try:
-            connection.body.resize(len(data))
+            connection.reservation.resize(len(data))
         except OutOfBodyMemoryError:
             return False
-        connection.message, connection.job_class, connection.job_id = data, name, id
+        connection.queued_message, connection.job_class, connection.job_id = data, name, id
         connection.table.mark_busy(connection)
-        self.control.enqueue(now, name, left_s - (now - connection.came_at), connection)
+        self.controller.enqueue(now, name, left_s - (now - connection.received_at), connection)
         return True
 
     # --- what the control says
 
     def _tick(self) -> None:
         now = self.clock()
-        sample = self.meter.sample(now, self.times.cpu(), self.times.idle())
-        before = self.control.state
+        sample = self.meter.sample(now, self.clocks.cpu(), self.clocks.idle())
+        before = self.controller.state
         if not sample.is_paused:  # a pause of the process is no load
-            self.control.tick(
-                now, sample.lag_s, sample.utilization, median(self.starts) if self.starts else 0.0
+            self.controller.tick(
+                now,
+                sample.lag_s,
+                sample.utilization,
+                median(self.start_times_s) if self.start_times_s else 0.0,
             )
-        self.starts.clear()
-        if self.control.state is not before:
-            self._say(now, sample.utilization)
-        while self.silent and (connection := next(iter(self.silent))).since + FIRST_MESSAGE_TIMEOUT_S <= now:
-            self.ends(connection)
+        self.start_times_s.clear()
+        if self.controller.state is not before:
+            self._log_state(now, sample.utilization)
+        while (
+            self.silent_connections
+            and (connection := next(iter(self.silent_connections))).accepted_at + FIRST_MESSAGE_TIMEOUT_S
+            <= now
+        ):
+            self.on_close(connection)
         IOLoop.current().call_later(TICK_INTERVAL_S, self._tick)
 
-    def _say(self, now: float, busy: float) -> None:
+    def _log_state(self, now: float, busy: float) -> None:
         """Its begin, and then its end as well. It may come again and again: that is not said each time."""
-        shedding = self.control.state is State.SHEDDING
+        shedding = self.controller.state is State.SHEDDING
         if shedding:
-            self.said = now >= self.said_at + SAID_AGAIN
-        if not self.said:
+            self.is_begin_logged = now >= self.logged_at + LOG_INTERVAL_S
+        if not self.is_begin_logged:
             return
-        self.said_at = now
-        logger.bind(overload=self.control.state.value).warning(
+        self.logged_at = now
+        logger.bind(overload=self.controller.state.value).warning(
             "overload: {}; queues are {:.0f} ms old, the loop at work for {:.0%} of its time, {} jobs wait"
             " unread, {} were turned away since this was last said",
             "jobs are turned away" if shedding else "over",
-            1000 * self.control.queue_delay_s,
+            1000 * self.controller.queue_delay_s,
             busy,
-            self.control.unread.size,
-            self.refused,
+            self.controller.unread.size,
+            self.rejected_count,
         )
-        self.refused = 0
+        self.rejected_count = 0
 
     def _drain(self) -> None:
         """What the control names, as much as one turn of the loop may hold. One timer at most asks again."""
-        for _ in range(AT_ONCE):
-            if (wait_s := self._turn()) is not None:
+        for _ in range(MAX_HANDLED_AT_ONCE):
+            if (wait_s := self._handle_next()) is not None:
                 break
-        if self.control.unread.positions and not self.asks_again:
-            self.asks_again = True
-            IOLoop.current().call_later(wait_s or 0.0, self._again)
+        if self.controller.unread.positions and not self.is_retry_scheduled:
+            self.is_retry_scheduled = True
+            IOLoop.current().call_later(wait_s or 0.0, self._retry)
 
-    def _turn(self) -> float | None:
+    def _handle_next(self) -> float | None:
         """Seconds after which to ask again, if nothing is to be done now."""
         now = self.clock()
-        action = self.control.next_action(now)
+        action = self.controller.next_action(now)
         if action.item is None:
             return action.retry_in_s
         if action.must_reject:
-            self._turn_away(action.item, now)
+            self._reject(action.item, now)
         else:
-            self.control.record_admitted(action.item.job_class)
-            self._let_in(action.item)
+            self.controller.record_admitted(action.item.job_class)
+            self._admit(action.item)
         return None
 
-    def _again(self) -> None:
-        self.asks_again = False
+    def _retry(self) -> None:
+        self.is_retry_scheduled = False
         began = self.clock()
         self._drain()
-        self.control.record_rejection_time(self.clock() - began)
-
-    def _let_in(self, connection: ClientConnection) -> None:
-        connection.passed = True
-        self._hand_on(connection, connection.message)
-
-    def _turn_away(self, connection: ClientConnection, now: float) -> None:
-        if self.known(connection.job_id.decode("ascii")):
-            return self._hand_on(connection, connection.message)  # the parser's answer to it is no refusal
-        self.refused += 1
-        connection.message = b""
-        connection.body.resize(0)
-        if connection.worth is ConnectionValue.NEW:
-            connection.worth = ConnectionValue.QUERIED
-        connection.table.mark_idle(now, connection, connection.worth)
-        answer = refusal_bytes(self.control.reject(now))
+        self.controller.record_rejection_time(self.clock() - began)
+
+    def _admit(self, connection: ClientConnection) -> None:
+        connection.is_admitted = True
+        self._pass_on(connection, connection.queued_message)
+
+    def _reject(self, connection: ClientConnection, now: float) -> None:
+        if self.is_known(connection.job_id.decode("ascii")):
+            return self._pass_on(
+                connection, connection.queued_message
+            )  # the parser's answer to it is no refusal
+        self.rejected_count += 1
+        connection.queued_message = b""
+        connection.reservation.resize(0)
+        if connection.value is ConnectionValue.NEW:
+            connection.value = ConnectionValue.QUERIED
+        connection.table.mark_idle(now, connection, connection.value)
+        answer = rejection_bytes(self.controller.reject(now))
         try:
             whole = connection.socket.send(answer) == len(answer)
         except OSError:
             whole = False
         if not whole:
-            return self.ends(connection)  # a client that reads nothing, or has left
-        if connection.stirred:  # not now: each of many might bring about the next one's turn
-            asyncio.get_running_loop().call_soon(self.wait, connection)
+            return self.on_close(connection)  # a client that reads nothing, or has left
+        if connection.may_have_data:  # not now: each of many might bring about the next one's turn
+            asyncio.get_running_loop().call_soon(self.wait_for_message, connection)
--- a/finchladder/net/capture_files.py
+++ b/finchladder/net/capture_files.py
@@ -18,32 +18,32 @@
 
     def __init__(self, folder: str, name: str, start_ms: int, keep: int, room: int) -> None:
         super().__init__(name="capture files", daemon=True)
-        self.folder, self.keep, self.room = Path(folder), keep, room
-        self.stem = "capture-" + re.sub(r"[^\w.-]", "_", name, flags=re.ASCII)
-        self.start_ms, self.number = start_ms, 0
+        self.folder, self.max_files, self.max_queued_bytes = Path(folder), keep, room
+        self.name_prefix = "capture-" + re.sub(r"[^\w.-]", "_", name, flags=re.ASCII)
+        self.start_ms, self.file_number = start_ms, 0
         self.lock, self.closing = threading.Lock(), threading.Event()
         self.queue: list[tuple[bool, bytes]] = []  # True: a new file begins with it
-        self.waiting, self.failed = 0, False  # bytes that wait, those being written included
-        self.told = False  # a failing disk is told of once, until it works again
+        self.queued_bytes, self.failed = 0, False  # bytes that wait, those being written included
+        self.is_failure_logged = False  # a failing disk is told of once, until it works again
         self.file: FileIO | None = None
 
     def open(self, data: bytes) -> bool:
         """Queues the first block of a new file and clears an earlier failure; False if it was not queued."""
         with self.lock:
             self.failed = False
-        return self._put(True, data)
+        return self._enqueue(True, data)
 
     def write(self, data: bytes) -> bool:
         """Queues a block for the current file; False if the disk has failed or is too slow."""
-        return self._put(False, data)
+        return self._enqueue(False, data)
 
-    def _put(self, new: bool, data: bytes) -> bool:
+    def _enqueue(self, new: bool, data: bytes) -> bool:
         with self.lock:
             # a disk that can't keep up, or hangs, is as good as one that fails
-            self.failed = self.failed or self.waiting + len(data) > self.room
+            self.failed = self.failed or self.queued_bytes + len(data) > self.max_queued_bytes
             if not self.failed:
                 self.queue.append((new, data))
-                self.waiting += len(data)
+                self.queued_bytes += len(data)
             return not self.failed
 
     def close(self) -> None:
@@ -54,11 +54,11 @@
     def run(self) -> None:
         """Writes what is queued, every WRITE_INTERVAL_S, until `close`."""
         while not self.closing.wait(WRITE_INTERVAL_S):
-            self._work()
-        self._work()
+            self._write_queued()
+        self._write_queued()
         self._end_file()
 
-    def _work(self) -> None:
+    def _write_queued(self) -> None:
         with self.lock:
             queue, self.queue = self.queue, []
         at = 0
@@ -67,7 +67,7 @@
                 self._write(queue[at][0], b"".join(data for _, data in queue[at:n]))
                 at = n
         with self.lock:
-            self.waiting -= sum(len(data) for _, data in queue)
+            self.queued_bytes -= sum(len(data) for _, data in queue)
 
     def _write(self, new: bool, data: bytes) -> None:
         try:
@@ -77,15 +77,15 @@
                 rest = memoryview(data)
                 while rest:
                     rest = rest[self.file.write(rest) :]
-                if self.told:
-                    self.told = False
+                if self.is_failure_logged:
+                    self.is_failure_logged = False
                     logger.info("capture: files can be written again")
         except OSError as e:
             with self.lock:
                 self.failed = True
             self._end_file()
-            if not self.told:
-                self.told = True
+            if not self.is_failure_logged:
+                self.is_failure_logged = True
                 logger.error("capture: no file can be written in {}: {}", self.folder, e.strerror)
 
     def _new_file(self) -> None:
@@ -94,13 +94,13 @@
             self.file = FileIO(1, "w", closefd=False)
             return
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.number += 1
-        name = f"{self.stem}-{self.start_ms:013}-{self.number:06}.jsonl"
+        self.file_number += 1
+        name = f"{self.name_prefix}-{self.start_ms:013}-{self.file_number:06}.jsonl"
         self.file = FileIO(self.folder / name, "x")
         # of this dispatcher's own, also from before its start; another's may lie in the same folder
-        own = re.compile(re.escape(self.stem) + r"-\d{13}-\d{6}\.jsonl")
+        own = re.compile(re.escape(self.name_prefix) + r"-\d{13}-\d{6}\.jsonl")
         files = sorted(f for f in self.folder.iterdir() if own.fullmatch(f.name))
-        for file in files[: -self.keep]:
+        for file in files[: -self.max_files]:
             file.unlink(missing_ok=True)
 
     def _end_file(self) -> None:
--- a/finchladder/net/capture_recorder.py
+++ b/finchladder/net/capture_recorder.py
@@ -17,11 +17,11 @@
 
     def __init__(self, capture: Capture) -> None:
         self.capture = capture
-        self.told = self.told_large = False
+        self.is_error_logged = self.is_size_logged = False
 
-    def soon(self, work: Callable[[], None]) -> None:
+    def call_soon(self, work: Callable[[], None]) -> None:
         """Runs work of the capture in a later iteration of the event loop."""
-        asyncio.get_running_loop().call_soon(self._guard, work)
+        asyncio.get_running_loop().call_soon(self._record, work)
 
     def decided(
         self,
@@ -31,31 +31,31 @@
         error: Exception | None = None,
     ) -> None:
         """Records an event and the actions, or the error, that it led to; `t` in seconds."""
-        self._guard(lambda: self.capture.decided(t, event, actions, error))
+        self._record(lambda: self.capture.decided(t, event, actions, error))
 
     def judged(
         self, t: float, client: str, id: str, job_class: str, patience: float, verdict: Verdict
     ) -> None:
         """Records a request and the verdict of rate limits and fault injection; times in seconds."""
-        self._guard(lambda: self.capture.judged(t, client, id, job_class, patience, verdict))
+        self._record(lambda: self.capture.judged(t, client, id, job_class, patience, verdict))
 
     def ordered(self, t: float, order: Order, until: float | None) -> None:
         """Records an operator's order for fault injection, which ends at `until` (seconds)."""
-        self._guard(lambda: self.capture.ordered(t, order, until))
+        self._record(lambda: self.capture.ordered(t, order, until))
 
     def left(self, t: float) -> None:
         """Records that the dispatcher has begun to shut down."""
-        self._guard(lambda: self.capture.left(t))
+        self._record(lambda: self.capture.left(t))
 
-    def _guard(self, record: Callable[[], None]) -> None:
+    def _record(self, record: Callable[[], None]) -> None:
         """A record that can't be made is a gap, after which the capture begins anew; the job goes on."""
         try:
             record()
         except Exception:
-            if not self.told:
-                self.told = True
+            if not self.is_error_logged:
+                self.is_error_logged = True
                 logger.exception("capture: an input could not be recorded")
             self.capture.gap()
-        if self.capture.too_large and not self.told_large:
-            self.told_large = True
+        if self.capture.too_large and not self.is_size_logged:
+            self.is_size_logged = True
             logger.warning("capture: {} bytes are not room enough for the state", self.capture.ring.room)
--- a/finchladder/net/config_reload.py
+++ b/finchladder/net/config_reload.py
@@ -29,21 +29,21 @@
         aside: Callable[[Callable[[], Any]], Awaitable[Any]],
         hold: Callable[[Routes], None],
     ) -> None:
-        self.loaded, self.read, self.aside, self.hold = loaded, read, aside, hold
+        self.loaded, self.read, self.run_in_thread, self.apply = loaded, read, aside, hold
         self.task: asyncio.Task[None] | None = None
-        self.again = False
+        self.is_requested = False
 
     def request_reload(self) -> None:
         """Requests a reload; one that is asked for during another runs after it."""
-        self.again = True
+        self.is_requested = True
         if self.task is None or self.task.done():
-            self.task = asyncio.get_running_loop().create_task(self._work())
+            self.task = asyncio.get_running_loop().create_task(self._reload())
 
-    async def _work(self) -> None:
-        while self.again:
-            self.again = False
+    async def _reload(self) -> None:
+        while self.is_requested:
+            self.is_requested = False
             try:
-                self._take(await self.aside(self.read))
+                self._apply_routes(await self.run_in_thread(self.read))
             except ValueError as e:
                 lines = str(e).splitlines()
                 for line in lines[:MAX_LOGGED_FINDINGS]:
@@ -53,7 +53,7 @@
                 )
                 logger.error("SIGHUP: routes: version {} stays in force{}", self.loaded.version, more)
 
-    def _take(self, new: "Loaded") -> None:
+    def _apply_routes(self, new: "Loaded") -> None:
         old = self.loaded
         others = [
             f
@@ -66,13 +66,13 @@
         if new.version == old.version:
             logger.info("SIGHUP: routes: version {} holds already", old.version)
             return
-        self.hold(new.routes)
+        self.apply(new.routes)
         self.loaded = new
         told = f"in place of {old.version}"
-        logger.info("SIGHUP: routes: version {} holds, {}, {}", new.version, told, count(new.routes))
+        logger.info("SIGHUP: routes: version {} holds, {}, {}", new.version, told, count_routes(new.routes))
 
 
-def count(routes: Routes) -> str:
+def count_routes(routes: Routes) -> str:
     """Returns the number of distinct route names as text for the log."""
     names = len({route.name for route in routes.all})
     return "1 route" if names == 1 else f"{names} routes"
--- a/finchladder/net/control.py
+++ b/finchladder/net/control.py
@@ -16,21 +16,27 @@
 from finchladder.net.decision_actor import Clock
 from finchladder.net.http1 import Head, MalformedMessageError
 
-STATUS, DRILL, METRICS, CAPTURE, PEERS = "/_status/", "/_drill", "/_metrics", "/_capture", "/_peers"
-JUDGE = "/_judge"
-JSON = "Content-Type: application/json"
+STATUS_PATH, FAULT_PATH, METRICS_PATH, CAPTURE_PATH, PEERS_PATH = (
+    "/_status/",
+    "/_drill",
+    "/_metrics",
+    "/_capture",
+    "/_peers",
+)
+OVERRIDE_PATH = "/_judge"
+JSON_HEADER = "Content-Type: application/json"
 
 
 class Dump:
     """A snapshot of the capture ring. It holds memory until it is sent, so only one exists at a time."""
 
     def __init__(self, lines: list[bytes], over: Callable[[], None]) -> None:
-        self.lines, self.over = lines, over
+        self.blocks, self.on_sent = lines, over
         self.size = sum(map(len, lines))
 
     def pieces(self) -> Iterator[bytes]:
         """Yields the dump in pieces of bounded size."""
-        return chunks(self.lines)
+        return chunks(self.blocks)
 
 
 class Reportable(Protocol):
@@ -89,9 +95,9 @@
         self.clock, self.classes = clock, classes
         self.status, self.arrivals, self.capture = status, arrivals, capture
         self.peers: Reportable | None = None
-        self.bench: OutlierControls | None = None
-        self.dumping = False
-        self.key = options.drill.key if options.drill is not None else None
+        self.outlier_control: OutlierControls | None = None
+        self.is_dumping = False
+        self.fault_key = options.drill.key if options.drill is not None else None
 
     def answer(self, head: Head, body: bytes) -> Reply | None:
         """Returns the response, or None for a path that is no control endpoint.
@@ -100,25 +106,27 @@
             MalformedMessageError: The request can't be used.
         """
         path = head.target.partition("?")[0]
-        if self.status is not None and path.startswith(STATUS):
-            return self._by_get(head, lambda: self._status(unquote(path.removeprefix(STATUS))))
-        if self.arrivals.drills is not None and path == METRICS:
-            return self._by_get(head, self._metrics)
-        if self.capture is not None and path == CAPTURE:
-            return self._by_get(head, self._dump)
-        if self.peers is not None and path == PEERS:
+        if self.status is not None and path.startswith(STATUS_PATH):
+            return self._answer_get(head, lambda: self._status(unquote(path.removeprefix(STATUS_PATH))))
+        if self.arrivals.drills is not None and path == METRICS_PATH:
+            return self._answer_get(head, self._metrics)
+        if self.capture is not None and path == CAPTURE_PATH:
+            return self._answer_get(head, self._dump)
+        if self.peers is not None and path == PEERS_PATH:
             shown = self.peers
-            return self._by_get(head, lambda: Reply(200, msgspec.json.encode(shown.show()) + b"\n", (JSON,)))
-        if self.bench is not None and path == JUDGE:
-            bench = self.bench
+            return self._answer_get(
+                head, lambda: Reply(200, msgspec.json.encode(shown.show()) + b"\n", (JSON_HEADER,))
+            )
+        if self.outlier_control is not None and path == OVERRIDE_PATH:
+            bench = self.outlier_control
             if head.method == "GET":
-                return Reply(200, msgspec.json.encode(bench.show()) + b"\n", (JSON,))
-            return self._judge(bench, head, body)
-        if path == DRILL and head.method == "POST":
-            return self._drill(head, body)
+                return Reply(200, msgspec.json.encode(bench.show()) + b"\n", (JSON_HEADER,))
+            return self._override(bench, head, body)
+        if path == FAULT_PATH and head.method == "POST":
+            return self._inject_fault(head, body)
         return None
 
-    def _by_get(self, head: Head, answer: Callable[[], Reply]) -> Reply:
+    def _answer_get(self, head: Head, answer: Callable[[], Reply]) -> Reply:
         if head.method != "GET":
             raise MalformedMessageError(405, "this is asked for by GET", allow="GET")
         return answer()
@@ -128,7 +136,7 @@
         shown = self.status.look(self.clock(), id)
         if shown is None:
             return Reply(404, b"no job of this id is known here\n")
-        return Reply(200, msgspec.json.encode(shown), (JSON,))
+        return Reply(200, msgspec.json.encode(shown), (JSON_HEADER,))
 
     def _metrics(self) -> Reply:
         assert self.arrivals.drills is not None
@@ -144,16 +152,16 @@
 
     def _dump(self) -> Reply:
         assert self.capture is not None
-        if self.dumping:
+        if self.is_dumping:
             return Reply(503, b"another dump is being sent\n", ("Retry-After: 1",))
-        self.dumping = True
-        dump = Dump(self.capture.dump(self.clock()), self._dumped)
+        self.is_dumping = True
+        dump = Dump(self.capture.dump(self.clock()), self._dump_sent)
         return Reply(200, fields=("Content-Type: application/jsonl",), dump=dump)
 
-    def _dumped(self) -> None:
-        self.dumping = False
+    def _dump_sent(self) -> None:
+        self.is_dumping = False
 
-    def _judge(self, bench: OutlierControls, head: Head, body: bytes) -> Reply:
+    def _override(self, bench: OutlierControls, head: Head, body: bytes) -> Reply:
         if head.method != "POST":
             raise MalformedMessageError(405, "this is asked for by GET, and said by POST", allow="GET, POST")
         given = (head.headers.get("x-judge-key") or "").encode()
@@ -161,16 +169,16 @@
             return Reply(403, b"no word without the key\n")
         try:
             said = bench.apply_override(msgspec.json.decode(body, type=OverrideRequest))
-            return Reply(200, msgspec.json.encode(said) + b"\n", (JSON,))
+            return Reply(200, msgspec.json.encode(said) + b"\n", (JSON_HEADER,))
         except msgspec.MsgspecError as e:
             raise MalformedMessageError(400, f"judge: {e}") from None
         except ValueError as e:
             return Reply(409, f"{e}\n".encode())
 
-    def _drill(self, head: Head, body: bytes) -> Reply:
+    def _inject_fault(self, head: Head, body: bytes) -> Reply:
         given = (head.headers.get("x-drill-key") or "").encode()
         # in constant time: how long the answer takes must not tell how much of the key was right
-        if self.key is None or not compare_digest(given, self.key.encode()):
+        if self.fault_key is None or not compare_digest(given, self.fault_key.encode()):
             return Reply(403, b"no drill without the key\n")
         try:
             order = msgspec.json.decode(body, type=Order)
@@ -182,4 +190,4 @@
             )
         order = msgspec.structs.replace(order, abort_share=order.aborts)
         self.arrivals.order(self.clock(), order)
-        return Reply(200, msgspec.json.encode(order) + b"\n", (JSON,))
+        return Reply(200, msgspec.json.encode(order) + b"\n", (JSON_HEADER,))
--- a/finchladder/net/decision_actor.py
+++ b/finchladder/net/decision_actor.py
@@ -39,7 +39,7 @@
     def send(self, attempt: Attempt) -> None:
         """Sends an attempt to its worker."""
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Cancels an attempt."""
 
 
@@ -56,19 +56,19 @@
         """Records one event with its actions, or the error raised; `t` in seconds."""
 
 
-class Ending:
+class AttemptEnd:
     """An attempt's end on its way to the decisions; whether its flow is finished is read on handling."""
 
-    __slots__ = ("attempt", "ending", "took", "report")
+    __slots__ = ("attempt", "ending", "duration_s", "report")
 
     def __init__(self, s: Attempt, ending: api.Ending, took: float, report: dict[str, float] | None) -> None:
-        self.attempt, self.ending, self.took, self.report = s, ending, took, report
+        self.attempt, self.ending, self.duration_s, self.report = s, ending, took, report
 
 
-Item = api.Event | NewRoutes | Flow | Ending
+Item = api.Event | NewRoutes | Flow | AttemptEnd
 
 
-MIN_LATENESS_S = 0.005  # seconds: less than so much is no lateness of the loop
+MIN_STALL_S = 0.005  # seconds: less than so much is no lateness of the loop
 
 
 class DecisionActor(Actor[Item]):
@@ -77,50 +77,52 @@
     def __init__(self, dispatcher: Decisions, flows: FlowTable, clock: Clock) -> None:
         super().__init__("module", MAILBOX_SIZE)
         self.dispatcher, self.flows, self.clock = dispatcher, flows, clock
-        self.carrier: AttemptSender | None = None
+        self.sender: AttemptSender | None = None
         self.recorder: DecisionRecorder | None = None
-        self.starts: Callable[[float], None] | None = None  # told how many seconds a job took to its start
-        self.lists = 0  # of those that wait in the mailbox
-        self.beat = math.inf  # when the module's own timer is due: later than that, the loop is late
-        self.subscribe: Callable[[bool], None] = lambda on: None  # where the list must be asked for
+        self.on_job_started: Callable[[float], None] | None = (
+            None  # told how many seconds a job took to its start
+        )
+        self.queued_lists = 0  # of those that wait in the mailbox
+        self.sweep_due_at = math.inf  # when the module's own timer is due: later than that, the loop is late
+        self.on_subscribe: Callable[[bool], None] = lambda on: None  # where the list must be asked for
 
     def submit(self, item: Item) -> None:
         """Posts an event; a worker list overtakes queued work, which is then decided on the new list."""
         self.post(item)
-        if self.box and self.box[-1] is item and isinstance(item, api.WorkerList):
-            self.box.pop()
-            self.box.insert(self.lists, item)
-            self.lists += 1
+        if self.mailbox and self.mailbox[-1] is item and isinstance(item, api.WorkerList):
+            self.mailbox.pop()
+            self.mailbox.insert(self.queued_lists, item)
+            self.queued_lists += 1
 
     def receive(self, item: Item) -> None:
         """Decides on one event and carries out the actions."""
         now = self.clock()
-        self._look(now)
+        self._check_stall(now)
         if isinstance(item, Flow):
             if item.answer is not None:  # the client left before its request was looked at
                 return
             event: api.Event | NewRoutes = item.request(now)
-        elif isinstance(item, Ending):
+        elif isinstance(item, AttemptEnd):
             s = item.attempt
             finished = s.flow.answer is not None
-            event = api.Ended(s.flow.id, s.number, item.ending, finished, item.took, item.report)
+            event = api.Ended(s.flow.id, s.number, item.ending, finished, item.duration_s, item.report)
         else:
             event = item
             if isinstance(item, api.WorkerList):
-                self.lists = max(0, self.lists - 1)
+                self.queued_lists = max(0, self.queued_lists - 1)
         for action in self._decide(now, event):
             self._carry_out(action, now)
 
-    def _due(self, timer: api.Timer) -> None:
+    def _on_timer(self, timer: api.Timer) -> None:
         if timer.token == SWEEP_TIMER:
-            self._look(self.clock())
-            self.beat = math.inf
+            self._check_stall(self.clock())
+            self.sweep_due_at = math.inf
         self.submit(timer)
 
-    def _look(self, now: float) -> None:
+    def _check_stall(self, now: float) -> None:
         """What came while the loop was late could not be looked at: the real servers must not be blamed."""
-        if now > self.beat + MIN_LATENESS_S:
-            lost, self.beat = now - self.beat, now
+        if now > self.sweep_due_at + MIN_STALL_S:
+            lost, self.sweep_due_at = now - self.sweep_due_at, now
             for action in self._decide(now, api.LoopStall(lost)):
                 self._carry_out(action, now)
 
@@ -141,19 +143,19 @@
                 self._for_flow(flow, action, now)
         elif isinstance(action, api.SetTimer):
             if action.token == SWEEP_TIMER:
-                self.beat = now + action.delay_s
-            IOLoop.current().call_later(max(0.0, action.delay_s), self._due, api.Timer(action.token))
+                self.sweep_due_at = now + action.delay_s
+            IOLoop.current().call_later(max(0.0, action.delay_s), self._on_timer, api.Timer(action.token))
         elif isinstance(action, api.Log):
             self.log.info("module: {}", action.text)
         elif isinstance(action, api.Subscribe):
-            self.subscribe(action.on)
+            self.on_subscribe(action.on)
         else:
             self.log.warning("module: no peers can be told anything here")
 
     def _for_flow(
         self, flow: Flow, action: api.Send | api.Cancel | api.Reject | api.Fail, now: float
     ) -> None:
-        assert self.carrier is not None
+        assert self.sender is not None
         if isinstance(action, api.Send):
             until = min(flow.deadline, now + action.timeout_s) if action.timeout_s > 0 else flow.deadline
             begins_by = now + action.start_within_s if action.start_within_s > 0 else math.inf
@@ -161,10 +163,10 @@
             flow.attempts.append(attempt)
             if self.flows.status is not None:
                 self.flows.status.sent(flow.id, action.worker)
-            self.carrier.send(attempt)
+            self.sender.send(attempt)
         elif isinstance(action, api.Cancel):
             if action.attempt < len(flow.attempts):
-                self.carrier.withdraw(flow.attempts[action.attempt])
+                self.sender.cancel(flow.attempts[action.attempt])
         elif isinstance(action, api.Reject):
             self.flows.finish(flow, Answer("refused", retry_after=action.retry_after_s))
         else:
@@ -173,7 +175,7 @@
     def failed(self, item: Item) -> None:
         """Fails the flow of an event that raised an error, so that its client still gets an answer."""
         flow = item if isinstance(item, Flow) else None
-        if isinstance(item, Ending):
+        if isinstance(item, AttemptEnd):
             flow = item.attempt.flow
         elif isinstance(item, api.Started | api.Progress):
             flow = self.flows.by_id.get(item.request)
--- a/finchladder/net/etcd/client.py
+++ b/finchladder/net/etcd/client.py
@@ -8,11 +8,18 @@
 from finchladder.config.options import EtcdOptions
 from finchladder.net import http1
 from finchladder.net.etcd import messages
-from finchladder.net.etcd.messages import Answer, Item
-from finchladder.net.etcd.wire import TROUBLE, Aside, Link, LoginError, Wires, why
+from finchladder.net.etcd.messages import Item, Response
+from finchladder.net.etcd.wire import (
+    CONNECTION_ERRORS,
+    Connector,
+    EndpointClient,
+    LoginError,
+    RunInThread,
+    describe_error,
+)
 
-PAGE = 256
-AT_ONCE = 100  # keys of one transaction; etcd takes 128
+KEYS_PER_PAGE = 256
+MAX_KEYS_PER_TXN = 100  # keys of one transaction; etcd takes 128
 
 
 class EtcdError(Exception):
@@ -22,13 +29,13 @@
 class Client:
     """Calls for the command line: writes, reads and deletes endpoint entries."""
 
-    def __init__(self, options: EtcdOptions, aside: Aside) -> None:
-        self.options, self.aside = options, aside
+    def __init__(self, options: EtcdOptions, aside: RunInThread) -> None:
+        self.options, self.run_in_thread = options, aside
         self.endpoints = options.addresses()
-        self.wires = Wires(options, http1.connect, aside)
-        self.link: Link | None = None
+        self.connector = Connector(options, http1.connect, aside)
+        self.endpoint_client: EndpointClient | None = None
 
-    async def call(self, path: str, body: bytes) -> Answer:
+    async def call(self, path: str, body: bytes) -> Response:
         """Makes a call, trying each endpoint once.
 
         Raises:
@@ -38,17 +45,19 @@
         for _ in self.endpoints:
             endpoint = self.endpoints[0]
             try:
-                if self.link is None:
-                    self.link = Link(self.wires, endpoint, self.options, self.aside)
-                    await self.link.open()
-                answer = await self.link.call(path, body)
-                if answer.refusal is None:
+                if self.endpoint_client is None:
+                    self.endpoint_client = EndpointClient(
+                        self.connector, endpoint, self.options, self.run_in_thread
+                    )
+                    await self.endpoint_client.open()
+                answer = await self.endpoint_client.call(path, body)
+                if answer.error is None:
                     return answer
-                reason = answer.refusal.text
-                if answer.refusal.final:
+                reason = answer.error.text
+                if answer.error.is_final:
                     raise EtcdError(f"{endpoint}: {reason}")
-            except (*TROUBLE, LoginError) as e:
-                reason = str(e) if isinstance(e, LoginError) else why(e)
+            except (*CONNECTION_ERRORS, LoginError) as e:
+                reason = str(e) if isinstance(e, LoginError) else describe_error(e)
             said.append(f"{endpoint}: {reason}")
             self.close()
             self.endpoints.append(self.endpoints.pop(0))
@@ -56,9 +65,9 @@
 
     def close(self) -> None:
         """Closes the connection, if there is one."""
-        if self.link is not None:
-            self.link.close()
-            self.link = None
+        if self.endpoint_client is not None:
+            self.endpoint_client.close()
+            self.endpoint_client = None
 
     # --- the keys, as docs/KEYS.md has them
 
@@ -72,8 +81,8 @@
     async def put_all(self, entries: Iterable[ServiceEntry]) -> int:
         """Writes entries in transactions of AT_ONCE keys; returns the number of entries."""
         pairs = [(self._key("members", e.name), _encode(e)) for e in entries]
-        for at in range(0, len(pairs), AT_ONCE):
-            await self.call("kv/txn", messages.put_all(pairs[at : at + AT_ONCE]))
+        for at in range(0, len(pairs), MAX_KEYS_PER_TXN):
+            await self.call("kv/txn", messages.put_all(pairs[at : at + MAX_KEYS_PER_TXN]))
         return len(pairs)
 
     async def drain(self, name: str, lease: int = 0) -> None:
@@ -88,7 +97,7 @@
         """Yields all keys below the prefix, as of one revision."""
         prefix, after, revision = f"{self.options.prefix}/".encode(), b"", 0
         while True:
-            page = await self.call("kv/range", messages.list_page(prefix, after, revision, PAGE))
+            page = await self.call("kv/range", messages.list_page(prefix, after, revision, KEYS_PER_PAGE))
             for item in page.items:
                 yield item
             if not (page.more and page.items):
--- a/finchladder/net/etcd/keys.py
+++ b/finchladder/net/etcd/keys.py
@@ -16,9 +16,9 @@
 from finchladder.core.membership.decisions import ANY_START, Address
 from finchladder.net.etcd.messages import Item
 
-MOST_VALUE = 8 * 1024  # bytes of an entry
-MOST_NAMES = 50_000  # of real servers, and of notices; what is beyond is left out
-MOST_TOLD = 256  # keys that are remembered as unusable, so that each is told of once
+MAX_VALUE_BYTES = 8 * 1024  # bytes of an entry
+MAX_NAMES = 50_000  # of real servers, and of notices; what is beyond is left out
+MAX_UNUSABLE_KEYS = 256  # keys that are remembered as unusable, so that each is told of once
 
 _decode = msgspec.json.Decoder(ServiceEntry).decode
 
@@ -35,16 +35,16 @@
 
     def __init__(self, prefix: str) -> None:
         self.prefix = prefix
-        self.members_at, self.drain_at = f"{prefix}/members/".encode(), f"{prefix}/drain/".encode()
+        self.members_prefix, self.drain_prefix = f"{prefix}/members/".encode(), f"{prefix}/drain/".encode()
         self.members: dict[str, Member] = {}
         self.drains: dict[str, None] = {}
-        self.bad: dict[bytes, str] = {}
+        self.unusable: dict[bytes, str] = {}
         self.unreported: list[str] = []  # for the log: unusable keys not yet told of
 
-    def begin_anew(self) -> "Keys":
+    def for_new_list(self) -> "Keys":
         """Returns an empty state for a new list, which remembers the unusable keys reported so far."""
         new = Keys(self.prefix)
-        new.bad = self.bad
+        new.unusable = self.unusable
         return new
 
     def apply(self, item: Item, before: "Keys | None" = None) -> str | None:
@@ -54,27 +54,30 @@
             item: The key, or its deletion.
             before: The state to fall back on for a member's previous value.
         """
-        if item.key.startswith(self.drain_at):
-            if (name := self._name(item, self.drain_at)) is None:
+        if item.key.startswith(self.drain_prefix):
+            if (name := self._name(item, self.drain_prefix)) is None:
                 return None
-            if item.deleted:
+            if item.is_deleted:
                 self.drains.pop(name, None)
-            elif len(self.drains) < MOST_NAMES or name in self.drains:
+            elif len(self.drains) < MAX_NAMES or name in self.drains:
                 self.drains[name] = None
             return name
-        if not item.key.startswith(self.members_at) or (name := self._name(item, self.members_at)) is None:
+        if (
+            not item.key.startswith(self.members_prefix)
+            or (name := self._name(item, self.members_prefix)) is None
+        ):
             return None
-        if item.deleted:
+        if item.is_deleted:
             self.members.pop(name, None)
-            self.bad.pop(item.key, None)
+            self.unusable.pop(item.key, None)
         else:
             try:
                 found: Member | None = self._member(name, item.value)
-                self.bad.pop(item.key, None)
+                self.unusable.pop(item.key, None)
             except ValueError as e:
-                self._unusable(item.key, str(e))
+                self._record_unusable(item.key, str(e))
                 found = (before or self).members.get(name)
-            if found is not None and (len(self.members) < MOST_NAMES or name in self.members):
+            if found is not None and (len(self.members) < MAX_NAMES or name in self.members):
                 self.members[name] = found
         return name
 
@@ -84,14 +87,14 @@
         except UnicodeDecodeError:
             name = ""
         if not name or "/" in name or not name.isprintable():
-            if not item.deleted:
-                self._unusable(item.key, "no name of a real server")
+            if not item.is_deleted:
+                self._record_unusable(item.key, "no name of a real server")
             return None
         return name
 
     def _member(self, name: str, value: bytes | None) -> Member:
-        if value is None or len(value) > MOST_VALUE:
-            raise ValueError(f"longer than {MOST_VALUE} bytes")
+        if value is None or len(value) > MAX_VALUE_BYTES:
+            raise ValueError(f"longer than {MAX_VALUE_BYTES} bytes")
         try:
             entry = _decode(value)
         except msgspec.MsgspecError as e:
@@ -100,12 +103,14 @@
             raise ValueError(f"the entry of {entry.name[:64]!r}, under another's name")
         return Member(entry.to_worker_entry(), parse_address(entry.address))
 
-    def _unusable(self, key: bytes, why: str) -> None:
-        if self.bad.get(key) == why:
+    def _record_unusable(self, key: bytes, why: str) -> None:
+        if self.unusable.get(key) == why:
             return
-        if key not in self.bad and len(self.bad) >= MOST_TOLD:
-            self.bad.pop(next(iter(self.bad)))  # a flood of them may be told of again; no memory grows
-        self.bad[key] = why
+        if key not in self.unusable and len(self.unusable) >= MAX_UNUSABLE_KEYS:
+            self.unusable.pop(
+                next(iter(self.unusable))
+            )  # a flood of them may be told of again; no memory grows
+        self.unusable[key] = why
         shown = key[:128].decode("utf-8", "backslashreplace")
         self.unreported.append(f"{shown}: {why}; it is left out")
 
--- a/finchladder/net/etcd/messages.py
+++ b/finchladder/net/etcd/messages.py
@@ -9,17 +9,19 @@
 
 import msgspec
 
-PLAIN = 64 * 1024  # bytes of an answer that is decoded whole; a longer one is taken apart as it comes
-MOST_ITEM = 32 * 1024  # bytes of a key with its value in JSON: no entry is a tenth as long
-MOST_FRAME = 32 * 1024  # of all else in an answer
-MOST_ITEMS = 200_000  # keys or events in one answer
-HEAD = 4096  # of an item too long: what is looked at for its key
+MAX_WHOLE_BYTES = (
+    64 * 1024
+)  # bytes of an answer that is decoded whole; a longer one is taken apart as it comes
+MAX_ITEM_BYTES = 32 * 1024  # bytes of a key with its value in JSON: no entry is a tenth as long
+MAX_FRAME_BYTES = 32 * 1024  # of all else in an answer
+MAX_ITEMS = 200_000  # keys or events in one answer
+KEY_SEARCH_BYTES = 4096  # of an item too long: what is looked at for its key
 
 INVALID, DENIED, PRECONDITION, UNAUTHENTICATED = 3, 7, 9, 16  # codes of gRPC
-_TOKEN_WORDS = ("invalid auth token", "user name is empty", "revision of auth store is old")
+_TOKEN_ERRORS = ("invalid auth token", "user name is empty", "revision of auth store is old")
 
 
-class MalformedAnswerError(Exception):
+class MalformedResponseError(Exception):
     """The response is not etcd's, or exceeds a bound."""
 
 
@@ -46,35 +48,35 @@
     """A key as a range or a watch reports it. `value` None: too long to be an entry."""
 
     key: bytes
-    mod: int
+    mod_revision: int
     value: bytes | None = b""
-    deleted: bool = False
-    fresh: bool = False  # it was not there before
+    is_deleted: bool = False
+    is_new: bool = False  # it was not there before
 
 
-class Refusal(NamedTuple):
+class ErrorResponse(NamedTuple):
     """An error response of etcd: its gRPC code and message."""
 
     code: int
     text: str
 
     @property
-    def token(self) -> bool:
+    def is_token_error(self) -> bool:
         """Whether another login may help."""
-        return self.code == UNAUTHENTICATED or any(words in self.text for words in _TOKEN_WORDS)
+        return self.code == UNAUTHENTICATED or any(words in self.text for words in _TOKEN_ERRORS)
 
     @property
-    def final(self) -> bool:
+    def is_final(self) -> bool:
         """Whether retrying is pointless until a setting changes on either side."""
         return self.code in (INVALID, DENIED, PRECONDITION, UNAUTHENTICATED)
 
     @property
-    def compacted(self) -> bool:
+    def is_compacted(self) -> bool:
         """Whether the revision asked for has been compacted."""
         return "has been compacted" in self.text
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """A message: of a call, or one of a watch."""
 
     header: Header
@@ -85,7 +87,7 @@
     canceled: bool = False
     compacted: int = 0
     fragment: bool = False
-    refusal: Refusal | None = None
+    error: ErrorResponse | None = None
     token: str = ""
     lease: int = 0
     ttl_s: int = 0
@@ -115,7 +117,7 @@
     code: int = 0
 
 
-class _Any(msgspec.Struct):
+class _AnyResponse(msgspec.Struct):
     """All fields of the answers that are asked for here: of a call, or `result` of a stream."""
 
     header: Header = msgspec.field(default_factory=Header)
@@ -132,7 +134,7 @@
     code: int = 0
 
 
-_decode = msgspec.json.Decoder(_Any, strict=False).decode
+_decode = msgspec.json.Decoder(_AnyResponse, strict=False).decode
 _decode_event = msgspec.json.Decoder(_Event, strict=False).decode
 _decode_kv = msgspec.json.Decoder(Kv, strict=False).decode
 _KEY = re.compile(rb'"key"\s*:\s*"([A-Za-z0-9+/]*=*)"')
@@ -146,13 +148,13 @@
     return Item(kv.key, kv.mod_revision, kv.value, deleted, kv.create_revision == kv.mod_revision)
 
 
-def _answer(found: _Any, items: list[Item]) -> Answer:
+def _response(found: _AnyResponse, items: list[Item]) -> Response:
     if isinstance(e := found.error, _Error):
-        return Answer(found.header, [], refusal=Refusal(e.grpc_code or e.code, e.message))
+        return Response(found.header, [], error=ErrorResponse(e.grpc_code or e.code, e.message))
     if e is not None or found.code:  # newer gateways leave out `error`
-        return Answer(found.header, [], refusal=Refusal(found.code, found.message or e or ""))
+        return Response(found.header, [], error=ErrorResponse(found.code, found.message or e or ""))
     if (r := found.result) is None:
-        return Answer(
+        return Response(
             found.header,
             items,
             found.more,
@@ -162,8 +164,8 @@
             ttl_s=found.ttl,
             deleted=found.deleted,
         )
-    refusal = Refusal(_code_in(r.cancel_reason), r.cancel_reason) if r.canceled else None
-    return Answer(
+    refusal = ErrorResponse(_code_in(r.cancel_reason), r.cancel_reason) if r.canceled else None
+    return Response(
         r.header,
         items,
         False,
@@ -185,7 +187,7 @@
     return UNAUTHENTICATED if "Unauthenticated" in reason else 0
 
 
-class Reader:
+class ResponseReader:
     """Answers out of pieces that end anywhere: the one body of a call, or the lines of a watch.
 
     What is longer than PLAIN is never held whole: each key is taken out as it comes, and one that is too
@@ -195,69 +197,69 @@
     def __init__(self, lines: bool) -> None:
         self.lines = lines
         self.buffer = bytearray()
-        self.apart: _Apart | None = None
+        self.long_response: _LongResponse | None = None
 
-    def feed(self, piece: bytes) -> list[Answer]:
+    def feed(self, piece: bytes) -> list[Response]:
         """The answers that became whole. BadAnswer: the connection is to be closed."""
-        found: list[Answer] = []
+        found: list[Response] = []
         self.buffer += piece
         while self.buffer:
-            if self.apart is not None:
-                used = self.apart.feed(self.buffer)
+            if self.long_response is not None:
+                used = self.long_response.feed(self.buffer)
                 del self.buffer[:used]
-                if not self.apart.whole:
+                if not self.long_response.is_complete:
                     break
-                found.append(self.apart.answer())
-                self.apart = None
-            elif self.lines and (end := self.buffer.find(b"\n", 0, PLAIN)) >= 0:
+                found.append(self.long_response.response())
+                self.long_response = None
+            elif self.lines and (end := self.buffer.find(b"\n", 0, MAX_WHOLE_BYTES)) >= 0:
                 line = bytes(self.buffer[:end])
                 del self.buffer[: end + 1]
                 if line.strip():
-                    found.append(self._plain(line))
-            elif len(self.buffer) > PLAIN:
-                self.apart = _Apart(3 if self.lines else 2)
+                    found.append(self._decode_whole(line))
+            elif len(self.buffer) > MAX_WHOLE_BYTES:
+                self.long_response = _LongResponse(3 if self.lines else 2)
             else:
                 break
         return found
 
-    def end(self) -> Answer:
+    def end(self) -> Response:
         """Of a call: its body is whole."""
-        if self.apart is not None:
-            raise MalformedAnswerError("an answer broke off")
-        return self._plain(bytes(self.buffer))
+        if self.long_response is not None:
+            raise MalformedResponseError("an answer broke off")
+        return self._decode_whole(bytes(self.buffer))
 
-    def _plain(self, data: bytes) -> Answer:
+    def _decode_whole(self, data: bytes) -> Response:
         try:
             found = _decode(data)
         except msgspec.MsgspecError as e:
-            raise MalformedAnswerError(f"unreadable answer: {e}") from None
+            raise MalformedResponseError(f"unreadable answer: {e}") from None
         if found.result is not None:
-            return _answer(found, [_item(e) for e in found.result.events])
-        return _answer(found, [Item(kv.key, kv.mod_revision, kv.value) for kv in found.kvs])
+            return _response(found, [_item(e) for e in found.result.events])
+        return _response(found, [Item(kv.key, kv.mod_revision, kv.value) for kv in found.kvs])
 
 
-class _Apart:
+class _LongResponse:
     """One long answer: objects in its array, which lies at `level`, are taken out, the rest is the frame."""
 
     def __init__(self, level: int) -> None:
         self.level = level
         self.depth = 0
-        self.quoted = self.escaped = self.whole = False
-        self.among = False  # within the array, between its items
+        self.in_string = self.escaped = self.is_complete = False
+        self.between_items = False  # within the array, between its items
         self.frame = bytearray()
         self.item: bytearray | None = None
-        self.length = 0  # of the item, kept or not
+        self.item_length = 0  # of the item, kept or not
         self.items: list[Item] = []
 
     def feed(self, data: bytearray) -> int:
         """How much of it belongs to the answer."""
         at = 0
-        while at < len(data) and not self.whole:
+        while at < len(data) and not self.is_complete:
             if self.escaped:
                 self._keep(data[at : at + 1])
                 self.escaped, at = False, at + 1
                 continue
-            m = (_INSIDE if self.quoted else _OUTSIDE).search(data, at)
+            m = (_INSIDE if self.in_string else _OUTSIDE).search(data, at)
             if m is None:
                 self._keep(data[at:])
                 return len(data)
@@ -267,42 +269,44 @@
         return at
 
     def _token(self, token: bytes | bytearray) -> None:
-        if self.quoted:
-            self.quoted, self.escaped = token != b'"', token == b"\\"
+        if self.in_string:
+            self.in_string, self.escaped = token != b'"', token == b"\\"
             return self._keep(token)
         if token == b'"':
-            self.quoted = True
+            self.in_string = True
         elif token in (b"{", b"["):
-            if self.among and self.item is None:
-                self.item, self.length = bytearray(), 0
+            if self.between_items and self.item is None:
+                self.item, self.item_length = bytearray(), 0
             self.depth += 1
         else:
             self.depth -= 1
-            self.among = self.among and self.depth >= self.level
+            self.between_items = self.between_items and self.depth >= self.level
         self._keep(token)
         if token == b"[" and self.depth == self.level and self.item is None:
-            self.among = True
+            self.between_items = True
         if self.item is not None and self.depth == self.level:
-            self._take(bytes(self.item))
+            self._add_item(bytes(self.item))
             self.item = None
-        self.whole = not self.depth
+        self.is_complete = not self.depth
 
     def _keep(self, part: bytes | bytearray) -> None:
         if self.item is None:
-            self.frame += part if not self.among else b""  # the commas between items would be left over
-            if len(self.frame) > MOST_FRAME:
-                raise MalformedAnswerError("an answer beyond all bounds")
+            self.frame += (
+                part if not self.between_items else b""
+            )  # the commas between items would be left over
+            if len(self.frame) > MAX_FRAME_BYTES:
+                raise MalformedResponseError("an answer beyond all bounds")
             return
-        self.length += len(part)
-        self.item += part[: max(0, MOST_ITEM - len(self.item))]
-
-    def _take(self, data: bytes) -> None:
-        if len(self.items) >= MOST_ITEMS:
-            raise MalformedAnswerError("an answer with too many keys")
-        if self.length > MOST_ITEM:
-            key, created, mod = (found.search(data[:HEAD]) for found in (_KEY, _CREATED, _MOD))
+        self.item_length += len(part)
+        self.item += part[: max(0, MAX_ITEM_BYTES - len(self.item))]
+
+    def _add_item(self, data: bytes) -> None:
+        if len(self.items) >= MAX_ITEMS:
+            raise MalformedResponseError("an answer with too many keys")
+        if self.item_length > MAX_ITEM_BYTES:
+            key, created, mod = (found.search(data[:KEY_SEARCH_BYTES]) for found in (_KEY, _CREATED, _MOD))
             if key is None or created is None or mod is None:
-                raise MalformedAnswerError("a key longer than any")
+                raise MalformedResponseError("a key longer than any")
             self.items.append(Item(b64decode(key[1]), int(mod[1]), None, False, created[1] == mod[1]))
             return
         try:
@@ -312,19 +316,19 @@
                 kv = _decode_kv(data)
                 self.items.append(Item(kv.key, kv.mod_revision, kv.value))
         except msgspec.MsgspecError as e:
-            raise MalformedAnswerError(f"unreadable answer: {e}") from None
+            raise MalformedResponseError(f"unreadable answer: {e}") from None
 
-    def answer(self) -> Answer:
+    def response(self) -> Response:
         try:
-            return _answer(_decode(bytes(self.frame)), self.items)
+            return _response(_decode(bytes(self.frame)), self.items)
         except msgspec.MsgspecError as e:
-            raise MalformedAnswerError(f"unreadable answer: {e}") from None
+            raise MalformedResponseError(f"unreadable answer: {e}") from None
 
 
 # --- what is asked
 
 
-def _write(**fields: Any) -> bytes:
+def _encode(**fields: Any) -> bytes:
     return msgspec.json.encode(
         {
             name: b64encode(value).decode() if isinstance(value, bytes) else value
@@ -342,26 +346,26 @@
 
 def get(key: bytes) -> bytes:
     """Encodes a linearizable read of one key."""
-    return _write(key=key)
+    return _encode(key=key)
 
 
 def list_page(prefix: bytes, after: bytes, revision: int, limit: int) -> bytes:
     """Encodes a read of up to `limit` keys after `after`, in order, as of `revision` (0: the latest)."""
     first = after + b"\0" if after else prefix
-    return _write(key=first, range_end=prefix_end(prefix), revision=revision, limit=limit)
+    return _encode(key=first, range_end=prefix_end(prefix), revision=revision, limit=limit)
 
 
-def newer(prefix: bytes, revision: int, than: int) -> bytes:
+def newer_than(prefix: bytes, revision: int, than: int) -> bytes:
     """Encodes a read as of `revision`: one key modified after `than`, and the total number of keys."""
     end = prefix_end(prefix)
-    return _write(
+    return _encode(
         key=prefix, range_end=end, revision=revision, min_mod_revision=than + 1, limit=1, keys_only=True
     )
 
 
 def watch(prefix: bytes, start: int) -> bytes:
     """Encodes a watch of all keys with the prefix, from the revision `start` on."""
-    asked = _write(
+    asked = _encode(
         key=prefix, range_end=prefix_end(prefix), start_revision=start, progress_notify=True, fragment=True
     )
     return b'{"create_request":%b}' % asked
@@ -369,7 +373,7 @@
 
 def put(key: bytes, value: bytes, lease: int = 0) -> bytes:
     """Encodes the write of one key; 0 is no lease."""
-    return _write(key=key, value=value, lease=lease)
+    return _encode(key=key, value=value, lease=lease)
 
 
 def put_all(pairs: list[tuple[bytes, bytes]]) -> bytes:
@@ -379,7 +383,7 @@
 
 def delete(key: bytes) -> bytes:
     """Encodes the deletion of one key."""
-    return _write(key=key)
+    return _encode(key=key)
 
 
 def login(user: str, password: str) -> bytes:
@@ -389,9 +393,9 @@
 
 def grant(ttl_s: int) -> bytes:
     """Encodes the request of a new lease; `ttl_s` in seconds."""
-    return _write(TTL=ttl_s)
+    return _encode(TTL=ttl_s)
 
 
 def lease(id: int) -> bytes:
     """Encodes a request on a lease: keep alive or revoke."""
-    return _write(ID=id)
+    return _encode(ID=id)
--- a/finchladder/net/etcd/wire.py
+++ b/finchladder/net/etcd/wire.py
@@ -13,29 +13,37 @@
 from finchladder.config.addresses import Endpoint
 from finchladder.config.options import EtcdOptions
 from finchladder.net import http1
-from finchladder.net.etcd.messages import Answer, Header, MalformedAnswerError, Reader, Refusal, login
+from finchladder.net.etcd.messages import (
+    ErrorResponse,
+    Header,
+    MalformedResponseError,
+    Response,
+    ResponseReader,
+    login,
+)
 from finchladder.net.http1 import Channel, Connect, MalformedMessageError, Stream, StreamClosedError
 
-MOST_BODY = 1 << 30  # bytes of an answer, which is never held whole
-ANSWER_S = 1.0  # for a connection with its handshake, or for the next piece of an answer
-CALL_S = 10.0  # for a whole answer, however long
-KEEP_ALIVE = (  # a watch that is cut off in silence: the kernel asks each 3 s, and after 3 tries it tells
+MAX_BODY_BYTES = 1 << 30  # bytes of an answer, which is never held whole
+RESPONSE_TIMEOUT_S = 1.0  # for a connection with its handshake, or for the next piece of an answer
+CALL_TIMEOUT_S = 10.0  # for a whole answer, however long
+# TCP keep-alive closes a watch whose peer became unreachable: a probe every 3 s, and an error after 3 of them
+KEEP_ALIVE_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 3),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 3),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 3),
 )
-PASSWORD_BYTES = 4096
+MAX_PASSWORD_BYTES = 4096
 
-Aside = Callable[[Callable[[], Any]], Awaitable[Any]]
-TROUBLE = (StreamClosedError, OSError, TimeoutError, MalformedMessageError, MalformedAnswerError)
+RunInThread = Callable[[Callable[[], Any]], Awaitable[Any]]
+CONNECTION_ERRORS = (StreamClosedError, OSError, TimeoutError, MalformedMessageError, MalformedResponseError)
 
 
 class LoginError(Exception):
     """User or password were refused, or the password file can't be read."""
 
 
-def why(e: BaseException) -> str:
+def describe_error(e: BaseException) -> str:
     """Returns one line for the log on a connection error."""
     real = getattr(e, "real_error", None) or e
     if isinstance(real, ssl.SSLCertVerificationError):
@@ -54,14 +62,14 @@
     return isinstance(getattr(e, "real_error", None) or e, ssl.SSLError)
 
 
-class Tls:
+class TlsContext:
     """The TLS context, rebuilt when one of its files has changed."""
 
-    def __init__(self, options: EtcdOptions, aside: Aside) -> None:
+    def __init__(self, options: EtcdOptions, aside: RunInThread) -> None:
         self.ca, self.cert, self.key = options.ca_file, options.cert_file, options.key_file
-        self.aside = aside
-        self.made: ssl.SSLContext | None = None
-        self.of: list[tuple[int, int, int]] = []
+        self.run_in_thread = aside
+        self.current: ssl.SSLContext | None = None
+        self.file_versions: list[tuple[int, int, int]] = []
         # Tornado's own line for each failed handshake says nothing that is not told here, and once
         logging.getLogger("tornado.general").addFilter(lambda r: not r.msg.startswith("SSL Error on"))
 
@@ -71,19 +79,19 @@
         Raises:
             OSError: A file can't be read or used (ssl.SSLError is one).
         """
-        made: ssl.SSLContext = await self.aside(self._read)
+        made: ssl.SSLContext = await self.run_in_thread(self._read)
         return made
 
     def _read(self) -> ssl.SSLContext:
         files = [name for name in (self.ca, self.cert, self.key) if name is not None]
         found = [stat(name) for name in files]
         of = [(s.st_mtime_ns, s.st_size, s.st_ino) for s in found]
-        if self.made is None or of != self.of:
+        if self.current is None or of != self.file_versions:
             context = ssl.create_default_context(cafile=self.ca)
             if self.cert is not None:
                 context.load_cert_chain(self.cert, self.key)
-            self.made, self.of = context, of
-        return self.made
+            self.current, self.file_versions = context, of
+        return self.current
 
 
 class TlsChannel(Channel):
@@ -98,12 +106,12 @@
         await self.stream.write(data)
 
 
-class Wires:
+class Connector:
     """Opens connections to endpoints, with or without TLS."""
 
-    def __init__(self, options: EtcdOptions, connect: Connect, aside: Aside) -> None:
+    def __init__(self, options: EtcdOptions, connect: Connect, aside: RunInThread) -> None:
         self.connect = connect
-        self.tls = Tls(options, aside) if any(e.tls for e in options.addresses()) else None
+        self.tls = TlsContext(options, aside) if any(e.tls for e in options.addresses()) else None
 
     async def open(self, endpoint: Endpoint) -> Channel:
         """Opens a connection to an endpoint.
@@ -113,19 +121,21 @@
             StreamClosedError: It can't be opened.
             TimeoutError: It was not open within ANSWER_S.
         """
-        async with asyncio.timeout(ANSWER_S):
-            address = await self._address(endpoint)
-            channel = await (self._by_tls(endpoint, address) if endpoint.tls else self.connect(address))
-        for level, option, value in KEEP_ALIVE:
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+            address = await self._resolve(endpoint)
+            channel = await (self._open_tls(endpoint, address) if endpoint.tls else self.connect(address))
+        for level, option, value in KEEP_ALIVE_OPTIONS:
             channel.stream.socket.setsockopt(level, option, value)
-        channel.parser.limit = lambda head: MOST_BODY
+        channel.parser.limit = lambda head: MAX_BODY_BYTES
         return channel
 
-    async def _by_tls(self, endpoint: Endpoint, address: tuple[str, int]) -> Channel:
+    async def _open_tls(self, endpoint: Endpoint, address: tuple[str, int]) -> Channel:
         assert self.tls is not None
         context = await self.tls.context()
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-        stream = SSLIOStream(socket.socket(family), ssl_options=context, read_chunk_size=http1.READ)
+        stream = SSLIOStream(
+            socket.socket(family), ssl_options=context, read_chunk_size=http1.READ_CHUNK_BYTES
+        )
         try:
             await stream.connect(address, server_hostname=endpoint.host)
         except BaseException:
@@ -133,7 +143,7 @@
             raise
         return TlsChannel(cast(Stream, stream), http1.server_parser())
 
-    async def _address(self, endpoint: Endpoint) -> tuple[str, int]:
+    async def _resolve(self, endpoint: Endpoint) -> tuple[str, int]:
         if ":" in endpoint.host or endpoint.host.replace(".", "").isdigit():
             return endpoint.host, endpoint.port
         found = await asyncio.get_running_loop().getaddrinfo(
@@ -142,13 +152,15 @@
         return str(found[0][4][0]), endpoint.port
 
 
-class Link:
+class EndpointClient:
     """One endpoint in use: one connection for calls, made one at a time, and others for watches."""
 
-    def __init__(self, wires: Wires, endpoint: Endpoint, options: EtcdOptions, aside: Aside) -> None:
-        self.wires, self.endpoint, self.options, self.aside = wires, endpoint, options, aside
+    def __init__(
+        self, wires: Connector, endpoint: Endpoint, options: EtcdOptions, aside: RunInThread
+    ) -> None:
+        self.connector, self.endpoint, self.options, self.run_in_thread = wires, endpoint, options, aside
         self.token = ""
-        self.calls: Channel | None = None
+        self.channel: Channel | None = None
         self.logins = 0
 
     async def open(self) -> None:
@@ -157,7 +169,7 @@
         Raises:
             LoginError: The login failed.
         """
-        self.calls = await self.wires.open(self.endpoint)
+        self.channel = await self.connector.open(self.endpoint)
         await self.log_in()
 
     async def log_in(self) -> None:
@@ -169,103 +181,103 @@
         if self.options.user is None:
             return
         try:
-            password = await self.aside(self._password)
+            password = await self.run_in_thread(self._password)
         except (OSError, ValueError) as e:
-            raise LoginError(f"{self.options.password_file} can't be read: {why(e)}") from None
+            raise LoginError(f"{self.options.password_file} can't be read: {describe_error(e)}") from None
         answer = await self._call("auth/authenticate", login(self.options.user, password))
-        if answer.refusal is not None:
-            raise LoginError(f"refused user {self.options.user}: {answer.refusal.text}")
+        if answer.error is not None:
+            raise LoginError(f"refused user {self.options.user}: {answer.error.text}")
         self.token = answer.token
         self.logins += 1
 
     def _password(self) -> str:
         assert self.options.password_file is not None
         with open(self.options.password_file, "rb") as file:
-            return file.read(PASSWORD_BYTES).decode().split("\n", 1)[0].rstrip("\r")
+            return file.read(MAX_PASSWORD_BYTES).decode().split("\n", 1)[0].rstrip("\r")
 
-    async def call(self, path: str, body: bytes, patience_s: float = ANSWER_S) -> Answer:
+    async def call(self, path: str, body: bytes, timeout_s: float = RESPONSE_TIMEOUT_S) -> Response:
         """Makes a call; an expired token is renewed once. `patience_s`: timeout for the first byte.
 
         Raises:
             LoginError: The login failed, besides the errors in TROUBLE.
         """
-        answer = await self._call(path, body, patience_s)
-        if answer.refusal is not None and answer.refusal.token and self.options.user is not None:
+        answer = await self._call(path, body, timeout_s)
+        if answer.error is not None and answer.error.is_token_error and self.options.user is not None:
             await self.log_in()
-            answer = await self._call(path, body, patience_s)
+            answer = await self._call(path, body, timeout_s)
         return answer
 
-    async def _call(self, path: str, body: bytes, patience_s: float = ANSWER_S) -> Answer:
-        kept = self.calls is not None and not self.calls.stream.closed()
-        async with asyncio.timeout(CALL_S):
+    async def _call(self, path: str, body: bytes, timeout_s: float = RESPONSE_TIMEOUT_S) -> Response:
+        kept = self.channel is not None and not self.channel.stream.closed()
+        async with asyncio.timeout(CALL_TIMEOUT_S):
             try:
-                return await self._once(path, body, patience_s)
+                return await self._call_once(path, body, timeout_s)
             except StreamClosedError:
                 if not kept:
                     raise
-            return await self._once(path, body, patience_s)  # it was closed while nobody used it
+            return await self._call_once(path, body, timeout_s)  # it was closed while nobody used it
 
-    async def _once(self, path: str, body: bytes, patience_s: float) -> Answer:
-        channel, self.calls = self.calls, None  # a call that breaks off leaves a connection of no use
+    async def _call_once(self, path: str, body: bytes, timeout_s: float) -> Response:
+        channel, self.channel = self.channel, None  # a call that breaks off leaves a connection of no use
         if channel is None or channel.stream.closed():
-            channel = await self.wires.open(self.endpoint)
+            channel = await self.connector.open(self.endpoint)
         try:
-            await self._ask(channel, path, body)
-            answer = await self._answer(channel, patience_s)
+            await self._send(channel, path, body)
+            answer = await self._read_response(channel, timeout_s)
         except BaseException:
             channel.close()
             raise
-        self.calls = channel
+        self.channel = channel
         return answer
 
-    async def _ask(self, channel: Channel, path: str, body: bytes) -> None:
+    async def _send(self, channel: Channel, path: str, body: bytes) -> None:
         fields = [("Host", str(self.endpoint).partition("//")[2]), ("Content-Type", "application/json")]
         if self.token:
             fields.append(("Authorization", self.token))
-        async with asyncio.timeout(ANSWER_S):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             await channel.write(http1.write_request("POST", f"/v3/{path}", fields, body))
 
-    async def _answer(self, channel: Channel, patience_s: float) -> Answer:
-        reader = Reader(lines=False)
-        async with asyncio.timeout(patience_s):
+    async def _read_response(self, channel: Channel, timeout_s: float) -> Response:
+        reader = ResponseReader(lines=False)
+        async with asyncio.timeout(timeout_s):
             head = await channel.head()
-        found: list[Answer] = []
+        found: list[Response] = []
         while True:
             found += reader.feed(channel.parser.take_piece())
-            if channel.parser.body is None or channel.parser.body.done:
+            if channel.parser.body is None or channel.parser.body.is_complete:
                 break
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await channel.fill()
             await asyncio.sleep(0)  # what has come already is no reason to keep the loop
         channel.parser.head = channel.parser.body = None
         try:
             answer = found[0] if found else reader.end()
-        except MalformedAnswerError:
+        except MalformedResponseError:
             if head.status == 200:
                 raise
-            answer = Answer(Header(), [])
-        if head.status != 200 and answer.refusal is None:
-            answer = answer._replace(refusal=Refusal(0, f"answered {head.status}"))
-        if not head.keeps:
+            answer = Response(Header(), [])
+        if head.status != 200 and answer.error is None:
+            answer = answer._replace(error=ErrorResponse(0, f"answered {head.status}"))
+        if not head.is_persistent:
             channel.close()
         return answer
 
-    async def watch(self, body: bytes) -> AsyncGenerator[Answer, None]:
+    async def watch(self, body: bytes) -> AsyncGenerator[Response, None]:
         """Yields the messages of a watch until it ends; raises the errors in TROUBLE."""
-        channel = await self.wires.open(self.endpoint)
+        channel = await self.connector.open(self.endpoint)
         try:
-            await self._ask(channel, "watch", body)
-            async with asyncio.timeout(ANSWER_S):
+            await self._send(channel, "watch", body)
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 head = await channel.head()
             if head.status != 200:
-                answer = await self._answer(channel, ANSWER_S)
+                answer = await self._read_response(channel, RESPONSE_TIMEOUT_S)
                 yield answer._replace(canceled=True)
                 return
-            reader = Reader(lines=True)
+            reader = ResponseReader(lines=True)
             while True:
                 for answer in reader.feed(channel.parser.take_piece()):
                     yield answer
-                if channel.parser.body is None or channel.parser.body.done:
+                if channel.parser.body is None or channel.parser.body.is_complete:
                     return
                 await channel.fill()
                 await asyncio.sleep(0)
@@ -274,6 +286,6 @@
 
     def close(self) -> None:
         """Closes the connection for calls."""
-        if self.calls is not None:
-            self.calls.close()
-            self.calls = None
+        if self.channel is not None:
+            self.channel.close()
+            self.channel = None
--- a/finchladder/net/flows.py
+++ b/finchladder/net/flows.py
@@ -44,8 +44,8 @@
         "number",
         "worker",
         "sent_at",
-        "until",
-        "begins_by",
+        "deadline",
+        "start_by",
         "stage",
         "connection",
     )
@@ -55,7 +55,7 @@
     ) -> None:
         """Times by the clock: its first byte must go by `begins_by`, or it is void."""
         self.flow, self.number, self.worker = flow, number, worker
-        self.sent_at, self.until, self.begins_by = sent, until, begins_by
+        self.sent_at, self.deadline, self.start_by = sent, until, begins_by
         self.stage = Stage.WAITING
         self.connection: Connection | None = None  # until the job is accepted
 
@@ -81,8 +81,8 @@
     deadline: float
     deliver: Callable[[Answer], None]
     route: str | None = None  # whose limits it comes under
-    repeat: bool = False  # its client marks it as asked for before
-    since: float = 0.0  # when it was taken
+    is_client_retry: bool = False  # its client marks it as asked for before
+    received_at: float = 0.0  # when it was taken
     answer: Answer | None = None
     attempts: list[Attempt] = field(default_factory=list)
     timer: Callable[[], None] | None = None
@@ -99,7 +99,7 @@
             self.key,
             memory=memory,
             route=self.route,
-            is_client_retry=self.repeat,
+            is_client_retry=self.is_client_retry,
         )
 
 
@@ -110,14 +110,14 @@
         self, status: JobStatus | None = None, clock: Callable[[], float] = time.monotonic, sockets: int = 0
     ) -> None:
         self.status, self.clock = status, clock  # the status is told of each step, where it is on
-        self.remembered = max(MAX_ENDED_IDS, 4 * sockets)
+        self.max_remembered = max(MAX_ENDED_IDS, 4 * sockets)
         self.by_id: dict[str, Flow] = {}
         self.open = 0  # flows without their final answer
-        self.ended: dict[str, None] = {}
+        self.ended_ids: dict[str, None] = {}
 
-    def known(self, id: str) -> bool:
+    def is_known(self, id: str) -> bool:
         """Whether a request of this id is open or has ended recently."""
-        return id in self.by_id or id in self.ended
+        return id in self.by_id or id in self.ended_ids
 
     def add(self, flow: Flow) -> None:
         """Adds a new flow."""
@@ -146,10 +146,10 @@
             if not s.ended:
                 return
         if self.by_id.pop(flow.id, None) is not None:
-            self.ended[flow.id] = None
+            self.ended_ids[flow.id] = None
             # they lead back to it: without them it goes at once, and needs no collector
             flow.attempts, flow.timer = [], None
             if self.status is not None:
                 self.status.finished(self.clock(), flow.id, flow.answer.kind)
-            if len(self.ended) > self.remembered:
-                del self.ended[next(iter(self.ended))]
+            if len(self.ended_ids) > self.max_remembered:
+                del self.ended_ids[next(iter(self.ended_ids))]
--- a/finchladder/net/host_environment.py
+++ b/finchladder/net/host_environment.py
@@ -24,12 +24,12 @@
 if TYPE_CHECKING:
     from finchladder.net.membership_actor import ListFile
 
-BACKLOG, BACKLOG_PART = 1024, 1 / 4  # connections not yet accepted: at the least, and of all sockets
+MIN_BACKLOG, BACKLOG_SHARE = 1024, 1 / 4  # connections not yet accepted: at the least, and of all sockets
 
 
 def listen(address: tuple[str, int], sockets: int) -> list[socket.socket]:
     """`sockets`: what the configuration allows in all. OSError: the address can't be had."""
-    return bind_sockets(address[1], address[0], backlog=max(BACKLOG, int(BACKLOG_PART * sockets)))
+    return bind_sockets(address[1], address[0], backlog=max(MIN_BACKLOG, int(BACKLOG_SHARE * sockets)))
 
 
 def datagrams(address: tuple[str, int]) -> socket.socket:
@@ -59,7 +59,7 @@
             self.idle_s += time.monotonic() - began
 
 
-def unused() -> float:
+def idle_without_selector() -> float:
     """For how long a loop has waited, as far as can be told without its selector: it used no CPU then."""
     return time.monotonic() - time.process_time()
 
@@ -97,7 +97,7 @@
     wall: Callable[[], float] = time.time
     monotonic: Callable[[], float] = time.monotonic
     cpu: Callable[[], float] = time.process_time
-    idle: Callable[[], float] = unused
+    idle: Callable[[], float] = idle_without_selector
     listen: Callable[[tuple[str, int], int], list[socket.socket]] = listen
     allow_descriptors: Callable[[int], None] = allow_descriptors
     connect: Connect = connect
--- a/finchladder/net/http1.py
+++ b/finchladder/net/http1.py
@@ -10,13 +10,16 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
-MAX_HEAD = 8 * 1024
+MAX_HEAD_BYTES = 8 * 1024
 MAX_FIELDS = 64
-MAX_BODY = 64 * 1024
-KNOWN, KNOWN_MOST = 256, 512  # heads that are kept parsed, and the bytes of one: some 0.5 MB at the most
-REPEATED = b"POST /v1/job-events "
-PIECE = 64 * 1024
-READ = 16 * 1024  # asked of a socket at once: larger buffers are cleared for nothing
+MAX_BODY_BYTES = 64 * 1024
+HEAD_CACHE_SIZE, MAX_CACHED_HEAD_BYTES = (
+    256,
+    512,
+)  # heads that are kept parsed, and the bytes of one: some 0.5 MB at the most
+REPEATED_REQUEST_START = b"POST /v1/job-events "
+MAX_PIECE_BYTES = 64 * 1024
+READ_CHUNK_BYTES = 16 * 1024  # asked of a socket at once: larger buffers are cleared for nothing
 REASONS = {
     100: "Continue",
     200: "OK",
@@ -90,7 +93,7 @@
         values = self._values.get(name, ())
         return values[0] if len(values) == 1 else None
 
-    def words(self, name: str) -> set[str]:
+    def tokens(self, name: str) -> set[str]:
         """Returns the comma-separated tokens of a field, in lower case."""
         return {part.strip().lower() for v in self._values.get(name, ()) for part in v.split(",")}
 
@@ -105,18 +108,18 @@
     status: int = 0
 
     @property
-    def keeps(self) -> bool:
+    def is_persistent(self) -> bool:
         """Whether the peer keeps the connection open after this message."""
         if not self.minor or self.headers.all("connection"):
-            return self._says_so()
+            return self._is_persistent_by_field()
         return True
 
-    def _says_so(self) -> bool:
-        words = self.headers.words("connection")
+    def _is_persistent_by_field(self) -> bool:
+        words = self.headers.tokens("connection")
         return "close" not in words and (self.minor == 1 or "keep-alive" in words)
 
 
-def _field(line: bytes, plain: bool) -> tuple[str, str]:
+def _parse_field(line: bytes, plain: bool) -> tuple[str, str]:
     """Name and value. `plain`: as a request's fields are passed on, they must be visible ASCII."""
     m = _FIELD.fullmatch(line)
     if m is None:
@@ -127,13 +130,13 @@
     return m[1].decode("ascii"), value
 
 
-def _headers(lines: list[bytes], plain: bool) -> Headers:
+def _parse_headers(lines: list[bytes], plain: bool) -> Headers:
     if len(lines) > MAX_FIELDS:
         raise MalformedMessageError(431, "too many header fields")
     if _FIELDS.fullmatch(b"\r\n".join(lines)):  # the rule, that is: all at once costs a third of one by one
         parts = [line.decode("ascii").partition(":") for line in lines]
         return Headers([(name, value.strip(" \t")) for name, _, value in parts])
-    return Headers([_field(line, plain) for line in lines])
+    return Headers([_parse_field(line, plain) for line in lines])
 
 
 def parse_request(head: bytes) -> Head:
@@ -143,7 +146,11 @@
     Raises:
         MalformedMessageError: They are not valid HTTP/1.1.
     """
-    return _known_request(head) if head.startswith(REPEATED) and len(head) <= KNOWN_MOST else _request(head)
+    return (
+        _cached_request(head)
+        if head.startswith(REPEATED_REQUEST_START) and len(head) <= MAX_CACHED_HEAD_BYTES
+        else _parse_request_head(head)
+    )
 
 
 def parse_response(head: bytes) -> Head:
@@ -152,27 +159,27 @@
     Raises:
         MalformedMessageError: They are not valid HTTP/1.1.
     """
-    return _known_response(head) if len(head) <= KNOWN_MOST else _response(head)
+    return _cached_response(head) if len(head) <= MAX_CACHED_HEAD_BYTES else _parse_response_head(head)
 
 
-def _request(head: bytes) -> Head:
+def _parse_request_head(head: bytes) -> Head:
     start, *lines = head.split(b"\r\n")
     m = _REQUEST.fullmatch(start)
     if m is None:
         raise MalformedMessageError(400, "malformed request line")
-    return Head(int(m[3]), _headers(lines, plain=True), m[1].decode(), m[2].decode())
+    return Head(int(m[3]), _parse_headers(lines, plain=True), m[1].decode(), m[2].decode())
 
 
-def _response(head: bytes) -> Head:
+def _parse_response_head(head: bytes) -> Head:
     start, *lines = head.split(b"\r\n")
     m = _STATUS.fullmatch(start)
     if m is None:
         raise MalformedMessageError(400, "malformed status line")
-    return Head(int(m[1]), _headers(lines, plain=False), status=int(m[2]))
+    return Head(int(m[1]), _parse_headers(lines, plain=False), status=int(m[2]))
 
 
-_known_request = lru_cache(KNOWN)(_request)
-_known_response = lru_cache(KNOWN)(_response)
+_cached_request = lru_cache(HEAD_CACHE_SIZE)(_parse_request_head)
+_cached_response = lru_cache(HEAD_CACHE_SIZE)(_parse_response_head)
 
 
 def frame_of(head: Head) -> Frame:
@@ -200,12 +207,12 @@
 
     __slots__ = (
         "chunked",
-        "left",
+        "remaining",
         "until_close",
-        "done",
-        "plain",
-        "trailer",
-        "trailers",
+        "is_complete",
+        "ascii_only",
+        "in_trailers",
+        "trailer_count",
         "trailer_bytes",
     )
 
@@ -213,11 +220,11 @@
         frame = head.headers.frame
         if frame is None:
             frame = head.headers.frame = frame_of(head)
-        self.chunked, self.left, self.until_close = frame
-        self.plain = not head.status
-        self.trailer = False
-        self.trailers = self.trailer_bytes = 0
-        self.done = not (self.chunked or self.left or self.until_close)
+        self.chunked, self.remaining, self.until_close = frame
+        self.ascii_only = not head.status
+        self.in_trailers = False
+        self.trailer_count = self.trailer_bytes = 0
+        self.is_complete = not (self.chunked or self.remaining or self.until_close)
 
     def take(self, buffer: bytearray) -> bytes:
         """Removes the available bytes of the body from the buffer and returns their content.
@@ -226,52 +233,54 @@
             MalformedMessageError: The chunked coding is malformed.
         """
         if not self.chunked:
-            piece = bytes(buffer if self.until_close else buffer[: self.left])
+            piece = bytes(buffer if self.until_close else buffer[: self.remaining])
             del buffer[: len(piece)]
-            self.left -= 0 if self.until_close else len(piece)
-            self.done = not (self.left or self.until_close)
+            self.remaining -= 0 if self.until_close else len(piece)
+            self.is_complete = not (self.remaining or self.until_close)
             return piece
         out = bytearray()
-        while not self.done and self._chunk(buffer, out):
+        while not self.is_complete and self._chunk(buffer, out):
             pass
         return bytes(out)
 
     def _chunk(self, buffer: bytearray, out: bytearray) -> bool:
         """One step through the chunks; `left` counts a chunk's data with its closing CRLF."""
-        if self.left:
-            part = bytes(buffer[: self.left])
+        if self.remaining:
+            part = bytes(buffer[: self.remaining])
             del buffer[: len(part)]
-            data = max(0, self.left - 2)
+            data = max(0, self.remaining - 2)
             out += part[:data]
-            if any(c != want for c, want in zip(part[data:], b"\r\n"[-min(2, self.left) :], strict=False)):
+            if any(
+                c != want for c, want in zip(part[data:], b"\r\n"[-min(2, self.remaining) :], strict=False)
+            ):
                 raise MalformedMessageError(400, "chunk without its end")
-            self.left -= len(part)
-            return not self.left
+            self.remaining -= len(part)
+            return not self.remaining
         end = buffer.find(b"\r\n")
-        if end < 0 or end > MAX_HEAD:
-            if len(buffer) > MAX_HEAD:
+        if end < 0 or end > MAX_HEAD_BYTES:
+            if len(buffer) > MAX_HEAD_BYTES:
                 raise MalformedMessageError(400, "chunk head too long")
             return False
         line = bytes(buffer[:end])
         del buffer[: end + 2]
-        if self.trailer:
+        if self.in_trailers:
             self._take_trailer(line)
         elif (m := _CHUNK.fullmatch(line)) is None:
             raise MalformedMessageError(400, "malformed chunk head")
         else:
             size = int(m[1], 16)
-            self.trailer, self.left = not size, size + 2 if size else 0
+            self.in_trailers, self.remaining = not size, size + 2 if size else 0
         return True
 
     def _take_trailer(self, line: bytes) -> None:
         """Nobody reads them here, but what no head may hold must not pass after a body either."""
         if not line:
-            self.done = True
+            self.is_complete = True
             return
-        self.trailers, self.trailer_bytes = self.trailers + 1, self.trailer_bytes + len(line) + 2
-        if self.trailers > MAX_FIELDS or self.trailer_bytes > MAX_HEAD:
+        self.trailer_count, self.trailer_bytes = self.trailer_count + 1, self.trailer_bytes + len(line) + 2
+        if self.trailer_count > MAX_FIELDS or self.trailer_bytes > MAX_HEAD_BYTES:
             raise MalformedMessageError(400, "too many trailers")
-        _field(line, self.plain)
+        _parse_field(line, self.ascii_only)
 
 
 class Parser:
@@ -282,22 +291,22 @@
         self.buffer = bytearray()
         self.head: Head | None = None
         self.body: Body | None = None
-        self.got = bytearray()
+        self.received = bytearray()
 
     @property
-    def begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Whether any bytes of the next message have arrived."""
         return bool(self.buffer or self.head)
 
     @property
-    def most(self) -> int:
+    def max_body_bytes(self) -> int:
         """The maximum number of body bytes that may follow the current head."""
-        if self.head is None or self.body is None or self.body.done:
+        if self.head is None or self.body is None or self.body.is_complete:
             return 0
-        return self.limit(self.head) if self.body.chunked else self.body.left
+        return self.limit(self.head) if self.body.chunked else self.body.remaining
 
     @property
-    def more(self) -> bool:
+    def has_more(self) -> bool:
         """Whether the peer sent more after the last message; empty lines don't count."""
         return bool(self.buffer.strip(b"\r\n"))
 
@@ -315,14 +324,14 @@
             return self.head
         while self.buffer.startswith(b"\r\n"):  # an empty line before a message is let pass
             del self.buffer[:2]
-        end = self.buffer.find(b"\r\n\r\n", 0, MAX_HEAD + 4)
+        end = self.buffer.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES + 4)
         if end < 0:
-            if len(self.buffer) > MAX_HEAD:
+            if len(self.buffer) > MAX_HEAD_BYTES:
                 raise MalformedMessageError(431, "head too long")
             return None
         head = self.parse(bytes(self.buffer[:end]))
         self.body = Body(head)
-        if self.body.left > self.limit(head):
+        if self.body.remaining > self.limit(head):
             raise MalformedMessageError(413, "body too long")
         del self.buffer[: end + 4]
         self.head = head
@@ -341,20 +350,20 @@
         head = self.head or self.take_head()
         if head is None or (body := self.body) is None:
             return None
-        if not (body.chunked or body.until_close or self.got) and body.left <= len(self.buffer):
+        if not (body.chunked or body.until_close or self.received) and body.remaining <= len(self.buffer):
             got = b""  # the whole of it is there, as mostly
-            if body.left:
-                got = bytes(self.buffer[: body.left])
-                del self.buffer[: body.left]
+            if body.remaining:
+                got = bytes(self.buffer[: body.remaining])
+                del self.buffer[: body.remaining]
             self.head = self.body = None
             return head, got
-        self.got += self.take_piece()
-        if len(self.got) > self.limit(head):
+        self.received += self.take_piece()
+        if len(self.received) > self.limit(head):
             raise MalformedMessageError(413, "body too long")
-        if not body.done:
+        if not body.is_complete:
             return None
-        message = head, bytes(self.got)
-        self.head, self.body, self.got = None, None, bytearray()
+        message = head, bytes(self.received)
+        self.head, self.body, self.received = None, None, bytearray()
         return message
 
 
@@ -365,15 +374,15 @@
     else than the loop tells when it can be read, and when the peer has left.
     """
 
-    short = False  # the last read was not filled: nothing more was there
-    watched = False
-    attends = 0  # bytes that may be read ahead, unasked, to see the peer's end behind them; 0: none
+    last_read_was_short = False  # the last read was not filled: nothing more was there
+    is_polled_elsewhere = False
+    max_read_ahead = 0  # bytes that may be read ahead, unasked, to see the peer's end behind them; 0: none
 
     def _handle_events(self, fd: Any, events: int) -> None:
         """IOStream stops to listen once something unasked was read, and would not see the end behind it."""
         super()._handle_events(fd, events)
-        if self.attends and self._state is not None and not self.closed():
-            if self._read_buffer_size > self.attends:
+        if self.max_read_ahead and self._state is not None and not self.closed():
+            if self._read_buffer_size > self.max_read_ahead:
                 self.close()  # whoever sends so much unasked can't be heard to leave
             elif not self._state & IOLoop.READ:
                 self._add_io_state(IOLoop.READ)
@@ -392,14 +401,14 @@
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
         """Reads once; after a read that left space in the buffer, reports that nothing is there."""
-        if self.short:
-            self.short = False
+        if self.last_read_was_short:
+            self.last_read_was_short = False
             return None
         count = super().read_from_fd(buf)
-        self.short = count is not None and 0 < count < len(buf)
+        self.last_read_was_short = count is not None and 0 < count < len(buf)
         return count
 
-    def apart(self) -> bool:
+    def detach(self) -> bool:
         """While nothing is read or written, the loop leaves it alone. False: something was read already."""
         if self._state is not None and not self.closed():
             self.io_loop.remove_handler(self.fileno())
@@ -408,11 +417,11 @@
 
     def _maybe_add_error_listener(self) -> None:
         """An idle stream listens for its peer's leaving, unless that is told anyway."""
-        if not self.watched:
+        if not self.is_polled_elsewhere:
             super()._maybe_add_error_listener()
 
 
-def silent(connection: socket.socket) -> bool:
+def has_nothing_to_read(connection: socket.socket) -> bool:
     """Whether the socket has nothing to receive, not even the end of the stream."""
     try:
         connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -423,7 +432,7 @@
     return False
 
 
-def departed(connection: socket.socket) -> bool:
+def peer_has_closed(connection: socket.socket) -> bool:
     """Whether the peer has ended or reset it, as far as nothing unread lies before that."""
     try:
         return not connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -446,7 +455,7 @@
         Raises:
             StreamClosedError: The connection is closed.
         """
-        self.parser.feed(await self.stream.read_bytes(PIECE, partial=True))
+        self.parser.feed(await self.stream.read_bytes(MAX_PIECE_BYTES, partial=True))
 
     async def head(self) -> Head:
         """Reads up to the end of the next head."""
@@ -458,7 +467,7 @@
         """Reads the next complete message, answering `Expect: 100-continue`."""
         invited = False
         while (message := self.parser.poll()) is None:
-            if not invited and (head := self.parser.head) and "100-continue" in head.headers.words("expect"):
+            if not invited and (head := self.parser.head) and "100-continue" in head.headers.tokens("expect"):
                 invited = True
                 await self.stream.write(b"HTTP/1.1 100 Continue\r\n\r\n")
             await self.fill()
@@ -473,17 +482,17 @@
         if (writing := self.stream.put(data)) is not None:
             await writing
 
-    def usable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether an idle connection can carry another request: any unexpected bytes rule it out."""
-        return not (self.stream.closed() or self.parser.begun) and self.quiet()
+        return not (self.stream.closed() or self.parser.has_begun) and self.has_nothing_to_read()
 
-    def quiet(self) -> bool:
+    def has_nothing_to_read(self) -> bool:
         """Whether nothing has come that was not yet read, not even the other side's end.
 
         Only of a channel on which a read waits: one that does not has bytes that came, and that its reader
         has not seen yet.
         """
-        return self.stream.reading() and silent(self.stream.socket)
+        return self.stream.reading() and has_nothing_to_read(self.stream.socket)
 
     def close(self) -> None:
         """Closes the connection."""
@@ -492,7 +501,7 @@
 
 def server_parser() -> Parser:
     """Returns a parser of responses with the default body limit."""
-    return Parser(parse_response, lambda head: MAX_BODY)
+    return Parser(parse_response, lambda head: MAX_BODY_BYTES)
 
 
 Connect = Callable[[tuple[str, int]], Awaitable[Channel]]
@@ -510,7 +519,7 @@
         OSError: The connection failed.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    stream = Stream(make(family), read_chunk_size=READ)
+    stream = Stream(make(family), read_chunk_size=READ_CHUNK_BYTES)
     try:
         await stream.connect(address)
     except BaseException:
@@ -545,9 +554,9 @@
 
 
 __all__ = [
-    "MAX_BODY",
-    "PIECE",
-    "READ",
+    "MAX_BODY_BYTES",
+    "MAX_PIECE_BYTES",
+    "READ_CHUNK_BYTES",
     "MalformedMessageError",
     "Body",
     "Channel",
@@ -558,10 +567,10 @@
     "Stream",
     "StreamClosedError",
     "connect",
-    "departed",
+    "peer_has_closed",
     "parse_request",
     "parse_response",
-    "silent",
+    "has_nothing_to_read",
     "write_head",
     "write_request",
     "write_response",
--- a/finchladder/net/job_intake.py
+++ b/finchladder/net/job_intake.py
@@ -38,19 +38,19 @@
         leaving: GracefulShutdown,
         sockets: int,
     ) -> None:
-        self.classes, self.flows, self.module, self.clock = classes, flows, module, module.clock
+        self.classes, self.flows, self.decisions, self.clock = classes, flows, module, module.clock
         self.timers, self.arrivals, self.shutdown = timers, arrivals, leaving
         self.max_open_flows = int(OPEN_FLOW_SHARE * sockets)
         self.delayed_flows: dict[Flow, Effect] = {}  # by a drill
         self.routes = NO_ROUTES
 
-    def arrive(self, client: str, id: str, job_class: str, left_s: float) -> Verdict:
+    def check_limits(self, client: str, id: str, job_class: str, left_s: float) -> Verdict:
         """Returns the verdict of rate limits and fault injection on a request; `left_s` in seconds.
 
         Raises:
             DuplicateRequestError: A request with this id has been received already.
         """
-        if self.flows.known(id):
+        if self.flows.is_known(id):
             raise DuplicateRequestError
         return self.arrivals.judge(self.clock(), client, id, job_class, left_s)
 
@@ -65,24 +65,24 @@
         Raises:
             DuplicateRequestError: A request with this id has been received already.
         """
-        if self.flows.known(flow.id):
+        if self.flows.is_known(flow.id):
             raise DuplicateRequestError
         self.flows.add(flow)
-        flow.since = self.clock()
+        flow.received_at = self.clock()
         if self.flows.open > self.max_open_flows:
             self.flows.finish(flow, Answer("refused", retry_after=1.0))
             return
-        self.timers.put(flow, flow.deadline, partial(self._overdue, flow))
-        flow.timer = partial(self.timers.drop, flow)
+        self.timers.schedule(flow, flow.deadline, partial(self._deadline_passed, flow))
+        flow.timer = partial(self.timers.cancel, flow)
         if drill is None:
-            self.module.submit(flow)
+            self.decisions.submit(flow)
         else:
-            self._drill(flow, drill)
+            self._inject_fault(flow, drill)
 
-    def client_left(self, flow: Flow) -> None:
+    def client_disconnected(self, flow: Flow) -> None:
         """Ends a flow without an answer and cancels its attempts."""
         if self.flows.finish(flow, Answer("left")):
-            self.module.submit(api.ClientDisconnected(flow.id))
+            self.decisions.submit(api.ClientDisconnected(flow.id))
 
     def shut_down(self) -> None:
         """Starts the shutdown: requests held by fault injection are released."""
@@ -91,17 +91,17 @@
         self.arrivals.leave(now)
         for flow in list(self.delayed_flows):  # no drill is worth a job that SIGKILL finds unanswered
             self.delayed_flows[flow] = Effect()
-            self._release(flow)
+            self._release_delayed(flow)
 
-    def _drill(self, flow: Flow, drill: Effect) -> None:
+    def _inject_fault(self, flow: Flow, drill: Effect) -> None:
         what = "delay" if drill.hold else "abort"
         bound = logger.bind(drill=what, **_fields(flow))
         bound.info("drill={} class={} id={} hold={:g}", what, flow.job_class, flow.id, drill.hold)
         self.delayed_flows[flow] = drill
         if not drill.hold:
-            return self._release(flow)
+            return self._release_delayed(flow)
         loop, overdue = IOLoop.current(), flow.timer
-        handle = loop.call_later(drill.hold, self._release, flow)
+        handle = loop.call_later(drill.hold, self._release_delayed, flow)
 
         def forget() -> None:  # also when the client leaves: nothing may be kept of its flow
             if overdue is not None:
@@ -111,16 +111,16 @@
 
         flow.timer = forget
 
-    def _release(self, flow: Flow) -> None:
+    def _release_delayed(self, flow: Flow) -> None:
         if (drill := self.delayed_flows.pop(flow, None)) is None or flow.answer is not None:
             return
         if drill.abort:
             self.flows.finish(flow, Answer("refused"))
         else:
-            self.module.submit(flow)
+            self.decisions.submit(flow)
 
-    def _overdue(self, flow: Flow) -> None:
+    def _deadline_passed(self, flow: Flow) -> None:
         """The module answers before this; should it ever not, the client still gets its one answer."""
         if self.flows.finish(flow, Answer("failed")):
             logger.bind(**_fields(flow)).error("a flow was overdue: the module had not answered it")
-            self.module.submit(api.ClientDisconnected(flow.id))
+            self.decisions.submit(api.ClientDisconnected(flow.id))
--- a/finchladder/net/membership_actor.py
+++ b/finchladder/net/membership_actor.py
@@ -44,7 +44,7 @@
 )  # seconds from a change, and without one: then its time is renewed
 LOG_INTERVAL_S = 1.0  # seconds between two lines of the log about the same kind of fact
 
-LINES: dict[FactKind, tuple[str, str]] = {
+LOG_TEXTS: dict[FactKind, tuple[str, str]] = {
     FactKind.LEADS: ("INFO", "{f.source} leads, with {f.number} entries"),
     FactKind.LOST: (
         "WARNING",
@@ -112,11 +112,13 @@
         super().__init__("membership", MAILBOX_SIZE)
         past = [Source(LAST_GOOD, past=True)] if file is not None else []
         self.membership = Membership([*sources, *past], rules)
-        self.clock, self.applying, self.at_once, self.file = clock, applying, at_once, file
+        self.clock, self.consumer, self.max_at_once, self.file = clock, applying, at_once, file
         self.timer: asyncio.TimerHandle | None = None
-        self.due = inf  # when it rings, in the clock's time
-        self.saving: asyncio.TimerHandle | None = None
-        self.said: dict[FactKind, tuple[float, int]] = {}  # when last, and how many lines are kept back since
+        self.timer_due = inf  # when it rings, in the clock's time
+        self.save_timer: asyncio.TimerHandle | None = None
+        self.last_logged: dict[
+            FactKind, tuple[float, int]
+        ] = {}  # when last, and how many lines are kept back since
 
     @property
     def up(self) -> bool:
@@ -125,7 +127,7 @@
 
     def receive(self, report: Report) -> None:
         """Decides on a report of one source."""
-        self._do(self.membership.report(self.clock(), report))
+        self._carry_out(self.membership.report(self.clock(), report))
 
     def report(self, report: Report) -> None:
         """Posts a report of one source."""
@@ -133,37 +135,37 @@
 
     def source_is_alive(self, source: str, in_step: bool = True) -> None:
         """Records a heartbeat of a source; `in_step`: its last report is still current."""
-        self._do(self.membership.heard(self.clock(), source, in_step))
+        self._carry_out(self.membership.heard(self.clock(), source, in_step))
 
-    def _ring(self) -> None:
-        self.due, self.timer = inf, None
-        self._do(self.membership.due(self.clock()))
+    def _timer_expired(self) -> None:
+        self.timer_due, self.timer = inf, None
+        self._carry_out(self.membership.due(self.clock()))
 
-    def _do(self, decided: Decided) -> None:
+    def _carry_out(self, decided: Decided) -> None:
         for fact in decided.facts:
-            self._say(fact)
+            self._log_fact(fact)
         entries = decided.workers.entries
-        if len(entries) > self.at_once:
-            self.applying.apply_in_slices(entries, decided.addresses)
+        if len(entries) > self.max_at_once:
+            self.consumer.apply_in_slices(entries, decided.addresses)
         elif entries:
-            self.applying.apply(decided.workers, decided.addresses)
+            self.consumer.apply(decided.workers, decided.addresses)
         if entries and self.file is not None:
             self._save_after(WRITE_DELAY_S)
         due = self.membership.next_due
-        if due < self.due:  # one that rings too early does no harm
+        if due < self.timer_due:  # one that rings too early does no harm
             if self.timer is not None:
                 self.timer.cancel()
             wait = max(0.0, due - self.clock())
-            self.due, self.timer = due, asyncio.get_running_loop().call_later(wait, self._ring)
+            self.timer_due, self.timer = due, asyncio.get_running_loop().call_later(wait, self._timer_expired)
 
-    def _say(self, f: Fact) -> None:
+    def _log_fact(self, f: Fact) -> None:
         now = self.clock()
-        last, kept_back = self.said.get(f.what, (-inf, 0))
+        last, kept_back = self.last_logged.get(f.what, (-inf, 0))
         if now < last + LOG_INTERVAL_S:
-            self.said[f.what] = last, kept_back + 1
+            self.last_logged[f.what] = last, kept_back + 1
             return
-        self.said[f.what] = now, 0
-        level, text = LINES[f.what]
+        self.last_logged[f.what] = now, 0
+        level, text = LOG_TEXTS[f.what]
         more = ", .." if f.number > len(f.names) else ""
         line = text.format(f=f, names=", ".join(f.names) + more)
         self.log.log(level, "membership: {}{}", line, f" (and {kept_back} such lines)" if kept_back else "")
@@ -193,10 +195,10 @@
             self.log.error("membership: the last good list can't be read within {:g} s", READ_TIMEOUT_S)
             return known
         if found is not None:
-            self._take(*found, list_version(known) if known else -1)
+            self._use_last_good(*found, list_version(known) if known else -1)
         return b"" if self.membership.up else known
 
-    def _take(self, good: LastGood, news: EndpointUpdate, known_version: int) -> None:
+    def _use_last_good(self, good: LastGood, news: EndpointUpdate, known_version: int) -> None:
         if good.source == DISCOVERY and good.version < known_version:
             return
         age = max(0.0, self.clock() - good.time_s)
@@ -207,17 +209,17 @@
 
     def _save_after(self, seconds: float) -> None:
         loop = asyncio.get_running_loop()
-        if self.saving is None or self.saving.when() > loop.time() + seconds:
-            if self.saving is not None:
-                self.saving.cancel()
-            self.saving = loop.call_later(seconds, self._save)
+        if self.save_timer is None or self.save_timer.when() > loop.time() + seconds:
+            if self.save_timer is not None:
+                self.save_timer.cancel()
+            self.save_timer = loop.call_later(seconds, self._save)
 
     def _save(self) -> None:
-        self.saving = None
-        self._put()
+        self.save_timer = None
+        self._save_now()
         self._save_after(WRITE_INTERVAL_S)
 
-    def _put(self) -> None:
+    def _save_now(self) -> None:
         lead = self.membership.lead
         if self.file is None or lead is None or not lead.is_live:
             return  # what is there is no better than the file
@@ -226,19 +228,19 @@
             (b.entry._replace(state=drains) if b.belief is Belief.DRAINING else b.entry, b.address)
             for b in self.membership.members.values()
         ]
-        self.file.put(partial(_last_good, lead.source.name, lead.version, lead.valid_at, listed))
+        self.file.put(partial(_build_last_good, lead.source.name, lead.version, lead.valid_at, listed))
 
     def close(self) -> None:
         """The list of now is the last thing that is written."""
-        for timer in (self.timer, self.saving):
+        for timer in (self.timer, self.save_timer):
             if timer is not None:
                 timer.cancel()
         if self.file is not None:
-            self._put()
+            self._save_now()
             self.file.close()
 
 
-def _last_good(
+def _build_last_good(
     source: str, version: int, time_s: float, listed: list[tuple[api.WorkerEntry, tuple[str, int]]]
 ) -> LastGood:
     return LastGood(source, version, time_s, write_list(version, listed))
@@ -262,17 +264,17 @@
     """Applies lists through an endpoint watcher that itself watches nothing."""
 
     def __init__(self, actor: EndpointWatcher) -> None:
-        self.actor = actor
+        self.watcher = actor
 
     def apply(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
         """Applies a list at once."""
-        self.actor.post(EndpointUpdate(0, workers, addresses))
+        self.watcher.post(EndpointUpdate(0, workers, addresses))
 
     def apply_in_slices(
         self, entries: Sequence[api.WorkerEntry], addresses: dict[str, tuple[str, int]]
     ) -> None:
         """Applies changed entries in slices."""
-        self.actor._changed(EndpointChange(0, list(entries), addresses), known=False)
+        self.watcher._apply_change(EndpointChange(0, list(entries), addresses), known=False)
 
 
 class DiscoverySource(EndpointWatcher):
--- a/finchladder/net/messages.py
+++ b/finchladder/net/messages.py
@@ -7,11 +7,13 @@
 
 import msgspec
 
-from finchladder.net.http1 import MAX_BODY, Head, Headers, MalformedMessageError, write_request
+from finchladder.net.http1 import MAX_BODY_BYTES, Head, Headers, MalformedMessageError, write_request
 
-CALL_BACK = "/v1/job-events"
-MAX_CALL_BACK = 6 * MAX_BODY + 16 * 1024  # a result of full length in which JSON escapes every byte
-HOP = frozenset(
+CALLBACK_PATH = "/v1/job-events"
+MAX_CALLBACK_BYTES = (
+    6 * MAX_BODY_BYTES + 16 * 1024
+)  # a result of full length in which JSON escapes every byte
+HOP_BY_HOP_FIELDS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -43,14 +45,14 @@
 
     def request(self, host: str, time_left_s: float) -> bytes:
         """Returns the request to a worker; `time_left_s` in seconds goes into X-Time-Left."""
-        named = self.headers.words("connection")
-        dropped = HOP | named if named else HOP
+        named = self.headers.tokens("connection")
+        dropped = HOP_BY_HOP_FIELDS | named if named else HOP_BY_HOP_FIELDS
         fields = [(n, v) for n, v in self.headers.fields if n.lower() not in dropped]
         fields += [("Host", host), ("X-Time-Left", f"{time_left_s:.3f}")]
         return write_request(self.method, self.target, fields, self.body)
 
 
-class CallBack(msgspec.Struct, rename={"sender": "from"}):
+class Callback(msgspec.Struct, rename={"sender": "from"}):
     """A worker's callback on the progress or result of a job."""
 
     id: str
@@ -60,13 +62,13 @@
     result: str = ""
     load: object = None
 
-    def report(self) -> dict[str, float] | None:
+    def load_report(self) -> dict[str, float] | None:
         """Returns the numbers of the load report, or None where there are none."""
         pairs = self.load.items() if isinstance(self.load, dict) else ()
         return {str(n): float(v) for n, v in pairs if isinstance(v, int | float)} or None
 
 
-def key_of(text: str) -> int | None:
+def hash_key(text: str) -> int | None:
     """The same number at every dispatcher and after every start; Python's hash() is neither."""
     return int.from_bytes(blake2b(text.encode(), digest_size=7).digest(), "big") if text else None
 
@@ -74,7 +76,7 @@
 def read_target(target: str) -> tuple[str, int | None]:
     """Returns the job class (the path's first segment) and the key of the last, where there are several."""
     parts = target.partition("?")[0].split("/")
-    return parts[1] if len(parts) > 1 else "", key_of(parts[-1]) if len(parts) > 2 else None
+    return parts[1] if len(parts) > 1 else "", hash_key(parts[-1]) if len(parts) > 2 else None
 
 
 def read_id(head: Head) -> str:
@@ -102,7 +104,7 @@
     return left
 
 
-def read_repeat(head: Head) -> bool:
+def read_client_retry(head: Head) -> bool:
     """X-Repeat: 1 marks a client's own retry, where clients mark them."""
     return head.headers.get("x-repeat") == "1"
 
@@ -129,21 +131,21 @@
     return facts
 
 
-def read_call_back(body: bytes) -> CallBack:
+def read_callback(body: bytes) -> Callback:
     """Decodes a worker's callback.
 
     Raises:
         MalformedMessageError: The body is not valid.
     """
     try:
-        return _call_backs.decode(body)
+        return _callback_decoder.decode(body)
     except msgspec.MsgspecError as e:
         raise MalformedMessageError(400, str(e)) from None
 
 
-_call_backs = msgspec.json.Decoder(CallBack)
+_callback_decoder = msgspec.json.Decoder(Callback)
 
 
 def limit_of(head: Head) -> int:
     """Returns the maximum body size of a request in bytes."""
-    return MAX_CALL_BACK if head.target.partition("?")[0] == CALL_BACK else MAX_BODY
+    return MAX_CALLBACK_BYTES if head.target.partition("?")[0] == CALLBACK_PATH else MAX_BODY_BYTES
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -25,7 +25,7 @@
 from finchladder.net.admission import Admission
 from finchladder.net.capture_recorder import CaptureRecorder
 from finchladder.net.client_listener import ClientListener
-from finchladder.net.config_reload import ConfigReloader, count
+from finchladder.net.config_reload import ConfigReloader, count_routes
 from finchladder.net.control import ControlCalls
 from finchladder.net.decision_actor import Clock, DecisionActor
 from finchladder.net.endpoint_watcher import MAX_APPLIED_AT_ONCE, EndpointWatcher
@@ -65,13 +65,13 @@
         machine: HostEnvironment | None = None,
         file: OperatorFile | None = None,
     ) -> None:
-        self.setup, self.options, self.reread = setup, options, reread
+        self.setup, self.options, self.read_setup = setup, options, reread
         self.machine = machine or HostEnvironment()
         self.clock = Clock(self.machine.wall, self.machine.monotonic)
         status = JobStatus(options.status) if options.status is not None else None
         self.flows = FlowTable(status, self.clock, setup.limits.sockets)
         seed = read_seed(setup.seed)
-        peers = self._join(options.peers, seed) if options.peers is not None else None
+        peers = self._build_exchange(options.peers, seed) if options.peers is not None else None
         decided = self._build_decisions(seed, file, peers)
         arrivals = Arrivals(options, seed)
         self._build_peers(peers, arrivals)
@@ -90,7 +90,7 @@
     ) -> Dispatcher | RouteLimitedDispatcher:
         """The decisions, with the rate limits of routes shared among peers, and their actor."""
         routes = file.loaded.routes if file is not None else None
-        share = self._share if peers is not None else None
+        share = self._shared_bucket if peers is not None else None
         decided = make_decisions(self.setup.settings, seed, routes, self.options.spillover_settings(), share)
         self.dispatcher = decided.inner if isinstance(decided, RouteLimitedDispatcher) else decided
         self.decisions = DecisionActor(decided, self.flows, self.clock)
@@ -98,29 +98,29 @@
 
     def _build_peers(self, peers: "Peers | None", arrivals: Arrivals) -> None:
         """Outlier detection, then the exchange with the other dispatchers, where they are on."""
-        self.judging: OutlierDetector | None = None
+        self.detector: OutlierDetector | None = None
         if self.options.judgement is not None:
-            self._judge(self.options.judgement, peers)
+            self._build_detector(self.options.judgement, peers)
         self.peers: PeersActor | None = None
         if self.options.peers is not None and peers is not None:
-            self._speak(self.options, peers, arrivals)
+            self._build_peers_actor(self.options, peers, arrivals)
 
     def _build_capture(self, decided: Dispatcher | RouteLimitedDispatcher, arrivals: Arrivals) -> None:
         """The recorder of all inputs and outputs of the decisions, where it is on."""
         self.capture: Capture | None = None
-        self.files: Disk | None = None
+        self.capture_files: Disk | None = None
         if self.options.capture is None:
             return
-        self.files = self.machine.open_capture_files(
+        self.capture_files = self.machine.open_capture_files(
             self.options.capture, self.setup.name, int(self.clock() * 1000)
         )
         states = snapshot.Taking(decided, arrivals)
-        self.capture = Capture(self.options.capture, self.setup.seed, states, self.files)
+        self.capture = Capture(self.options.capture, self.setup.seed, states, self.capture_files)
         self.capture.begin(self.clock())
         recorder = CaptureRecorder(self.capture)
         self.decisions.recorder = recorder
         arrivals.tap = recorder
-        self.capture.soon = recorder.soon
+        self.capture.soon = recorder.call_soon
 
     def _build_workers(self) -> "SubsetFilter | None":
         """The pool of workers; returns the filter of the list where only a subset of it is used."""
@@ -142,26 +142,26 @@
             self.machine.connect,
             max_connections_each,
         )
-        self.decisions.carrier = self.workers
+        self.decisions.sender = self.workers
         return subset
 
     def _build_discovery(self, subset: "SubsetFilter | None", seed: int) -> None:
         """The sources of the worker list, and the membership rules over them, where they are on."""
-        self.service = EndpointWatcher(
+        self.watcher = EndpointWatcher(
             self.setup.discovery, self.workers.update, self.workers.retire, self.machine.connect, subset
         )
-        self.service.settled = self.machine.freeze_objects
-        self.members: MembershipActor | None = None
+        self.watcher.on_settled = self.machine.freeze_objects
+        self.membership: MembershipActor | None = None
         self.etcd: EtcdActor | None = None
         if self.options.membership is not None or self.options.etcd is not None:
-            self._believe(self.options, seed)
+            self._build_membership(self.options, seed)
         settings = self.setup.settings
         shared = settings.must_subscribe
-        self.service.rules = rules = WatchState(shared)
+        self.watcher.watch_state = rules = WatchState(shared)
         callers = settings.dispatchers if shared else 1
         # not from the decisions' draws: those must be the same in a replay
         random = Random(f"{seed}/discovery")
-        self.service.recalls = WatchBackoff(callers, random, rules.reopen_within_s, rules.retry_within_s)
+        self.watcher.backoff = WatchBackoff(callers, random, rules.reopen_within_s, rules.retry_within_s)
 
     def _build_intake(self, arrivals: Arrivals) -> None:
         """The intake of jobs, with the bounds of a shutdown."""
@@ -181,7 +181,9 @@
         """The reloading of the operator's file, where there is one."""
         self.reloader: ConfigReloader | None = None
         if file is not None:
-            self.reloader = ConfigReloader(file.loaded, file.read, self.machine.run_in_thread, self._hold)
+            self.reloader = ConfigReloader(
+                file.loaded, file.read, self.machine.run_in_thread, self._apply_routes
+            )
             self.intake.routes = file.loaded.routes
 
     def _build_controls(self, arrivals: Arrivals, peers: "Peers | None") -> ControlCalls:
@@ -190,20 +192,20 @@
             self.clock, self.classes, self.options, self.flows.status, arrivals, self.capture
         )
         controls.peers = self.peers
-        if self.options.judgement is not None and self.judging is not None:
+        if self.options.judgement is not None and self.detector is not None:
             # only a dispatcher with outlier detection loads it
             from finchladder.net.outlier_control import OutlierControl
 
-            controls.bench = OutlierControl(
+            controls.outlier_control = OutlierControl(
                 self.options.judgement.key,
-                self.judging,
+                self.detector,
                 self.dispatcher,
                 self.clock,
                 self.decisions.submit,
                 peers,
             )
             if self.peers is not None:
-                self.peers.judged = controls.bench.show
+                self.peers.show_detector = controls.outlier_control.show
         return controls
 
     def _build_admission(self, seed: int) -> None:
@@ -213,20 +215,22 @@
             return
         settings = self.setup.settings
         limits = self.options.overload.settings(settings.max_retry_after_s)
-        self.admission = Admission(settings.classes, limits, seed, self.clock, self.flows.known, self.machine)
-        self.decisions.starts = self.admission.started
+        self.admission = Admission(
+            settings.classes, limits, seed, self.clock, self.flows.is_known, self.machine
+        )
+        self.decisions.on_job_started = self.admission.record_start
 
     def _build_clients(self, controls: ControlCalls) -> None:
         """The handler of messages and the listener for client connections."""
-        lists = self.members or self.service
+        lists = self.membership or self.watcher
         handler = RequestHandler(
-            self.intake, controls, lambda: lists.up, self.workers.called_back, self.admission
+            self.intake, controls, lambda: lists.up, self.workers.handle_callback, self.admission
         )
         limits = self.setup.limits
         self.body_memory = BodyMemory(limits.memory_mb * 1024 * 1024, self.options.memory_bytes())
         self.listener = ClientListener(handler, self.body_memory, limits.sockets)
 
-    def _join(self, options: PeersOptions, seed: int) -> "Peers":
+    def _build_exchange(self, options: PeersOptions, seed: int) -> "Peers":
         """This one's place among the dispatchers."""
         # only a dispatcher that is to do so loads them
         from finchladder.core.peers.exchange import Peers, Rule
@@ -235,7 +239,7 @@
 
         addresses = options.addresses_including(self.setup.name)
         rule = Rule(Timing(options.period_s), options.wave_s if options.counts else 0.0)
-        self.joined = Peers(
+        self.exchange = Peers(
             self.setup.name,
             addresses,
             seed,
@@ -244,21 +248,21 @@
             rule,
             lambda: own_counts(self.dispatcher.workers.values()),
         )
-        return self.joined
+        return self.exchange
 
-    def _judge(self, options: JudgementOptions, joined: "Peers | None") -> None:
+    def _build_detector(self, options: JudgementOptions, joined: "Peers | None") -> None:
         """Real servers are judged by evidence, others' too where dispatchers speak with each other."""
         from finchladder.core.health.detection.detector import DetectorSettings, ReportSource, attach
 
         rules = DetectorSettings(options.most_out, options.term_s)
-        self.judging = attach(self.dispatcher, self.setup.name, rules, self.clock(), logger.info)
+        self.detector = attach(self.dispatcher, self.setup.name, rules, self.clock(), logger.info)
         if joined is not None:
-            joined.evidence = ReportSource(self.judging, self.dispatcher)
+            joined.evidence = ReportSource(self.detector, self.dispatcher)
 
-    def _share(self, budget: str, limit: float) -> "Bucket":
-        return self.joined.share(budget, limit, self.clock(), self.setup.settings.dispatchers)
+    def _shared_bucket(self, budget: str, limit: float) -> "Bucket":
+        return self.exchange.share(budget, limit, self.clock(), self.setup.settings.dispatchers)
 
-    def _speak(self, options: Options, joined: "Peers", arrivals: Arrivals) -> None:
+    def _build_peers_actor(self, options: Options, joined: "Peers", arrivals: Arrivals) -> None:
         from finchladder.core.peers.loads import attach
         from finchladder.features.shared_admission_limits import SharedBuckets
         from finchladder.net.peers.actor import PeersActor
@@ -282,7 +286,7 @@
             self.machine.datagrams,
         )
 
-    def _believe(self, options: Options, seed: int) -> None:
+    def _build_membership(self, options: Options, seed: int) -> None:
         """Lists are believed by the rules of membership, and no more as they come."""
         # only a dispatcher that is to do so loads them
         from finchladder.core.membership.decisions import Source
@@ -293,19 +297,19 @@
         if options.etcd is not None:
             from finchladder.net.etcd import follow, state
 
-            sources.insert(0 if own.lead == state.SOURCE else 1, Source(state.SOURCE, state.QUIET_S))
+            sources.insert(0 if own.lead == state.SOURCE else 1, Source(state.SOURCE, state.MAX_SILENCE_S))
         file = (
             (machine.last_good or membership_actor.last_good_file)(own.last_good) if own.last_good else None
         )
-        self.members = members = membership_actor.MembershipActor(
+        self.membership = members = membership_actor.MembershipActor(
             sources,
             own.settings(),
             self.clock,
-            membership_actor.EndpointApplier(self.service),
+            membership_actor.EndpointApplier(self.watcher),
             MAX_APPLIED_AT_ONCE,
             file,
         )
-        self.service = membership_actor.DiscoverySource(self.setup.discovery, members, machine.connect)
+        self.watcher = membership_actor.DiscoverySource(self.setup.discovery, members, machine.connect)
         if options.etcd is not None:
             self.etcd = follow.EtcdActor(
                 options.etcd,
@@ -326,22 +330,22 @@
         self.workers.start()
         if self.admission is not None:
             self.admission.start()
-        known = setup.known if self.members is None else await self.members.load_last_good(setup.known)
-        self.service.start(known)
+        known = setup.known if self.membership is None else await self.membership.load_last_good(setup.known)
+        self.watcher.start(known)
         if self.etcd is not None:
             self.etcd.start()
         # a SIGHUP with nobody to handle it would end the process, and with it all open flows
-        loop.add_signal_handler(signal.SIGHUP, self._reread)
+        loop.add_signal_handler(signal.SIGHUP, self._reload)
         if self.peers is not None:
             self.peers.start()
         # whoever connects before is refused at once, and has lost nothing
-        await self.service.first_word()
+        await self.watcher.wait_for_first_update()
         for listening in self.machine.listen(setup.listen, setup.limits.sockets):
             self.listener.add_socket(listening)
         logger.info("{}: serving at {}:{}", setup.name, *setup.listen)
         if self.reloader is not None:
             loaded = self.reloader.loaded
-            logger.info("routes: version {} holds, {}", loaded.version, count(loaded.routes))
+            logger.info("routes: version {} holds, {}", loaded.version, count_routes(loaded.routes))
         await left.wait()
         logger.info("{}: leaving", setup.name)
         await self.listener.shut_down()
@@ -349,13 +353,13 @@
             self.peers.stop()
         if self.etcd is not None:
             self.etcd.stop()
-        if self.members is not None:
-            self.members.close()
-        if self.files is not None:
-            self.files.close()
+        if self.membership is not None:
+            self.membership.close()
+        if self.capture_files is not None:
+            self.capture_files.close()
         logger.info("{}: left", setup.name)
 
-    def _reread(self) -> None:
+    def _reload(self) -> None:
         """What SIGHUP asks for: the file's discovery is followed, and the operator's routes hold.
 
         All else holds from the next start.
@@ -363,16 +367,16 @@
         if self.reloader is not None:
             self.reloader.request_reload()
         try:
-            discovery = self.reread().discovery
+            discovery = self.read_setup().discovery
         except (ValueError, RecursionError) as e:
             logger.error("SIGHUP: {}; what was read before stays in force", " ".join(str(e).split()))
             return
         logger.info("SIGHUP: discovery is at {}:{}", *discovery)
-        self.service.follow(discovery)
+        self.watcher.follow(discovery)
         if self.peers is not None:
-            self._relist(self.peers)
+            self._reload_peers(self.peers)
 
-    def _relist(self, peers: "PeersActor") -> None:
+    def _reload_peers(self, peers: "PeersActor") -> None:
         """The file of the dispatchers is read again; one that can't be used changes nothing."""
         assert self.options.peers is not None
         try:
@@ -383,7 +387,7 @@
         peers.follow(addresses, self.setup.settings.dispatchers)
         logger.info("SIGHUP: [peers]: {} dispatchers are listed", len(addresses))
 
-    def _hold(self, routes: Routes) -> None:
+    def _apply_routes(self, routes: Routes) -> None:
         """In one step: a job that has come under a route of before is decided by that."""
         self.intake.routes = routes
         self.decisions.submit(NewRoutes(routes))
--- a/finchladder/net/outlier_control.py
+++ b/finchladder/net/outlier_control.py
@@ -26,8 +26,8 @@
         peers: "Peers | None",
     ) -> None:
         """`peers`: tell the others; without them a word holds here alone."""
-        self.key, self.judging, self.d, self.clock, self.tell = key, judging, d, clock, tell
-        self.orders = peers.orders if peers is not None else OverrideTable(judging.name, 0)
+        self.key, self.detector, self.dispatcher, self.clock, self.submit = key, judging, d, clock, tell
+        self.overrides = peers.orders if peers is not None else OverrideTable(judging.name, 0)
 
     def show(self) -> list[dict[str, Any]]:
         """Returns one JSON object for each worker with evidence and for each override."""
@@ -40,9 +40,9 @@
                 "why": o.reason,
                 "left_s": round(until - now, 3),
             }
-            for s, (o, until) in sorted(self.orders.active(now).items())
+            for s, (o, until) in sorted(self.overrides.active(now).items())
         ]
-        return self.judging.show(now, self.d.workers) + words
+        return self.detector.show(now, self.dispatcher.workers) + words
 
     def apply_override(self, order: OverrideRequest) -> dict[str, Any]:
         """Applies an override and returns it as a JSON object.
@@ -50,12 +50,12 @@
         Raises:
             ValueError: No such worker is known.
         """
-        if order.server not in self.d.workers:
+        if order.server not in self.dispatcher.workers:
             raise ValueError(f"no real server {order.server} is known here")
         now = self.clock()
-        said = self.orders.issue(now, order.server, order.stance, order.for_s, order.why)
-        self.orders.has_changed = False
-        self.tell(self.orders.as_event(now))
+        said = self.overrides.issue(now, order.server, order.stance, order.for_s, order.why)
+        self.overrides.has_changed = False
+        self.submit(self.overrides.as_event(now))
         return {
             "server": said.worker,
             "stance": said.stance,
--- a/finchladder/net/peers/actor.py
+++ b/finchladder/net/peers/actor.py
@@ -15,10 +15,10 @@
 from finchladder.core.peers.exchange import Packets, Peers
 from finchladder.net.peers.datagrams import MAX_DATAGRAM_BYTES, MalformedDatagramError, decode, encode
 
-EACH = 64  # datagrams read in one turn of the loop
-AGAIN_S = 5.0  # until a socket is tried again
-BUFFER = 1 << 18  # bytes of the socket's buffers
-LEAST_S = 0.001  # between two looks
+MAX_READ_AT_ONCE = 64  # datagrams read in one turn of the loop
+BIND_RETRY_S = 5.0  # until a socket is tried again
+SOCKET_BUFFER_BYTES = 1 << 18  # bytes of the socket's buffers
+MIN_INTERVAL_S = 0.001  # between two looks
 
 Address = tuple[str, int]
 
@@ -32,7 +32,7 @@
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM)
     try:
         sock.setblocking(False)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
         sock.bind(address)
     except OSError:
         sock.close()
@@ -64,7 +64,7 @@
             heard: Receives all peers' load counts and their reports on workers.
             bind: Opens the socket.
         """
-        self.peers, self.fleet, self.own_address, self.clock, self.heard, self.bind = (
+        self.peers, self.fleet, self.own_address, self.clock, self.on_update, self.bind = (
             peers,
             fleet,
             own,
@@ -75,41 +75,41 @@
         self.addresses = dict(addresses)
         self.socket: socket.socket | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.closed = False
+        self.is_stopped = False
         self.dropped: dict[str, int] = {}
         self.sent = self.received = self.sent_bytes = self.received_bytes = self.unsent = 0
-        self.tell_at = 0.0
-        self.complained = False
-        self.judged: Callable[[], list[dict[str, Any]]] | None = None  # what is held of real servers
+        self.loads_due_at = 0.0
+        self.is_bind_error_logged = False
+        self.show_detector: Callable[[], list[dict[str, Any]]] | None = None  # what is held of real servers
 
     def start(self) -> None:
         """Opens the socket and starts the periodic exchange."""
         self._open()
-        self._turn()
+        self._exchange()
 
     def stop(self) -> None:
         """Announces to the peers that this dispatcher leaves, and closes the socket."""
         self._send(self.peers.leave(self.clock()))
-        self.closed = True
+        self.is_stopped = True
         if self.timer is not None:
             self.timer.cancel()
         self._close()
 
     def _open(self) -> None:
-        if self.closed or self.socket is not None:
+        if self.is_stopped or self.socket is not None:
             return
         loop = asyncio.get_running_loop()
         try:
             self.socket = self.bind(self.own_address)
         except OSError as e:
-            if not self.complained:
+            if not self.is_bind_error_logged:
                 logger.error(
                     "peers: no UDP at {}:{}: {}; each goes on by its own share", *self.own_address, e.strerror
                 )
-            self.complained = True
-            loop.call_later(AGAIN_S, self._open)
+            self.is_bind_error_logged = True
+            loop.call_later(BIND_RETRY_S, self._open)
             return
-        if self.complained:
+        if self.is_bind_error_logged:
             logger.info("peers: UDP at {}:{} is there now", *self.own_address)
         loop.add_reader(self.socket.fileno(), self._read)
 
@@ -122,7 +122,7 @@
     # --- in
 
     def _read(self) -> None:
-        for _ in range(EACH):
+        for _ in range(MAX_READ_AT_ONCE):
             if self.socket is None:
                 return
             try:
@@ -134,14 +134,14 @@
             self.received += 1
             self.received_bytes += len(data)
             try:
-                self._take(data, (source[0], source[1]))
+                self._handle_datagram(data, (source[0], source[1]))
             except Exception:
                 # a fault of this program's must not end the reading, and is told once
                 self._drop("fault")
                 if self.dropped["fault"] == 1:
                     logger.exception("peers: died on a datagram")
 
-    def _take(self, data: bytes, source: Address) -> None:
+    def _handle_datagram(self, data: bytes, source: Address) -> None:
         try:
             packet = decode(self.fleet, data)
         except MalformedDatagramError as e:
@@ -172,38 +172,38 @@
             self.sent += 1
             self.sent_bytes += len(data)
 
-    def _turn(self) -> None:
-        if self.closed:
+    def _exchange(self) -> None:
+        if self.is_stopped:
             return
         self._read()
         now = self.clock()
         try:
             self._send(self.peers.turn(now))
-            self._tell(now)
+            self._submit_updates(now)
         except Exception:
             logger.exception("peers: a turn died")
-        wait = max(LEAST_S, self.peers.next_at() - self.clock())
-        self.timer = asyncio.get_running_loop().call_later(wait, self._turn)
+        wait = max(MIN_INTERVAL_S, self.peers.next_at() - self.clock())
+        self.timer = asyncio.get_running_loop().call_later(wait, self._exchange)
 
-    def _tell(self, now: float) -> None:
+    def _submit_updates(self, now: float) -> None:
         """The counts of all others go to the decisions, as often as they are made anew."""
-        if self.heard is None:
+        if self.on_update is None:
             return
         if (hearsay := self.peers.hearsay(now)) is not None:
-            self.heard(hearsay)
+            self.on_update(hearsay)
         if self.peers.orders.has_changed:
             self.peers.orders.has_changed = False
-            self.heard(self.peers.orders.as_event(now))
-        if now < self.tell_at or not self.peers.rule.wave_s:
+            self.on_update(self.peers.orders.as_event(now))
+        if now < self.loads_due_at or not self.peers.rule.wave_s:
             return
-        self.tell_at = now + self.peers.rule.wave_s
+        self.loads_due_at = now + self.peers.rule.wave_s
         if (total := self.peers.total(now)) is not None:
             others = {
                 n: count
                 for n, c in total.counts.items()
                 if (count := c - self.peers.sums.mine.get(n, 0.0)) > 0
             }
-            self.heard(PeerLoads(others, total.age_s))
+            self.on_update(PeerLoads(others, total.age_s))
 
     # --- besides
 
@@ -231,5 +231,5 @@
                 },
                 "socket": self.socket is not None,
             }
-            | ({"judged": self.judged()} if self.judged is not None else {})
+            | ({"judged": self.show_detector()} if self.show_detector is not None else {})
         )
--- a/finchladder/net/peers/datagrams.py
+++ b/finchladder/net/peers/datagrams.py
@@ -19,9 +19,9 @@
 
 VERSION = 2
 MAX_DATAGRAM_BYTES = 1_200  # bytes: no link on the way is to cut it in pieces
-EIGHTH, MOST_COUNT = 8, 0xFFFF
-EACH = 6  # bytes of a real server in a part
-TENTH = 10
+UNITS_PER_COUNT, MAX_COUNT_UNITS = 8, 0xFFFF
+BYTES_PER_COUNT = 6  # bytes of a real server in a part
+TENTHS_PER_UNIT = 10
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Text = Annotated[str, Meta(max_length=128)]
@@ -46,7 +46,7 @@
     spent: float
 
 
-class _Said(_Array):
+class _WorkerReport(_Array):
     subject: Number
     bad: Tenths
     link: Tenths
@@ -56,13 +56,13 @@
     stage: Annotated[int, Meta(ge=0, lt=16)]
 
 
-class _Order(_Array):
+class _Override(_Array):
     server: Annotated[str, Meta(min_length=1, max_length=MAX_WORKER_NAME_LENGTH)]
     stance: Annotated[str, Meta(max_length=8)]
     left_s: float
     stamp: Number
-    by: Name
-    why: Annotated[str, Meta(max_length=MAX_REASON_LENGTH)]
+    issuer: Name
+    reason: Annotated[str, Meta(max_length=MAX_REASON_LENGTH)]
 
 
 class _Row(_Array):
@@ -76,7 +76,7 @@
     zone: Number
     ended: Tenths
     bad: Tenths
-    says: Annotated[list[_Said], Meta(max_length=MAX_WORKER_REPORTS)]
+    reports: Annotated[list[_WorkerReport], Meta(max_length=MAX_WORKER_REPORTS)]
 
 
 class _Grant(_Array):
@@ -115,7 +115,7 @@
     grants: list[_Grant]
     returns: list[_Return]
     part: _Part | None
-    orders: Annotated[list[_Order], Meta(max_length=8)]
+    orders: Annotated[list[_Override], Meta(max_length=8)]
 
 
 _fields = msgspec.msgpack.Decoder(list[msgspec.Raw])
@@ -133,7 +133,7 @@
     part = None
     if p.part is not None:
         held = p.part.counts
-        eighths = [min(MOST_COUNT, round(count * EIGHTH)) for _, count in held]
+        eighths = [min(MAX_COUNT_UNITS, round(count * UNITS_PER_COUNT)) for _, count in held]
         counts = struct.pack(f"<{len(held)}I{len(held)}H", *[n for n, _ in held], *eighths)
         part = _Part(p.part.level, p.part.wave, p.part.members, p.part.age_s, counts)
     return _encoder.encode(
@@ -167,7 +167,7 @@
     try:
         d = _decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
-        raise MalformedDatagramError(_why(data)) from None
+        raise MalformedDatagramError(_malformed_reason(data)) from None
     if d.version != VERSION:
         raise MalformedDatagramError("version")
     if d.fleet != fleet:
@@ -190,19 +190,19 @@
                 r.asked,
                 tuple(Want(w.budget, w.rate, w.have, w.spent) for w in r.wants),
                 r.zone,
-                r.ended / TENTH,
-                r.bad / TENTH,
+                r.ended / TENTHS_PER_UNIT,
+                r.bad / TENTHS_PER_UNIT,
                 tuple(
                     WorkerReport(
                         s.subject,
-                        s.bad / TENTH,
-                        s.link / TENTH,
-                        s.good / TENTH,
-                        s.opened / TENTH,
-                        s.left / TENTH,
+                        s.bad / TENTHS_PER_UNIT,
+                        s.link / TENTHS_PER_UNIT,
+                        s.good / TENTHS_PER_UNIT,
+                        s.opened / TENTHS_PER_UNIT,
+                        s.left / TENTHS_PER_UNIT,
                         s.stage,
                     )
-                    for s in r.says
+                    for s in r.reports
                 ),
             )
             for r in d.rows
@@ -210,12 +210,12 @@
         tuple(Grant(g.serial, g.budget, g.rate, g.asked, g.boot) for g in d.grants),
         tuple(Return(r.serial, r.boot, r.asked) for r in d.returns),
         _part(d.part) if d.part is not None else None,
-        tuple(Override(o.server, o.stance, o.left_s, o.stamp, o.by, o.why) for o in d.orders),
+        tuple(Override(o.server, o.stance, o.left_s, o.stamp, o.issuer, o.reason) for o in d.orders),
     )
 
 
 def _tenths(count: float) -> int:
-    return min(0xFFFFFF, round(count * TENTH))
+    return min(0xFFFFFF, round(count * TENTHS_PER_UNIT))
 
 
 def _row(r: Row) -> tuple[object, ...]:
@@ -235,15 +235,15 @@
 
 
 def _part(p: _Part) -> Part:
-    n, rest = divmod(len(p.counts), EACH)
+    n, rest = divmod(len(p.counts), BYTES_PER_COUNT)
     if rest:
         raise MalformedDatagramError("malformed")
     found = struct.unpack(f"<{n}I{n}H", p.counts)
-    counts = tuple(zip(found[:n], [eighths / EIGHTH for eighths in found[n:]], strict=True))
+    counts = tuple(zip(found[:n], [eighths / UNITS_PER_COUNT for eighths in found[n:]], strict=True))
     return Part(p.level, p.wave, p.members, p.age_s, counts)
 
 
-def _why(data: bytes) -> str:
+def _malformed_reason(data: bytes) -> str:
     """A later version's may have any other form."""
     try:
         version = _version.decode(_fields.decode(data)[0])
--- a/finchladder/net/request_handler.py
+++ b/finchladder/net/request_handler.py
@@ -10,13 +10,13 @@
 from finchladder.net.http1 import Head, MalformedMessageError, StreamClosedError
 from finchladder.net.job_intake import DuplicateRequestError, JobIntake
 from finchladder.net.messages import (
-    CALL_BACK,
-    CallBack,
+    CALLBACK_PATH,
+    Callback,
     HttpMessage,
-    read_call_back,
+    read_callback,
+    read_client_retry,
     read_facts,
     read_id,
-    read_repeat,
     read_target,
     read_time_left,
 )
@@ -42,11 +42,11 @@
         intake: JobIntake,
         controls: ControlCalls,
         ready: Callable[[], bool],
-        called_back: Callable[[CallBack], None],
+        called_back: Callable[[Callback], None],
         admission: Admission | None = None,
     ) -> None:
         self.intake, self.controls, self.admission = intake, controls, admission
-        self.ready, self.called_back = ready, called_back
+        self.is_ready, self.on_callback = ready, called_back
 
     async def answer(self, connection: ClientConnection, head: Head, body: bytes) -> Reply:
         """Returns the response to one message.
@@ -56,56 +56,60 @@
             StreamClosedError: The client has closed the connection.
         """
         path = head.target.partition("?")[0]
-        if path == CALL_BACK:
-            connection.calls_back = True
+        if path == CALLBACK_PATH:
+            connection.sends_callbacks = True
             if head.method != "POST":
                 raise MalformedMessageError(405, "call-backs come by POST")
-            self.called_back(read_call_back(body))
-            connection.used(ConnectionValue.SERVED)
+            self.on_callback(read_callback(body))
+            connection.raise_value(ConnectionValue.SERVED)
             return Reply(204)
         if path == HEALTH_PATH:
-            up = self.ready() and not self.intake.shutdown.has_begun
-            connection.used(ConnectionValue.QUERIED)
+            up = self.is_ready() and not self.intake.shutdown.has_begun
+            connection.raise_value(ConnectionValue.QUERIED)
             return Reply(200, b"up\n") if up else Reply(503, b"not up\n")
         if path.startswith("/_") and (reply := self.controls.answer(head, body)) is not None:
-            connection.used(ConnectionValue.QUERIED)
+            connection.raise_value(ConnectionValue.QUERIED)
             return reply
-        return await self._job(connection, head, body)
+        return await self._answer_job(connection, head, body)
 
-    async def _job(self, connection: ClientConnection, head: Head, body: bytes) -> Reply:
+    async def _answer_job(self, connection: ClientConnection, head: Head, body: bytes) -> Reply:
         job_class, key = read_target(head.target)
         if job_class not in self.intake.classes:
             raise MalformedMessageError(404, "no such class")
         if head.method != "POST":
             raise MalformedMessageError(405, "jobs come by POST")
-        if connection.channel.parser.more:  # what follows unasked may be a request hidden in this one's body
+        if (
+            connection.channel.parser.has_more
+        ):  # what follows unasked may be a request hidden in this one's body
             raise MalformedMessageError(400, "one request at a time")
         id, facts, left_s = read_id(head), read_facts(head), read_time_left(head)
-        if connection.came_at:
+        if connection.received_at:
             left_s = max(0.0, left_s - connection.waited_s)
         route = self.intake.routes.find(head.method, head.target, head.headers, job_class)
         if route is not None:
             left_s = route.effective_timeout_s(left_s)
         try:
-            verdict = self.intake.arrive(connection.client, id, job_class, left_s)
+            verdict = self.intake.check_limits(connection.client, id, job_class, left_s)
             if verdict.wait > 0:
-                connection.used(ConnectionValue.QUERIED)
+                connection.raise_value(ConnectionValue.QUERIED)
                 return Reply(429, b"too many requests\n", (f"Retry-After: {verdict.wait:g}",))
-            if self.admission is not None and not connection.passed and verdict.drill is None:
-                retry_after_s = self.admission.judge(job_class, left_s)
+            if self.admission is not None and not connection.is_admitted and verdict.drill is None:
+                retry_after_s = self.admission.check(job_class, left_s)
                 if retry_after_s is not None:
-                    connection.used(ConnectionValue.QUERIED)
+                    connection.raise_value(ConnectionValue.QUERIED)
                     return reply_of(Answer("refused", retry_after=retry_after_s))
             message = HttpMessage(head.method, head.target, head.headers, body)
-            if connection.departed():  # what it asked for is not wanted any more, and nothing is sent for it
+            if (
+                connection.client_has_left()
+            ):  # what it asked for is not wanted any more, and nothing is sent for it
                 raise StreamClosedError()
             deadline = self.intake.deadline(left_s)
             flow = Flow(id, job_class, key, facts, message, deadline, connection.deliver)
             if route is not None:
-                flow.route, flow.repeat = route.name, read_repeat(head)
+                flow.route, flow.is_client_retry = route.name, read_client_retry(head)
             self.intake.open_flow(flow, verdict.drill)
         except DuplicateRequestError:
             raise MalformedMessageError(
                 400, "a request with this X-Correlation-Id has come already"
             ) from None
-        return reply_of(await connection.answer_to(flow))
+        return reply_of(await connection.wait_for_answer(flow))
--- a/finchladder/net/slots.py
+++ b/finchladder/net/slots.py
@@ -12,7 +12,7 @@
         self.waiters: deque[asyncio.Future[None]] = deque()
 
     @property
-    def open(self) -> bool:
+    def is_available(self) -> bool:
         """Whether a slot can be acquired without waiting."""
         return self.free > 0 and not self.waiters
 
@@ -22,7 +22,7 @@
 
     async def wait(self) -> None:
         """Acquires a slot, waiting for this caller's turn."""
-        if self.open:
+        if self.is_available:
             return self.acquire()
         turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.waiters.append(turn)
--- a/finchladder/net/timers.py
+++ b/finchladder/net/timers.py
@@ -16,20 +16,20 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
         self.wheel: TimingWheel[tuple[float, Hashable, Callable[[], object]]] = TimingWheel(RESOLUTION_S)
-        self.turning = False
+        self.is_ticking = False
 
-    def put(self, key: Hashable, at: float, call: Callable[[], object]) -> None:
+    def schedule(self, key: Hashable, at: float, call: Callable[[], object]) -> None:
         """Schedules `call` at `at`, in seconds of the clock; replaces the key's earlier timer."""
         self.wheel.put(key, (at, key, call), at)
-        if not self.turning:
-            self.turning = True
-            IOLoop.current().call_later(RESOLUTION_S, self._turn)
+        if not self.is_ticking:
+            self.is_ticking = True
+            IOLoop.current().call_later(RESOLUTION_S, self._tick)
 
-    def drop(self, key: Hashable) -> None:
+    def cancel(self, key: Hashable) -> None:
         """Cancels a key's timer, if there is one."""
         self.wheel.drop(key)
 
-    def _turn(self) -> None:
+    def _tick(self) -> None:
         now = self.clock()
         for at, key, call in self.wheel.pop_due(now):
             if at > now:  # its slot has begun, or it was further ahead than the wheel goes
@@ -39,6 +39,6 @@
                 call()
             except Exception:  # the others are due all the same
                 logger.exception("a timer died")
-        self.turning = len(self.wheel) > 0
-        if self.turning:
-            IOLoop.current().call_later(RESOLUTION_S, self._turn)
+        self.is_ticking = len(self.wheel) > 0
+        if self.is_ticking:
+            IOLoop.current().call_later(RESOLUTION_S, self._tick)
--- a/finchladder/net/worker_connection.py
+++ b/finchladder/net/worker_connection.py
@@ -33,22 +33,22 @@
         free: Callable[["WorkerConnection"], None],
         gone: Callable[["WorkerConnection"], None],
     ) -> None:
-        self.channel, self.free, self.gone = channel, free, gone
-        self.since = 0.0  # it is free since then
-        self.idle = 0.0  # how long it was free before its present exchange
+        self.channel, self.on_free, self.on_end = channel, free, gone
+        self.idle_since = 0.0  # it is free since then
+        self.idle_s = 0.0  # how long it was free before its present exchange
         self.exchange: Exchange | None = None
-        self.busy = self.has_ended = False
-        self.held = True  # by whoever had it made, or took it from the kept ones
-        self.begun = False  # the request was handed to the stream
+        self.is_busy = self.has_ended = False
+        self.is_held = True  # by whoever had it made, or took it from the kept ones
+        self.is_request_sent = False  # the request was handed to the stream
         self.writing: asyncio.Future[None] | None = None
-        self.task = asyncio.get_running_loop().create_task(self._live())
+        self.task = asyncio.get_running_loop().create_task(self._read_responses())
 
     def begin(self, exchange: Exchange, request: bytes) -> None:
         """Sends a request; only allowed on an idle connection."""
-        self.exchange, self.busy, self.begun = exchange, True, False
+        self.exchange, self.is_busy, self.is_request_sent = exchange, True, False
         try:
             self.writing = self.channel.stream.put(request)
-            self.begun = True
+            self.is_request_sent = True
         except StreamClosedError:
             self._end()  # its task may be waiting for its turn to see the same
 
@@ -56,22 +56,22 @@
         """Closes the connection."""
         self.channel.close()
 
-    def usable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether the connection is idle and can carry another request."""
-        return not self.busy and self.channel.usable()
+        return not self.is_busy and self.channel.is_reusable()
 
-    async def _live(self) -> None:
+    async def _read_responses(self) -> None:
         try:
             while True:
                 await self.channel.fill()
-                if not self.busy or not await self._take():
+                if not self.is_busy or not await self._read_response():
                     return
         except (StreamClosedError, OSError, MalformedMessageError):
             pass
         finally:
             self._end()
 
-    async def _take(self) -> bool:
+    async def _read_response(self) -> bool:
         """True: the exchange is over, and the line can carry another."""
         head = await self.channel.head()
         exchange, self.exchange = self.exchange, None
@@ -86,10 +86,10 @@
                     await self.channel.message()
             except TimeoutError:
                 return False
-        if not head.keeps or self.channel.parser.begun:
+        if not head.is_persistent or self.channel.parser.has_begun:
             return False
-        self.busy, self.writing = False, None
-        self.free(self)
+        self.is_busy, self.writing = False, None
+        self.on_free(self)
         return not self.channel.stream.closed()
 
     def _end(self) -> None:
@@ -102,9 +102,9 @@
             # a write that is known to have broken before its last byte never ran; when unsure, it may have
             writing = self.writing
             exchange.connection_failed(
-                self.begun and (writing is None or (writing.done() and not writing.exception()))
+                self.is_request_sent and (writing is None or (writing.done() and not writing.exception()))
             )
-        self.gone(self)
+        self.on_end(self)
 
 
 class IdleConnections:
@@ -119,7 +119,7 @@
 
     def put(self, connection: WorkerConnection, now: float) -> None:
         """Adds a connection that became idle at `now`."""
-        connection.since = now
+        connection.idle_since = now
         self.connections[connection] = None
         if len(self.connections) > self.max_connections:
             self.connections.popitem(last=False)[0].close()
@@ -131,7 +131,7 @@
     def close_before(self, since: float, most: int) -> None:
         """Closes connections that are idle since `since` or longer, `most` at the most in one call."""
         for _ in range(most):
-            if not self.connections or (connection := next(iter(self.connections))).since > since:
+            if not self.connections or (connection := next(iter(self.connections))).idle_since > since:
                 return
             del self.connections[connection]
             connection.close()
