--- a/finchladder/net/workers.py
+++ b/finchladder/net/workers.py
@@ -14,10 +14,10 @@
 from finchladder.core.dispatch.attempt_stages import STAGE_RULES, AbandonAction, Step
 from finchladder.net import http1
 from finchladder.net.actor import Actor
-from finchladder.net.decision_actor import DecisionActor, Ending
+from finchladder.net.decision_actor import AttemptEnd, DecisionActor
 from finchladder.net.flows import Answer, Attempt, FlowTable
 from finchladder.net.http1 import Connect, Head, StreamClosedError
-from finchladder.net.messages import CallBack
+from finchladder.net.messages import Callback
 from finchladder.net.slots import Slots
 from finchladder.net.timers import Timers
 from finchladder.net.worker_connection import IdleConnections, WorkerConnection
@@ -26,15 +26,22 @@
     from loguru import Logger
 
 MAILBOX_SIZE = 8192
-IN_USE, KEPT = 0.23, 0.11  # parts of all sockets, for busy and idle connections to the real servers together
+BUSY_SOCKET_SHARE, IDLE_SOCKET_SHARE = (
+    0.23,
+    0.11,
+)  # parts of all sockets, for busy and idle connections to the real servers together
 MAX_CONNECTIONS_PER_WORKER = 24  # a silent real server must not take the connections of the rest
-IDLE_PART = 0.6  # of the time after which a real server closes: a request must never cross its closing
-REAP_AT_ONCE = 200  # idle connections, and real servers that have left, in one turn of the loop: some 2 ms
+IDLE_TIMEOUT_SHARE = (
+    0.6  # of the time after which a real server closes: a request must never cross its closing
+)
+MAX_REAPED_AT_ONCE = (
+    200  # idle connections, and real servers that have left, in one turn of the loop: some 2 ms
+)
 DELETE_TIMEOUT_S = 1.0  # for a DELETE
 CANCEL_RETRY_INTERVAL_S = 0.25  # seconds between two tries of one on which a further attempt hangs
 
 
-class Withdrawal(NamedTuple):
+class Cancellation(NamedTuple):
     """A mailbox item: cancel an attempt."""
 
     attempt: Attempt
@@ -61,16 +68,16 @@
     return E.ERROR  # it may have run, whatever else the answer says
 
 
-CALL_BACK_ENDS = {"done": E.OK, "failed": E.ERROR, "returned": E.OVERLOADED, "lost": E.BROKEN}
+CALLBACK_ENDINGS = {"done": E.OK, "failed": E.ERROR, "returned": E.OVERLOADED, "lost": E.BROKEN}
 
 
 class JobExchange:
     """The request that sends a job to a worker."""
 
-    __slots__ = ("server", "attempt", "connection")
+    __slots__ = ("worker", "attempt", "connection")
 
     def __init__(self, server: "WorkerActor", attempt: Attempt, connection: WorkerConnection) -> None:
-        self.server, self.attempt, self.connection = server, attempt, connection
+        self.worker, self.attempt, self.connection = server, attempt, connection
 
     def answered(self, head: Head) -> None:
         """Accepts the job as sent, or ends its attempt."""
@@ -79,10 +86,10 @@
         ending = outcome(head)
         if ending is None:
             attempt.step(Step.ACCEPT)
-            if not self.server.module.dispatcher.settings.reports_start:
-                self.server.begun(attempt)
+            if not self.worker.decisions.dispatcher.settings.reports_start:
+                self.worker.record_start(attempt)
         else:
-            self.server.end(attempt, ending, load_report(head))
+            self.worker.end(attempt, ending, load_report(head))
 
     def connection_failed(self, written: bool) -> None:
         """Ends the attempt; a job that was not written completely has certainly not run."""
@@ -90,9 +97,9 @@
         attempt.connection = None
         if not written:
             attempt.step(Step.BREAK)
-        elif self.connection.idle and not attempt.ended:  # not closed from this side
-            self.server.trust.record_reset(self.server.clock(), self.connection.idle)
-        self.server.broke(attempt)  # nothing is sent again here
+        elif self.connection.idle_s and not attempt.ended:  # not closed from this side
+            self.worker.idle_timeout.record_reset(self.worker.clock(), self.connection.idle_s)
+        self.worker.end_broken(attempt)  # nothing is sent again here
 
 
 class CancelExchange:
@@ -105,7 +112,7 @@
         """Ignores the failure."""
 
 
-class WorkerActor(Actor[Attempt | Withdrawal | CallBack]):
+class WorkerActor(Actor[Attempt | Cancellation | Callback]):
     """All attempts at one worker, and the connections to it."""
 
     def __init__(
@@ -125,9 +132,9 @@
         super().__init__(f"real server {name}", MAILBOX_SIZE)
         self.connect = connect
         self.worker, self.address = name, address
-        self.flows, self.module, self.clock, self.timers = flows, module, module.clock, timers
-        self.connect_timeout, self.trust, self.kept = connect_timeout, trust, kept
-        self.ready = True
+        self.flows, self.decisions, self.clock, self.timers = flows, module, module.clock, timers
+        self.connect_timeout, self.idle_timeout, self.all_idle = connect_timeout, trust, kept
+        self.is_ready = True
         self.attempts: dict[str, Attempt] = {}
         self.idle: list[WorkerConnection] = []  # the one used last is the last
         self.busy = 0
@@ -145,40 +152,40 @@
 
     # --- what the mailbox brings --------------------------------------------------------------------------
 
-    def receive(self, item: Attempt | Withdrawal | CallBack) -> None:
+    def receive(self, item: Attempt | Cancellation | Callback) -> None:
         """Starts or cancels an attempt, or handles a callback."""
         if isinstance(item, Attempt):
             self._begin(item)
-        elif isinstance(item, Withdrawal):
+        elif isinstance(item, Cancellation):
             self.end(item.attempt, E.CANCELLED)
         else:
-            self._called_back(item)
+            self._handle_callback(item)
 
-    def failed(self, item: Attempt | Withdrawal | CallBack) -> None:
+    def failed(self, item: Attempt | Cancellation | Callback) -> None:
         """Ends the attempt of an item whose handling raised an error."""
-        if isinstance(item, CallBack):
+        if isinstance(item, Callback):
             attempt = self.attempts.get(item.id)
         else:
-            attempt = item.attempt if isinstance(item, Withdrawal) else item
+            attempt = item.attempt if isinstance(item, Cancellation) else item
         if attempt is not None:
-            self.broke(attempt)
+            self.end_broken(attempt)
 
     def _begin(self, attempt: Attempt) -> None:
         if (
-            not self.ready
+            not self.is_ready
             or attempt.flow.id in self.attempts
             or any(other is not attempt and other.worker == attempt.worker for other in attempt.flow.attempts)
         ):
             # a late call-back about the first attempt here could not be told from one about the second
             return self.end(attempt, E.VOID)
         self.attempts[attempt.flow.id] = attempt
-        self.timers.put(attempt, attempt.until, partial(self.end, attempt, E.TIMED_OUT))
-        if (connection := self._connection_at_once()) is not None:
+        self.timers.schedule(attempt, attempt.deadline, partial(self.end, attempt, E.TIMED_OUT))
+        if (connection := self._acquire_idle_connection()) is not None:
             self._write(attempt, connection)
         else:
-            self.spawn(self._carry(attempt))
+            self.spawn(self._send(attempt))
 
-    def _called_back(self, call_back: CallBack) -> None:
+    def _handle_callback(self, call_back: Callback) -> None:
         """Matched by id and sender: it may come before the 202, again, or about a job nobody knows here."""
         attempt = self.attempts.get(call_back.id)
         if attempt is not None and not STAGE_RULES[attempt.stage].accepts_callbacks:
@@ -188,15 +195,15 @@
         if attempt is None:
             return
         if call_back.state == "started":
-            self.begun(attempt)
-            self.module.submit(api.Started(call_back.id, attempt.number))
+            self.record_start(attempt)
+            self.decisions.submit(api.Started(call_back.id, attempt.number))
         elif call_back.state == "running":
-            self.module.submit(api.Progress(call_back.id, attempt.number, call_back.share))
-        elif call_back.state in CALL_BACK_ENDS:
+            self.decisions.submit(api.Progress(call_back.id, attempt.number, call_back.share))
+        elif call_back.state in CALLBACK_ENDINGS:
             self.end(
                 attempt,
-                CALL_BACK_ENDS[call_back.state],
-                call_back.report(),
+                CALLBACK_ENDINGS[call_back.state],
+                call_back.load_report(),
                 call_back.result.encode("utf-8", "replace"),
             )
         else:
@@ -204,18 +211,18 @@
                 "{}: unknown job state {!r}", self.name, call_back.state[:40]
             )
 
-    def begun(self, attempt: Attempt) -> None:
+    def record_start(self, attempt: Attempt) -> None:
         """The first that is heard of a job after its send."""
-        if self.module.starts is not None and not attempt.number:
-            self.module.starts(self.clock() - attempt.flow.since)
+        if self.decisions.on_job_started is not None and not attempt.number:
+            self.decisions.on_job_started(self.clock() - attempt.flow.received_at)
 
     # --- the life of an attempt -------------------------------------------------------------------------
 
-    async def _carry(self, attempt: Attempt) -> None:
+    async def _send(self, attempt: Attempt) -> None:
         try:
-            connection = await self._connection()
+            connection = await self._acquire_connection()
         except (StreamClosedError, OSError, TimeoutError):
-            return self.broke(attempt)
+            return self.end_broken(attempt)
         try:
             self._write(attempt, connection)
         except Exception:
@@ -223,26 +230,26 @@
                 "{}: an attempt died", self.name
             )
             connection.close()
-            self.broke(attempt)
+            self.end_broken(attempt)
 
     def _write(self, attempt: Attempt, connection: WorkerConnection) -> None:
         if attempt.ended:
-            return self._free(connection)
+            return self._connection_freed(connection)
         # looked at again right before the write: waiting for a connection took time
-        if not self.ready or self.clock() > attempt.begins_by:
-            self._free(connection)
+        if not self.is_ready or self.clock() > attempt.start_by:
+            self._connection_freed(connection)
             return self.end(attempt, E.VOID)
-        request = attempt.flow.message.request(self._host(), max(0.0, attempt.until - self.clock()))
+        request = attempt.flow.message.request(self._host_header(), max(0.0, attempt.deadline - self.clock()))
         attempt.connection = connection
         attempt.step(Step.WRITE)
         connection.begin(JobExchange(self, attempt, connection), request)
 
-    def broke(self, attempt: Attempt) -> None:
+    def end_broken(self, attempt: Attempt) -> None:
         """Ends an attempt whose connection or handling failed; how depends on its stage."""
         if not attempt.ended:
             self.end(attempt, STAGE_RULES[attempt.stage].ending_if_broken)
 
-    def _host(self) -> str:
+    def _host_header(self) -> str:
         host, port = self.address
         return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
@@ -256,118 +263,122 @@
         attempt.step(Step.END)
         if self.flows.status is not None:
             self.flows.status.ended(attempt.flow.id, self.worker, ending)
-        self.timers.drop(attempt)
+        self.timers.cancel(attempt)
         if self.attempts.get(attempt.flow.id) is attempt:
             del self.attempts[attempt.flow.id]
         if ending is E.OK:
             self.flows.finish(attempt.flow, Answer("served", result))
-        ended = Ending(attempt, ending, self.clock() - attempt.sent_at, report)
+        ended = AttemptEnd(attempt, ending, self.clock() - attempt.sent_at, report)
         if ending in (E.CANCELLED, E.TIMED_OUT):
             if give_up is AbandonAction.DELETE:
-                if attempt.flow.answer is None and self._alone() and self.clock() < attempt.flow.deadline:
-                    self.spawn(self._give_up_first(ended))
+                if (
+                    attempt.flow.answer is None
+                    and self._forbids_parallel_attempts()
+                    and self.clock() < attempt.flow.deadline
+                ):
+                    self.spawn(self._submit_end_after_delete(ended))
                     return
-                self.spawn(self._give_up(attempt.flow.id))
+                self.spawn(self._delete_job(attempt.flow.id))
             elif give_up is AbandonAction.CLOSE and attempt.connection is not None:
                 attempt.connection.close()
-        self._told(ended)
+        self._submit_end(ended)
 
-    def _alone(self) -> bool:
+    def _forbids_parallel_attempts(self) -> bool:
         """Whether two attempts of one job must never run at the same time."""
-        return not self.module.dispatcher.settings.may_hedge
+        return not self.decisions.dispatcher.settings.may_hedge
 
-    def _told(self, ended: Ending) -> None:
-        self.module.submit(ended)
+    def _submit_end(self, ended: AttemptEnd) -> None:
+        self.decisions.submit(ended)
         self.flows.forget_if_over(ended.attempt.flow)
 
-    async def _give_up_first(self, ended: Ending) -> None:
+    async def _submit_end_after_delete(self, ended: AttemptEnd) -> None:
         """Reports the end only once the DELETE is written, where attempts must not run at the same time.
 
         The decisions may then send the job elsewhere; a worker that can't be reached may still run it.
         """
         flow = ended.attempt.flow
-        while not await self._give_up(flow.id) and flow.answer is None and self.clock() < flow.deadline:
+        while not await self._delete_job(flow.id) and flow.answer is None and self.clock() < flow.deadline:
             await asyncio.sleep(CANCEL_RETRY_INTERVAL_S)
-        self._told(ended)
+        self._submit_end(ended)
 
-    async def _give_up(self, id: str) -> bool:
+    async def _delete_job(self, id: str) -> bool:
         """Whether the DELETE was written."""
         path = f"/jobs/{quote(id, safe='')}"  # an id is the client's text: it must not make another path
         try:
             async with asyncio.timeout(DELETE_TIMEOUT_S):
-                connection = await self._connection()
-                self.timers.put(connection, self.clock() + DELETE_TIMEOUT_S, connection.close)
+                connection = await self._acquire_connection()
+                self.timers.schedule(connection, self.clock() + DELETE_TIMEOUT_S, connection.close)
                 connection.begin(
-                    CancelExchange(), http1.write_request("DELETE", path, [("Host", self._host())])
+                    CancelExchange(), http1.write_request("DELETE", path, [("Host", self._host_header())])
                 )
                 if connection.writing is not None:
                     await connection.writing
         except (StreamClosedError, OSError, TimeoutError):
             return False  # the real server is gone or busy
-        return connection.begun
+        return connection.is_request_sent
 
     # --- connections ----------------------------------------------------------------------------------------
 
-    def _connection_at_once(self) -> WorkerConnection | None:
+    def _acquire_idle_connection(self) -> WorkerConnection | None:
         """A kept line, if one can be had without waiting for a place."""
         if (
-            not (self.idle and self.slots.open and self.shared_slots.open)
-            or (connection := self._kept()) is None
+            not (self.idle and self.slots.is_available and self.shared_slots.is_available)
+            or (connection := self._pop_idle_connection()) is None
         ):
             return None
         self.slots.acquire()
         self.shared_slots.acquire()
-        return self._held(connection)
+        return self._mark_held(connection)
 
-    async def _connection(self) -> WorkerConnection:
+    async def _acquire_connection(self) -> WorkerConnection:
         """A line for one exchange, kept or new. It holds its places until it is free again, or gone."""
         async with asyncio.timeout(self.connect_timeout), AsyncExitStack() as places:
             for place in (self.slots, self.shared_slots):
                 await place.wait()
                 places.callback(place.release)
-            connection = self._kept() or WorkerConnection(
-                await self.connect(self.address), self._free, self._gone
+            connection = self._pop_idle_connection() or WorkerConnection(
+                await self.connect(self.address), self._connection_freed, self._connection_ended
             )
             places.pop_all()
-        return self._held(connection)
+        return self._mark_held(connection)
 
-    def _held(self, connection: WorkerConnection) -> WorkerConnection:
-        connection.held = True
+    def _mark_held(self, connection: WorkerConnection) -> WorkerConnection:
+        connection.is_held = True
         self.busy += 1
         return connection
 
-    def _kept(self) -> WorkerConnection | None:
+    def _pop_idle_connection(self) -> WorkerConnection | None:
         while self.idle:
             connection = self.idle.pop()
-            self.kept.drop(connection)
+            self.all_idle.drop(connection)
             now = self.clock()
-            connection.idle = now - connection.since
-            if connection.idle < self.trust.limit_s(now) and connection.usable():
+            connection.idle_s = now - connection.idle_since
+            if connection.idle_s < self.idle_timeout.limit_s(now) and connection.is_reusable():
                 return connection
             connection.close()
         return None
 
-    def _let_go(self, connection: WorkerConnection) -> None:
-        connection.held = False
+    def _release_slots(self, connection: WorkerConnection) -> None:
+        connection.is_held = False
         self.busy -= 1
-        self.timers.drop(connection)
+        self.timers.cancel(connection)
         self.slots.release()
         self.shared_slots.release()
 
-    def _free(self, connection: WorkerConnection) -> None:
-        self._let_go(connection)
-        if self.ready:
+    def _connection_freed(self, connection: WorkerConnection) -> None:
+        self._release_slots(connection)
+        if self.is_ready:
             self.idle.append(connection)
-            self.kept.put(connection, self.clock())
+            self.all_idle.put(connection, self.clock())
         else:
             connection.close()
 
-    def _gone(self, connection: WorkerConnection) -> None:
-        if connection.held:
-            self._let_go(connection)
+    def _connection_ended(self, connection: WorkerConnection) -> None:
+        if connection.is_held:
+            self._release_slots(connection)
         elif connection in self.idle:
             self.idle.remove(connection)
-            self.kept.drop(connection)
+            self.all_idle.drop(connection)
 
     def drop_idle(self) -> None:
         """Closes all idle connections to this worker."""
@@ -390,17 +401,17 @@
         each: int = MAX_CONNECTIONS_PER_WORKER,
     ) -> None:
         """`each`: the maximum number of connections to one worker; times in seconds."""
-        self.flows, self.module, self.clock, self.timers = flows, module, module.clock, timers
-        self.connect, self.each = connect, each
-        self.connect_timeout, self.trust = (
+        self.flows, self.decisions, self.clock, self.timers = flows, module, module.clock, timers
+        self.connect, self.max_connections_each = connect, each
+        self.connect_timeout, self.idle_timeout = (
             connect_timeout,
-            AdaptiveIdleTimeout(self.clock(), conn_idle * IDLE_PART),
+            AdaptiveIdleTimeout(self.clock(), conn_idle * IDLE_TIMEOUT_SHARE),
         )
         self.actors: dict[str, WorkerActor] = {}
-        self.starts: dict[str, float] = {}
+        self.started_at: dict[str, float] = {}
         self.leaving: dict[str, WorkerActor] = {}  # not ready: they go once nothing is under way with them
-        self.slots = Slots(int(IN_USE * sockets))
-        self.idle_connections = IdleConnections(int(KEPT * sockets))
+        self.slots = Slots(int(BUSY_SOCKET_SHARE * sockets))
+        self.idle_connections = IdleConnections(int(IDLE_SOCKET_SHARE * sockets))
         self.reaper = PeriodicCallback(self._reap, 1000)
 
     def start(self) -> None:
@@ -420,10 +431,10 @@
             actor = self.actors.get(e.worker) or self._add(e.worker, addresses[e.worker])
             self._set_ready(actor, e.state is api.WorkerStatus.READY)
             address = addresses.get(e.worker, actor.address)
-            if actor.address != address or self.starts.get(e.worker, e.started_at) != e.started_at:
+            if actor.address != address or self.started_at.get(e.worker, e.started_at) != e.started_at:
                 actor.drop_idle()  # connections to a process that is no more
-            actor.address, self.starts[e.worker] = address, e.started_at
-        self.module.submit(worker_list)
+            actor.address, self.started_at[e.worker] = address, e.started_at
+        self.decisions.submit(worker_list)
 
     def retire(self, names: list[str]) -> None:
         """Marks workers as not ready at once, ahead of the slices in which the decisions learn of them."""
@@ -432,7 +443,7 @@
                 self._set_ready(actor, False)
 
     def _set_ready(self, actor: WorkerActor, ready: bool) -> None:
-        actor.ready = ready
+        actor.is_ready = ready
         if ready:
             self.leaving.pop(actor.worker, None)
         else:
@@ -443,14 +454,14 @@
             name,
             address,
             self.flows,
-            self.module,
+            self.decisions,
             self.timers,
             self.connect_timeout,
-            self.trust,
+            self.idle_timeout,
             self.slots,
             self.idle_connections,
             self.connect,
-            self.each,
+            self.max_connections_each,
         )
         return actor
 
@@ -463,30 +474,30 @@
             attempt.step(Step.END)
             if self.flows.status is not None:
                 self.flows.status.ended(attempt.flow.id, attempt.worker, E.VOID)
-            self.module.submit(Ending(attempt, E.VOID, 0.0, None))
+            self.decisions.submit(AttemptEnd(attempt, E.VOID, 0.0, None))
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Cancels an attempt."""
         if (actor := self.actors.get(attempt.worker)) is not None:
-            actor.post(Withdrawal(attempt))
+            actor.post(Cancellation(attempt))
 
-    def called_back(self, call_back: CallBack) -> None:
+    def handle_callback(self, call_back: Callback) -> None:
         """Passes a callback to its worker's actor; that of an unknown worker is ignored."""
         if (actor := self.actors.get(call_back.sender)) is not None:
             actor.post(call_back)
 
     def _reap(self) -> None:
         now = self.clock()
-        self.idle_connections.close_before(now - self.trust.limit_s(now), REAP_AT_ONCE)
-        self._bury(list(self.leaving))
+        self.idle_connections.close_before(now - self.idle_timeout.limit_s(now), MAX_REAPED_AT_ONCE)
+        self._remove_leaving(list(self.leaving))
 
-    def _bury(self, names: list[str]) -> None:
+    def _remove_leaving(self, names: list[str]) -> None:
         """Removes unlisted workers in slices: half of a large fleet may leave at once."""
-        for name in names[:REAP_AT_ONCE]:
+        for name in names[:MAX_REAPED_AT_ONCE]:
             if (actor := self.leaving.get(name)) is not None:
                 actor.drop_idle()
                 if actor.is_idle:
                     del self.actors[name], self.leaving[name]
-                    self.starts.pop(name, None)
-        if rest := names[REAP_AT_ONCE:]:
-            IOLoop.current().add_callback(self._bury, rest)
+                    self.started_at.pop(name, None)
+        if rest := names[MAX_REAPED_AT_ONCE:]:
+            IOLoop.current().add_callback(self._remove_leaving, rest)
--- a/tests/etcd/play.py
+++ b/tests/etcd/play.py
@@ -14,28 +14,28 @@
 from finchladder.lab.wire import Message
 from finchladder.net import http1
 from finchladder.net.etcd import messages, state
-from finchladder.net.etcd.messages import Reader
+from finchladder.net.etcd.messages import ResponseReader
+from finchladder.net.etcd.state import CallFailed as Turned
 from finchladder.net.etcd.state import (
-    Alive,
     Check,
-    Checked,
+    CheckResult,
     Close,
-    Due,
-    Failed,
+    EndpointFailed,
+    Failure,
     Follower,
-    Kind,
-    List,
+    ListPage,
     Log,
     Open,
     Opened,
-    Page,
-    Pulse,
-    Tell,
-    Told,
-    Wait,
-    Watch,
+    Probe,
+    ProbeResult,
+    ReadPage,
+    ReportList,
+    SetTimer,
+    StartWatch,
+    TimerExpired,
+    WatchMessage,
 )
-from finchladder.net.etcd.state import Refused as Turned
 
 PREFIX, HOP_S = "/f", 0.001
 
@@ -51,11 +51,11 @@
         self.play, self.member = play, member
         self.parser = http1.server_parser()
         self.parser.limit = lambda head: 1 << 30
-        self.reader, self.lines = Reader(lines), lines
+        self.reader, self.lines = ResponseReader(lines), lines
         self.session = Session(member, lambda: play.now, self.written, lambda reset: None)
         self.open = True
-        self.asks: List | Pulse | Check = Pulse()
-        self.found: list[messages.Answer] = []
+        self.asks: ReadPage | Probe | Check = Probe()
+        self.found: list[messages.Response] = []
 
     def ask(self, path: str, body: bytes) -> None:
         headers = {"authorization": self.play.token}
@@ -75,12 +75,12 @@
         while self.open and (self.parser.head or self.parser.take_head()):
             body = self.parser.body
             self.found += self.reader.feed(self.parser.take_piece())
-            over = body is None or body.done
+            over = body is None or body.is_complete
             if over:
                 self.parser.head = self.parser.body = None
                 if not self.lines:
                     self.found = self.found or [self.reader.end()]
-                    self.reader = Reader(False)
+                    self.reader = ResponseReader(False)
             found, self.found = (self.found, []) if over or self.lines else ([], self.found)
             for answer in found:
                 if self.open:
@@ -88,7 +88,7 @@
             if not over:
                 return
             if self.lines and self.open:
-                self.play.happens(Failed(Kind.LOST, "ended the watch"))
+                self.play.happens(EndpointFailed(Failure.LOST, "ended the watch"))
 
 
 class Play:
@@ -107,7 +107,7 @@
         self.believed: dict[str, api.WorkerEntry] = {}
         for member in cluster.members:
             member.changed, member.struck = self._changed, self._struck
-        self.happens(Due())
+        self.happens(TimerExpired())
 
     # --- time
 
@@ -132,7 +132,7 @@
         for line in self.lines():
             if line.member.cut:
                 self.close()
-                self.happens(Failed(Kind.LOST, "reset"))
+                self.happens(EndpointFailed(Failure.LOST, "reset"))
                 break
         held, self.held = self.held, []
         for line, data in held:
@@ -155,9 +155,9 @@
         self.timer = -1
 
     def carry_out(self, action: state.Action) -> None:
-        member = self.cluster.members[self.follower.at]
+        member = self.cluster.members[self.follower.current]
         match action:
-            case Tell(report):
+            case ReportList(report):
                 if report.workers.kind is api.ListKind.FULL:
                     self.believed = {}
                 elif self.told:
@@ -165,9 +165,9 @@
                 self.told.append(report)
                 for e in report.workers.entries:
                     self.believed[e.worker] = e
-            case Wait(seconds):
+            case SetTimer(seconds):
                 timer = self.timer = self.round
-                self.later(seconds, lambda: self.happens(Due()) if self.timer == timer else None)
+                self.later(seconds, lambda: self.happens(TimerExpired()) if self.timer == timer else None)
             case Log(_, text):
                 self.log.append(text)
             case Open():
@@ -175,27 +175,27 @@
                 self.later(HOP_S, lambda: self.opened(member))
             case Close():
                 self.close()
-            case List(after, revision):
+            case ReadPage(after, revision):
                 self.close(watch_alone=True)
                 self.asked(action, messages.list_page(b"/f/", after, revision, 3))
-            case Pulse():
+            case Probe():
                 self.asked(action, messages.get(b"/f/"))
             case Check(revision, than):
-                self.asked(action, messages.newer(b"/f/", revision, than))
-            case Watch(start):
+                self.asked(action, messages.newer_than(b"/f/", revision, than))
+            case StartWatch(start):
                 self.watch = Line(self, member, lines=True)
                 self.watch.ask("watch", messages.watch(b"/f/", start))
                 self.patience(self.watch)
 
     def opened(self, member: Member) -> None:
         if member.cut:
-            return self.happens(Failed(Kind.LOST, "refused"))
+            return self.happens(EndpointFailed(Failure.LOST, "refused"))
         self.calls = Line(self, member, lines=False)
         if self.user:
             try:
                 self.token = self.cluster.auth.authenticate(self.now, "u", "p")
             except Refused as e:
-                return self.happens(Failed(Kind.REFUSED, str(e)))
+                return self.happens(EndpointFailed(Failure.REFUSED, str(e)))
         self.happens(Opened())
 
     def asked(self, action: Any, body: bytes) -> None:
@@ -210,24 +210,24 @@
         def over() -> None:
             if line.open and self.waits.get(line) == round:
                 self.close()
-                self.happens(Failed(Kind.SILENT, "no answer"))
+                self.happens(EndpointFailed(Failure.SILENT, "no answer"))
 
         self.waits[line] = round
-        pulse = not line.lines and not isinstance(line.asks, List)
-        self.later(state.ALIVE_S if pulse else state.ANSWER_S, over)
+        pulse = not line.lines and not isinstance(line.asks, ReadPage)
+        self.later(state.PROBE_TIMEOUT_S if pulse else state.RESPONSE_TIMEOUT_S, over)
 
-    def answered(self, line: Line, answer: messages.Answer) -> None:
+    def answered(self, line: Line, answer: messages.Response) -> None:
         self.waits.pop(line, None)
         if line.lines:
-            return self.happens(Told(answer))
-        if answer.refusal is not None:
-            if answer.refusal.token and self.user:
+            return self.happens(WatchMessage(answer))
+        if answer.error is not None:
+            if answer.error.is_token_error and self.user:
                 self.token = self.cluster.auth.authenticate(self.now, "u", "p")
                 return self.carry_out(line.asks)
-            return self.happens(Turned(answer.refusal))
-        if isinstance(line.asks, List):
-            return self.happens(Page(answer))
-        self.happens(Alive(answer.header) if isinstance(line.asks, Pulse) else Checked(answer))
+            return self.happens(Turned(answer.error))
+        if isinstance(line.asks, ReadPage):
+            return self.happens(ListPage(answer))
+        self.happens(ProbeResult(answer.header) if isinstance(line.asks, Probe) else CheckResult(answer))
 
     # --- what a test does and asks
 
--- a/tests/etcd/test_follow.py
+++ b/tests/etcd/test_follow.py
@@ -30,9 +30,9 @@
 def patience(monkeypatch: pytest.MonkeyPatch) -> None:
     """No test here is about an answer that does not come: a slow machine must not look like one."""
     for module in (wire, follow):
-        monkeypatch.setattr(module, "ANSWER_S", 15.0)
-    monkeypatch.setattr(follow, "ALIVE_S", 15.0)
-    monkeypatch.setattr(state, "QUIET_S", 60.0)
+        monkeypatch.setattr(module, "RESPONSE_TIMEOUT_S", 15.0)
+    monkeypatch.setattr(follow, "PROBE_TIMEOUT_S", 15.0)
+    monkeypatch.setattr(state, "MAX_SILENCE_S", 60.0)
 
 
 async def until(holds: Callable[[], bool]) -> None:
@@ -217,7 +217,9 @@
         await until(lambda: f.follows)
         assert f.states == {"a": "ready"}
         etcd.servers[0].expire_tokens()
-        await until(lambda: f.actor.link is not None and f.actor.link.logins == 2)  # by the next pulse
+        await until(
+            lambda: f.actor.endpoint_client is not None and f.actor.endpoint_client.logins == 2
+        )  # by the next pulse
         assert f.follows
         etcd.servers[0].expire_tokens(cancel=True)
         put(etcd, "drain/a")
@@ -242,7 +244,7 @@
         none = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
         f, alone = Followed(endpoints=[none, url, "http://localhost:1"]), Followed(endpoints=[none])
         await until(lambda: f.follows and bool(alone.lines))
-        assert str(f.actor.endpoints[f.actor.follower.at]) == url
+        assert str(f.actor.endpoints[f.actor.follower.current]) == url
         assert "answered 404" in alone.lines[0]
         f.close()
         alone.close()
--- a/tests/etcd/test_messages.py
+++ b/tests/etcd/test_messages.py
@@ -6,7 +6,13 @@
 import pytest
 
 from finchladder.lab.etcd.gateway import base64
-from finchladder.net.etcd.messages import MOST_FRAME, MOST_ITEM, MalformedAnswerError, Reader, Refusal
+from finchladder.net.etcd.messages import (
+    MAX_FRAME_BYTES,
+    MAX_ITEM_BYTES,
+    ErrorResponse,
+    MalformedResponseError,
+    ResponseReader,
+)
 
 HEADER = {"cluster_id": "18446744073709551615", "revision": "9", "raft_term": "2"}
 
@@ -23,7 +29,7 @@
     told = {"result": {"header": HEADER, "fragment": True, "events": events}}
     body = json.dumps({"header": HEADER, "kvs": kvs, "more": True, "count": "7"}, indent=1).encode()
     lines = (json.dumps(told) + "\n").encode() * 2
-    reader, watch = Reader(False), Reader(True)
+    reader, watch = ResponseReader(False), ResponseReader(True)
     found = [a for at in range(0, len(body), size) for a in reader.feed(body[at : at + size])]
     answer = found[0] if found else reader.end()
     assert (answer.header.cluster_id, answer.more, answer.total) == (2**64 - 1, True, 7)
@@ -32,15 +38,17 @@
     assert answer.items[1].value == b'{"a":"}]\\""}'
     assert count == 2 or answer.items[-1].value is None
     both = [a for at in range(0, len(lines), size) for a in watch.feed(lines[at : at + size])]
-    assert [(len(a.items), a.items[-1].deleted, a.fragment) for a in both] == [(len(events), True, True)] * 2
+    assert [(len(a.items), a.items[-1].is_deleted, a.fragment) for a in both] == [
+        (len(events), True, True)
+    ] * 2
 
 
 def test_of_a_key_too_long_no_more_is_held_than_of_any() -> None:
-    reader = Reader(False)
+    reader = ResponseReader(False)
     reader.feed(b'{"kvs":[{"key":"aw==","create_revision":"1","mod_revision":"2","value":"' + b"x" * 70_000)
     reader.feed(b"x" * 1_000_000)
-    assert reader.apart is not None
-    assert len(reader.apart.item or b"") + len(reader.buffer) <= MOST_ITEM
+    assert reader.long_response is not None
+    assert len(reader.long_response.item or b"") + len(reader.buffer) <= MAX_ITEM_BYTES
 
 
 @pytest.mark.parametrize(
@@ -53,10 +61,10 @@
     ],
 )
 def test_refusals_of_all_gateways(body: dict[str, Any], refusal: int, kind: tuple[bool, bool]) -> None:
-    (answer,) = Reader(True).feed(json.dumps(body).encode() + b"\n")
-    assert isinstance(answer.refusal, Refusal)
-    assert answer.refusal.code == refusal
-    assert (answer.refusal.token, answer.refusal.final) == kind
+    (answer,) = ResponseReader(True).feed(json.dumps(body).encode() + b"\n")
+    assert isinstance(answer.error, ErrorResponse)
+    assert answer.error.code == refusal
+    assert (answer.error.is_token_error, answer.error.is_final) == kind
 
 
 @pytest.mark.parametrize(
@@ -65,11 +73,11 @@
         b"<html>\n",
         b'{"header":{"revision":"x"}}\n',
         b'{"kvs":[{"key":"%"}]}\n',
-        b'{"a":"' + b"x" * 3 * MOST_FRAME,
+        b'{"a":"' + b"x" * 3 * MAX_FRAME_BYTES,
         b'{"result":{"events":[{"kv":{"key":"' + b"x" * 70_000 + b'"}}]}}\n',
     ],
     ids=["html", "number", "base64", "frame", "key"],
 )
 def test_what_is_no_answer_ends_the_connection(data: bytes) -> None:
-    with pytest.raises(MalformedAnswerError):
-        Reader(True).feed(data + b"{" * 70_000)
+    with pytest.raises(MalformedResponseError):
+        ResponseReader(True).feed(data + b"{" * 70_000)
--- a/tests/etcd/test_state.py
+++ b/tests/etcd/test_state.py
@@ -11,8 +11,8 @@
 from finchladder.lab.etcd.cluster import Cluster
 from finchladder.lab.etcd.store import Keys, Put, Refused, Txn
 from finchladder.net.etcd import state
-from finchladder.net.etcd.messages import Answer, Header, Item, Refusal
-from finchladder.net.etcd.state import TABLE, Follower, State
+from finchladder.net.etcd.messages import ErrorResponse, Header, Item, Response
+from finchladder.net.etcd.state import TRANSITIONS, Follower, State
 from tests.etcd.play import Play, entry
 
 
@@ -64,16 +64,16 @@
 def test_what_was_cut_within_a_fragment_is_told_again() -> None:
     f = Follower("/f", ["m"], Random(1))
     h = Header(cluster_id=1, revision=5)
-    items = [Answer(h, [item("w1", 5)], fragment=True), Answer(h, [item("w2", 5)])]
-    f.handle(0.0, state.Due())
+    items = [Response(h, [item("w1", 5)], fragment=True), Response(h, [item("w2", 5)])]
+    f.handle(0.0, state.TimerExpired())
     f.handle(0.0, state.Opened())
-    f.handle(0.0, state.Page(Answer(Header(cluster_id=1, revision=4), [])))
-    f.handle(0.0, state.Told(Answer(Header(cluster_id=1, revision=4), [], created=True)))
-    assert not f.handle(0.0, state.Told(items[0]))
-    assert f.seen == 4
-    f.handle(0.0, state.Failed(state.Kind.LOST, ""))
-    f.handle(0.1, state.Due())
-    assert f.handle(0.1, state.Opened()) == [state.Watch(5)]
+    f.handle(0.0, state.ListPage(Response(Header(cluster_id=1, revision=4), [])))
+    f.handle(0.0, state.WatchMessage(Response(Header(cluster_id=1, revision=4), [], created=True)))
+    assert not f.handle(0.0, state.WatchMessage(items[0]))
+    assert f.last_revision == 4
+    f.handle(0.0, state.EndpointFailed(state.Failure.LOST, ""))
+    f.handle(0.1, state.TimerExpired())
+    assert f.handle(0.1, state.Opened()) == [state.StartWatch(5)]
 
 
 def item(name: str, mod: int) -> Item:
@@ -152,11 +152,11 @@
     p.run(3.0)
     if lies:
         assert p.states()["w1"] == "ready"
-        assert p.follower.at == 0
+        assert p.follower.current == 0
         p.cluster.cut(0)
         p.run(2.0)
     assert p.states() == p.truth()
-    assert p.follower.at == 1
+    assert p.follower.current == 1
     p.cluster.cut(1)  # and the one that lags tells less than was told: nothing of it is taken
     p.run(0.3 if lies else 2.0)
     assert p.states() == p.truth()
@@ -243,31 +243,31 @@
 @pytest.mark.parametrize("less", [Header(1, 0, 3, 2), Header(1, 0, 9, 1)], ids=["revision", "term"])
 def test_who_tells_less_than_was_told_is_left_until_all_do(less: Header) -> None:
     f, h = Follower("/f", ["a", "b"], Random(1)), Header(1, 0, 5, 2)
-    first: list[state.Event] = [state.Due(), state.Opened(), state.Page(Answer(h, []))]
-    for event in [*first, state.Told(Answer(h, [], created=True))]:
+    first: list[state.Event] = [state.TimerExpired(), state.Opened(), state.ListPage(Response(h, []))]
+    for event in [*first, state.WatchMessage(Response(h, [], created=True))]:
         f.handle(0.0, event)
-    assert not f.handle(0.0, state.Told(Answer(h, [item("w", 4)])))  # told again: no news
-    f.handle(0.0, state.Failed(state.Kind.LOST, ""))
+    assert not f.handle(0.0, state.WatchMessage(Response(h, [item("w", 4)])))  # told again: no news
+    f.handle(0.0, state.EndpointFailed(state.Failure.LOST, ""))
     for after in (State.WAITING, State.LISTING):
-        f.handle(0.1, state.Due())
+        f.handle(0.1, state.TimerExpired())
         f.handle(0.1, state.Opened())
-        f.handle(0.1, state.Told(Answer(less, [], created=True)))
+        f.handle(0.1, state.WatchMessage(Response(less, [], created=True)))
         assert f.state is after
 
 
 def test_what_is_refused_each_time_waits_in_the_end() -> None:
     for answer in (
-        Answer(Header(), [], canceled=True, refusal=Refusal(16, "invalid auth token")),
-        Answer(Header(), [], canceled=True, compacted=7),
+        Response(Header(), [], canceled=True, error=ErrorResponse(16, "invalid auth token")),
+        Response(Header(), [], canceled=True, compacted=7),
     ):
         f, tries = Follower("/f", ["m"], Random(1)), 0
-        f.handle(0.0, state.Due())
+        f.handle(0.0, state.TimerExpired())
         while f.state is not State.WAITING:
             tries += 1
             f.handle(0.0, state.Opened())
-            f.handle(0.0, state.Page(Answer(Header(revision=3), [])))
-            f.handle(0.0, state.Told(answer))
-        assert tries == state.MOST_ANEW + 1
+            f.handle(0.0, state.ListPage(Response(Header(revision=3), [])))
+            f.handle(0.0, state.WatchMessage(answer))
+        assert tries == state.MAX_RESTARTS + 1
 
 
 def test_a_watch_that_keeps_back_is_found_and_other_keys_are_no_sign_of_one() -> None:
@@ -277,7 +277,7 @@
         p.run(1.0)
     assert len(p.told) == 1
     assert not p.log
-    assert p.follower.seen > 15
+    assert p.follower.last_revision > 15
     assert p.watch is not None
     p.watch.written = p.watch.session.write = lambda data: None  # type: ignore[method-assign]
     p.delete("members/w1")
@@ -290,7 +290,7 @@
     p = play(3)
     p.cluster.cut()
     opened: list[float] = []
-    p.opened = lambda member: (opened.append(p.now), p.happens(state.Failed(state.Kind.LOST, "")))  # type: ignore
+    p.opened = lambda member: (opened.append(p.now), p.happens(state.EndpointFailed(state.Failure.LOST, "")))  # type: ignore
     p.run(60.0)
     rounds = [b - a for a, b in zip(opened[::3], opened[3::3], strict=False)]
     assert len(set(rounds)) == len(rounds)
@@ -317,7 +317,7 @@
                 p.cluster.lag(*some, on=on, lies=random.random() < 0.5)
             case 3 if random.random() < 0.3:
                 p.cluster.cut()  # as nobody restores a cluster within a moment
-                p.run(state.QUIET_S + 1.0)
+                p.run(state.MAX_SILENCE_S + 1.0)
                 p.cluster.restore(random.choice(backups), p.now, random.choice([0, 0, 7, 8]))
             case 4:
                 backups.append(p.cluster.backup())
@@ -341,34 +341,34 @@
 
 def test_every_step_of_the_table_is_met_and_no_other() -> None:
     h, later = Header(cluster_id=1, revision=3), Header(cluster_id=1, revision=9)
-    refused = Refusal(16, "invalid auth token")
+    refused = ErrorResponse(16, "invalid auth token")
     events: list[state.Event] = [
-        state.Due(),
+        state.TimerExpired(),
         state.Opened(),
-        state.Page(Answer(h, [])),
-        state.Page(Answer(h, [item("w", 3)], more=True)),
-        state.Page(Answer(Header(), [])),
-        state.Alive(h),
-        state.Alive(later),
-        state.Alive(Header()),
-        state.Checked(Answer(h, [])),
-        state.Checked(Answer(h, [item("w", 4)])),
-        state.Told(Answer(h, [], created=True)),
-        state.Told(Answer(h, [])),
-        state.Told(Answer(Header(), [])),
-        state.Told(Answer(later, [item("w", 4)])),
-        state.Told(Answer(h, [], canceled=True, compacted=2)),
-        state.Told(Answer(h, [], canceled=True, refusal=refused)),
-        state.Failed(state.Kind.LOST, ""),
-        state.Refused(Refusal(14, "no leader")),
-        state.Refused(Refusal(11, "has been compacted")),
+        state.ListPage(Response(h, [])),
+        state.ListPage(Response(h, [item("w", 3)], more=True)),
+        state.ListPage(Response(Header(), [])),
+        state.ProbeResult(h),
+        state.ProbeResult(later),
+        state.ProbeResult(Header()),
+        state.CheckResult(Response(h, [])),
+        state.CheckResult(Response(h, [item("w", 4)])),
+        state.WatchMessage(Response(h, [], created=True)),
+        state.WatchMessage(Response(h, [])),
+        state.WatchMessage(Response(Header(), [])),
+        state.WatchMessage(Response(later, [item("w", 4)])),
+        state.WatchMessage(Response(h, [], canceled=True, compacted=2)),
+        state.WatchMessage(Response(h, [], canceled=True, error=refused)),
+        state.EndpointFailed(state.Failure.LOST, ""),
+        state.CallFailed(ErrorResponse(14, "no leader")),
+        state.CallFailed(ErrorResponse(11, "has been compacted")),
     ]
     met: set[tuple[State, type, State]] = set()
     for seed in range(400):
         random, f, now = Random(seed), Follower("/f", ["a", "b"], Random(1)), 0.0
         for _ in range(60):
             now, before = now + random.choice([0.0, 0.0, 0.1, 4.0, 11.0]), f.state
-            event = random.choice([e for e in events if type(e) in TABLE[before]])
+            event = random.choice([e for e in events if type(e) in TRANSITIONS[before]])
             f.handle(now, event)  # it looks at the table itself
             met.add((before, type(event), f.state))
-    assert met == {(a, e, b) for a, row in TABLE.items() for e, after in row.items() for b in after}
+    assert met == {(a, e, b) for a, row in TRANSITIONS.items() for e, after in row.items() for b in after}
--- a/tests/sim/test_network.py
+++ b/tests/sim/test_network.py
@@ -215,7 +215,7 @@
     stop()
     log.append(await channel.stream.read_until(b"\n"))
     await channel.write(b"x" * 300_000 + b"\n")
-    log.append(("quiet", channel.quiet()))
+    log.append(("quiet", channel.has_nothing_to_read()))
     try:
         await channel.stream.read_bytes(10)
     except StreamClosedError:
@@ -229,7 +229,7 @@
     channel = await connect(address, make)
     await channel.write(b"hello\n")
     log.append(len(await channel.stream.read_until(b"\n")))
-    log.append(channel.usable())
+    log.append(channel.is_reusable())
     channel.close()
     with pytest.raises((StreamClosedError, OSError)):
         await connect(address, make)  # nobody listens there any more, or will soon
--- a/tests/sim/test_tools.py
+++ b/tests/sim/test_tools.py
@@ -24,7 +24,7 @@
 @pytest.fixture
 def failing(monkeypatch: pytest.MonkeyPatch) -> Plan:
     """A job that failed counts as one that never ran: fragile ones are refused, or sent again."""
-    monkeypatch.setitem(workers.CALL_BACK_ENDS, "failed", Ending.OVERLOADED)
+    monkeypatch.setitem(workers.CALLBACK_ENDINGS, "failed", Ending.OVERLOADED)
     for seed in range(1, 100):
         if (v := Run(draw(seed)).play().violation) is not None:
             assert v.name in (BROKEN, "once: refused")
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -564,7 +564,7 @@
     assert len(sent) > 1
     assert max(map(len, sent)) <= 65536
     assert sum(map(len, sent)) == first.dump.size
-    first.dump.over()
+    first.dump.on_sent()
     again = controls.answer(head, b"")
     assert again
     assert again.dump
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -268,8 +268,8 @@
             actor._open()
             assert actor.socket is not None
             for sender in (stranger, other):
-                sender.sendto(encode("f", GOOD._replace(kind=Kind.PING, number=4)), actor.own)
-            stranger.sendto(encode("f", GOOD._replace(sender="n9")), actor.own)
+                sender.sendto(encode("f", GOOD._replace(kind=Kind.PING, number=4)), actor.own_address)
+            stranger.sendto(encode("f", GOOD._replace(sender="n9")), actor.own_address)
             for _ in range(1000):
                 if actor.received == 3:
                     break
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -22,7 +22,7 @@
 from finchladder.core.dispatch.attempt_stages import Stage
 from finchladder.core.overload.controller import OverloadSettings, State
 from finchladder.net import admission, client_connection, client_listener, http1, messages, workers
-from finchladder.net.admission import Admission, plain_job
+from finchladder.net.admission import Admission, parse_plain_job
 from finchladder.net.control import ControlCalls
 from finchladder.net.decision_actor import Clock, DecisionActor
 from finchladder.net.flows import Answer, Attempt, Flow, FlowTable
@@ -51,9 +51,9 @@
         self.intake = intake(flows, self.module)
         self.intake.classes = {"safe"}
         self.gate = Admission(
-            (SAFE, UNSAFE, KEYED), OverloadSettings(), 1, Clock(), flows.known, HostEnvironment()
+            (SAFE, UNSAFE, KEYED), OverloadSettings(), 1, Clock(), flows.is_known, HostEnvironment()
         )
-        self.control = self.gate.control
+        self.control = self.gate.controller
         self.control.state = State.SHEDDING
         self.control.has_spare_budget = True  # what comes late may be read as well
         for band in self.control.bands:
@@ -120,12 +120,12 @@
     parser.feed(data)
     found = parser.poll()
     assert found is not None
-    assert not parser.begun
+    assert not parser.has_begun
     head, _ = found
     messages.read_facts(head)
-    assert head.keeps
+    assert head.is_persistent
     assert head.method == "POST"
-    assert not head.headers.words("expect")
+    assert not head.headers.tokens("expect")
     return messages.read_target(head.target)[0], messages.read_id(head), messages.read_time_left(head)
 
 
@@ -139,7 +139,11 @@
     request().replace(b"X-Correlation-Id", b"x-CORRELATION-id"),
 ]
 NOT_PLAIN = [
-    *(data for data, _ in BAD if len(data) < admission.LOOK and not data.startswith(b"POST /nosuch")),
+    *(
+        data
+        for data, _ in BAD
+        if len(data) < admission.MAX_RECEIVED_BYTES and not data.startswith(b"POST /nosuch")
+    ),
     CALL_BACK,
     HEALTH,
     JOB[:-1],
@@ -164,12 +168,12 @@
 @pytest.mark.parametrize("data", PLAIN)
 def test_a_plain_job_is_told_at_a_glance(data: bytes) -> None:
     job_class, id, left_s = read(data)
-    assert plain_job(data) == (job_class.encode(), id.encode(), left_s)
+    assert parse_plain_job(data) == (job_class.encode(), id.encode(), left_s)
 
 
 @pytest.mark.parametrize("data", NOT_PLAIN)
 def test_all_else_is_the_parsers(data: bytes) -> None:
-    assert plain_job(data) is None
+    assert parse_plain_job(data) is None
 
 
 FIELDS = [b"X-Time-Left: 1\r\n", b"Content-Length: 2\r\n", b"X-Correlation-Id: b\r\n", b"X-Facts: a=1\r\n"]
@@ -184,7 +188,7 @@
 ) -> None:
     for at, gone, piece in edits:
         data = data[:at] + piece + data[at + gone :]
-    if (job := plain_job(data)) is not None:
+    if (job := parse_plain_job(data)) is not None:
         assert (job[0].decode(), job[1].decode(), job[2]) == read(data)
 
 
@@ -198,7 +202,7 @@
             assert not p.taken
             assert not any(w.done() for w in waiting)
             assert not any(
-                e.message for e in p.clients.connections._closable_as
+                e.queued_message for e in p.clients.connections._closable_as
             )  # none is looked at for being closed
             p.let(1)
             await p.serve(1)
@@ -271,9 +275,11 @@
                 else:
                     p.turn_away()
                 assert [(await read_message(reader)).status for _ in range(2)] == [200 if let else 503, 200]
-            body = b"x" * (admission.LOOK - len(request("b1", "/safe/k", body=b"x" * 1000)) + 1000)
+            body = b"x" * (
+                admission.MAX_RECEIVED_BYTES - len(request("b1", "/safe/k", body=b"x" * 1000)) + 1000
+            )
             whole = request("b1", "/safe/k", body=body)  # is received at once, and no more
-            assert len(whole) == admission.LOOK
+            assert len(whole) == admission.MAX_RECEIVED_BYTES
             writer.write(whole + HEALTH)
             await p.wait(1)
             p.let(1)
@@ -315,7 +321,7 @@
     async def play() -> None:
         async with place() as p:
             p.intake.classes = {"s"}
-            p.gate.names[b"s"] = "safe"
+            p.gate.class_names[b"s"] = "safe"
             waiting = asyncio.create_task(p.wait(1))
             answer = ask(p, data)
             await asyncio.wait((waiting, answer), return_when=asyncio.FIRST_COMPLETED)
@@ -406,7 +412,7 @@
             while len(p.clients.connections) or p.control.unread.size:
                 await asyncio.sleep(0.005)
             assert not p.told
-            assert not p.gate.edges
+            assert not p.gate.connections
             assert p.bodies.free_bytes == BodyMemory(1 << 25).free_bytes
             writer.close()
 
@@ -461,7 +467,7 @@
 
 def test_with_all_connections_taken_others_are_heard_in_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     """Some that wait are turned away, worst first; call-backs and better jobs come in from outside."""
-    monkeypatch.setattr(admission, "ROOM_MADE", 1)
+    monkeypatch.setattr(admission, "REJECTED_FOR_ROOM", 1)
 
     async def play() -> None:
         async with place(sockets=8) as p:
@@ -539,16 +545,16 @@
             told: list[tuple[float, ...]] = []
             p.control.tick = lambda *args: told.append(args)  # type: ignore[method-assign]
             for took_s in (0.3, 0.1, 0.2):
-                p.gate.started(took_s)
+                p.gate.record_start(took_s)
             for _ in range(100):
-                p.gate.started(9.0)
-            assert len(p.gate.starts) == admission.STARTS
-            p.gate.starts = p.gate.starts[:3]
+                p.gate.record_start(9.0)
+            assert len(p.gate.start_times_s) == admission.MAX_START_SAMPLES
+            p.gate.start_times_s = p.gate.start_times_s[:3]
             p.gate._tick()
             p.gate.meter.sampled_at -= 2.0
             p.gate._tick()
             assert [args[3] for args in told] == [0.2]
-            assert not p.gate.starts
+            assert not p.gate.start_times_s
 
     run(play())
 
@@ -560,7 +566,7 @@
             sink = logger.add(said.append, format="{message}")
             for now, begins in [(0, True), (1, False), (2, True), (3, False), (12, True)]:
                 p.control.state = State.SHEDDING if begins else State.CALM
-                p.gate._say(now, 1.0)
+                p.gate._log_state(now, 1.0)
             logger.remove(sink)
             assert [line.split(";")[0] for line in said] == [
                 "overload: jobs are turned away",
@@ -577,18 +583,18 @@
         listener = await asyncio.start_server(lambda r, w: w.write(b"HTTP/1.1 202 A\r\n\r\n"), "127.0.0.1", 0)
         flows, took = FlowTable(), list[float]()
         module = DecisionActor(Dispatcher(facts(reports_start=tells_start), 1), flows, Clock())
-        module.submit, module.starts = lambda item: None, took.append  # type: ignore[method-assign]
+        module.submit, module.on_job_started = lambda item: None, took.append  # type: ignore[method-assign]
         group = workers.WorkerPool(flows, module, Timers(Clock()), 5, 30.0, 128, http1.connect)
         address = {"w1": listener.sockets[0].getsockname()[:2]}
         group.update(api.WorkerList(api.ListKind.FULL, (entry("w1"),)), address)
         for number, id in enumerate(("r1", "r1", "r2")):
             flow = flow_of(flows, [])
-            flow.id, flow.since = id, module.clock() - 5
+            flow.id, flow.received_at = id, module.clock() - 5
             group.send(Attempt(flow, number % 2, "w1", module.clock(), module.clock() + 9))
             while group.actors["w1"].attempts[id].stage is not Stage.ACCEPTED:
                 await asyncio.sleep(0.005)
             if tells_start:
-                group.called_back(messages.CallBack(id, "w1", "started"))
+                group.handle_callback(messages.Callback(id, "w1", "started"))
             group.actors["w1"].attempts.clear()
         assert len(took) == 2
         assert all(5 <= t < 20 for t in took)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -17,7 +17,7 @@
 from finchladder.features.request_admission import Arrivals
 from finchladder.net import client_listener, endpoint_watcher, http1, messages, workers
 from finchladder.net.control import ControlCalls
-from finchladder.net.decision_actor import Clock, DecisionActor, Ending
+from finchladder.net.decision_actor import AttemptEnd, Clock, DecisionActor
 from finchladder.net.flows import Answer, Attempt, Flow, FlowTable
 from finchladder.net.http1 import Head, Headers, MalformedMessageError, Parser
 from finchladder.net.job_intake import DuplicateRequestError, JobIntake
@@ -67,7 +67,7 @@
     (CHUNKED + b"1\r\nabc\r\n", 400),
     (CHUNKED + b"ffff\r\n" + b"x" * 65535 + b"\r\n2\r\nab\r\n0\r\n\r\n", 413),
     (b"POST /a HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413),
-    (b"GET /" + b"a" * http1.MAX_HEAD + b" HTTP/1.1\r\n\r\n", 431),
+    (b"GET /" + b"a" * http1.MAX_HEAD_BYTES + b" HTTP/1.1\r\n\r\n", 431),
 ]
 
 
@@ -140,8 +140,8 @@
 
 
 def test_a_key_is_the_same_number_everywhere() -> None:
-    assert messages.key_of("7f3a9c21e0b4d655") == 51428628390673331
-    assert messages.read_target("/a/x/k")[1] == messages.read_target("/b/k?q")[1] == messages.key_of("k")
+    assert messages.hash_key("7f3a9c21e0b4d655") == 51428628390673331
+    assert messages.read_target("/a/x/k")[1] == messages.read_target("/b/k?q")[1] == messages.hash_key("k")
 
 
 @pytest.mark.parametrize(
@@ -307,7 +307,7 @@
             drain()
         while not attempt.ended:
             await asyncio.sleep(0.01)
-        [end] = [t for t in told if isinstance(t, Ending)]
+        [end] = [t for t in told if isinstance(t, AttemptEnd)]
         assert end.ending is api.Ending.VOID
         assert attempt.steps == [Step.END]
         listener.close()
@@ -328,11 +328,11 @@
         server.attempts[flow.id] = attempt
         attempt.step(Step.WRITE)
         for state in ("done", "lost", "done"):
-            server.receive(messages.CallBack("r1", "w1", state, result="x"))
+            server.receive(messages.Callback("r1", "w1", state, result="x"))
         assert not flows.finish(flow, Answer("failed"))
         assert [a.kind for a in answers] == ["served"]
         assert len(told) == 1
-        assert flows.known("r1")
+        assert flows.is_known("r1")
         assert not flows.by_id
 
     asyncio.run(play())
@@ -427,7 +427,7 @@
         while not told:
             await asyncio.sleep(0.01)
         logger.remove(sink)
-        assert isinstance(told[0], Ending)
+        assert isinstance(told[0], AttemptEnd)
         assert told[0].ending is api.Ending.UNREACHABLE
         assert any("died on Attempt" in line for line in log)
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -99,7 +99,7 @@
         self.states: dict[str, api.WorkerStatus] = {}
         self.news = asyncio.Event()
         self.actor = EndpointWatcher(("127.0.0.1", 0), self.apply, lambda names: None, connect)
-        self.actor.rules = WatchState(shared)
+        self.actor.watch_state = WatchState(shared)
 
     def apply(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
         if workers.kind is not api.ListKind.PATCH:
@@ -262,7 +262,7 @@
             await asyncio.sleep(0)
         d.acts = [said(list_line(2, [entry("w1", "draining"), entry("w2")], True))]
         d.watches[-1].transport.abort()
-        while not f.actor.rules.has_older:
+        while not f.actor.watch_state.has_older:
             await asyncio.sleep(0.02)
         assert f.actor.index == 9
         doubted = asyncio.get_running_loop().time()
