--- a/finchladder/net/actor.py
+++ b/finchladder/net/actor.py
@@ -1,4 +1,4 @@
-"""An actor: a mailbox with bounded room. What is posted is handled at once, or once its turn has come."""
+"""Actors with bounded mailboxes: an item is handled at once, or after those that were posted before it."""
 
 import asyncio
 from collections import deque
@@ -19,20 +19,20 @@
 
 
 class Actor(Generic[T]):
-    """Handles what comes to its mailbox, one thing after another.
+    """Handles the items of its mailbox one at a time.
 
-    Whoever posts to an actor at rest has the item handled before `post` returns: a task and a future for each
-    message took more than the handling. What is posted while an item is being handled waits until that is
-    done, so no item meets another half way.
+    While the actor is idle, `post` handles the item before it returns: a task and a future for each item cost
+    more than the handling itself. An item that is posted while another is being handled waits in the mailbox,
+    so the handling of two items never interleaves.
 
-    The room is far more than the bounds on connections let in, so a full mailbox is a fault of this program:
-    `post` raises then. An error in `receive` is logged with its trace and handed to `failed`, which ends
-    whatever hung on the item; the actor goes on with the next one.
+    The mailbox holds far more items than the limits on connections can cause, so a full mailbox is a bug in
+    this program, and `post` raises. An error in `receive` is logged with its traceback. `failed` then
+    releases what depended on the item, and the actor continues with the next one.
     """
 
-    def __init__(self, name: str, room: int) -> None:
-        self.name, self.mailbox_size = name, room
-        self.mailbox: deque[T] | None = None  # made when something must wait first: mostly nothing ever does
+    def __init__(self, name: str, mailbox_size: int) -> None:
+        self.name, self.mailbox_size = name, mailbox_size
+        self.mailbox: deque[T] | None = None  # created when the first item has to wait
         self.is_handling = False
         self.tasks: set[asyncio.Task[Any]] = set()
 
@@ -43,7 +43,7 @@
 
     @property
     def backlog(self) -> int:
-        """The number of items that wait in the mailbox."""
+        """The number of items in the mailbox."""
         return len(self.mailbox) if self.mailbox is not None else 0
 
     def post(self, item: T) -> None:
@@ -61,7 +61,7 @@
         self.mailbox.append(item)
 
     def spawn(self, work: Coroutine[Any, Any, R]) -> asyncio.Task[R]:
-        """Starts a task that belongs to this actor; an error that ends it is logged."""
+        """Starts a task owned by this actor; an error that ends the task is logged."""
         task = asyncio.get_running_loop().create_task(work, name=self.name)
         self.tasks.add(task)
         task.add_done_callback(self._task_done)
@@ -93,7 +93,7 @@
             self.log.exception("{}: died on {}", self.name, type(item).__name__)
             try:
                 self.failed(item)
-            except Exception:  # the mailbox must be read on, else all that comes after hangs too
+            except Exception:  # the remaining items must still be handled
                 self.log.exception("{}: could not clear up", self.name)
 
     def receive(self, item: T) -> None:
--- a/finchladder/net/admission.py
+++ b/finchladder/net/admission.py
@@ -1,10 +1,10 @@
-"""The gate in front of the parser: while the loop can't keep up, jobs wait unread until they are let in.
+"""Admission control in front of the parser: under overload, jobs wait unparsed until they are admitted.
 
-`core/overload` decides; this looks at sockets for it. All edge connections that wait for a message are
-watched by an `epoll` of the gate's own, which says once what is new (edge-triggered): no connection enters or
-leaves the loop's own for a message. What came is received, and if it is one whole and plain job, it may wait
-here. Then it goes to the parser as it is, or is turned away on the raw socket, which costs a small part of
-parsing and answering. What is anything else (call-backs end what was sent) is never kept waiting.
+`core/overload` decides; this module reads the sockets for it. A separate, edge-triggered `epoll` watches all
+client connections that wait for a message, so that no connection has to be registered with the event loop
+for each message. If the received bytes are one complete, plain job, the job may wait here. It is then passed
+to the parser unchanged, or rejected on the raw socket, which costs a small part of parsing and answering it.
+All other messages are passed on at once, such as callbacks, which end running jobs.
 """
 
 import asyncio
@@ -31,27 +31,23 @@
 from finchladder.core.overload.loop_lag import LoopLagMeter
 from finchladder.net.client_connection import FIRST_MESSAGE_TIMEOUT_S, ClientConnection
 
-MAX_RECEIVED_BYTES = (
-    4096  # bytes received at once; a message that is longer goes to the parser, never turned away raw
-)
-MAX_HANDLED_AT_ONCE = 128  # connections looked at, and turns of the control, in one turn of the loop
-REJECTED_FOR_ROOM = 16  # connections that are turned away at once so that others can be heard
-MAX_START_SAMPLES = 64  # that are looked at in one tick
-MIN_AGE_S = 0.005  # a message that lay there for less is as good as new
-MAX_AGE_S = 60.0  # clocks are set: an older one is not believed
-LOG_INTERVAL_S = 10.0  # seconds between two lines of the log about the same
+MAX_RECEIVED_BYTES = 4096  # received at once; a longer message always goes to the parser
+MAX_HANDLED_AT_ONCE = 128  # connections polled, and admission decisions made, in one loop iteration
+REJECTED_FOR_ROOM = 16  # waiting jobs rejected at once to make room for new connections
+MAX_START_SAMPLES = 64  # start times of jobs used in one tick
+MIN_AGE_S = 0.005  # a message that waited in the socket for less counts as new
+MAX_AGE_S = 60.0  # a higher age is ignored, as it must come from a change of the system clock
+LOG_INTERVAL_S = 10.0  # seconds between two log lines that shedding has begun
 
 POLLED_EVENTS = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLET
 CLOSE_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
-SO_TIMESTAMPNS = (
-    35  # SO_TIMESTAMPNS, which the socket module does not name; each received segment carries its time
-)
+SO_TIMESTAMPNS = 35  # not in the socket module; adds its time of arrival to each received segment
 TIMESPEC = struct.Struct("@ll")
 TIMESPEC_SPACE = socket.CMSG_SPACE(TIMESPEC.size)
 
 _FACT = rb"[a-z]{1,9}=[0-9]{1,5}(?:\.[0-9]{0,9})?"
-# The head of a job that the parser, and all that looks at a job after it, would take without a word. Anything
-# else is theirs to answer. `(?(2)(?!))` fails where a field comes again.
+# The head of a job that the parser and all later checks would accept. Every other message goes to the parser,
+# which answers it. `(?(2)(?!))` makes the match fail if a field is repeated.
 _PLAIN_JOB = re.compile(
     rb"POST /(?!_|v1/job-events[ ?])([\w.~:@!$&'()*+,;=-]+)"
     rb"(?:[/?](?:[\w.~:/?@!$&'()*+,;=-]|%[0-9A-Fa-f]{2})*)? HTTP/1\.1\r\n(?:(?:"
@@ -68,7 +64,7 @@
 
 
 def parse_plain_job(data: bytes) -> tuple[bytes, bytes, float] | None:
-    """Class, id and the seconds that its client will wait; None: not one whole plain job and nothing more."""
+    """Returns class, id and client timeout in seconds, or None unless the data is exactly one plain job."""
     if (head := _PLAIN_JOB.match(data)) is None:
         return None
     job_class, id, left, length = head.group(1, 2, 3, 4)
@@ -90,14 +86,14 @@
         """CPU time that the process has used so far."""
 
     def idle(self) -> float:
-        """Time that the event loop has waited for events so far."""
+        """Time that the event loop has spent waiting for events so far."""
 
     def wall(self) -> float:
         """Unix time."""
 
 
 class Admission:
-    """Admission control: reads plain jobs off idle connections and admits, delays or refuses them."""
+    """Receives plain jobs from idle connections and admits, delays or rejects them."""
 
     def __init__(
         self,
@@ -105,29 +101,28 @@
         settings: OverloadSettings,
         seed: int,
         clock: Callable[[], float],
-        known: Callable[[str], bool],
-        times: Clocks,
+        is_known: Callable[[str], bool],
+        clocks: Clocks,
     ) -> None:
-        """`known`: the ids that have come already."""
-        self.clock, self.is_known, self.clocks = clock, known, times
+        """`is_known`: whether a request with this id was received before."""
+        self.clock, self.is_known, self.clocks = clock, is_known, clocks
         classes = tuple(classes)
         self.class_names = {c.name.encode(): c.name for c in classes}
         self.controller: OverloadController[ClientConnection] = OverloadController(classes, settings, seed)
-        self.meter = LoopLagMeter(clock(), times.cpu(), times.idle(), TICK_INTERVAL_S)
-        self.start_times_s: list[float] = []  # seconds that jobs took to start since the last tick
+        self.meter = LoopLagMeter(clock(), clocks.cpu(), clocks.idle(), TICK_INTERVAL_S)
+        self.start_times_s: list[float] = []  # seconds that jobs took to start, recorded since the last tick
         self.epoll = select.epoll()
         self.connections: dict[int, ClientConnection] = {}  # by descriptor
-        self.silent_connections: dict[
-            ClientConnection, None
-        ] = {}  # nothing has come on them yet; the oldest is the first
-        # set by their owner: begins to read one, and closes one
+        # connections that have received nothing yet, oldest first
+        self.silent_connections: dict[ClientConnection, None] = {}
+        # set by the listener: starts serving a connection; closes a connection
         self.on_open: Callable[[ClientConnection], None] = lambda connection: None
         self.on_close: Callable[[ClientConnection], None] = lambda connection: None
-        self.admits_all = False  # for good: the dispatcher leaves
+        self.admits_all = False  # set at shutdown: nothing is delayed or rejected any more
         self.is_retry_scheduled = False
         self.may_be_late, self.polled_at = True, 0.0
         self.is_begin_logged, self.logged_at = False, -LOG_INTERVAL_S
-        self.rejected_count = 0  # since that was last said
+        self.rejected_count = 0  # since the last log line
 
     def start(self) -> None:
         """Starts polling the connections and measuring the lag of the event loop."""
@@ -140,7 +135,7 @@
             self.start_times_s.append(took_s)
 
     def check(self, job_class: str, left_s: float) -> float | None:
-        """Of a job that did not wait here, before there is a flow: Retry-After in seconds; None: let in."""
+        """Checks a parsed job that did not wait here; returns Retry-After in seconds, or None if admitted."""
         if self.admits_all:
             return None
         return self.controller.admit(self.clock(), job_class, left_s)
@@ -156,7 +151,7 @@
     def wait_for_message(self, connection: ClientConnection) -> None:
         """Registers that the connection waits for its next message.
 
-        The message is passed on by `ClientConnection.received`.
+        The message is passed on by `ClientConnection.receive`.
         """
         if connection.may_have_data and connection.is_waiting:
             self._receive(connection)
@@ -176,27 +171,26 @@
             self._admit(connection)
 
     def make_room(self) -> None:
-        """Refuses some waiting jobs, as the connection table is full and no new client can be accepted."""
+        """Rejects some waiting jobs, as the connection table is full and no new client can be accepted."""
         for _ in range(REJECTED_FOR_ROOM):
             if (connection := self.controller.pop_least_valuable()) is None:
                 return
             self._reject(connection, self.clock())
 
-    # --- what the sockets say
+    # --- sockets
 
     def _poll_connections(self) -> None:
         began = self.clock()
-        self.may_be_late = began > self.polled_at + MIN_AGE_S  # else nothing can have lain there for long
-        for descriptor, what in self.epoll.poll(0, MAX_HANDLED_AT_ONCE):
+        self.may_be_late = began > self.polled_at + MIN_AGE_S  # otherwise no message can have waited for long
+        for descriptor, events in self.epoll.poll(0, MAX_HANDLED_AT_ONCE):
             if (connection := self.connections.get(descriptor)) is None or connection.is_closed:
                 continue
             connection.may_have_data = True
             if connection.is_waiting:
                 self._receive(connection)
-            if what & CLOSE_EVENTS and not connection.is_closed:
-                connection.client_has_closed = connection.may_have_data = (
-                    True  # what came before is still read, unless it is a job
-                )
+            if events & CLOSE_EVENTS and not connection.is_closed:
+                # bytes that arrived before the close are still read, unless they are a job
+                connection.client_has_closed = connection.may_have_data = True
                 if connection.flow is not None or connection.queued_message:
                     self.controller.remove(connection)
                     self.on_close(connection)
@@ -221,7 +215,7 @@
             data = b""
         if not data:
             return self.on_close(connection)
-        connection.may_have_data = len(data) == MAX_RECEIVED_BYTES  # there may be more
+        connection.may_have_data = len(data) == MAX_RECEIVED_BYTES  # the socket may hold more
         now = self.clock()
         connection.received_at = now - age_s
         if not connection.is_open:
@@ -230,14 +224,14 @@
             self._pass_on(connection, data)
 
     def _pass_on(self, connection: ClientConnection, data: bytes) -> None:
-        """To be read now."""
+        """Passes received bytes to the parser."""
         if connection.is_open:
             return connection.receive(data)
         connection.queued_message, connection.first_bytes = b"", data
         self.on_open(connection)
 
     def _age_s(self, stamps: list[tuple[int, int, bytes]]) -> float:
-        """Since the last of it was there, by the system."""
+        """Returns the seconds since the last segment arrived, or 0 if that is unknown or negligible."""
         if not stamps:
             return 0.0
         seconds, nanoseconds = TIMESPEC.unpack_from(stamps[0][2])
@@ -245,7 +239,7 @@
         return age if MIN_AGE_S < age < MAX_AGE_S else 0.0
 
     def _enqueue(self, connection: ClientConnection, data: bytes, now: float) -> bool:
-        """False: it is not to wait here."""
+        """Queues a plain job of a known class; returns False if the data must go to the parser now."""
         if (job := parse_plain_job(data)) is None:
             return False
         job_class, id, left_s = job
@@ -260,13 +254,13 @@
         self.controller.enqueue(now, name, left_s - (now - connection.received_at), connection)
         return True
 
-    # --- what the control says
+    # --- decisions
 
     def _tick(self) -> None:
         now = self.clock()
         sample = self.meter.sample(now, self.clocks.cpu(), self.clocks.idle())
         before = self.controller.state
-        if not sample.is_paused:  # a pause of the process is no load
+        if not sample.is_paused:  # a pause of the process is not overload
             self.controller.tick(
                 now,
                 sample.lag_s,
@@ -284,8 +278,8 @@
             self.on_close(connection)
         IOLoop.current().call_later(TICK_INTERVAL_S, self._tick)
 
-    def _log_state(self, now: float, busy: float) -> None:
-        """Its begin, and then its end as well. It may come again and again: that is not said each time."""
+    def _log_state(self, now: float, utilization: float) -> None:
+        """Logs the begin of shedding at most every LOG_INTERVAL_S, and the end if its begin was logged."""
         shedding = self.controller.state is State.SHEDDING
         if shedding:
             self.is_begin_logged = now >= self.logged_at + LOG_INTERVAL_S
@@ -297,14 +291,14 @@
             " unread, {} were turned away since this was last said",
             "jobs are turned away" if shedding else "over",
             1000 * self.controller.queue_delay_s,
-            busy,
+            utilization,
             self.controller.unread.size,
             self.rejected_count,
         )
         self.rejected_count = 0
 
     def _drain(self) -> None:
-        """What the control names, as much as one turn of the loop may hold. One timer at most asks again."""
+        """Carries out the due decisions, at most MAX_HANDLED_AT_ONCE, and schedules a retry for the rest."""
         for _ in range(MAX_HANDLED_AT_ONCE):
             if (wait_s := self._handle_next()) is not None:
                 break
@@ -313,7 +307,7 @@
             IOLoop.current().call_later(wait_s or 0.0, self._retry)
 
     def _handle_next(self) -> float | None:
-        """Seconds after which to ask again, if nothing is to be done now."""
+        """Carries out one decision; returns the seconds to the next if none is due now."""
         now = self.clock()
         action = self.controller.next_action(now)
         if action.item is None:
@@ -337,9 +331,8 @@
 
     def _reject(self, connection: ClientConnection, now: float) -> None:
         if self.is_known(connection.job_id.decode("ascii")):
-            return self._pass_on(
-                connection, connection.queued_message
-            )  # the parser's answer to it is no refusal
+            # the answer to a repeated id is an error, not a rejection
+            return self._pass_on(connection, connection.queued_message)
         self.rejected_count += 1
         connection.queued_message = b""
         connection.reservation.resize(0)
@@ -352,6 +345,6 @@
         except OSError:
             whole = False
         if not whole:
-            return self.on_close(connection)  # a client that reads nothing, or has left
-        if connection.may_have_data:  # not now: each of many might bring about the next one's turn
+            return self.on_close(connection)  # the client does not read, or has disconnected
+        if connection.may_have_data:  # deferred: many connections could otherwise recurse into each other
             asyncio.get_running_loop().call_soon(self.wait_for_message, connection)
--- a/finchladder/net/capture_files.py
+++ b/finchladder/net/capture_files.py
@@ -1,4 +1,4 @@
-"""The disk that capture files go to. A thread writes them: nobody may have to wait for a disk that hangs."""
+"""Writes capture files in a separate thread, so that a hanging disk never blocks the dispatcher."""
 
 import re
 import threading
@@ -8,23 +8,23 @@
 
 from loguru import logger
 
-STANDARD_OUTPUT = "-"  # in place of a folder: one file without end, for machines without a disk that stays
-WRITE_INTERVAL_S = 0.1  # seconds between two looks at what has come: many small blocks make one write
-CLOSE_TIMEOUT_S = 1.0  # seconds at the end for what is not yet written
+STANDARD_OUTPUT = "-"  # in place of a folder: one endless stream, for hosts without a persistent disk
+WRITE_INTERVAL_S = 0.1  # seconds between two writes, so that many small blocks become one
+CLOSE_TIMEOUT_S = 1.0  # for writing what is queued at the end
 
 
 class CaptureFiles(threading.Thread):
     """A thread that writes blocks in order and deletes the oldest files; callers never block on it."""
 
-    def __init__(self, folder: str, name: str, start_ms: int, keep: int, room: int) -> None:
+    def __init__(self, folder: str, name: str, start_ms: int, max_files: int, max_queued_bytes: int) -> None:
         super().__init__(name="capture files", daemon=True)
-        self.folder, self.max_files, self.max_queued_bytes = Path(folder), keep, room
+        self.folder, self.max_files, self.max_queued_bytes = Path(folder), max_files, max_queued_bytes
         self.name_prefix = "capture-" + re.sub(r"[^\w.-]", "_", name, flags=re.ASCII)
         self.start_ms, self.file_number = start_ms, 0
         self.lock, self.closing = threading.Lock(), threading.Event()
-        self.queue: list[tuple[bool, bytes]] = []  # True: a new file begins with it
-        self.queued_bytes, self.failed = 0, False  # bytes that wait, those being written included
-        self.is_failure_logged = False  # a failing disk is told of once, until it works again
+        self.queue: list[tuple[bool, bytes]] = []  # blocks; True: starts a new file
+        self.queued_bytes, self.failed = 0, False  # includes the bytes being written
+        self.is_failure_logged = False  # a failure is logged once until the disk works again
         self.file: FileIO | None = None
 
     def open(self, data: bytes) -> bool:
@@ -37,12 +37,12 @@
         """Queues a block for the current file; False if the disk has failed or is too slow."""
         return self._enqueue(False, data)
 
-    def _enqueue(self, new: bool, data: bytes) -> bool:
+    def _enqueue(self, starts_file: bool, data: bytes) -> bool:
         with self.lock:
-            # a disk that can't keep up, or hangs, is as good as one that fails
+            # a disk that can't keep up, or hangs, counts as failed
             self.failed = self.failed or self.queued_bytes + len(data) > self.max_queued_bytes
             if not self.failed:
-                self.queue.append((new, data))
+                self.queue.append((starts_file, data))
                 self.queued_bytes += len(data)
             return not self.failed
 
@@ -61,22 +61,22 @@
     def _write_queued(self) -> None:
         with self.lock:
             queue, self.queue = self.queue, []
-        at = 0
-        for n, (new, _) in enumerate([*queue, (True, b"")]):
-            if new and n > at:
-                self._write(queue[at][0], b"".join(data for _, data in queue[at:n]))
-                at = n
+        first = 0
+        for n, (starts_file, _) in enumerate([*queue, (True, b"")]):
+            if starts_file and n > first:
+                self._write(queue[first][0], b"".join(data for _, data in queue[first:n]))
+                first = n
         with self.lock:
             self.queued_bytes -= sum(len(data) for _, data in queue)
 
-    def _write(self, new: bool, data: bytes) -> None:
+    def _write(self, starts_file: bool, data: bytes) -> None:
         try:
-            if new:
+            if starts_file:
                 self._new_file()
             if self.file is not None:
-                rest = memoryview(data)
-                while rest:
-                    rest = rest[self.file.write(rest) :]
+                remaining = memoryview(data)
+                while remaining:
+                    remaining = remaining[self.file.write(remaining) :]
                 if self.is_failure_logged:
                     self.is_failure_logged = False
                     logger.info("capture: files can be written again")
@@ -97,9 +97,9 @@
         self.file_number += 1
         name = f"{self.name_prefix}-{self.start_ms:013}-{self.file_number:06}.jsonl"
         self.file = FileIO(self.folder / name, "x")
-        # of this dispatcher's own, also from before its start; another's may lie in the same folder
-        own = re.compile(re.escape(self.name_prefix) + r"-\d{13}-\d{6}\.jsonl")
-        files = sorted(f for f in self.folder.iterdir() if own.fullmatch(f.name))
+        # files of this dispatcher, also of earlier starts; other dispatchers may use the same folder
+        own_file = re.compile(re.escape(self.name_prefix) + r"-\d{13}-\d{6}\.jsonl")
+        files = sorted(f for f in self.folder.iterdir() if own_file.fullmatch(f.name))
         for file in files[: -self.max_files]:
             file.unlink(missing_ok=True)
 
--- a/finchladder/net/capture_recorder.py
+++ b/finchladder/net/capture_recorder.py
@@ -1,4 +1,4 @@
-"""The tap round the decisions: hands to the capture what the actors hand to them, and never harms service."""
+"""Records the inputs and outputs of the dispatcher core; errors here never affect the service."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -13,7 +13,7 @@
 
 
 class CaptureRecorder:
-    """Passes the inputs and outputs of the decisions to the capture; an error here never reaches them."""
+    """Passes the inputs and outputs of the dispatcher core to the capture and contains its errors."""
 
     def __init__(self, capture: Capture) -> None:
         self.capture = capture
@@ -48,7 +48,7 @@
         self._record(lambda: self.capture.left(t))
 
     def _record(self, record: Callable[[], None]) -> None:
-        """A record that can't be made is a gap, after which the capture begins anew; the job goes on."""
+        """Makes a record; a failure leaves a gap, after which the capture starts again with a snapshot."""
         try:
             record()
         except Exception:
--- a/finchladder/net/client_connection.py
+++ b/finchladder/net/client_connection.py
@@ -1,4 +1,4 @@
-"""An edge connection: one connection from a client, or from a real server that calls back."""
+"""A client connection: one connection from a client, or from a worker that sends callbacks."""
 
 import asyncio
 import socket
@@ -30,19 +30,20 @@
 from finchladder.net.job_intake import JobIntake
 from finchladder.net.messages import limit_of
 
-FIRST_MESSAGE_TIMEOUT_S = 2.0  # from a connection's start to its first message's last byte; 3 s are owed
-MESSAGE_TIMEOUT_S = 2.0  # from a message's first byte to its last
-WRITE_TIMEOUT_S = 10.0  # a client must read
-MAX_READ_AHEAD = (
-    MAX_HEAD_BYTES + MAX_BODY_BYTES
-)  # of a next message, while one is worked on: behind it the client may leave
-LINGER_S = 0.5  # for what a client still sends on a connection that is closed to it
+FIRST_MESSAGE_TIMEOUT_S = (
+    2.0  # from accepting a connection to the last byte of its first message; the requirement is 3 s
+)
+MESSAGE_TIMEOUT_S = 2.0  # from the first byte of a message to its last
+WRITE_TIMEOUT_S = 10.0  # for the client to read a response
+# bytes of the next message read while one is handled: further bytes would hide that the client closes
+MAX_READ_AHEAD = MAX_HEAD_BYTES + MAX_BODY_BYTES
+LINGER_S = 0.5  # for discarding what a client still sends after its last response
 
 
 class AdmissionQueue(Protocol):
-    """Watches idle connections and passes on their next message by `ClientConnection.received`."""
+    """Polls idle connections and passes their next message to `ClientConnection.receive`."""
 
-    def wait_for_message(self, edge: "ClientConnection") -> None:
+    def wait_for_message(self, connection: "ClientConnection") -> None:
         """Registers that the connection waits for its next message."""
 
 
@@ -53,9 +54,9 @@
 
     @property
     def admission(self) -> AdmissionQueue | None:
-        """Admission control, or None where it is off."""
+        """Admission control, or None where it is disabled."""
 
-    async def answer(self, edge: "ClientConnection", head: Head, body: bytes) -> Reply:
+    async def answer(self, connection: "ClientConnection", head: Head, body: bytes) -> Reply:
         """Returns the response to one message.
 
         Raises:
@@ -64,12 +65,12 @@
 
 
 class ClientConnection:
-    """A client's connection: reads messages one after another and writes their responses.
+    """Reads the messages of one client connection in turn and writes their responses.
 
-    It starts as a bare socket: one that is refused or closed before anything is read costs little.
+    It starts as a bare socket without a stream, so that rejecting or closing it unread costs little.
     """
 
-    channel: Channel  # once it is opened
+    channel: Channel  # set by `open_stream`
 
     def __init__(
         self,
@@ -77,32 +78,34 @@
         client: str,
         handler: MessageHandler,
         table: "ClientConnectionTable[ClientConnection]",
-        body: Reservation,
+        reservation: Reservation,
     ) -> None:
         self.socket, self.descriptor, self.is_open = client_socket, client_socket.fileno(), False
         self.client = client  # the peer's IP address
         self.handler, self.table = handler, table
         self.intake, self.clock = handler.intake, handler.intake.clock
-        self.reservation = body  # of what is being read or worked on
-        self.answer: Answer | None = None  # what the flow's answer is, once it is there
+        self.reservation = reservation  # for the body of the message being read or handled
+        self.answer: Answer | None = None  # the flow's answer, until it is taken
         self.answer_future: asyncio.Future[None] | None = None
         self.flow: Flow | None = None
-        self.is_busy = False  # between a message's first byte and its answer's last
+        self.is_busy = False  # from the first byte of a message to the last of its response
         self.sends_callbacks = False
         self.value = ConnectionValue.NEW
         self.accepted_at = self.clock()
-        # of the gate, where there is one
-        self.next_bytes: asyncio.Future[bytes] | None = None  # for the next message's first bytes
-        self.first_bytes = b""  # what came before it was opened
-        self.queued_message = b""  # a whole job that waits to be let in, with its class and id
+        # used with admission control only
+        self.next_bytes: asyncio.Future[bytes] | None = (
+            None  # resolves to the first bytes of the next message
+        )
+        self.first_bytes = b""  # bytes received before the stream was created
+        self.queued_message = b""  # a complete job that waits for admission, with its class and id
         self.job_class, self.job_id = "", b""
-        self.received_at = 0.0  # that which is being read, by the socket
-        self.may_have_data = False  # something may be there that was not looked at
-        self.client_has_closed = False  # the client has closed its side
-        self.is_admitted = False  # the gate has let in what is being read
+        self.received_at = 0.0  # time at which the socket received the current message; 0: unknown
+        self.may_have_data = False  # the socket may hold unread bytes
+        self.client_has_closed = False  # the client has closed its sending side
+        self.is_admitted = False  # admission control has admitted the current message
 
     def open_stream(self) -> None:
-        """Creates the stream and its parser; to be called once, before anything is read."""
+        """Creates the stream and its parser; must be called once, before anything is read."""
         stream = Stream(self.socket, max_buffer_size=4 * MAX_PIECE_BYTES, read_chunk_size=READ_CHUNK_BYTES)
         stream.is_polled_elsewhere = self.handler.admission is not None
         stream.max_read_ahead = 0 if stream.is_polled_elsewhere else MAX_READ_AHEAD
@@ -130,12 +133,12 @@
         else:
             self.socket.close()
 
-    def raise_value(self, worth: ConnectionValue) -> None:
-        """Raises the connection's worth, which decides whether it is closed for a new one."""
-        self.value = max(self.value, worth)
+    def raise_value(self, value: ConnectionValue) -> None:
+        """Raises the connection's value; connections of low value are closed first to make room."""
+        self.value = max(self.value, value)
 
     def deliver(self, answer: Answer) -> None:
-        """Receives the answer of the one flow that is open here."""
+        """Receives the answer of this connection's open flow."""
         self.answer = answer
         if self.answer_future is not None and not self.answer_future.done():
             self.answer_future.set_result(None)
@@ -146,7 +149,7 @@
         Raises:
             StreamClosedError: The client has closed the connection.
         """
-        self.flow = flow  # no sooner: this closing must not end another flow with its id
+        self.flow = flow  # not earlier: closing this connection must not end another flow with the same id
         if self.client_has_closed:
             self.channel.close()
             self._on_close()
@@ -162,14 +165,14 @@
         return answer
 
     def _on_close(self) -> None:
-        """A client that closes has gone away."""
+        """Ends the open flow and the wait for a message when the stream is closed."""
         flow, self.flow = self.flow, None
         if flow is not None:
             self.intake.client_disconnected(flow)
         if self.next_bytes is not None and not self.next_bytes.done():
             self.next_bytes.set_exception(StreamClosedError())
 
-    # --- what the gate asks and tells
+    # --- for admission control
 
     @property
     def is_waiting(self) -> bool:
@@ -180,7 +183,7 @@
 
     @property
     def waited_s(self) -> float:
-        """For how many seconds the current message lay unread in the socket."""
+        """The seconds for which the current message lay unread in the socket."""
         return self.clock() - self.received_at if self.received_at else 0.0
 
     def receive(self, data: bytes) -> None:
@@ -209,10 +212,10 @@
         except MalformedMessageError as e:
             await self._reject(e)
         except OutOfBodyMemoryError:
-            await self._reject(MalformedMessageError(503, "too much is being sent at once"))
+            await self._reject(MalformedMessageError(503, "the memory for request bodies is used up"))
         except TimeoutError:
-            if self.is_busy:  # a connection on which nothing came is closed without a word
-                await self._reject(MalformedMessageError(408, "the request took too long to come"))
+            if self.is_busy:  # a connection on which nothing arrived is closed without a response
+                await self._reject(MalformedMessageError(408, "the request was not complete in time"))
         except (StreamClosedError, OSError):
             pass
         finally:
@@ -229,7 +232,7 @@
         if head is not None:
             self.reservation.resize(self.channel.parser.max_body_bytes)
             message = self.channel.parser.poll()
-        if head is None or message is None:  # most come whole, and then no timer is set
+        if head is None or message is None:  # most messages are complete already and need no timer
             async with asyncio.timeout(MESSAGE_TIMEOUT_S):
                 head = await self.channel.head()
                 self.reservation.resize(self.channel.parser.max_body_bytes)
@@ -253,7 +256,7 @@
             self.next_bytes = None
 
     async def _respond(self, head: Head, body: bytes) -> bool:
-        """True: the connection is kept."""
+        """Writes the response to a message; returns whether the connection stays open."""
         reply = await self.handler.answer(self, head, body)
         close = self._must_close(head)
         if reply.dump is None:
@@ -267,13 +270,13 @@
             async with asyncio.timeout(WRITE_TIMEOUT_S):
                 await rest
         except TimeoutError:
-            raise StreamClosedError() from None  # no second answer may follow half of the first
+            raise StreamClosedError() from None  # no second response may follow a part of the first
         return not close
 
     async def _send_dump(self, reply: Reply, dump: Dump, close: bool) -> None:
         try:
             await self.channel.write(write_head(reply.status, dump.size, reply.fields, close))
-            for piece in dump.pieces():  # each written before the next is made
+            for piece in dump.pieces():  # each is written before the next is built, to bound memory
                 await self.channel.write(piece)
         finally:
             dump.on_sent()
@@ -284,20 +287,25 @@
         )
 
     async def _reject(self, e: MalformedMessageError) -> None:
-        """The connection is closed: whoever sends again as soon as it is turned away has to connect again."""
+        """Writes an error response and closes the connection.
+
+        A client that retries at once after a rejection then has to connect again.
+        """
         self.value = ConnectionValue.NEW
         self.reservation.resize(0)
         self.table.mark_closable(self, self.value)
         fields = {405: (f"Allow: {e.allow}",), 503: ("Retry-After: 1",)}.get(e.status, ())
         with suppress(StreamClosedError, OSError):
             await self.channel.write(write_response(e.status, f"{e}\n".encode(), fields, close=True))
-            if not self.channel.stream.reading():  # given up when its time was over: no other may begin
+            if (
+                not self.channel.stream.reading()
+            ):  # a read that timed out is still pending, and a second one can't start
                 await self._linger()
 
     async def _linger(self) -> None:
-        """The last answer is written: shuts this side, and reads on for a while what is never looked at.
+        """Shuts down the sending side after the last response, and discards input for LINGER_S.
 
-        A close over unread bytes would be a reset, which overtakes that answer.
+        Closing a socket with unread bytes sends a reset, which can make the client lose that response.
         """
         stream = self.channel.stream
         self.table.mark_closable(self, ConnectionValue.NEW)
--- a/finchladder/net/client_listener.py
+++ b/finchladder/net/client_listener.py
@@ -1,4 +1,4 @@
-"""Clients: the listeners, and all edge connections that were made to them."""
+"""The listener for client connections, and the table of all connections that it accepted."""
 
 import asyncio
 import socket
@@ -15,26 +15,26 @@
 from finchladder.net.client_connection import ClientConnection
 from finchladder.net.request_handler import RequestHandler
 
-CLIENT_SOCKET_SHARE = (
-    0.55  # part of all sockets: edge connections; more than open flows, as call-backs need the rest
-)
-NEW_CONNECTION_S = 0.25
-# accepted in one turn of the loop; looked again for room after so many seconds, and so often without a gate
+# share of all sockets for client connections; more than for open flows, as callbacks need the rest
+CLIENT_SOCKET_SHARE = 0.55
+NEW_CONNECTION_S = 0.25  # age up to which a connection counts as new
+# connections accepted in one loop iteration; while the table is full: seconds until the next try to accept,
+# and the maximum number of such tries without admission control
 MAX_ACCEPTED_AT_ONCE, ACCEPT_RETRY_S, MAX_ACCEPT_RETRIES = 64, 0.025, 20
 
 
 class ClientListener:
     """Accepts client connections, serves each in a task, and drains them at shutdown."""
 
-    def __init__(self, handler: RequestHandler, bodies: BodyMemory, sockets: int) -> None:
-        self.handler, self.body_memory, self.clock = handler, bodies, handler.intake.clock
+    def __init__(self, handler: RequestHandler, body_memory: BodyMemory, sockets: int) -> None:
+        self.handler, self.body_memory, self.clock = handler, body_memory, handler.intake.clock
         self.connections: ClientConnectionTable[ClientConnection] = ClientConnectionTable(
             int(CLIENT_SOCKET_SHARE * sockets)
         )
         self.tasks: set[asyncio.Task[None]] = set()
         self.listening_sockets: list[socket.socket] = []
         self.stop_callbacks: list[Callable[[], None]] = []
-        self.accept_retries = 0  # for room, since one was accepted
+        self.accept_retries = 0  # retries for lack of room since a connection was accepted
         if handler.admission is not None:
             handler.admission.on_open, handler.admission.on_close = self._start, self._close
 
@@ -42,7 +42,7 @@
         """Starts accepting connections from a listening socket."""
         self.listening_sockets.append(listening)
         if self.handler.admission is not None:
-            with suppress(OSError):  # then a message counts as new when it is looked at
+            with suppress(OSError):  # without timestamps a message counts as new when it is read
                 listening.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)  # accepted connections inherit it
         self.stop_callbacks.append(self._listen(listening))
 
@@ -65,14 +65,14 @@
         self.stop_callbacks = [self._listen(listening) for listening in self.listening_sockets]
 
     def _accept_batch(self, listening: socket.socket) -> None:
-        """Where none may be closed for another, who connects waits in the system's queue for a while.
+        """Accepts waiting connections; while the table is full, they wait in the system's queue for a while.
 
-        Those just accepted are not yet looked at, and can't be told from those that have sent something: a
-        crowd that comes at once must not have a call-back among it closed unread.
+        Connections accepted in this iteration are not read yet, so it is unknown which of them have sent a
+        message. None of them is closed for another: a callback among a burst of connections must not be lost.
         """
         for n in range(MAX_ACCEPTED_AT_ONCE):
             if self.connections.is_full and n:
-                return  # nobody is closed before it is known that another is there
+                return  # no connection is closed before another one is known to wait
             if self.connections.is_full and not self._evict_one() and self._pause():
                 return
             try:
@@ -83,7 +83,7 @@
             self._add_connection(client_socket, address)
 
     def _pause(self) -> bool:
-        """Listens on in a moment. False: it has done so for long, and the next one is closed unread."""
+        """Pauses accepting for ACCEPT_RETRY_S; returns False after too many pauses in a row."""
         if self.handler.admission is not None:
             self.handler.admission.make_room()
         else:
@@ -95,7 +95,7 @@
         return True
 
     def _add_connection(self, client_socket: socket.socket, address: Any) -> None:
-        """Counts at once, as many connections come in one turn of the loop: a count that lags runs over."""
+        """Adds a connection at once: many may come in one loop iteration, and the table must not overflow."""
         if self.connections.is_full and not self._evict_one():
             logger.error("all {} edge connections are busy: one was closed unread", len(self.connections))
             client_socket.close()
@@ -113,7 +113,7 @@
     def _start(self, connection: ClientConnection) -> None:
         connection.open_stream()
         task = asyncio.get_running_loop().create_task(self._serve(connection))
-        self.tasks.add(task)  # the loop alone would let go of it
+        self.tasks.add(task)  # the event loop holds only a weak reference
         task.add_done_callback(self.tasks.discard)
 
     async def _serve(self, connection: ClientConnection) -> None:
@@ -133,7 +133,7 @@
 
     def _close(self, connection: ClientConnection) -> None:
         connection.close()
-        if not connection.is_open:  # else its own task clears up
+        if not connection.is_open:  # otherwise its own task removes it
             self._drop(connection)
 
     def _evict_one(self) -> bool:
@@ -145,37 +145,37 @@
         return True
 
     async def shut_down(self) -> None:
-        """Drains after SIGTERM: accepts for a while, closes idle connections, waits for the answers."""
+        """Drains: accepts connections for a while, closes idle ones, waits until all jobs are answered."""
         intake = self.handler.intake
         intake.shut_down()
         if self.handler.admission is not None:
             self.handler.admission.shut_down()
         await asyncio.sleep(intake.shutdown.keep_open_s)
         while True:
-            over, stays = not intake.flows.open, False
+            all_answered, any_open = not intake.flows.open, False
             for connection in list(self.connections):
-                # one just accepted is not idle while jobs are open: a result may be on its way
-                idle = over or self.connections.is_older(self.clock(), connection, NEW_CONNECTION_S)
+                # a new connection is not idle while jobs are open: a callback may be on its way
+                idle = all_answered or self.connections.is_older(self.clock(), connection, NEW_CONNECTION_S)
                 if connection.is_busy or (
                     not connection.sends_callbacks and not (idle and connection.is_quiet())
                 ):
-                    stays = True  # also where a request has come that was not looked at yet
+                    any_open = True  # also if it has received a request that is not read yet
                 elif not connection.sends_callbacks:
                     self._close(connection)
-            if over and not stays and not self._accept_remaining():
+            if all_answered and not any_open and not self._accept_remaining():
                 return
             await asyncio.sleep(0.02)
 
     def _accept_remaining(self) -> bool:
-        """Listens no more. True: some had connected, and nobody had looked; they are still to be heard."""
-        before = len(self.connections)
+        """Accepts what is left in the system's queue and stops listening; returns whether any were left."""
+        count_before = len(self.connections)
         self.stop()
         for listening in self.listening_sockets:
-            with suppress(OSError):  # until there is none; then whoever comes is refused, and goes elsewhere
+            with suppress(OSError):  # ends at BlockingIOError; later connections are refused by the system
                 while True:
                     client_socket, address = listening.accept()
                     client_socket.setblocking(False)
                     self._add_connection(client_socket, address)
             listening.close()
         self.listening_sockets.clear()
-        return len(self.connections) > before
+        return len(self.connections) > count_before
--- a/finchladder/net/config_reload.py
+++ b/finchladder/net/config_reload.py
@@ -1,4 +1,4 @@
-"""The operator's file is read again while the dispatcher runs: all of it holds, or none."""
+"""Reloads the operator's file while the dispatcher runs: either all of it takes effect, or none."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,32 +9,32 @@
 
 from finchladder.core.routing.routes import Routes
 
-if TYPE_CHECKING:  # at run time only who has a file in TOML needs its reader
+if TYPE_CHECKING:  # the reader is needed at run time only where there is a TOML file
     from finchladder.config.operator_file import Loaded
 
-MAX_LOGGED_FINDINGS = 20  # findings of an unusable file in the log
+MAX_LOGGED_FINDINGS = 20  # maximum log lines about an invalid file
 
 
 class ConfigReloader:
-    """`read` gives the file as it is now, or raises ValueError with a line for each finding.
+    """Reads and validates the file in a thread, as a large one takes long, and applies its routes.
 
-    It is read and checked aside, on a thread, as a large file takes long; one at a time, and once more if it
-    was asked for meanwhile. `hold` is called on the loop, in one step with nothing else.
+    `read` returns the current file, or raises ValueError with one line per finding. Only one reload runs at a
+    time; requests during a reload cause one more. `apply` is called on the event loop, in a single step.
     """
 
     def __init__(
         self,
         loaded: "Loaded",
         read: Callable[[], "Loaded"],
-        aside: Callable[[Callable[[], Any]], Awaitable[Any]],
-        hold: Callable[[Routes], None],
+        run_in_thread: Callable[[Callable[[], Any]], Awaitable[Any]],
+        apply: Callable[[Routes], None],
     ) -> None:
-        self.loaded, self.read, self.run_in_thread, self.apply = loaded, read, aside, hold
+        self.loaded, self.read, self.run_in_thread, self.apply = loaded, read, run_in_thread, apply
         self.task: asyncio.Task[None] | None = None
         self.is_requested = False
 
     def request_reload(self) -> None:
-        """Requests a reload; one that is asked for during another runs after it."""
+        """Requests a reload; during another reload, it runs afterwards."""
         self.is_requested = True
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self._reload())
@@ -55,21 +55,23 @@
 
     def _apply_routes(self, new: "Loaded") -> None:
         old = self.loaded
-        others = [
+        changed = [
             f
             for f in msgspec.structs.fields(new.options)
             if getattr(new.options, f.name) != getattr(old.options, f.name)
         ]
-        if others:
-            names = ", ".join(f"[{f.name.removesuffix('_of')}]" for f in others)
-            raise ValueError(f"{names} would change, and that needs a restart: nothing of the file is taken")
+        if changed:
+            names = ", ".join(f"[{f.name.removesuffix('_of')}]" for f in changed)
+            raise ValueError(f"{names} changed, which needs a restart: no part of the file is applied")
         if new.version == old.version:
             logger.info("SIGHUP: routes: version {} holds already", old.version)
             return
         self.apply(new.routes)
         self.loaded = new
-        told = f"in place of {old.version}"
-        logger.info("SIGHUP: routes: version {} holds, {}, {}", new.version, told, count_routes(new.routes))
+        replaced = f"in place of {old.version}"
+        logger.info(
+            "SIGHUP: routes: version {} holds, {}, {}", new.version, replaced, count_routes(new.routes)
+        )
 
 
 def count_routes(routes: Routes) -> str:
--- a/finchladder/net/control.py
+++ b/finchladder/net/control.py
@@ -1,4 +1,4 @@
-"""Control calls: what is asked of a running dispatcher at its one address, beside jobs and call-backs."""
+"""Control endpoints: HTTP calls that inspect or steer a running dispatcher at the address for clients."""
 
 from collections.abc import Callable, Iterator
 from hmac import compare_digest
@@ -40,7 +40,7 @@
 
 
 class Reportable(Protocol):
-    """Something whose state `GET /_peers` shows."""
+    """A component whose state `GET /_peers` returns."""
 
     def show(self) -> dict[str, Any]:
         """Returns the state as a JSON object."""
@@ -54,7 +54,7 @@
     def show(self) -> list[dict[str, Any]]:
         """Returns one JSON object for each worker with evidence and for each override."""
 
-    def apply_override(self, order: "OverrideRequest") -> dict[str, Any]:
+    def apply_override(self, request: "OverrideRequest") -> dict[str, Any]:
         """Applies an override and returns it as a JSON object.
 
         Raises:
@@ -77,11 +77,11 @@
     status: int
     body: bytes = b""
     fields: tuple[str, ...] = ()
-    dump: Dump | None = None  # in place of the body
+    dump: Dump | None = None  # sent instead of `body`
 
 
 class ControlCalls:
-    """Serves the control endpoints of the features that are on."""
+    """Serves the control endpoints of the enabled features."""
 
     def __init__(
         self,
@@ -113,30 +113,30 @@
         if self.capture is not None and path == CAPTURE_PATH:
             return self._answer_get(head, self._dump)
         if self.peers is not None and path == PEERS_PATH:
-            shown = self.peers
+            peers = self.peers
             return self._answer_get(
-                head, lambda: Reply(200, msgspec.json.encode(shown.show()) + b"\n", (JSON_HEADER,))
+                head, lambda: Reply(200, msgspec.json.encode(peers.show()) + b"\n", (JSON_HEADER,))
             )
         if self.outlier_control is not None and path == OVERRIDE_PATH:
-            bench = self.outlier_control
+            outlier_control = self.outlier_control
             if head.method == "GET":
-                return Reply(200, msgspec.json.encode(bench.show()) + b"\n", (JSON_HEADER,))
-            return self._override(bench, head, body)
+                return Reply(200, msgspec.json.encode(outlier_control.show()) + b"\n", (JSON_HEADER,))
+            return self._override(outlier_control, head, body)
         if path == FAULT_PATH and head.method == "POST":
             return self._inject_fault(head, body)
         return None
 
     def _answer_get(self, head: Head, answer: Callable[[], Reply]) -> Reply:
         if head.method != "GET":
-            raise MalformedMessageError(405, "this is asked for by GET", allow="GET")
+            raise MalformedMessageError(405, "use GET for this path", allow="GET")
         return answer()
 
     def _status(self, id: str) -> Reply:
         assert self.status is not None
-        shown = self.status.look(self.clock(), id)
-        if shown is None:
-            return Reply(404, b"no job of this id is known here\n")
-        return Reply(200, msgspec.json.encode(shown), (JSON_HEADER,))
+        status = self.status.look(self.clock(), id)
+        if status is None:
+            return Reply(404, b"no job with this id is known here\n")
+        return Reply(200, msgspec.json.encode(status), (JSON_HEADER,))
 
     def _metrics(self) -> Reply:
         assert self.arrivals.drills is not None
@@ -161,15 +161,15 @@
     def _dump_sent(self) -> None:
         self.is_dumping = False
 
-    def _override(self, bench: OutlierControls, head: Head, body: bytes) -> Reply:
+    def _override(self, outlier_control: OutlierControls, head: Head, body: bytes) -> Reply:
         if head.method != "POST":
-            raise MalformedMessageError(405, "this is asked for by GET, and said by POST", allow="GET, POST")
+            raise MalformedMessageError(405, "use GET or POST for this path", allow="GET, POST")
         given = (head.headers.get("x-judge-key") or "").encode()
-        if bench.key is None or not compare_digest(given, bench.key.encode()):
+        if outlier_control.key is None or not compare_digest(given, outlier_control.key.encode()):
             return Reply(403, b"no word without the key\n")
         try:
-            said = bench.apply_override(msgspec.json.decode(body, type=OverrideRequest))
-            return Reply(200, msgspec.json.encode(said) + b"\n", (JSON_HEADER,))
+            applied = outlier_control.apply_override(msgspec.json.decode(body, type=OverrideRequest))
+            return Reply(200, msgspec.json.encode(applied) + b"\n", (JSON_HEADER,))
         except msgspec.MsgspecError as e:
             raise MalformedMessageError(400, f"judge: {e}") from None
         except ValueError as e:
@@ -177,7 +177,7 @@
 
     def _inject_fault(self, head: Head, body: bytes) -> Reply:
         given = (head.headers.get("x-drill-key") or "").encode()
-        # in constant time: how long the answer takes must not tell how much of the key was right
+        # in constant time: the duration must not reveal how many bytes of the key were right
         if self.fault_key is None or not compare_digest(given, self.fault_key.encode()):
             return Reply(403, b"no drill without the key\n")
         try:
--- a/finchladder/net/decision_actor.py
+++ b/finchladder/net/decision_actor.py
@@ -1,4 +1,4 @@
-"""The decision module's actor: the only caller of Dispatcher.handle. It keeps the clock and the timers."""
+"""The actor of the dispatcher core, with its clock and its timers."""
 
 import math
 import time
@@ -19,7 +19,7 @@
 class Clock:
     """Unix time at the start plus the progress of the monotonic clock since, in seconds.
 
-    It never goes back, and compares with the start times of workers (`since_ms`).
+    It never goes back, and is comparable with the start times of workers (`since_ms`).
     """
 
     def __init__(
@@ -44,7 +44,7 @@
 
 
 class DecisionRecorder(Protocol):
-    """Records each event and the actions decided on it."""
+    """Records each event and the actions that it led to."""
 
     def decided(
         self,
@@ -57,37 +57,45 @@
 
 
 class AttemptEnd:
-    """An attempt's end on its way to the decisions; whether its flow is finished is read on handling."""
+    """The end of an attempt, for the dispatcher core.
+
+    Whether the flow is answered is determined when the item is handled, not when it is created.
+    """
 
     __slots__ = ("attempt", "ending", "duration_s", "report")
 
-    def __init__(self, s: Attempt, ending: api.Ending, took: float, report: dict[str, float] | None) -> None:
-        self.attempt, self.ending, self.duration_s, self.report = s, ending, took, report
+    def __init__(
+        self, attempt: Attempt, ending: api.Ending, duration_s: float, report: dict[str, float] | None
+    ) -> None:
+        self.attempt, self.ending, self.duration_s, self.report = attempt, ending, duration_s, report
 
 
 Item = api.Event | NewRoutes | Flow | AttemptEnd
 
 
-MIN_STALL_S = 0.005  # seconds: less than so much is no lateness of the loop
+MIN_STALL_S = 0.005  # a shorter delay of the event loop does not count as a stall
 
 
 class DecisionActor(Actor[Item]):
-    """The only caller of `Decisions.handle`: turns events into actions and carries them out."""
+    """The only caller of `Decisions.handle`: passes events to the core and carries out its actions."""
 
     def __init__(self, dispatcher: Decisions, flows: FlowTable, clock: Clock) -> None:
         super().__init__("module", MAILBOX_SIZE)
         self.dispatcher, self.flows, self.clock = dispatcher, flows, clock
         self.sender: AttemptSender | None = None
         self.recorder: DecisionRecorder | None = None
-        self.on_job_started: Callable[[float], None] | None = (
-            None  # told how many seconds a job took to its start
-        )
-        self.queued_lists = 0  # of those that wait in the mailbox
-        self.sweep_due_at = math.inf  # when the module's own timer is due: later than that, the loop is late
-        self.on_subscribe: Callable[[bool], None] = lambda on: None  # where the list must be asked for
+        # called with the seconds that a job took to start
+        self.on_job_started: Callable[[float], None] | None = None
+        self.queued_lists = 0  # number of worker lists in the mailbox
+        self.sweep_due_at = (
+            math.inf
+        )  # when the core's sweep timer is due; a later event means that the loop stalled
+        self.on_subscribe: Callable[[bool], None] = (
+            lambda on: None
+        )  # called if the core has to request the list
 
     def submit(self, item: Item) -> None:
-        """Posts an event; a worker list overtakes queued work, which is then decided on the new list."""
+        """Posts an event; a worker list overtakes other queued events, so that these use the new list."""
         self.post(item)
         if self.mailbox and self.mailbox[-1] is item and isinstance(item, api.WorkerList):
             self.mailbox.pop()
@@ -95,17 +103,19 @@
             self.queued_lists += 1
 
     def receive(self, item: Item) -> None:
-        """Decides on one event and carries out the actions."""
+        """Passes one event to the dispatcher core and carries out its actions."""
         now = self.clock()
         self._check_stall(now)
         if isinstance(item, Flow):
-            if item.answer is not None:  # the client left before its request was looked at
+            if item.answer is not None:  # the client disconnected before its request was handled
                 return
             event: api.Event | NewRoutes = item.request(now)
         elif isinstance(item, AttemptEnd):
-            s = item.attempt
-            finished = s.flow.answer is not None
-            event = api.Ended(s.flow.id, s.number, item.ending, finished, item.duration_s, item.report)
+            attempt = item.attempt
+            finished = attempt.flow.answer is not None
+            event = api.Ended(
+                attempt.flow.id, attempt.number, item.ending, finished, item.duration_s, item.report
+            )
         else:
             event = item
             if isinstance(item, api.WorkerList):
@@ -120,10 +130,10 @@
         self.submit(timer)
 
     def _check_stall(self, now: float) -> None:
-        """What came while the loop was late could not be looked at: the real servers must not be blamed."""
+        """Reports a stall of the event loop, during which responses of workers could not be read."""
         if now > self.sweep_due_at + MIN_STALL_S:
-            lost, self.sweep_due_at = now - self.sweep_due_at, now
-            for action in self._decide(now, api.LoopStall(lost)):
+            stall_s, self.sweep_due_at = now - self.sweep_due_at, now
+            for action in self._decide(now, api.LoopStall(stall_s)):
                 self._carry_out(action, now)
 
     def _decide(self, now: float, event: api.Event | NewRoutes) -> list[api.Action]:
@@ -157,9 +167,9 @@
     ) -> None:
         assert self.sender is not None
         if isinstance(action, api.Send):
-            until = min(flow.deadline, now + action.timeout_s) if action.timeout_s > 0 else flow.deadline
-            begins_by = now + action.start_within_s if action.start_within_s > 0 else math.inf
-            attempt = Attempt(flow, len(flow.attempts), action.worker, now, until, begins_by)
+            deadline = min(flow.deadline, now + action.timeout_s) if action.timeout_s > 0 else flow.deadline
+            start_by = now + action.start_within_s if action.start_within_s > 0 else math.inf
+            attempt = Attempt(flow, len(flow.attempts), action.worker, now, deadline, start_by)
             flow.attempts.append(attempt)
             if self.flows.status is not None:
                 self.flows.status.sent(flow.id, action.worker)
@@ -181,5 +191,7 @@
             flow = self.flows.by_id.get(item.request)
         if flow is not None:
             self.flows.finish(flow, Answer("failed"))
-        if isinstance(item, api.Timer):  # the module lives on its timers: one lost would leave it deaf
+        if isinstance(
+            item, api.Timer
+        ):  # each timer renews itself when handled: a lost one would never run again
             IOLoop.current().call_later(self.dispatcher.settings.clock_tick_s, self.submit, item)
--- a/finchladder/net/endpoint_watcher.py
+++ b/finchladder/net/endpoint_watcher.py
@@ -1,4 +1,4 @@
-"""Discovery: the reader that watches the list of service entries."""
+"""The watch on service discovery's endpoint list."""
 
 import asyncio
 import re
@@ -28,26 +28,26 @@
 WATCH_PATH = "/catalog/members"
 MAX_LINE_BYTES = 8 * 1024 * 1024
 MAILBOX_SIZE = 64
-LONG_LIST_BYTES = 48 * 1024  # bytes: some 350 entries; a shorter line is read and applied at once
-# entries of a longer one in one turn of the loop: some 2 ms each
+LONG_LIST_BYTES = 48 * 1024  # some 350 entries; a shorter line is read and applied at once
+# entries of a longer line read, filtered and applied in one loop iteration: some 2 ms each
 MAX_READ_AT_ONCE, MAX_FILTERED_AT_ONCE, MAX_APPLIED_AT_ONCE = 512, 256, 16
-SETTLE_ENTRIES = 1000  # entries of long lists
+SETTLE_ENTRIES = 1000  # applied entries of long lists after which `on_settled` is called
 
 Apply = Callable[[api.WorkerList, dict[str, tuple[str, int]]], None]
 
 
-_JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # JSON's strings: a brace in one is none
+_JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # JSON strings, in which braces don't count
 
 
 class LineSplitter:
     """Splits a byte stream into JSON objects, each on one line or indented over several.
 
-    Empty lines between objects are returned as they are, and so is a line that starts no object.
+    Empty lines between objects and lines that start no object are returned unchanged.
     """
 
     def __init__(self) -> None:
         self.buffer = bytearray()
-        self.pending_lines: list[bytes] = []  # lines of an object that is not over
+        self.pending_lines: list[bytes] = []  # lines of an incomplete object
         self.depth = self.pending_bytes = 0
 
     def feed(self, piece: bytes) -> list[bytes]:
@@ -58,32 +58,34 @@
         """
         self.buffer += piece
         if len(self.buffer) + self.pending_bytes > MAX_LINE_BYTES:
-            raise ValueError("line too long")
+            raise ValueError(f"line longer than {MAX_LINE_BYTES} bytes")
         if b"\n" not in piece:
             return []
-        *lines, rest = self.buffer.split(b"\n")
-        self.buffer = bytearray(rest)
-        return [whole for line in lines if (whole := self._complete_object(bytes(line).strip())) is not None]
+        *lines, incomplete = self.buffer.split(b"\n")
+        self.buffer = bytearray(incomplete)
+        return [
+            complete for line in lines if (complete := self._complete_object(bytes(line).strip())) is not None
+        ]
 
     def _complete_object(self, line: bytes) -> bytes | None:
         if not self.depth and line.count(b"{") == line.count(b"}"):
-            return line  # as nearly all are
-        bare = _JSON_STRING.sub(b"", line)
-        self.depth += bare.count(b"{") - bare.count(b"}")
+            return line  # the usual case: one object on one line
+        unquoted = _JSON_STRING.sub(b"", line)
+        self.depth += unquoted.count(b"{") - unquoted.count(b"}")
         self.pending_lines.append(line)
         self.pending_bytes += len(line)
         if self.depth > 0:
             return None
-        whole, self.pending_lines = b"\n".join(self.pending_lines), []
+        complete, self.pending_lines = b"\n".join(self.pending_lines), []
         self.depth = self.pending_bytes = 0
-        return whole
+        return complete
 
 
 def _take_slice(
-    waiting: dict[str, api.WorkerEntry], addresses: dict[str, tuple[str, int]], most: int
+    waiting: dict[str, api.WorkerEntry], addresses: dict[str, tuple[str, int]], max_entries: int
 ) -> tuple[api.WorkerList, dict[str, tuple[str, int]]]:
-    """So many entries out of these, and their addresses."""
-    names = list(islice(waiting, most))
+    """Removes up to `max_entries` entries and their addresses, and returns them as a patch."""
+    names = list(islice(waiting, max_entries))
     entries = tuple(waiting.pop(name) for name in names)
     found = {n: addresses.pop(n) for n in names if n in addresses}
     return api.WorkerList(api.ListKind.PATCH, entries), found
@@ -93,9 +95,9 @@
     """Watches service discovery from the version of the list last read.
 
     A long list is read and applied in slices, so that it never blocks the event loop for long: draining and
-    removed workers first, and `retire` is called even before them. Updates that arrive meanwhile overtake the
-    remaining slices. Where only a `subset` of the list is used, the subset filter gets all of a long list
-    before any of it is applied: the subset must not follow a partial list.
+    removed workers first, and `retire` is called even before them. An update that arrives meanwhile replaces
+    the queued entries of the same workers. If only a `subset` of the list is used, the subset filter gets all
+    of a long list before any of it is applied, as a partial list would give another subset.
     """
 
     def __init__(
@@ -114,25 +116,24 @@
             1, Random(0), self.watch_state.reopen_within_s, self.watch_state.retry_within_s
         )
         self.up = self.is_established = False
-        self.first_update = (
-            asyncio.Event()
-        )  # discovery has said whether the list known from before still holds
+        # set once discovery has confirmed or replaced the saved list
+        self.first_update = asyncio.Event()
         self.table, self.subset = EndpointTable(), subset
-        # entries that the subset is still to be told, and their addresses
+        # entries that still have to pass the subset filter, and their addresses
         self.unfiltered: dict[str, api.WorkerEntry] = {}
         self.unfiltered_addresses: dict[str, tuple[str, int]] = {}
-        # entries still to be applied, by name: the newest word alone; those not ready go first
+        # the latest entries still to be applied, by name; `urgent`, those not ready, go first
         self.urgent: dict[str, api.WorkerEntry] = {}
         self.queued: dict[str, api.WorkerEntry] = {}
         self.queued_addresses: dict[str, tuple[str, int]] = {}
-        self.applied_entries = 0  # entries out of long lists, since `settled` was last called
-        self.on_settled: Callable[[], None] = lambda: None  # a long list that changed many is applied
+        self.applied_entries = 0  # entries of long lists, since `on_settled` was last called
+        self.on_settled: Callable[[], None] = lambda: None  # called after many entries of long lists
         self.watch_task: asyncio.Task[None]
         self.apply_task: asyncio.Task[None] | None = None
 
-    def receive(self, news: EndpointUpdate) -> None:
+    def receive(self, update: EndpointUpdate) -> None:
         """Applies a list at once; it supersedes queued entries of the same workers."""
-        workers, addresses = news.workers, news.addresses
+        workers, addresses = update.workers, update.addresses
         for e in workers.entries:
             self._drop_pending(e.worker)
         if workers.kind is not api.ListKind.PATCH:
@@ -142,10 +143,10 @@
             workers, addresses = self.subset.apply(workers, addresses)
             self._drop_queued(workers.entries)
         self.apply(workers, addresses)
-        self.table.apply(news)
-        self.index = news.version
-        # an empty list from before is no list: nothing could be served on it
-        self.up = self.up or bool(news.workers.entries) or news.workers.kind is not api.ListKind.STALE
+        self.table.apply(update)
+        self.index = update.version
+        # an empty saved list does not count: no job could be served with it
+        self.up = self.up or bool(update.workers.entries) or update.workers.kind is not api.ListKind.STALE
 
     async def read_line(self, line: bytes, known: bool = False) -> None:
         """Reads a line of the watch, or the saved list (`known`).
@@ -154,9 +155,9 @@
             ValueError: The line can't be used.
         """
         if len(line) <= LONG_LIST_BYTES:
-            news = read_list(line, api.ListKind.STALE if known else None)
-            if known or self._accepts(news.version, news.workers.kind is api.ListKind.FULL):
-                self.post(news)
+            update = read_list(line, api.ListKind.STALE if known else None)
+            if known or self._accepts(update.version, update.workers.kind is api.ListKind.FULL):
+                self.post(update)
             return
         if not known and not self._accepts(*version_and_is_full(line)):
             return
@@ -164,12 +165,12 @@
         while True:
             try:
                 next(reading)
-            except StopIteration as over:
-                return self._apply_change(over.value, known)
+            except StopIteration as stop:
+                return self._apply_change(stop.value, known)
             await asyncio.sleep(0)
 
-    def _accepts(self, version: int, whole: bool) -> bool:
-        if self.watch_state.accept(asyncio.get_running_loop().time(), version, whole):
+    def _accepts(self, version: int, is_full: bool) -> bool:
+        if self.watch_state.accept(asyncio.get_running_loop().time(), version, is_full):
             return True
         self.log.warning("service list: version {} came after {}, and is passed over", version, self.index)
         return False
@@ -179,7 +180,7 @@
             self._drop_pending(e.worker)
         if self.subset is None:
             self._queue(change.entries, change.addresses)
-        else:  # what is gone comes last: the subset moves once where one goes and another comes
+        else:  # removals last: if one worker replaces another, the subset changes only once
             entries = sorted(change.entries, key=lambda e: e.state is api.WorkerStatus.REMOVED)
             self.unfiltered.update((e.worker, e) for e in entries)
             self.unfiltered_addresses |= change.addresses
@@ -202,22 +203,22 @@
                 self._drop_queued(workers.entries)
                 self._queue(workers.entries, addresses)
             else:
-                some = _take_slice(waiting, self.queued_addresses, MAX_APPLIED_AT_ONCE)
-                self.apply(*some)
-                self.applied_entries += len(some[0].entries)
+                slice_ = _take_slice(waiting, self.queued_addresses, MAX_APPLIED_AT_ONCE)
+                self.apply(*slice_)
+                self.applied_entries += len(slice_[0].entries)
             await asyncio.sleep(0)
         if self.applied_entries >= SETTLE_ENTRIES:
             self.applied_entries = 0
             self.on_settled()
 
     def _drop_pending(self, name: str) -> None:
-        """What is still to be done about it is overtaken."""
+        """Drops what is still pending for a worker, as a newer update replaces it."""
         self.unfiltered.pop(name, None)
         self.unfiltered_addresses.pop(name, None)
         self._drop_queued_entry(name)
 
     def _drop_queued(self, entries: Iterable[api.WorkerEntry]) -> None:
-        """What the subset said before: a newer word about one may still wait for it."""
+        """Drops queued entries, but not those that still have to pass the subset filter."""
         for e in entries:
             self._drop_queued_entry(e.worker)
 
@@ -231,7 +232,7 @@
         self.watch_task = self.spawn(self._keep_watching(known))
 
     async def wait_for_first_update(self) -> None:
-        """Waits for the first update, up to FIRST_WORD_S: a saved list may name workers that are gone."""
+        """Waits up to INITIAL_LIST_WAIT_S for the first update, as a saved list may name removed workers."""
         with suppress(TimeoutError):
             async with asyncio.timeout(INITIAL_LIST_WAIT_S):
                 await self.first_update.wait()
@@ -240,33 +241,33 @@
         """Continues the watch at another address; the list stays in use meanwhile."""
         if address != self.address:
             self.address = address
-            # whatever the old watch waits for, a silent connection or the next try, must not delay the new
+            # the old watch may wait for a silent connection or a retry, which must not delay the new one
             self.watch_task.cancel()
             self.watch_task = self.spawn(self._keep_watching())
 
     async def _keep_watching(self, known: bytes = b"") -> None:
         if known:
             await self.read_line(known, known=True)
-        down = False
+        is_down = False
         while True:
-            before = self.index
+            index_before = self.index
             self.is_established = False
             try:
                 await self._watch()
-                why = "ended"
+                reason = "ended"
             except (StreamClosedError, OSError, TimeoutError, MalformedMessageError, ValueError) as e:
-                why = f"{type(e).__name__}: {e}"
-            except Exception:  # whatever a peer sent, the list must be watched again
+                reason = f"{type(e).__name__}: {e}"
+            except Exception:  # no input may end the watch for good
                 self.log.exception("service list: the watch died")
-                why = "died"
-            if not down or self.is_established:
-                self.log.warning("service list: watch over ({}), the last list stays in use", why)
-            down = True
-            await asyncio.sleep(self.backoff.next_wait_s(self.is_established, self.index != before))
+                reason = "died"
+            if not is_down or self.is_established:
+                self.log.warning("service list: watch over ({}), the last list stays in use", reason)
+            is_down = True
+            await asyncio.sleep(self.backoff.next_wait_s(self.is_established, self.index != index_before))
 
     async def _watch(self) -> None:
         channel: Channel | None = None
-        said: asyncio.TimerHandle | None = None
+        no_change_timer: asyncio.TimerHandle | None = None
         loop = asyncio.get_running_loop()
         index = 0 if self.watch_state.is_renumbered(loop.time()) else self.index
         try:
@@ -282,9 +283,9 @@
             if head.status != 200:
                 raise MalformedMessageError(502, f"discovery answered {head.status}")
             self.is_established = True
-            said = loop.call_later(NO_CHANGE_WAIT_S, self.first_update.set)
+            no_change_timer = loop.call_later(NO_CHANGE_WAIT_S, self.first_update.set)
             lines, last = LineSplitter(), loop.time()
-            asked_whole = not index
+            requested_full = not index
             while True:
                 for line in lines.feed(channel.parser.take_piece()):
                     if line:
@@ -293,15 +294,15 @@
                         self.source_is_alive()
                     last = loop.time()
                     self.first_update.set()
-                    if self.watch_state.is_renumbered(last) and not asked_whole:
-                        raise ValueError("older lists alone have come for long; the whole one is asked for")
+                    if self.watch_state.is_renumbered(last) and not requested_full:
+                        raise ValueError("only older versions arrive; requesting the full list")
                 if channel.parser.body is None or channel.parser.body.is_complete:
                     return
                 async with asyncio.timeout_at(self.watch_state.silent_at(loop.time(), last)):
                     await channel.fill()
         finally:
-            if said is not None:
-                said.cancel()
+            if no_change_timer is not None:
+                no_change_timer.cancel()
             if channel is not None:
                 channel.close()
 
--- a/finchladder/net/etcd/__init__.py
+++ b/finchladder/net/etcd/__init__.py
@@ -1,1 +1,1 @@
-"""Follows the service entries that an etcd (v3) holds, by its JSON gateway."""
+"""A client of etcd (v3) that follows service entries through the JSON gateway."""
--- a/finchladder/net/etcd/client.py
+++ b/finchladder/net/etcd/client.py
@@ -1,4 +1,4 @@
-"""Single calls to an etcd, for the command line: whichever endpoint answers."""
+"""Single calls to an etcd cluster for the command line, with failover between endpoints."""
 
 from collections.abc import AsyncIterator, Iterable
 
@@ -19,20 +19,20 @@
 )
 
 KEYS_PER_PAGE = 256
-MAX_KEYS_PER_TXN = 100  # keys of one transaction; etcd takes 128
+MAX_KEYS_PER_TXN = 100  # etcd accepts up to 128 by default
 
 
 class EtcdError(Exception):
-    """No endpoint executed the call, or one refused it; the message is one line."""
+    """No endpoint executed the call, or one rejected it; the message is one line."""
 
 
 class Client:
     """Calls for the command line: writes, reads and deletes endpoint entries."""
 
-    def __init__(self, options: EtcdOptions, aside: RunInThread) -> None:
-        self.options, self.run_in_thread = options, aside
+    def __init__(self, options: EtcdOptions, run_in_thread: RunInThread) -> None:
+        self.options, self.run_in_thread = options, run_in_thread
         self.endpoints = options.addresses()
-        self.connector = Connector(options, http1.connect, aside)
+        self.connector = Connector(options, http1.connect, run_in_thread)
         self.endpoint_client: EndpointClient | None = None
 
     async def call(self, path: str, body: bytes) -> Response:
@@ -41,7 +41,7 @@
         Raises:
             EtcdError: No endpoint executed it.
         """
-        said = []
+        errors = []
         for _ in self.endpoints:
             endpoint = self.endpoints[0]
             try:
@@ -50,18 +50,18 @@
                         self.connector, endpoint, self.options, self.run_in_thread
                     )
                     await self.endpoint_client.open()
-                answer = await self.endpoint_client.call(path, body)
-                if answer.error is None:
-                    return answer
-                reason = answer.error.text
-                if answer.error.is_final:
+                response = await self.endpoint_client.call(path, body)
+                if response.error is None:
+                    return response
+                reason = response.error.text
+                if response.error.is_final:
                     raise EtcdError(f"{endpoint}: {reason}")
             except (*CONNECTION_ERRORS, LoginError) as e:
                 reason = str(e) if isinstance(e, LoginError) else describe_error(e)
-            said.append(f"{endpoint}: {reason}")
+            errors.append(f"{endpoint}: {reason}")
             self.close()
             self.endpoints.append(self.endpoints.pop(0))
-        raise EtcdError("; ".join(said))
+        raise EtcdError("; ".join(errors))
 
     def close(self) -> None:
         """Closes the connection, if there is one."""
@@ -69,7 +69,7 @@
             self.endpoint_client.close()
             self.endpoint_client = None
 
-    # --- the keys, as docs/KEYS.md has them
+    # --- keys, in the layout of docs/KEYS.md
 
     def _key(self, kind: str, name: str) -> bytes:
         return f"{self.options.prefix}/{kind}/{name}".encode()
@@ -79,10 +79,10 @@
         await self.call("kv/put", messages.put(self._key("members", entry.name), _encode(entry), lease))
 
     async def put_all(self, entries: Iterable[ServiceEntry]) -> int:
-        """Writes entries in transactions of AT_ONCE keys; returns the number of entries."""
+        """Writes entries in transactions of MAX_KEYS_PER_TXN keys; returns the number of entries."""
         pairs = [(self._key("members", e.name), _encode(e)) for e in entries]
-        for at in range(0, len(pairs), MAX_KEYS_PER_TXN):
-            await self.call("kv/txn", messages.put_all(pairs[at : at + MAX_KEYS_PER_TXN]))
+        for start in range(0, len(pairs), MAX_KEYS_PER_TXN):
+            await self.call("kv/txn", messages.put_all(pairs[start : start + MAX_KEYS_PER_TXN]))
         return len(pairs)
 
     async def drain(self, name: str, lease: int = 0) -> None:
--- a/finchladder/net/etcd/follow.py
+++ b/finchladder/net/etcd/follow.py
@@ -1,4 +1,4 @@
-"""The reader of an etcd: carries out what its state says is next, and hands on what comes."""
+"""The etcd actor: carries out the actions of the state machine and returns the results to it."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -55,34 +55,34 @@
 class EtcdActor(Actor[Event]):
     """Carries out the actions of a `Follower` and posts their results to it.
 
-    `report` and `heard` are the membership actor's.
+    `report` and `on_alive` are methods of the membership actor.
     """
 
     def __init__(
         self,
         options: EtcdOptions,
         report: Callable[[Report], None],
-        heard: Callable[[str, bool], None],
+        on_alive: Callable[[str, bool], None],
         connect: Connect,
-        aside: RunInThread,
+        run_in_thread: RunInThread,
         clock: Callable[[], float],
         random: Random,
     ) -> None:
         super().__init__("etcd", MAILBOX_SIZE)
-        self.options, self.report, self.on_alive, self.clock = options, report, heard, clock
-        self.run_in_thread = aside
+        self.options, self.report, self.on_alive, self.clock = options, report, on_alive, clock
+        self.run_in_thread = run_in_thread
         self.endpoints = options.addresses()
-        random.shuffle(self.endpoints)  # so that many dispatchers do not all ask the same member
+        random.shuffle(self.endpoints)  # spreads many dispatchers over the members
         self.prefix = f"{options.prefix}/".encode()
         self.follower = Follower(options.prefix, [str(e) for e in self.endpoints], random)
-        self.connector = Connector(options, connect, aside)
+        self.connector = Connector(options, connect, run_in_thread)
         self.endpoint_client: EndpointClient | None = None
-        self.call_task: asyncio.Task[None] | None = None  # a call, at most one
+        self.call_task: asyncio.Task[None] | None = None  # the current call; there is at most one
         self.watch_task: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Starts to follow the prefix."""
+        """Starts following the prefix."""
         self.post(TimerExpired())
 
     def receive(self, event: Event) -> None:
@@ -91,8 +91,8 @@
             self._carry_out(action)
 
     def failed(self, item: Event) -> None:
-        """Treats a fault of this program as a failure of the endpoint, so that it is tried again."""
-        self.post(EndpointFailed(Failure.BAD, "a fault of this program, see above"))
+        """Treats a bug in this program as a failure of the endpoint, so that following is retried."""
+        self.post(EndpointFailed(Failure.BAD, "internal error, see the log line above"))
 
     def _carry_out(self, action: Action) -> None:
         if isinstance(action, ReportList):
@@ -124,14 +124,14 @@
             self._cancel(self.watch_task)
             self.watch_task = None
             self._set_timer(None)
-            asked = messages.list_page(self.prefix, action.after, action.revision, KEYS_PER_PAGE)
+            body = messages.list_page(self.prefix, action.after, action.revision, KEYS_PER_PAGE)
         elif isinstance(action, Check):
-            asked = messages.newer_than(self.prefix, action.revision, action.than)
+            body = messages.newer_than(self.prefix, action.revision, action.than)
         else:
-            asked = messages.get(self.prefix)
-        self._start_call(self._range(self.endpoint_client, action, asked))
+            body = messages.get(self.prefix)
+        self._start_call(self._range(self.endpoint_client, action, body))
 
-    # --- tasks; one that was cancelled says nothing more
+    # --- tasks; a canceled one posts no further event
 
     def _start_call(self, work: Coroutine[Any, Any, None]) -> None:
         self._cancel(self.call_task)
@@ -158,47 +158,47 @@
             self.timer = asyncio.get_running_loop().call_later(seconds, self.post, TimerExpired())
 
     async def _run_guarded(self, work: Coroutine[Any, Any, None]) -> None:
-        me = asyncio.current_task()
+        this_task = asyncio.current_task()
         try:
             await work
             return
         except LoginError as e:
             event = EndpointFailed(Failure.REFUSED, str(e))
         except TimeoutError:
-            event = EndpointFailed(Failure.SILENT, "no answer in time")
+            event = EndpointFailed(Failure.SILENT, "no response in time")
         except CONNECTION_ERRORS as e:
             event = EndpointFailed(Failure.REFUSED if refused_by_tls(e) else Failure.LOST, describe_error(e))
-        except Exception:  # whatever a peer sent, it must be followed again
+        except Exception:  # no input may end the following for good
             self.log.exception("etcd: a task died")
-            event = EndpointFailed(Failure.BAD, "a fault of this program, see above")
-        if me in (self.call_task, self.watch_task):
+            event = EndpointFailed(Failure.BAD, "internal error, see the log line above")
+        if this_task in (self.call_task, self.watch_task):
             self.post(event)
 
-    async def _open(self, link: EndpointClient) -> None:
-        await link.open()
+    async def _open(self, client: EndpointClient) -> None:
+        await client.open()
         self.post(Opened())
 
-    async def _range(self, link: EndpointClient, action: ReadPage | Probe | Check, asked: bytes) -> None:
-        logins = link.logins
-        patience_s = RESPONSE_TIMEOUT_S if isinstance(action, ReadPage) else PROBE_TIMEOUT_S
-        answer = await link.call("kv/range", asked, patience_s)
-        if link.logins != logins:
-            self.log.info("etcd: {}: the token had ended, logged in again", link.endpoint)
-        if answer.error is not None:
-            self.post(CallFailed(answer.error))
+    async def _range(self, client: EndpointClient, action: ReadPage | Probe | Check, body: bytes) -> None:
+        logins = client.logins
+        timeout_s = RESPONSE_TIMEOUT_S if isinstance(action, ReadPage) else PROBE_TIMEOUT_S
+        response = await client.call("kv/range", body, timeout_s)
+        if client.logins != logins:
+            self.log.info("etcd: {}: the token had ended, logged in again", client.endpoint)
+        if response.error is not None:
+            self.post(CallFailed(response.error))
         elif isinstance(action, ReadPage):
-            self.post(ListPage(answer))
+            self.post(ListPage(response))
         else:
-            self.post(ProbeResult(answer.header) if isinstance(action, Probe) else CheckResult(answer))
+            self.post(ProbeResult(response.header) if isinstance(action, Probe) else CheckResult(response))
 
-    async def _watch(self, link: EndpointClient, asked: bytes) -> None:
-        me = asyncio.current_task()
-        async with aclosing(link.watch(asked)) as told:
+    async def _watch(self, client: EndpointClient, body: bytes) -> None:
+        this_task = asyncio.current_task()
+        async with aclosing(client.watch(body)) as responses:
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                answer = await anext(told, None)
-            while answer is not None:
-                self.post(WatchMessage(answer))
-                if me is not self.watch_task:
+                response = await anext(responses, None)
+            while response is not None:
+                self.post(WatchMessage(response))
+                if this_task is not self.watch_task:
                     return
-                answer = await anext(told, None)
+                response = await anext(responses, None)
         self.post(EndpointFailed(Failure.LOST, "ended the watch"))
--- a/finchladder/net/etcd/keys.py
+++ b/finchladder/net/etcd/keys.py
@@ -1,8 +1,8 @@
-"""What the keys below a prefix say of the real servers: PREFIX/members/NAME and PREFIX/drain/NAME.
+"""The state of workers as given by the etcd keys PREFIX/members/NAME and PREFIX/drain/NAME.
 
-The value of a member is its service entry, in discovery's form and under its own name. A drain notice may
-hold anything: that it is there is what it says. An entry that can't be used changes nothing: what was said
-of that name before still holds.
+The value of a member key is its service entry, in discovery's format and with the name in the key. The value
+of a drain key is ignored; the key's existence drains the worker. An unusable entry changes nothing: the
+previous entry of that name stays in use.
 """
 
 from collections.abc import Iterable
@@ -16,9 +16,9 @@
 from finchladder.core.membership.decisions import ANY_START, Address
 from finchladder.net.etcd.messages import Item
 
-MAX_VALUE_BYTES = 8 * 1024  # bytes of an entry
-MAX_NAMES = 50_000  # of real servers, and of notices; what is beyond is left out
-MAX_UNUSABLE_KEYS = 256  # keys that are remembered as unusable, so that each is told of once
+MAX_VALUE_BYTES = 8 * 1024
+MAX_NAMES = 50_000  # of workers, and of drain notices; further ones are ignored
+MAX_UNUSABLE_KEYS = 256  # remembered, so that each unusable key is reported once
 
 _decode = msgspec.json.Decoder(ServiceEntry).decode
 
@@ -31,7 +31,7 @@
 
 
 class Keys:
-    """The state of the keys by worker name; each unusable key is reported once, in `news`."""
+    """The state of the keys by worker name; each unusable key is reported once, in `unreported`."""
 
     def __init__(self, prefix: str) -> None:
         self.prefix = prefix
@@ -39,7 +39,7 @@
         self.members: dict[str, Member] = {}
         self.drains: dict[str, None] = {}
         self.unusable: dict[bytes, str] = {}
-        self.unreported: list[str] = []  # for the log: unusable keys not yet told of
+        self.unreported: list[str] = []  # for the log: unusable keys that are not reported yet
 
     def for_new_list(self) -> "Keys":
         """Returns an empty state for a new list, which remembers the unusable keys reported so far."""
@@ -47,12 +47,12 @@
         new.unusable = self.unusable
         return new
 
-    def apply(self, item: Item, before: "Keys | None" = None) -> str | None:
+    def apply(self, item: Item, previous: "Keys | None" = None) -> str | None:
         """Applies one key; returns the name of the worker that it may have changed.
 
         Args:
             item: The key, or its deletion.
-            before: The state to fall back on for a member's previous value.
+            previous: The state with the earlier values, for members whose new value is unusable.
         """
         if item.key.startswith(self.drain_prefix):
             if (name := self._name(item, self.drain_prefix)) is None:
@@ -76,19 +76,19 @@
                 self.unusable.pop(item.key, None)
             except ValueError as e:
                 self._record_unusable(item.key, str(e))
-                found = (before or self).members.get(name)
+                found = (previous or self).members.get(name)
             if found is not None and (len(self.members) < MAX_NAMES or name in self.members):
                 self.members[name] = found
         return name
 
-    def _name(self, item: Item, at: bytes) -> str | None:
+    def _name(self, item: Item, prefix: bytes) -> str | None:
         try:
-            name = item.key[len(at) :].decode()
+            name = item.key[len(prefix) :].decode()
         except UnicodeDecodeError:
             name = ""
         if not name or "/" in name or not name.isprintable():
             if not item.is_deleted:
-                self._record_unusable(item.key, "no name of a real server")
+                self._record_unusable(item.key, "not a valid name of a worker")
             return None
         return name
 
@@ -100,22 +100,21 @@
         except msgspec.MsgspecError as e:
             raise ValueError(str(e)) from None
         if entry.name != name:
-            raise ValueError(f"the entry of {entry.name[:64]!r}, under another's name")
+            raise ValueError(f"the entry has the name {entry.name[:64]!r}, but the key has another")
         return Member(entry.to_worker_entry(), parse_address(entry.address))
 
-    def _record_unusable(self, key: bytes, why: str) -> None:
-        if self.unusable.get(key) == why:
+    def _record_unusable(self, key: bytes, reason: str) -> None:
+        if self.unusable.get(key) == reason:
             return
         if key not in self.unusable and len(self.unusable) >= MAX_UNUSABLE_KEYS:
-            self.unusable.pop(
-                next(iter(self.unusable))
-            )  # a flood of them may be told of again; no memory grows
-        self.unusable[key] = why
+            # during a flood of unusable keys, some are reported again; the memory stays bounded
+            self.unusable.pop(next(iter(self.unusable)))
+        self.unusable[key] = reason
         shown = key[:128].decode("utf-8", "backslashreplace")
-        self.unreported.append(f"{shown}: {why}; it is left out")
+        self.unreported.append(f"{shown}: {reason}; the key is ignored")
 
     def worker(self, name: str) -> api.WorkerEntry:
-        """Returns the entry of a worker; its state is REMOVED where no key names it."""
+        """Returns the entry of a worker; its state is REMOVED if no key names it."""
         member = self.members.get(name)
         if member is not None and member.worker.state is api.WorkerStatus.REMOVED:
             member = None
--- a/finchladder/net/etcd/messages.py
+++ b/finchladder/net/etcd/messages.py
@@ -1,6 +1,7 @@
-"""etcd's messages as its JSON gateway writes them: what is asked, and answers read in bounded memory.
+"""Messages of etcd's JSON gateway: encoded requests, and responses parsed in bounded memory.
 
-Source: etcd's `rpc.proto`, and the gateway's rules: bytes are base64, 64-bit numbers text, zero is left out.
+They follow etcd's `rpc.proto` and the gateway's encoding: bytes are base64, 64-bit integers are strings, and
+zero values are omitted.
 """
 
 import re
@@ -9,20 +10,18 @@
 
 import msgspec
 
-MAX_WHOLE_BYTES = (
-    64 * 1024
-)  # bytes of an answer that is decoded whole; a longer one is taken apart as it comes
-MAX_ITEM_BYTES = 32 * 1024  # bytes of a key with its value in JSON: no entry is a tenth as long
-MAX_FRAME_BYTES = 32 * 1024  # of all else in an answer
-MAX_ITEMS = 200_000  # keys or events in one answer
-KEY_SEARCH_BYTES = 4096  # of an item too long: what is looked at for its key
+MAX_WHOLE_BYTES = 64 * 1024  # a longer response is parsed as it arrives
+MAX_ITEM_BYTES = 32 * 1024  # of a key with its value in JSON; valid entries are less than a tenth as long
+MAX_FRAME_BYTES = 32 * 1024  # of the rest of a response
+MAX_ITEMS = 200_000  # keys or events in one response
+KEY_SEARCH_BYTES = 4096  # the part of an overlong item that is searched for its key
 
-INVALID, DENIED, PRECONDITION, UNAUTHENTICATED = 3, 7, 9, 16  # codes of gRPC
+INVALID, DENIED, PRECONDITION, UNAUTHENTICATED = 3, 7, 9, 16  # gRPC status codes
 _TOKEN_ERRORS = ("invalid auth token", "user name is empty", "revision of auth store is old")
 
 
 class MalformedResponseError(Exception):
-    """The response is not etcd's, or exceeds a bound."""
+    """The response is not one of etcd, or exceeds a limit."""
 
 
 class Header(msgspec.Struct):
@@ -45,13 +44,13 @@
 
 
 class Item(NamedTuple):
-    """A key as a range or a watch reports it. `value` None: too long to be an entry."""
+    """A key as returned by a range or a watch; `value` is None if it is too long for an entry."""
 
     key: bytes
     mod_revision: int
     value: bytes | None = b""
     is_deleted: bool = False
-    is_new: bool = False  # it was not there before
+    is_new: bool = False  # the key was created by this modification
 
 
 class ErrorResponse(NamedTuple):
@@ -62,7 +61,7 @@
 
     @property
     def is_token_error(self) -> bool:
-        """Whether another login may help."""
+        """Whether a new login may help."""
         return self.code == UNAUTHENTICATED or any(words in self.text for words in _TOKEN_ERRORS)
 
     @property
@@ -77,7 +76,7 @@
 
 
 class Response(NamedTuple):
-    """A message: of a call, or one of a watch."""
+    """The response to a call, or one message of a watch."""
 
     header: Header
     items: list[Item]
@@ -118,7 +117,7 @@
 
 
 class _AnyResponse(msgspec.Struct):
-    """All fields of the answers that are asked for here: of a call, or `result` of a stream."""
+    """All fields used here of the responses to calls; `result` is that of a stream."""
 
     header: Header = msgspec.field(default_factory=Header)
     kvs: list[Kv] = []
@@ -151,7 +150,7 @@
 def _response(found: _AnyResponse, items: list[Item]) -> Response:
     if isinstance(e := found.error, _Error):
         return Response(found.header, [], error=ErrorResponse(e.grpc_code or e.code, e.message))
-    if e is not None or found.code:  # newer gateways leave out `error`
+    if e is not None or found.code:  # newer gateways omit `error`
         return Response(found.header, [], error=ErrorResponse(found.code, found.message or e or ""))
     if (r := found.result) is None:
         return Response(
@@ -181,17 +180,18 @@
 
 
 def _code_in(reason: str) -> int:
-    """A watch that is refused says the code in words alone."""
+    """Returns the gRPC code of a canceled watch, which is given only in the text, or 0."""
     if "PermissionDenied" in reason:
         return DENIED
     return UNAUTHENTICATED if "Unauthenticated" in reason else 0
 
 
 class ResponseReader:
-    """Answers out of pieces that end anywhere: the one body of a call, or the lines of a watch.
+    """Parses responses from pieces of any size: the body of one call, or the lines of a watch.
 
-    What is longer than PLAIN is never held whole: each key is taken out as it comes, and one that is too
-    long is passed over. So much as MOST_ITEM + MOST_FRAME + PLAIN bytes are held, and the items themselves.
+    A response longer than MAX_WHOLE_BYTES is never buffered completely: each item is parsed as it arrives,
+    and the value of an overlong one is skipped. At most MAX_ITEM_BYTES + MAX_FRAME_BYTES + MAX_WHOLE_BYTES
+    are buffered, besides the parsed items.
     """
 
     def __init__(self, lines: bool) -> None:
@@ -200,7 +200,11 @@
         self.long_response: _LongResponse | None = None
 
     def feed(self, piece: bytes) -> list[Response]:
-        """The answers that became whole. BadAnswer: the connection is to be closed."""
+        """Returns the responses that are now complete.
+
+        Raises:
+            MalformedResponseError: The connection must be closed.
+        """
         found: list[Response] = []
         self.buffer += piece
         while self.buffer:
@@ -223,36 +227,40 @@
         return found
 
     def end(self) -> Response:
-        """Of a call: its body is whole."""
+        """Returns the response to a call, whose body is complete.
+
+        Raises:
+            MalformedResponseError: The body is no valid response.
+        """
         if self.long_response is not None:
-            raise MalformedResponseError("an answer broke off")
+            raise MalformedResponseError("incomplete response")
         return self._decode_whole(bytes(self.buffer))
 
     def _decode_whole(self, data: bytes) -> Response:
         try:
             found = _decode(data)
         except msgspec.MsgspecError as e:
-            raise MalformedResponseError(f"unreadable answer: {e}") from None
+            raise MalformedResponseError(f"invalid response: {e}") from None
         if found.result is not None:
             return _response(found, [_item(e) for e in found.result.events])
         return _response(found, [Item(kv.key, kv.mod_revision, kv.value) for kv in found.kvs])
 
 
 class _LongResponse:
-    """One long answer: objects in its array, which lies at `level`, are taken out, the rest is the frame."""
+    """Parses one long response: the items of the array at nesting `level`, and the frame around them."""
 
     def __init__(self, level: int) -> None:
         self.level = level
         self.depth = 0
         self.in_string = self.escaped = self.is_complete = False
-        self.between_items = False  # within the array, between its items
+        self.between_items = False  # inside the array, but outside its items
         self.frame = bytearray()
         self.item: bytearray | None = None
-        self.item_length = 0  # of the item, kept or not
+        self.item_length = 0  # bytes of the current item, including skipped ones
         self.items: list[Item] = []
 
     def feed(self, data: bytearray) -> int:
-        """How much of it belongs to the answer."""
+        """Consumes data up to the end of the response; returns the number of bytes consumed."""
         at = 0
         while at < len(data) and not self.is_complete:
             if self.escaped:
@@ -291,22 +299,21 @@
 
     def _keep(self, part: bytes | bytearray) -> None:
         if self.item is None:
-            self.frame += (
-                part if not self.between_items else b""
-            )  # the commas between items would be left over
+            # the commas between the items do not belong to the frame
+            self.frame += part if not self.between_items else b""
             if len(self.frame) > MAX_FRAME_BYTES:
-                raise MalformedResponseError("an answer beyond all bounds")
+                raise MalformedResponseError(f"response frame longer than {MAX_FRAME_BYTES} bytes")
             return
         self.item_length += len(part)
         self.item += part[: max(0, MAX_ITEM_BYTES - len(self.item))]
 
     def _add_item(self, data: bytes) -> None:
         if len(self.items) >= MAX_ITEMS:
-            raise MalformedResponseError("an answer with too many keys")
+            raise MalformedResponseError(f"response with more than {MAX_ITEMS} keys")
         if self.item_length > MAX_ITEM_BYTES:
             key, created, mod = (found.search(data[:KEY_SEARCH_BYTES]) for found in (_KEY, _CREATED, _MOD))
             if key is None or created is None or mod is None:
-                raise MalformedResponseError("a key longer than any")
+                raise MalformedResponseError(f"no key in the first {KEY_SEARCH_BYTES} bytes of a long item")
             self.items.append(Item(b64decode(key[1]), int(mod[1]), None, False, created[1] == mod[1]))
             return
         try:
@@ -316,16 +323,16 @@
                 kv = _decode_kv(data)
                 self.items.append(Item(kv.key, kv.mod_revision, kv.value))
         except msgspec.MsgspecError as e:
-            raise MalformedResponseError(f"unreadable answer: {e}") from None
+            raise MalformedResponseError(f"invalid response: {e}") from None
 
     def response(self) -> Response:
         try:
             return _response(_decode(bytes(self.frame)), self.items)
         except msgspec.MsgspecError as e:
-            raise MalformedResponseError(f"unreadable answer: {e}") from None
+            raise MalformedResponseError(f"invalid response: {e}") from None
 
 
-# --- what is asked
+# --- requests
 
 
 def _encode(**fields: Any) -> bytes:
@@ -355,20 +362,25 @@
     return _encode(key=first, range_end=prefix_end(prefix), revision=revision, limit=limit)
 
 
-def newer_than(prefix: bytes, revision: int, than: int) -> bytes:
-    """Encodes a read as of `revision`: one key modified after `than`, and the total number of keys."""
+def newer_than(prefix: bytes, revision: int, revision_after: int) -> bytes:
+    """Encodes a read as of `revision`: one key newer than `revision_after`, and the number of keys."""
     end = prefix_end(prefix)
     return _encode(
-        key=prefix, range_end=end, revision=revision, min_mod_revision=than + 1, limit=1, keys_only=True
+        key=prefix,
+        range_end=end,
+        revision=revision,
+        min_mod_revision=revision_after + 1,
+        limit=1,
+        keys_only=True,
     )
 
 
 def watch(prefix: bytes, start: int) -> bytes:
     """Encodes a watch of all keys with the prefix, from the revision `start` on."""
-    asked = _encode(
+    request = _encode(
         key=prefix, range_end=prefix_end(prefix), start_revision=start, progress_notify=True, fragment=True
     )
-    return b'{"create_request":%b}' % asked
+    return b'{"create_request":%b}' % request
 
 
 def put(key: bytes, value: bytes, lease: int = 0) -> bytes:
--- a/finchladder/net/etcd/state.py
+++ b/finchladder/net/etcd/state.py
@@ -1,9 +1,10 @@
-"""Following a prefix of an etcd: what is asked next, and what is told of what came. No sockets, no clock.
+"""The state machine that follows a prefix in etcd; it uses no sockets and no clock.
 
-A list is taken by range, then a watch from the list's revision + 1 tells what changes. A watch that breaks
-is begun again behind the last revision whose events have all come, at the next endpoint. A new list is taken
-where that can't be (compacted, another cluster, a revision that went back), or where silence lasted so long
-that what comes next may be old. Whose word counts is not decided here but in core/membership.py.
+It reads the list of keys and then watches for changes from the list's revision + 1 on. A broken watch is
+continued at the next endpoint after the last revision whose events have all arrived. The list is read again
+if that is impossible (the revision is compacted, or the cluster is another one or at an older revision), or
+after so long a silence that the next messages may be outdated. Which source takes precedence is decided in
+core/membership.
 """
 
 from collections.abc import Callable
@@ -17,29 +18,33 @@
 from finchladder.net.etcd.messages import ErrorResponse, Header, Response
 
 SOURCE = "etcd"
-MAX_SILENCE_S = 5.0  # nothing heard for so long: what comes then may be a replay of what was
-PROBE_INTERVAL_S = 2.0  # from an answer to the next question whether somebody with a quorum is still there
-MAX_WATCH_LAG_S = 10.0  # a watch that has not come up to what a pulse told so long ago is looked at
-RESPONSE_TIMEOUT_S = 1.0  # for a connection, an answer, a watch's beginning
-PROBE_TIMEOUT_S = 2.0  # for a pulse: one that is only slow is not left, as its watch may go on
-KEYS_PER_PAGE = 256  # keys of a page: some 100 KB, read and applied in 2 ms
-BACKOFF_S, MAX_BACKOFF_S, MAX_REFUSED_BACKOFF_S = 0.1, 1.0, 5.0  # between two rounds over all endpoints
-ENDPOINT_JITTER_S = 0.05  # before the next endpoint of a round: a thousand must not come there in one moment
-STABLE_WATCH_S = 2.0  # a watch that stood for so long was no mistake: the next wait is short again
-MAX_RESTARTS = 3  # lists or logins begun anew at once; beyond that it is a failure, and waits
+MAX_SILENCE_S = 5.0  # after a longer silence, the next messages may be outdated, and the list is read again
+PROBE_INTERVAL_S = 2.0  # from one response to the next probe for a quorum
+MAX_WATCH_LAG_S = 10.0  # a watch that has not reached the revision of a probe after this time is checked
+RESPONSE_TIMEOUT_S = 1.0  # for a connection, a response, or the start of a watch
+PROBE_TIMEOUT_S = 2.0  # longer: the watch of an endpoint that is only slow may still work
+KEYS_PER_PAGE = 256  # some 100 KB, read and applied in 2 ms
+BACKOFF_S, MAX_BACKOFF_S, MAX_REFUSED_BACKOFF_S = (
+    0.1,
+    1.0,
+    5.0,
+)  # between two rounds over all endpoints; the last one after rejected logins and the like
+ENDPOINT_JITTER_S = 0.05  # maximum random wait before the next endpoint, so that 1,000 dispatchers spread
+STABLE_WATCH_S = 2.0  # after a watch of this duration, the backoff starts again from its minimum
+MAX_RESTARTS = 3  # lists or logins restarted at once; further ones count as failures of the endpoint
 
 
 class State(Enum):
-    """The states of a `Follower`; TABLE holds the allowed transitions."""
+    """The states of a `Follower`; TRANSITIONS holds the allowed transitions."""
 
-    WAITING = "waiting"  # for the time of the next try
-    OPENING = "opening"  # a connection and, where there is a user, a login
+    WAITING = "waiting"  # for the next try
+    OPENING = "opening"  # connecting and, if a user is configured, logging in
     LISTING = "listing"
-    STARTING = "starting"  # a watch was asked for
+    STARTING = "starting"  # a watch was requested
     FOLLOWING = "following"
 
 
-# --- what happens
+# --- events
 
 
 class TimerExpired(NamedTuple):
@@ -47,7 +52,7 @@
 
 
 class Opened(NamedTuple):
-    """The endpoint is connected and, where there is a user, logged in."""
+    """The endpoint is connected and, if a user is configured, logged in."""
 
     pass
 
@@ -65,25 +70,25 @@
 
 
 class ProbeResult(NamedTuple):
-    """The response to a Pulse."""
+    """The response to a `Probe`."""
 
     header: Header
 
 
 class CheckResult(NamedTuple):
-    """The response to a Check: keys newer than the last one reported, and the total number of keys."""
+    """The response to a `Check`: a key newer than the last revision, if any, and the number of keys."""
 
     answer: Response
 
 
 class Failure(Enum):
-    """Why an endpoint failed; each is logged once during an outage."""
+    """Why an endpoint failed; each reason is logged once during an outage."""
 
-    LOST = "lost"  # no connection, or it broke
+    LOST = "lost"  # the connection failed or broke
     SILENT = "silent"
     REFUSED = "refused"  # user, password, permission, certificate
     BEHIND = "behind"
-    BAD = "bad"  # no etcd answers so
+    BAD = "bad"  # a response that no etcd gives
 
 
 class EndpointFailed(NamedTuple):
@@ -94,7 +99,7 @@
 
 
 class CallFailed(NamedTuple):
-    """The response to a List, Pulse or Check was an error."""
+    """The response to a `ReadPage`, `Probe` or `Check` was an error."""
 
     error: ErrorResponse
 
@@ -103,11 +108,11 @@
     TimerExpired | Opened | ListPage | WatchMessage | ProbeResult | CheckResult | EndpointFailed | CallFailed
 )
 
-# --- what is to be done
+# --- actions
 
 
 class Open(NamedTuple):
-    """Close all connections, connect to the endpoint and log in. Results: Opened, Failed."""
+    """Close all connections, connect to the endpoint and log in. Results: Opened, EndpointFailed."""
 
     endpoint: int
 
@@ -121,7 +126,7 @@
 class ReadPage(NamedTuple):
     """Read the page after a key, as of a revision (0: the latest), ending any watch.
 
-    Results: Page, Refused, Failed.
+    Results: ListPage, CallFailed, EndpointFailed.
     """
 
     after: bytes
@@ -129,26 +134,32 @@
 
 
 class StartWatch(NamedTuple):
-    """Watch the prefix from a revision on. Results: Told, Failed."""
+    """Watch the prefix from a revision on. Results: WatchMessage, EndpointFailed."""
 
     start: int
 
 
 class Probe(NamedTuple):
-    """Check that the endpoint is reachable and has a quorum. Results: Alive, Refused, Failed."""
+    """Check that the endpoint is reachable and has a quorum.
+
+    Results: ProbeResult, CallFailed, EndpointFailed.
+    """
 
     pass
 
 
 class Check(NamedTuple):
-    """Read whether, as of `revision`, any key is newer than `than`. Results: Checked, Refused, Failed."""
+    """Read whether, as of `revision`, any key is newer than `than`.
+
+    Results: CheckResult, CallFailed, EndpointFailed.
+    """
 
     revision: int
     than: int
 
 
 class SetTimer(NamedTuple):
-    """Set the timer. Result: Due."""
+    """Set the timer. Result: TimerExpired."""
 
     seconds: float
 
@@ -174,7 +185,7 @@
 
 Action = Open | Close | ReadPage | StartWatch | Probe | Check | SetTimer | ReportList | ReportAlive | Log
 
-# what may follow what; an event that has no place in a state came too late, and is dropped
+# the next states allowed for each event; an event without an entry arrived too late and is dropped
 WAITING, OPENING, LISTING, STARTING, FOLLOWING = State
 TRANSITIONS: dict[State, dict[type, tuple[State, ...]]] = {
     WAITING: {TimerExpired: (OPENING,)},
@@ -207,24 +218,23 @@
         self.state = WAITING
         self.keys = Keys(prefix)
         self.key_count = 0  # keys below the prefix
-        self.cluster_id = 0  # whose list is held
-        self.last_revision = 0  # all up to this revision was told; 0: no list is held
-        self.term = 0  # of Raft, which only rises: less of it is another life of the same cluster
-        self.current = 0  # which endpoint
-        self.failures = 0  # in a row
-        self.lagging_endpoints: dict[int, None] = {}  # endpoints that told less than was seen
+        self.cluster_id = 0  # the cluster that the current list is from
+        self.last_revision = 0  # all changes up to this revision are reported; 0: there is no list yet
+        self.term = 0  # the Raft term, which never decreases unless the cluster was restored
+        self.current = 0  # index of the endpoint in use
+        self.failures = 0  # consecutive failures
+        self.lagging_endpoints: dict[int, None] = {}  # endpoints found at an older revision or term
         self.last_response_at = -MAX_SILENCE_S
         self.following_since: float | None = None
-        self.restarts = 0  # lists and logins begun anew since an answer that was as it should be
-        self.partial_list: Keys | None = None  # a list of which pages are still to come
-        self.list_revision = 0  # of that list, and its cluster
+        self.restarts = 0  # of lists and logins since the last valid response
+        self.partial_list: Keys | None = None  # a list whose pages are not all read
+        self.list_revision = 0  # the revision of `partial_list`; its cluster and term follow
         self.list_cluster_id = self.list_term = 0
         self.page_after = b""
-        self.changed: dict[str, None] = {}  # by fragments of which more are to come
-        self.expected_revision: tuple[float, int] | None = (
-            None  # when a pulse told a revision that is yet to be reached
-        )
-        self.logged_failures: dict[Failure, None] = {}  # what the log has of this outage
+        self.changed: dict[str, None] = {}  # workers changed by the fragments of an incomplete message
+        # a revision that the watch has not reached, preceded by the time of the probe that returned it
+        self.expected_revision: tuple[float, int] | None = None
+        self.logged_failures: dict[Failure, None] = {}  # reasons logged in this outage
         self.actions: list[Action] = []
         self.handlers: dict[type, Callable[[Any], State]] = {
             TimerExpired: self._on_timer_expired,
@@ -239,19 +249,19 @@
         self.now = 0.0
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Handles an event; returns the actions to carry out. `now` in seconds of any monotonic clock."""
+        """Handles an event and returns the resulting actions; `now` in seconds of a monotonic clock."""
         self.now, self.actions = now, []
-        may = TRANSITIONS[self.state].get(type(event))
-        if may is not None:
-            after = self.handlers[type(event)](event)
-            assert after in may, (self.state, event, after)
-            self.state = after
+        allowed = TRANSITIONS[self.state].get(type(event))
+        if allowed is not None:
+            next_state = self.handlers[type(event)](event)
+            assert next_state in allowed, (self.state, event, next_state)
+            self.state = next_state
         return self.actions
 
     def _emit(self, *actions: Action) -> None:
         self.actions += actions
 
-    # --- waiting and opening
+    # --- waiting and connecting
 
     def _on_timer_expired(self, e: TimerExpired) -> State:
         if self.state is WAITING:
@@ -280,9 +290,9 @@
         name = self.endpoints[self.current]
         if e.kind not in self.logged_failures:
             self.logged_failures[e.kind] = None
-            held = "the last list stays in use" if self.last_revision else "no list was had yet"
-            self._emit(Log("warning", f"etcd: {name}: {e.reason}; {held}, tried again until it answers"))
-        if self.lagging_endpoints:  # a step back is passed on once all others were asked, or can't be
+            list_state = "the last list stays in use" if self.last_revision else "no list was read yet"
+            self._emit(Log("warning", f"etcd: {name}: {e.reason}; {list_state}, retrying"))
+        if self.lagging_endpoints:  # an older state is accepted only after all other endpoints were tried
             self.lagging_endpoints[self.current] = None
         self.current = (self.current + 1) % len(self.endpoints)
         self.failures += 1
@@ -293,17 +303,17 @@
         rounds = self.failures // len(self.endpoints)
         if not rounds or self.failures % len(self.endpoints):
             return self.random.uniform(0.0, ENDPOINT_JITTER_S)
-        most = MAX_REFUSED_BACKOFF_S if kind is Failure.REFUSED else MAX_BACKOFF_S
-        return min(most, BACKOFF_S * 2.0 ** min(rounds, 16)) * self.random.uniform(0.5, 1.0)
+        max_s = MAX_REFUSED_BACKOFF_S if kind is Failure.REFUSED else MAX_BACKOFF_S
+        return min(max_s, BACKOFF_S * 2.0 ** min(rounds, 16)) * self.random.uniform(0.5, 1.0)
 
     def _record_response(self) -> None:
         self.last_response_at = self.now
 
     def _was_silent(self) -> bool:
-        """Who knows what was held back meanwhile, there or in this process."""
+        """Whether the silence was so long that pending messages may be outdated."""
         return self.now - self.last_response_at > MAX_SILENCE_S
 
-    # --- the list
+    # --- list
 
     def _start_list(self) -> State:
         self.partial_list, self.page_after, self.expected_revision = None, b"", None
@@ -311,38 +321,42 @@
         self._emit(ReadPage(b"", 0))
         return LISTING
 
-    def _restart_list(self, why: str) -> State:
+    def _restart_list(self, reason: str) -> State:
         self.restarts += 1
         if self.restarts > MAX_RESTARTS:
-            return self._on_endpoint_failed(EndpointFailed(Failure.BAD, f"{why}, again and again"))
+            return self._on_endpoint_failed(
+                EndpointFailed(Failure.BAD, f"{reason}, {MAX_RESTARTS + 1} times in a row")
+            )
         return self._start_list()
 
     def _on_list_page(self, e: ListPage) -> State:
-        a = e.answer
+        response = e.answer
         if self.partial_list is None:
-            if self._is_older(a.header) and self._has_untried_endpoint():
-                return self._on_endpoint_failed(EndpointFailed(Failure.BEHIND, self._older_reason(a.header)))
+            if self._is_older(response.header) and self._has_untried_endpoint():
+                return self._on_endpoint_failed(
+                    EndpointFailed(Failure.BEHIND, self._older_reason(response.header))
+                )
             self.partial_list = self.keys.for_new_list()
             self.list_revision, self.list_cluster_id, self.key_count = (
-                a.header.revision,
-                a.header.cluster_id,
-                a.total,
+                response.header.revision,
+                response.header.cluster_id,
+                response.total,
             )
-            self.list_term = a.header.raft_term
-        elif a.header.cluster_id != self.list_cluster_id:
-            return self._restart_list("another cluster answers each page")
-        for item in a.items:
+            self.list_term = response.header.raft_term
+        elif response.header.cluster_id != self.list_cluster_id:
+            return self._restart_list("pages come from different clusters")
+        for item in response.items:
             self.partial_list.apply(item, self.keys)
-        if a.more and a.items:
-            self.page_after = a.items[-1].key
+        if response.more and response.items:
+            self.page_after = response.items[-1].key
             self._emit(ReadPage(self.page_after, self.list_revision))
             return LISTING
         self._use_list(self.partial_list)
         return self._start_watch()
 
-    def _use_list(self, listed: Keys) -> None:
-        self._log_unusable(listed)
-        self.keys, self.partial_list = listed, None
+    def _use_list(self, keys: Keys) -> None:
+        self._log_unusable(keys)
+        self.keys, self.partial_list = keys, None
         self.cluster_id, self.last_revision, self.term = (
             self.list_cluster_id,
             self.list_revision,
@@ -362,15 +376,15 @@
         return False
 
     def _has_untried_endpoint(self) -> bool:
-        """Whether another endpoint may know more: each is asked once before a step back is passed on."""
+        """Whether another endpoint may be more recent; each is tried once before an older state is used."""
         self.lagging_endpoints[self.current] = None
         return len(self.lagging_endpoints) < len(self.endpoints)
 
     def _older_reason(self, header: Header) -> str:
         now, was = (header.revision, header.raft_term), (self.last_revision, self.term)
-        return f"is at revision {now[0]} in term {now[1]}, and {was[0]} in {was[1]} was told"
+        return f"is at revision {now[0]} in term {now[1]}, but {was[0]} in {was[1]} was read before"
 
-    # --- the watch
+    # --- watch
 
     def _start_watch(self) -> State:
         self.changed.clear()
@@ -378,32 +392,34 @@
         return STARTING
 
     def _on_watch_message(self, e: WatchMessage) -> State:
-        a = e.answer
-        if a.canceled or a.error is not None:
-            return self._on_watch_canceled(a)
+        response = e.answer
+        if response.canceled or response.error is not None:
+            return self._on_watch_canceled(response)
         if self._was_silent():
             return self._start_list()
-        if a.header.cluster_id != self.cluster_id:
-            return self._restart_list("another cluster answers each time")
-        if a.created:
-            return self._on_watch_created(a.header)
+        if response.header.cluster_id != self.cluster_id:
+            return self._restart_list("messages come from different clusters")
+        if response.created:
+            return self._on_watch_created(response.header)
         if self.state is STARTING:
             return self._on_endpoint_failed(
-                EndpointFailed(Failure.BAD, "events of a watch that did not begin")
+                EndpointFailed(Failure.BAD, "events before the watch was created")
             )
-        if not a.items and not a.fragment:  # progress: nothing up to there is still to come
-            if self._is_older(a.header):
-                return self._restart_list("revisions go back")
+        if (
+            not response.items and not response.fragment
+        ):  # a progress notification: all events up to its revision have arrived
+            if self._is_older(response.header):
+                return self._restart_list("the revision decreased")
             self._record_response()
             self._emit(ReportAlive(True))
             return FOLLOWING
-        return self._on_events(a)
+        return self._on_events(response)
 
     def _on_watch_created(self, header: Header) -> State:
         if self._is_older(header):
             if self._has_untried_endpoint():
                 return self._on_endpoint_failed(EndpointFailed(Failure.BEHIND, self._older_reason(header)))
-            return self._restart_list("revisions go back")
+            return self._restart_list("the revision decreased")
         self.lagging_endpoints.clear()
         self._record_response()
         if self.state is STARTING:
@@ -419,10 +435,10 @@
             self._emit(ReportAlive(False), SetTimer(PROBE_INTERVAL_S * self.random.uniform(0.5, 1.0)))
         return FOLLOWING
 
-    def _on_events(self, a: Response) -> State:
-        new = [item for item in a.items if item.mod_revision > self.last_revision]
-        if a.items and not new and self._is_older(a.header):
-            return self._restart_list("revisions go back")
+    def _on_events(self, response: Response) -> State:
+        new = [item for item in response.items if item.mod_revision > self.last_revision]
+        if response.items and not new and self._is_older(response.header):
+            return self._restart_list("the revision decreased")
         top = 0
         for item in new:
             top = max(top, item.mod_revision)
@@ -431,7 +447,7 @@
                 self.changed[name] = None
         self._log_unusable(self.keys)
         self._record_response()
-        if a.fragment:
+        if response.fragment:
             return FOLLOWING
         self.last_revision = max(self.last_revision, top)
         if self.changed:
@@ -440,36 +456,36 @@
             self.changed = {}
         return FOLLOWING
 
-    def _on_watch_canceled(self, a: Response) -> State:
-        if a.compacted or (a.error is not None and a.error.is_compacted):
-            return self._restart_list("the history is compacted while a list is taken")
-        if a.error is not None and a.error.is_token_error:
+    def _on_watch_canceled(self, response: Response) -> State:
+        if response.compacted or (response.error is not None and response.error.is_compacted):
+            return self._restart_list("the revision was compacted while the list was read")
+        if response.error is not None and response.error.is_token_error:
             return self._log_in_again()
-        why = a.error.text if a.error is not None else "no reason given"
-        refused = a.error is not None and a.error.is_final
+        reason = response.error.text if response.error is not None else "no reason given"
+        refused = response.error is not None and response.error.is_final
         return self._on_endpoint_failed(
-            EndpointFailed(Failure.REFUSED if refused else Failure.LOST, f"ended the watch: {why}")
+            EndpointFailed(Failure.REFUSED if refused else Failure.LOST, f"ended the watch: {reason}")
         )
 
     def _log_in_again(self) -> State:
-        """At once, at the same endpoint; should that be of no use, the next time it is a failure."""
+        """Logs in again at the same endpoint; too many logins in a row count as a failure."""
         self.restarts += 1
         if self.restarts > MAX_RESTARTS:
-            return self._on_endpoint_failed(EndpointFailed(Failure.REFUSED, "no token is taken for long"))
+            return self._on_endpoint_failed(EndpointFailed(Failure.REFUSED, "new tokens are rejected"))
         self._emit(Log("info", f"etcd: {self.endpoints[self.current]}: the token has ended, logged in again"))
         self._emit(Open(self.current))
         return OPENING
 
-    # --- is somebody there?
+    # --- probes
 
     def _on_probe_result(self, e: ProbeResult) -> State:
         if self._was_silent():
             return self._start_list()
         if e.header.cluster_id != self.cluster_id or self._is_older(e.header):
-            return self._restart_list("another cluster, or one that goes back, answers")
+            return self._restart_list("another cluster, or an older revision, responds")
         self.restarts = 0
         top = e.header.revision
-        # it may be other keys than ours that it is ahead by: what it told must be reached, or looked at
+        # keys outside the prefix may cause the difference: the watch must reach the revision, or is checked
         if top == self.last_revision:
             self.expected_revision = None
         elif self.expected_revision is None or self.expected_revision[1] <= self.last_revision:
@@ -479,37 +495,37 @@
         return FOLLOWING
 
     def _on_check_result(self, e: CheckResult) -> State:
-        upto = self.expected_revision[1] if self.expected_revision is not None else 0
+        reached = self.expected_revision[1] if self.expected_revision is not None else 0
         self.expected_revision = None
-        if upto > self.last_revision:
+        if reached > self.last_revision:
             if e.answer.items or e.answer.total != self.key_count:
                 return self._on_endpoint_failed(
-                    EndpointFailed(Failure.SILENT, f"the watch keeps back what is {MAX_WATCH_LAG_S:g} s old")
+                    EndpointFailed(Failure.SILENT, f"the watch withholds changes for {MAX_WATCH_LAG_S:g} s")
                 )
-            self.last_revision = upto  # nothing of ours came up to there
+            self.last_revision = reached  # no key below the prefix has changed up to there
         self._record_response()
         self._emit(ReportAlive(True), SetTimer(PROBE_INTERVAL_S))
         return FOLLOWING
 
     def _on_call_failed(self, e: CallFailed) -> State:
-        if self.state is FOLLOWING and e.error.is_compacted:  # a check of what is gone by now
+        if self.state is FOLLOWING and e.error.is_compacted:  # the revision to check is compacted by now
             self.expected_revision = None
             self._emit(SetTimer(PROBE_INTERVAL_S))
             return FOLLOWING
         if e.error.is_compacted:
-            return self._restart_list("the history is compacted while a list is taken")
+            return self._restart_list("the revision was compacted while the list was read")
         kind = Failure.REFUSED if e.error.is_final else Failure.LOST
         return self._on_endpoint_failed(EndpointFailed(kind, e.error.text))
 
-    # --- telling
+    # --- reports
 
     def _report(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
         self._emit(ReportList(Report(SOURCE, self.last_revision, workers, addresses, f"{self.cluster_id:x}")))
 
     def _log_unusable(self, keys: Keys) -> None:
-        most = 20
-        for line in keys.unreported[:most]:
+        max_lines = 20
+        for line in keys.unreported[:max_lines]:
             self._emit(Log("error", f"etcd: {line}"))
-        if len(keys.unreported) > most:
-            self._emit(Log("error", f"etcd: {len(keys.unreported) - most} more keys can't be used"))
+        if len(keys.unreported) > max_lines:
+            self._emit(Log("error", f"etcd: {len(keys.unreported) - max_lines} more unusable keys"))
         keys.unreported.clear()
--- a/finchladder/net/etcd/wire.py
+++ b/finchladder/net/etcd/wire.py
@@ -1,4 +1,4 @@
-"""Connections to an etcd's endpoints, over TLS or plain, and calls on them."""
+"""Connections to the endpoints of etcd, with or without TLS, and calls over them."""
 
 import asyncio
 import logging
@@ -23,10 +23,10 @@
 )
 from finchladder.net.http1 import Channel, Connect, MalformedMessageError, Stream, StreamClosedError
 
-MAX_BODY_BYTES = 1 << 30  # bytes of an answer, which is never held whole
-RESPONSE_TIMEOUT_S = 1.0  # for a connection with its handshake, or for the next piece of an answer
-CALL_TIMEOUT_S = 10.0  # for a whole answer, however long
-# TCP keep-alive closes a watch whose peer became unreachable: a probe every 3 s, and an error after 3 of them
+MAX_BODY_BYTES = 1 << 30  # of a response, which is never buffered completely
+RESPONSE_TIMEOUT_S = 1.0  # for connecting, including the TLS handshake, or for the next part of a response
+CALL_TIMEOUT_S = 10.0  # for a complete response
+# detects a watch whose peer became unreachable: a probe every 3 s, and an error after 3 of them
 KEEP_ALIVE_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 3),
@@ -40,37 +40,37 @@
 
 
 class LoginError(Exception):
-    """User or password were refused, or the password file can't be read."""
+    """User or password were rejected, or the password file can't be read."""
 
 
 def describe_error(e: BaseException) -> str:
-    """Returns one line for the log on a connection error."""
-    real = getattr(e, "real_error", None) or e
-    if isinstance(real, ssl.SSLCertVerificationError):
-        return f"its certificate is refused: {real.verify_message}"
-    if isinstance(real, ssl.SSLError):
-        return f"TLS failed: {real.reason or real}"
-    if isinstance(real, TimeoutError):
-        return "no answer in time"
-    if isinstance(real, StreamClosedError):
+    """Describes a connection error in one line for the log."""
+    cause = getattr(e, "real_error", None) or e
+    if isinstance(cause, ssl.SSLCertVerificationError):
+        return f"its certificate is rejected: {cause.verify_message}"
+    if isinstance(cause, ssl.SSLError):
+        return f"TLS failed: {cause.reason or cause}"
+    if isinstance(cause, TimeoutError):
+        return "no response in time"
+    if isinstance(cause, StreamClosedError):
         return "the connection broke"
-    return f"{getattr(real, 'strerror', None) or real or type(real).__name__}"
+    return f"{getattr(cause, 'strerror', None) or cause or type(cause).__name__}"
 
 
 def refused_by_tls(e: BaseException) -> bool:
-    """Whether an error is one of TLS, such as a refused certificate."""
+    """Whether the cause is a TLS error, such as a rejected certificate."""
     return isinstance(getattr(e, "real_error", None) or e, ssl.SSLError)
 
 
 class TlsContext:
     """The TLS context, rebuilt when one of its files has changed."""
 
-    def __init__(self, options: EtcdOptions, aside: RunInThread) -> None:
+    def __init__(self, options: EtcdOptions, run_in_thread: RunInThread) -> None:
         self.ca, self.cert, self.key = options.ca_file, options.cert_file, options.key_file
-        self.run_in_thread = aside
+        self.run_in_thread = run_in_thread
         self.current: ssl.SSLContext | None = None
         self.file_versions: list[tuple[int, int, int]] = []
-        # Tornado's own line for each failed handshake says nothing that is not told here, and once
+        # Tornado logs each failed handshake, which is logged here already, and only once per outage
         logging.getLogger("tornado.general").addFilter(lambda r: not r.msg.startswith("SSL Error on"))
 
     async def context(self) -> ssl.SSLContext:
@@ -79,18 +79,18 @@
         Raises:
             OSError: A file can't be read or used (ssl.SSLError is one).
         """
-        made: ssl.SSLContext = await self.run_in_thread(self._read)
-        return made
+        context: ssl.SSLContext = await self.run_in_thread(self._read)
+        return context
 
     def _read(self) -> ssl.SSLContext:
         files = [name for name in (self.ca, self.cert, self.key) if name is not None]
         found = [stat(name) for name in files]
-        of = [(s.st_mtime_ns, s.st_size, s.st_ino) for s in found]
-        if self.current is None or of != self.file_versions:
+        versions = [(s.st_mtime_ns, s.st_size, s.st_ino) for s in found]
+        if self.current is None or versions != self.file_versions:
             context = ssl.create_default_context(cafile=self.ca)
             if self.cert is not None:
                 context.load_cert_chain(self.cert, self.key)
-            self.current, self.file_versions = context, of
+            self.current, self.file_versions = context, versions
         return self.current
 
 
@@ -109,9 +109,9 @@
 class Connector:
     """Opens connections to endpoints, with or without TLS."""
 
-    def __init__(self, options: EtcdOptions, connect: Connect, aside: RunInThread) -> None:
+    def __init__(self, options: EtcdOptions, connect: Connect, run_in_thread: RunInThread) -> None:
         self.connect = connect
-        self.tls = TlsContext(options, aside) if any(e.tls for e in options.addresses()) else None
+        self.tls = TlsContext(options, run_in_thread) if any(e.tls for e in options.addresses()) else None
 
     async def open(self, endpoint: Endpoint) -> Channel:
         """Opens a connection to an endpoint.
@@ -119,7 +119,7 @@
         Raises:
             OSError: It can't be opened.
             StreamClosedError: It can't be opened.
-            TimeoutError: It was not open within ANSWER_S.
+            TimeoutError: It was not open within RESPONSE_TIMEOUT_S.
         """
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             address = await self._resolve(endpoint)
@@ -153,12 +153,17 @@
 
 
 class EndpointClient:
-    """One endpoint in use: one connection for calls, made one at a time, and others for watches."""
+    """A client of one endpoint: one connection for calls, made one at a time, and one for each watch."""
 
     def __init__(
-        self, wires: Connector, endpoint: Endpoint, options: EtcdOptions, aside: RunInThread
+        self, connector: Connector, endpoint: Endpoint, options: EtcdOptions, run_in_thread: RunInThread
     ) -> None:
-        self.connector, self.endpoint, self.options, self.run_in_thread = wires, endpoint, options, aside
+        self.connector, self.endpoint, self.options, self.run_in_thread = (
+            connector,
+            endpoint,
+            options,
+            run_in_thread,
+        )
         self.token = ""
         self.channel: Channel | None = None
         self.logins = 0
@@ -173,7 +178,7 @@
         await self.log_in()
 
     async def log_in(self) -> None:
-        """Logs in, where a user is configured.
+        """Logs in if a user is configured.
 
         Raises:
             LoginError: The login failed.
@@ -184,10 +189,10 @@
             password = await self.run_in_thread(self._password)
         except (OSError, ValueError) as e:
             raise LoginError(f"{self.options.password_file} can't be read: {describe_error(e)}") from None
-        answer = await self._call("auth/authenticate", login(self.options.user, password))
-        if answer.error is not None:
-            raise LoginError(f"refused user {self.options.user}: {answer.error.text}")
-        self.token = answer.token
+        response = await self._call("auth/authenticate", login(self.options.user, password))
+        if response.error is not None:
+            raise LoginError(f"rejected user {self.options.user}: {response.error.text}")
+        self.token = response.token
         self.logins += 1
 
     def _password(self) -> str:
@@ -196,39 +201,39 @@
             return file.read(MAX_PASSWORD_BYTES).decode().split("\n", 1)[0].rstrip("\r")
 
     async def call(self, path: str, body: bytes, timeout_s: float = RESPONSE_TIMEOUT_S) -> Response:
-        """Makes a call; an expired token is renewed once. `patience_s`: timeout for the first byte.
+        """Makes a call; an expired token is renewed once. `timeout_s`: timeout for the head of the response.
 
         Raises:
-            LoginError: The login failed, besides the errors in TROUBLE.
+            LoginError: The login failed, besides the errors in CONNECTION_ERRORS.
         """
-        answer = await self._call(path, body, timeout_s)
-        if answer.error is not None and answer.error.is_token_error and self.options.user is not None:
+        response = await self._call(path, body, timeout_s)
+        if response.error is not None and response.error.is_token_error and self.options.user is not None:
             await self.log_in()
-            answer = await self._call(path, body, timeout_s)
-        return answer
+            response = await self._call(path, body, timeout_s)
+        return response
 
     async def _call(self, path: str, body: bytes, timeout_s: float = RESPONSE_TIMEOUT_S) -> Response:
-        kept = self.channel is not None and not self.channel.stream.closed()
+        had_connection = self.channel is not None and not self.channel.stream.closed()
         async with asyncio.timeout(CALL_TIMEOUT_S):
             try:
                 return await self._call_once(path, body, timeout_s)
             except StreamClosedError:
-                if not kept:
+                if not had_connection:
                     raise
-            return await self._call_once(path, body, timeout_s)  # it was closed while nobody used it
+            return await self._call_once(path, body, timeout_s)  # the idle connection had been closed
 
     async def _call_once(self, path: str, body: bytes, timeout_s: float) -> Response:
-        channel, self.channel = self.channel, None  # a call that breaks off leaves a connection of no use
+        channel, self.channel = self.channel, None  # a connection is unusable after an aborted call
         if channel is None or channel.stream.closed():
             channel = await self.connector.open(self.endpoint)
         try:
             await self._send(channel, path, body)
-            answer = await self._read_response(channel, timeout_s)
+            response = await self._read_response(channel, timeout_s)
         except BaseException:
             channel.close()
             raise
         self.channel = channel
-        return answer
+        return response
 
     async def _send(self, channel: Channel, path: str, body: bytes) -> None:
         fields = [("Host", str(self.endpoint).partition("//")[2]), ("Content-Type", "application/json")]
@@ -248,35 +253,35 @@
                 break
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await channel.fill()
-            await asyncio.sleep(0)  # what has come already is no reason to keep the loop
+            await asyncio.sleep(0)  # buffered data must not block the event loop
         channel.parser.head = channel.parser.body = None
         try:
-            answer = found[0] if found else reader.end()
+            response = found[0] if found else reader.end()
         except MalformedResponseError:
             if head.status == 200:
                 raise
-            answer = Response(Header(), [])
-        if head.status != 200 and answer.error is None:
-            answer = answer._replace(error=ErrorResponse(0, f"answered {head.status}"))
+            response = Response(Header(), [])
+        if head.status != 200 and response.error is None:
+            response = response._replace(error=ErrorResponse(0, f"answered with status {head.status}"))
         if not head.is_persistent:
             channel.close()
-        return answer
+        return response
 
     async def watch(self, body: bytes) -> AsyncGenerator[Response, None]:
-        """Yields the messages of a watch until it ends; raises the errors in TROUBLE."""
+        """Yields the messages of a watch until it ends; raises the errors in CONNECTION_ERRORS."""
         channel = await self.connector.open(self.endpoint)
         try:
             await self._send(channel, "watch", body)
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 head = await channel.head()
             if head.status != 200:
-                answer = await self._read_response(channel, RESPONSE_TIMEOUT_S)
-                yield answer._replace(canceled=True)
+                response = await self._read_response(channel, RESPONSE_TIMEOUT_S)
+                yield response._replace(canceled=True)
                 return
             reader = ResponseReader(lines=True)
             while True:
-                for answer in reader.feed(channel.parser.take_piece()):
-                    yield answer
+                for response in reader.feed(channel.parser.take_piece()):
+                    yield response
                 if channel.parser.body is None or channel.parser.body.is_complete:
                     return
                 await channel.fill()
--- a/finchladder/net/flows.py
+++ b/finchladder/net/flows.py
@@ -1,4 +1,4 @@
-"""Flows and their attempts: records that the actors share. They know no client protocol."""
+"""Flows and their attempts: records shared by the actors, independent of the client protocol."""
 
 import time
 from collections.abc import Callable
@@ -10,13 +10,13 @@
 from finchladder.core.dispatch.attempt_stages import Stage, Step, next_stage
 from finchladder.features.status import JobStatus
 
-MAX_ENDED_IDS = 4096  # ids of ended flows at the least: a request sent again under its id must not run again
+MAX_ENDED_IDS = 4096  # the minimum number kept: a request repeated under the same id must not run again
 
 
 class Answer(NamedTuple):
-    """The final answer of a flow; `retry_after` comes with a refusal alone."""
+    """The final answer of a flow; `retry_after`, in seconds, is set for kind "refused" only."""
 
-    kind: str  # served, refused, failed; left: the client has gone, and nobody is answered
+    kind: str  # served, refused, failed, or left: the client disconnected, so nothing is sent
     body: bytes = b""
     retry_after: float = 0.0
 
@@ -51,13 +51,16 @@
     )
 
     def __init__(
-        self, flow: "Flow", number: int, worker: str, sent: float, until: float, begins_by: float = inf
+        self, flow: "Flow", number: int, worker: str, sent_at: float, deadline: float, start_by: float = inf
     ) -> None:
-        """Times by the clock: its first byte must go by `begins_by`, or it is void."""
+        """Creates an attempt that becomes void unless its first byte is sent by `start_by`.
+
+        Times are in seconds of the clock.
+        """
         self.flow, self.number, self.worker = flow, number, worker
-        self.sent_at, self.deadline, self.start_by = sent, until, begins_by
+        self.sent_at, self.deadline, self.start_by = sent_at, deadline, start_by
         self.stage = Stage.WAITING
-        self.connection: Connection | None = None  # until the job is accepted
+        self.connection: Connection | None = None  # None again once the job is accepted
 
     @property
     def ended(self) -> bool:
@@ -71,7 +74,7 @@
 
 @dataclass(slots=True, eq=False)
 class Flow:
-    """One request of a client, from its last byte to its final answer and its last attempt's end."""
+    """One request of a client, from its last byte until it is answered and its last attempt has ended."""
 
     id: str
     job_class: str
@@ -80,15 +83,15 @@
     message: JobMessage
     deadline: float
     deliver: Callable[[Answer], None]
-    route: str | None = None  # whose limits it comes under
-    is_client_retry: bool = False  # its client marks it as asked for before
-    received_at: float = 0.0  # when it was taken
+    route: str | None = None  # the route whose limits apply
+    is_client_retry: bool = False  # the client marked it as a retry
+    received_at: float = 0.0  # time of acceptance, in seconds of the clock
     answer: Answer | None = None
     attempts: list[Attempt] = field(default_factory=list)
     timer: Callable[[], None] | None = None
 
     def request(self, now: float) -> api.Request:
-        """Returns the request as the decisions see it; `now` in seconds of the clock."""
+        """Returns the request for the dispatcher core; `now` in seconds of the clock."""
         slots, memory = self.facts.get("slots", 1.0), self.facts.get("memory", 0.0)
         left = self.deadline - now
         return api.Request(
@@ -104,15 +107,15 @@
 
 
 class FlowTable:
-    """All flows that are open or have an attempt out, by the id of their request."""
+    """All flows that are unanswered or have a running attempt, by the id of their request."""
 
     def __init__(
         self, status: JobStatus | None = None, clock: Callable[[], float] = time.monotonic, sockets: int = 0
     ) -> None:
-        self.status, self.clock = status, clock  # the status is told of each step, where it is on
+        self.status, self.clock = status, clock  # the job status, where enabled, records each step
         self.max_remembered = max(MAX_ENDED_IDS, 4 * sockets)
         self.by_id: dict[str, Flow] = {}
-        self.open = 0  # flows without their final answer
+        self.open = 0  # number of unanswered flows
         self.ended_ids: dict[str, None] = {}
 
     def is_known(self, id: str) -> bool:
@@ -142,12 +145,12 @@
         """Removes a flow that is answered and has no running attempt, and remembers its id."""
         if flow.answer is None:
             return
-        for s in flow.attempts:
-            if not s.ended:
+        for attempt in flow.attempts:
+            if not attempt.ended:
                 return
         if self.by_id.pop(flow.id, None) is not None:
             self.ended_ids[flow.id] = None
-            # they lead back to it: without them it goes at once, and needs no collector
+            # these refer back to the flow: without them it is freed at once, without garbage collection
             flow.attempts, flow.timer = [], None
             if self.status is not None:
                 self.status.finished(self.clock(), flow.id, flow.answer.kind)
--- a/finchladder/net/host_environment.py
+++ b/finchladder/net/host_environment.py
@@ -1,7 +1,7 @@
-"""What a dispatcher takes from the machine that it runs on, in one place: clocks, sockets, files.
+"""The parts of the host that a dispatcher uses: clocks, sockets and files.
 
-Timers, tasks and signals are the running loop's. A simulator hands in a machine and a loop of its own, and
-the program runs on them as it stands.
+Timers, tasks and signals come from the running event loop. A simulator passes its own host environment and
+event loop, and runs the program unchanged on them.
 """
 
 import asyncio
@@ -24,23 +24,38 @@
 if TYPE_CHECKING:
     from finchladder.net.membership_actor import ListFile
 
-MIN_BACKLOG, BACKLOG_SHARE = 1024, 1 / 4  # connections not yet accepted: at the least, and of all sockets
+MIN_BACKLOG, BACKLOG_SHARE = 1024, 1 / 4  # the listen backlog: its minimum, and its share of all sockets
 
 
 def listen(address: tuple[str, int], sockets: int) -> list[socket.socket]:
-    """`sockets`: what the configuration allows in all. OSError: the address can't be had."""
+    """Opens listening sockets.
+
+    Args:
+        address: IP address and port.
+        sockets: The maximum number of sockets of the process.
+
+    Raises:
+        OSError: The address can't be bound.
+    """
     return bind_sockets(address[1], address[0], backlog=max(MIN_BACKLOG, int(BACKLOG_SHARE * sockets)))
 
 
 def datagrams(address: tuple[str, int]) -> socket.socket:
-    """For the other dispatchers. OSError: the address can't be had."""
-    from finchladder.net.peers.actor import bind  # what is off need not be loaded
+    """Opens the UDP socket for the exchange with peers.
+
+    Raises:
+        OSError: The address can't be bound.
+    """
+    from finchladder.net.peers.actor import bind  # imported only where peers are configured
 
     return bind(address)
 
 
 class Selector(selectors.DefaultSelector):
-    """Knows for how long its loop has waited for events: all other time it was at work, or kept from it."""
+    """A selector that measures for how long its event loop has waited for events.
+
+    In all other time the loop was running or could not run.
+    """
 
     idle_s = 0.0
 
@@ -60,29 +75,29 @@
 
 
 def idle_without_selector() -> float:
-    """For how long a loop has waited, as far as can be told without its selector: it used no CPU then."""
+    """Returns the time without CPU use, in seconds, as an estimate of the time spent waiting for events."""
     return time.monotonic() - time.process_time()
 
 
 def allow_descriptors(sockets: int) -> None:
-    """The system's soft limit is raised to what the configuration says; its hard limit is the operator's."""
+    """Raises the soft limit of open files to the configured number, but not above the hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    most = sockets if hard == resource.RLIM_INFINITY else min(sockets, hard)
-    if soft != resource.RLIM_INFINITY and soft < most:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-    if most < sockets:
-        logger.warning("limits: {} sockets are configured, and the system allows {}", sockets, most)
+    allowed = sockets if hard == resource.RLIM_INFINITY else min(sockets, hard)
+    if soft != resource.RLIM_INFINITY and soft < allowed:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (allowed, hard))
+    if allowed < sockets:
+        logger.warning("limits: {} sockets are configured, and the system allows {}", sockets, allowed)
 
 
 class Disk(Sink, Protocol):
-    """A sink that is to be closed at the end."""
+    """A capture sink that must be closed at the end."""
 
     def close(self) -> None:
         """Writes what is queued, within a time limit, and closes the sink."""
 
 
 def capture_files(options: CaptureOptions, name: str, start_ms: int) -> Disk | None:
-    """Where capture files go; None where none are wanted."""
+    """Starts the writer of capture files, or returns None if no folder is configured."""
     if options.folder is None:
         return None
     files = CaptureFiles(options.folder, name, start_ms, options.files, 2 * options.file_bytes)
@@ -92,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostEnvironment:
-    """The real one, unless parts of it are given. Times are seconds."""
+    """The real host, except for the parts that are replaced. Times are in seconds."""
 
     wall: Callable[[], float] = time.time
     monotonic: Callable[[], float] = time.monotonic
@@ -103,10 +118,8 @@
     connect: Connect = connect
     datagrams: Callable[[tuple[str, int]], socket.socket] = datagrams
     open_capture_files: Callable[[CaptureOptions, str, int], Disk | None] = capture_files
-    last_good: "Callable[[str], ListFile] | None" = None  # None: a file on the machine's own disk
-    freeze_objects: Callable[[], None] = (
-        lambda: None
-    )  # what has been made will stay: the collector may leave it out
-    run_in_thread: Callable[[Callable[[], Any]], Awaitable[Any]] = (
-        asyncio.to_thread
-    )  # what would hold up the loop
+    last_good: "Callable[[str], ListFile] | None" = None  # None: a file on the local disk
+    # called when long-lived objects have been created, so that the garbage collector can skip them
+    freeze_objects: Callable[[], None] = lambda: None
+    # runs a blocking call without blocking the event loop
+    run_in_thread: Callable[[Callable[[], Any]], Awaitable[Any]] = asyncio.to_thread
--- a/finchladder/net/http1.py
+++ b/finchladder/net/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as this project speaks it: parsers that take bytes however they are split, and writers."""
+"""HTTP/1.1: incremental parsers, connections and encoders."""
 
 import re
 import socket
@@ -13,13 +13,11 @@
 MAX_HEAD_BYTES = 8 * 1024
 MAX_FIELDS = 64
 MAX_BODY_BYTES = 64 * 1024
-HEAD_CACHE_SIZE, MAX_CACHED_HEAD_BYTES = (
-    256,
-    512,
-)  # heads that are kept parsed, and the bytes of one: some 0.5 MB at the most
+# parsed heads that are cached, and the maximum bytes of each: some 0.5 MB in all
+HEAD_CACHE_SIZE, MAX_CACHED_HEAD_BYTES = 256, 512
 REPEATED_REQUEST_START = b"POST /v1/job-events "
 MAX_PIECE_BYTES = 64 * 1024
-READ_CHUNK_BYTES = 16 * 1024  # asked of a socket at once: larger buffers are cleared for nothing
+READ_CHUNK_BYTES = 16 * 1024  # bytes read from a socket at once: a larger buffer costs time to zero
 REASONS = {
     100: "Continue",
     200: "OK",
@@ -39,7 +37,7 @@
     504: "Gateway Timeout",
 }
 
-# what is passed on must be readable to the strictest peer: a path of RFC 3986, fields of visible ASCII
+# forwarded messages must be acceptable to strict peers: paths as in RFC 3986, fields of visible ASCII
 _REQUEST = re.compile(
     rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+) (/(?:[\w.~:/?@!$&'()*+,;=-]|%[0-9A-Fa-f]{2})*) HTTP/1\.([01])", re.ASCII
 )
@@ -52,7 +50,7 @@
 
 
 class MalformedMessageError(Exception):
-    """The peer's bytes are no valid message.
+    """The peer sent an invalid message.
 
     Attributes:
         status: The status code for the response to a client.
@@ -73,14 +71,14 @@
 
 
 class Headers:
-    """Header fields in the order in which they came; names match in any case."""
+    """Header fields in their order of arrival, with case-insensitive names."""
 
     __slots__ = ("fields", "frame", "_values")
 
     def __init__(self, fields: list[tuple[str, str]]) -> None:
         self.fields = fields
-        self.frame: Frame | None = None  # of the message whose head they are in, once it was asked for
-        self._values: dict[str, list[str]] = {}  # by name in lower case
+        self.frame: Frame | None = None  # the framing of the message, cached by `Body`
+        self._values: dict[str, list[str]] = {}  # by lower-case name
         for name, value in fields:
             self._values.setdefault(name.lower(), []).append(value)
 
@@ -89,7 +87,7 @@
         return self._values.get(name, [])
 
     def get(self, name: str) -> str | None:
-        """The value of a field, None unless it came exactly once."""
+        """Returns the value of a field, or None unless it occurs exactly once."""
         values = self._values.get(name, ())
         return values[0] if len(values) == 1 else None
 
@@ -120,29 +118,32 @@
 
 
 def _parse_field(line: bytes, plain: bool) -> tuple[str, str]:
-    """Name and value. `plain`: as a request's fields are passed on, they must be visible ASCII."""
+    """Returns name and value; `ascii_only` requires visible ASCII, as for requests, which are forwarded."""
     m = _FIELD.fullmatch(line)
     if m is None:
         raise MalformedMessageError(400, "malformed header field")
     value = m[2].decode("latin-1").strip(" \t")
     if plain and not _PLAIN.fullmatch(value):
-        raise MalformedMessageError(400, "a header field holds what is not visible ASCII")
+        raise MalformedMessageError(400, "a header field has characters other than visible ASCII")
     return m[1].decode("ascii"), value
 
 
 def _parse_headers(lines: list[bytes], plain: bool) -> Headers:
     if len(lines) > MAX_FIELDS:
         raise MalformedMessageError(431, "too many header fields")
-    if _FIELDS.fullmatch(b"\r\n".join(lines)):  # the rule, that is: all at once costs a third of one by one
+    if _FIELDS.fullmatch(
+        b"\r\n".join(lines)
+    ):  # the usual case; matching all lines at once takes a third of the time
         parts = [line.decode("ascii").partition(":") for line in lines]
         return Headers([(name, value.strip(" \t")) for name, _, value in parts])
     return Headers([_parse_field(line, plain) for line in lines])
 
 
 def parse_request(head: bytes) -> Head:
-    # a real server's call-backs have the same head again and again, a client's requests never
     """Parses a request line and its header fields.
 
+    The heads of callbacks are cached: a worker repeats the same head, while a client never does.
+
     Raises:
         MalformedMessageError: They are not valid HTTP/1.1.
     """
@@ -190,9 +191,8 @@
     """
     codings, lengths = head.headers.all("transfer-encoding"), set(head.headers.all("content-length"))
     if codings and (lengths or not head.minor or [c.lower() for c in codings] != ["chunked"]):
-        raise MalformedMessageError(
-            400, "unusable transfer coding"
-        )  # two framings: peers would differ on the end
+        # with two framings, peers could disagree on the end of the body
+        raise MalformedMessageError(400, "unusable transfer coding")
     if lengths:
         length = lengths.pop()
         if lengths or not _LENGTH.fullmatch(length):
@@ -244,7 +244,7 @@
         return bytes(out)
 
     def _chunk(self, buffer: bytearray, out: bytearray) -> bool:
-        """One step through the chunks; `left` counts a chunk's data with its closing CRLF."""
+        """Decodes one step of the chunked coding; `remaining` counts a chunk's data with its final CRLF."""
         if self.remaining:
             part = bytes(buffer[: self.remaining])
             del buffer[: len(part)]
@@ -253,33 +253,33 @@
             if any(
                 c != want for c, want in zip(part[data:], b"\r\n"[-min(2, self.remaining) :], strict=False)
             ):
-                raise MalformedMessageError(400, "chunk without its end")
+                raise MalformedMessageError(400, "chunk data does not end with CRLF")
             self.remaining -= len(part)
             return not self.remaining
         end = buffer.find(b"\r\n")
         if end < 0 or end > MAX_HEAD_BYTES:
             if len(buffer) > MAX_HEAD_BYTES:
-                raise MalformedMessageError(400, "chunk head too long")
+                raise MalformedMessageError(400, "chunk size line too long")
             return False
         line = bytes(buffer[:end])
         del buffer[: end + 2]
         if self.in_trailers:
             self._take_trailer(line)
         elif (m := _CHUNK.fullmatch(line)) is None:
-            raise MalformedMessageError(400, "malformed chunk head")
+            raise MalformedMessageError(400, "malformed chunk size line")
         else:
             size = int(m[1], 16)
             self.in_trailers, self.remaining = not size, size + 2 if size else 0
         return True
 
     def _take_trailer(self, line: bytes) -> None:
-        """Nobody reads them here, but what no head may hold must not pass after a body either."""
+        """Checks a trailer field as strictly as a header field; its content is discarded."""
         if not line:
             self.is_complete = True
             return
         self.trailer_count, self.trailer_bytes = self.trailer_count + 1, self.trailer_bytes + len(line) + 2
         if self.trailer_count > MAX_FIELDS or self.trailer_bytes > MAX_HEAD_BYTES:
-            raise MalformedMessageError(400, "too many trailers")
+            raise MalformedMessageError(400, "too many or too long trailers")
         _parse_field(line, self.ascii_only)
 
 
@@ -307,7 +307,7 @@
 
     @property
     def has_more(self) -> bool:
-        """Whether the peer sent more after the last message; empty lines don't count."""
+        """Whether bytes other than empty lines follow the last message."""
         return bool(self.buffer.strip(b"\r\n"))
 
     def feed(self, data: bytes) -> None:
@@ -322,7 +322,9 @@
         """
         if self.head is not None:
             return self.head
-        while self.buffer.startswith(b"\r\n"):  # an empty line before a message is let pass
+        while self.buffer.startswith(
+            b"\r\n"
+        ):  # empty lines before a message are skipped (RFC 9112, section 2.2)
             del self.buffer[:2]
         end = self.buffer.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES + 4)
         if end < 0:
@@ -351,7 +353,7 @@
         if head is None or (body := self.body) is None:
             return None
         if not (body.chunked or body.until_close or self.received) and body.remaining <= len(self.buffer):
-            got = b""  # the whole of it is there, as mostly
+            got = b""  # the usual case: the body is complete
             if body.remaining:
                 got = bytes(self.buffer[: body.remaining])
                 del self.buffer[: body.remaining]
@@ -368,39 +370,40 @@
 
 
 class Stream(IOStream):
-    """Asks the socket once for what is there: IOStream's own asks again until there is nothing.
+    """An IOStream with fewer system calls.
 
-    `put` writes without a future where the socket takes all at once, as it mostly does. `watched`: something
-    else than the loop tells when it can be read, and when the peer has left.
+    It reads once per event, while IOStream reads until the socket is empty. `put` needs no future if the
+    socket accepts all bytes, which is the usual case. `is_polled_elsewhere`: something other than the event
+    loop reports that the socket is readable or closed.
     """
 
-    last_read_was_short = False  # the last read was not filled: nothing more was there
+    last_read_was_short = False  # the last read left space in the buffer, so the socket was empty
     is_polled_elsewhere = False
-    max_read_ahead = 0  # bytes that may be read ahead, unasked, to see the peer's end behind them; 0: none
+    max_read_ahead = 0  # maximum bytes read without a request, to notice a close behind them; 0: none
 
     def _handle_events(self, fd: Any, events: int) -> None:
-        """IOStream stops to listen once something unasked was read, and would not see the end behind it."""
+        """Keeps listening: IOStream stops after an unrequested read and would miss a close behind it."""
         super()._handle_events(fd, events)
         if self.max_read_ahead and self._state is not None and not self.closed():
             if self._read_buffer_size > self.max_read_ahead:
-                self.close()  # whoever sends so much unasked can't be heard to leave
+                self.close()  # a close behind more bytes than may be read ahead would go unnoticed
             elif not self._state & IOLoop.READ:
                 self._add_io_state(IOLoop.READ)
 
     def put(self, data: bytes) -> Future[None] | None:
-        """None: the last byte is written. Else what waits for that, or StreamClosedError."""
+        """Writes data; returns None if all is written, else a future for that, or StreamClosedError."""
         if self.closed() or self.writing():
             return self.write(data)
         try:
             sent = self.socket.send(data)
         except BlockingIOError:
             sent = 0
-        except OSError:  # IOStream's own write meets it again, and closes
+        except OSError:  # IOStream's write gets the same error and closes the stream
             return self.write(data)
         return None if sent == len(data) else self.write(data[sent:])
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        """Reads once; after a read that left space in the buffer, reports that nothing is there."""
+        """Reads once; after a read that left space in the buffer, reports that nothing is available."""
         if self.last_read_was_short:
             self.last_read_was_short = False
             return None
@@ -409,14 +412,14 @@
         return count
 
     def detach(self) -> bool:
-        """While nothing is read or written, the loop leaves it alone. False: something was read already."""
+        """Leaves the event loop until the next read or write; returns False if there are buffered bytes."""
         if self._state is not None and not self.closed():
             self.io_loop.remove_handler(self.fileno())
             self._state = None
         return self._read_buffer_size == 0
 
     def _maybe_add_error_listener(self) -> None:
-        """An idle stream listens for its peer's leaving, unless that is told anyway."""
+        """Lets an idle stream listen for its peer's close, unless that is reported elsewhere."""
         if not self.is_polled_elsewhere:
             super()._maybe_add_error_listener()
 
@@ -433,7 +436,7 @@
 
 
 def peer_has_closed(connection: socket.socket) -> bool:
-    """Whether the peer has ended or reset it, as far as nothing unread lies before that."""
+    """Whether the peer has closed or reset the connection; a close behind unread bytes is not detected."""
     try:
         return not connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -483,14 +486,13 @@
             await writing
 
     def is_reusable(self) -> bool:
-        """Whether an idle connection can carry another request: any unexpected bytes rule it out."""
+        """Whether an idle connection can carry another request; unexpected bytes rule it out."""
         return not (self.stream.closed() or self.parser.has_begun) and self.has_nothing_to_read()
 
     def has_nothing_to_read(self) -> bool:
-        """Whether nothing has come that was not yet read, not even the other side's end.
+        """Whether no unread bytes and no end of the stream have arrived.
 
-        Only of a channel on which a read waits: one that does not has bytes that came, and that its reader
-        has not seen yet.
+        False if no read is pending: then bytes have arrived that the reader has not handled yet.
         """
         return self.stream.reading() and has_nothing_to_read(self.stream.socket)
 
--- a/finchladder/net/job_intake.py
+++ b/finchladder/net/job_intake.py
@@ -1,4 +1,4 @@
-"""Intake: a job that a client hands in becomes a flow, whatever protocol brought it, and is answered once."""
+"""Job intake: turns a client's job into a flow, independent of the protocol, and ensures one answer."""
 
 from functools import partial
 
@@ -14,7 +14,7 @@
 from finchladder.net.flows import Answer, Flow, FlowTable
 from finchladder.net.timers import Timers
 
-OPEN_FLOW_SHARE = 1 / 3  # part of all sockets: open flows
+OPEN_FLOW_SHARE = 1 / 3  # open flows per socket
 
 
 class DuplicateRequestError(Exception):
@@ -32,16 +32,16 @@
         self,
         classes: set[str],
         flows: FlowTable,
-        module: DecisionActor,
+        decisions: DecisionActor,
         timers: Timers,
         arrivals: Arrivals,
-        leaving: GracefulShutdown,
+        shutdown: GracefulShutdown,
         sockets: int,
     ) -> None:
-        self.classes, self.flows, self.decisions, self.clock = classes, flows, module, module.clock
-        self.timers, self.arrivals, self.shutdown = timers, arrivals, leaving
+        self.classes, self.flows, self.decisions, self.clock = classes, flows, decisions, decisions.clock
+        self.timers, self.arrivals, self.shutdown = timers, arrivals, shutdown
         self.max_open_flows = int(OPEN_FLOW_SHARE * sockets)
-        self.delayed_flows: dict[Flow, Effect] = {}  # by a drill
+        self.delayed_flows: dict[Flow, Effect] = {}  # held by fault injection, or about to be aborted
         self.routes = NO_ROUTES
 
     def check_limits(self, client: str, id: str, job_class: str, left_s: float) -> Verdict:
@@ -59,8 +59,8 @@
         now = self.clock()
         return self.shutdown.latest_answer_at(now, now + left_s)
 
-    def open_flow(self, flow: Flow, drill: Effect | None = None) -> None:
-        """Opens a flow and passes it to the decisions, or refuses it where too many are open.
+    def open_flow(self, flow: Flow, fault: Effect | None = None) -> None:
+        """Opens a flow and submits it to the dispatcher core, or rejects it if too many are open.
 
         Raises:
             DuplicateRequestError: A request with this id has been received already.
@@ -74,10 +74,10 @@
             return
         self.timers.schedule(flow, flow.deadline, partial(self._deadline_passed, flow))
         flow.timer = partial(self.timers.cancel, flow)
-        if drill is None:
+        if fault is None:
             self.decisions.submit(flow)
         else:
-            self._inject_fault(flow, drill)
+            self._inject_fault(flow, fault)
 
     def client_disconnected(self, flow: Flow) -> None:
         """Ends a flow without an answer and cancels its attempts."""
@@ -89,38 +89,38 @@
         now = self.clock()
         self.shutdown.begin(now)
         self.arrivals.leave(now)
-        for flow in list(self.delayed_flows):  # no drill is worth a job that SIGKILL finds unanswered
+        for flow in list(self.delayed_flows):  # a delayed job must be answered before a SIGKILL follows
             self.delayed_flows[flow] = Effect()
             self._release_delayed(flow)
 
-    def _inject_fault(self, flow: Flow, drill: Effect) -> None:
-        what = "delay" if drill.hold else "abort"
-        bound = logger.bind(drill=what, **_fields(flow))
-        bound.info("drill={} class={} id={} hold={:g}", what, flow.job_class, flow.id, drill.hold)
-        self.delayed_flows[flow] = drill
-        if not drill.hold:
+    def _inject_fault(self, flow: Flow, fault: Effect) -> None:
+        kind = "delay" if fault.hold else "abort"
+        bound = logger.bind(drill=kind, **_fields(flow))
+        bound.info("drill={} class={} id={} hold={:g}", kind, flow.job_class, flow.id, fault.hold)
+        self.delayed_flows[flow] = fault
+        if not fault.hold:
             return self._release_delayed(flow)
-        loop, overdue = IOLoop.current(), flow.timer
-        handle = loop.call_later(drill.hold, self._release_delayed, flow)
+        loop, cancel_deadline = IOLoop.current(), flow.timer
+        handle = loop.call_later(fault.hold, self._release_delayed, flow)
 
-        def forget() -> None:  # also when the client leaves: nothing may be kept of its flow
-            if overdue is not None:
-                overdue()
+        def forget() -> None:  # also when the client disconnects: the flow must not stay referenced
+            if cancel_deadline is not None:
+                cancel_deadline()
             loop.remove_timeout(handle)
             self.delayed_flows.pop(flow, None)
 
         flow.timer = forget
 
     def _release_delayed(self, flow: Flow) -> None:
-        if (drill := self.delayed_flows.pop(flow, None)) is None or flow.answer is not None:
+        if (fault := self.delayed_flows.pop(flow, None)) is None or flow.answer is not None:
             return
-        if drill.abort:
+        if fault.abort:
             self.flows.finish(flow, Answer("refused"))
         else:
             self.decisions.submit(flow)
 
     def _deadline_passed(self, flow: Flow) -> None:
-        """The module answers before this; should it ever not, the client still gets its one answer."""
+        """Fails a flow that the dispatcher core should have answered before its deadline, but has not."""
         if self.flows.finish(flow, Answer("failed")):
             logger.bind(**_fields(flow)).error("a flow was overdue: the module had not answered it")
             self.decisions.submit(api.ClientDisconnected(flow.id))
--- a/finchladder/net/membership_actor.py
+++ b/finchladder/net/membership_actor.py
@@ -1,4 +1,4 @@
-"""Membership on the loop: sources report here, what is decided is applied, told and kept on disk."""
+"""The membership actor: collects reports of sources, applies and logs decisions, and saves the list."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -34,37 +34,33 @@
 
 DISCOVERY, LAST_GOOD = "discovery", "last good list"
 MAILBOX_SIZE = 64
-SILENCE_TIMEOUT_S = (
-    LINE_TIMEOUT_S  # seconds: a watch that fell silent is begun again before its source counts as lost
-)
-READ_TIMEOUT_S = 2.0  # seconds for the file at a start: a disk that hangs must not keep a dispatcher away
-WRITE_DELAY_S, WRITE_INTERVAL_S = (
-    5.0,
-    60.0,
-)  # seconds from a change, and without one: then its time is renewed
-LOG_INTERVAL_S = 1.0  # seconds between two lines of the log about the same kind of fact
+SILENCE_TIMEOUT_S = LINE_TIMEOUT_S  # a silent watch is reopened before its source counts as lost
+READ_TIMEOUT_S = 2.0  # for the saved list at startup: a hanging disk must not block the start
+# seconds from a change to its save, and between two saves without a change, which renew the saved time
+WRITE_DELAY_S, WRITE_INTERVAL_S = 5.0, 60.0
+LOG_INTERVAL_S = 1.0  # seconds between two log lines about the same kind of fact
 
 LOG_TEXTS: dict[FactKind, tuple[str, str]] = {
     FactKind.LEADS: ("INFO", "{f.source} leads, with {f.number} entries"),
     FactKind.LOST: (
         "WARNING",
-        "nothing heard of {f.source} for {f.seconds:.1f} s; what it said to drain drains",
+        "no report from {f.source} for {f.seconds:.1f} s; the workers it drains stay draining",
     ),
     FactKind.BACK: ("INFO", "{f.source} is back"),
-    FactKind.STALE: ("WARNING", "{f.source} told what does not follow on its list, and that is dropped"),
+    FactKind.STALE: ("WARNING", "{f.source} sent a patch that does not follow on its list; it is dropped"),
     FactKind.BEHIND: (
         "WARNING",
-        "{f.source} told a list {f.number} versions older than its last, which stays",
+        "{f.source} sent a list {f.number} versions older than its last, which stays",
     ),
-    FactKind.ANEW: ("WARNING", "{f.source} has begun anew, with {f.number} entries"),
+    FactKind.ANEW: ("WARNING", "{f.source} has restarted, with {f.number} entries"),
     FactKind.HOLDING: ("WARNING", "{f.number} entries vanished within {f.seconds:g} s ({names}), and stay"),
-    FactKind.RELEASED: ("WARNING", "{f.number} entries that vanished are gone ({names})"),
-    FactKind.RETURNED: ("INFO", "what had vanished is back or gone"),
-    FactKind.FLAPS: ("WARNING", "{f.number} entries come and go, and must be steady first ({names})"),
-    FactKind.DISAGREE: ("WARNING", "{f.source} says otherwise of {f.number} entries ({names})"),
+    FactKind.RELEASED: ("WARNING", "{f.number} entries that vanished are removed ({names})"),
+    FactKind.RETURNED: ("INFO", "all entries that vanished are listed again or removed"),
+    FactKind.FLAPS: ("WARNING", "{f.number} entries are flapping and must be stable first ({names})"),
+    FactKind.DISAGREE: ("WARNING", "{f.source} disagrees on {f.number} entries ({names})"),
     FactKind.AGREED: ("INFO", "the sources agree again"),
     FactKind.OLD: ("ERROR", "the list of {f.source} is {f.seconds:.0f} s old, which is too old"),
-    FactKind.FULL: ("ERROR", "{f.source} tells {f.number} entries more than are kept"),
+    FactKind.FULL: ("ERROR", "{f.source} lists {f.number} entries more than are stored"),
 }
 
 
@@ -84,7 +80,7 @@
 
 
 class ListFile(Protocol):
-    """The file of the last good list, as `store.lastgood.LastGoodFile`."""
+    """The file of the last good list, such as `store.last_good_list.LastGoodFile`."""
 
     def begin(self, found: Callable[[Found | None], None]) -> None:
         """Reads the file and passes its content, or None, to `found`."""
@@ -93,32 +89,34 @@
         """Saves a list, which is built only when it is written."""
 
     def close(self) -> None:
-        """Ends the writing."""
+        """Stops writing."""
 
 
 class MembershipActor(Actor[Report]):
-    """Sources best first. `report` and `heard` may be called at any time, on the loop."""
+    """Merges the reports of several sources, the preferred one first.
+
+    `report` and `source_is_alive` may be called at any time on the event loop.
+    """
 
     def __init__(
         self,
         sources: Sequence[Source],
         rules: MembershipSettings,
         clock: Callable[[], float],
-        applying: EndpointConsumer,
-        at_once: int,
+        consumer: EndpointConsumer,
+        max_at_once: int,
         file: ListFile | None = None,
     ) -> None:
-        """`at_once`: so many entries are applied in one turn of the loop."""
+        """`max_at_once`: the maximum number of entries applied in one iteration of the event loop."""
         super().__init__("membership", MAILBOX_SIZE)
         past = [Source(LAST_GOOD, past=True)] if file is not None else []
         self.membership = Membership([*sources, *past], rules)
-        self.clock, self.consumer, self.max_at_once, self.file = clock, applying, at_once, file
+        self.clock, self.consumer, self.max_at_once, self.file = clock, consumer, max_at_once, file
         self.timer: asyncio.TimerHandle | None = None
-        self.timer_due = inf  # when it rings, in the clock's time
+        self.timer_due = inf  # when `timer` expires, in seconds of the clock
         self.save_timer: asyncio.TimerHandle | None = None
-        self.last_logged: dict[
-            FactKind, tuple[float, int]
-        ] = {}  # when last, and how many lines are kept back since
+        # time of the last log line of each kind, and the number of lines suppressed since
+        self.last_logged: dict[FactKind, tuple[float, int]] = {}
 
     @property
     def up(self) -> bool:
@@ -126,7 +124,7 @@
         return self.membership.up
 
     def receive(self, report: Report) -> None:
-        """Decides on a report of one source."""
+        """Applies a report of one source."""
         self._carry_out(self.membership.report(self.clock(), report))
 
     def report(self, report: Report) -> None:
@@ -152,7 +150,7 @@
         if entries and self.file is not None:
             self._save_after(WRITE_DELAY_S)
         due = self.membership.next_due
-        if due < self.timer_due:  # one that rings too early does no harm
+        if due < self.timer_due:  # a timer that expires early is harmless
             if self.timer is not None:
                 self.timer.cancel()
             wait = max(0.0, due - self.clock())
@@ -160,34 +158,34 @@
 
     def _log_fact(self, f: Fact) -> None:
         now = self.clock()
-        last, kept_back = self.last_logged.get(f.what, (-inf, 0))
+        last, suppressed = self.last_logged.get(f.what, (-inf, 0))
         if now < last + LOG_INTERVAL_S:
-            self.last_logged[f.what] = last, kept_back + 1
+            self.last_logged[f.what] = last, suppressed + 1
             return
         self.last_logged[f.what] = now, 0
         level, text = LOG_TEXTS[f.what]
         more = ", .." if f.number > len(f.names) else ""
         line = text.format(f=f, names=", ".join(f.names) + more)
-        self.log.log(level, "membership: {}{}", line, f" (and {kept_back} such lines)" if kept_back else "")
+        self.log.log(level, "membership: {}{}", line, f" (and {suppressed} such lines)" if suppressed else "")
 
-    # --- the list on disk
+    # --- saved list
 
     async def load_last_good(self, known: bytes) -> bytes:
-        """Takes the last good list where it is the better one; returns `known` where that is still needed."""
+        """Uses the last good list unless `known` is better; returns `known` if it is still needed."""
         if self.file is None:
             return known
         loop = asyncio.get_running_loop()
         read: asyncio.Future[Found | None] = loop.create_future()
 
-        def done(found: Found | None) -> None:
+        def set_result(found: Found | None) -> None:
             if not read.done():
                 read.set_result(found)
 
-        def tell(found: Found | None) -> None:
-            with suppress(RuntimeError):  # the loop has ended meanwhile
-                loop.call_soon_threadsafe(done, found)
+        def pass_to_loop(found: Found | None) -> None:
+            with suppress(RuntimeError):  # the event loop has been closed
+                loop.call_soon_threadsafe(set_result, found)
 
-        self.file.begin(tell)
+        self.file.begin(pass_to_loop)
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
                 found = await read
@@ -198,14 +196,14 @@
             self._use_last_good(*found, list_version(known) if known else -1)
         return b"" if self.membership.up else known
 
-    def _use_last_good(self, good: LastGood, news: EndpointUpdate, known_version: int) -> None:
+    def _use_last_good(self, good: LastGood, update: EndpointUpdate, known_version: int) -> None:
         if good.source == DISCOVERY and good.version < known_version:
             return
         age = max(0.0, self.clock() - good.time_s)
-        self.report(Report(LAST_GOOD, good.version, news.workers, news.addresses, age_s=age))
+        self.report(Report(LAST_GOOD, good.version, update.workers, update.addresses, age_s=age))
         if self.membership.up:
             text = "membership: started with the last good list, of {}, {} entries, {:.0f} s old"
-            self.log.warning(text, good.source, len(news.workers.entries), age)
+            self.log.warning(text, good.source, len(update.workers.entries), age)
 
     def _save_after(self, seconds: float) -> None:
         loop = asyncio.get_running_loop()
@@ -222,7 +220,7 @@
     def _save_now(self) -> None:
         lead = self.membership.lead
         if self.file is None or lead is None or not lead.is_live:
-            return  # what is there is no better than the file
+            return  # the current list is no better than the saved one
         drains = api.WorkerStatus.DRAINING
         listed = [
             (b.entry._replace(state=drains) if b.belief is Belief.DRAINING else b.entry, b.address)
@@ -231,7 +229,7 @@
         self.file.put(partial(_build_last_good, lead.source.name, lead.version, lead.valid_at, listed))
 
     def close(self) -> None:
-        """The list of now is the last thing that is written."""
+        """Saves the current list and stops."""
         for timer in (self.timer, self.save_timer):
             if timer is not None:
                 timer.cancel()
@@ -247,24 +245,28 @@
 
 
 async def read_in_slices(line: bytes, kind: api.ListKind | None = None) -> EndpointUpdate:
-    """ValueError: it can't be used."""
+    """Reads a list, a long one in slices between which the event loop runs.
+
+    Raises:
+        ValueError: The line can't be used.
+    """
     if len(line) <= LONG_LIST_BYTES:
         return read_list(line, kind)
     reading = read_list_in_slices(line, MAX_READ_AT_ONCE, kind)
     while True:
         try:
             next(reading)
-        except StopIteration as over:
-            news: EndpointUpdate = over.value
-            return news
+        except StopIteration as stop:
+            update: EndpointUpdate = stop.value
+            return update
         await asyncio.sleep(0)
 
 
 class EndpointApplier:
-    """Applies lists through an endpoint watcher that itself watches nothing."""
+    """Applies lists through an endpoint watcher whose own watch does not apply any."""
 
-    def __init__(self, actor: EndpointWatcher) -> None:
-        self.watcher = actor
+    def __init__(self, watcher: EndpointWatcher) -> None:
+        self.watcher = watcher
 
     def apply(self, workers: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
         """Applies a list at once."""
@@ -284,10 +286,10 @@
         super().__init__(address, lambda workers, addresses: None, lambda names: None, connect)
         self.members = members
 
-    def receive(self, news: EndpointUpdate) -> None:
+    def receive(self, update: EndpointUpdate) -> None:
         """Reports a list to the membership."""
-        self.members.report(Report(DISCOVERY, news.version, news.workers, news.addresses))
-        self.index = news.version
+        self.members.report(Report(DISCOVERY, update.version, update.workers, update.addresses))
+        self.index = update.version
 
     async def read_line(self, line: bytes, known: bool = False) -> None:
         """Reads a line of the watch in slices and posts the list.
--- a/finchladder/net/messages.py
+++ b/finchladder/net/messages.py
@@ -1,4 +1,4 @@
-"""What HTTP carries: a job as a client hands it in and as a real server is sent it, and call-backs."""
+"""The HTTP messages of the data path: jobs from clients, jobs sent to workers, and callbacks."""
 
 import math
 import re
@@ -10,9 +10,8 @@
 from finchladder.net.http1 import MAX_BODY_BYTES, Head, Headers, MalformedMessageError, write_request
 
 CALLBACK_PATH = "/v1/job-events"
-MAX_CALLBACK_BYTES = (
-    6 * MAX_BODY_BYTES + 16 * 1024
-)  # a result of full length in which JSON escapes every byte
+# room for a result of maximum length in which JSON escapes every byte
+MAX_CALLBACK_BYTES = 6 * MAX_BODY_BYTES + 16 * 1024
 HOP_BY_HOP_FIELDS = frozenset(
     {
         "connection",
@@ -45,8 +44,8 @@
 
     def request(self, host: str, time_left_s: float) -> bytes:
         """Returns the request to a worker; `time_left_s` in seconds goes into X-Time-Left."""
-        named = self.headers.tokens("connection")
-        dropped = HOP_BY_HOP_FIELDS | named if named else HOP_BY_HOP_FIELDS
+        connection_fields = self.headers.tokens("connection")
+        dropped = HOP_BY_HOP_FIELDS | connection_fields if connection_fields else HOP_BY_HOP_FIELDS
         fields = [(n, v) for n, v in self.headers.fields if n.lower() not in dropped]
         fields += [("Host", host), ("X-Time-Left", f"{time_left_s:.3f}")]
         return write_request(self.method, self.target, fields, self.body)
@@ -63,18 +62,18 @@
     load: object = None
 
     def load_report(self) -> dict[str, float] | None:
-        """Returns the numbers of the load report, or None where there are none."""
+        """Returns the numeric entries of the load report, or None if there are none."""
         pairs = self.load.items() if isinstance(self.load, dict) else ()
         return {str(n): float(v) for n, v in pairs if isinstance(v, int | float)} or None
 
 
 def hash_key(text: str) -> int | None:
-    """The same number at every dispatcher and after every start; Python's hash() is neither."""
+    """Returns a hash that is equal in all dispatchers and after restarts, unlike that of Python's hash()."""
     return int.from_bytes(blake2b(text.encode(), digest_size=7).digest(), "big") if text else None
 
 
 def read_target(target: str) -> tuple[str, int | None]:
-    """Returns the job class (the path's first segment) and the key of the last, where there are several."""
+    """Returns the job class, the first path segment, and the hash of the last one if there are several."""
     parts = target.partition("?")[0].split("/")
     return parts[1] if len(parts) > 1 else "", hash_key(parts[-1]) if len(parts) > 2 else None
 
@@ -87,7 +86,9 @@
     """
     value = head.headers.get("x-correlation-id")
     if value is None or not _ID.fullmatch(value):
-        raise MalformedMessageError(400, "X-Correlation-Id is missing, repeated or unusable")
+        raise MalformedMessageError(
+            400, "X-Correlation-Id must be given once, as 1 to 128 visible ASCII characters"
+        )
     return value
 
 
@@ -98,14 +99,16 @@
         MalformedMessageError: It is missing, repeated or malformed.
     """
     value = head.headers.get("x-time-left") or ""
-    left = float(value) if _TIME_LEFT.fullmatch(value) else 0.0
-    if left <= 0:
-        raise MalformedMessageError(400, "X-Time-Left is missing, repeated or unusable")
-    return left
+    seconds = float(value) if _TIME_LEFT.fullmatch(value) else 0.0
+    if seconds <= 0:
+        raise MalformedMessageError(
+            400, "X-Time-Left must be given once, in seconds above 0 and below 1,000,000"
+        )
+    return seconds
 
 
 def read_client_retry(head: Head) -> bool:
-    """X-Repeat: 1 marks a client's own retry, where clients mark them."""
+    """Returns whether the client marked the request as a retry with `X-Repeat: 1`."""
     return head.headers.get("x-repeat") == "1"
 
 
@@ -125,9 +128,9 @@
         try:
             facts[name] = float(value)
         except ValueError:
-            raise MalformedMessageError(400, f"X-Facts: {name} is no number") from None
+            raise MalformedMessageError(400, f"X-Facts: {name} is not a number") from None
         if not (math.isfinite(facts[name]) and 0 <= facts[name] < 1e6):
-            raise MalformedMessageError(400, f"X-Facts: {name} can't be used")
+            raise MalformedMessageError(400, f"X-Facts: {name} must be at least 0 and below 1,000,000")
     return facts
 
 
