--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -1,4 +1,4 @@
-"""One dispatcher: its parts wired together, and its life from the first listening to its leaving."""
+"""One dispatcher process: builds its components, serves until a signal, and shuts down gracefully."""
 
 import asyncio
 import signal
@@ -48,34 +48,37 @@
 
 
 class OperatorFile(NamedTuple):
-    """One in TOML: as it was read at the start, and how it is read again."""
+    """The operator's TOML file: its content at the start, and the function that reads it again."""
 
     loaded: "Loaded"
     read: Callable[[], "Loaded"]
 
 
 class DispatcherNode:
-    """To be made and run on the loop that its dispatcher lives on. `reread` reads its configuration again."""
+    """The components of one dispatcher.
+
+    It must be created and run on the same event loop. `reread` reads the platform configuration again.
+    """
 
     def __init__(
         self,
         setup: DispatcherSetup,
         options: Options,
-        reread: Callable[[], DispatcherSetup],
+        read_setup: Callable[[], DispatcherSetup],
         machine: HostEnvironment | None = None,
         file: OperatorFile | None = None,
     ) -> None:
-        self.setup, self.options, self.read_setup = setup, options, reread
+        self.setup, self.options, self.read_setup = setup, options, read_setup
         self.machine = machine or HostEnvironment()
         self.clock = Clock(self.machine.wall, self.machine.monotonic)
         status = JobStatus(options.status) if options.status is not None else None
         self.flows = FlowTable(status, self.clock, setup.limits.sockets)
         seed = read_seed(setup.seed)
         peers = self._build_exchange(options.peers, seed) if options.peers is not None else None
-        decided = self._build_decisions(seed, file, peers)
+        dispatcher = self._build_decisions(seed, file, peers)
         arrivals = Arrivals(options, seed)
         self._build_peers(peers, arrivals)
-        self._build_capture(decided, arrivals)
+        self._build_capture(dispatcher, arrivals)
         self.timers = Timers(self.clock)
         subset = self._build_workers()
         self._build_discovery(subset, seed)
@@ -88,16 +91,18 @@
     def _build_decisions(
         self, seed: int, file: OperatorFile | None, peers: "Peers | None"
     ) -> Dispatcher | RouteLimitedDispatcher:
-        """The decisions, with the rate limits of routes shared among peers, and their actor."""
+        """Builds the dispatcher core and its actor; peers, if any, share the rate limits of routes."""
         routes = file.loaded.routes if file is not None else None
         share = self._shared_bucket if peers is not None else None
-        decided = make_decisions(self.setup.settings, seed, routes, self.options.spillover_settings(), share)
-        self.dispatcher = decided.inner if isinstance(decided, RouteLimitedDispatcher) else decided
-        self.decisions = DecisionActor(decided, self.flows, self.clock)
-        return decided
+        dispatcher = make_decisions(
+            self.setup.settings, seed, routes, self.options.spillover_settings(), share
+        )
+        self.dispatcher = dispatcher.inner if isinstance(dispatcher, RouteLimitedDispatcher) else dispatcher
+        self.decisions = DecisionActor(dispatcher, self.flows, self.clock)
+        return dispatcher
 
     def _build_peers(self, peers: "Peers | None", arrivals: Arrivals) -> None:
-        """Outlier detection, then the exchange with the other dispatchers, where they are on."""
+        """Builds outlier detection and then the exchange with the other dispatchers, where enabled."""
         self.detector: OutlierDetector | None = None
         if self.options.judgement is not None:
             self._build_detector(self.options.judgement, peers)
@@ -105,8 +110,8 @@
         if self.options.peers is not None and peers is not None:
             self._build_peers_actor(self.options, peers, arrivals)
 
-    def _build_capture(self, decided: Dispatcher | RouteLimitedDispatcher, arrivals: Arrivals) -> None:
-        """The recorder of all inputs and outputs of the decisions, where it is on."""
+    def _build_capture(self, dispatcher: Dispatcher | RouteLimitedDispatcher, arrivals: Arrivals) -> None:
+        """Builds the recorder of all inputs and outputs of the dispatcher core, where enabled."""
         self.capture: Capture | None = None
         self.capture_files: Disk | None = None
         if self.options.capture is None:
@@ -114,7 +119,7 @@
         self.capture_files = self.machine.open_capture_files(
             self.options.capture, self.setup.name, int(self.clock() * 1000)
         )
-        states = snapshot.Taking(decided, arrivals)
+        states = snapshot.Taking(dispatcher, arrivals)
         self.capture = Capture(self.options.capture, self.setup.seed, states, self.capture_files)
         self.capture.begin(self.clock())
         recorder = CaptureRecorder(self.capture)
@@ -123,10 +128,10 @@
         self.capture.soon = recorder.call_soon
 
     def _build_workers(self) -> "SubsetFilter | None":
-        """The pool of workers; returns the filter of the list where only a subset of it is used."""
+        """Builds the pool of workers; returns the subset filter if only a subset of the list is used."""
         subset, max_connections_each = None, MAX_CONNECTIONS_PER_WORKER
         if self.options.aperture is not None:
-            # only a dispatcher that uses a subset loads it
+            # imported only where a subset is used
             from finchladder.core.membership.subset_filter import SubsetFilter
 
             aperture, own = self.options.aperture.settings(), self.setup.settings
@@ -146,7 +151,7 @@
         return subset
 
     def _build_discovery(self, subset: "SubsetFilter | None", seed: int) -> None:
-        """The sources of the worker list, and the membership rules over them, where they are on."""
+        """Builds the sources of the endpoint list, and the membership rules over them, where enabled."""
         self.watcher = EndpointWatcher(
             self.setup.discovery, self.workers.update, self.workers.retire, self.machine.connect, subset
         )
@@ -156,29 +161,29 @@
         if self.options.membership is not None or self.options.etcd is not None:
             self._build_membership(self.options, seed)
         settings = self.setup.settings
-        shared = settings.must_subscribe
-        self.watcher.watch_state = rules = WatchState(shared)
-        callers = settings.dispatchers if shared else 1
-        # not from the decisions' draws: those must be the same in a replay
+        must_subscribe = settings.must_subscribe
+        self.watcher.watch_state = rules = WatchState(must_subscribe)
+        watchers = settings.dispatchers if must_subscribe else 1
+        # a separate generator: a replay must draw the same numbers in the dispatcher core
         random = Random(f"{seed}/discovery")
-        self.watcher.backoff = WatchBackoff(callers, random, rules.reopen_within_s, rules.retry_within_s)
+        self.watcher.backoff = WatchBackoff(watchers, random, rules.reopen_within_s, rules.retry_within_s)
 
     def _build_intake(self, arrivals: Arrivals) -> None:
-        """The intake of jobs, with the bounds of a shutdown."""
+        """Builds the intake of jobs, with the time limits of a graceful shutdown."""
         self.classes = {c.name for c in self.setup.settings.classes}
-        leaving = GracefulShutdown(max(c.deadline_s for c in self.setup.settings.classes))
+        shutdown = GracefulShutdown(max(c.deadline_s for c in self.setup.settings.classes))
         self.intake = JobIntake(
             self.classes,
             self.flows,
             self.decisions,
             self.timers,
             arrivals,
-            leaving,
+            shutdown,
             self.setup.limits.sockets,
         )
 
     def _build_reload(self, file: OperatorFile | None) -> None:
-        """The reloading of the operator's file, where there is one."""
+        """Builds the reloader of the operator's file, if there is one."""
         self.reloader: ConfigReloader | None = None
         if file is not None:
             self.reloader = ConfigReloader(
@@ -187,13 +192,13 @@
             self.intake.routes = file.loaded.routes
 
     def _build_controls(self, arrivals: Arrivals, peers: "Peers | None") -> ControlCalls:
-        """The control endpoints of the features that are on."""
+        """Builds the control endpoints of the enabled features."""
         controls = ControlCalls(
             self.clock, self.classes, self.options, self.flows.status, arrivals, self.capture
         )
         controls.peers = self.peers
         if self.options.judgement is not None and self.detector is not None:
-            # only a dispatcher with outlier detection loads it
+            # imported only where outlier detection is enabled
             from finchladder.net.outlier_control import OutlierControl
 
             controls.outlier_control = OutlierControl(
@@ -209,7 +214,7 @@
         return controls
 
     def _build_admission(self, seed: int) -> None:
-        """Admission control under overload, where it is on."""
+        """Builds admission control under overload, where enabled."""
         self.admission: Admission | None = None
         if self.options.overload is None:
             return
@@ -221,18 +226,18 @@
         self.decisions.on_job_started = self.admission.record_start
 
     def _build_clients(self, controls: ControlCalls) -> None:
-        """The handler of messages and the listener for client connections."""
-        lists = self.membership or self.watcher
+        """Builds the message handler and the listener for client connections."""
+        source = self.membership or self.watcher
         handler = RequestHandler(
-            self.intake, controls, lambda: lists.up, self.workers.handle_callback, self.admission
+            self.intake, controls, lambda: source.up, self.workers.handle_callback, self.admission
         )
         limits = self.setup.limits
         self.body_memory = BodyMemory(limits.memory_mb * 1024 * 1024, self.options.memory_bytes())
         self.listener = ClientListener(handler, self.body_memory, limits.sockets)
 
     def _build_exchange(self, options: PeersOptions, seed: int) -> "Peers":
-        """This one's place among the dispatchers."""
-        # only a dispatcher that is to do so loads them
+        """Builds this dispatcher's side of the exchange with its peers."""
+        # imported only where peers are configured
         from finchladder.core.peers.exchange import Peers, Rule
         from finchladder.core.peers.loads import own_counts
         from finchladder.core.peers.membership import Timing
@@ -250,45 +255,45 @@
         )
         return self.exchange
 
-    def _build_detector(self, options: JudgementOptions, joined: "Peers | None") -> None:
-        """Real servers are judged by evidence, others' too where dispatchers speak with each other."""
+    def _build_detector(self, options: JudgementOptions, exchange: "Peers | None") -> None:
+        """Builds the outlier detector, which also uses the reports of peers where these are configured."""
         from finchladder.core.health.detection.detector import DetectorSettings, ReportSource, attach
 
         rules = DetectorSettings(options.most_out, options.term_s)
         self.detector = attach(self.dispatcher, self.setup.name, rules, self.clock(), logger.info)
-        if joined is not None:
-            joined.evidence = ReportSource(self.detector, self.dispatcher)
+        if exchange is not None:
+            exchange.evidence = ReportSource(self.detector, self.dispatcher)
 
     def _shared_bucket(self, budget: str, limit: float) -> "Bucket":
         return self.exchange.share(budget, limit, self.clock(), self.setup.settings.dispatchers)
 
-    def _build_peers_actor(self, options: Options, joined: "Peers", arrivals: Arrivals) -> None:
+    def _build_peers_actor(self, options: Options, exchange: "Peers", arrivals: Arrivals) -> None:
         from finchladder.core.peers.loads import attach
         from finchladder.features.shared_admission_limits import SharedBuckets
         from finchladder.net.peers.actor import PeersActor
 
         assert options.peers is not None
         if arrivals.door is not None:
-            least = self.setup.settings.dispatchers
-            arrivals.door.share(options, lambda name, o: SharedBuckets(joined, name, o, least))
-        heard = None
+            min_dispatchers = self.setup.settings.dispatchers
+            arrivals.door.share(options, lambda name, o: SharedBuckets(exchange, name, o, min_dispatchers))
+        on_update = None
         if options.peers.counts:
             attach(self.dispatcher)
         if options.peers.counts or options.judgement is not None:
-            heard = self.decisions.submit
+            on_update = self.decisions.submit
         self.peers = PeersActor(
-            joined,
+            exchange,
             options.peers.fleet,
             self.setup.listen,
             options.peers.addresses(),
             self.clock,
-            heard,
+            on_update,
             self.machine.datagrams,
         )
 
     def _build_membership(self, options: Options, seed: int) -> None:
-        """Lists are believed by the rules of membership, and no more as they come."""
-        # only a dispatcher that is to do so loads them
+        """Builds the membership actor: endpoint lists pass its rules before they are applied."""
+        # imported only where membership rules or etcd are configured
         from finchladder.core.membership.decisions import Source
         from finchladder.net import membership_actor
 
@@ -322,10 +327,10 @@
             )
 
     async def serve(self) -> None:
-        """Until SIGTERM or SIGINT, and then until all that was taken is answered."""
-        setup, loop, left = self.setup, asyncio.get_running_loop(), asyncio.Event()
+        """Serves until SIGTERM or SIGINT, and then until all accepted jobs are answered."""
+        setup, loop, stopping = self.setup, asyncio.get_running_loop(), asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, left.set)
+            loop.add_signal_handler(number, stopping.set)
         self.machine.allow_descriptors(setup.limits.sockets)
         self.workers.start()
         if self.admission is not None:
@@ -334,11 +339,11 @@
         self.watcher.start(known)
         if self.etcd is not None:
             self.etcd.start()
-        # a SIGHUP with nobody to handle it would end the process, and with it all open flows
+        # an unhandled SIGHUP would end the process and all open flows
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         if self.peers is not None:
             self.peers.start()
-        # whoever connects before is refused at once, and has lost nothing
+        # until the sockets listen, the system refuses connections at once, and clients can go elsewhere
         await self.watcher.wait_for_first_update()
         for listening in self.machine.listen(setup.listen, setup.limits.sockets):
             self.listener.add_socket(listening)
@@ -346,7 +351,7 @@
         if self.reloader is not None:
             loaded = self.reloader.loaded
             logger.info("routes: version {} holds, {}", loaded.version, count_routes(loaded.routes))
-        await left.wait()
+        await stopping.wait()
         logger.info("{}: leaving", setup.name)
         await self.listener.shut_down()
         if self.peers is not None:
@@ -360,9 +365,9 @@
         logger.info("{}: left", setup.name)
 
     def _reload(self) -> None:
-        """What SIGHUP asks for: the file's discovery is followed, and the operator's routes hold.
+        """Handles SIGHUP: applies a new discovery address, the operator's routes and the list of peers.
 
-        All else holds from the next start.
+        All other settings take effect at the next start.
         """
         if self.reloader is not None:
             self.reloader.request_reload()
@@ -377,7 +382,7 @@
             self._reload_peers(self.peers)
 
     def _reload_peers(self, peers: "PeersActor") -> None:
-        """The file of the dispatchers is read again; one that can't be used changes nothing."""
+        """Reads the list of dispatchers again; an unusable list changes nothing."""
         assert self.options.peers is not None
         try:
             addresses = self.options.peers.addresses_including(self.setup.name)
@@ -388,6 +393,6 @@
         logger.info("SIGHUP: [peers]: {} dispatchers are listed", len(addresses))
 
     def _apply_routes(self, routes: Routes) -> None:
-        """In one step: a job that has come under a route of before is decided by that."""
+        """Applies new routes in one step; jobs already accepted under an old route keep it."""
         self.intake.routes = routes
         self.decisions.submit(NewRoutes(routes))
--- a/finchladder/net/outlier_control.py
+++ b/finchladder/net/outlier_control.py
@@ -1,4 +1,4 @@
-"""The bench of judges: what this dispatcher holds of real servers, and the operator's word on them."""
+"""Control of the outlier detector: shows its state and applies the operator's overrides."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -19,20 +19,26 @@
     def __init__(
         self,
         key: str | None,
-        judging: OutlierDetector,
-        d: Dispatcher,
+        detector: OutlierDetector,
+        dispatcher: Dispatcher,
         clock: Callable[[], float],
-        tell: Callable[[OperatorOverrides], None],
+        submit: Callable[[OperatorOverrides], None],
         peers: "Peers | None",
     ) -> None:
-        """`peers`: tell the others; without them a word holds here alone."""
-        self.key, self.detector, self.dispatcher, self.clock, self.submit = key, judging, d, clock, tell
-        self.overrides = peers.orders if peers is not None else OverrideTable(judging.name, 0)
+        """`peers`: distribute overrides; without them an override applies to this dispatcher only."""
+        self.key, self.detector, self.dispatcher, self.clock, self.submit = (
+            key,
+            detector,
+            dispatcher,
+            clock,
+            submit,
+        )
+        self.overrides = peers.orders if peers is not None else OverrideTable(detector.name, 0)
 
     def show(self) -> list[dict[str, Any]]:
         """Returns one JSON object for each worker with evidence and for each override."""
         now = self.clock()
-        words = [
+        overrides = [
             {
                 "server": s,
                 "state": f"operator: {o.stance}",
@@ -42,24 +48,24 @@
             }
             for s, (o, until) in sorted(self.overrides.active(now).items())
         ]
-        return self.detector.show(now, self.dispatcher.workers) + words
+        return self.detector.show(now, self.dispatcher.workers) + overrides
 
-    def apply_override(self, order: OverrideRequest) -> dict[str, Any]:
+    def apply_override(self, request: OverrideRequest) -> dict[str, Any]:
         """Applies an override and returns it as a JSON object.
 
         Raises:
             ValueError: No such worker is known.
         """
-        if order.server not in self.dispatcher.workers:
-            raise ValueError(f"no real server {order.server} is known here")
+        if request.server not in self.dispatcher.workers:
+            raise ValueError(f"no real server {request.server} is known here")
         now = self.clock()
-        said = self.overrides.issue(now, order.server, order.stance, order.for_s, order.why)
+        override = self.overrides.issue(now, request.server, request.stance, request.for_s, request.why)
         self.overrides.has_changed = False
         self.submit(self.overrides.as_event(now))
         return {
-            "server": said.worker,
-            "stance": said.stance,
-            "for_s": said.left_s,
-            "by": said.issuer,
-            "why": said.reason,
+            "server": override.worker,
+            "stance": override.stance,
+            "for_s": override.left_s,
+            "by": override.issuer,
+            "why": override.reason,
         }
--- a/finchladder/net/peers/__init__.py
+++ b/finchladder/net/peers/__init__.py
@@ -1,1 +1,1 @@
-"""The other dispatchers, by UDP at the address that clients use. Nothing that serves a job waits for it."""
+"""The exchange with other dispatchers over UDP; no job ever waits for it."""
--- a/finchladder/net/peers/actor.py
+++ b/finchladder/net/peers/actor.py
@@ -1,7 +1,8 @@
-"""The peers' actor: one UDP socket, one timer, and what core/peers says is to be sent.
+"""The peers' actor: sends the packets that core/peers decides on, with one UDP socket and one timer.
 
-It never awaits, and nobody awaits it. A socket that cannot be had is tried again; what it cannot take at once
-is lost, as on any link. Before it looks at the time it reads what has come: what lies unread is no silence.
+It never awaits, and nothing awaits it. Binding the socket is retried after an error. A datagram that the
+socket can't accept at once is dropped, like one lost by the network. Received datagrams are read before
+timeouts are checked, so that unread ones do not look like silence.
 """
 
 import asyncio
@@ -15,10 +16,10 @@
 from finchladder.core.peers.exchange import Packets, Peers
 from finchladder.net.peers.datagrams import MAX_DATAGRAM_BYTES, MalformedDatagramError, decode, encode
 
-MAX_READ_AT_ONCE = 64  # datagrams read in one turn of the loop
-BIND_RETRY_S = 5.0  # until a socket is tried again
-SOCKET_BUFFER_BYTES = 1 << 18  # bytes of the socket's buffers
-MIN_INTERVAL_S = 0.001  # between two looks
+MAX_READ_AT_ONCE = 64  # datagrams read in one loop iteration
+BIND_RETRY_S = 5.0  # seconds between two tries to bind the socket
+SOCKET_BUFFER_BYTES = 1 << 18  # of the receive buffer
+MIN_INTERVAL_S = 0.001  # minimum time between two rounds of the exchange
 
 Address = tuple[str, int]
 
@@ -47,10 +48,10 @@
         self,
         peers: Peers,
         fleet: str,
-        own: Address,
+        own_address: Address,
         addresses: Mapping[str, Address],
         clock: Callable[[], float],
-        heard: Callable[[PeerLoads | PeerReports | OperatorOverrides], None] | None,
+        on_update: Callable[[PeerLoads | PeerReports | OperatorOverrides], None] | None,
         bind: Callable[[Address], socket.socket] = bind,
     ) -> None:
         """Binds nothing yet.
@@ -58,18 +59,18 @@
         Args:
             peers: The exchange's state machine.
             fleet: The fleet's name; datagrams of others are dropped.
-            own: The address to bind.
+            own_address: The address to bind.
             addresses: Each peer's address, which is also the source of its datagrams.
-            clock: Seconds.
-            heard: Receives all peers' load counts and their reports on workers.
+            clock: Returns the time in seconds.
+            on_update: Receives the load counts of all peers, their reports on workers, and overrides.
             bind: Opens the socket.
         """
         self.peers, self.fleet, self.own_address, self.clock, self.on_update, self.bind = (
             peers,
             fleet,
-            own,
+            own_address,
             clock,
-            heard,
+            on_update,
             bind,
         )
         self.addresses = dict(addresses)
@@ -80,7 +81,8 @@
         self.sent = self.received = self.sent_bytes = self.received_bytes = self.unsent = 0
         self.loads_due_at = 0.0
         self.is_bind_error_logged = False
-        self.show_detector: Callable[[], list[dict[str, Any]]] | None = None  # what is held of real servers
+        # returns the detector's state of each worker
+        self.show_detector: Callable[[], list[dict[str, Any]]] | None = None
 
     def start(self) -> None:
         """Opens the socket and starts the periodic exchange."""
@@ -119,7 +121,7 @@
             self.socket.close()
             self.socket = None
 
-    # --- in
+    # --- receiving
 
     def _read(self) -> None:
         for _ in range(MAX_READ_AT_ONCE):
@@ -129,14 +131,14 @@
                 data, source = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:  # an answer to what was sent to one that is down: Linux tells it here
+            except OSError:  # Linux reports an earlier send to an unreachable peer here
                 continue
             self.received += 1
             self.received_bytes += len(data)
             try:
                 self._handle_datagram(data, (source[0], source[1]))
             except Exception:
-                # a fault of this program's must not end the reading, and is told once
+                # a bug must not stop the reading, and is logged once
                 self._drop("fault")
                 if self.dropped["fault"] == 1:
                     logger.exception("peers: died on a datagram")
@@ -150,10 +152,10 @@
             return self._drop("unlisted" if packet.sender not in self.addresses else "address")
         self._send(self.peers.hear(self.clock(), packet))
 
-    def _drop(self, why: str) -> None:
-        self.dropped[why] = self.dropped.get(why, 0) + 1
+    def _drop(self, reason: str) -> None:
+        self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
-    # --- out
+    # --- sending
 
     def _send(self, packets: Packets) -> None:
         for to, packet in packets:
@@ -166,7 +168,7 @@
                 continue
             try:
                 self.socket.sendto(data, address)
-            except OSError:  # a full buffer, or nobody there: lost, as it may be on the way
+            except OSError:  # a full buffer or an unreachable peer: the datagram is lost
                 self.unsent += 1
                 continue
             self.sent += 1
@@ -186,11 +188,11 @@
         self.timer = asyncio.get_running_loop().call_later(wait, self._exchange)
 
     def _submit_updates(self, now: float) -> None:
-        """The counts of all others go to the decisions, as often as they are made anew."""
+        """Submits new reports and overrides at once, and the load counts of peers every `wave_s` seconds."""
         if self.on_update is None:
             return
-        if (hearsay := self.peers.hearsay(now)) is not None:
-            self.on_update(hearsay)
+        if (reports := self.peers.hearsay(now)) is not None:
+            self.on_update(reports)
         if self.peers.orders.has_changed:
             self.peers.orders.has_changed = False
             self.on_update(self.peers.orders.as_event(now))
@@ -205,7 +207,7 @@
             }
             self.on_update(PeerLoads(others, total.age_s))
 
-    # --- besides
+    # --- configuration and state
 
     def follow(self, addresses: Mapping[str, Address], least: int) -> None:
         """Replaces the list of dispatchers; at least `least` are assumed to exist."""
@@ -216,8 +218,8 @@
         """Returns the state and the counters as a JSON object."""
         shown = self.peers.show(self.clock())
         dropped = dict(self.dropped)
-        for why, n in shown["dropped"].items():
-            dropped[why] = dropped.get(why, 0) + n
+        for reason, n in shown["dropped"].items():
+            dropped[reason] = dropped.get(reason, 0) + n
         return (
             shown
             | {
--- a/finchladder/net/peers/datagrams.py
+++ b/finchladder/net/peers/datagrams.py
@@ -1,10 +1,10 @@
-"""Packets as datagrams and back: msgpack, a version and a fleet's name in each, MOST bytes.
+"""Encodes packets as datagrams of at most MAX_DATAGRAM_BYTES: msgpack, with a version and the fleet's name.
 
     [2, fleet, kind, sender, boot, incarnation, number, about, rumours, rows, grants, returns, part, orders]
 
-All is an array in the order of the fields of core/peers/words.py. Of a part the counts are one string of
-bytes: the real servers' numbers, four each, then eight times their counts, two each; the lowest byte first.
-Of a row the words of real servers are counted in tenths, of endings and of seconds.
+All structures are arrays in the order of the fields of core/peers/messages.py. The counts of a part are one
+byte string in little-endian order: the workers' numbers in 4 bytes each, then their counts times 8 in 2 bytes
+each. The reports of a row count endings and seconds in tenths.
 """
 
 import struct
@@ -18,9 +18,9 @@
 from finchladder.core.peers.messages import Grant, Kind, Packet, Part, Return, Row, Rumour, Standing, Want
 
 VERSION = 2
-MAX_DATAGRAM_BYTES = 1_200  # bytes: no link on the way is to cut it in pieces
+MAX_DATAGRAM_BYTES = 1_200  # below the MTU of all links, to avoid IP fragmentation
 UNITS_PER_COUNT, MAX_COUNT_UNITS = 8, 0xFFFF
-BYTES_PER_COUNT = 6  # bytes of a real server in a part
+BYTES_PER_COUNT = 6  # of one worker in a part
 TENTHS_PER_UNIT = 10
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -125,16 +125,18 @@
 
 
 class MalformedDatagramError(ValueError):
-    """A datagram that must be dropped; the message is one of few constants, the key of its counter."""
+    """A datagram that must be dropped; the message is one of a few constants and names its counter."""
 
 
 def encode(fleet: str, p: Packet) -> bytes:
-    """Encodes a packet; the caller checks the result against MOST bytes."""
+    """Encodes a packet; the caller checks the result against MAX_DATAGRAM_BYTES."""
     part = None
     if p.part is not None:
-        held = p.part.counts
-        eighths = [min(MAX_COUNT_UNITS, round(count * UNITS_PER_COUNT)) for _, count in held]
-        counts = struct.pack(f"<{len(held)}I{len(held)}H", *[n for n, _ in held], *eighths)
+        counts_by_id = p.part.counts
+        eighths = [min(MAX_COUNT_UNITS, round(count * UNITS_PER_COUNT)) for _, count in counts_by_id]
+        counts = struct.pack(
+            f"<{len(counts_by_id)}I{len(counts_by_id)}H", *[n for n, _ in counts_by_id], *eighths
+        )
         part = _Part(p.part.level, p.part.wave, p.part.members, p.part.age_s, counts)
     return _encoder.encode(
         (
@@ -219,7 +221,7 @@
 
 
 def _row(r: Row) -> tuple[object, ...]:
-    says = [
+    reports = [
         (
             s.subject_id,
             _tenths(s.bad),
@@ -231,20 +233,20 @@
         )
         for s in r.says
     ]
-    return (*r[:7], r.zone, _tenths(r.ended), _tenths(r.bad), says)
+    return (*r[:7], r.zone, _tenths(r.ended), _tenths(r.bad), reports)
 
 
 def _part(p: _Part) -> Part:
     n, rest = divmod(len(p.counts), BYTES_PER_COUNT)
     if rest:
         raise MalformedDatagramError("malformed")
-    found = struct.unpack(f"<{n}I{n}H", p.counts)
-    counts = tuple(zip(found[:n], [eighths / UNITS_PER_COUNT for eighths in found[n:]], strict=True))
+    values = struct.unpack(f"<{n}I{n}H", p.counts)
+    counts = tuple(zip(values[:n], [eighths / UNITS_PER_COUNT for eighths in values[n:]], strict=True))
     return Part(p.level, p.wave, p.members, p.age_s, counts)
 
 
 def _malformed_reason(data: bytes) -> str:
-    """A later version's may have any other form."""
+    """Returns why a datagram can't be decoded; one of another version may have any form."""
     try:
         version = _version.decode(_fields.decode(data)[0])
     except (IndexError, msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
--- a/finchladder/net/request_handler.py
+++ b/finchladder/net/request_handler.py
@@ -1,4 +1,4 @@
-"""The front desk of HTTP: what is answered to a message, be it a job, a call-back, or a question."""
+"""Routes HTTP messages: jobs, callbacks, health checks and control calls."""
 
 from collections.abc import Callable
 
@@ -35,18 +35,18 @@
 
 
 class RequestHandler:
-    """Routes each message to the callbacks, the health check, the control endpoints or the intake."""
+    """Answers each message: a callback, a health check, a control call or a job."""
 
     def __init__(
         self,
         intake: JobIntake,
         controls: ControlCalls,
-        ready: Callable[[], bool],
-        called_back: Callable[[Callback], None],
+        is_ready: Callable[[], bool],
+        on_callback: Callable[[Callback], None],
         admission: Admission | None = None,
     ) -> None:
         self.intake, self.controls, self.admission = intake, controls, admission
-        self.is_ready, self.on_callback = ready, called_back
+        self.is_ready, self.on_callback = is_ready, on_callback
 
     async def answer(self, connection: ClientConnection, head: Head, body: bytes) -> Reply:
         """Returns the response to one message.
@@ -59,7 +59,7 @@
         if path == CALLBACK_PATH:
             connection.sends_callbacks = True
             if head.method != "POST":
-                raise MalformedMessageError(405, "call-backs come by POST")
+                raise MalformedMessageError(405, "use POST for callbacks")
             self.on_callback(read_callback(body))
             connection.raise_value(ConnectionValue.SERVED)
             return Reply(204)
@@ -77,11 +77,10 @@
         if job_class not in self.intake.classes:
             raise MalformedMessageError(404, "no such class")
         if head.method != "POST":
-            raise MalformedMessageError(405, "jobs come by POST")
-        if (
-            connection.channel.parser.has_more
-        ):  # what follows unasked may be a request hidden in this one's body
-            raise MalformedMessageError(400, "one request at a time")
+            raise MalformedMessageError(405, "use POST for jobs")
+        # bytes after the request may be another one, smuggled in its body
+        if connection.channel.parser.has_more:
+            raise MalformedMessageError(400, "send the next request only after the response to this one")
         id, facts, left_s = read_id(head), read_facts(head), read_time_left(head)
         if connection.received_at:
             left_s = max(0.0, left_s - connection.waited_s)
@@ -99,9 +98,8 @@
                     connection.raise_value(ConnectionValue.QUERIED)
                     return reply_of(Answer("refused", retry_after=retry_after_s))
             message = HttpMessage(head.method, head.target, head.headers, body)
-            if (
-                connection.client_has_left()
-            ):  # what it asked for is not wanted any more, and nothing is sent for it
+            # a job whose client has disconnected is not started
+            if connection.client_has_left():
                 raise StreamClosedError()
             deadline = self.intake.deadline(left_s)
             flow = Flow(id, job_class, key, facts, message, deadline, connection.deliver)
@@ -110,6 +108,6 @@
             self.intake.open_flow(flow, verdict.drill)
         except DuplicateRequestError:
             raise MalformedMessageError(
-                400, "a request with this X-Correlation-Id has come already"
+                400, "a request with this X-Correlation-Id was received before"
             ) from None
         return reply_of(await connection.wait_for_answer(flow))
--- a/finchladder/net/slots.py
+++ b/finchladder/net/slots.py
@@ -1,4 +1,4 @@
-"""Places that are taken and given back, and a queue of those who wait for one."""
+"""Slots that limit concurrent use, with a queue of waiters."""
 
 import asyncio
 from collections import deque
@@ -17,7 +17,7 @@
         return self.free > 0 and not self.waiters
 
     def acquire(self) -> None:
-        """Acquires a slot; only allowed where `open`."""
+        """Acquires a slot; only allowed if `is_available`."""
         self.free -= 1
 
     async def wait(self) -> None:
@@ -30,7 +30,7 @@
             await turn
         except BaseException:
             if turn.done() and not turn.cancelled():
-                self.release()  # its turn had come as it gave up waiting
+                self.release()  # it got the slot in the same moment as it stopped waiting
             else:
                 self.waiters.remove(turn)
             raise
@@ -40,5 +40,5 @@
         while self.waiters:
             turn = self.waiters.popleft()
             if not turn.done():
-                return turn.set_result(None)  # the place goes from hand to hand
+                return turn.set_result(None)  # the slot passes to the waiter without becoming free
         self.free += 1
--- a/finchladder/net/timers.py
+++ b/finchladder/net/timers.py
@@ -1,4 +1,4 @@
-"""Timers that mostly never fire: a wheel on the loop, as a timer of the loop for each takes far more."""
+"""Timers on a timing wheel: most are canceled, and an event loop timer for each would cost far more."""
 
 from collections.abc import Callable, Hashable
 
@@ -7,7 +7,7 @@
 
 from finchladder.core.timing_wheel import TimingWheel
 
-RESOLUTION_S = 0.01  # seconds: a call comes so much later than it was due, at the most
+RESOLUTION_S = 0.01  # seconds: the maximum delay of a call
 
 
 class Timers:
@@ -32,12 +32,12 @@
     def _tick(self) -> None:
         now = self.clock()
         for at, key, call in self.wheel.pop_due(now):
-            if at > now:  # its slot has begun, or it was further ahead than the wheel goes
+            if at > now:  # due later within this slot, or beyond the range of the wheel
                 self.wheel.put(key, (at, key, call), max(at, now + RESOLUTION_S))
                 continue
             try:
                 call()
-            except Exception:  # the others are due all the same
+            except Exception:  # the other timers must still run
                 logger.exception("a timer died")
         self.is_ticking = len(self.wheel) > 0
         if self.is_ticking:
--- a/finchladder/net/worker_connection.py
+++ b/finchladder/net/worker_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a real server: one exchange at a time, and one task that reads what comes."""
+"""Connections to workers: one exchange at a time each, with a task that reads the responses."""
 
 import asyncio
 from collections import OrderedDict
@@ -7,7 +7,7 @@
 
 from finchladder.net.http1 import Channel, Head, MalformedMessageError, StreamClosedError
 
-BODY_TIMEOUT_S = 1.0  # seconds from an answer's head to its last byte
+BODY_TIMEOUT_S = 1.0  # from the head of a response to its last byte
 
 
 class Exchange(Protocol):
@@ -34,12 +34,12 @@
         gone: Callable[["WorkerConnection"], None],
     ) -> None:
         self.channel, self.on_free, self.on_end = channel, free, gone
-        self.idle_since = 0.0  # it is free since then
-        self.idle_s = 0.0  # how long it was free before its present exchange
+        self.idle_since = 0.0  # time since which it is idle
+        self.idle_s = 0.0  # how long it was idle before the current exchange
         self.exchange: Exchange | None = None
         self.is_busy = self.has_ended = False
-        self.is_held = True  # by whoever had it made, or took it from the kept ones
-        self.is_request_sent = False  # the request was handed to the stream
+        self.is_held = True  # whether it holds slots: it is new, or was taken from the idle ones
+        self.is_request_sent = False  # the request was passed to the stream
         self.writing: asyncio.Future[None] | None = None
         self.task = asyncio.get_running_loop().create_task(self._read_responses())
 
@@ -50,7 +50,7 @@
             self.writing = self.channel.stream.put(request)
             self.is_request_sent = True
         except StreamClosedError:
-            self._end()  # its task may be waiting for its turn to see the same
+            self._end()  # the reading task may notice the close later
 
     def close(self) -> None:
         """Closes the connection."""
@@ -72,7 +72,7 @@
             self._end()
 
     async def _read_response(self) -> bool:
-        """True: the exchange is over, and the line can carry another."""
+        """Reads one response; returns whether the connection can carry another exchange."""
         head = await self.channel.head()
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
@@ -99,7 +99,7 @@
         self.channel.close()
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            # a write that is known to have broken before its last byte never ran; when unsure, it may have
+            # only a write that certainly failed before its last byte proves that the job did not run
             writing = self.writing
             exchange.connection_failed(
                 self.is_request_sent and (writing is None or (writing.done() and not writing.exception()))
@@ -108,7 +108,7 @@
 
 
 class IdleConnections:
-    """Idle connections to all workers, least recently used first. Beyond `most`, that one is closed.
+    """Idle connections to all workers; beyond `max_connections`, the least recently used one is closed.
 
     Times are in seconds of the caller's clock. All operations are O(1), or O(connections closed).
     """
@@ -129,7 +129,7 @@
         self.connections.pop(connection, None)
 
     def close_before(self, since: float, most: int) -> None:
-        """Closes connections that are idle since `since` or longer, `most` at the most in one call."""
+        """Closes connections that are idle since `since` or longer, at most `most` in one call."""
         for _ in range(most):
             if not self.connections or (connection := next(iter(self.connections))).idle_since > since:
                 return
--- a/finchladder/net/workers.py
+++ b/finchladder/net/workers.py
@@ -1,4 +1,4 @@
-"""Real servers: an actor for each, with its connections, its attempts and their ends."""
+"""Workers: one actor for each, which owns its connections and its attempts, and the pool of all actors."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -26,29 +26,25 @@
     from loguru import Logger
 
 MAILBOX_SIZE = 8192
-BUSY_SOCKET_SHARE, IDLE_SOCKET_SHARE = (
-    0.23,
-    0.11,
-)  # parts of all sockets, for busy and idle connections to the real servers together
-MAX_CONNECTIONS_PER_WORKER = 24  # a silent real server must not take the connections of the rest
-IDLE_TIMEOUT_SHARE = (
-    0.6  # of the time after which a real server closes: a request must never cross its closing
-)
-MAX_REAPED_AT_ONCE = (
-    200  # idle connections, and real servers that have left, in one turn of the loop: some 2 ms
-)
-DELETE_TIMEOUT_S = 1.0  # for a DELETE
-CANCEL_RETRY_INTERVAL_S = 0.25  # seconds between two tries of one on which a further attempt hangs
+# shares of all sockets for busy and for idle connections to all workers together
+BUSY_SOCKET_SHARE, IDLE_SOCKET_SHARE = 0.23, 0.11
+MAX_CONNECTIONS_PER_WORKER = 24  # an unresponsive worker must not use up the connections of the others
+# share of the time after which a worker closes an idle connection: a request must not cross that close
+IDLE_TIMEOUT_SHARE = 0.6
+# idle connections, and unlisted workers, handled in one iteration of the event loop: some 2 ms
+MAX_REAPED_AT_ONCE = 200
+DELETE_TIMEOUT_S = 1.0  # for a DELETE, including the wait for a connection
+CANCEL_RETRY_INTERVAL_S = 0.25  # seconds between two tries of a DELETE that a further attempt waits for
 
 
 class Cancellation(NamedTuple):
-    """A mailbox item: cancel an attempt."""
+    """A mailbox item that cancels an attempt."""
 
     attempt: Attempt
 
 
 def load_report(head: Head) -> dict[str, float] | None:
-    """Returns the name=value pairs of X-Backend-Load; malformed ones are ignored, as it only informs."""
+    """Returns the name=value pairs of X-Backend-Load; ignores malformed ones, as they are optional."""
     report = {}
     for pair in (head.headers.get("x-backend-load") or "").split(","):
         name, _, value = pair.partition("=")
@@ -60,12 +56,12 @@
 
 
 def outcome(head: Head) -> E | None:
-    """Returns how the attempt ended by the response's head, or None where the job was accepted."""
+    """Returns the ending that a response's head means for its attempt, or None if the job was accepted."""
     if head.status == 202:
         return None
     if head.status in (503, 504) and head.headers.get("x-unprocessed") == "1":
         return E.OVERLOADED
-    return E.ERROR  # it may have run, whatever else the answer says
+    return E.ERROR  # the job may have run, whatever else the response says
 
 
 CALLBACK_ENDINGS = {"done": E.OK, "failed": E.ERROR, "returned": E.OVERLOADED, "lost": E.BROKEN}
@@ -76,11 +72,11 @@
 
     __slots__ = ("worker", "attempt", "connection")
 
-    def __init__(self, server: "WorkerActor", attempt: Attempt, connection: WorkerConnection) -> None:
-        self.worker, self.attempt, self.connection = server, attempt, connection
+    def __init__(self, worker: "WorkerActor", attempt: Attempt, connection: WorkerConnection) -> None:
+        self.worker, self.attempt, self.connection = worker, attempt, connection
 
     def answered(self, head: Head) -> None:
-        """Accepts the job as sent, or ends its attempt."""
+        """Marks the job as accepted, or ends its attempt."""
         attempt = self.attempt
         attempt.connection = None
         ending = outcome(head)
@@ -92,14 +88,14 @@
             self.worker.end(attempt, ending, load_report(head))
 
     def connection_failed(self, written: bool) -> None:
-        """Ends the attempt; a job that was not written completely has certainly not run."""
+        """Ends the attempt; a job that was not written completely can't have run."""
         attempt = self.attempt
         attempt.connection = None
         if not written:
             attempt.step(Step.BREAK)
-        elif self.connection.idle_s and not attempt.ended:  # not closed from this side
+        elif self.connection.idle_s and not attempt.ended:  # the worker or the network closed it
             self.worker.idle_timeout.record_reset(self.worker.clock(), self.connection.idle_s)
-        self.worker.end_broken(attempt)  # nothing is sent again here
+        self.worker.end_broken(attempt)  # retries are up to the dispatcher core
 
 
 class CancelExchange:
@@ -113,32 +109,32 @@
 
 
 class WorkerActor(Actor[Attempt | Cancellation | Callback]):
-    """All attempts at one worker, and the connections to it."""
+    """Owns the attempts at one worker and the connections to it."""
 
     def __init__(
         self,
         name: str,
         address: tuple[str, int],
         flows: FlowTable,
-        module: DecisionActor,
+        decisions: DecisionActor,
         timers: Timers,
-        connect_timeout: float,
-        trust: AdaptiveIdleTimeout,
-        all_in_use: Slots,
-        kept: IdleConnections,
+        connect_timeout_s: float,
+        idle_timeout: AdaptiveIdleTimeout,
+        shared_slots: Slots,
+        all_idle: IdleConnections,
         connect: Connect,
-        each: int,
+        max_connections: int,
     ) -> None:
         super().__init__(f"real server {name}", MAILBOX_SIZE)
         self.connect = connect
         self.worker, self.address = name, address
-        self.flows, self.decisions, self.clock, self.timers = flows, module, module.clock, timers
-        self.connect_timeout, self.idle_timeout, self.all_idle = connect_timeout, trust, kept
+        self.flows, self.decisions, self.clock, self.timers = flows, decisions, decisions.clock, timers
+        self.connect_timeout_s, self.idle_timeout, self.all_idle = connect_timeout_s, idle_timeout, all_idle
         self.is_ready = True
         self.attempts: dict[str, Attempt] = {}
-        self.idle: list[WorkerConnection] = []  # the one used last is the last
+        self.idle: list[WorkerConnection] = []  # the most recently used one is last
         self.busy = 0
-        self.slots, self.shared_slots = Slots(each), all_in_use
+        self.slots, self.shared_slots = Slots(max_connections), shared_slots
 
     @property
     def log(self) -> "Logger":
@@ -150,7 +146,7 @@
         """Whether no attempt, connection, message or task of this worker is left."""
         return not (self.attempts or self.busy or self.backlog or self.tasks)
 
-    # --- what the mailbox brings --------------------------------------------------------------------------
+    # --- mailbox --------------------------------------------------------------------------
 
     def receive(self, item: Attempt | Cancellation | Callback) -> None:
         """Starts or cancels an attempt, or handles a callback."""
@@ -176,7 +172,7 @@
             or attempt.flow.id in self.attempts
             or any(other is not attempt and other.worker == attempt.worker for other in attempt.flow.attempts)
         ):
-            # a late call-back about the first attempt here could not be told from one about the second
+            # a callback names only the job: a late one on the first attempt would count for the second
             return self.end(attempt, E.VOID)
         self.attempts[attempt.flow.id] = attempt
         self.timers.schedule(attempt, attempt.deadline, partial(self.end, attempt, E.TIMED_OUT))
@@ -186,11 +182,11 @@
             self.spawn(self._send(attempt))
 
     def _handle_callback(self, call_back: Callback) -> None:
-        """Matched by id and sender: it may come before the 202, again, or about a job nobody knows here."""
+        """Matches a callback by id and sender; it may precede the 202, repeat, or name an unknown job."""
         attempt = self.attempts.get(call_back.id)
         if attempt is not None and not STAGE_RULES[attempt.stage].accepts_callbacks:
             return
-        if self.flows.status is not None:  # is told also of one given up here
+        if self.flows.status is not None:  # the status also records callbacks on abandoned attempts
             self.flows.status.told(self.clock(), call_back.id, self.worker, call_back.state, call_back.share)
         if attempt is None:
             return
@@ -212,11 +208,11 @@
             )
 
     def record_start(self, attempt: Attempt) -> None:
-        """The first that is heard of a job after its send."""
+        """Records the time until the first sign that a job has started after it was sent."""
         if self.decisions.on_job_started is not None and not attempt.number:
             self.decisions.on_job_started(self.clock() - attempt.flow.received_at)
 
-    # --- the life of an attempt -------------------------------------------------------------------------
+    # --- attempts -------------------------------------------------------------------------
 
     async def _send(self, attempt: Attempt) -> None:
         try:
@@ -235,7 +231,7 @@
     def _write(self, attempt: Attempt, connection: WorkerConnection) -> None:
         if attempt.ended:
             return self._connection_freed(connection)
-        # looked at again right before the write: waiting for a connection took time
+        # checked again right before the write, as waiting for a connection took time
         if not self.is_ready or self.clock() > attempt.start_by:
             self._connection_freed(connection)
             return self.end(attempt, E.VOID)
@@ -245,7 +241,7 @@
         connection.begin(JobExchange(self, attempt, connection), request)
 
     def end_broken(self, attempt: Attempt) -> None:
-        """Ends an attempt whose connection or handling failed; how depends on its stage."""
+        """Ends an attempt whose connection or handling failed, with the ending for its stage."""
         if not attempt.ended:
             self.end(attempt, STAGE_RULES[attempt.stage].ending_if_broken)
 
@@ -259,7 +255,7 @@
         """Ends an attempt; only the first call for each counts."""
         if attempt.ended:
             return
-        give_up = STAGE_RULES[attempt.stage].on_abandon
+        on_abandon = STAGE_RULES[attempt.stage].on_abandon
         attempt.step(Step.END)
         if self.flows.status is not None:
             self.flows.status.ended(attempt.flow.id, self.worker, ending)
@@ -268,42 +264,43 @@
             del self.attempts[attempt.flow.id]
         if ending is E.OK:
             self.flows.finish(attempt.flow, Answer("served", result))
-        ended = AttemptEnd(attempt, ending, self.clock() - attempt.sent_at, report)
+        end = AttemptEnd(attempt, ending, self.clock() - attempt.sent_at, report)
         if ending in (E.CANCELLED, E.TIMED_OUT):
-            if give_up is AbandonAction.DELETE:
+            if on_abandon is AbandonAction.DELETE:
                 if (
                     attempt.flow.answer is None
                     and self._forbids_parallel_attempts()
                     and self.clock() < attempt.flow.deadline
                 ):
-                    self.spawn(self._submit_end_after_delete(ended))
+                    self.spawn(self._submit_end_after_delete(end))
                     return
                 self.spawn(self._delete_job(attempt.flow.id))
-            elif give_up is AbandonAction.CLOSE and attempt.connection is not None:
+            elif on_abandon is AbandonAction.CLOSE and attempt.connection is not None:
                 attempt.connection.close()
-        self._submit_end(ended)
+        self._submit_end(end)
 
     def _forbids_parallel_attempts(self) -> bool:
-        """Whether two attempts of one job must never run at the same time."""
+        """Whether the settings forbid two attempts of one job at the same time."""
         return not self.decisions.dispatcher.settings.may_hedge
 
-    def _submit_end(self, ended: AttemptEnd) -> None:
-        self.decisions.submit(ended)
-        self.flows.forget_if_over(ended.attempt.flow)
+    def _submit_end(self, end: AttemptEnd) -> None:
+        self.decisions.submit(end)
+        self.flows.forget_if_over(end.attempt.flow)
 
-    async def _submit_end_after_delete(self, ended: AttemptEnd) -> None:
-        """Reports the end only once the DELETE is written, where attempts must not run at the same time.
+    async def _submit_end_after_delete(self, end: AttemptEnd) -> None:
+        """Submits the end only after the DELETE is written, so that attempts do not run at the same time.
 
-        The decisions may then send the job elsewhere; a worker that can't be reached may still run it.
+        The dispatcher core may send the job elsewhere as soon as it has the end. The DELETE is repeated until
+        the job's deadline; a worker that stays unreachable until then may still run the job.
         """
-        flow = ended.attempt.flow
+        flow = end.attempt.flow
         while not await self._delete_job(flow.id) and flow.answer is None and self.clock() < flow.deadline:
             await asyncio.sleep(CANCEL_RETRY_INTERVAL_S)
-        self._submit_end(ended)
+        self._submit_end(end)
 
     async def _delete_job(self, id: str) -> bool:
-        """Whether the DELETE was written."""
-        path = f"/jobs/{quote(id, safe='')}"  # an id is the client's text: it must not make another path
+        """Sends DELETE for a job; returns whether it was written."""
+        path = f"/jobs/{quote(id, safe='')}"  # the client chooses the id: it must not alter the path
         try:
             async with asyncio.timeout(DELETE_TIMEOUT_S):
                 connection = await self._acquire_connection()
@@ -314,13 +311,13 @@
                 if connection.writing is not None:
                     await connection.writing
         except (StreamClosedError, OSError, TimeoutError):
-            return False  # the real server is gone or busy
+            return False  # the worker is unreachable, or has no free connection
         return connection.is_request_sent
 
     # --- connections ----------------------------------------------------------------------------------------
 
     def _acquire_idle_connection(self) -> WorkerConnection | None:
-        """A kept line, if one can be had without waiting for a place."""
+        """Returns an idle connection, or None if that needs a wait for a slot or a new connection."""
         if (
             not (self.idle and self.slots.is_available and self.shared_slots.is_available)
             or (connection := self._pop_idle_connection()) is None
@@ -331,15 +328,15 @@
         return self._mark_held(connection)
 
     async def _acquire_connection(self) -> WorkerConnection:
-        """A line for one exchange, kept or new. It holds its places until it is free again, or gone."""
-        async with asyncio.timeout(self.connect_timeout), AsyncExitStack() as places:
-            for place in (self.slots, self.shared_slots):
-                await place.wait()
-                places.callback(place.release)
+        """Returns an idle or new connection, which holds two slots until it is idle again or closed."""
+        async with asyncio.timeout(self.connect_timeout_s), AsyncExitStack() as held_slots:
+            for slots in (self.slots, self.shared_slots):
+                await slots.wait()
+                held_slots.callback(slots.release)
             connection = self._pop_idle_connection() or WorkerConnection(
                 await self.connect(self.address), self._connection_freed, self._connection_ended
             )
-            places.pop_all()
+            held_slots.pop_all()
         return self._mark_held(connection)
 
     def _mark_held(self, connection: WorkerConnection) -> WorkerConnection:
@@ -387,39 +384,53 @@
 
 
 class WorkerPool:
-    """The actors of all listed workers, and of unlisted ones with attempts. Costs grow with changes only."""
+    """The actors of all listed workers, and of unlisted ones that still have attempts.
+
+    Updates cost time in proportion to the entries that changed, not to the number of workers.
+    """
 
     def __init__(
         self,
         flows: FlowTable,
-        module: DecisionActor,
+        decisions: DecisionActor,
         timers: Timers,
-        connect_timeout: float,
-        conn_idle: float,
+        connect_timeout_s: float,
+        worker_idle_timeout_s: float,
         sockets: int,
         connect: Connect,
-        each: int = MAX_CONNECTIONS_PER_WORKER,
+        max_connections_each: int = MAX_CONNECTIONS_PER_WORKER,
     ) -> None:
-        """`each`: the maximum number of connections to one worker; times in seconds."""
-        self.flows, self.decisions, self.clock, self.timers = flows, module, module.clock, timers
-        self.connect, self.max_connections_each = connect, each
-        self.connect_timeout, self.idle_timeout = (
-            connect_timeout,
-            AdaptiveIdleTimeout(self.clock(), conn_idle * IDLE_TIMEOUT_SHARE),
+        """Creates an empty pool.
+
+        Args:
+            flows: The open flows.
+            decisions: Receives worker lists and the ends of attempts.
+            timers: Timers for the timeouts of attempts.
+            connect_timeout_s: Timeout for a connection, including the wait for a slot.
+            worker_idle_timeout_s: Time after which workers close idle connections.
+            sockets: The maximum number of sockets of the process.
+            connect: Opens a connection.
+            max_connections_each: The maximum number of connections to one worker.
+        """
+        self.flows, self.decisions, self.clock, self.timers = flows, decisions, decisions.clock, timers
+        self.connect, self.max_connections_each = connect, max_connections_each
+        self.connect_timeout_s, self.idle_timeout = (
+            connect_timeout_s,
+            AdaptiveIdleTimeout(self.clock(), worker_idle_timeout_s * IDLE_TIMEOUT_SHARE),
         )
         self.actors: dict[str, WorkerActor] = {}
         self.started_at: dict[str, float] = {}
-        self.leaving: dict[str, WorkerActor] = {}  # not ready: they go once nothing is under way with them
+        self.leaving: dict[str, WorkerActor] = {}  # not ready; removed once they are idle
         self.slots = Slots(int(BUSY_SOCKET_SHARE * sockets))
         self.idle_connections = IdleConnections(int(IDLE_SOCKET_SHARE * sockets))
         self.reaper = PeriodicCallback(self._reap, 1000)
 
     def start(self) -> None:
-        """Starts the periodic closing of idle connections and removal of unlisted workers."""
+        """Starts the periodic task that closes idle connections and removes unlisted workers."""
         self.reaper.start()
 
     def update(self, worker_list: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
-        """Applies readiness and addresses at once, ahead of all mailboxes; then informs the decisions."""
+        """Applies readiness and addresses at once, ahead of all mailboxes, then submits the list."""
         if worker_list.kind is not api.ListKind.PATCH:
             named = {e.worker for e in worker_list.entries}
             for name, actor in self.actors.items():
@@ -432,12 +443,12 @@
             self._set_ready(actor, e.state is api.WorkerStatus.READY)
             address = addresses.get(e.worker, actor.address)
             if actor.address != address or self.started_at.get(e.worker, e.started_at) != e.started_at:
-                actor.drop_idle()  # connections to a process that is no more
+                actor.drop_idle()  # they lead to a process that has ended
             actor.address, self.started_at[e.worker] = address, e.started_at
         self.decisions.submit(worker_list)
 
     def retire(self, names: list[str]) -> None:
-        """Marks workers as not ready at once, ahead of the slices in which the decisions learn of them."""
+        """Marks workers as not ready at once; the dispatcher core gets their entries later, in slices."""
         for name in names:
             if (actor := self.actors.get(name)) is not None:
                 self._set_ready(actor, False)
@@ -456,7 +467,7 @@
             self.flows,
             self.decisions,
             self.timers,
-            self.connect_timeout,
+            self.connect_timeout_s,
             self.idle_timeout,
             self.slots,
             self.idle_connections,
@@ -492,12 +503,12 @@
         self._remove_leaving(list(self.leaving))
 
     def _remove_leaving(self, names: list[str]) -> None:
-        """Removes unlisted workers in slices: half of a large fleet may leave at once."""
+        """Removes unlisted workers in slices, as half of a large fleet may leave at the same time."""
         for name in names[:MAX_REAPED_AT_ONCE]:
             if (actor := self.leaving.get(name)) is not None:
                 actor.drop_idle()
                 if actor.is_idle:
                     del self.actors[name], self.leaving[name]
                     self.started_at.pop(name, None)
-        if rest := names[MAX_REAPED_AT_ONCE:]:
-            IOLoop.current().add_callback(self._remove_leaving, rest)
+        if remaining := names[MAX_REAPED_AT_ONCE:]:
+            IOLoop.current().add_callback(self._remove_leaving, remaining)
--- a/tests/etcd/test_follow.py
+++ b/tests/etcd/test_follow.py
@@ -211,7 +211,7 @@
         f = Followed(endpoints=urls, user="reader", password_file=str(password))
         await until(lambda: f.actor.follower.failures > 1)
         assert len(f.lines) == 1
-        assert "refused user reader" in f.lines[0]
+        assert "rejected user reader" in f.lines[0]
         assert "wrong" not in f.lines[0]
         password.write_text("one\n")
         await until(lambda: f.follows)
@@ -245,7 +245,7 @@
         f, alone = Followed(endpoints=[none, url, "http://localhost:1"]), Followed(endpoints=[none])
         await until(lambda: f.follows and bool(alone.lines))
         assert str(f.actor.endpoints[f.actor.follower.current]) == url
-        assert "answered 404" in alone.lines[0]
+        assert "answered with status 404" in alone.lines[0]
         f.close()
         alone.close()
         server.close()
--- a/tests/etcd/test_state.py
+++ b/tests/etcd/test_state.py
@@ -99,7 +99,7 @@
     p.run(2.0)
     assert len(p.told) > 3
     assert p.states() == dict.fromkeys(["w0", "w1", "w2", "w3", "w4", "w6"], "ready")
-    assert len([line for line in p.log if "left out" in line]) == 2
+    assert len([line for line in p.log if "the key is ignored" in line]) == 2
     p.put("members/w1", entry("w1", "draining"))
     p.run(0.1)
     assert p.states()["w1"] == "draining"
