--- a/finchladder/net/admission.py
+++ b/finchladder/net/admission.py
@@ -341,10 +341,10 @@
         connection.table.mark_idle(now, connection, connection.value)
         answer = rejection_bytes(self.controller.reject(now))
         try:
-            whole = connection.socket.send(answer) == len(answer)
+            is_sent = connection.socket.send(answer) == len(answer)
         except OSError:
-            whole = False
-        if not whole:
+            is_sent = False
+        if not is_sent:
             return self.on_close(connection)  # the client does not read, or has disconnected
         if connection.may_have_data:  # deferred: many connections could otherwise recurse into each other
             asyncio.get_running_loop().call_soon(self.wait_for_message, connection)
--- a/finchladder/net/client_connection.py
+++ b/finchladder/net/client_connection.py
@@ -30,9 +30,8 @@
 from finchladder.net.job_intake import JobIntake
 from finchladder.net.messages import limit_of
 
-FIRST_MESSAGE_TIMEOUT_S = (
-    2.0  # from accepting a connection to the last byte of its first message; the requirement is 3 s
-)
+# from accepting a connection to the last byte of its first message; the requirement is 3 s
+FIRST_MESSAGE_TIMEOUT_S = 2.0
 MESSAGE_TIMEOUT_S = 2.0  # from the first byte of a message to its last
 WRITE_TIMEOUT_S = 10.0  # for the client to read a response
 # bytes of the next message read while one is handled: further bytes would hide that the client closes
@@ -93,9 +92,8 @@
         self.value = ConnectionValue.NEW
         self.accepted_at = self.clock()
         # used with admission control only
-        self.next_bytes: asyncio.Future[bytes] | None = (
-            None  # resolves to the first bytes of the next message
-        )
+        # resolves to the first bytes of the next message
+        self.next_bytes: asyncio.Future[bytes] | None = None
         self.first_bytes = b""  # bytes received before the stream was created
         self.queued_message = b""  # a complete job that waits for admission, with its class and id
         self.job_class, self.job_id = "", b""
--- a/finchladder/net/control.py
+++ b/finchladder/net/control.py
@@ -30,9 +30,9 @@
 class Dump:
     """A snapshot of the capture ring. It holds memory until it is sent, so only one exists at a time."""
 
-    def __init__(self, lines: list[bytes], over: Callable[[], None]) -> None:
-        self.blocks, self.on_sent = lines, over
-        self.size = sum(map(len, lines))
+    def __init__(self, blocks: list[bytes], on_sent: Callable[[], None]) -> None:
+        self.blocks, self.on_sent = blocks, on_sent
+        self.size = sum(map(len, blocks))
 
     def pieces(self) -> Iterator[bytes]:
         """Yields the dump in pieces of bounded size."""
--- a/finchladder/net/decision_actor.py
+++ b/finchladder/net/decision_actor.py
@@ -87,12 +87,10 @@
         # called with the seconds that a job took to start
         self.on_job_started: Callable[[float], None] | None = None
         self.queued_lists = 0  # number of worker lists in the mailbox
-        self.sweep_due_at = (
-            math.inf
-        )  # when the core's sweep timer is due; a later event means that the loop stalled
-        self.on_subscribe: Callable[[bool], None] = (
-            lambda on: None
-        )  # called if the core has to request the list
+        # time at which the core's sweep timer is due; a later event means that the event loop stalled
+        self.sweep_due_at = math.inf
+        # called if the core has to request the list
+        self.on_subscribe: Callable[[bool], None] = lambda on: None
 
     def submit(self, item: Item) -> None:
         """Posts an event; a worker list overtakes other queued events, so that these use the new list."""
--- a/finchladder/net/etcd/keys.py
+++ b/finchladder/net/etcd/keys.py
@@ -110,8 +110,8 @@
             # during a flood of unusable keys, some are reported again; the memory stays bounded
             self.unusable.pop(next(iter(self.unusable)))
         self.unusable[key] = reason
-        shown = key[:128].decode("utf-8", "backslashreplace")
-        self.unreported.append(f"{shown}: {reason}; the key is ignored")
+        text = key[:128].decode("utf-8", "backslashreplace")
+        self.unreported.append(f"{text}: {reason}; the key is ignored")
 
     def worker(self, name: str) -> api.WorkerEntry:
         """Returns the entry of a worker; its state is REMOVED if no key names it."""
--- a/finchladder/net/etcd/messages.py
+++ b/finchladder/net/etcd/messages.py
@@ -205,7 +205,7 @@
         Raises:
             MalformedResponseError: The connection must be closed.
         """
-        found: list[Response] = []
+        responses: list[Response] = []
         self.buffer += piece
         while self.buffer:
             if self.long_response is not None:
@@ -213,18 +213,18 @@
                 del self.buffer[:used]
                 if not self.long_response.is_complete:
                     break
-                found.append(self.long_response.response())
+                responses.append(self.long_response.response())
                 self.long_response = None
             elif self.lines and (end := self.buffer.find(b"\n", 0, MAX_WHOLE_BYTES)) >= 0:
                 line = bytes(self.buffer[:end])
                 del self.buffer[: end + 1]
                 if line.strip():
-                    found.append(self._decode_whole(line))
+                    responses.append(self._decode_whole(line))
             elif len(self.buffer) > MAX_WHOLE_BYTES:
                 self.long_response = _LongResponse(3 if self.lines else 2)
             else:
                 break
-        return found
+        return responses
 
     def end(self) -> Response:
         """Returns the response to a call, whose body is complete.
--- a/finchladder/net/http1.py
+++ b/finchladder/net/http1.py
@@ -113,8 +113,8 @@
         return True
 
     def _is_persistent_by_field(self) -> bool:
-        words = self.headers.tokens("connection")
-        return "close" not in words and (self.minor == 1 or "keep-alive" in words)
+        tokens = self.headers.tokens("connection")
+        return "close" not in tokens and (self.minor == 1 or "keep-alive" in tokens)
 
 
 def _parse_field(line: bytes, plain: bool) -> tuple[str, str]:
--- a/finchladder/net/worker_connection.py
+++ b/finchladder/net/worker_connection.py
@@ -30,10 +30,10 @@
     def __init__(
         self,
         channel: Channel,
-        free: Callable[["WorkerConnection"], None],
-        gone: Callable[["WorkerConnection"], None],
+        on_free: Callable[["WorkerConnection"], None],
+        on_end: Callable[["WorkerConnection"], None],
     ) -> None:
-        self.channel, self.on_free, self.on_end = channel, free, gone
+        self.channel, self.on_free, self.on_end = channel, on_free, on_end
         self.idle_since = 0.0  # time since which it is idle
         self.idle_s = 0.0  # how long it was idle before the current exchange
         self.exchange: Exchange | None = None
--- a/tests/etcd/play.py
+++ b/tests/etcd/play.py
@@ -1,4 +1,4 @@
-"""The client's protocol against the stand-in, without sockets: bytes go over in virtual time."""
+"""Simulates the etcd client against the stand-in: bytes travel without sockets, in virtual time."""
 
 import json
 from heapq import heappop, heappush
@@ -44,29 +44,29 @@
     return json.dumps({"name": name, "address": "127.0.0.1:80", "status": status} | more).encode()
 
 
-class Line:
-    """A connection to a member, over which the stand-in's bytes come as answers."""
+class Connection:
+    """A connection to a member of the stand-in, whose bytes it parses into responses."""
 
-    def __init__(self, play: "Play", member: Member, lines: bool) -> None:
-        self.play, self.member = play, member
+    def __init__(self, simulation: "Simulation", member: Member, lines: bool) -> None:
+        self.simulation, self.member = simulation, member
         self.parser = http1.server_parser()
         self.parser.limit = lambda head: 1 << 30
         self.reader, self.lines = ResponseReader(lines), lines
-        self.session = Session(member, lambda: play.now, self.written, lambda reset: None)
+        self.session = Session(member, lambda: simulation.now, self.written, lambda reset: None)
         self.open = True
         self.asks: ReadPage | Probe | Check = Probe()
         self.found: list[messages.Response] = []
 
     def ask(self, path: str, body: bytes) -> None:
-        headers = {"authorization": self.play.token}
+        headers = {"authorization": self.simulation.token}
         message = Message(headers, body, True, method="POST", target=f"/v3/{path}")
-        self.play.later(HOP_S, lambda: self.session.message(message))
+        self.simulation.later(HOP_S, lambda: self.session.message(message))
 
     def written(self, data: bytes) -> None:
         if self.member.stalled:
-            self.play.held.append((self, data))
+            self.simulation.held.append((self, data))
         elif self.open:
-            self.play.later(HOP_S, lambda: self.arrived(data))
+            self.simulation.later(HOP_S, lambda: self.arrived(data))
 
     def arrived(self, data: bytes) -> None:
         if not self.open:
@@ -84,27 +84,27 @@
             found, self.found = (self.found, []) if over or self.lines else ([], self.found)
             for answer in found:
                 if self.open:
-                    self.play.answered(self, answer)
+                    self.simulation.answered(self, answer)
             if not over:
                 return
             if self.lines and self.open:
-                self.play.happens(EndpointFailed(Failure.LOST, "ended the watch"))
+                self.simulation.happens(EndpointFailed(Failure.LOST, "ended the watch"))
 
 
-class Play:
+class Simulation:
     def __init__(self, cluster: Cluster, seed: int = 1, user: bool = False) -> None:
         self.cluster, self.now, self.user, self.token = cluster, 0.0, user, ""
         self.follower = Follower(PREFIX, [m.name for m in cluster.members], Random(seed))
         self.agenda: list[tuple[float, int, Any]] = []
         self.counter = count()
-        self.calls: Line | None = None
-        self.watch: Line | None = None
-        self.held: list[tuple[Line, bytes]] = []
+        self.calls: Connection | None = None
+        self.watch: Connection | None = None
+        self.held: list[tuple[Connection, bytes]] = []
         self.timer = self.round = 0
-        self.waits: dict[Line, int] = {}  # in which round it was asked last
-        self.told: list[Report] = []
+        self.waits: dict[Connection, int] = {}  # the round in which each connection sent its last request
+        self.reports: list[Report] = []
         self.log: list[str] = []
-        self.believed: dict[str, api.WorkerEntry] = {}
+        self.workers: dict[str, api.WorkerEntry] = {}
         for member in cluster.members:
             member.changed, member.struck = self._changed, self._struck
         self.happens(TimerExpired())
@@ -138,10 +138,10 @@
         for line, data in held:
             line.written(data)
 
-    def lines(self) -> list[Line]:
+    def lines(self) -> list[Connection]:
         return [line for line in (self.calls, self.watch) if line is not None and line.open]
 
-    # --- what the program's glue does
+    # --- what EtcdActor does in the program
 
     def happens(self, event: state.Event) -> None:
         self.round += 1
@@ -159,12 +159,14 @@
         match action:
             case ReportList(report):
                 if report.workers.kind is api.ListKind.FULL:
-                    self.believed = {}
-                elif self.told:
-                    assert report.version > self.told[-1].version, "told twice, or what was before"
-                self.told.append(report)
+                    self.workers = {}
+                elif self.reports:
+                    assert report.version > self.reports[-1].version, (
+                        "reported a version again, or an older one"
+                    )
+                self.reports.append(report)
                 for e in report.workers.entries:
-                    self.believed[e.worker] = e
+                    self.workers[e.worker] = e
             case SetTimer(seconds):
                 timer = self.timer = self.round
                 self.later(seconds, lambda: self.happens(TimerExpired()) if self.timer == timer else None)
@@ -183,14 +185,14 @@
             case Check(revision, than):
                 self.asked(action, messages.newer_than(b"/f/", revision, than))
             case StartWatch(start):
-                self.watch = Line(self, member, lines=True)
+                self.watch = Connection(self, member, lines=True)
                 self.watch.ask("watch", messages.watch(b"/f/", start))
                 self.patience(self.watch)
 
     def opened(self, member: Member) -> None:
         if member.cut:
             return self.happens(EndpointFailed(Failure.LOST, "refused"))
-        self.calls = Line(self, member, lines=False)
+        self.calls = Connection(self, member, lines=False)
         if self.user:
             try:
                 self.token = self.cluster.auth.authenticate(self.now, "u", "p")
@@ -204,7 +206,7 @@
         self.calls.ask("kv/range", body)
         self.patience(self.calls)
 
-    def patience(self, line: Line) -> None:
+    def patience(self, line: Connection) -> None:
         round = self.round
 
         def over() -> None:
@@ -216,7 +218,7 @@
         pulse = not line.lines and not isinstance(line.asks, ReadPage)
         self.later(state.PROBE_TIMEOUT_S if pulse else state.RESPONSE_TIMEOUT_S, over)
 
-    def answered(self, line: Line, answer: messages.Response) -> None:
+    def answered(self, line: Connection, answer: messages.Response) -> None:
         self.waits.pop(line, None)
         if line.lines:
             return self.happens(WatchMessage(answer))
@@ -229,7 +231,7 @@
             return self.happens(ListPage(answer))
         self.happens(ProbeResult(answer.header) if isinstance(line.asks, Probe) else CheckResult(answer))
 
-    # --- what a test does and asks
+    # --- used by tests
 
     def put(self, key: str, value: bytes = b"") -> None:
         self.cluster.store.txn(Put(f"{PREFIX}/{key}".encode(), value))
@@ -240,11 +242,11 @@
         self.cluster.written()
 
     def states(self) -> dict[str, str]:
-        return {n: e.state.value for n, e in self.believed.items() if e.state is not api.WorkerStatus.REMOVED}
+        return {n: e.state.value for n, e in self.workers.items() if e.state is not api.WorkerStatus.REMOVED}
 
     def truth(self) -> dict[str, str]:
         found: dict[str, str] = {}
-        for key, past in sorted(self.cluster.store.past.items(), reverse=True):  # members, then drains
+        for key, past in sorted(self.cluster.store.past.items(), reverse=True):  # members before drains
             _, top, kind, name, *_ = f"{key.decode()}//".split("/")
             if past[-1].version and top == "f":
                 found[name] = json.loads(past[-1].value)["status"] if kind == "members" else "draining"
--- a/tests/etcd/test_follow.py
+++ b/tests/etcd/test_follow.py
@@ -1,4 +1,4 @@
-"""The client on sockets: TLS, logins, files that change, endpoints that break."""
+"""The etcd client on real sockets: TLS, logins, changed files and failing endpoints."""
 
 import asyncio
 import ssl
@@ -27,8 +27,8 @@
 
 
 @pytest.fixture(autouse=True)
-def patience(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No test here is about an answer that does not come: a slow machine must not look like one."""
+def long_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Raises all timeouts, which these tests do not cover, so that a slow machine causes no failure."""
     for module in (wire, follow):
         monkeypatch.setattr(module, "RESPONSE_TIMEOUT_S", 15.0)
     monkeypatch.setattr(follow, "PROBE_TIMEOUT_S", 15.0)
@@ -41,8 +41,8 @@
             await asyncio.sleep(0.005)
 
 
-class Followed:
-    """An actor that follows, and what it told."""
+class Following:
+    """An EtcdActor with the states that it reported and the lines that it logged."""
 
     def __init__(self, **options: Any) -> None:
         self.states: dict[str, str] = {}
@@ -78,12 +78,12 @@
     etcd.cluster.written()
 
 
-def play(work: Coroutine[Any, Any, None]) -> None:
+def run_limited(work: Coroutine[Any, Any, None]) -> None:
     asyncio.run(asyncio.wait_for(work, 120))
 
 
 class Pki:
-    """An authority, and files of certificates that it issued."""
+    """A certificate authority and the files of the certificates that it issued."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.ca = folder, trustme.CA()
@@ -108,14 +108,14 @@
         return {name: str(self.folder / file) for name, file in ({"ca_file": "ca.pem"} | own).items()}
 
 
-def test_a_list_of_3_000_with_one_of_1_mb_and_then_a_burst_in_one_message() -> None:
+def test_a_list_of_3_000_entries_with_one_of_1_mb_and_a_burst_of_changes() -> None:
     async def work() -> None:
         etcd = Etcd()
         urls = await etcd.open()
         for n in range(3_000):
             put(etcd, f"members/w{n:05}", entry(f"w{n:05}"))
         put(etcd, "members/w00500", b"x" * 1_000_000)
-        f = Followed(endpoints=urls)
+        f = Following(endpoints=urls)
         await until(lambda: f.follows)
         assert len(f.states) == 2_999
         assert len(f.lines) == 1
@@ -128,10 +128,10 @@
         f.close()
         etcd.close()
 
-    play(work())
+    run_limited(work())
 
 
-def test_tls_with_certificates_of_both_and_files_that_change(tmp_path: Path) -> None:
+def test_mutual_tls_with_files_that_change(tmp_path: Path) -> None:
     async def work() -> None:
         pki = Pki(tmp_path)
         pki.issue("server", "127.0.0.1")
@@ -139,13 +139,13 @@
         etcd = Etcd(tls=pki.server(asks_clients=True))
         (url,) = await etcd.open()
         put(etcd, "members/a", entry("a"))
-        f, without = Followed(endpoints=[url], **pki.files()), Followed(endpoints=[url], **pki.files(False))
+        f, without = Following(endpoints=[url], **pki.files()), Following(endpoints=[url], **pki.files(False))
         await until(lambda: f.follows and bool(without.lines))
         assert f.states == {"a": "ready"}
         assert not without.follows
         assert sum("TLS failed" in line or "broke" in line for line in without.lines) >= 1
         without.close()
-        # the authority itself is another one from now on; without reading the files again nothing would go
+        # a new authority: connections fail unless the files are read again
         new = Pki(tmp_path)
         new.issue("server", "127.0.0.1")
         new.issue("client", "client.example")
@@ -157,11 +157,11 @@
         f.close()
         etcd.close()
 
-    play(work())
+    run_limited(work())
 
 
 @pytest.mark.parametrize("fault", ["expired", "wrong CA", "other name", "no TLS", "no file"])
-def test_a_certificate_that_is_none_is_told_of_once_and_tried_on(fault: str, tmp_path: Path) -> None:
+def test_tls_failures_are_logged_once_and_retried(fault: str, tmp_path: Path) -> None:
     async def work() -> None:
         pki, last = Pki(tmp_path), datetime.now() - timedelta(days=1)
         ends = {"not_before": last - timedelta(days=9), "not_after": last} if fault == "expired" else {}
@@ -172,18 +172,18 @@
             Pki(tmp_path)
         elif fault == "no file":
             (tmp_path / "ca.pem").unlink()
-        f = Followed(endpoints=[url.replace("http:", "https:")], ca_file=str(tmp_path / "ca.pem"))
+        f = Following(endpoints=[url.replace("http:", "https:")], ca_file=str(tmp_path / "ca.pem"))
         await until(lambda: f.actor.follower.failures > 3)
         assert len(f.lines) == 1 and url.partition("//")[2] in f.lines[0], f.lines
-        said = {
+        expected = {
             "expired": "has expired",
             "wrong CA": "verify failed|self-signed|unable to get",
             "other name": "IP address mismatch",
             "no TLS": "reset by peer",
             "no file": "No such file",
         }
-        assert any(words in f.lines[0] for words in said[fault].split("|")), f.lines
-        if fault == "expired":  # and once it is another, all is well
+        assert any(words in f.lines[0] for words in expected[fault].split("|")), f.lines
+        if fault == "expired":  # with a valid certificate, the connection works
             pki.issue("server", "127.0.0.1")
             etcd.servers[0].tls = pki.server()
             etcd.cluster.cut()
@@ -193,10 +193,10 @@
         f.close()
         etcd.close()
 
-    play(work())
+    run_limited(work())
 
 
-def test_a_login_from_a_file_that_is_read_again(tmp_path: Path) -> None:
+def test_login_with_a_password_file_that_is_read_again(tmp_path: Path) -> None:
     async def work() -> None:
         etcd = Etcd()
         urls = await etcd.open()
@@ -208,7 +208,7 @@
         put(etcd, "members/a", entry("a"))
         password = tmp_path / "password"
         password.write_text("wrong\n")
-        f = Followed(endpoints=urls, user="reader", password_file=str(password))
+        f = Following(endpoints=urls, user="reader", password_file=str(password))
         await until(lambda: f.actor.follower.failures > 1)
         assert len(f.lines) == 1
         assert "rejected user reader" in f.lines[0]
@@ -219,7 +219,7 @@
         etcd.servers[0].expire_tokens()
         await until(
             lambda: f.actor.endpoint_client is not None and f.actor.endpoint_client.logins == 2
-        )  # by the next pulse
+        )  # by the next probe
         assert f.follows
         etcd.servers[0].expire_tokens(cancel=True)
         put(etcd, "drain/a")
@@ -227,11 +227,11 @@
         f.close()
         etcd.close()
 
-    play(work())
+    run_limited(work())
 
 
 @pytest.mark.parametrize("body", [b"<html>", b'{"hello":1}', b""])
-def test_what_is_no_etcd_is_told_of_and_the_next_endpoint_is_followed(body: bytes) -> None:
+def test_after_a_response_that_is_not_from_etcd_the_next_endpoint_is_followed(body: bytes) -> None:
     async def work() -> None:
         async def odd(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
@@ -242,7 +242,7 @@
         etcd = Etcd()
         (url,) = await etcd.open()
         none = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        f, alone = Followed(endpoints=[none, url, "http://localhost:1"]), Followed(endpoints=[none])
+        f, alone = Following(endpoints=[none, url, "http://localhost:1"]), Following(endpoints=[none])
         await until(lambda: f.follows and bool(alone.lines))
         assert str(f.actor.endpoints[f.actor.follower.current]) == url
         assert "answered with status 404" in alone.lines[0]
@@ -251,4 +251,4 @@
         server.close()
         etcd.close()
 
-    play(work())
+    run_limited(work())
--- a/tests/etcd/test_messages.py
+++ b/tests/etcd/test_messages.py
@@ -1,4 +1,4 @@
-"""Answers out of pieces that end anywhere, and out of bounds."""
+"""Responses in pieces of any size, and responses that exceed the limits."""
 
 import json
 from typing import Any
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("size", [1, 7, 1000, 10**9])
 @pytest.mark.parametrize("count", [2, 900])
-def test_a_list_and_a_watch_are_read_alike_whole_or_in_pieces(count: int, size: int) -> None:
+def test_lists_and_watches_are_parsed_from_pieces_of_any_size(count: int, size: int) -> None:
     kvs = [kv(f"k{n}") for n in range(count)] + [kv("long", b"x" * 40_000)] * (count > 2)
     events = [{"kv": one} for one in kvs] + [{"type": "DELETE", "kv": kv("gone")}]
     told = {"result": {"header": HEADER, "fragment": True, "events": events}}
@@ -43,7 +43,7 @@
     ] * 2
 
 
-def test_of_a_key_too_long_no_more_is_held_than_of_any() -> None:
+def test_an_overlong_item_is_not_buffered_completely() -> None:
     reader = ResponseReader(False)
     reader.feed(b'{"kvs":[{"key":"aw==","create_revision":"1","mod_revision":"2","value":"' + b"x" * 70_000)
     reader.feed(b"x" * 1_000_000)
@@ -60,7 +60,9 @@
         ({"result": {"canceled": True, "cancel_reason": "code = PermissionDenied"}}, 7, (False, True)),
     ],
 )
-def test_refusals_of_all_gateways(body: dict[str, Any], refusal: int, kind: tuple[bool, bool]) -> None:
+def test_error_responses_of_all_gateway_versions(
+    body: dict[str, Any], refusal: int, kind: tuple[bool, bool]
+) -> None:
     (answer,) = ResponseReader(True).feed(json.dumps(body).encode() + b"\n")
     assert isinstance(answer.error, ErrorResponse)
     assert answer.error.code == refusal
@@ -78,6 +80,6 @@
     ],
     ids=["html", "number", "base64", "frame", "key"],
 )
-def test_what_is_no_answer_ends_the_connection(data: bytes) -> None:
+def test_invalid_responses_raise_an_error(data: bytes) -> None:
     with pytest.raises(MalformedResponseError):
         ResponseReader(True).feed(data + b"{" * 70_000)
--- a/tests/etcd/test_stand_in.py
+++ b/tests/etcd/test_stand_in.py
@@ -1,4 +1,4 @@
-"""The etcd stand-in against its published rules, and against a public client that knows nothing of it."""
+"""The etcd stand-in: its conformance to etcd's API, also with an unmodified public client."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
     s.txn(Put(b"a", b"1"))
     s.txn(Put(b"a", b"2"))
     s.txn(Delete(Keys(b"a")))
-    s.txn(Delete(Keys(b"a")))  # nothing was there: no revision
+    s.txn(Delete(Keys(b"a")))  # the key does not exist, so there is no new revision
     s.txn(Put(b"a", b"3"))
     assert [(kv.create_revision, kv.mod_revision, kv.version) for kv in s.past[b"a"]] == [
         (2, 2, 1),
@@ -41,7 +41,7 @@
             call()
 
 
-def test_a_transaction_is_one_revision_or_nothing() -> None:
+def test_a_transaction_creates_one_revision_or_none() -> None:
     s = Store()
     done = s.txn(Txn((Compare(Keys(b"a"), "CREATE", "EQUAL", 0),), (Put(b"a"), Put(b"b")), (Delete(ALL),)))
     assert isinstance(done, TxnDone)
@@ -61,12 +61,12 @@
     assert s.revision == 3
 
 
-def test_leases_end_together_and_a_new_leader_begins_them_anew() -> None:
+def test_lease_keys_expire_together_and_a_new_leader_renews_leases() -> None:
     s = Store()
     lease = s.grant(10.0, 5)
     for key in (b"a", b"b", b"c"):
         s.txn(Put(key, lease=lease.id))
-    s.txn(Put(b"c"))  # is bound to it no more
+    s.txn(Put(b"c"))  # the key is no longer attached to the lease
     s.promote(14.0)
     s.expire(18.0)
     assert s.range(Range(ALL)).total == 3
@@ -79,7 +79,7 @@
 
 
 class Wire:
-    """A connection of a member, without sockets."""
+    """A connection to a member, without sockets."""
 
     def __init__(self, cluster: Cluster, member: int = 0) -> None:
         self.out: list[bytes] = []
@@ -92,7 +92,7 @@
         )
 
     def told(self) -> list[dict[str, Any]]:
-        """All that came since, by JSON object."""
+        """Returns the JSON objects received since the last call."""
         found = [
             json.loads(line) for data in self.out for line in data.split(b"\r\n") if line.startswith(b"{")
         ]
@@ -104,7 +104,7 @@
     return {"key": base64(name.encode())} | more
 
 
-def test_a_member_that_lags_or_stalls_tells_later_or_what_was() -> None:
+def test_a_lagging_or_stalled_member_responds_late_or_with_old_data() -> None:
     c = Cluster(2)
     wire, other = Wire(c, 0), Wire(c, 1)
     wire.ask("kv/put", **key("a"))
@@ -114,7 +114,7 @@
     other.ask("kv/range", **key("a", serializable=True))
     assert other.told()[0]["header"]["revision"] == "2"
     other.ask("kv/range", **key("a"))
-    assert other.told() == []  # a linearizable read waits until it has caught up
+    assert other.told() == []  # a linearizable read waits until the member has caught up
     c.lag(1, on=False)
     assert other.told()[0]["kvs"][0]["version"] == "2"
     c.lag(1, lies=True)
@@ -137,7 +137,7 @@
         ({"start_revision": 3, "fragment": True}, [["a"], ["b"], ["DELETE a"]]),
     ],
 )
-def test_a_watch_tells_from_its_revision_on(asked: dict[str, Any], events: list[list[str]]) -> None:
+def test_a_watch_starts_at_its_revision(asked: dict[str, Any], events: list[list[str]]) -> None:
     c = Cluster()
     c.fragment = 10
     wire = Wire(c)
@@ -158,7 +158,7 @@
     assert fragments == ([True, False, False] if "fragment" in asked else [False] * len(rest))
 
 
-def test_a_compacted_watch_is_cancelled_and_a_backup_goes_back() -> None:
+def test_a_compacted_watch_is_canceled_and_a_restored_backup_is_older() -> None:
     c = Cluster()
     wire = Wire(c)
     for _ in range(4):
@@ -180,7 +180,7 @@
 
 
 def by_public_client(c: Etcd3Client) -> None:
-    """All that etcd3gw can do with keys, leases and watches, as its own documentation shows it."""
+    """Uses keys, leases and watches as the documentation of etcd3gw shows."""
     assert c.put("k1", "v1")
     assert c.get("k1") == [b"v1"]
     assert c.create("k2", "v")
@@ -212,7 +212,7 @@
 
 
 def test_an_unmodified_public_client_works() -> None:
-    async def play(calls: Callable[[Etcd3Client], None]) -> None:
+    async def serve_while(calls: Callable[[Etcd3Client], None]) -> None:
         etcd = Etcd()
         await etcd.open()
         try:
@@ -220,4 +220,4 @@
         finally:
             etcd.close()
 
-    asyncio.run(asyncio.wait_for(play(by_public_client), 20))
+    asyncio.run(asyncio.wait_for(serve_while(by_public_client), 20))
--- a/tests/etcd/test_state.py
+++ b/tests/etcd/test_state.py
@@ -1,4 +1,4 @@
-"""The client's protocol against a cluster in trouble, in virtual time."""
+"""The etcd client's state machine against a faulty cluster, in virtual time."""
 
 from random import Random
 from typing import Any
@@ -13,55 +13,55 @@
 from finchladder.net.etcd import state
 from finchladder.net.etcd.messages import ErrorResponse, Header, Item, Response
 from finchladder.net.etcd.state import TRANSITIONS, Follower, State
-from tests.etcd.play import Play, entry
+from tests.etcd.play import Simulation, entry
 
 
-def play(members: int = 1, names: int = 5, **more: Any) -> Play:
-    p = Play(Cluster(members), **more)
+def simulate(members: int = 1, names: int = 5, **more: Any) -> Simulation:
+    p = Simulation(Cluster(members), **more)
     for n in range(names):
         p.put(f"members/w{n}", entry(f"w{n}"))
     return p
 
 
-def followed(members: int = 1, names: int = 5, **more: Any) -> Play:
-    p = play(members, names, **more)
+def followed(members: int = 1, names: int = 5, **more: Any) -> Simulation:
+    p = simulate(members, names, **more)
     p.run(0.5)
     assert p.follower.state is State.FOLLOWING
-    assert len(p.told) == 1
+    assert len(p.reports) == 1
     assert p.states() == p.truth()
     return p
 
 
-def test_a_list_in_pages_then_each_change_within_a_hop() -> None:
+def test_a_list_is_read_in_pages_and_changes_arrive_within_one_hop() -> None:
     p = followed()
-    assert p.told[0].workers.kind is api.ListKind.FULL
-    assert p.told[0].version == 6
+    assert p.reports[0].workers.kind is api.ListKind.FULL
+    assert p.reports[0].version == 6
     p.put("drain/w1")
     p.run(0.002)
-    (drained,) = p.told[-1].workers.entries
+    (drained,) = p.reports[-1].workers.entries
     assert (drained.state, drained.started_at) == (api.WorkerStatus.DRAINING, ANY_START)
-    assert p.told[-1].addresses
-    p.put("drain/w9")  # another source may list it
+    assert p.reports[-1].addresses
+    p.put("drain/w9")  # another source may list this worker
     p.run(0.002)
-    assert p.told[-1].workers.entries[0].state is api.WorkerStatus.DRAINING
-    assert not p.told[-1].addresses
+    assert p.reports[-1].workers.entries[0].state is api.WorkerStatus.DRAINING
+    assert not p.reports[-1].addresses
     for key in ("drain/w1", "members/w2", "drain/w9"):
         p.delete(key)
     p.run(0.1)
     assert p.states() == {"w0": "ready", "w1": "ready", "w3": "ready", "w4": "ready"}
 
 
-def test_a_transaction_in_fragments_is_one_word() -> None:
+def test_a_transaction_in_fragments_is_one_report() -> None:
     p = followed()
     p.cluster.fragment = 1
     ops = tuple(Put(f"/f/members/w{n}".encode(), entry(f"w{n}", "draining")) for n in range(4))
     p.cluster.store.txn(Txn((), ops, ()))
     p.cluster.written()
     p.run(0.1)
-    assert [len(r.workers.entries) for r in p.told] == [5, 4]
+    assert [len(r.workers.entries) for r in p.reports] == [5, 4]
 
 
-def test_what_was_cut_within_a_fragment_is_told_again() -> None:
+def test_a_message_cut_between_fragments_is_read_again() -> None:
     f = Follower("/f", ["m"], Random(1))
     h = Header(cluster_id=1, revision=5)
     items = [Response(h, [item("w1", 5)], fragment=True), Response(h, [item("w2", 5)])]
@@ -85,19 +85,21 @@
     [b"{", b'{"name":"w1"}', entry("w2"), entry("w1", "asleep"), b"x" * 9000, b"x" * 1_000_000],
     ids=["form", "fields", "name", "status", "9 KB", "1 MB"],
 )
-def test_an_unusable_entry_changes_nothing_and_is_told_of_once(value: bytes) -> None:
+def test_an_unusable_entry_changes_nothing_and_is_logged_once(value: bytes) -> None:
     p = followed()
     p.put("members/w1", value)
-    p.put("members/w5", value)  # nothing was known of it
+    p.put("members/w5", value)  # the worker was unknown before
     p.put("members/w6", entry("w6"))
     p.put("members/w1", value)
     p.run(0.1)
     assert p.states() == dict.fromkeys(["w0", "w1", "w2", "w3", "w4", "w6"], "ready")
     p.cluster.cut()
     p.run(6.0)
-    p.cluster.cut(on=False)  # after so long a list is taken, and what was known of w1 still holds
+    p.cluster.cut(
+        on=False
+    )  # after this silence the list is read again, and the previous entry of w1 stays in use
     p.run(2.0)
-    assert len(p.told) > 3
+    assert len(p.reports) > 3
     assert p.states() == dict.fromkeys(["w0", "w1", "w2", "w3", "w4", "w6"], "ready")
     assert len([line for line in p.log if "the key is ignored" in line]) == 2
     p.put("members/w1", entry("w1", "draining"))
@@ -105,48 +107,51 @@
     assert p.states()["w1"] == "draining"
 
 
-def test_a_short_cut_is_resumed_and_a_compacted_one_listed_anew() -> None:
+def test_a_broken_watch_is_resumed_or_after_compaction_listed_again() -> None:
     p = followed(3)
     p.cluster.cut()
     p.put("drain/w1")
     p.run(0.5)
     p.cluster.cut(on=False)
     p.run(2.0)
-    assert [r.workers.kind.value for r in p.told] == ["whole", "patch"]
+    assert [r.workers.kind.value for r in p.reports] == ["whole", "patch"]
     p.cluster.cut()
     p.delete("members/w2")
     p.put("drain/w3")
     p.cluster.store.compact(p.cluster.store.revision)
     p.cluster.cut(on=False)
     p.run(2.0)
-    assert [r.workers.kind.value for r in p.told] == ["whole", "patch", "whole"]
+    assert [r.workers.kind.value for r in p.reports] == ["whole", "patch", "whole"]
     assert p.states() == p.truth()
 
 
-def test_after_a_stall_of_a_minute_nothing_of_before_is_told() -> None:
+def test_after_a_long_stall_old_events_are_not_reported() -> None:
     p = followed()
     p.cluster.stall()
     p.put("drain/w1")
     p.delete("drain/w1")
     p.run(60.0)
     assert p.follower.state is not State.FOLLOWING
-    assert len(p.told) == 1
+    assert len(p.reports) == 1
     p.cluster.stall(on=False, now=p.now)
     p.run(2.0)
-    assert [r.workers.kind.value for r in p.told] == ["whole", "whole"]  # no word of the drain that is over
+    assert [r.workers.kind.value for r in p.reports] == [
+        "whole",
+        "whole",
+    ]  # the drain that ended meanwhile is not reported
 
 
-def test_a_pause_of_this_process_is_a_silence_too() -> None:
+def test_a_pause_of_this_process_counts_as_silence() -> None:
     p = followed()
-    p.put("drain/w1")  # its news lie in the socket meanwhile
+    p.put("drain/w1")  # the event stays in the socket during the pause
     p.now += 30.0
     p.run(1.0)
-    assert [r.workers.kind.value for r in p.told] == ["whole", "whole"]
+    assert [r.workers.kind.value for r in p.reports] == ["whole", "whole"]
 
 
 @pytest.mark.parametrize("lies", [False, True])
-def test_a_member_that_lags_answers_the_list_and_another_the_watch(lies: bool) -> None:
-    p = play(2)
+def test_the_list_comes_from_a_lagging_member_and_the_watch_from_another(lies: bool) -> None:
+    p = simulate(2)
     p.cluster.lag(0, lies=lies)
     p.put("drain/w1")
     p.run(3.0)
@@ -157,14 +162,14 @@
         p.run(2.0)
     assert p.states() == p.truth()
     assert p.follower.current == 1
-    p.cluster.cut(1)  # and the one that lags tells less than was told: nothing of it is taken
+    p.cluster.cut(1)  # the lagging member is at an older revision: nothing of it is used
     p.run(0.3 if lies else 2.0)
     assert p.states() == p.truth()
-    assert p.told[-1].version == 7
+    assert p.reports[-1].version == 7
 
 
 @pytest.mark.parametrize(("members", "id"), [(1, 0), (1, 7), (3, 0), (3, 7)])
-def test_a_backup_is_passed_on_once_whole_and_followed(members: int, id: int) -> None:
+def test_a_restored_backup_is_reported_once_as_a_full_list(members: int, id: int) -> None:
     p = followed(members)
     backup = p.cluster.backup()
     p.put("drain/w1")
@@ -172,7 +177,7 @@
     p.run(0.1)
     p.cluster.restore(backup, p.now, id)
     p.run(2.0)
-    whole = p.told[-1]
+    whole = p.reports[-1]
     assert (whole.workers.kind, whole.version) == (api.ListKind.FULL, 6)
     assert whole.epoch == f"{id or p.cluster.id:x}"
     assert p.states() == p.truth()
@@ -181,7 +186,7 @@
     assert p.states() == p.truth()
 
 
-def test_a_dead_endpoint_does_not_keep_a_backup_from_being_followed() -> None:
+def test_an_unreachable_endpoint_does_not_block_a_restored_backup() -> None:
     p = followed(2)
     backup = p.cluster.backup()
     p.put("drain/w1")
@@ -192,18 +197,18 @@
     assert p.states() == p.truth()
 
 
-def test_leases_that_end_are_gone() -> None:
+def test_entries_of_expired_leases_are_removed() -> None:
     p = followed()
     lease = p.cluster.store.grant(p.now, 5)
     for n in range(3):
         p.cluster.store.txn(Put(f"/f/members/w{n}".encode(), entry(f"w{n}"), lease.id))
     p.run(8.0)
     assert p.states() == {"w3": "ready", "w4": "ready"}
-    assert len(p.told[-1].workers.entries) == 3
+    assert len(p.reports[-1].workers.entries) == 3
 
 
-def test_tokens_end_within_a_watch_and_wrong_users_wait_long() -> None:
-    p = Play(Cluster(), user=True)
+def test_expired_tokens_are_renewed_and_rejected_logins_back_off() -> None:
+    p = Simulation(Cluster(), user=True)
     auth = p.cluster.auth
     auth.add_role("r", Permission("READ", Keys(b"/f/", b"/f0")))
     auth.add_user("u", "p", ["r"])
@@ -213,11 +218,11 @@
     p.run(1.0)
     assert p.states() == p.truth()
     auth.expire()
-    p.run(5.0)  # a pulse logs in again; the watch stands
+    p.run(5.0)  # a probe logs in again, and the watch continues
     p.put("drain/w1")
     p.run(0.1)
     assert p.states() == p.truth()
-    assert len(p.told) == 2
+    assert len(p.reports) == 2
     assert not p.log
     for line in p.lines():
         if line.lines:
@@ -241,12 +246,14 @@
 
 
 @pytest.mark.parametrize("less", [Header(1, 0, 3, 2), Header(1, 0, 9, 1)], ids=["revision", "term"])
-def test_who_tells_less_than_was_told_is_left_until_all_do(less: Header) -> None:
+def test_older_endpoints_are_skipped_until_all_are_older(less: Header) -> None:
     f, h = Follower("/f", ["a", "b"], Random(1)), Header(1, 0, 5, 2)
     first: list[state.Event] = [state.TimerExpired(), state.Opened(), state.ListPage(Response(h, []))]
     for event in [*first, state.WatchMessage(Response(h, [], created=True))]:
         f.handle(0.0, event)
-    assert not f.handle(0.0, state.WatchMessage(Response(h, [item("w", 4)])))  # told again: no news
+    assert not f.handle(
+        0.0, state.WatchMessage(Response(h, [item("w", 4)]))
+    )  # an event that was reported before
     f.handle(0.0, state.EndpointFailed(state.Failure.LOST, ""))
     for after in (State.WAITING, State.LISTING):
         f.handle(0.1, state.TimerExpired())
@@ -255,7 +262,7 @@
         assert f.state is after
 
 
-def test_what_is_refused_each_time_waits_in_the_end() -> None:
+def test_repeated_rejections_end_in_a_backoff() -> None:
     for answer in (
         Response(Header(), [], canceled=True, error=ErrorResponse(16, "invalid auth token")),
         Response(Header(), [], canceled=True, compacted=7),
@@ -270,12 +277,12 @@
         assert tries == state.MAX_RESTARTS + 1
 
 
-def test_a_watch_that_keeps_back_is_found_and_other_keys_are_no_sign_of_one() -> None:
+def test_a_withholding_watch_is_detected_despite_changes_of_other_keys() -> None:
     p = followed()
-    for _ in range(30):  # another application's keys, all the time
+    for _ in range(30):  # another application keeps writing its keys
         p.cluster.store.txn(Put(b"/other"))
         p.run(1.0)
-    assert len(p.told) == 1
+    assert len(p.reports) == 1
     assert not p.log
     assert p.follower.last_revision > 15
     assert p.watch is not None
@@ -286,8 +293,8 @@
     assert len(p.log) == 2
 
 
-def test_tries_are_spread_and_never_come_in_a_row() -> None:
-    p = play(3)
+def test_retries_are_jittered() -> None:
+    p = simulate(3)
     p.cluster.cut()
     opened: list[float] = []
     p.opened = lambda member: (opened.append(p.now), p.happens(state.EndpointFailed(state.Failure.LOST, "")))  # type: ignore
@@ -300,8 +307,8 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_after_any_faults_the_truth_is_told_within_2_s(seed: int) -> None:
-    """An hour of the issue's faults, a minute for each seed."""
+def test_after_random_faults_the_state_is_correct_within_2_s(seed: int) -> None:
+    """Random faults for 60 s of virtual time per seed."""
     random = Random(seed)
     p = followed(3, seed=seed)
     backups = [p.cluster.backup()]
@@ -316,7 +323,7 @@
             case 2:
                 p.cluster.lag(*some, on=on, lies=random.random() < 0.5)
             case 3 if random.random() < 0.3:
-                p.cluster.cut()  # as nobody restores a cluster within a moment
+                p.cluster.cut()  # a restore takes some time, during which the cluster is down
                 p.run(state.MAX_SILENCE_S + 1.0)
                 p.cluster.restore(random.choice(backups), p.now, random.choice([0, 0, 7, 8]))
             case 4:
@@ -339,7 +346,7 @@
     assert p.follower.state is State.FOLLOWING
 
 
-def test_every_step_of_the_table_is_met_and_no_other() -> None:
+def test_exactly_the_transitions_of_the_table_occur() -> None:
     h, later = Header(cluster_id=1, revision=3), Header(cluster_id=1, revision=9)
     refused = ErrorResponse(16, "invalid auth token")
     events: list[state.Event] = [
@@ -369,6 +376,6 @@
         for _ in range(60):
             now, before = now + random.choice([0.0, 0.0, 0.1, 4.0, 11.0]), f.state
             event = random.choice([e for e in events if type(e) in TRANSITIONS[before]])
-            f.handle(now, event)  # it looks at the table itself
+            f.handle(now, event)  # checks the transition against the table
             met.add((before, type(event), f.state))
     assert met == {(a, e, b) for a, row in TRANSITIONS.items() for e, after in row.items() for b in after}
--- a/tests/etcd/test_tool.py
+++ b/tests/etcd/test_tool.py
@@ -1,4 +1,4 @@
-"""The command `etcd`: the page for operators as it stands, and what keeps a lease."""
+"""The command `etcd`: the commands of the operators' page, leases and errors."""
 
 import asyncio
 import contextlib
@@ -11,7 +11,7 @@
 
 from finchladder.lab.etcd.server import Etcd
 from finchladder.lab.etcd.store import Keys, Range
-from tests.etcd.test_follow import play, until
+from tests.etcd.test_follow import run_limited, until
 
 ROOT = Path(__file__).resolve().parents[2]
 RUN = f"{sys.executable} -m finchladder"
@@ -39,7 +39,7 @@
     return process.returncode or 0, out.decode(), error.decode()
 
 
-def test_the_page_works_from_an_empty_etcd_on() -> None:
+def test_the_commands_of_the_page_work_on_an_empty_etcd() -> None:
     page = (ROOT / "docs/ETCD.md").read_text()
     blocks: list[tuple[str, list[str]]] = []
     for line in page.splitlines():
@@ -71,10 +71,10 @@
             token = auth.authenticate(0.0, "dispatcher", "change-me-4711")
             auth.check(0.0, token, Keys(b"/finchladder/", b"/finchladder0"))
 
-    play(work())
+    run_limited(work())
 
 
-def test_a_lease_is_kept_had_anew_and_given_back() -> None:
+def test_a_lease_is_renewed_replaced_and_revoked() -> None:
     async def work() -> None:
         async with etcd(2) as e:
             urls = " ".join(f"--endpoint {s.url}" for s in e.servers)
@@ -85,12 +85,14 @@
             )
             await until(lambda: b'"ready"' in there(e).get("a", b""))
             store = e.cluster.store
-            store.revoke(next(iter(store.leases)))  # as if the network had been cut for long
+            store.revoke(next(iter(store.leases)))  # as after a long network failure
             assert there(e) == {}
             await until(lambda: b'"ready"' in there(e).get("a", b""))
             e.cluster.cut(0)
             renewed = next(iter(store.leases.values())).ends
-            await until(lambda: next(iter(store.leases.values())).ends > renewed + 1.0)  # by the other one
+            await until(
+                lambda: next(iter(store.leases.values())).ends > renewed + 1.0
+            )  # by the other endpoint
             process.send_signal(signal.SIGTERM)
             await until(lambda: b'"draining"' in there(e).get("a", b""))
             process.send_signal(signal.SIGTERM)
@@ -99,7 +101,7 @@
             assert there(e) == {}
             assert not store.leases
 
-    play(work())
+    run_limited(work())
 
 
 @pytest.mark.parametrize(
@@ -114,12 +116,12 @@
         ("import pyproject.toml", 2, "pyproject.toml"),
     ],
 )
-def test_what_can_not_be_done_is_said_in_one_line(command: str, status: int, says: str) -> None:
+def test_errors_are_reported_in_one_line(command: str, status: int, says: str) -> None:
     done = asyncio.run(shell(f"{RUN} etcd {command}"))
     assert done[0] == status and says in done[2] and done[2].count("\n") == 1, done
 
 
-def test_import_takes_a_platform_s_list() -> None:
+def test_import_accepts_the_list_of_a_platform_file() -> None:
     async def work() -> None:
         async with etcd() as e:
             command = f"{RUN} etcd --endpoint {e.servers[0].url} import examples/config.json"
@@ -127,4 +129,4 @@
             assert status == 0
             assert out == f"{len(there(e))} real servers listed\n"
 
-    play(work())
+    run_limited(work())
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate on real sockets: what waits unread, what is turned away raw, and that all else is as ever."""
+"""Admission control on real sockets: which jobs wait or are rejected, and that other messages pass."""
 
 import asyncio
 import signal
@@ -30,8 +30,7 @@
 from finchladder.net.http1 import Parser
 from finchladder.net.request_handler import RequestHandler
 from finchladder.net.timers import Timers
-from tests.helpers import KEYED, SAFE, UNSAFE, entry
-from tests.helpers import settings as facts
+from tests.helpers import KEYED, SAFE, UNSAFE, entry, settings
 from tests.peers import HEALTH, Message, RealServer, exchange, node, read_message, request, run
 from tests.test_parsers import flow_of, intake
 from tests.test_sockets import BAD
@@ -40,69 +39,69 @@
 CALL_BACK = b'POST /v1/job-events HTTP/1.1\r\nContent-Length: 37\r\n\r\n{"id":"x","from":"w1","state":"done"}'
 
 
-class Place:
-    """Clients, a front and a gate that sheds: nothing is let in but by `let_in`. Jobs wait in `taken`."""
+class Harness:
+    """A listener with admission control that sheds; jobs are admitted by `admit` and end in `accepted`."""
 
     def __init__(self, sockets: int = 128, memory: int = 1 << 25) -> None:
         flows = FlowTable()
-        self.module = DecisionActor(Dispatcher(facts(), 1), flows, Clock())
-        self.told: list[object] = []
-        self.module.submit = self.told.append  # type: ignore[assignment]
+        self.module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
+        self.submitted: list[object] = []
+        self.module.submit = self.submitted.append  # type: ignore[assignment]
         self.intake = intake(flows, self.module)
         self.intake.classes = {"safe"}
-        self.gate = Admission(
+        self.admission = Admission(
             (SAFE, UNSAFE, KEYED), OverloadSettings(), 1, Clock(), flows.is_known, HostEnvironment()
         )
-        self.control = self.gate.controller
+        self.control = self.admission.controller
         self.control.state = State.SHEDDING
-        self.control.has_spare_budget = True  # what comes late may be read as well
+        self.control.has_spare_budget = True  # late jobs may be read as well
         for band in self.control.bands:
-            band.admitted_fraction = 0.0  # what does not wait is refused
-        self.gate._tick = lambda: None  # type: ignore[method-assign]
-        self.let(0)
+            band.admitted_fraction = 0.0  # jobs that do not wait are rejected
+        self.admission._tick = lambda: None  # type: ignore[method-assign]
+        self.admit(0)
         controls = ControlCalls(self.intake.clock, self.intake.classes, OFF, None, self.intake.arrivals, None)
-        front = RequestHandler(self.intake, controls, lambda: True, self.told.append, self.gate)
+        front = RequestHandler(self.intake, controls, lambda: True, self.submitted.append, self.admission)
         self.bodies = BodyMemory(memory)
         self.clients = client_listener.ClientListener(front, self.bodies, sockets)
         self.listening = socket.create_server(("127.0.0.1", 0))
         self.listening.setblocking(False)
         self.port: int = self.listening.getsockname()[1]
-        self.gate.start()
+        self.admission.start()
         self.clients.add_socket(self.listening)
 
     @property
-    def taken(self) -> list[Flow]:
-        return [item for item in self.told if isinstance(item, Flow)]
+    def accepted(self) -> list[Flow]:
+        return [item for item in self.submitted if isinstance(item, Flow)]
 
-    def let(self, n: int) -> None:
-        """So many are read, and no more."""
+    def admit(self, n: int) -> None:
+        """Admits exactly `n` waiting jobs."""
         reads = self.control.read_tokens
         reads.rate = 1e-9
         for tokens in [0.0, *[1.0] * n]:
-            reads.tokens, reads.updated_at = tokens, self.gate.clock()
-            self.gate._drain()
+            reads.tokens, reads.updated_at = tokens, self.admission.clock()
+            self.admission._drain()
 
-    def turn_away(self) -> None:
-        """All that wait, as if their time had come."""
+    def reject_all(self) -> None:
+        """Rejects all waiting jobs, as if their deadlines had passed."""
         self.control.unread.deadlines = [(0.0, n, item) for _, n, item in self.control.unread.deadlines]
-        self.gate._drain()
+        self.admission._drain()
 
     async def wait(self, n: int) -> None:
-        """Until so many wait unread."""
+        """Waits until `n` jobs wait unread."""
         while self.control.unread.size != n:
             await asyncio.sleep(0.005)
 
     async def serve(self, n: int) -> None:
-        """Answers so many, once they have been taken."""
-        while len(self.taken) < n:
+        """Answers `n` jobs once they have been accepted."""
+        while len(self.accepted) < n:
             await asyncio.sleep(0.005)
-        for flow in self.taken:
+        for flow in self.accepted:
             self.intake.flows.finish(flow, Answer("served", b"ran " + flow.id.encode()))
 
 
 @asynccontextmanager
-async def place(sockets: int = 128, memory: int = 1 << 25) -> AsyncIterator[Place]:
-    made = Place(sockets, memory)
+async def harness(sockets: int = 128, memory: int = 1 << 25) -> AsyncIterator[Harness]:
+    made = Harness(sockets, memory)
     yield made
     made.clients.stop()
     made.listening.close()
@@ -110,12 +109,12 @@
         each.close()
 
 
-def ask(p: Place, data: bytes = JOB) -> "asyncio.Task[Message]":
+def ask(p: Harness, data: bytes = JOB) -> "asyncio.Task[Message]":
     return asyncio.create_task(exchange(p.port, data))
 
 
 def read(data: bytes) -> tuple[str, str, float]:
-    """What the parser, and all that looks at a job after it, find; BadMessage as today."""
+    """Returns class, id and timeout as the parser and the later checks read them; raises their errors."""
     parser = Parser(http1.parse_request, messages.limit_of)
     parser.feed(data)
     found = parser.poll()
@@ -166,13 +165,13 @@
 
 
 @pytest.mark.parametrize("data", PLAIN)
-def test_a_plain_job_is_told_at_a_glance(data: bytes) -> None:
+def test_plain_jobs_are_recognized(data: bytes) -> None:
     job_class, id, left_s = read(data)
     assert parse_plain_job(data) == (job_class.encode(), id.encode(), left_s)
 
 
 @pytest.mark.parametrize("data", NOT_PLAIN)
-def test_all_else_is_the_parsers(data: bytes) -> None:
+def test_other_messages_are_left_to_the_parser(data: bytes) -> None:
     assert parse_plain_job(data) is None
 
 
@@ -183,122 +182,120 @@
 
 @hypothesis_settings(derandomize=True, max_examples=1000)
 @given(st.sampled_from(PLAIN), EDITS)
-def test_what_is_taken_for_plain_is_so_to_the_parser(
-    data: bytes, edits: list[tuple[int, int, bytes]]
-) -> None:
+def test_the_parser_agrees_on_plain_jobs(data: bytes, edits: list[tuple[int, int, bytes]]) -> None:
     for at, gone, piece in edits:
         data = data[:at] + piece + data[at + gone :]
     if (job := parse_plain_job(data)) is not None:
         assert (job[0].decode(), job[1].decode(), job[2]) == read(data)
 
 
-def test_jobs_wait_while_all_else_is_answered_and_are_served_when_let_in() -> None:
-    async def play() -> None:
-        async with place() as p:
+def test_jobs_wait_for_admission_while_other_messages_are_answered() -> None:
+    async def scenario() -> None:
+        async with harness() as p:
             waiting = [ask(p, request(f"a{i}", "/safe/k")) for i in range(3)]
             await p.wait(3)
             assert (await exchange(p.port, HEALTH)).status == 200
             assert (await exchange(p.port, CALL_BACK)).status == 204
-            assert not p.taken
+            assert not p.accepted
             assert not any(w.done() for w in waiting)
             assert not any(
                 e.queued_message for e in p.clients.connections._closable_as
-            )  # none is looked at for being closed
-            p.let(1)
+            )  # none of them may be closed for another
+            p.admit(1)
             await p.serve(1)
-            p.let(2)
+            p.admit(2)
             await p.serve(3)
             assert [(await w).body for w in waiting] == [b"ran a0", b"ran a1", b"ran a2"]
             assert p.control.admitted["safe"] == 3
             assert p.bodies.free_bytes == BodyMemory(1 << 25).free_bytes
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("tokens", [0.0, 1.0])
-def test_one_that_may_be_read_is_so_at_once_or_a_little_later(tokens: float) -> None:
-    async def play() -> None:
-        async with place() as p:
+def test_a_job_is_admitted_at_once_or_when_a_token_is_available(tokens: float) -> None:
+    async def scenario() -> None:
+        async with harness() as p:
             p.control.read_tokens.rate, p.control.read_tokens.tokens = 1e-9 if tokens else 50.0, tokens
-            p.control.read_tokens.updated_at = p.gate.clock()
+            p.control.read_tokens.updated_at = p.admission.clock()
             answer = ask(p)
             await p.serve(1)
             assert (await answer).body == b"ran a1"
 
-    run(play())
+    run(scenario())
 
 
-def test_one_that_is_turned_away_is_kept_and_then_served() -> None:
-    async def play() -> None:
-        async with place() as p:
+def test_a_connection_stays_usable_after_a_rejection() -> None:
+    async def scenario() -> None:
+        async with harness() as p:
             reader, writer = await asyncio.open_connection("127.0.0.1", p.port)
             for _ in range(3):
                 writer.write(JOB)
                 await p.wait(1)
-                p.turn_away()
+                p.reject_all()
                 answer = await read_message(reader)
                 assert (answer.status, answer.body) == (503, b"refused\n")
                 assert 0.5 <= float(answer.headers["retry-after"]) <= 2
-            assert not p.taken
+            assert not p.accepted
             assert not p.clients.tasks
             assert p.bodies.free_bytes == BodyMemory(1 << 25).free_bytes
-            for i in range(2):  # as a bare socket, and after it was read
+            for i in range(2):  # before and after the stream exists
                 writer.write(request(f"b{i}", "/safe/k"))
                 await p.wait(1)
-                p.let(1)
+                p.admit(1)
                 await p.serve(i + 1)
                 assert (await read_message(reader)).body == b"ran b%d" % i
-            writer.write(request("b0", "/safe/k"))  # the same id again: no refusal
+            writer.write(request("b0", "/safe/k"))  # a repeated id is an error, not a rejection
             await p.wait(1)
-            p.turn_away()
+            p.reject_all()
             assert (await read_message(reader)).status == 400
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_what_comes_before_the_answer_is_looked_at_after_it() -> None:
-    async def play() -> None:
-        async with place() as p:
+def test_a_message_sent_before_the_response_is_read_after_it() -> None:
+    async def scenario() -> None:
+        async with harness() as p:
             reader, writer = await asyncio.open_connection("127.0.0.1", p.port)
-            for n, let in enumerate((False, True)):  # as a bare socket, and after it was read
+            for n, let in enumerate((False, True)):  # before and after the stream exists
                 writer.write(request(f"a{n}", "/safe/k"))
                 await p.wait(1)
                 if let:
-                    p.let(1)
-                    while not p.taken:
+                    p.admit(1)
+                    while not p.accepted:
                         await asyncio.sleep(0.005)
                 writer.write(HEALTH)
                 await asyncio.sleep(0.05)
                 if let:
                     await p.serve(1)
                 else:
-                    p.turn_away()
+                    p.reject_all()
                 assert [(await read_message(reader)).status for _ in range(2)] == [200 if let else 503, 200]
             body = b"x" * (
                 admission.MAX_RECEIVED_BYTES - len(request("b1", "/safe/k", body=b"x" * 1000)) + 1000
             )
-            whole = request("b1", "/safe/k", body=body)  # is received at once, and no more
+            whole = request("b1", "/safe/k", body=body)  # exactly the maximum that is received at once
             assert len(whole) == admission.MAX_RECEIVED_BYTES
             writer.write(whole + HEALTH)
             await p.wait(1)
-            p.let(1)
+            p.admit(1)
             await p.serve(2)
             assert [(await read_message(reader)).status for _ in range(2)] == [200, 200]
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("sent", [1, None])
-def test_a_client_that_does_not_take_its_refusal_is_closed(sent: int | None) -> None:
+def test_a_client_that_does_not_read_its_rejection_is_closed(sent: int | None) -> None:
     def send(data: bytes) -> int:
         if sent is None:
             raise BrokenPipeError
         return sent
 
-    async def play() -> None:
-        async with place() as p:
+    async def scenario() -> None:
+        async with harness() as p:
             reader, writer = await asyncio.open_connection("127.0.0.1", p.port)
             writer.write(JOB)
             await p.wait(1)
@@ -306,22 +303,24 @@
             real = waiting.socket
             fake = SimpleNamespace(send=send, close=real.close, fileno=real.fileno)
             waiting.socket = cast(socket.socket, fake)
-            p.turn_away()
+            p.reject_all()
             assert not p.clients.connections
             assert await reader.read() == b""
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(("data", "status"), BAD)
-def test_bad_input_is_answered_as_ever(data: bytes, status: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bad_input_gets_the_same_status_with_admission_control(
+    data: bytes, status: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 0.1)
 
-    async def play() -> None:
-        async with place() as p:
+    async def scenario() -> None:
+        async with harness() as p:
             p.intake.classes = {"s"}
-            p.gate.class_names[b"s"] = "safe"
+            p.admission.class_names[b"s"] = "safe"
             waiting = asyncio.create_task(p.wait(1))
             answer = ask(p, data)
             await asyncio.wait((waiting, answer), return_when=asyncio.FIRST_COMPLETED)
@@ -329,28 +328,28 @@
             assert answer.result().status == status
             waiting.cancel()
 
-    run(play())
+    run(scenario())
 
 
-def test_what_is_no_plain_job_is_judged_when_its_head_is_read() -> None:
-    async def play() -> None:
-        async with place() as p:
+def test_other_jobs_are_checked_after_parsing() -> None:
+    async def scenario() -> None:
+        async with harness() as p:
             reader, writer = await asyncio.open_connection("127.0.0.1", p.port)
             writer.write(JOB)
             await p.wait(1)
-            p.let(1)
+            p.admit(1)
             await p.serve(1)
             assert (await read_message(reader)).status == 200
             chunked = request("c1", "/safe/k", more="Transfer-Encoding: chunked\r\n").replace(
                 b"Content-Length: 0\r\n", b""
             )
-            writer.write(chunked + b"1\r\na\r\n0\r\n\r\n")  # the one let in before it is no ticket for this
+            writer.write(chunked + b"1\r\na\r\n0\r\n\r\n")  # the earlier admission does not cover this job
             answer = await read_message(reader)
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) >= 0.5
-            assert len(p.taken) == 1
+            assert len(p.accepted) == 1
             p.control.state = State.CALM
-            cast(Any, p.control).put = None  # nothing is to wait, or to be looked at for that
+            cast(Any, p.control).put = None  # no job may be queued
             for id in (b"c2", b"c3"):
                 writer.write(chunked.replace(b"c1", id) + b"0\r\n\r\n")
                 await p.serve(1 + int(id[1:]) - 1)
@@ -360,16 +359,16 @@
             assert (await plain).body == b"ran c4"
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_only_the_first_silence_is_closed_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client that has sent its job in time waits for the gate, and that is not its fault."""
+def test_only_silent_new_connections_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client that sent its job in time must not time out while the job waits for admission."""
     monkeypatch.setattr(client_connection, "FIRST_MESSAGE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(admission, "FIRST_MESSAGE_TIMEOUT_S", 0.1)
 
-    async def play() -> None:
-        async with place() as p:
+    async def scenario() -> None:
+        async with harness() as p:
             silent, writer = await asyncio.open_connection("127.0.0.1", p.port)
             half, more = await asyncio.open_connection("127.0.0.1", p.port)
             more.write(JOB[:-5])
@@ -377,32 +376,32 @@
             await p.wait(1)
             assert (await read_message(half)).status == 408
             await asyncio.sleep(0.15)
-            del p.gate._tick
+            del p.admission._tick
             p.control.tick = lambda *_: None  # type: ignore[method-assign]
-            p.gate._tick()
+            p.admission._tick()
             assert await silent.read() == b""
             assert p.control.unread.size == 1
-            p.let(1)
+            p.admit(1)
             await p.serve(1)
             assert (await waiting).body == b"ran a1"
             for w in (writer, more):
                 w.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("opened", [False, True])
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_a_client_that_leaves_while_it_waits_is_forgotten(opened: bool, how: str) -> None:
-    async def play() -> None:
-        async with place() as p:
+def test_a_waiting_job_is_dropped_when_its_client_disconnects(opened: bool, how: str) -> None:
+    async def scenario() -> None:
+        async with harness() as p:
             reader, writer = await asyncio.open_connection("127.0.0.1", p.port)
             if opened:
                 writer.write(HEALTH)
                 await read_message(reader)
             writer.write(JOB)
             await p.wait(1)
-            p.control.read_tokens.tokens = 1.0  # would be let in if it still waited
+            p.control.read_tokens.tokens = 1.0  # a job that still waited would be admitted
             if how == "half":
                 writer.write_eof()
             elif how == "close":
@@ -411,48 +410,48 @@
                 writer.transport.abort()
             while len(p.clients.connections) or p.control.unread.size:
                 await asyncio.sleep(0.005)
-            assert not p.told
-            assert not p.gate.connections
+            assert not p.submitted
+            assert not p.admission.connections
             assert p.bodies.free_bytes == BodyMemory(1 << 25).free_bytes
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("before", [False, True])
-def test_a_client_that_leaves_while_its_job_runs_has_gone(before: bool) -> None:
-    """`before`: its end was there with the job, which is not even taken then."""
+def test_a_client_that_disconnects_while_its_job_runs_is_reported(before: bool) -> None:
+    """`before`: the close arrives together with the job, which is not accepted then."""
 
-    async def play() -> None:
-        async with place() as p:
+    async def scenario() -> None:
+        async with harness() as p:
             p.control.state = State.CALM
             reader, writer = await asyncio.open_connection("127.0.0.1", p.port)
             writer.write(JOB)
             if before:
                 writer.write_eof()
                 assert await reader.read() == b""
-                assert not p.taken
-                assert not p.told
+                assert not p.accepted
+                assert not p.submitted
             else:
-                while not p.taken:
+                while not p.accepted:
                     await asyncio.sleep(0.005)
                 writer.close()
-                while api.ClientDisconnected("a1") not in p.told:
+                while api.ClientDisconnected("a1") not in p.submitted:
                     await asyncio.sleep(0.005)
             asked, asks = await asyncio.open_connection("127.0.0.1", p.port)
             asks.write(HEALTH)
-            asks.write_eof()  # a question is answered all the same
+            asks.write_eof()  # a health check is answered all the same
             assert (await read_message(asked)).status == 200
             assert await asked.read() == b""
             asks.close()
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_leaving_lets_in_all_that_waits_and_all_that_comes() -> None:
-    async def play() -> None:
-        async with place() as p:
+def test_shutdown_admits_waiting_and_later_jobs() -> None:
+    async def scenario() -> None:
+        async with harness() as p:
             waiting = [ask(p, request(f"a{i}", "/safe/k")) for i in range(3)]
             await p.wait(3)
             left = asyncio.create_task(p.clients.shut_down())
@@ -462,37 +461,39 @@
             assert [(await w).status for w in waiting] == [200] * 4
             await left
 
-    run(play())
+    run(scenario())
 
 
-def test_with_all_connections_taken_others_are_heard_in_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Some that wait are turned away, worst first; call-backs and better jobs come in from outside."""
+def test_with_a_full_table_waiting_jobs_make_room_for_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Waiting jobs are rejected, worst first, so that callbacks and better jobs can be accepted."""
     monkeypatch.setattr(admission, "REJECTED_FOR_ROOM", 1)
 
-    async def play() -> None:
-        async with place(sockets=8) as p:
+    async def scenario() -> None:
+        async with harness(sockets=8) as p:
             most = p.clients.connections.max_connections
             streams = [await asyncio.open_connection("127.0.0.1", p.port) for _ in range(most)]
             for i, (_, writer) in enumerate(streams):
                 writer.write(request(f"a{i}", "/safe/k", left=str(9 - i)))
                 await p.wait(i + 1)
             assert (await exchange(p.port, CALL_BACK)).status == 204
-            assert (await read_message(streams[0][0])).status == 503  # the oldest, and closed for the other
+            assert (
+                await read_message(streams[0][0])
+            ).status == 503  # the oldest job is rejected and its connection closed
             assert await streams[0][0].read() == b""
             assert p.control.unread.size == most - 1
             assert len(p.clients.connections) <= most
-            p.let(most)
+            p.admit(most)
             await p.serve(most - 1)
             for reader, writer in streams[1:]:
                 assert (await read_message(reader)).status == 200
                 writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_what_finds_no_memory_to_wait_in_goes_on_at_once() -> None:
-    async def play() -> None:
-        async with place() as p:
+def test_a_job_without_memory_to_wait_is_passed_on_at_once() -> None:
+    async def scenario() -> None:
+        async with harness() as p:
             p.bodies.free_bytes = len(JOB) - 1
             for band in p.control.bands:
                 band.admitted_fraction = 1.0
@@ -501,23 +502,23 @@
             assert (await answer).status == 200
             assert p.bodies.free_bytes == len(JOB) - 1
 
-    run(play())
+    run(scenario())
 
 
-def test_time_in_the_systems_queue_is_taken_off_the_clients() -> None:
-    async def play() -> None:
-        async with place() as p:
+def test_time_in_the_socket_buffer_counts_towards_the_timeout() -> None:
+    async def scenario() -> None:
+        async with harness() as p:
             reader, writer = await asyncio.open_connection("127.0.0.1", p.port)
             writer.write(HEALTH)
             await read_message(reader)
             p.control.state = State.CALM
             writer.write(request("a1", "/safe/k", left="5"))
-            time.sleep(0.3)  # the loop does not look
-            while not p.taken:
+            time.sleep(0.3)  # blocks the event loop
+            while not p.accepted:
                 await asyncio.sleep(0)
-            assert p.taken[0].deadline - p.intake.clock() <= 4.7
+            assert p.accepted[0].deadline - p.intake.clock() <= 4.7
             p.control.state = State.SHEDDING
-            p.let(0)
+            p.admit(0)
             other, writes = await asyncio.open_connection("127.0.0.1", p.port)
             writes.write(HEALTH)
             await read_message(other)
@@ -525,48 +526,50 @@
             time.sleep(0.3)
             await p.wait(1)
             [(queue, _)] = p.control.unread.positions.values()
-            assert p.intake.clock() - next(iter(queue.values())) >= 5.3  # since it asked, by what it has left
-            p.let(1)
-            while len(p.taken) < 2:
+            assert (
+                p.intake.clock() - next(iter(queue.values())) >= 5.3
+            )  # counted from when the client sent it
+            p.admit(1)
+            while len(p.accepted) < 2:
                 await asyncio.sleep(0)
-            assert p.taken[1].deadline - p.intake.clock() <= 4.7
+            assert p.accepted[1].deadline - p.intake.clock() <= 4.7
             await p.serve(2)
             assert (await read_message(other)).status == 200
             writer.close()
             writes.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_pause_of_the_process_is_no_load_and_starts_are_a_sign() -> None:
-    async def play() -> None:
-        async with place() as p:
-            del p.gate._tick
-            told: list[tuple[float, ...]] = []
-            p.control.tick = lambda *args: told.append(args)  # type: ignore[method-assign]
+def test_ticks_skip_process_pauses_and_use_start_times() -> None:
+    async def scenario() -> None:
+        async with harness() as p:
+            del p.admission._tick
+            ticks: list[tuple[float, ...]] = []
+            p.control.tick = lambda *args: ticks.append(args)  # type: ignore[method-assign]
             for took_s in (0.3, 0.1, 0.2):
-                p.gate.record_start(took_s)
+                p.admission.record_start(took_s)
             for _ in range(100):
-                p.gate.record_start(9.0)
-            assert len(p.gate.start_times_s) == admission.MAX_START_SAMPLES
-            p.gate.start_times_s = p.gate.start_times_s[:3]
-            p.gate._tick()
-            p.gate.meter.sampled_at -= 2.0
-            p.gate._tick()
-            assert [args[3] for args in told] == [0.2]
-            assert not p.gate.start_times_s
+                p.admission.record_start(9.0)
+            assert len(p.admission.start_times_s) == admission.MAX_START_SAMPLES
+            p.admission.start_times_s = p.admission.start_times_s[:3]
+            p.admission._tick()
+            p.admission.meter.sampled_at -= 2.0
+            p.admission._tick()
+            assert [args[3] for args in ticks] == [0.2]
+            assert not p.admission.start_times_s
 
-    run(play())
+    run(scenario())
 
 
-def test_its_begin_and_end_are_said_now_and_then() -> None:
-    async def play() -> None:
-        async with place() as p:
+def test_begin_and_end_of_shedding_are_logged_at_intervals() -> None:
+    async def scenario() -> None:
+        async with harness() as p:
             said: list[str] = []
             sink = logger.add(said.append, format="{message}")
             for now, begins in [(0, True), (1, False), (2, True), (3, False), (12, True)]:
                 p.control.state = State.SHEDDING if begins else State.CALM
-                p.gate._log_state(now, 1.0)
+                p.admission._log_state(now, 1.0)
             logger.remove(sink)
             assert [line.split(";")[0] for line in said] == [
                 "overload: jobs are turned away",
@@ -574,15 +577,15 @@
                 "overload: jobs are turned away",
             ]
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("tells_start", [True, False])
-def test_the_first_news_of_a_job_tells_how_long_it_took_to_start(tells_start: bool) -> None:
-    async def play() -> None:
+def test_the_first_callback_gives_the_start_time_of_a_job(tells_start: bool) -> None:
+    async def scenario() -> None:
         listener = await asyncio.start_server(lambda r, w: w.write(b"HTTP/1.1 202 A\r\n\r\n"), "127.0.0.1", 0)
         flows, took = FlowTable(), list[float]()
-        module = DecisionActor(Dispatcher(facts(reports_start=tells_start), 1), flows, Clock())
+        module = DecisionActor(Dispatcher(settings(reports_start=tells_start), 1), flows, Clock())
         module.submit, module.on_job_started = lambda item: None, took.append  # type: ignore[method-assign]
         group = workers.WorkerPool(flows, module, Timers(Clock()), 5, 30.0, 128, http1.connect)
         address = {"w1": listener.sockets[0].getsockname()[:2]}
@@ -600,10 +603,10 @@
         assert all(5 <= t < 20 for t in took)
         listener.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_selector_counts_the_time_that_its_loop_waits() -> None:
+def test_the_selector_measures_the_waiting_time_of_its_loop() -> None:
     selector = Selector()
     assert not selector.select(0)
     assert selector.idle() == 0
@@ -614,8 +617,8 @@
     assert selector.idle() > 0.08
 
 
-def test_the_program_with_it_serves_and_leaves(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_the_program_serves_and_shuts_down_with_admission_control(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = RealServer("w1")
         async with node(tmp_path, server, ini="[overload]\n") as n:
             answers = await asyncio.gather(*(n.ask(f"a{i}", f"/s/k{i}") for i in range(30)))
@@ -628,10 +631,10 @@
         assert "Traceback" not in log
         assert "overload" not in log
 
-    run(play())
+    run(scenario())
 
 
-def test_off_there_is_none_of_it() -> None:
+def test_admission_control_is_off_by_default() -> None:
     assert OFF.overload is None
     assert HostEnvironment().idle() >= 0
     assert OverloadOptions().settings(100.0) == OverloadSettings(retry_after_s=60.0)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -1,4 +1,4 @@
-"""Long lists: what is read of them, and how they are applied beside what comes meanwhile."""
+"""Long lists: which differences are read, and how slices and later updates are applied."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "whole", "changed"),
+    ("listed_states", "whole", "changed"),
     [
         ({"a": "ready", "b": "ready", "c": "draining"}, True, {}),
         ({"a": "ready", "b": "ready"}, True, {"c": G}),
@@ -42,15 +42,17 @@
         ({}, False, {}),
     ],
 )
-def test_only_what_differs_is_applied_of_a_long_list(
-    told: dict[str, str], whole: bool, changed: dict[str, api.WorkerStatus]
+def test_only_the_differences_of_a_long_list_are_applied(
+    listed_states: dict[str, str], whole: bool, changed: dict[str, api.WorkerStatus]
 ) -> None:
     table = EndpointTable()
     table.apply(read_list(line({"a": "ready", "b": "ready", "c": "draining"})))
-    _, change = read(table, line(told, 7, whole))
+    _, change = read(table, line(listed_states, 7, whole))
     assert (change.version, {e.worker: e.state for e in change.entries}) == (7, changed)
     assert set(change.addresses) == {n for n, s in changed.items() if s is not G}
-    assert read(table, line(told, 8, whole))[1].entries == []  # and once only
+    assert (
+        read(table, line(listed_states, 8, whole))[1].entries == []
+    )  # the same list again has no differences
 
 
 @pytest.mark.parametrize(
@@ -62,16 +64,18 @@
         ({"zone": "x"}, True),
     ],
 )
-def test_a_weight_alone_is_no_difference(more: dict[str, object], differs: bool) -> None:
+def test_a_weight_alone_does_not_count_as_a_difference(more: dict[str, object], differs: bool) -> None:
     table = EndpointTable()
     read(table, line({"a": "ready"}))
     assert bool(read(table, line({"a": "ready"}, 2, True, **more))[1].entries) == differs
 
 
-def test_nothing_is_kept_of_a_line_that_can_not_be_used() -> None:
+def test_an_unusable_line_changes_nothing() -> None:
     table = EndpointTable()
     good = {f"w{n}": "ready" for n in range(9)}
-    assert read(table, line(good))[0] == 5  # 9 entries, 2 at once, and one pause for the line itself
+    assert (
+        read(table, line(good))[0] == 5
+    )  # 4 pauses between slices of 2 of 9 entries, and one after decoding the line
     with pytest.raises(ValueError, match="asleep"):
         read(table, line(good | {"w3": "gone", "w8": "asleep"}))
     assert read(table, line(good))[1].entries == []
@@ -93,8 +97,8 @@
             await asyncio.sleep(0)
 
 
-def test_what_drains_is_applied_first_and_retired_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play() -> None:
+def test_draining_workers_are_applied_first_and_retired_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
         s = Slices(monkeypatch)
         await s.actor.read_line(
             line({"a": "ready", "b": "ready", "c": "ready", "d": "draining", "e": "draining"})
@@ -105,11 +109,11 @@
         await s.settle()
         assert s.applied == [(["d", "e"], {"d", "e"}), (["a", "b"], {"a", "b"}), (["c"], {"c"})]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_later_news_overtake_the_slices_still_to_come(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play() -> None:
+def test_later_updates_replace_queued_entries(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
         s = Slices(monkeypatch)
         await s.actor.read_line(line({"a": "ready", "b": "ready", "c": "ready"}))
         s.actor.post(read_list(line({"b": "draining"}, 2, whole=False)))
@@ -117,22 +121,22 @@
         assert s.applied == [(["b"], {"b"}), (["a", "c"], {"a", "c"})]
         assert s.actor.index == 2
         await s.actor.read_line(line({"a": "gone", "c": "draining"}, 3, whole=False))
-        s.actor.post(read_list(line({"c": "ready"}, 4)))  # whole: of what was to come nothing holds
+        s.actor.post(read_list(line({"c": "ready"}, 4)))  # a full list drops all queued entries
         await s.settle()
         assert s.applied[2:] == [(["c"], {"c"})]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
     ("entries", "known", "up"), [({}, True, False), ({}, False, True), ({"a": "ready"}, True, True)]
 )
-def test_an_empty_list_from_before_is_no_list(
+def test_an_empty_saved_list_does_not_count(
     entries: dict[str, str], known: bool, up: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         s = Slices(monkeypatch)
         await s.actor.read_line(line(entries), known)
         assert s.actor.up == up
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Tables for what is read off the wire, each case in every split."""
+"""Parsers of network input, fed in pieces of several sizes, and the actors behind them."""
 
 import asyncio
 from collections.abc import Callable
@@ -36,15 +36,15 @@
     (CHUNKED + b"3;x=y\r\nabc\r\n0A\r\n0123456789\r\n0\r\nT: t\r\n\r\n", "POST", "/a", b"abc0123456789"),
     (CHUNKED + b"1\r\na\r\n0\r\n" + b"T: ~\r\n" * 64 + b"\r\n", "POST", "/a", b"a"),
 ]
-LAST = CHUNKED + b"1\r\na\r\n0\r\n"  # the trailers follow
-NO_MESSAGES = [
+BEFORE_TRAILERS = CHUNKED + b"1\r\na\r\n0\r\n"  # followed by trailers in the cases below
+MALFORMED_MESSAGES = [
     (b"GET /a\r\n\r\n", 400),
     (b"GET /a b HTTP/1.1\r\n\r\n", 400),
     (b"GET /a HTTP/2.0\r\n\r\n", 400),
     (b"GET /a HTTP/1.1\r\n folded: x\r\n\r\n", 400),
     (b"GET /a HTTP/1.1\r\nspace : x\r\n\r\n", 400),
     (b"GET /a HTTP/1.1\r\nA: x\ny\r\n\r\n", 400),
-    (b"GET /a HTTP/1.1\r\nA: x\x01y\r\n\r\n", 400),  # a real server closes on what it cannot read
+    (b"GET /a HTTP/1.1\r\nA: x\x01y\r\n\r\n", 400),  # workers close the connection on such bytes
     (b"GET /a HTTP/1.1\r\nA: \xc3\xb1\r\n\r\n", 400),
     (b"GET /a%zz HTTP/1.1\r\n\r\n", 400),
     (b"GET /a|b HTTP/1.1\r\n\r\n", 400),
@@ -56,14 +56,14 @@
     (CHUNKED.replace(b"chunked", b"gzip") + b"\r\n", 400),
     (CHUNKED[:-2] + b"Content-Length: 3\r\n\r\nabc", 400),
     (CHUNKED + b"x\r\n", 400),
-    (LAST + b"no field\r\n\r\n", 400),
-    (LAST + b"space : x\r\n\r\n", 400),
-    (LAST + b"T: x\r\n folded: x\r\n\r\n", 400),
-    (LAST + b"T: x\ny\r\n\r\n", 400),
-    (LAST + b"T: x\x01y\r\n\r\n", 400),
-    (LAST + b"T: \xc3\xb1\r\n\r\n", 400),
-    (LAST + b"T: x\r\n" * 65 + b"\r\n", 400),
-    (LAST + (b"T: " + b"x" * 4000 + b"\r\n") * 3 + b"\r\n", 400),
+    (BEFORE_TRAILERS + b"no field\r\n\r\n", 400),
+    (BEFORE_TRAILERS + b"space : x\r\n\r\n", 400),
+    (BEFORE_TRAILERS + b"T: x\r\n folded: x\r\n\r\n", 400),
+    (BEFORE_TRAILERS + b"T: x\ny\r\n\r\n", 400),
+    (BEFORE_TRAILERS + b"T: x\x01y\r\n\r\n", 400),
+    (BEFORE_TRAILERS + b"T: \xc3\xb1\r\n\r\n", 400),
+    (BEFORE_TRAILERS + b"T: x\r\n" * 65 + b"\r\n", 400),
+    (BEFORE_TRAILERS + (b"T: " + b"x" * 4000 + b"\r\n") * 3 + b"\r\n", 400),
     (CHUNKED + b"1\r\nabc\r\n", 400),
     (CHUNKED + b"ffff\r\n" + b"x" * 65535 + b"\r\n2\r\nab\r\n0\r\n\r\n", 413),
     (b"POST /a HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413),
@@ -86,14 +86,14 @@
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 1000])
 @pytest.mark.parametrize(("data", "method", "target", "body"), MESSAGES)
-def test_messages(data: bytes, method: str, target: str, body: bytes, size: int) -> None:
+def test_valid_messages(data: bytes, method: str, target: str, body: bytes, size: int) -> None:
     found = messages_of(request_parser(), data * 2, size)
     assert [(h.method, h.target, b) for h, b in found] == [(method, target, body)] * 2
 
 
 @pytest.mark.parametrize("size", [11, 100000])
-@pytest.mark.parametrize(("data", "status"), NO_MESSAGES)
-def test_no_messages(data: bytes, status: int, size: int) -> None:
+@pytest.mark.parametrize(("data", "status"), MALFORMED_MESSAGES)
+def test_malformed_messages(data: bytes, status: int, size: int) -> None:
     with pytest.raises(MalformedMessageError) as e:
         messages_of(request_parser(), data, size)
     assert e.value.status == status
@@ -112,7 +112,7 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", api.Ending.ERROR),
     ],
 )
-def test_outcomes(data: bytes, ending: api.Ending | None) -> None:
+def test_endings_by_response(data: bytes, ending: api.Ending | None) -> None:
     [(head, _)] = messages_of(http1.server_parser(), data, 5)
     assert workers.outcome(head) is ending
 
@@ -139,7 +139,7 @@
     assert (found, key is not None) == (job_class, has_key)
 
 
-def test_a_key_is_the_same_number_everywhere() -> None:
+def test_the_hash_of_a_key_is_stable() -> None:
     assert messages.hash_key("7f3a9c21e0b4d655") == 51428628390673331
     assert messages.read_target("/a/x/k")[1] == messages.read_target("/b/k?q")[1] == messages.hash_key("k")
 
@@ -169,9 +169,7 @@
         ([("Transfer-Encoding", "chunked"), ("Trailer", "T"), ("TE", "trailers")], b""),
     ],
 )
-def test_a_job_is_passed_on_but_for_what_concerns_one_hop(
-    fields: list[tuple[str, str]], passed: bytes
-) -> None:
+def test_a_job_is_forwarded_without_hop_by_hop_fields(fields: list[tuple[str, str]], passed: bytes) -> None:
     sent = HttpMessage("POST", "/a?b", Headers(fields), b"xy").request("[::1]:80", 1.25)
     last = b"Host: [::1]:80\r\nX-Time-Left: 1.250\r\nContent-Length: 2\r\n\r\nxy"
     assert sent == b"POST /a?b HTTP/1.1\r\n" + passed + last
@@ -203,7 +201,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 3, 100])
-def test_lines_end_anywhere(size: int) -> None:
+def test_lines_are_split_in_pieces_of_any_size(size: int) -> None:
     lines, data = endpoint_watcher.LineSplitter(), b"one\n\ntwo\nrest"
     found = [line for at in range(0, len(data), size) for line in lines.feed(data[at : at + size])]
     assert found == [b"one", b"", b"two"]
@@ -225,14 +223,14 @@
     )
 
 
-def listener(taking: JobIntake, bodies: BodyMemory) -> client_listener.ClientListener:
-    controls = ControlCalls(taking.clock, taking.classes, OFF, None, taking.arrivals, None)
+def listener(job_intake: JobIntake, bodies: BodyMemory) -> client_listener.ClientListener:
+    controls = ControlCalls(job_intake.clock, job_intake.classes, OFF, None, job_intake.arrivals, None)
     return client_listener.ClientListener(
-        RequestHandler(taking, controls, lambda: True, lambda c: None), bodies, 128
+        RequestHandler(job_intake, controls, lambda: True, lambda c: None), bodies, 128
     )
 
 
-class Watched(Attempt):
+class RecordingAttempt(Attempt):
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.steps: list[Step] = []
@@ -242,16 +240,16 @@
         super().step(step)
 
 
-class Broken(Dispatcher):
+class FailingDispatcher(Dispatcher):
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         raise RuntimeError("the decisions broke")
 
 
-def test_an_error_in_the_decisions_is_loud_and_leaves_no_flow_hanging() -> None:
-    async def play() -> None:
+def test_an_error_in_the_core_is_logged_and_fails_the_flow() -> None:
+    async def scenario() -> None:
         flows, answers, log = FlowTable(), list[Answer](), list[str]()
         sink = logger.add(log.append, format="{message}")
-        module = DecisionActor(Broken(settings(), 1), flows, Clock())
+        module = DecisionActor(FailingDispatcher(settings(), 1), flows, Clock())
         module.submit(flow_of(flows, answers))
         await asyncio.sleep(0.01)
         logger.remove(sink)
@@ -259,11 +257,11 @@
         assert not flows.by_id
         assert any("module: died" in line for line in log)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_the_list_goes_ahead_of_queued_work() -> None:
-    """What comes while an event is being decided waits in the mailbox; lists keep their own order there."""
+def test_worker_lists_overtake_queued_events() -> None:
+    """Events posted while one is handled wait in the mailbox, where lists keep their order."""
     seen: list[object] = []
     first, second = api.WorkerList(api.ListKind.FULL), api.WorkerList(api.ListKind.PATCH)
 
@@ -281,16 +279,16 @@
 
 
 @pytest.mark.parametrize("connecting", [False, True])
-def test_a_drain_before_the_write_ends_it_as_never_run(connecting: bool) -> None:
-    async def play() -> None:
+def test_an_attempt_is_void_if_its_worker_drains_before_the_write(connecting: bool) -> None:
+    async def scenario() -> None:
         listener = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
-        flows, told = FlowTable(), list[object]()
+        flows, submitted = FlowTable(), list[object]()
         module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
-        module.submit = told.append  # type: ignore[assignment]
+        module.submit = submitted.append  # type: ignore[assignment]
         address = {"w1": listener.sockets[0].getsockname()[:2]}
 
         def drain() -> None:
-            group.update(
+            pool.update(
                 api.WorkerList(api.ListKind.PATCH, (entry("w1", api.WorkerStatus.DRAINING),)), address
             )
 
@@ -299,29 +297,29 @@
             drain()
             return channel
 
-        group = workers.WorkerPool(flows, module, Timers(Clock()), 5, 30.0, 128, connect_late)
-        group.update(api.WorkerList(api.ListKind.FULL, (entry("w1"),)), address)
-        attempt = Watched(flow_of(flows, []), 0, "w1", 0.0, 1e12)
-        group.send(attempt)
+        pool = workers.WorkerPool(flows, module, Timers(Clock()), 5, 30.0, 128, connect_late)
+        pool.update(api.WorkerList(api.ListKind.FULL, (entry("w1"),)), address)
+        attempt = RecordingAttempt(flow_of(flows, []), 0, "w1", 0.0, 1e12)
+        pool.send(attempt)
         if not connecting:
             drain()
         while not attempt.ended:
             await asyncio.sleep(0.01)
-        [end] = [t for t in told if isinstance(t, AttemptEnd)]
+        [end] = [t for t in submitted if isinstance(t, AttemptEnd)]
         assert end.ending is api.Ending.VOID
         assert attempt.steps == [Step.END]
         listener.close()
 
-    asyncio.run(asyncio.wait_for(play(), 20))
+    asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-def test_a_scheduling_ends_once_and_a_flow_is_answered_once() -> None:
-    async def play() -> None:
-        flows, told, answers = FlowTable(), list[object](), list[Answer]()
+def test_an_attempt_ends_once_and_a_flow_is_answered_once() -> None:
+    async def scenario() -> None:
+        flows, submitted, answers = FlowTable(), list[object](), list[Answer]()
         module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
-        module.submit = told.append  # type: ignore[assignment]
-        group = workers.WorkerPool(flows, module, Timers(Clock()), 1, 1, 128, http1.connect)
-        server = group._add("w1", ("127.0.0.1", 9))
+        module.submit = submitted.append  # type: ignore[assignment]
+        pool = workers.WorkerPool(flows, module, Timers(Clock()), 1, 1, 128, http1.connect)
+        server = pool._add("w1", ("127.0.0.1", 9))
         flow = flow_of(flows, answers)
         attempt = Attempt(flow, 0, "w1", 0.0, 1e12)
         flow.attempts.append(attempt)
@@ -331,27 +329,27 @@
             server.receive(messages.Callback("r1", "w1", state, result="x"))
         assert not flows.finish(flow, Answer("failed"))
         assert [a.kind for a in answers] == ["served"]
-        assert len(told) == 1
+        assert len(submitted) == 1
         assert flows.is_known("r1")
         assert not flows.by_id
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
     ("sockets", "kind", "log"), [(128, "failed", ["a flow was overdue"]), (0, "refused", [])]
 )
-def test_a_flow_is_answered_without_the_module(sockets: int, kind: str, log: list[str]) -> None:
-    """At its deadline, should the module never answer; at once, when more are open than sockets allow."""
+def test_a_flow_is_answered_without_the_core(sockets: int, kind: str, log: list[str]) -> None:
+    """It fails at its deadline if the core never answers, and is rejected if too many flows are open."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         flows, answers, seen = FlowTable(), list[Answer](), list[str]()
         sink = logger.add(seen.append, format="{message}", level="ERROR")
         module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
         module.submit = lambda item: None  # type: ignore[method-assign]
-        taking = intake(flows, module, sockets)
+        job_intake = intake(flows, module, sockets)
         flow = flow_of(FlowTable(), answers, Clock()() + 0.02)
-        taking.open_flow(flow)
+        job_intake.open_flow(flow)
         while not answers:
             await asyncio.sleep(0.01)
         logger.remove(sink)
@@ -359,15 +357,15 @@
         assert not flows.by_id
         assert [line[: len(want)] for line, want in zip(seen, log, strict=True)] == log
         with pytest.raises(DuplicateRequestError):
-            taking.open_flow(flow)  # its id stays known: what may have run must not run again
+            job_intake.open_flow(flow)  # its id stays known, as a job that may have run must not run again
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_bodies_sent_at_once_stay_within_their_part_of_the_memory() -> None:
-    """Beyond it a body is turned away before it is read, with word when to come back."""
+def test_concurrent_bodies_stay_within_their_memory_limit() -> None:
+    """Beyond the limit, a request is rejected before its body is read, with a Retry-After header."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         flows = FlowTable()
         module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
         bodies = BodyMemory(32 * 1024 * 1024)
@@ -384,59 +382,59 @@
         assert not flows.by_id
         edge.stop()
 
-    asyncio.run(asyncio.wait_for(play(), 20))
+    asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-def test_a_repeated_id_that_is_turned_away_leaves_the_first_request_alone() -> None:
-    async def play() -> None:
-        flows, told = FlowTable(), list[object]()
+def test_rejecting_a_repeated_id_does_not_affect_the_first_request() -> None:
+    async def scenario() -> None:
+        flows, submitted = FlowTable(), list[object]()
         module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
-        module.submit = told.append  # type: ignore[assignment]
+        module.submit = submitted.append  # type: ignore[assignment]
         edge = listener(intake(flows, module), BodyMemory(32 * 1024 * 1024))
         [sock] = bind_sockets(0, "127.0.0.1")
         edge.add_socket(sock)
         first = asyncio.create_task(exchange(sock.getsockname()[1], request("a1")))
-        while not told:
+        while not submitted:
             await asyncio.sleep(0.01)
         assert (await exchange(sock.getsockname()[1], request("a1"))).status == 400
-        while len(edge.connections) > 1:  # its connection is closed, and that has been seen
+        while len(edge.connections) > 1:  # until its connection is closed and removed
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)
-        assert len(told) == 1
+        assert len(submitted) == 1
         assert flows.open == 1
         assert flows.by_id["a1"].answer is None
         flows.finish(flows.by_id["a1"], Answer("served", b"x"))
         assert (await first).body == b"x"
         edge.stop()
 
-    asyncio.run(asyncio.wait_for(play(), 20))
+    asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-def test_a_scheduling_that_dies_is_loud_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_attempt_that_raises_is_logged_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(self: workers.WorkerActor, s: Attempt) -> None:
         raise RuntimeError("broken")
 
-    async def play() -> None:
-        flows, told, log = FlowTable(), list[object](), list[str]()
+    async def scenario() -> None:
+        flows, submitted, log = FlowTable(), list[object](), list[str]()
         sink = logger.add(log.append, format="{message}")
         module = DecisionActor(Dispatcher(settings(), 1), flows, Clock())
-        module.submit = told.append  # type: ignore[assignment]
-        group = workers.WorkerPool(flows, module, Timers(Clock()), 1, 1, 128, http1.connect)
-        server = group._add("w1", ("127.0.0.1", 9))
+        module.submit = submitted.append  # type: ignore[assignment]
+        pool = workers.WorkerPool(flows, module, Timers(Clock()), 1, 1, 128, http1.connect)
+        server = pool._add("w1", ("127.0.0.1", 9))
         server.post(Attempt(flow_of(flows, []), 0, "w1", 0.0, 1e12))
-        while not told:
+        while not submitted:
             await asyncio.sleep(0.01)
         logger.remove(sink)
-        assert isinstance(told[0], AttemptEnd)
-        assert told[0].ending is api.Ending.UNREACHABLE
+        assert isinstance(submitted[0], AttemptEnd)
+        assert submitted[0].ending is api.Ending.UNREACHABLE
         assert any("died on Attempt" in line for line in log)
 
     monkeypatch.setattr(workers.WorkerActor, "_begin", broken)
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-@pytest.mark.parametrize(("late", "unseen"), [(0.0, False), (0.004, False), (0.3, True)])
-def test_what_the_loop_was_late_by_is_told_before_what_came_meanwhile(late: float, unseen: bool) -> None:
+@pytest.mark.parametrize(("late", "is_reported"), [(0.0, False), (0.004, False), (0.3, True)])
+def test_a_loop_stall_is_reported_before_delayed_events(late: float, is_reported: bool) -> None:
     seen: list[api.Event] = []
 
     class Watcher(Dispatcher):
@@ -444,7 +442,7 @@
             seen.append(event)
             return super().handle(now, event)
 
-    async def play() -> None:
+    async def scenario() -> None:
         now = [100.0]
         clock = Clock(lambda: now[0], lambda: now[0])
         module = DecisionActor(Watcher(settings(), 1), FlowTable(), clock)
@@ -453,8 +451,8 @@
         module.submit(api.ClientDisconnected("x"))
         module.submit(api.ClientDisconnected("y"))
 
-    asyncio.run(play())
-    told = [e.duration_s for e in seen if isinstance(e, api.LoopStall)]
-    assert told == ([pytest.approx(late)] if unseen else [])
-    assert len(seen) == 3 + unseen
-    assert isinstance(seen[1], api.LoopStall) == unseen
+    asyncio.run(scenario())
+    stalls = [e.duration_s for e in seen if isinstance(e, api.LoopStall)]
+    assert stalls == ([pytest.approx(late)] if is_reported else [])
+    assert len(seen) == 3 + is_reported
+    assert isinstance(seen[1], api.LoopStall) == is_reported
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The rules on real sockets: the program as deployed, between peers that misbehave as each test says."""
+"""The deployed program on real sockets, between clients, workers and a discovery that misbehave."""
 
 import asyncio
 import json
@@ -37,13 +37,13 @@
 
 
 async def early_and_twice(server: RealServer, message: Message, writer: asyncio.StreamWriter) -> None:
-    """The call-back comes before the 202, again, and once for a job that nobody asked for."""
+    """Sends the callback before the 202, twice, and once for an unknown job."""
     for id in (message.id, message.id, "nobody"):
         assert await server.call_back(id, state="done", result=f"{server.name} ran {message.id}") == 204
     writer.write(ACCEPT)
 
 
-async def break_off(server: RealServer, message: Message, writer: asyncio.StreamWriter) -> None:
+async def abort(server: RealServer, message: Message, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
@@ -52,7 +52,7 @@
     await server.call_back(message.id, state="lost")
 
 
-async def hand_back(server: RealServer, message: Message, writer: asyncio.StreamWriter) -> None:
+async def return_job(server: RealServer, message: Message, writer: asyncio.StreamWriter) -> None:
     writer.write(ACCEPT)
     await server.call_back(message.id, state="returned")
 
@@ -61,13 +61,13 @@
     writer.write(b"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 4\r\n\r\nfull")
 
 
-async def unsure(server: RealServer, message: Message, writer: asyncio.StreamWriter) -> None:
+async def fail_without_header(server: RealServer, message: Message, writer: asyncio.StreamWriter) -> None:
     writer.write(b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n")
 
 
 @pytest.mark.parametrize("behaviour", [serve, early_and_twice])
-def test_a_job_is_answered_with_its_result_and_passes_unchanged(tmp_path: Path, behaviour: object) -> None:
-    async def play() -> None:
+def test_a_job_is_forwarded_unchanged_and_answered_with_its_result(tmp_path: Path, behaviour: object) -> None:
+    async def scenario() -> None:
         server = RealServer("w1", behaviour)  # type: ignore[arg-type]
         async with node(tmp_path, server) as n:
             facts = "X-Facts: slots=1,memory=0.5\r\n"
@@ -79,76 +79,76 @@
             assert (seen.id, seen.headers["x-facts"]) == ("a1", "slots=1,memory=0.5")
             assert 0 < float(seen.headers["x-time-left"]) <= 4
 
-    run(play())
+    run(scenario())
 
 
-def test_a_result_of_full_length_comes_through_its_escapes(tmp_path: Path) -> None:
+def test_a_result_of_maximum_length_may_be_fully_escaped(tmp_path: Path) -> None:
     async def all_escapes(server: RealServer, message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(ACCEPT)
         await server.call_back(message.id, state="done", result="\1" * 65536)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with node(tmp_path, RealServer("w1", all_escapes)) as n:
             assert (await n.ask("a1")).body == b"\1" * 65536
 
-    run(play())
+    run(scenario())
 
 
-@pytest.mark.parametrize("behaviour", [break_off, lose, unsure])
-def test_what_may_have_run_is_never_sent_twice(tmp_path: Path, behaviour: object) -> None:
-    async def play() -> None:
+@pytest.mark.parametrize("behaviour", [abort, lose, fail_without_header])
+def test_a_job_that_may_have_run_is_never_sent_again(tmp_path: Path, behaviour: object) -> None:
+    async def scenario() -> None:
         servers = [RealServer(f"w{i}", behaviour) for i in range(4)]  # type: ignore[arg-type]
         async with node(tmp_path, *servers) as n:
             assert (await n.ask("a1", "/u/k1")).status == 502
             await asyncio.sleep(0.3)
             assert sum(len(s.got) for s in servers) == 1
 
-    run(play())
+    run(scenario())
 
 
-@pytest.mark.parametrize("behaviour", [hand_back, turn_away])
-def test_what_never_ran_is_sent_elsewhere(tmp_path: Path, behaviour: object) -> None:
-    async def play() -> None:
+@pytest.mark.parametrize("behaviour", [return_job, turn_away])
+def test_a_job_that_did_not_run_is_sent_to_another_worker(tmp_path: Path, behaviour: object) -> None:
+    async def scenario() -> None:
         servers = [RealServer(f"w{i}", behaviour) for i in range(2)]  # type: ignore[arg-type]
         async with node(tmp_path, *servers) as n:
-            assert (await n.ask("a1", "/u/k1")).status == 503  # nobody took it: a refusal is the truth
+            assert (await n.ask("a1", "/u/k1")).status == 503  # no worker accepted it, so it is rejected
             assert [len(s.got) for s in servers] == [1, 1]
 
-    run(play())
+    run(scenario())
 
 
 def test_a_refused_connection_proves_that_a_job_never_ran(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         servers = [RealServer("w1"), RealServer("w2")]
         async with node(tmp_path, *servers) as n:
             servers[0].server.close()
             for i in range(8):
                 assert (await n.ask(f"a{i}", f"/u/k{i}")).body == b"w2 ran a%d" % i
 
-    run(play())
+    run(scenario())
 
 
-def test_a_silent_real_server_leaves_no_flow_without_its_answer_in_time(tmp_path: Path) -> None:
-    async def say_nothing(server: RealServer, message: Message, writer: asyncio.StreamWriter) -> None:
+def test_flows_are_answered_in_time_if_a_worker_is_silent(tmp_path: Path) -> None:
+    async def stay_silent(server: RealServer, message: Message, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(30)
 
-    async def play() -> None:
-        server, mute = RealServer("w1", accept_only), RealServer("w2", say_nothing)
+    async def scenario() -> None:
+        server, mute = RealServer("w1", accept_only), RealServer("w2", stay_silent)
         async with node(tmp_path, server) as n:
             assert (await n.ask("a/1?", "/u/k", left="0.5")).status == 502
             while not server.deleted:
                 await asyncio.sleep(0.02)
-            assert server.deleted == ["/jobs/a%2F1%3F"]  # after the 202 an attempt is given up by DELETE
+            assert server.deleted == ["/jobs/a%2F1%3F"]  # after the 202, an attempt is canceled by DELETE
             await mute.open()
             await n.list(server.entry("gone"), mute.entry())
             assert (await n.ask("a2", "/u/k", left="0.5")).status == 502
-            assert not mute.deleted  # before it, by closing the connection
+            assert not mute.deleted  # before the 202, by closing the connection
 
-    run(play())
+    run(scenario())
 
 
-def test_a_client_that_closes_has_gone_and_its_job_is_given_up(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_job_is_canceled_when_its_client_disconnects(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = RealServer("w1", accept_only)
         async with node(tmp_path, server) as n:
             _, writer = await asyncio.open_connection("127.0.0.1", n.port)
@@ -160,11 +160,11 @@
                 await asyncio.sleep(0.02)
             assert server.deleted == ["/jobs/a1"]
 
-    run(play())
+    run(scenario())
 
 
-def test_a_kept_connection_that_proves_dead_is_a_lesson_for_the_rest(tmp_path: Path) -> None:
-    """A path that drops idle connections shows it only when the next request is reset."""
+def test_a_reset_of_an_idle_connection_shortens_the_idle_timeout(tmp_path: Path) -> None:
+    """A network that drops idle connections resets the next request on one of them."""
 
     class Forgetful(RealServer):
         async def handle(self, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -175,7 +175,7 @@
 
     used = set[asyncio.StreamWriter]()
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with node(tmp_path, Forgetful("w1")) as n:
             answers = []
             for i in range(8):
@@ -183,12 +183,12 @@
                 await asyncio.sleep(0.2)
             assert answers == [200, 502] + [200] * 6
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("status", ["draining", "gone"])
-def test_nothing_new_goes_to_a_real_server_that_drains_or_is_gone(tmp_path: Path, status: str) -> None:
-    async def play() -> None:
+def test_draining_or_removed_workers_get_no_new_jobs(tmp_path: Path, status: str) -> None:
+    async def scenario() -> None:
         servers = [RealServer("w1"), RealServer("w2")]
         async with node(tmp_path, *servers) as n:
             await n.list(servers[0].entry(status))
@@ -196,46 +196,48 @@
                 assert (await n.ask(f"a{i}", f"/s/k{i}")).status == 200
             assert (len(servers[0].got), len(servers[1].got)) == (0, 8)
 
-    run(play())
+    run(scenario())
 
 
-def test_a_bad_line_and_a_silent_list_leave_the_last_one_in_use(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_the_last_list_stays_in_use_after_a_bad_line_or_silence(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server, late = RealServer("w1"), RealServer("w2")
         await late.open()
         async with node(tmp_path, server) as n:
             late.node = n.port
             n.discovery.push(b'{"index":"two"}')
-            while len(n.discovery.asked) < 2:  # watched again after the bad line
+            while len(n.discovery.asked) < 2:  # the watch is reopened after the bad line
                 await asyncio.sleep(0.02)
             assert (await n.ask("a1")).body == b"w1 ran a1"
             n.discovery.first = list_line(7, [late.entry()], True)
-            while len(n.discovery.asked) < 3:  # no empty line comes: silence is a dead watch
+            while len(n.discovery.asked) < 3:  # without heartbeats, the silent watch is reopened
                 await asyncio.sleep(0.02)
             assert n.discovery.asked == ["/catalog/members?stream=1&index=1"] * 3
             while (await n.ask(f"a{time.monotonic()}")).body.startswith(b"w1"):
                 await asyncio.sleep(0.02)
             assert (await n.ask("a2")).body == b"w2 ran a2"
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(("ago", "sent"), [(0, False), (3600, True), (None, True)])
-def test_a_start_in_the_list_is_judged_by_the_same_clock(tmp_path: Path, ago: int | None, sent: bool) -> None:
-    """What a cold real server gets is budgeted, and nothing is known yet of what a warm one can do."""
+def test_start_times_in_the_list_are_compared_with_the_wall_clock(
+    tmp_path: Path, ago: int | None, sent: bool
+) -> None:
+    """A cold worker gets a limited amount of work, and the work rate of warm ones is still unknown."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = RealServer("w1", start_only)
         async with node(tmp_path) as n:
             await server.open()
             server.node = n.port
-            assert (await exchange(n.port, HEALTH)).status == 503  # up, but without a list
+            assert (await exchange(n.port, HEALTH)).status == 503  # listening, but without a list
             await n.list(server.entry(since_ms=0 if ago is None else int((time.time() - ago) * 1000)))
             assert (await exchange(n.port, HEALTH)).status == 200
             await n.ask("a1", left="0.4")
             assert bool(server.got) is sent
 
-    run(play())
+    run(scenario())
 
 
 BAD = [
@@ -243,7 +245,7 @@
     (b"POST /s/k HTTP/1.1\r\nno colon\r\n\r\n", 400),
     (b"POST /s/k HTTP/1.1\r\nX: " + b"x" * 20000, 431),
     (request(body=b"x" * 65537), 413),
-    (request(body=b"x" * 3) + request("2"), 400),  # what follows unasked may be hidden in a body
+    (request(body=b"x" * 3) + request("2"), 400),  # the second request may be smuggled in a body
     (request(more="Transfer-Encoding: chunked\r\n", body=b"0\r\n\r\n" + request("2")), 400),
     (b"POST /s/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf", 408),
     (request(path="/nosuch/k"), 404),
@@ -258,25 +260,25 @@
 ]
 
 
-def test_bad_input_is_answered_and_crashes_nothing(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_bad_input_is_answered_without_a_crash(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = RealServer("w1")
         async with node(tmp_path, server) as n:
             for data, status in BAD:
                 assert (await exchange(n.port, data)).status == status, data[:60]
             assert not server.got
             assert (await n.ask("a1")).status == 200
-            assert (await n.ask("a1")).status == 400  # the same id again
+            assert (await n.ask("a1")).status == 400  # a repeated id
             assert len(server.got) == 1
             assert " died" not in (tmp_path / "log").read_text()
 
-    run(play())
+    run(scenario())
 
 
-def test_connections_that_stay_leave_room_and_silent_ones_are_closed(tmp_path: Path) -> None:
-    """Hundreds that say nothing, ask once and stay, or send half a body must not use up the descriptors."""
+def test_idle_connections_do_not_exhaust_the_descriptors(tmp_path: Path) -> None:
+    """Hundreds of clients that are silent, idle, or send half a body must not use up the descriptors."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = RealServer("w1")
         async with node(tmp_path, server, limits={"sockets": 128, "memory_mb": 32}) as n:
             readers = []
@@ -293,11 +295,11 @@
             for _, writer in readers:
                 writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_sigterm_answers_what_was_taken_and_what_still_comes(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_sigterm_answers_accepted_and_late_jobs(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = RealServer("w1", start_only)
         async with node(tmp_path, server) as n:
             reader, writer = await asyncio.open_connection("127.0.0.1", n.port)
@@ -309,10 +311,12 @@
                 await asyncio.sleep(0.02)
             n.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.1)
-            later = asyncio.create_task(n.ask("a2", "/u/k1", left="20"))  # the front has not noticed yet
+            later = asyncio.create_task(
+                n.ask("a2", "/u/k1", left="20")
+            )  # the load balancer in front has not noticed yet
             await asyncio.sleep(0.9)
-            use.write(request("a3", "/u/k1", left="60"))  # a kept connection is still good for a request ...
-            assert (await asyncio.wait_for(read_message(kept), 20)).status in (502, 503)  # ... killed or not
+            use.write(request("a3", "/u/k1", left="60"))  # an idle connection still accepts a request
+            assert (await asyncio.wait_for(read_message(kept), 20)).status in (502, 503)  # after SIGTERM
             assert len(server.got) == 3
             assert n.process.returncode is None
             for id in ("a1", "a2"):
@@ -322,11 +326,11 @@
             assert (await later).body == b"a2"
             assert await n.process.wait() == 0
 
-    run(play())
+    run(scenario())
 
 
-def test_sighup_follows_discovery_to_its_new_address_and_harms_no_open_flow(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_sighup_changes_the_discovery_address_and_keeps_open_flows(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server, late = RealServer("w1", accept_only), RealServer("w2")
         await late.open()
         async with node(tmp_path, server) as n:
@@ -337,7 +341,10 @@
             file, new = json.loads(n.config.read_text()), Discovery()
             await new.open()
             new.first = list_line(7, [late.entry()], True)
-            for text in ("{", json.dumps(file | {"discovery": "nowhere"})):  # unusable: the old one stays
+            for text in (
+                "{",
+                json.dumps(file | {"discovery": "nowhere"}),
+            ):  # unusable: the old address stays in use
                 n.config.write_text(text)
                 n.process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.2)
@@ -351,14 +358,14 @@
             assert (await n.ask("a2")).body == b"w2 ran a2"
             assert await server.call_back("a1", state="done", result="a1") == 204
             assert (await flow).body == b"a1"
-            n.discovery.watches[-1].write(b"0\r\n\r\n")  # nobody listens to the old one
+            n.discovery.watches[-1].write(b"0\r\n\r\n")  # the old watch is no longer read
             await asyncio.sleep(0.2)
             assert (n.process.returncode, len(new.asked)) == (None, 1)
 
-    run(play())
+    run(scenario())
 
 
-def test_the_example_is_a_configuration() -> None:
+def test_the_example_configuration_is_valid() -> None:
     config = str(ROOT / "examples" / "config.json")
     listen = {"NODE_LISTEN": "127.0.0.1:1", "NODE_DISCOVERY": "[::1]:2", "NODE_CONFIG": config}
     setup = read_setup(listen)
@@ -369,7 +376,7 @@
 @pytest.mark.parametrize(
     "text", ["", "{", "{}", '{"settings":{}}', json.dumps({"settings": SETTINGS, "known": {"index": 1}})]
 )
-def test_a_bad_configuration_ends_with_one_line(tmp_path: Path, text: str) -> None:
+def test_an_invalid_configuration_ends_with_one_line(tmp_path: Path, text: str) -> None:
     config = tmp_path / "c.json"
     config.write_text(text)
     env = {"NODE_LISTEN": "127.0.0.1:1", "NODE_DISCOVERY": "127.0.0.1:1", "NODE_CONFIG": str(config)}
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Discovery's watch on real sockets: every way in which it falls silent, and lists that come out of order."""
+"""Discovery's watch on real sockets: how it fails or falls silent, and lists that arrive out of order."""
 
 import asyncio
 import json
@@ -44,12 +44,12 @@
 
 
 class Scripted(Discovery):
-    """Each watch is answered by the next of these; `fell` is when the first had said its last."""
+    """Answers each watch by the next of `acts`; `silent_since` is when the first of them fell silent."""
 
     def __init__(self, *acts: Callable[["Scripted", asyncio.StreamWriter], Awaitable[None]]) -> None:
         super().__init__()
         self.acts = list(acts)
-        self.fell = 0.0
+        self.silent_since = 0.0
 
     async def handle(self, message: Message, writer: asyncio.StreamWriter) -> None:
         self.asked.append(message.start.split()[1])
@@ -58,24 +58,24 @@
         await act(self, writer)
 
 
-def said(*lines: bytes) -> Callable[[Scripted, asyncio.StreamWriter], Awaitable[None]]:
+def sends(*lines: bytes) -> Callable[[Scripted, asyncio.StreamWriter], Awaitable[None]]:
     async def act(d: Scripted, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD)
         for line in lines:
             d.push(line)
-        d.fell = time.monotonic()
+        d.silent_since = time.monotonic()
 
     return act
 
 
-async def nothing(d: Scripted, writer: asyncio.StreamWriter) -> None:
-    d.fell = time.monotonic()
+async def no_response(d: Scripted, writer: asyncio.StreamWriter) -> None:
+    d.silent_since = time.monotonic()
 
 
-async def drips(d: Scripted, writer: asyncio.StreamWriter) -> None:
-    """Bytes come all the time, and end no line."""
+async def trickles(d: Scripted, writer: asyncio.StreamWriter) -> None:
+    """Sends bytes all the time, but never completes a line."""
     writer.write(HEAD)
-    d.fell = time.monotonic()
+    d.silent_since = time.monotonic()
     for _ in range(200):
         writer.write(b"1\r\n{\r\n")
         await writer.drain()
@@ -83,21 +83,21 @@
 
 
 async def reset(d: Scripted, writer: asyncio.StreamWriter) -> None:
-    d.fell = time.monotonic()
+    d.silent_since = time.monotonic()
     writer.transport.abort()
 
 
-async def refuses(d: Scripted, writer: asyncio.StreamWriter) -> None:
-    d.fell = time.monotonic()
+async def rejects(d: Scripted, writer: asyncio.StreamWriter) -> None:
+    d.silent_since = time.monotonic()
     writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 
 
-class Followed:
-    """A ServiceActor that watches a scripted discovery; `states` is what was applied last of each."""
+class Watched:
+    """An EndpointWatcher on a scripted discovery; `states` are the states applied last."""
 
     def __init__(self, shared: bool = False) -> None:
         self.states: dict[str, api.WorkerStatus] = {}
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
         self.actor = EndpointWatcher(("127.0.0.1", 0), self.apply, lambda names: None, connect)
         self.actor.watch_state = WatchState(shared)
 
@@ -105,13 +105,13 @@
         if workers.kind is not api.ListKind.PATCH:
             self.states = {}
         self.states |= {e.worker: e.state for e in workers.entries}
-        self.born = max((e.started_at for e in workers.entries), default=0.0)
-        self.news.set()
+        self.started_at = max((e.started_at for e in workers.entries), default=0.0)
+        self.changed.set()
 
     async def until(self, **states: api.WorkerStatus) -> None:
         while self.states != states:
-            self.news.clear()
-            await self.news.wait()
+            self.changed.clear()
+            await self.changed.wait()
 
     async def follow(self, d: Discovery) -> None:
         await d.open()
@@ -121,89 +121,87 @@
 
 
 DRAIN = list_line(3, [entry("w1", "draining")])
-GOOD = said(DRAIN)
+GOOD = sends(DRAIN)
 
 
 @pytest.mark.parametrize("shared", [False, True])
 @pytest.mark.parametrize(
     "acts",
     [
-        (said(), GOOD),  # silent from its first moment
-        (said(b""), GOOD),
-        (said(list_line(2, [entry("w2")])), GOOD),  # silent after it had spoken
-        (nothing, GOOD),  # accepts, and says nothing
-        (drips, GOOD),
+        (sends(), GOOD),  # silent from the start
+        (sends(b""), GOOD),
+        (sends(list_line(2, [entry("w2")])), GOOD),  # silent after an update
+        (no_response, GOOD),  # accepts the connection without a response
+        (trickles, GOOD),
         (reset, GOOD),
-        (refuses, GOOD),
-        (said(), said(list_line(3, [entry("w1", "draining"), entry("w2")], True))),  # all of it, anew
+        (rejects, GOOD),
+        (sends(), sends(list_line(3, [entry("w1", "draining"), entry("w2")], True))),  # a full list
     ],
 )
-def test_whatever_a_watch_does_a_change_is_had_in_the_time_in_which_it_counts_as_told(
+def test_a_change_arrives_within_the_propagation_time_after_a_watch_fails(
     acts: tuple[Callable[[Scripted, asyncio.StreamWriter], Awaitable[None]], ...], shared: bool
 ) -> None:
-    async def play() -> None:
-        d, f = Scripted(*acts), Followed(shared)
+    async def scenario() -> None:
+        d, f = Scripted(*acts), Watched(shared)
         await f.follow(d)
-        while not d.fell:
+        while not d.silent_since:
             await asyncio.sleep(0)
-        fell = d.fell
+        silent_since = d.silent_since
         await f.until(w1=api.WorkerStatus.DRAINING, w2=api.WorkerStatus.READY)
-        assert time.monotonic() - fell < MAX_PROPAGATION_S
+        assert time.monotonic() - silent_since < MAX_PROPAGATION_S
         f.actor.stop()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_whole_list_after_silence_tells_of_a_restart_and_of_one_that_is_missing() -> None:
-    async def play() -> None:
-        d, f = Scripted(said(), said(list_line(3, [entry("w1", since_ms=5000)], True))), Followed()
+def test_a_full_list_after_silence_shows_a_restart_and_a_removal() -> None:
+    async def scenario() -> None:
+        d, f = Scripted(sends(), sends(list_line(3, [entry("w1", since_ms=5000)], True))), Watched()
         await f.follow(d)
-        await f.until(w1=api.WorkerStatus.READY)  # and w2 is no more
-        assert f.born == 5.0
+        await f.until(w1=api.WorkerStatus.READY)  # and w2 is removed
+        assert f.started_at == 5.0
         f.actor.stop()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_watch_that_is_reset_after_it_spoke_and_one_that_hangs_then_are_within_it_too() -> None:
-    async def play() -> None:
-        d, f = Scripted(said(list_line(2, [entry("w2")])), nothing, GOOD), Followed()
+def test_a_change_arrives_in_time_after_a_reset_and_a_hanging_watch() -> None:
+    async def scenario() -> None:
+        d, f = Scripted(sends(list_line(2, [entry("w2")])), no_response, GOOD), Watched()
         await f.follow(d)
-        while not d.fell:
+        while not d.silent_since:
             await asyncio.sleep(0)
-        fell = d.fell
+        silent_since = d.silent_since
         await f.until(w1=api.WorkerStatus.DRAINING, w2=api.WorkerStatus.READY)
-        assert time.monotonic() - fell < MAX_PROPAGATION_S
+        assert time.monotonic() - silent_since < MAX_PROPAGATION_S
         assert len(d.asked) == 3
         f.actor.stop()
 
-    run(play())
+    run(scenario())
 
 
-def test_an_older_version_after_a_newer_undoes_nothing() -> None:
-    """On the same watch, changes or all; and as the first of the next one."""
+def test_an_older_version_after_a_newer_one_is_ignored() -> None:
+    """On the same watch, as a patch or a full list, and as the first list of the next watch."""
     old = list_line(2, [entry("w1"), entry("w2")], True)
 
-    async def play() -> None:
-        d = Scripted(said(DRAIN, old, list_line(2, [entry("w1")]), list_line(4, [entry("w2", "gone")])))
-        f = Followed()
+    async def scenario() -> None:
+        d = Scripted(sends(DRAIN, old, list_line(2, [entry("w1")]), list_line(4, [entry("w2", "gone")])))
+        f = Watched()
         await f.follow(d)
         await f.until(w1=api.WorkerStatus.DRAINING, w2=api.WorkerStatus.REMOVED)
-        d.acts = [said(old, list_line(5, [entry("w3")]))]
+        d.acts = [sends(old, list_line(5, [entry("w3")]))]
         d.watches[-1].transport.abort()
         await f.until(w1=api.WorkerStatus.DRAINING, w2=api.WorkerStatus.REMOVED, w3=api.WorkerStatus.READY)
         assert d.asked[-1].endswith("index=4")
         assert f.actor.index == 5
         f.actor.stop()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4])
 @pytest.mark.parametrize("size", [1, 11, 4096])
-def test_a_list_in_pieces_and_indented_is_read_and_empty_lines_are_heard(
-    indent: int | None, size: int
-) -> None:
+def test_an_indented_list_in_pieces_and_empty_lines_are_read(indent: int | None, size: int) -> None:
     text = json.dumps(json.loads(list_line(7, [entry('w"{1'), entry("w2}", zone="}{")], True)), indent=indent)
     data, lines = f"\n{text}\n\n{text}\n".encode(), LineSplitter()
     found = [line for at in range(0, len(data), size) for line in lines.feed(data[at : at + size])]
@@ -211,89 +209,89 @@
 
 
 def test_an_indented_list_is_applied() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         text = json.dumps(json.loads(DRAIN), indent=2).encode()
-        d, f = Scripted(said(text)), Followed()
+        d, f = Scripted(sends(text)), Watched()
         await f.follow(d)
         await f.until(w1=api.WorkerStatus.DRAINING, w2=api.WorkerStatus.READY)
         assert len(d.asked) == 1
         f.actor.stop()
 
-    run(play())
+    run(scenario())
 
 
 T = 100.0
-Came = tuple[float, int, bool, bool]  # when, version, whole, whether it is taken
+Arrival = tuple[float, int, bool, bool]  # time, version, whether the list is full, whether it is accepted
 
 
 @pytest.mark.parametrize(
-    "came",
+    "arrivals",
     [
-        [(T, 1, True, True)],  # whatever was known before
+        [(T, 1, True, True)],  # independent of the saved list
         [(T, 5, True, True), (T, 5, False, True), (T, 6, False, True)],
         [(T, 5, True, True), (T, 4, False, False), (T, 4, True, False), (T, 5, True, True)],
-        [(T, 5, True, True), (T + 99, 4, True, False)],  # the first doubt, however late it comes
-        # older ones alone, for long: discovery counts anew
+        [(T, 5, True, True), (T + 99, 4, True, False)],  # the first older version, however late it arrives
+        # only older versions for a while: discovery has restarted its numbering
         [(T, 5, True, True), (T + 1, 2, True, False), (T + RENUMBERED_AFTER_S + 0.1, 2, True, True)],
         [(T, 5, True, True), (T + 1, 2, True, False), (T + RENUMBERED_AFTER_S + 0.1, 2, False, False)],
         [(T, 5, True, True), (T + 1, 2, True, False), (T + 2, 6, True, True), (T + 6, 2, True, False)],
     ],
 )
-def test_which_versions_are_taken(came: list[Came]) -> None:
+def test_accepted_versions(arrivals: list[Arrival]) -> None:
     rules = WatchState(False)
-    assert [rules.accept(at, version, whole) for at, version, whole, _ in came] == [c[3] for c in came]
+    assert [rules.accept(at, version, whole) for at, version, whole, _ in arrivals] == [
+        c[3] for c in arrivals
+    ]
 
 
 @pytest.mark.parametrize(
     ("last_byte", "last_line", "silent"),
     [(T, T, T + SILENCE_TIMEOUT_S), (T + 1, T, T + 1 + SILENCE_TIMEOUT_S), (T + 3, T, T + LINE_TIMEOUT_S)],
 )
-def test_when_an_open_watch_is_over(last_byte: float, last_line: float, silent: float) -> None:
+def test_timeouts_of_an_open_watch(last_byte: float, last_line: float, silent: float) -> None:
     assert WatchState(False).silent_at(last_byte, last_line) == silent
 
 
-def test_a_discovery_that_counts_anew_is_believed_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_restarted_numbering_is_accepted_after_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("finchladder.core.membership.watch.RENUMBERED_AFTER_S", 0.3)
 
-    async def play() -> None:
-        d, f = Scripted(said(list_line(9, [entry("w1"), entry("w2")], True))), Followed()
+    async def scenario() -> None:
+        d, f = Scripted(sends(list_line(9, [entry("w1"), entry("w2")], True))), Watched()
         await f.follow(d)
         while f.actor.index != 9:
             await asyncio.sleep(0)
-        d.acts = [said(list_line(2, [entry("w1", "draining"), entry("w2")], True))]
+        d.acts = [sends(list_line(2, [entry("w1", "draining"), entry("w2")], True))]
         d.watches[-1].transport.abort()
         while not f.actor.watch_state.has_older:
             await asyncio.sleep(0.02)
         assert f.actor.index == 9
-        doubted = asyncio.get_running_loop().time()
-        while len(d.asked) < 3:  # what is said once it has been doubted for long: an empty line is enough
+        older_since = asyncio.get_running_loop().time()
+        while len(d.asked) < 3:  # any line after that while, even an empty one, reopens the watch
             d.push(b"")
             await asyncio.sleep(0.05)
-        assert asyncio.get_running_loop().time() > doubted + 0.2
+        assert asyncio.get_running_loop().time() > older_since + 0.2
         await f.until(w1=api.WorkerStatus.DRAINING, w2=api.WorkerStatus.READY)
         assert d.asked[-1].endswith("index=0")
         f.actor.stop()
 
-    run(play())
+    run(scenario())
 
 
-# --- a new process
+# --- startup
 
 
 @pytest.mark.parametrize("status", ["draining", "gone"])
-def test_a_new_process_sends_nothing_by_its_old_list_that_discovery_has_taken_back(
-    tmp_path: Path, status: str
-) -> None:
-    """Discovery answers once a client has tried to connect: it must not be let in before."""
+def test_a_new_process_uses_no_saved_entry_that_discovery_has_withdrawn(tmp_path: Path, status: str) -> None:
+    """Discovery answers only after a client has tried to connect, which must be refused until then."""
     tried = asyncio.Event()
 
     async def answers(d: Scripted, writer: asyncio.StreamWriter) -> None:
         await tried.wait()
-        await said(list_line(5, [servers[0].entry(status), servers[1].entry()], True))(d, writer)
+        await sends(list_line(5, [servers[0].entry(status), servers[1].entry()], True))(d, writer)
 
     servers = [RealServer("w1"), RealServer("w2")]
 
-    async def play() -> None:
+    async def scenario() -> None:
         d, port = Scripted(answers), free_port()
         for listener in (d, *servers):
             await listener.open()
@@ -317,7 +315,7 @@
             process.kill()
             await process.wait()
 
-    run(play())
+    run(scenario())
 
 
 async def start(tmp_path: Path, port: int, d: Discovery, known: object) -> asyncio.subprocess.Process:
@@ -334,9 +332,9 @@
         return await asyncio.create_subprocess_exec(*command, env=env, cwd=ROOT, stderr=log)
 
 
-def test_a_silent_discovery_keeps_no_new_process_away(tmp_path: Path) -> None:
-    async def play() -> None:
-        d, port, server = Scripted(nothing), free_port(), RealServer("w1")
+def test_a_new_process_starts_despite_a_silent_discovery(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        d, port, server = Scripted(no_response), free_port(), RealServer("w1")
         for listener in (d, server):
             await listener.open()
         server.node = port
@@ -357,12 +355,12 @@
             process.kill()
             await process.wait()
 
-    run(play())
+    run(scenario())
 
 
-def test_sigterm_before_it_is_ready_ends_a_process_well(tmp_path: Path) -> None:
-    async def play() -> None:
-        d, port = Scripted(nothing), free_port()
+def test_sigterm_during_startup_ends_the_process_cleanly(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        d, port = Scripted(no_response), free_port()
         await d.open()
         process = await start(tmp_path, port, d, json.loads(list_line(1, [entry("w1")], True)))
         while not d.asked:
@@ -370,13 +368,13 @@
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
 
-    run(play())
+    run(scenario())
 
 
-def test_a_drain_told_by_the_new_discovery_after_sighup_holds_at_once(tmp_path: Path) -> None:
-    """Also where the old one has fallen silent, and the file is written while it has."""
+def test_a_drain_from_the_new_discovery_after_sighup_applies_at_once(tmp_path: Path) -> None:
+    """This also holds if the old discovery is silent when the file is changed."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         servers = [RealServer("w1"), RealServer("w2")]
         async with node(tmp_path, *servers) as n:
             new = Discovery()
@@ -387,7 +385,7 @@
             n.process.send_signal(signal.SIGHUP)
             while not new.asked:
                 await asyncio.sleep(0)
-            new.push(b"}")  # the next watch tells that it was read
+            new.push(b"}")  # the bad line reopens the watch, so it was read
             while len(new.asked) < 2:
                 await asyncio.sleep(0)
             assert new.asked[-1].endswith("index=7")
@@ -395,4 +393,4 @@
                 assert (await n.ask(f"a{i}", f"/s/k{i}")).body == b"w2 ran a%d" % i
             assert not servers[0].got
 
-    run(play())
+    run(scenario())
