--- a/finchladder/net/admission.py
+++ b/finchladder/net/admission.py
@@ -218,14 +218,14 @@
         connection.may_have_data = len(data) == MAX_RECEIVED_BYTES  # the socket may hold more
         now = self.clock()
         connection.received_at = now - age_s
-        if not connection.is_open:
+        if not connection.has_stream:
             self.silent_connections.pop(connection, None)
         if self.admits_all or not self.controller.must_enqueue or not self._enqueue(connection, data, now):
             self._pass_on(connection, data)
 
     def _pass_on(self, connection: ClientConnection, data: bytes) -> None:
         """Passes received bytes to the parser."""
-        if connection.is_open:
+        if connection.has_stream:
             return connection.receive(data)
         connection.queued_message, connection.first_bytes = b"", data
         self.on_open(connection)
--- a/finchladder/net/client_connection.py
+++ b/finchladder/net/client_connection.py
@@ -79,7 +79,7 @@
         table: "ClientConnectionTable[ClientConnection]",
         reservation: Reservation,
     ) -> None:
-        self.socket, self.descriptor, self.is_open = client_socket, client_socket.fileno(), False
+        self.socket, self.descriptor, self.has_stream = client_socket, client_socket.fileno(), False
         self.client = client  # the peer's IP address
         self.handler, self.table = handler, table
         self.intake, self.clock = handler.intake, handler.intake.clock
@@ -108,13 +108,13 @@
         stream.is_polled_elsewhere = self.handler.admission is not None
         stream.max_read_ahead = 0 if stream.is_polled_elsewhere else MAX_READ_AHEAD
         self.channel = Channel(stream, Parser(parse_request, limit_of))
-        self.is_open = True
+        self.has_stream = True
         stream.set_close_callback(self._on_close)
 
     @property
     def is_closed(self) -> bool:
         """Whether the connection is closed on this side."""
-        return self.channel.stream.closed() if self.is_open else self.socket.fileno() < 0
+        return self.channel.stream.closed() if self.has_stream else self.socket.fileno() < 0
 
     def client_has_left(self) -> bool:
         """Whether the client has closed the connection, even if no event has reported it yet."""
@@ -126,7 +126,7 @@
 
     def close(self) -> None:
         """Closes the stream, or the bare socket."""
-        if self.is_open:
+        if self.has_stream:
             self.channel.close()
         else:
             self.socket.close()
@@ -175,7 +175,7 @@
     @property
     def is_waiting(self) -> bool:
         """Whether the connection waits for a message of which no byte has arrived."""
-        if not self.is_open:
+        if not self.has_stream:
             return not (self.first_bytes or self.queued_message)
         return self.next_bytes is not None and not self.next_bytes.done() and not self.queued_message
 
--- a/finchladder/net/client_listener.py
+++ b/finchladder/net/client_listener.py
@@ -133,7 +133,7 @@
 
     def _close(self, connection: ClientConnection) -> None:
         connection.close()
-        if not connection.is_open:  # otherwise its own task removes it
+        if not connection.has_stream:  # otherwise its own task removes it
             self._drop(connection)
 
     def _evict_one(self) -> bool:
--- a/finchladder/net/host_environment.py
+++ b/finchladder/net/host_environment.py
@@ -40,7 +40,7 @@
     return bind_sockets(address[1], address[0], backlog=max(MIN_BACKLOG, int(BACKLOG_SHARE * sockets)))
 
 
-def datagrams(address: tuple[str, int]) -> socket.socket:
+def bind_datagrams(address: tuple[str, int]) -> socket.socket:
     """Opens the UDP socket for the exchange with peers.
 
     Raises:
@@ -116,7 +116,7 @@
     listen: Callable[[tuple[str, int], int], list[socket.socket]] = listen
     allow_descriptors: Callable[[int], None] = allow_descriptors
     connect: Connect = connect
-    datagrams: Callable[[tuple[str, int]], socket.socket] = datagrams
+    bind_datagrams: Callable[[tuple[str, int]], socket.socket] = bind_datagrams
     open_capture_files: Callable[[CaptureOptions, str, int], Disk | None] = capture_files
     last_good: "Callable[[str], ListFile] | None" = None  # None: a file on the local disk
     # called when long-lived objects have been created, so that the garbage collector can skip them
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -57,7 +57,7 @@
 class DispatcherNode:
     """The components of one dispatcher.
 
-    It must be created and run on the same event loop. `reread` reads the platform configuration again.
+    It must be created and run on the same event loop. `read_setup` reads the platform configuration again.
     """
 
     def __init__(
@@ -288,7 +288,7 @@
             options.peers.addresses(),
             self.clock,
             on_update,
-            self.machine.datagrams,
+            self.machine.bind_datagrams,
         )
 
     def _build_membership(self, options: Options, seed: int) -> None:
