--- a/finchladder/net/__init__.py
+++ b/finchladder/net/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatcher on sockets: one module for each peer, none of which decides anything."""
+"""Network I/O of the dispatcher; all decisions are made in the core."""
--- a/finchladder/net/admission.py
+++ b/finchladder/net/admission.py
@@ -34,7 +34,7 @@
 MAX_RECEIVED_BYTES = 4096  # received at once; a longer message always goes to the parser
 MAX_HANDLED_AT_ONCE = 128  # connections polled, and admission decisions made, in one loop iteration
 REJECTED_FOR_ROOM = 16  # waiting jobs rejected at once to make room for new connections
-MAX_START_SAMPLES = 64  # start times of jobs used in one tick
+MAX_START_SAMPLES = 64  # maximum number of start times used in one tick
 MIN_AGE_S = 0.005  # a message that waited in the socket for less counts as new
 MAX_AGE_S = 60.0  # a higher age is ignored, as it must come from a change of the system clock
 LOG_INTERVAL_S = 10.0  # seconds between two log lines that shedding has begun
@@ -112,7 +112,7 @@
         self.meter = LoopLagMeter(clock(), clocks.cpu(), clocks.idle(), TICK_INTERVAL_S)
         self.start_times_s: list[float] = []  # seconds that jobs took to start, recorded since the last tick
         self.epoll = select.epoll()
-        self.connections: dict[int, ClientConnection] = {}  # by descriptor
+        self.connections: dict[int, ClientConnection] = {}  # by file descriptor
         # connections that have received nothing yet, oldest first
         self.silent_connections: dict[ClientConnection, None] = {}
         # set by the listener: starts serving a connection; closes a connection
--- a/finchladder/net/capture_files.py
+++ b/finchladder/net/capture_files.py
@@ -10,7 +10,7 @@
 
 STANDARD_OUTPUT = "-"  # in place of a folder: one endless stream, for hosts without a persistent disk
 WRITE_INTERVAL_S = 0.1  # seconds between two writes, so that many small blocks become one
-CLOSE_TIMEOUT_S = 1.0  # for writing what is queued at the end
+CLOSE_TIMEOUT_S = 1.0  # maximum wait for queued blocks at the end
 
 
 class CaptureFiles(threading.Thread):
--- a/finchladder/net/client_connection.py
+++ b/finchladder/net/client_connection.py
@@ -30,13 +30,13 @@
 from finchladder.net.job_intake import JobIntake
 from finchladder.net.messages import limit_of
 
-# from accepting a connection to the last byte of its first message; the requirement is 3 s
+# maximum time from accepting a connection to the last byte of its first message; the requirement is 3 s
 FIRST_MESSAGE_TIMEOUT_S = 2.0
-MESSAGE_TIMEOUT_S = 2.0  # from the first byte of a message to its last
-WRITE_TIMEOUT_S = 10.0  # for the client to read a response
+MESSAGE_TIMEOUT_S = 2.0  # maximum time from the first byte of a message to its last
+WRITE_TIMEOUT_S = 10.0  # maximum time for the client to read a response
 # bytes of the next message read while one is handled: further bytes would hide that the client closes
 MAX_READ_AHEAD = MAX_HEAD_BYTES + MAX_BODY_BYTES
-LINGER_S = 0.5  # for discarding what a client still sends after its last response
+LINGER_S = 0.5  # time for which input is discarded after the last response
 
 
 class AdmissionQueue(Protocol):
@@ -295,9 +295,8 @@
         fields = {405: (f"Allow: {e.allow}",), 503: ("Retry-After: 1",)}.get(e.status, ())
         with suppress(StreamClosedError, OSError):
             await self.channel.write(write_response(e.status, f"{e}\n".encode(), fields, close=True))
-            if (
-                not self.channel.stream.reading()
-            ):  # a read that timed out is still pending, and a second one can't start
+            # a read that timed out is still pending, and a second one can't start
+            if not self.channel.stream.reading():
                 await self._linger()
 
     async def _linger(self) -> None:
--- a/finchladder/net/config_reload.py
+++ b/finchladder/net/config_reload.py
@@ -62,7 +62,7 @@
         ]
         if changed:
             names = ", ".join(f"[{f.name.removesuffix('_of')}]" for f in changed)
-            raise ValueError(f"{names} changed, which needs a restart: no part of the file is applied")
+            raise ValueError(f"{names} would change, which needs a restart: no part of the file is applied")
         if new.version == old.version:
             logger.info("SIGHUP: routes: version {} holds already", old.version)
             return
--- a/finchladder/net/decision_actor.py
+++ b/finchladder/net/decision_actor.py
@@ -189,7 +189,6 @@
             flow = self.flows.by_id.get(item.request)
         if flow is not None:
             self.flows.finish(flow, Answer("failed"))
-        if isinstance(
-            item, api.Timer
-        ):  # each timer renews itself when handled: a lost one would never run again
+        # the core relies on its timers: a lost one might never be set again
+        if isinstance(item, api.Timer):
             IOLoop.current().call_later(self.dispatcher.settings.clock_tick_s, self.submit, item)
--- a/finchladder/net/etcd/keys.py
+++ b/finchladder/net/etcd/keys.py
@@ -17,8 +17,8 @@
 from finchladder.net.etcd.messages import Item
 
 MAX_VALUE_BYTES = 8 * 1024
-MAX_NAMES = 50_000  # of workers, and of drain notices; further ones are ignored
-MAX_UNUSABLE_KEYS = 256  # remembered, so that each unusable key is reported once
+MAX_NAMES = 50_000  # maximum number of workers, and of drain notices; further ones are ignored
+MAX_UNUSABLE_KEYS = 256  # unusable keys that are remembered, so that each is reported once
 
 _decode = msgspec.json.Decoder(ServiceEntry).decode
 
--- a/finchladder/net/etcd/state.py
+++ b/finchladder/net/etcd/state.py
@@ -21,14 +21,11 @@
 MAX_SILENCE_S = 5.0  # after a longer silence, the next messages may be outdated, and the list is read again
 PROBE_INTERVAL_S = 2.0  # from one response to the next probe for a quorum
 MAX_WATCH_LAG_S = 10.0  # a watch that has not reached the revision of a probe after this time is checked
-RESPONSE_TIMEOUT_S = 1.0  # for a connection, a response, or the start of a watch
-PROBE_TIMEOUT_S = 2.0  # longer: the watch of an endpoint that is only slow may still work
+RESPONSE_TIMEOUT_S = 1.0  # timeout for a connection, a response, or the start of a watch
+PROBE_TIMEOUT_S = 2.0  # longer, as the watch of a slow endpoint may still work
 KEYS_PER_PAGE = 256  # some 100 KB, read and applied in 2 ms
-BACKOFF_S, MAX_BACKOFF_S, MAX_REFUSED_BACKOFF_S = (
-    0.1,
-    1.0,
-    5.0,
-)  # between two rounds over all endpoints; the last one after rejected logins and the like
+# backoff between two rounds over all endpoints; the last value is the maximum after a rejected login
+BACKOFF_S, MAX_BACKOFF_S, MAX_REFUSED_BACKOFF_S = (0.1, 1.0, 5.0)
 ENDPOINT_JITTER_S = 0.05  # maximum random wait before the next endpoint, so that 1,000 dispatchers spread
 STABLE_WATCH_S = 2.0  # after a watch of this duration, the backoff starts again from its minimum
 MAX_RESTARTS = 3  # lists or logins restarted at once; further ones count as failures of the endpoint
@@ -37,7 +34,7 @@
 class State(Enum):
     """The states of a `Follower`; TRANSITIONS holds the allowed transitions."""
 
-    WAITING = "waiting"  # for the next try
+    WAITING = "waiting"  # until the next try
     OPENING = "opening"  # connecting and, if a user is configured, logging in
     LISTING = "listing"
     STARTING = "starting"  # a watch was requested
@@ -226,7 +223,7 @@
         self.lagging_endpoints: dict[int, None] = {}  # endpoints found at an older revision or term
         self.last_response_at = -MAX_SILENCE_S
         self.following_since: float | None = None
-        self.restarts = 0  # of lists and logins since the last valid response
+        self.restarts = 0  # number of lists and logins since the last valid response
         self.partial_list: Keys | None = None  # a list whose pages are not all read
         self.list_revision = 0  # the revision of `partial_list`; its cluster and term follow
         self.list_cluster_id = self.list_term = 0
@@ -405,9 +402,8 @@
             return self._on_endpoint_failed(
                 EndpointFailed(Failure.BAD, "events before the watch was created")
             )
-        if (
-            not response.items and not response.fragment
-        ):  # a progress notification: all events up to its revision have arrived
+        # a progress notification: all events up to its revision have arrived
+        if not response.items and not response.fragment:
             if self._is_older(response.header):
                 return self._restart_list("the revision decreased")
             self._record_response()
--- a/finchladder/net/http1.py
+++ b/finchladder/net/http1.py
@@ -131,9 +131,8 @@
 def _parse_headers(lines: list[bytes], plain: bool) -> Headers:
     if len(lines) > MAX_FIELDS:
         raise MalformedMessageError(431, "too many header fields")
-    if _FIELDS.fullmatch(
-        b"\r\n".join(lines)
-    ):  # the usual case; matching all lines at once takes a third of the time
+    # the usual case; matching all lines at once takes a third of the time
+    if _FIELDS.fullmatch(b"\r\n".join(lines)):
         parts = [line.decode("ascii").partition(":") for line in lines]
         return Headers([(name, value.strip(" \t")) for name, _, value in parts])
     return Headers([_parse_field(line, plain) for line in lines])
@@ -322,9 +321,8 @@
         """
         if self.head is not None:
             return self.head
-        while self.buffer.startswith(
-            b"\r\n"
-        ):  # empty lines before a message are skipped (RFC 9112, section 2.2)
+        # empty lines before a message are skipped (RFC 9112, section 2.2)
+        while self.buffer.startswith(b"\r\n"):
             del self.buffer[:2]
         end = self.buffer.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES + 4)
         if end < 0:
--- a/finchladder/net/job_intake.py
+++ b/finchladder/net/job_intake.py
@@ -14,7 +14,7 @@
 from finchladder.net.flows import Answer, Flow, FlowTable
 from finchladder.net.timers import Timers
 
-OPEN_FLOW_SHARE = 1 / 3  # open flows per socket
+OPEN_FLOW_SHARE = 1 / 3  # maximum number of open flows, as a share of all sockets
 
 
 class DuplicateRequestError(Exception):
--- a/finchladder/net/membership_actor.py
+++ b/finchladder/net/membership_actor.py
@@ -35,7 +35,7 @@
 DISCOVERY, LAST_GOOD = "discovery", "last good list"
 MAILBOX_SIZE = 64
 SILENCE_TIMEOUT_S = LINE_TIMEOUT_S  # a silent watch is reopened before its source counts as lost
-READ_TIMEOUT_S = 2.0  # for the saved list at startup: a hanging disk must not block the start
+READ_TIMEOUT_S = 2.0  # timeout for the saved list at startup: a hanging disk must not block the start
 # seconds from a change to its save, and between two saves without a change, which renew the saved time
 WRITE_DELAY_S, WRITE_INTERVAL_S = 5.0, 60.0
 LOG_INTERVAL_S = 1.0  # seconds between two log lines about the same kind of fact
@@ -263,7 +263,7 @@
 
 
 class EndpointApplier:
-    """Applies lists through an endpoint watcher whose own watch does not apply any."""
+    """Applies lists through an endpoint watcher that is never started."""
 
     def __init__(self, watcher: EndpointWatcher) -> None:
         self.watcher = watcher
--- a/finchladder/net/peers/actor.py
+++ b/finchladder/net/peers/actor.py
@@ -18,7 +18,7 @@
 
 MAX_READ_AT_ONCE = 64  # datagrams read in one loop iteration
 BIND_RETRY_S = 5.0  # seconds between two tries to bind the socket
-SOCKET_BUFFER_BYTES = 1 << 18  # of the receive buffer
+SOCKET_BUFFER_BYTES = 1 << 18  # size of the receive buffer
 MIN_INTERVAL_S = 0.001  # minimum time between two rounds of the exchange
 
 Address = tuple[str, int]
--- a/finchladder/net/peers/datagrams.py
+++ b/finchladder/net/peers/datagrams.py
@@ -20,7 +20,7 @@
 VERSION = 2
 MAX_DATAGRAM_BYTES = 1_200  # below the MTU of all links, to avoid IP fragmentation
 UNITS_PER_COUNT, MAX_COUNT_UNITS = 8, 0xFFFF
-BYTES_PER_COUNT = 6  # of one worker in a part
+BYTES_PER_COUNT = 6  # encoded size of one worker in a part
 TENTHS_PER_UNIT = 10
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
--- a/finchladder/net/worker_connection.py
+++ b/finchladder/net/worker_connection.py
@@ -7,7 +7,7 @@
 
 from finchladder.net.http1 import Channel, Head, MalformedMessageError, StreamClosedError
 
-BODY_TIMEOUT_S = 1.0  # from the head of a response to its last byte
+BODY_TIMEOUT_S = 1.0  # maximum time from the head of a response to its last byte
 
 
 class Exchange(Protocol):
--- a/finchladder/net/workers.py
+++ b/finchladder/net/workers.py
@@ -33,7 +33,7 @@
 IDLE_TIMEOUT_SHARE = 0.6
 # idle connections, and unlisted workers, handled in one iteration of the event loop: some 2 ms
 MAX_REAPED_AT_ONCE = 200
-DELETE_TIMEOUT_S = 1.0  # for a DELETE, including the wait for a connection
+DELETE_TIMEOUT_S = 1.0  # timeout of a DELETE, including the wait for a connection
 CANCEL_RETRY_INTERVAL_S = 0.25  # seconds between two tries of a DELETE that a further attempt waits for
 
 
--- a/tests/etcd/test_follow.py
+++ b/tests/etcd/test_follow.py
@@ -217,9 +217,8 @@
         await until(lambda: f.follows)
         assert f.states == {"a": "ready"}
         etcd.servers[0].expire_tokens()
-        await until(
-            lambda: f.actor.endpoint_client is not None and f.actor.endpoint_client.logins == 2
-        )  # by the next probe
+        # the next probe logs in again
+        await until(lambda: f.actor.endpoint_client is not None and f.actor.endpoint_client.logins == 2)
         assert f.follows
         etcd.servers[0].expire_tokens(cancel=True)
         put(etcd, "drain/a")
--- a/tests/etcd/test_state.py
+++ b/tests/etcd/test_state.py
@@ -95,9 +95,8 @@
     assert p.states() == dict.fromkeys(["w0", "w1", "w2", "w3", "w4", "w6"], "ready")
     p.cluster.cut()
     p.run(6.0)
-    p.cluster.cut(
-        on=False
-    )  # after this silence the list is read again, and the previous entry of w1 stays in use
+    # after this silence the list is read again, and the previous entry of w1 stays in use
+    p.cluster.cut(on=False)
     p.run(2.0)
     assert len(p.reports) > 3
     assert p.states() == dict.fromkeys(["w0", "w1", "w2", "w3", "w4", "w6"], "ready")
@@ -135,10 +134,8 @@
     assert len(p.reports) == 1
     p.cluster.stall(on=False, now=p.now)
     p.run(2.0)
-    assert [r.workers.kind.value for r in p.reports] == [
-        "whole",
-        "whole",
-    ]  # the drain that ended meanwhile is not reported
+    # the drain that ended meanwhile is not reported
+    assert [r.workers.kind.value for r in p.reports] == ["whole", "whole"]
 
 
 def test_a_pause_of_this_process_counts_as_silence() -> None:
@@ -251,9 +248,8 @@
     first: list[state.Event] = [state.TimerExpired(), state.Opened(), state.ListPage(Response(h, []))]
     for event in [*first, state.WatchMessage(Response(h, [], created=True))]:
         f.handle(0.0, event)
-    assert not f.handle(
-        0.0, state.WatchMessage(Response(h, [item("w", 4)]))
-    )  # an event that was reported before
+    # an event that was reported before
+    assert not f.handle(0.0, state.WatchMessage(Response(h, [item("w", 4)])))
     f.handle(0.0, state.EndpointFailed(state.Failure.LOST, ""))
     for after in (State.WAITING, State.LISTING):
         f.handle(0.1, state.TimerExpired())
--- a/tests/etcd/test_tool.py
+++ b/tests/etcd/test_tool.py
@@ -90,9 +90,8 @@
             await until(lambda: b'"ready"' in there(e).get("a", b""))
             e.cluster.cut(0)
             renewed = next(iter(store.leases.values())).ends
-            await until(
-                lambda: next(iter(store.leases.values())).ends > renewed + 1.0
-            )  # by the other endpoint
+            # renewed through the other endpoint
+            await until(lambda: next(iter(store.leases.values())).ends > renewed + 1.0)
             process.send_signal(signal.SIGTERM)
             await until(lambda: b'"draining"' in there(e).get("a", b""))
             process.send_signal(signal.SIGTERM)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -198,9 +198,8 @@
             assert (await exchange(p.port, CALL_BACK)).status == 204
             assert not p.accepted
             assert not any(w.done() for w in waiting)
-            assert not any(
-                e.queued_message for e in p.clients.connections._closable_as
-            )  # none of them may be closed for another
+            # none of them may be closed for another
+            assert not any(e.queued_message for e in p.clients.connections._closable_as)
             p.admit(1)
             await p.serve(1)
             p.admit(2)
@@ -526,9 +525,8 @@
             time.sleep(0.3)
             await p.wait(1)
             [(queue, _)] = p.control.unread.positions.values()
-            assert (
-                p.intake.clock() - next(iter(queue.values())) >= 5.3
-            )  # counted from when the client sent it
+            # counted from when the client sent it
+            assert p.intake.clock() - next(iter(queue.values())) >= 5.3
             p.admit(1)
             while len(p.accepted) < 2:
                 await asyncio.sleep(0)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -50,9 +50,8 @@
     _, change = read(table, line(listed_states, 7, whole))
     assert (change.version, {e.worker: e.state for e in change.entries}) == (7, changed)
     assert set(change.addresses) == {n for n, s in changed.items() if s is not G}
-    assert (
-        read(table, line(listed_states, 8, whole))[1].entries == []
-    )  # the same list again has no differences
+    # the same list again has no differences
+    assert read(table, line(listed_states, 8, whole))[1].entries == []
 
 
 @pytest.mark.parametrize(
@@ -73,9 +72,8 @@
 def test_an_unusable_line_changes_nothing() -> None:
     table = EndpointTable()
     good = {f"w{n}": "ready" for n in range(9)}
-    assert (
-        read(table, line(good))[0] == 5
-    )  # 4 pauses between slices of 2 of 9 entries, and one after decoding the line
+    # 4 pauses between slices of 2 of 9 entries, and one after decoding the line
+    assert read(table, line(good))[0] == 5
     with pytest.raises(ValueError, match="asleep"):
         read(table, line(good | {"w3": "gone", "w8": "asleep"}))
     assert read(table, line(good))[1].entries == []
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -311,9 +311,8 @@
                 await asyncio.sleep(0.02)
             n.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.1)
-            later = asyncio.create_task(
-                n.ask("a2", "/u/k1", left="20")
-            )  # the load balancer in front has not noticed yet
+            # the load balancer in front has not noticed yet
+            later = asyncio.create_task(n.ask("a2", "/u/k1", left="20"))
             await asyncio.sleep(0.9)
             use.write(request("a3", "/u/k1", left="60"))  # an idle connection still accepts a request
             assert (await asyncio.wait_for(read_message(kept), 20)).status in (502, 503)  # after SIGTERM
@@ -341,10 +340,8 @@
             file, new = json.loads(n.config.read_text()), Discovery()
             await new.open()
             new.first = list_line(7, [late.entry()], True)
-            for text in (
-                "{",
-                json.dumps(file | {"discovery": "nowhere"}),
-            ):  # unusable: the old address stays in use
+            # unusable: the old address stays in use
+            for text in ("{", json.dumps(file | {"discovery": "nowhere"})):
                 n.config.write_text(text)
                 n.process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.2)
