--- a/benchmarks/membership_entry.py
+++ b/benchmarks/membership_entry.py
@@ -14,7 +14,7 @@
 from time import process_time
 
 from finchladder.core import api
-from finchladder.core.membership.decisions import Decided, Membership, MembershipSettings, Report, Source
+from finchladder.core.membership.decisions import Decision, Membership, MembershipSettings, Report, Source
 
 SIZES = (12, 1000, 10_000)
 CHANGES = 200
@@ -45,17 +45,17 @@
         kind = api.ListKind.FULL if whole else api.ListKind.PATCH
         return Report(source, self.version, api.WorkerList(kind, entries), addresses)
 
-    def step(self, act: Callable[[], Decided]) -> float:
+    def step(self, act: Callable[[], Decision]) -> float:
         start = process_time()
         act()
         took = process_time() - start
         self.longest = max(self.longest, took)
         return took
 
-    def all(self, act: Callable[[], Decided]) -> float:
+    def all(self, act: Callable[[], Decision]) -> float:
         took = self.step(act)
         while self.m.next_due <= self.now:
-            took += self.step(lambda: self.m.due(self.now))
+            took += self.step(lambda: self.m.apply_due(self.now))
         return took
 
     def time(self, name: str, *reports: Report) -> None:
@@ -80,19 +80,19 @@
         some = [n * 7 % size for n in range(CHANGES)]
         changes = [self.report("etcd", {n: s}, False) for n in some for s in (D, R)]
         self.now += 100.0
-        self.m.heard(self.now, "etcd")
-        self.m.heard(self.now, "discovery")
+        self.m.record_heartbeat(self.now, "etcd")
+        self.m.record_heartbeat(self.now, "discovery")
         self.time("one entry, ready <-> draining", *changes)
         self.time("one drain by another", *(self.report("discovery", {n: D}, False) for n in some))
         self.time("one restart", *(self.report("etcd", {n: R}, False, 50.0 + i) for i, n in enumerate(some)))
-        self.found["heard, nothing new"] = 1000 * self.step(lambda: self.m.heard(self.now, "etcd"))
+        self.found["heard, nothing new"] = 1000 * self.step(lambda: self.m.record_heartbeat(self.now, "etcd"))
         self.time("all vanish at once", self.report("etcd", dict.fromkeys(range(size), G), False))
         self.time("all are back", self.report("etcd", ready, True, 900.0))
         self.now += 2.9
-        self.m.heard(self.now, "discovery")
+        self.m.record_heartbeat(self.now, "discovery")
         self.now += 0.2
         self.longest = 0.0
-        self.found["the leader is lost"] = 1000 * self.all(lambda: self.m.due(self.now))
+        self.found["the leader is lost"] = 1000 * self.all(lambda: self.m.apply_due(self.now))
         self.found["the leader is lost: longest step"] = 1000 * self.longest
         return self.found
 
--- a/benchmarks/peers_virtual.py
+++ b/benchmarks/peers_virtual.py
@@ -19,7 +19,7 @@
 
 def age(args: argparse.Namespace) -> None:
     from finchladder.core import api
-    from finchladder.core.peers.loads import attach, own_counts
+    from finchladder.core.peers.loads import attach, own_slots_in_flight
     from finchladder.lab import decisions, floor
     from finchladder.lab.check import load
 
@@ -28,7 +28,7 @@
     play = decisions.Play(e)
 
     def wave() -> None:
-        own = [own_counts(node.d.workers.values()) for node in play.nodes]
+        own = [own_slots_in_flight(node.d.workers.values()) for node in play.nodes]
         whole: dict[int, float] = {}
         for counts in own:
             for n, count in counts.items():
@@ -87,7 +87,7 @@
     """How long after a death each of the others holds it for gone, and what is told a second."""
     import numpy as np
 
-    from finchladder.core.peers.messages import Standing
+    from finchladder.core.peers.messages import MemberStatus
     from finchladder.net.peers.datagrams import encode
     from finchladder.sim.peers import Fault, Play, World
 
@@ -108,7 +108,7 @@
 
     def look() -> None:
         for i, p in play.alive.items():
-            if i not in took and p.peers.members.of[f"n{n}"].standing is Standing.GONE:
+            if i not in took and p.peers.members.by_name[f"n{n}"].status is MemberStatus.GONE:
                 took[i] = play.now - at
         play.at(play.now + 0.05, look)
 
@@ -126,30 +126,31 @@
 
 def calm(args: argparse.Namespace) -> None:
     """False suspicions while nobody dies."""
-    from finchladder.core.peers.messages import Standing
+    from finchladder.core.peers.messages import MemberStatus
     from finchladder.sim.peers import Fault, Play, World
 
     n = args.dispatchers
     faults = (Fault("loss", 5.0, 1e6, args.loss, tuple(range(n))),) if args.loss else ()
     play = Play(args.seed, World(n, 100.0, 1.0, 0.0, args.for_s, ()))
     play.links = list(faults)
-    wrong = {Standing.SUSPECTED: 0, Standing.GONE: 0}
+    wrong = {MemberStatus.SUSPECTED: 0, MemberStatus.GONE: 0}
     looks = 0
 
     def look() -> None:
         nonlocal looks
         for p in play.alive.values():
-            for m in p.peers.members.of.values():
+            for m in p.peers.members.by_name.values():
                 looks += 1
-                if m.incarnation and m.standing in wrong:
-                    wrong[m.standing] += 1
+                if m.incarnation and m.status in wrong:
+                    wrong[m.status] += 1
         play.at(play.now + 1.0, look)
 
     play.at(20.0, look)
     play.run(heals=False)
     print(
         f"{n} dispatchers, {args.for_s:g} s, loss {args.loss:g}: of {looks} judgements, one a second,"
-        f" {wrong[Standing.SUSPECTED]} suspect and {wrong[Standing.GONE]} hold for gone one that is there"
+        f" {wrong[MemberStatus.SUSPECTED]} suspect and {wrong[MemberStatus.GONE]} hold for gone"
+        " one that is there"
     )
 
 
--- a/finchladder/core/membership/decisions.py
+++ b/finchladder/core/membership/decisions.py
@@ -18,10 +18,10 @@
 from typing import NamedTuple
 
 from finchladder.core.api import ListKind, WorkerEntry, WorkerList, WorkerStatus
-from finchladder.core.membership.disagreement import DISAGREE_S, Differing
+from finchladder.core.membership.disagreement import DISAGREE_S, DisagreementTracker
 from finchladder.core.membership.removal_guards import FlapDamping, GuardEvent, MassRemovalGuard
 from finchladder.core.membership.sources import ANY_START as ANY_START
-from finchladder.core.membership.sources import NOTHING, SourceState, SourceUpdate, Standing
+from finchladder.core.membership.sources import NOTHING, SourceState, SourceStatus, SourceUpdate
 from finchladder.core.membership.sources import Address as Address
 from finchladder.core.membership.sources import Report as Report
 from finchladder.core.membership.sources import Source as Source
@@ -52,14 +52,14 @@
 class Fact(NamedTuple):
     """A noteworthy change, for the log."""
 
-    what: FactKind
+    kind: FactKind
     source: str = ""
     names: tuple[str, ...] = ()  # the first few concerned
     number: int = 0
     seconds: float = 0.0
 
 
-class Decided(NamedTuple):
+class Decision(NamedTuple):
     """Changes of the merged list, with entries that are not ready first.
 
     The first one that has entries is FULL (STALE if from a stored list), all others are PATCH. There is
@@ -104,7 +104,7 @@
                 raise ValueError(f"membership: {name} must be from {least:g} to {most:g}")
 
 
-class Belief(Enum):
+class MemberState(Enum):
     """State of one worker in the merged list."""
 
     __hash__ = object.__hash__  # Enum's own takes longer than the rest of a look-up
@@ -128,7 +128,7 @@
     MASS_REMOVAL = "mass"  # part of a mass removal
 
 
-B = Belief
+B = MemberState
 TRANSITIONS = {
     (B.ABSENT, SourceVerdict.READY): B.READY,
     (B.ABSENT, SourceVerdict.FLAPPING): B.DAMPED,
@@ -155,7 +155,7 @@
     (B.DAMPED, SourceVerdict.DRAINING): B.DRAINING,
     (B.DAMPED, SourceVerdict.GONE): B.ABSENT,
 }
-STATES = {
+STATUS_OF_STATE = {
     B.ABSENT: WorkerStatus.REMOVED,
     B.READY: WorkerStatus.READY,
     B.DRAINING: WorkerStatus.DRAINING,
@@ -165,20 +165,20 @@
 
 
 UNAVAILABLE = frozenset({B.ABSENT, B.DRAINING, B.DAMPED})  # receives no new jobs
-REACHABLE_STANDINGS = frozenset({Standing.LIVE, Standing.CATCHING_UP, Standing.BEHIND})
+REACHABLE_STANDINGS = frozenset({SourceStatus.LIVE, SourceStatus.CATCHING_UP, SourceStatus.BEHIND})
 
 
 class MemberRecord:
     """One worker of the merged list; `entry.state` is as reported, `belief` is what applies."""
 
-    __slots__ = ("belief", "entry", "address")
+    __slots__ = ("state", "entry", "address")
 
-    def __init__(self, belief: Belief, entry: WorkerEntry, address: Address) -> None:
-        self.belief, self.entry, self.address = belief, entry, address
+    def __init__(self, state: MemberState, entry: WorkerEntry, address: Address) -> None:
+        self.state, self.entry, self.address = state, entry, address
 
     def effective(self) -> tuple[WorkerEntry, Address]:
         """Returns the entry, in the state that applies, and the address."""
-        state = STATES[self.belief]
+        state = STATUS_OF_STATE[self.state]
         return (self.entry if self.entry.state is state else self.entry._replace(state=state)), self.address
 
 
@@ -198,27 +198,29 @@
         self.by_name = {t.source.name: t for t in self.source_states}
         if len(self.by_name) < len(self.source_states) or not self.source_states:
             raise ValueError("membership: sources are needed, each with a name of its own")
-        self.lead: SourceState | None = None
+        self.leader: SourceState | None = None
         self.drain_sources: list[SourceState] = []  # whose draining notices apply; the leader first
-        self.others: list[SourceState] = []  # live sources but the leader
+        self.live_followers: list[SourceState] = []  # live sources but the leader
         self.members: dict[str, MemberRecord] = {}
-        self.counts = dict.fromkeys(Belief, 0)
+        self.counts = dict.fromkeys(MemberState, 0)
         self.mass_removal_guard = MassRemovalGuard(
             settings.max_vanish, settings.vanish_window_s, settings.hold_s
         )
         self.flap_damping = FlapDamping(settings.flap_most, settings.flap_window_s, settings.flap_hold_s)
-        self.differing = Differing()
+        self.disagreements = DisagreementTracker()
         self.dropped: set[str] = set()  # sources whose reports were dropped since the last accepted one
         self.lost: set[str] = set()  # sources that were live and are now lost
-        self.began = self.old = False
+        self.has_begun = self.is_outdated = False
         self.pending_names: dict[str, None] = {}  # reported, not processed yet
-        self._before: dict[str, EffectiveEntry | None] = {}  # entries before the current step changed them
+        self._entries_before: dict[
+            str, EffectiveEntry | None
+        ] = {}  # entries before the current step changed them
         self._damped: list[str] = []
         self._facts: list[Fact] = []
 
     # --- input
 
-    def report(self, now: float, r: Report) -> Decided:
+    def report(self, now: float, r: Report) -> Decision:
         """Applies a report.
 
         Raises:
@@ -226,150 +228,150 @@
         """
         t = self.by_name[r.source]
         if r.workers.kind is ListKind.STALE and r.age_s > self.settings.max_age_s:
-            self._tell(FactKind.OLD, t, seconds=r.age_s)
+            self._add_fact(FactKind.OLD, t, seconds=r.age_s)
             return self._step(now, t, lambda: NOTHING)
         return self._step(now, t, lambda: t.report(now, r))
 
-    def heard(self, now: float, source: str, in_step: bool = True) -> Decided:
+    def record_heartbeat(self, now: float, source: str, in_step: bool = True) -> Decision:
         """Records that a source is alive and has nothing new."""
         t = self.by_name[source]
-        return self._step(now, t, lambda: t.heard(now, in_step))
+        return self._step(now, t, lambda: t.record_heartbeat(now, in_step))
 
-    def due(self, now: float) -> Decided:
+    def apply_due(self, now: float) -> Decision:
         """Applies what is due at `now`; call it at `next_due`. Additional calls are harmless."""
         return self._step(now, None, lambda: NOTHING)
 
     # --- queries
 
     @property
-    def up(self) -> bool:
+    def has_list(self) -> bool:
         """Whether a list is known; an empty stored list does not count."""
         return bool(self.members) or any(t.is_live for t in self.source_states)
 
     def age_s(self, now: float) -> float:
         """Returns the seconds since the list in use was last known to be valid."""
-        return inf if self.lead is None else now - self.lead.valid_at
+        return inf if self.leader is None else now - self.leader.valid_at
 
     @property
     def next_due(self) -> float:
         """Time at which `due` may have an effect; -inf: now, inf: never."""
-        s, lead = self.settings, self.lead
+        s, lead = self.settings, self.leader
         if self.pending_names:
             return -inf
         times = [
-            self.mass_removal_guard.next_due(self._listed()),
+            self.mass_removal_guard.next_due(self._listed_count()),
             self.flap_damping.next_due(),
-            self.differing.next_due(),
+            self.disagreements.next_due(),
         ]
         for t in self.source_states:
             times.append(t.next_expiry_at)
-            if t.standing in REACHABLE_STANDINGS:
-                times.append(t.received_at + t.source.quiet_s)
-            if t.standing is Standing.BEHIND:
-                times.append(t.since if self.old else t.since + s.back_s)
+            if t.status in REACHABLE_STANDINGS:
+                times.append(t.received_at + t.source.silence_timeout_s)
+            if t.status is SourceStatus.BEHIND:
+                times.append(t.since if self.is_outdated else t.since + s.back_s)
             if lead is not None and t.is_live and t.rank < lead.rank:
                 times.append(t.since + s.settle_s)
             if t is not lead and t in self.drain_sources and not t.is_live:
                 times.append(t.valid_at + s.max_age_s)
-        if lead is not None and not self.old and not any(t.is_live for t in self.source_states):
+        if lead is not None and not self.is_outdated and not any(t.is_live for t in self.source_states):
             times.append(lead.valid_at + s.max_age_s)
         return min(times)
 
     # --- one step
 
-    def _step(self, now: float, teller: SourceState | None, act: Callable[[], SourceUpdate]) -> Decided:
-        before = [t.standing for t in self.source_states]
-        names = self._time(now)
+    def _step(self, now: float, teller: SourceState | None, act: Callable[[], SourceUpdate]) -> Decision:
+        before = [t.status for t in self.source_states]
+        names = self._apply_timeouts(now)
         if teller is not None:
-            first, update = not teller.listed, self._heed(now, teller, act())
+            first, update = not teller.has_list, self._record_update(now, teller, act())
             if not (first and teller.is_live):  # otherwise its entries had no effect before
                 names |= update
-        turned = [
-            (t, was) for t, was in zip(self.source_states, before, strict=True) if t.standing is not was
-        ]
+        turned = [(t, was) for t, was in zip(self.source_states, before, strict=True) if t.status is not was]
         for t, was in turned:
-            self._note(now, t, was)
-        names |= self._choose(now)
+            self._record_status_change(now, t, was)
+        names |= self._choose_leader(now)
         for t, was in turned:  # whether its entries apply beside the leader's has changed
-            if self.lead is not None and t is not self.lead and Standing.LIVE in (was, t.standing):
-                names |= _unlike(t, self.lead)
-        names |= self._weigh(now)
-        if self.lead is not None:
-            self._go_through(now, names, self.lead)
-        self._guard(now)
-        self._undamp(now)
-        self._differ(now)
-        return self._decided(now)
-
-    def _time(self, now: float) -> dict[str, None]:
+            if self.leader is not None and t is not self.leader and SourceStatus.LIVE in (was, t.status):
+                names |= _differing_names(t, self.leader)
+        names |= self._select_drain_sources(now)
+        if self.leader is not None:
+            self._process_names(now, names, self.leader)
+        self._advance_guard(now)
+        self._release_stable(now)
+        self._report_disagreements(now)
+        return self._build_decision(now)
+
+    def _apply_timeouts(self, now: float) -> dict[str, None]:
         names: dict[str, None] = {}
         for t in self.source_states:
-            if t.standing is Standing.BEHIND and (self.old or now >= t.since + self.settings.back_s):
-                names |= self._heed(now, t, t.anew(now))
-            if t.standing in REACHABLE_STANDINGS and now >= t.received_at + t.source.quiet_s:
-                names |= t.quiet(now).names
+            if t.status is SourceStatus.BEHIND and (
+                self.is_outdated or now >= t.since + self.settings.back_s
+            ):
+                names |= self._record_update(now, t, t.commit_restarted(now))
+            if t.status in REACHABLE_STANDINGS and now >= t.received_at + t.source.silence_timeout_s:
+                names |= t.mark_lost(now).names
             names |= t.expire_departures(now)
         return names
 
-    def _heed(self, now: float, t: SourceState, update: SourceUpdate) -> dict[str, None]:
+    def _record_update(self, now: float, t: SourceState, update: SourceUpdate) -> dict[str, None]:
         if update.stale:
             if t.source.name not in self.dropped:
-                self._tell(FactKind.STALE, t)
+                self._add_fact(FactKind.STALE, t)
             self.dropped.add(t.source.name)
         elif update.names:
             self.dropped.discard(t.source.name)
         if update.versions_behind:
-            self._tell(FactKind.BEHIND, t, number=update.versions_behind)
+            self._add_fact(FactKind.BEHIND, t, number=update.versions_behind)
         if update.restarted:
-            self._tell(FactKind.ANEW, t, number=len(t.table))
-        if update.left_out:
-            self._tell(FactKind.FULL, t, number=update.left_out)
+            self._add_fact(FactKind.ANEW, t, number=len(t.table))
+        if update.omitted:
+            self._add_fact(FactKind.FULL, t, number=update.omitted)
         return update.names
 
-    def _note(self, now: float, t: SourceState, was: Standing) -> None:
+    def _record_status_change(self, now: float, t: SourceState, was: SourceStatus) -> None:
         name = t.source.name
-        if t.standing is Standing.LOST and was in (Standing.LIVE, Standing.BEHIND):
+        if t.status is SourceStatus.LOST and was in (SourceStatus.LIVE, SourceStatus.BEHIND):
             self.lost.add(name)
-            self._tell(FactKind.LOST, t, number=len(t.table), seconds=now - t.received_at)
+            self._add_fact(FactKind.LOST, t, number=len(t.table), seconds=now - t.received_at)
         elif t.is_live and name in self.lost:
             self.lost.discard(name)
-            self._tell(FactKind.BACK, t)
+            self._add_fact(FactKind.BACK, t)
 
-    def _choose(self, now: float) -> dict[str, None]:
+    def _choose_leader(self, now: float) -> dict[str, None]:
         """Selects the leader and returns the names to evaluate again if it changed."""
-        cur = self.lead
+        cur = self.leader
         live = [t for t in self.source_states if t.is_live]
         if live:
-            self.old = False
-        elif cur is not None and not self.old and now >= cur.valid_at + self.settings.max_age_s:
-            self.old = True
-            self._tell(FactKind.OLD, cur, seconds=now - cur.valid_at)
-        if cur is not None and (cur.is_live or (cur.standing is Standing.BEHIND and not self.old)):
+            self.is_outdated = False
+        elif cur is not None and not self.is_outdated and now >= cur.valid_at + self.settings.max_age_s:
+            self.is_outdated = True
+            self._add_fact(FactKind.OLD, cur, seconds=now - cur.valid_at)
+        if cur is not None and (cur.is_live or (cur.status is SourceStatus.BEHIND and not self.is_outdated)):
             new = next(
                 (t for t in live if t.rank < cur.rank and now >= t.since + self.settings.settle_s), cur
             )
         else:
-            found = live or ([cur] if cur is not None else [t for t in self.source_states if t.listed])
+            found = live or ([cur] if cur is not None else [t for t in self.source_states if t.has_list])
             if not found:
                 return {}
             new = found[0]
         if new is cur:
             return {}
-        self.lead = new
-        self._tell(FactKind.LEADS, new, number=len(new.table))
-        self.differing.clear()
+        self.leader = new
+        self._add_fact(FactKind.LEADS, new, number=len(new.table))
+        self.disagreements.clear()
         if cur is None:
             return dict.fromkeys(new.table)
-        return _unlike(cur, new)
+        return _differing_names(cur, new)
 
-    def _weigh(self, now: float) -> dict[str, None]:
+    def _select_drain_sources(self, now: float) -> dict[str, None]:
         """Selects the sources whose notices apply. Those of a lost source apply until its list is too old."""
-        was, lead = self.drain_sources, self.lead
-        self.others = [t for t in self.source_states if t.is_live and t is not lead]
+        was, lead = self.drain_sources, self.leader
+        self.live_followers = [t for t in self.source_states if t.is_live and t is not lead]
         self.drain_sources = [lead] if lead is not None else []
         for t in self.source_states:
             lately = t.is_live or now < t.valid_at + self.settings.max_age_s
-            if t is not lead and t.listed and lately and not t.source.past:
+            if t is not lead and t.has_list and lately and not t.source.is_stored_list:
                 self.drain_sources.append(t)
         names: dict[str, None] = {}
         for t in was:
@@ -379,7 +381,7 @@
 
     # --- one worker
 
-    def _go_through(self, now: float, names: dict[str, None], lead: SourceState) -> None:
+    def _process_names(self, now: float, names: dict[str, None], lead: SourceState) -> None:
         """Processes removed and draining workers at once, to detect mass removals, and the rest in slices."""
         at_once: list[str] = []
         for name in names:
@@ -389,45 +391,45 @@
             else:
                 self.pending_names[name] = None
         if len(at_once) > SLICE_SIZE:
-            at_once = self._hold_first(now, at_once, lead)
+            at_once = self._defer_mass_removal(now, at_once, lead)
         for name in at_once:
-            self._judge(now, name, lead)
+            self._evaluate(now, name, lead)
         for name in list(islice(self.pending_names, SLICE_SIZE)):
             del self.pending_names[name]
-            self._judge(now, name, lead)
+            self._evaluate(now, name, lead)
 
-    def _hold_first(self, now: float, names: list[str], lead: SourceState) -> list[str]:
+    def _defer_mass_removal(self, now: float, names: list[str], lead: SourceState) -> list[str]:
         """Defers a mass removal to later slices, and returns the other names."""
         vanish = {
             name: None
             for name in names
             if (member := self.members.get(name)) is not None
-            and member.belief not in UNAVAILABLE
+            and member.state not in UNAVAILABLE
             and not lead.lists(name)
-            and not self._confirmed(name, member.entry.started_at)
+            and not self._is_confirmed(name, member.entry.started_at)
         }
-        self._mass(now, vanish)
+        self._detect_mass_removal(now, vanish)
         if not self.mass_removal_guard.is_protecting:
             return names
         self.pending_names |= vanish
         return [name for name in names if name not in vanish]
 
-    def _confirmed(self, name: str, born: float) -> bool:
+    def _is_confirmed(self, name: str, born: float) -> bool:
         """Whether another source confirms the removal, or the worker was draining."""
-        return any(name in t.departures for t in self.others) or any(
+        return any(name in t.departures for t in self.live_followers) or any(
             t.draining_start(name) >= born for t in self.drain_sources
         )
 
-    def _judge(self, now: float, name: str, lead: SourceState) -> None:
+    def _evaluate(self, now: float, name: str, lead: SourceState) -> None:
         source_entry = lead.table.get(name)
-        if self.others or self.differing.told or self.differing.new:
-            self.differing.see(now, name, lead, self.others)
+        if self.live_followers or self.disagreements.reported or self.disagreements.unreported:
+            self.disagreements.compare(now, name, lead, self.live_followers)
         if source_entry is None or source_entry.address is None:
-            return self._missing(now, name)
+            return self._evaluate_missing(now, name)
         entry, address = source_entry.entry, source_entry.address
         newest = entry.started_at if entry.started_at != ANY_START else -1.0
         drains = max(t.draining_start(name) for t in self.drain_sources)
-        for t in self.others:
+        for t in self.live_followers:
             other = t.table.get(name)
             if (
                 other is not None
@@ -436,10 +438,12 @@
             ):
                 entry, address, newest = other.entry, other.address, other.entry.started_at
         member = self.members.get(name)
-        belief = member.belief if member is not None else Belief.ABSENT
+        belief = member.state if member is not None else MemberState.ABSENT
         if drains >= entry.started_at:
             verdict = SourceVerdict.DRAINING
-        elif belief in UNAVAILABLE and (belief is Belief.DAMPED or self.flap_damping.is_flapping(now, name)):
+        elif belief in UNAVAILABLE and (
+            belief is MemberState.DAMPED or self.flap_damping.is_flapping(now, name)
+        ):
             verdict = SourceVerdict.FLAPPING
         else:
             verdict = SourceVerdict.READY
@@ -447,19 +451,19 @@
             entry = entry._replace(started_at=member.entry.started_at if member is not None else 0.0)
         if self.mass_removal_guard.recent_removals or self.mass_removal_guard.held:
             self.mass_removal_guard.record_return(now, name)
-        self._set(now, name, verdict, entry, address)
+        self._set_state(now, name, verdict, entry, address)
 
-    def _missing(self, now: float, name: str) -> None:
+    def _evaluate_missing(self, now: float, name: str) -> None:
         """Evaluates a worker that the leader does not list."""
         member = self.members.get(name) or self.mass_removal_guard.recent_removals.get(name)
         if member is None:
             return
-        if self._confirmed(name, member.entry.started_at):
+        if self._is_confirmed(name, member.entry.started_at):
             self.mass_removal_guard.resolve(name)
             verdict = SourceVerdict.GONE
         elif not isinstance(member, MemberRecord):  # removed before, still unconfirmed
             return
-        elif member.belief in UNAVAILABLE:
+        elif member.state in UNAVAILABLE:
             verdict = SourceVerdict.GONE
         elif self.mass_removal_guard.is_protecting:
             self.mass_removal_guard.hold(name)
@@ -467,91 +471,95 @@
         else:
             self.mass_removal_guard.record_removal(now, name, member.entry, member.address)
             verdict = SourceVerdict.GONE
-        self._set(now, name, verdict, member.entry, member.address)
+        self._set_state(now, name, verdict, member.entry, member.address)
 
-    def _set(
+    def _set_state(
         self, now: float, name: str, verdict: SourceVerdict, entry: WorkerEntry, address: Address
     ) -> None:
         member = self.members.get(name)
-        if name not in self._before:
-            self._before[name] = member.effective() if member is not None else None
-        old = member.belief if member is not None else Belief.ABSENT
+        if name not in self._entries_before:
+            self._entries_before[name] = member.effective() if member is not None else None
+        old = member.state if member is not None else MemberState.ABSENT
         new = TRANSITIONS[old, verdict]
         if new is not old:
             self.counts[old] -= 1
             self.counts[new] += 1
-        if new is Belief.ABSENT:
+        if new is MemberState.ABSENT:
             self.members.pop(name, None)
         elif member is None:
             self.members[name] = MemberRecord(new, entry, address)
         else:
-            member.belief, member.entry, member.address = new, entry, address
-        if new is Belief.DAMPED:
+            member.state, member.entry, member.address = new, entry, address
+        if new is MemberState.DAMPED:
             self.flap_damping.damp(now, name)
-            if old is not Belief.DAMPED:
+            if old is not MemberState.DAMPED:
                 self._damped.append(name)
-        elif old is Belief.DAMPED:
+        elif old is MemberState.DAMPED:
             self.flap_damping.undamp(name)
 
     # --- all workers
 
-    def _listed(self) -> int:
-        return self.counts[Belief.READY] + self.counts[Belief.HELD] + self.counts[Belief.DAMPED]
+    def _listed_count(self) -> int:
+        return (
+            self.counts[MemberState.READY] + self.counts[MemberState.HELD] + self.counts[MemberState.DAMPED]
+        )
 
-    def _guard(self, now: float) -> None:
-        self._mass(now, {})
+    def _advance_guard(self, now: float) -> None:
+        self._detect_mass_removal(now, {})
         if self.pending_names:
             return  # the held ones are known once all names are processed
         while (
-            turn := self.mass_removal_guard.advance(now, self._listed(), self.counts[Belief.READY])
+            turn := self.mass_removal_guard.advance(now, self._listed_count(), self.counts[MemberState.READY])
         ) is not None:
             if turn is GuardEvent.NONE_HELD:
-                self._tell(FactKind.RETURNED, self.lead)
+                self._add_fact(FactKind.RETURNED, self.leader)
                 continue
             over = [
                 name
                 for name in self.mass_removal_guard.held
-                if turn is GuardEvent.BELOW_THRESHOLD or not self._elsewhere(name)
+                if turn is GuardEvent.BELOW_THRESHOLD or not self._is_listed_elsewhere(name)
             ]
             for name in over:
                 member = self.members[name]
                 self.mass_removal_guard.resolve(name)
-                self._set(now, name, SourceVerdict.GONE, member.entry, member.address)
+                self._set_state(now, name, SourceVerdict.GONE, member.entry, member.address)
             if over:
-                self._tell(FactKind.RELEASED, self.lead, over, len(over))
+                self._add_fact(FactKind.RELEASED, self.leader, over, len(over))
 
-    def _mass(self, now: float, more: dict[str, None]) -> None:
-        back = self.mass_removal_guard.detect_mass_removal(now, self._listed(), len(more))
+    def _detect_mass_removal(self, now: float, more: dict[str, None]) -> None:
+        back = self.mass_removal_guard.detect_mass_removal(now, self._listed_count(), len(more))
         if back is None:
             return
         for name, gone in back.items():
-            self._set(now, name, SourceVerdict.MASS_REMOVAL, gone.entry, gone.address)
+            self._set_state(now, name, SourceVerdict.MASS_REMOVAL, gone.entry, gone.address)
         names = [*islice(back, MAX_NAMES_IN_FACT), *islice(more, MAX_NAMES_IN_FACT)]
-        self._tell(FactKind.HOLDING, self.lead, names, len(back) + len(more), self.settings.vanish_window_s)
+        self._add_fact(
+            FactKind.HOLDING, self.leader, names, len(back) + len(more), self.settings.vanish_window_s
+        )
 
-    def _elsewhere(self, name: str) -> bool:
+    def _is_listed_elsewhere(self, name: str) -> bool:
         """Whether another live source lists it."""
-        return any(t.lists(name) for t in self.others)
+        return any(t.lists(name) for t in self.live_followers)
 
-    def _undamp(self, now: float) -> None:
+    def _release_stable(self, now: float) -> None:
         if self._damped:
-            self._tell(FactKind.FLAPS, self.lead, self._damped, len(self._damped))
+            self._add_fact(FactKind.FLAPS, self.leader, self._damped, len(self._damped))
             self._damped = []
-        none_left = not self.counts[Belief.READY] and not self.counts[Belief.HELD]
+        none_left = not self.counts[MemberState.READY] and not self.counts[MemberState.HELD]
         for name in list(self.flap_damping.damped) if none_left else self.flap_damping.find_stable(now):
             member = self.members[name]
-            self._set(now, name, SourceVerdict.READY, member.entry, member.address)
+            self._set_state(now, name, SourceVerdict.READY, member.entry, member.address)
 
-    def _differ(self, now: float) -> None:
-        if found := self.differing.due(now):
+    def _report_disagreements(self, now: float) -> None:
+        if found := self.disagreements.take_due(now):
             source, names = found
             self._facts.append(
                 Fact(FactKind.DISAGREE, source, tuple(names[:MAX_NAMES_IN_FACT]), len(names), DISAGREE_S)
             )
-        if self.differing.over():
-            self._tell(FactKind.AGREED, self.lead)
+        if self.disagreements.take_ended():
+            self._add_fact(FactKind.AGREED, self.leader)
 
-    def _tell(
+    def _add_fact(
         self,
         what: FactKind,
         t: SourceState | None,
@@ -562,11 +570,11 @@
         source = t.source.name if t is not None else ""
         self._facts.append(Fact(what, source, tuple(names[:MAX_NAMES_IN_FACT]), number, seconds))
 
-    def _decided(self, now: float) -> Decided:
+    def _build_decision(self, now: float) -> Decision:
         first: list[WorkerEntry] = []
         rest: list[WorkerEntry] = []
         addresses: dict[str, Address] = {}
-        for name, before in self._before.items():
+        for name, before in self._entries_before.items():
             member = self.members.get(name)
             was = before[0].state if before is not None else WorkerStatus.REMOVED
             if member is None:
@@ -576,26 +584,26 @@
             else:
                 entry, address = shown = member.effective()
                 state = entry.state
-                if before is None or not _alike(before, shown):
+                if before is None or not _is_equivalent(before, shown):
                     (rest if state is WorkerStatus.READY else first).append(entry)
                     addresses[name] = address
             if was is WorkerStatus.READY and state is not WorkerStatus.READY:
                 self.flap_damping.record_departure(now, name)
         entries = (*first, *rest)
         kind = ListKind.PATCH
-        if entries and not self.began:
-            self.began = True
+        if entries and not self.has_begun:
+            self.has_begun = True
             kind = ListKind.FULL if any(t.is_live for t in self.source_states) else ListKind.STALE
-        facts, self._facts, self._before = tuple(self._facts), [], {}
-        return Decided(WorkerList(kind, entries), addresses, facts)
+        facts, self._facts, self._entries_before = tuple(self._facts), [], {}
+        return Decision(WorkerList(kind, entries), addresses, facts)
 
 
-def _alike(a: EffectiveEntry, b: EffectiveEntry) -> bool:
+def _is_equivalent(a: EffectiveEntry, b: EffectiveEntry) -> bool:
     """Whether two entries are equal but for their weight, which no decision uses."""
     return a[0][:-1] == b[0][:-1] and a[1] == b[1]
 
 
-def _unlike(a: SourceState, b: SourceState) -> dict[str, None]:
+def _differing_names(a: SourceState, b: SourceState) -> dict[str, None]:
     """Returns the names on which two sources differ, or of which they remember departures."""
     names = {name: None for name, source_entry in a.table.items() if b.table.get(name) != source_entry}
     names.update((name, None) for name in b.table if name not in a.table)
--- a/finchladder/core/membership/removal_guards.py
+++ b/finchladder/core/membership/removal_guards.py
@@ -10,8 +10,8 @@
 
 from finchladder.core.api import WorkerEntry
 
-CALM_S = 1.0  # without a return for so long, removals count as final
-MOST_FLAPS = 16_384  # workers whose departures are counted; the oldest is evicted first
+RETURN_QUIET_S = 1.0  # without a return for so long, removals count as final
+MAX_FLAPPING_WORKERS = 16_384  # workers whose departures are counted; the oldest is evicted first
 
 
 class GuardState(Enum):
@@ -118,7 +118,7 @@
             return None
         if not self.held:
             turn = GuardEvent.NONE_HELD
-        elif self._few(listed) and now >= self.last_return_at + CALM_S:
+        elif self._is_below_threshold(listed) and now >= self.last_return_at + RETURN_QUIET_S:
             turn = GuardEvent.BELOW_THRESHOLD
         elif now >= self.hold_until:
             self.hold_until = now + self.hold_s
@@ -130,7 +130,7 @@
         self.state = TRANSITIONS[self.state, turn]
         return turn
 
-    def _few(self, listed: int) -> bool:
+    def _is_below_threshold(self, listed: int) -> bool:
         return len(self.held) <= self.share * listed
 
     def next_due(self, listed: int) -> float:
@@ -139,7 +139,9 @@
             return inf
         if not self.held:
             return -inf
-        return min(self.hold_until, self.last_return_at + CALM_S if self._few(listed) else inf)
+        return min(
+            self.hold_until, self.last_return_at + RETURN_QUIET_S if self._is_below_threshold(listed) else inf
+        )
 
 
 class FlapDamping:
@@ -155,7 +157,7 @@
         self.departures[name] = (*self.departures.get(name, ()), now)[-self.max_departures :]
         self.departures.move_to_end(name)
         while (
-            len(self.departures) > MOST_FLAPS
+            len(self.departures) > MAX_FLAPPING_WORKERS
             or next(iter(self.departures.values()))[-1] + self.window_s <= now
         ):
             self.departures.popitem(last=False)
--- a/finchladder/core/membership/sources.py
+++ b/finchladder/core/membership/sources.py
@@ -28,8 +28,8 @@
     """
 
     name: str
-    quiet_s: float = 3.0
-    past: bool = False
+    silence_timeout_s: float = 3.0
+    is_stored_list: bool = False
 
 
 class Report(NamedTuple):
@@ -59,7 +59,7 @@
     address: Address | None
 
 
-class Standing(Enum):
+class SourceStatus(Enum):
     """Whether a source's reports are current."""
 
     NEVER = "never"  # it has not reported a full list yet
@@ -82,7 +82,7 @@
     UNDONE = "undone"  # the same, before its first list was in step
 
 
-S = Standing
+S = SourceStatus
 TRANSITIONS = {
     (S.NEVER, SourceEvent.BEFORE): S.LOST,
     (S.NEVER, SourceEvent.IN_STEP): S.LIVE,
@@ -129,7 +129,7 @@
     stale: bool = False  # it was dropped
     versions_behind: int = 0  # versions by which a list that is now doubted lies back
     restarted: bool = False
-    left_out: int = 0  # names past the bound
+    omitted: int = 0  # names past the bound
 
 
 NOTHING = SourceUpdate({})
@@ -140,14 +140,14 @@
 
     def __init__(self, source: Source, rank: int) -> None:
         self.source, self.rank = source, rank
-        self.standing = S.NEVER
+        self.status = S.NEVER
         self.since = 0.0  # time of the last change of `standing`
         self.received_at = 0.0
         self.valid_at = 0.0  # when its table was last known to be valid
         self.epoch, self.version = "", -1
-        self.listed = False
+        self.has_list = False
         self.table: dict[str, SourceEntry] = {}
-        self.waiting: _PendingList | None = None
+        self.pending: _PendingList | None = None
         self.departures: OrderedDict[str, Departure] = OrderedDict()
         self.drains_before_restart: OrderedDict[str, Departure] = (
             OrderedDict()
@@ -157,15 +157,15 @@
     @property
     def is_live(self) -> bool:
         """Whether the source is in step."""
-        return self.standing is S.LIVE
+        return self.status is S.LIVE
 
     def _apply(self, now: float, sign: SourceEvent) -> None:
         try:
-            standing = TRANSITIONS[self.standing, sign]
+            standing = TRANSITIONS[self.status, sign]
         except KeyError:
-            raise ValueError(f"a source that is {self.standing.value} can't be {sign.value}") from None
-        if standing is not self.standing:
-            self.standing, self.since = standing, now
+            raise ValueError(f"a source that is {self.status.value} can't be {sign.value}") from None
+        if standing is not self.status:
+            self.status, self.since = standing, now
         if standing is S.LIVE:
             self.valid_at = now
 
@@ -177,86 +177,86 @@
         if kind is ListKind.BROKEN:
             return NOTHING
         if kind is ListKind.STALE:
-            if self.standing is not S.NEVER or self.waiting is not None:
+            if self.status is not S.NEVER or self.pending is not None:
                 return SourceUpdate({}, stale=True)
             self.valid_at = now - r.age_s
             self._apply(now, SourceEvent.BEFORE)
-            return self._commit(now, self._add(_PendingList(r.epoch, r.version, True), r), {})
+            return self._commit(now, self._add_entries(_PendingList(r.epoch, r.version, True), r), {})
         self.received_at = now
         if kind is ListKind.FULL:
-            return self._whole(now, r)
-        return self._patch(now, r)
+            return self._apply_full(now, r)
+        return self._apply_patch(now, r)
 
-    def heard(self, now: float, in_step: bool) -> SourceUpdate:
+    def record_heartbeat(self, now: float, in_step: bool) -> SourceUpdate:
         """Records that the source is alive and has nothing new."""
         self.received_at = now
-        if not self.listed and self.waiting is None:
+        if not self.has_list and self.pending is None:
             return NOTHING
-        self._apply(now, self._sign(in_step))
+        self._apply(now, self._event_of(in_step))
         return (
-            self._commit(now, self.waiting, {})
-            if self.is_live and self.waiting is not None
-            else self._behind()
+            self._commit(now, self.pending, {})
+            if self.is_live and self.pending is not None
+            else self._behind_update()
         )
 
-    def quiet(self, now: float) -> SourceUpdate:
+    def mark_lost(self, now: float) -> SourceUpdate:
         """Marks the source as lost after `quiet_s` without a message; a pending list remains pending."""
-        before = self._doubted()
-        self._apply(now, SourceEvent.QUIET if self.listed else SourceEvent.UNDONE)
+        before = self._older_pending_names()
+        self._apply(now, SourceEvent.QUIET if self.has_list else SourceEvent.UNDONE)
         return SourceUpdate(before)
 
-    def anew(self, now: float) -> SourceUpdate:
+    def commit_restarted(self, now: float) -> SourceUpdate:
         """Commits the pending older list: the source has restarted its versions."""
-        assert self.waiting is not None
-        before = self._doubted()
+        assert self.pending is not None
+        before = self._older_pending_names()
         self._apply(now, SourceEvent.ANEW)
-        return self._commit(now, self.waiting, before)
+        return self._commit(now, self.pending, before)
 
-    def _doubted(self) -> dict[str, None]:
+    def _older_pending_names(self) -> dict[str, None]:
         """Returns the names of a pending older list, whose draining notices apply while it is pending."""
-        behind = self.standing is S.BEHIND
-        return dict.fromkeys(self.waiting.entries) if behind and self.waiting is not None else {}
+        behind = self.status is S.BEHIND
+        return dict.fromkeys(self.pending.entries) if behind and self.pending is not None else {}
 
-    def _behind(self) -> SourceUpdate:
-        return SourceUpdate(self._doubted()) if self.standing is S.BEHIND else NOTHING
+    def _behind_update(self) -> SourceUpdate:
+        return SourceUpdate(self._older_pending_names()) if self.status is S.BEHIND else NOTHING
 
-    def _sign(self, in_step: bool) -> SourceEvent:
-        if self.waiting is not None and self.waiting.is_full and self._older(self.waiting):
+    def _event_of(self, in_step: bool) -> SourceEvent:
+        if self.pending is not None and self.pending.is_full and self._is_older(self.pending):
             return SourceEvent.OLDER
         return SourceEvent.IN_STEP if in_step else SourceEvent.REPLAY
 
-    def _older(self, new: _PendingList) -> bool:
-        return self.listed and new.epoch == self.epoch and new.version < self.version
+    def _is_older(self, new: _PendingList) -> bool:
+        return self.has_list and new.epoch == self.epoch and new.version < self.version
 
-    def _whole(self, now: float, r: Report) -> SourceUpdate:
-        before = self._doubted()
-        self.waiting = self._add(_PendingList(r.epoch, r.version, True), r)
-        if self._older(self.waiting):
-            first = self.standing is not S.BEHIND
+    def _apply_full(self, now: float, r: Report) -> SourceUpdate:
+        before = self._older_pending_names()
+        self.pending = self._add_entries(_PendingList(r.epoch, r.version, True), r)
+        if self._is_older(self.pending):
+            first = self.status is not S.BEHIND
             self._apply(now, SourceEvent.OLDER)
             return SourceUpdate(
-                before | self._doubted(), versions_behind=self.version - r.version if first else 0
+                before | self._older_pending_names(), versions_behind=self.version - r.version if first else 0
             )
-        self._apply(now, SourceEvent.CAUGHT_UP if self.standing is S.BEHIND else self._sign(r.in_step))
-        return self._commit(now, self.waiting, before) if self.is_live else NOTHING
+        self._apply(now, SourceEvent.CAUGHT_UP if self.status is S.BEHIND else self._event_of(r.in_step))
+        return self._commit(now, self.pending, before) if self.is_live else NOTHING
 
-    def _patch(self, now: float, r: Report) -> SourceUpdate:
-        on = self.waiting or _PendingList(self.epoch, self.version, False)
-        if not (self.listed or self.waiting) or r.epoch != on.epoch or r.version < on.version:
+    def _apply_patch(self, now: float, r: Report) -> SourceUpdate:
+        on = self.pending or _PendingList(self.epoch, self.version, False)
+        if not (self.has_list or self.pending) or r.epoch != on.epoch or r.version < on.version:
             return SourceUpdate({}, stale=True)
-        before = self._doubted()
-        self.waiting = self._add(on, r)
-        if self.standing is S.BEHIND and not self._older(on):
+        before = self._older_pending_names()
+        self.pending = self._add_entries(on, r)
+        if self.status is S.BEHIND and not self._is_older(on):
             self._apply(now, SourceEvent.CAUGHT_UP)
         else:
-            self._apply(now, self._sign(r.in_step))
+            self._apply(now, self._event_of(r.in_step))
         if self.is_live:
             return self._commit(now, on, before)
         if before:
             return SourceUpdate({e.worker: None for e in r.workers.entries})
-        return self._behind()
+        return self._behind_update()
 
-    def _add(self, waiting: _PendingList, r: Report) -> _PendingList:
+    def _add_entries(self, waiting: _PendingList, r: Report) -> _PendingList:
         waiting.version = r.version
         words, address = waiting.entries, r.addresses.get
         for e in r.workers.entries:
@@ -273,7 +273,7 @@
 
     def _commit(self, now: float, new: _PendingList, names: dict[str, None]) -> SourceUpdate:
         """Commits a pending list to the table; `names` are reported as concerned in any case."""
-        anew = self.listed and (new.epoch != self.epoch or new.version < self.version)
+        anew = self.has_list and (new.epoch != self.epoch or new.version < self.version)
         left_out = 0
         table = self.table
         if new.is_full:
@@ -293,8 +293,8 @@
                 table[name] = word
                 if self.departures or self.drains_before_restart or anew:
                     self._note_listed(now, name, word, old if anew else None)
-        self.epoch, self.version, self.listed, self.waiting = new.epoch, new.version, True, None
-        return SourceUpdate(names, restarted=anew, left_out=left_out)
+        self.epoch, self.version, self.has_list, self.pending = new.epoch, new.version, True, None
+        return SourceUpdate(names, restarted=anew, omitted=left_out)
 
     def _note_listed(self, now: float, name: str, word: SourceEntry, before: SourceEntry | None) -> None:
         """Forgets a departure; `before`: the entry from before a restart of the source."""
@@ -305,7 +305,7 @@
             and before.entry.state is WorkerStatus.DRAINING
             and word.entry.state is WorkerStatus.READY
         ):
-            self._remember(self.drains_before_restart, name, Departure(now, before.entry.started_at))
+            self._record_departure(self.drains_before_restart, name, Departure(now, before.entry.started_at))
 
     def _remove(self, now: float, name: str, anew: bool, drained: float | None = None) -> None:
         """Removes an entry; `drained`: its draining incarnation. Not for a restarted list that lacks it."""
@@ -315,9 +315,9 @@
         self.drains_before_restart.pop(name, None)
         self.departures.pop(name, None)
         if drained is not None or not anew:
-            self._remember(self.departures, name, Departure(now, drained))
+            self._record_departure(self.departures, name, Departure(now, drained))
 
-    def _remember(self, marks: OrderedDict[str, Departure], name: str, mark: Departure) -> None:
+    def _record_departure(self, marks: OrderedDict[str, Departure], name: str, mark: Departure) -> None:
         marks[name] = mark
         if mark.drained_start is not None:
             self.may_drain.add(name)
@@ -337,8 +337,8 @@
             return -inf
         found = -inf
         word = self.table.get(name)
-        doubted = self.waiting.entries.get(name) if self.waiting is not None else None
-        for one in (word, doubted if self.standing is S.BEHIND else None):
+        doubted = self.pending.entries.get(name) if self.pending is not None else None
+        for one in (word, doubted if self.status is S.BEHIND else None):
             if one is not None and one.entry.state is WorkerStatus.DRAINING:
                 found = max(found, one.entry.started_at)
         for marks in (self.departures, self.drains_before_restart):
--- a/finchladder/core/peers/retries.py
+++ b/finchladder/core/peers/retries.py
@@ -11,7 +11,7 @@
 from finchladder.core.routing.routes import RetryBudget
 
 
-class SharedBudget(RetryBudgetWindow):
+class SharedRetryBudget(RetryBudgetWindow):
     """Retry budget whose minimum rate comes from a bucket that all dispatchers share."""
 
     __slots__ = ("bucket",)
@@ -25,7 +25,7 @@
         self.floor = 0.0
 
     def may_retry(self, now: float) -> bool:
-        return super().may_retry(now) or self.bucket.left(now)
+        return super().may_retry(now) or self.bucket.has_token(now)
 
     def try_spend(self, now: float) -> bool:
         if not super().may_retry(now):
--- a/finchladder/core/peers/sums.py
+++ b/finchladder/core/peers/sums.py
@@ -24,12 +24,12 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from finchladder.core.peers.messages import Part
+from finchladder.core.peers.messages import PartialSum
 
-STALE_S = 1.5
-MOST_SERVERS = 160  # in one part, the busiest: it must fit into one datagram
-TAIL = 32  # levels from here on are tails, of A(level - TAIL)
-FEWEST = 0.5  # of the members in a sum, for it to be used
+MAX_PART_AGE_S = 1.5
+MAX_WORKERS_PER_PART = 160  # in one part, the busiest: it must fit into one datagram
+TAIL_LEVEL_OFFSET = 32  # levels from here on are tails, of A(level - TAIL)
+MIN_MEMBER_SHARE = 0.5  # of the members in a sum, for it to be used
 
 Counts = Mapping[int, float]
 
@@ -40,118 +40,126 @@
     age_s: float
 
 
-class Sums:
-    def __init__(self, own: str) -> None:
-        self.own = own
-        self.ring: list[str] = [own]
-        self.at = 0
-        self.mine: Counts = {}
+class FleetSums:
+    def __init__(self, name: str) -> None:
+        self.name = name
+        self.ring: list[str] = [name]
+        self.position = 0
+        self.own_counts: Counts = {}
         self.wave = 0
-        self.begun = 0.0
-        self.parts: dict[int, tuple[Part, float]] = {}  # by level, as heard: and when
-        self.heard_wave: dict[tuple[str, int], int] = {}
-        self.sent: dict[int, int] = {}  # by level: in which wave
+        self.wave_began_at = 0.0
+        self.parts: dict[int, tuple[PartialSum, float]] = {}  # by level, as heard: and when
+        self.last_received_wave: dict[tuple[str, int], int] = {}
+        self.last_sent_wave: dict[int, int] = {}  # by level: in which wave
 
     @property
-    def top(self) -> int:
+    def top_level(self) -> int:
         return len(self.ring).bit_length() - 1
 
     def tails(self) -> list[tuple[int, int]]:
         """(power of two, how far before oneself) of each part of the sum beside the highest."""
-        found, n, offset = [], len(self.ring), 1 << self.top
-        for k in range(self.top - 1, -1, -1):
+        found, n, offset = [], len(self.ring), 1 << self.top_level
+        for k in range(self.top_level - 1, -1, -1):
             if n >> k & 1:
                 found.append((k, offset))
                 offset += 1 << k
         return found
 
-    def begin(self, now: float, members: Iterable[str], counts: Counts) -> list[tuple[str, Part]]:
+    def begin_wave(self, now: float, members: Iterable[str], counts: Counts) -> list[tuple[str, PartialSum]]:
         """A wave. `members`: those held alive; `counts`: own slots in flight by real server's number."""
-        ring = sorted({*members, self.own})
+        ring = sorted({*members, self.name})
         if ring != self.ring:
-            self.ring, self.at = ring, ring.index(self.own)
+            self.ring, self.position = ring, ring.index(self.name)
             held = set(ring)
-            self.heard_wave = {k: v for k, v in self.heard_wave.items() if k[0] in held}
-            levels = {*range(self.top), *(TAIL + k for k, _ in self.tails())}
+            self.last_received_wave = {k: v for k, v in self.last_received_wave.items() if k[0] in held}
+            levels = {*range(self.top_level), *(TAIL_LEVEL_OFFSET + k for k, _ in self.tails())}
             self.parts = {n: p for n, p in self.parts.items() if n in levels}
-        self.mine, self.begun = counts, now
+        self.own_counts, self.wave_began_at = counts, now
         self.wave += 1
-        told = self._tell(now, 0)
+        told = self._parts_to_send(now, 0)
         # what did not come in the wave before is not waited for
-        for level in range(1, self.top):
-            if self.sent.get(level, -1) < self.wave - 1:
-                told += self._tell(now, level)
+        for level in range(1, self.top_level):
+            if self.last_sent_wave.get(level, -1) < self.wave - 1:
+                told += self._parts_to_send(now, level)
         for k, _ in self.tails():
-            if k and self.sent.get(TAIL + k, -1) < self.wave - 1:
-                told += self._tell(now, TAIL + k)
+            if k and self.last_sent_wave.get(TAIL_LEVEL_OFFSET + k, -1) < self.wave - 1:
+                told += self._parts_to_send(now, TAIL_LEVEL_OFFSET + k)
         return told
 
-    def hear(self, now: float, sender: str, part: Part) -> list[tuple[str, Part]]:
+    def receive(self, now: float, sender: str, part: PartialSum) -> list[tuple[str, PartialSum]]:
         """A part for this one's place in the ring, as the sender sees it; its next level goes on at once."""
         level = part.level
-        if level not in range(self.top) and level - TAIL not in [k for k, _ in self.tails()]:
+        if level not in range(self.top_level) and level - TAIL_LEVEL_OFFSET not in [
+            k for k, _ in self.tails()
+        ]:
             return []
-        if self.heard_wave.get((sender, level), -1) >= part.wave:
+        if self.last_received_wave.get((sender, level), -1) >= part.wave:
             return []
-        if len(self.heard_wave) < 4 * 64:
-            self.heard_wave[sender, level] = part.wave
+        if len(self.last_received_wave) < 4 * 64:
+            self.last_received_wave[sender, level] = part.wave
         self.parts[level] = part, now
-        if level >= TAIL:
+        if level >= TAIL_LEVEL_OFFSET:
             return []
-        told: list[tuple[str, Part]] = []
-        if level + 1 < self.top and self.sent.get(level + 1, -1) < self.wave:
-            told += self._tell(now, level + 1)
-        if level + 1 in [k for k, _ in self.tails()] and self.sent.get(TAIL + level + 1, -1) < self.wave:
-            told += self._tell(now, TAIL + level + 1)
+        told: list[tuple[str, PartialSum]] = []
+        if level + 1 < self.top_level and self.last_sent_wave.get(level + 1, -1) < self.wave:
+            told += self._parts_to_send(now, level + 1)
+        if (
+            level + 1 in [k for k, _ in self.tails()]
+            and self.last_sent_wave.get(TAIL_LEVEL_OFFSET + level + 1, -1) < self.wave
+        ):
+            told += self._parts_to_send(now, TAIL_LEVEL_OFFSET + level + 1)
         return told
 
     def total(self, now: float) -> Total | None:
         """None: too few of the members are in it."""
-        whole = self._sum(now, self.top)
+        whole = self._sum(now, self.top_level)
         members, counts, ages = whole.members, dict(whole.counts), whole.age_s * whole.members
         for k, _ in self.tails():
-            if (part := self._held(now, TAIL + k)) is not None:
+            if (part := self._current_part(now, TAIL_LEVEL_OFFSET + k)) is not None:
                 members += part.members
                 ages += part.age_s * part.members
                 for n, count in part.counts:
                     counts[n] = counts.get(n, 0.0) + count
-        if members < 2 or members < FEWEST * len(self.ring):
+        if members < 2 or members < MIN_MEMBER_SHARE * len(self.ring):
             return None
         return Total(counts, members, ages / members)
 
-    def _held(self, now: float, level: int) -> Part | None:
+    def _current_part(self, now: float, level: int) -> PartialSum | None:
         found = self.parts.get(level)
-        if found is None or now - found[1] + found[0].age_s > STALE_S:
+        if found is None or now - found[1] + found[0].age_s > MAX_PART_AGE_S:
             return None
         part, came = found
         return part._replace(age_s=part.age_s + now - came)
 
-    def _sum(self, now: float, level: int) -> Part:
+    def _sum(self, now: float, level: int) -> PartialSum:
         """A(level) as of now, of what is held."""
-        counts, members, ages = dict(self.mine), 1, now - self.begun
+        counts, members, ages = dict(self.own_counts), 1, now - self.wave_began_at
         for k in range(level):
-            if (part := self._held(now, k)) is not None:
+            if (part := self._current_part(now, k)) is not None:
                 members += part.members
                 ages += part.age_s * part.members
                 for n, count in part.counts:
                     counts[n] = counts.get(n, 0.0) + count
-        most = sorted(counts.items(), key=lambda c: -c[1])[:MOST_SERVERS]
-        return Part(level, self.wave, members, ages / members, tuple(most))
+        most = sorted(counts.items(), key=lambda c: -c[1])[:MAX_WORKERS_PER_PART]
+        return PartialSum(level, self.wave, members, ages / members, tuple(most))
 
-    def _tell(self, now: float, level: int) -> list[tuple[str, Part]]:
+    def _parts_to_send(self, now: float, level: int) -> list[tuple[str, PartialSum]]:
         n = len(self.ring)
         if n < 2:
             return []
-        self.sent[level] = self.wave
-        told: list[tuple[str, Part]] = []
-        k = level - TAIL if level >= TAIL else level
-        if level < TAIL and k < self.top:
-            told.append((self.ring[(self.at + (1 << k)) % n], self._sum(now, k)._replace(level=k)))
-        if level >= TAIL or k == 0:  # a tail of one is known at once
+        self.last_sent_wave[level] = self.wave
+        told: list[tuple[str, PartialSum]] = []
+        k = level - TAIL_LEVEL_OFFSET if level >= TAIL_LEVEL_OFFSET else level
+        if level < TAIL_LEVEL_OFFSET and k < self.top_level:
+            told.append((self.ring[(self.position + (1 << k)) % n], self._sum(now, k)._replace(level=k)))
+        if level >= TAIL_LEVEL_OFFSET or k == 0:  # a tail of one is known at once
             for power, offset in self.tails():
                 if power == k:
                     told.append(
-                        (self.ring[(self.at + offset) % n], self._sum(now, k)._replace(level=TAIL + k))
+                        (
+                            self.ring[(self.position + offset) % n],
+                            self._sum(now, k)._replace(level=TAIL_LEVEL_OFFSET + k),
+                        )
                     )
-                    self.sent[TAIL + k] = self.wave
+                    self.last_sent_wave[TAIL_LEVEL_OFFSET + k] = self.wave
         return told
--- a/finchladder/core/routing/limited_dispatcher.py
+++ b/finchladder/core/routing/limited_dispatcher.py
@@ -446,11 +446,11 @@
     ) -> RetryBudgetWindow:
         if self.share is None:
             return existing or RetryBudgetWindow(rule)
-        from finchladder.core.peers.retries import SharedBudget  # loaded only if it is used
+        from finchladder.core.peers.retries import SharedRetryBudget  # loaded only if it is used
 
         # also for an existing budget: its limit may have changed
         bucket = self.share(f"retry.{route.name}", rule.least_per_s)
-        return existing or SharedBudget(rule, bucket)
+        return existing or SharedRetryBudget(rule, bucket)
 
     def _move_to_current_route(self, job: RoutedJob) -> None:
         """Moves a job, with its slot, to the current version of its route, if there is one."""
--- a/finchladder/features/shared_admission_limits.py
+++ b/finchladder/features/shared_admission_limits.py
@@ -9,7 +9,7 @@
 
 from finchladder.config.options import DoorOptions
 from finchladder.core.peers.bucket import Bucket
-from finchladder.core.peers.exchange import Family, Peers
+from finchladder.core.peers.exchange import BudgetFamily, Peers
 
 MAX_RETRY_AFTER_S = 2.0  # told to one that is turned away: by then others may have lent some
 
@@ -30,7 +30,7 @@
             least: The minimum number of dispatchers.
         """
         self.peers, self.start, self.options = peers, f"{name}:", options
-        self.family = Family(options.rate, least, self._bucket)
+        self.family = BudgetFamily(options.rate, least, self._bucket)
         peers.families[self.start] = self.family
         self.of: OrderedDict[str, Bucket] = OrderedDict()  # by budget's name, the least recently seen first
         self.now = 0.0
@@ -40,14 +40,14 @@
         name, self.now = self.start + address, now
         bucket = self.of.get(name)
         if bucket is None:
-            own = self.peers.alone(self.options.rate, self.family.least, now)
+            own = self.peers.unshared_rate(self.options.rate, self.family.min_dispatchers, now)
             bucket = self._bucket(name, own)
         self.of.move_to_end(name)
         if name not in self.peers.buckets:
-            alone = self.peers.alone(self.options.rate, self.family.least, now)
-            if alone != bucket.right:
-                bucket.fixed = alone
-                bucket.allow(now, alone, float("inf"))
+            alone = self.peers.unshared_rate(self.options.rate, self.family.min_dispatchers, now)
+            if alone != bucket.rate:
+                bucket.guaranteed_rate = alone
+                bucket.set_rate(now, alone, float("inf"))
         if bucket.take(now):
             return 0.0
         self.peers.claim(now, name, self.family)
@@ -59,7 +59,7 @@
         if bucket is None:
             burst_s = (self.options.burst - 1) / self.options.rate
             kept = self.peers.buckets.get(name)  # of one that had to leave this table while it was shared
-            bucket = self.of[name] = kept or Bucket(own, self.now, 1.0, burst_s, holds=True)
+            bucket = self.of[name] = kept or Bucket(own, self.now, 1.0, burst_s, keeps_tokens=True)
             if len(self.of) > self.options.max_keys:
                 self.of.popitem(last=False)
         return bucket
--- a/finchladder/lab/talk.py
+++ b/finchladder/lab/talk.py
@@ -42,8 +42,8 @@
 
     def _turn(self, i: int) -> None:
         now, peers = self.kernel.now, self.peers[i]
-        self._carry(peers.turn(now))
-        if (hearsay := peers.hearsay(now)) is not None:
+        self._carry(peers.tick(now))
+        if (hearsay := peers.take_reports(now)) is not None:
             self.play.nodes[i].tell(hearsay)
         self.kernel.at(max(now + LEAST_S, peers.next_at()), lambda: self._turn(i))
 
@@ -54,4 +54,4 @@
             self.kernel.after(LINK_S, partial(self._arrive, i, packet))
 
     def _arrive(self, i: int, packet: Packet) -> None:
-        self._carry(self.peers[i].hear(self.kernel.now, packet))
+        self._carry(self.peers[i].receive(self.kernel.now, packet))
--- a/finchladder/net/membership_actor.py
+++ b/finchladder/net/membership_actor.py
@@ -17,12 +17,12 @@
 )
 from finchladder.core import api
 from finchladder.core.membership.decisions import (
-    Belief,
-    Decided,
+    Decision,
     Fact,
     FactKind,
     Membership,
     MembershipSettings,
+    MemberState,
     Report,
     Source,
 )
@@ -109,7 +109,7 @@
     ) -> None:
         """`max_at_once`: the maximum number of entries applied in one iteration of the event loop."""
         super().__init__("membership", MAILBOX_SIZE)
-        past = [Source(LAST_GOOD, past=True)] if file is not None else []
+        past = [Source(LAST_GOOD, is_stored_list=True)] if file is not None else []
         self.membership = Membership([*sources, *past], rules)
         self.clock, self.consumer, self.max_at_once, self.file = clock, consumer, max_at_once, file
         self.timer: asyncio.TimerHandle | None = None
@@ -121,7 +121,7 @@
     @property
     def up(self) -> bool:
         """Whether a list is accepted."""
-        return self.membership.up
+        return self.membership.has_list
 
     def receive(self, report: Report) -> None:
         """Applies a report of one source."""
@@ -133,13 +133,13 @@
 
     def source_is_alive(self, source: str, in_step: bool = True) -> None:
         """Records a heartbeat of a source; `in_step`: its last report is still current."""
-        self._carry_out(self.membership.heard(self.clock(), source, in_step))
+        self._carry_out(self.membership.record_heartbeat(self.clock(), source, in_step))
 
     def _timer_expired(self) -> None:
         self.timer_due, self.timer = inf, None
-        self._carry_out(self.membership.due(self.clock()))
+        self._carry_out(self.membership.apply_due(self.clock()))
 
-    def _carry_out(self, decided: Decided) -> None:
+    def _carry_out(self, decided: Decision) -> None:
         for fact in decided.facts:
             self._log_fact(fact)
         entries = decided.workers.entries
@@ -158,12 +158,12 @@
 
     def _log_fact(self, f: Fact) -> None:
         now = self.clock()
-        last, suppressed = self.last_logged.get(f.what, (-inf, 0))
+        last, suppressed = self.last_logged.get(f.kind, (-inf, 0))
         if now < last + LOG_INTERVAL_S:
-            self.last_logged[f.what] = last, suppressed + 1
+            self.last_logged[f.kind] = last, suppressed + 1
             return
-        self.last_logged[f.what] = now, 0
-        level, text = LOG_TEXTS[f.what]
+        self.last_logged[f.kind] = now, 0
+        level, text = LOG_TEXTS[f.kind]
         more = ", .." if f.number > len(f.names) else ""
         line = text.format(f=f, names=", ".join(f.names) + more)
         self.log.log(level, "membership: {}{}", line, f" (and {suppressed} such lines)" if suppressed else "")
@@ -194,14 +194,14 @@
             return known
         if found is not None:
             self._use_last_good(*found, list_version(known) if known else -1)
-        return b"" if self.membership.up else known
+        return b"" if self.membership.has_list else known
 
     def _use_last_good(self, good: LastGood, update: EndpointUpdate, known_version: int) -> None:
         if good.source == DISCOVERY and good.version < known_version:
             return
         age = max(0.0, self.clock() - good.time_s)
         self.report(Report(LAST_GOOD, good.version, update.workers, update.addresses, age_s=age))
-        if self.membership.up:
+        if self.membership.has_list:
             text = "membership: started with the last good list, of {}, {} entries, {:.0f} s old"
             self.log.warning(text, good.source, len(update.workers.entries), age)
 
@@ -218,12 +218,12 @@
         self._save_after(WRITE_INTERVAL_S)
 
     def _save_now(self) -> None:
-        lead = self.membership.lead
+        lead = self.membership.leader
         if self.file is None or lead is None or not lead.is_live:
             return  # the current list is no better than the saved one
         drains = api.WorkerStatus.DRAINING
         listed = [
-            (b.entry._replace(state=drains) if b.belief is Belief.DRAINING else b.entry, b.address)
+            (b.entry._replace(state=drains) if b.state is MemberState.DRAINING else b.entry, b.address)
             for b in self.membership.members.values()
         ]
         self.file.put(partial(_build_last_good, lead.source.name, lead.version, lead.valid_at, listed))
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -238,12 +238,12 @@
     def _build_exchange(self, options: PeersOptions, seed: int) -> "Peers":
         """Builds this dispatcher's side of the exchange with its peers."""
         # imported only where peers are configured
-        from finchladder.core.peers.exchange import Peers, Rule
-        from finchladder.core.peers.loads import own_counts
+        from finchladder.core.peers.exchange import ExchangeSettings, Peers
+        from finchladder.core.peers.loads import own_slots_in_flight
         from finchladder.core.peers.membership import Timing
 
         addresses = options.addresses_including(self.setup.name)
-        rule = Rule(Timing(options.period_s), options.wave_s if options.counts else 0.0)
+        rule = ExchangeSettings(Timing(options.period_s), options.wave_s if options.counts else 0.0)
         self.exchange = Peers(
             self.setup.name,
             addresses,
@@ -251,7 +251,7 @@
             int(self.machine.wall() * 1000),
             self.clock(),
             rule,
-            lambda: own_counts(self.dispatcher.workers.values()),
+            lambda: own_slots_in_flight(self.dispatcher.workers.values()),
         )
         return self.exchange
 
--- a/finchladder/net/peers/actor.py
+++ b/finchladder/net/peers/actor.py
@@ -150,7 +150,7 @@
             return self._drop(str(e))
         if self.addresses.get(packet.sender) != source:
             return self._drop("unlisted" if packet.sender not in self.addresses else "address")
-        self._send(self.peers.hear(self.clock(), packet))
+        self._send(self.peers.receive(self.clock(), packet))
 
     def _drop(self, reason: str) -> None:
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
@@ -180,7 +180,7 @@
         self._read()
         now = self.clock()
         try:
-            self._send(self.peers.turn(now))
+            self._send(self.peers.tick(now))
             self._submit_updates(now)
         except Exception:
             logger.exception("peers: a turn died")
@@ -191,19 +191,19 @@
         """Submits new reports and overrides at once, and the load counts of peers every `wave_s` seconds."""
         if self.on_update is None:
             return
-        if (reports := self.peers.hearsay(now)) is not None:
+        if (reports := self.peers.take_reports(now)) is not None:
             self.on_update(reports)
         if self.peers.orders.has_changed:
             self.peers.orders.has_changed = False
             self.on_update(self.peers.orders.as_event(now))
-        if now < self.loads_due_at or not self.peers.rule.wave_s:
+        if now < self.loads_due_at or not self.peers.settings.wave_s:
             return
-        self.loads_due_at = now + self.peers.rule.wave_s
+        self.loads_due_at = now + self.peers.settings.wave_s
         if (total := self.peers.total(now)) is not None:
             others = {
                 n: count
                 for n, c in total.counts.items()
-                if (count := c - self.peers.sums.mine.get(n, 0.0)) > 0
+                if (count := c - self.peers.sums.own_counts.get(n, 0.0)) > 0
             }
             self.on_update(PeerLoads(others, total.age_s))
 
@@ -212,7 +212,7 @@
     def follow(self, addresses: Mapping[str, Address], least: int) -> None:
         """Replaces the list of dispatchers; at least `least` are assumed to exist."""
         self.addresses = dict(addresses)
-        self.peers.listed(self.clock(), self.addresses, least)
+        self.peers.set_dispatchers(self.clock(), self.addresses, least)
 
     def show(self) -> dict[str, Any]:
         """Returns the state and the counters as a JSON object."""
--- a/finchladder/net/peers/datagrams.py
+++ b/finchladder/net/peers/datagrams.py
@@ -15,7 +15,17 @@
 
 from finchladder.core.health.detection.overrides import MAX_REASON_LENGTH, MAX_WORKER_NAME_LENGTH, Override
 from finchladder.core.health.detection.reports import MAX_WORKER_REPORTS, WorkerReport
-from finchladder.core.peers.messages import Grant, Kind, Packet, Part, Return, Row, Rumour, Standing, Want
+from finchladder.core.peers.messages import (
+    Demand,
+    Grant,
+    MemberStatus,
+    MemberUpdate,
+    Packet,
+    PacketKind,
+    PartialSum,
+    Return,
+    Row,
+)
 
 VERSION = 2
 MAX_DATAGRAM_BYTES = 1_200  # below the MTU of all links, to avoid IP fragmentation
@@ -131,13 +141,15 @@
 def encode(fleet: str, p: Packet) -> bytes:
     """Encodes a packet; the caller checks the result against MAX_DATAGRAM_BYTES."""
     part = None
-    if p.part is not None:
-        counts_by_id = p.part.counts
+    if p.partial_sum is not None:
+        counts_by_id = p.partial_sum.counts
         eighths = [min(MAX_COUNT_UNITS, round(count * UNITS_PER_COUNT)) for _, count in counts_by_id]
         counts = struct.pack(
             f"<{len(counts_by_id)}I{len(counts_by_id)}H", *[n for n, _ in counts_by_id], *eighths
         )
-        part = _Part(p.part.level, p.part.wave, p.part.members, p.part.age_s, counts)
+        part = _Part(
+            p.partial_sum.level, p.partial_sum.wave, p.partial_sum.members, p.partial_sum.age_s, counts
+        )
     return _encoder.encode(
         (
             VERSION,
@@ -146,9 +158,9 @@
             p.sender,
             p.boot,
             p.incarnation,
-            p.number,
-            p.about,
-            p.rumours,
+            p.sequence,
+            p.target,
+            p.updates,
             [_row(r) for r in p.rows],
             p.grants,
             p.returns,
@@ -175,13 +187,13 @@
     if d.fleet != fleet:
         raise MalformedDatagramError("fleet")
     return Packet(
-        Kind(d.kind),
+        PacketKind(d.kind),
         d.sender,
         d.boot,
         d.incarnation,
         d.number,
         d.about,
-        tuple(Rumour(r.name, r.incarnation, Standing(r.standing)) for r in d.rumours),
+        tuple(MemberUpdate(r.name, r.incarnation, MemberStatus(r.standing)) for r in d.rumours),
         tuple(
             Row(
                 r.owner,
@@ -190,7 +202,7 @@
                 r.order,
                 r.age_s,
                 r.asked,
-                tuple(Want(w.budget, w.rate, w.have, w.spent) for w in r.wants),
+                tuple(Demand(w.budget, w.rate, w.have, w.spent) for w in r.wants),
                 r.zone,
                 r.ended / TENTHS_PER_UNIT,
                 r.bad / TENTHS_PER_UNIT,
@@ -231,18 +243,18 @@
             _tenths(s.left_s),
             s.stage,
         )
-        for s in r.says
+        for s in r.worker_reports
     ]
     return (*r[:7], r.zone, _tenths(r.ended), _tenths(r.bad), reports)
 
 
-def _part(p: _Part) -> Part:
+def _part(p: _Part) -> PartialSum:
     n, rest = divmod(len(p.counts), BYTES_PER_COUNT)
     if rest:
         raise MalformedDatagramError("malformed")
     values = struct.unpack(f"<{n}I{n}H", p.counts)
     counts = tuple(zip(values[:n], [eighths / UNITS_PER_COUNT for eighths in values[n:]], strict=True))
-    return Part(p.level, p.wave, p.members, p.age_s, counts)
+    return PartialSum(p.level, p.wave, p.members, p.age_s, counts)
 
 
 def _malformed_reason(data: bytes) -> str:
--- a/finchladder/sim/judged.py
+++ b/finchladder/sim/judged.py
@@ -124,7 +124,7 @@
 
     def turn(self) -> None:
         super().turn()
-        if not self.paused and (hearsay := self.peers.hearsay(self.clock())) is not None:
+        if not self.paused and (hearsay := self.peers.take_reports(self.clock())) is not None:
             self.tell(hearsay)
 
     def tell(self, event: api.Event) -> None:
--- a/finchladder/sim/peers.py
+++ b/finchladder/sim/peers.py
@@ -24,9 +24,9 @@
 from typing import NamedTuple
 
 from finchladder.core.peers import bucket, escrow
-from finchladder.core.peers.exchange import Peers, Rule
+from finchladder.core.peers.exchange import ExchangeSettings, Peers
 from finchladder.core.peers.membership import Timing
-from finchladder.core.peers.messages import ROOM, Packet, Standing
+from finchladder.core.peers.messages import MAX_PAYLOAD_BYTES, MemberStatus, Packet
 
 KINDS = ("split", "split", "one_way", "loss", "late", "double", "kill", "kill", "pause", "shift")
 WINDOW_S = 1.0
@@ -78,8 +78,8 @@
 
 
 def room(p: Packet) -> int:
-    part = p.part.room if p.part is not None else 0
-    return part + sum(r.room for some in (p.rumours, p.rows, p.grants, p.returns, p.orders) for r in some)
+    part = p.partial_sum.room if p.partial_sum is not None else 0
+    return part + sum(r.room for some in (p.updates, p.rows, p.grants, p.returns, p.orders) for r in some)
 
 
 class Found(NamedTuple):
@@ -110,7 +110,7 @@
         r = Random(f"{play.seed}/{index}/{life}")
         self.play, self.index, self.life, self.name = play, index, life, f"n{index + 1}"
         self.begun = play.now
-        self.speed = 1 + r.uniform(-1, 1) * escrow.DRIFT * 0.99
+        self.speed = 1 + r.uniform(-1, 1) * escrow.MAX_CLOCK_DRIFT * 0.99
         self.offset = r.uniform(0, 1e6)
         # a wall clock may be an hour off: a later life then begins with a lower incarnation
         wall = 1_700_000_000 + play.now + r.choice((0.0, 0.0, -3600.0, 3600.0))
@@ -123,7 +123,7 @@
             r.getrandbits(60),
             int(wall * 1000),
             self.clock(),
-            Rule(play.timing, play.wave_s),
+            ExchangeSettings(play.timing, play.wave_s),
             lambda: {7: float(index + 1)},
         )
         self.tokens = self.peers.share(BUDGET, play.world.limit, self.clock())
@@ -133,7 +133,7 @@
 
     def send(self, packets: list[tuple[str, Packet]]) -> None:
         for to, packet in packets:
-            if room(packet) > ROOM:
+            if room(packet) > MAX_PAYLOAD_BYTES:
                 self.play.break_("bounded", f"a packet of {self.name} takes {room(packet)} bytes")
             self.play.carry(self, to, packet)
 
@@ -141,11 +141,11 @@
         if self.paused:
             self.waits.append(packet)
         else:
-            self.send(self.peers.hear(self.clock(), packet))
+            self.send(self.peers.receive(self.clock(), packet))
 
     def turn(self) -> None:
         if not self.paused:
-            self.send(self.peers.turn(self.clock()))
+            self.send(self.peers.tick(self.clock()))
 
     def next_in(self) -> float:
         return max(0.0005, (self.peers.next_at() - self.clock()) / self.speed)
@@ -261,14 +261,16 @@
         self.most_taken = max(self.most_taken, len(self.taken))
         self.looked = len(self.taken)
         # each may take what its right was worth in the window, and what its bucket held at its begin
-        most = (w.limit * WINDOW_S + w.dispatchers + w.limit * bucket.HOLD_S) * (1 + escrow.DRIFT)
+        most = (w.limit * WINDOW_S + w.dispatchers + w.limit * bucket.TOKEN_HOLD_S) * (
+            1 + escrow.MAX_CLOCK_DRIFT
+        )
         if len(self.taken) > most:
             self.break_("window", f"{len(self.taken)} in {WINDOW_S:g} s, and {most:.1f} is the most")
 
     def _look_at_rights(self) -> None:
         w = self.world
-        rights = {i: p.peers.escrow.right(p.clock(), BUDGET) for i, p in self.alive.items()}
-        allowed = sum(p.tokens.allowed(p.clock()) for p in self.alive.values())
+        rights = {i: p.peers.escrow.usable_rate(p.clock(), BUDGET) for i, p in self.alive.items()}
+        allowed = sum(p.tokens.rate_at(p.clock()) for p in self.alive.values())
         if max(allowed, sum(rights.values())) > w.limit * (1 + 1e-9):
             both = f"{sum(rights.values()):.4f} by the escrows and {allowed:.4f} by the buckets"
             return self.break_("rights", f"{both} of {w.limit:g} a second")
@@ -278,29 +280,29 @@
 
     def _look_closer(self) -> None:
         for p in self.alive.values():
-            for owner, (row, _) in p.peers.rows.held.items():
-                told = sum(want.spent for want in row.wants)
+            for owner, (row, _) in p.peers.rows.by_owner.items():
+                told = sum(want.spent for want in row.demands)
                 true = self.spent.get((owner, row.boot), 0)
                 seen = p.believed.get((owner, row.boot), 0.0)
                 if not seen <= told <= true:
                     text = f"{p.name} believes that {owner} spent {told:g}, after {seen:g}, of {true}"
                     return self.break_("once", text)
                 p.believed[owner, row.boot] = told
-            e, most = p.peers.escrow, escrow.MOST_GRANTS
-            if max(len(e.given), len(e.taken), len(e.returned) / 4) > most:
-                return self.break_("bounded", f"{p.name} holds {len(e.given)} and {len(e.taken)} grants")
-            if len(p.peers.rows.held) > len(self.names) or len(p.peers.members.probes) > 64:
+            e, most = p.peers.escrow, escrow.MAX_GRANTS
+            if max(len(e.lent_grants), len(e.borrowed_grants), len(e.returned_until) / 4) > most:
+                return self.break_(
+                    "bounded", f"{p.name} holds {len(e.lent_grants)} and {len(e.borrowed_grants)} grants"
+                )
+            if len(p.peers.rows.by_owner) > len(self.names) or len(p.peers.members.probes) > 64:
                 return self.break_("bounded", f"{p.name} holds more rows than there are names")
 
     def _healed(self) -> None:
         for p in self.alive.values():
-            for name, m in p.peers.members.of.items():
+            for name, m in p.peers.members.by_name.items():
                 there = int(name[1:]) - 1 in self.alive
-                if m.standing is not (Standing.ALIVE if there else Standing.GONE):
+                if m.status is not (MemberStatus.ALIVE if there else MemberStatus.GONE):
                     state = "is there" if there else "has died"
-                    return self.break_(
-                        "heals", f"{p.name} holds {name}, which {state}, for {m.standing.name}"
-                    )
+                    return self.break_("heals", f"{p.name} holds {name}, which {state}, for {m.status.name}")
 
     def break_(self, rule: str, text: str) -> None:
         if self.broken is None:
--- a/tests/core/membership_oracle.py
+++ b/tests/core/membership_oracle.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from finchladder.core import api
-from finchladder.core.membership.decisions import Decided, Membership, MembershipSettings, Report, Source
+from finchladder.core.membership.decisions import Decision, Membership, MembershipSettings, Report, Source
 
 R, D, G = api.WorkerStatus.READY, api.WorkerStatus.DRAINING, api.WorkerStatus.REMOVED
 TICK = 0.5  # times are whole numbers of it: no sum of them is rounded
@@ -129,7 +129,7 @@
 class Oracle:
     def __init__(self, sources: list[Source], s: MembershipSettings) -> None:
         self.s, self.old = s, False
-        self.all = [Src(x.name, x.quiet_s, x.past) for x in sources]
+        self.all = [Src(x.name, x.silence_timeout_s, x.is_stored_list) for x in sources]
         self.lead: Src | None = None
         self.shown: dict[str, tuple[str, Word]] = {}  # ready, draining, held, damped
         self.gone: dict[str, tuple[float, Word]] = {}  # vanished lately, and believed so
@@ -295,7 +295,7 @@
         for _ in range(act.ticks):
             self.now += TICK
             while self.m.next_due <= self.now:
-                self.apply(self.m.due(self.now))
+                self.apply(self.m.apply_due(self.now))
             self.o.step(self.now)
         if act.who:
             self.tell(act)
@@ -303,7 +303,7 @@
 
     def tell(self, act: Act) -> None:
         if act.words is None:
-            self.apply(self.m.heard(self.now, act.who, act.in_step))
+            self.apply(self.m.record_heartbeat(self.now, act.who, act.in_step))
             return self.o.step(self.now, act.who, None, act.in_step)
         self.versions[act.who] += act.step
         version = self.versions[act.who]
@@ -316,7 +316,7 @@
         told = Telling(self.now, act.epoch, version, act.whole, act.words)
         self.o.step(self.now, act.who, told, act.in_step, act.before)
 
-    def apply(self, d: Decided) -> None:
+    def apply(self, d: Decision) -> None:
         if d.workers.kind is not api.ListKind.PATCH:
             assert not self.told
         for e in d.workers.entries:
@@ -329,9 +329,9 @@
         ready = self.o.ready()
         assert {n: s for n, (s, *_) in self.told.items()} == {n: R if n in ready else D for n in self.o.shown}
         assert {n: v[1:] for n, v in self.told.items()} == {n: w[1:] for n, (_, w) in self.o.shown.items()}
-        beliefs = {n: b.belief.value for n, b in self.m.members.items()}
+        beliefs = {n: b.state.value for n, b in self.m.members.items()}
         assert beliefs == {n: kind for n, (kind, _) in self.o.shown.items()}
-        assert (self.m.lead and self.m.lead.source.name) == (self.o.lead and self.o.lead.name)
+        assert (self.m.leader and self.m.leader.source.name) == (self.o.lead and self.o.lead.name)
         assert self.m.mass_removal_guard.is_protecting == self.o.holding
 
 
@@ -373,7 +373,7 @@
 
 BOTH = [Act("etcd", ABC, whole=True), Act("discovery", ABC, whole=True)]
 
-PAST = Source("last good", past=True)
+PAST = Source("last good", is_stored_list=True)
 
 
 def random_history(random: Random) -> tuple[MembershipSettings, list[Act]]:
--- a/tests/core/peers/test_escrow.py
+++ b/tests/core/peers/test_escrow.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from finchladder.core.peers.escrow import KEPT, LEASE_S, MARGIN_S, Budget, Escrow
-from finchladder.core.peers.messages import Grant, Return, Row, Want
+from finchladder.core.peers.escrow import LEASE_S, MARGIN_S, UNLENDABLE_SHARE, Budget, Escrow
+from finchladder.core.peers.messages import Demand, Grant, Return, Row
 
 LIMIT, DEEP = 30.0, 8
 STEP_S = LEASE_S / 2 + 0.1
@@ -26,7 +26,7 @@
     def _made(self, i: int, begun: float) -> Escrow:
         e = Escrow(f"n{i}", 10 * i + self.boots[i], self.offsets[i] + begun * SPEEDS[i])
         e.budgets["b"] = Budget("b", LIMIT, 3)
-        e.budgets["b"].need = (1000.0, 0.0, 0.0)[
+        e.budgets["b"].demand = (1000.0, 0.0, 0.0)[
             i
         ]  # the first wants all; the second lends; the third as told
         return e
@@ -51,25 +51,29 @@
             s.escrows[i] = s._made(i, s.now)
             return s
         e = s.escrows[i] = copy(self.escrows[i])
-        e.given, e.taken, e.returned = dict(e.given), dict(e.taken), dict(e.returned)
+        e.lent_grants, e.borrowed_grants, e.returned_until = (
+            dict(e.lent_grants),
+            dict(e.borrowed_grants),
+            dict(e.returned_until),
+        )
         e.budgets = {n: copy(b) for n, b in e.budgets.items()}
         b = e.budgets["b"]
         if kind == "write":
-            want = Want("b", e.wants(now, "b"), e.borrowed(now, "b"), 0.0)
-            row = Row(e.own, e.boot, 1, 1, 0.0, now, (want,))
+            want = Demand("b", e.excess_demand(now, "b"), e.borrowed_rate(now, "b"), 0.0)
+            row = Row(e.name, e.boot, 1, 1, 0.0, now, (want,))
             if row in s.rows or not want.rate:
                 return None
             s.rows = (*s.rows, row)[-3:]
         elif kind == "give":
-            rows = [r for n, r in enumerate(s.rows) if r.owner != e.own and n == step[2]]
-            told = e.give(now, rows)
+            rows = [r for n, r in enumerate(s.rows) if r.owner != e.name and n == step[2]]
+            told = e.lend(now, rows)
             if not told:
                 return None
             s.said = (*s.said, *((i, e.boot, int(to[1:]), g) for to, g in told))
         elif kind == "need":
-            b.need = 1000.0 if b.need == 0.0 else 0.0
+            b.demand = 1000.0 if b.demand == 0.0 else 0.0
         elif kind == "back":
-            told_back = e.give_back(now)
+            told_back = e.return_unneeded(now)
             if not told_back:
                 return None
             s.said = (*s.said, *((i, e.boot, int(to[1:]), r) for to, r in told_back))
@@ -79,14 +83,14 @@
                 return None
             sender, boot, _, what = said[0]
             if isinstance(what, Grant):
-                if not e.take(now, f"n{sender}", boot, what):
+                if not e.accept_grant(now, f"n{sender}", boot, what):
                     return None
-            elif not e.returned_to(boot, what):
+            elif not e.accept_return(boot, what):
                 return None
         return s
 
     def rights(self) -> list[float]:
-        return [e.right(self.clock(i), "b") for i, e in enumerate(self.escrows)]
+        return [e.usable_rate(self.clock(i), "b") for i, e in enumerate(self.escrows)]
 
     def key(self) -> object:
         return (
@@ -96,11 +100,11 @@
             self.said,
             tuple(
                 (
-                    tuple(e.given.values()),
-                    tuple(e.taken.values()),
-                    tuple(e.returned),
-                    e.budgets["b"].need,
-                    e.whole_at,
+                    tuple(e.lent_grants.values()),
+                    tuple(e.borrowed_grants.values()),
+                    tuple(e.returned_until),
+                    e.budgets["b"].demand,
+                    e.full_share_at,
                 )
                 for e in self.escrows
             ),
@@ -146,19 +150,19 @@
 def lender(need: float = 0.0) -> Escrow:
     e = Escrow("n1", 1, 0.0)
     e.budgets["b"] = Budget("b", LIMIT, 3)
-    e.budgets["b"].need = need
+    e.budgets["b"].demand = need
     return e
 
 
 def row(asked: float, rate: float, have: float = 0.0, boot: int = 2, owner: str = "n2") -> Row:
-    return Row(owner, boot, 1, 1, 0.0, asked, (Want("b", rate, have, 0.0),))
+    return Row(owner, boot, 1, 1, 0.0, asked, (Demand("b", rate, have, 0.0),))
 
 
 LATER = 2 * LEASE_S
 
 
 def given(e: Escrow, now: float, *rows: Row) -> list[float]:
-    return [round(g.rate, 3) for _, g in e.give(now, rows)]
+    return [round(g.rate, 3) for _, g in e.lend(now, rows)]
 
 
 def test_what_is_lent() -> None:
@@ -173,11 +177,11 @@
     assert given(e, LATER, row(1.0, 1000.0)) == [9.0]
     assert given(e, LATER + 5, row(1.0, 1000.0)) == []
     assert given(e, LATER + 5, row(2.0, 1000.0)) == [9.0]  # renewed for what was asked since
-    e.budgets["b"].need = 30.0
+    e.budgets["b"].demand = 30.0
     assert given(e, LATER + 9, row(3.0, 1000.0)) == []  # needed here: it runs out
-    assert e.right(LATER + 12.9, "b") == pytest.approx(1.0)
-    e.give(LATER + 5 + LEASE_S + MARGIN_S, [])
-    assert e.right(LATER + 5 + LEASE_S + MARGIN_S, "b") == pytest.approx(10.0)
+    assert e.usable_rate(LATER + 12.9, "b") == pytest.approx(1.0)
+    e.lend(LATER + 5 + LEASE_S + MARGIN_S, [])
+    assert e.usable_rate(LATER + 5 + LEASE_S + MARGIN_S, "b") == pytest.approx(10.0)
 
 
 def borrower() -> Escrow:
@@ -198,33 +202,33 @@
 )
 def test_which_grants_count(grant: Grant, taken: bool) -> None:
     e = borrower()
-    assert e.take(1.0, "n1", 1, grant) is taken
-    assert e.right(1.0, "b") == pytest.approx(15.0 if taken else 10.0)
-    assert e.right(LEASE_S + 0.001, "b") == pytest.approx(10.0)
+    assert e.accept_grant(1.0, "n1", 1, grant) is taken
+    assert e.usable_rate(1.0, "b") == pytest.approx(15.0 if taken else 10.0)
+    assert e.usable_rate(LEASE_S + 0.001, "b") == pytest.approx(10.0)
 
 
 def test_a_grant_counts_once_and_what_is_given_back_counts_never_again() -> None:
     e = borrower()
-    e.budgets["b"].need = 30.0
+    e.budgets["b"].demand = 30.0
     older, newer = Grant(1, "b", 5.0, 0.0, 2), Grant(1, "b", 6.0, 1.0, 2)
-    assert e.take(2.0, "n1", 1, newer)
-    assert not e.take(2.0, "n1", 1, newer)
-    assert not e.take(2.0, "n1", 1, older)
-    assert e.right(2.0, "b") == pytest.approx(16.0)
-    assert e.give_back(2.0) == []  # it is needed
-    e.budgets["b"].need = 3.0
-    assert e.give_back(2.0) == [("n1", Return(1, 1, 1.0))]
-    assert e.right(2.0, "b") == pytest.approx(10.0)
-    assert not e.take(2.0, "n1", 1, newer)
-    assert e.take(2.0, "n1", 7, newer)  # of another life of its owner, whose serials begin anew
+    assert e.accept_grant(2.0, "n1", 1, newer)
+    assert not e.accept_grant(2.0, "n1", 1, newer)
+    assert not e.accept_grant(2.0, "n1", 1, older)
+    assert e.usable_rate(2.0, "b") == pytest.approx(16.0)
+    assert e.return_unneeded(2.0) == []  # it is needed
+    e.budgets["b"].demand = 3.0
+    assert e.return_unneeded(2.0) == [("n1", Return(1, 1, 1.0))]
+    assert e.usable_rate(2.0, "b") == pytest.approx(10.0)
+    assert not e.accept_grant(2.0, "n1", 1, newer)
+    assert e.accept_grant(2.0, "n1", 7, newer)  # of another life of its owner, whose serials begin anew
 
 
 def test_a_return_ends_only_the_tellers_own_grant() -> None:
     e = lender()
-    e.give(LATER, [row(1.0, 1000.0)])
+    e.lend(LATER, [row(1.0, 1000.0)])
     others = ((3, Return(1, 1, 1.0)), (2, Return(2, 1, 1.0)), (2, Return(1, 9, 1.0)))
     for boot, back in (*others, (2, Return(1, 1, 0.5))):  # the last: it was renewed since
-        assert not e.returned_to(boot, back)
-    assert e.right(LATER, "b") == pytest.approx(KEPT * 10.0)
-    assert e.returned_to(2, Return(1, 1, 1.0))
-    assert e.right(LATER, "b") == pytest.approx(10.0)
+        assert not e.accept_return(boot, back)
+    assert e.usable_rate(LATER, "b") == pytest.approx(UNLENDABLE_SHARE * 10.0)
+    assert e.accept_return(2, Return(1, 1, 1.0))
+    assert e.usable_rate(LATER, "b") == pytest.approx(10.0)
--- a/tests/core/peers/test_loads.py
+++ b/tests/core/peers/test_loads.py
@@ -8,10 +8,10 @@
 from finchladder import api
 from finchladder.config.options import DoorOptions
 from finchladder.core.peers.bucket import Bucket
-from finchladder.core.peers.exchange import IDLE_S, MOST_BUDGETS, Peers
-from finchladder.core.peers.loads import GONE_S, attach, number, own_counts
-from finchladder.core.peers.messages import Grant, Kind, Packet, Row, Want
-from finchladder.core.peers.retries import SharedBudget
+from finchladder.core.peers.exchange import BUDGET_IDLE_TIMEOUT_S, MAX_DYNAMIC_BUDGETS, Peers
+from finchladder.core.peers.loads import MAX_COUNTS_AGE_S, attach, own_slots_in_flight, worker_number
+from finchladder.core.peers.messages import Demand, Grant, Packet, PacketKind, Row
+from finchladder.core.peers.retries import SharedRetryBudget
 from finchladder.core.routing.routes import RetryBudget
 from finchladder.features.shared_admission_limits import MAX_RETRY_AFTER_S, SharedBuckets
 from tests.helpers import Bench, workers
@@ -26,7 +26,7 @@
     found: Counter[str] = Counter()
     for n in range(200):
         if counts:
-            bench.feed(api.PeerLoads({number(w): c for w, c in counts.items()}, age_s))
+            bench.feed(api.PeerLoads({worker_number(w): c for w, c in counts.items()}, age_s))
         [to] = [a.worker for a in bench.feed(api.Request(f"j{n}", "safe", 5.0)) if isinstance(a, api.Send)]
         found[to] += 1
         bench.feed(api.Ended(f"j{n}", 0, api.Ending.OK, True, 0.0))
@@ -47,10 +47,10 @@
 
 
 def test_what_was_told_decays_to_what_oneself_knows() -> None:
-    shares = [sent({ONE: 3.0}, age_s)[ONE] for age_s in (0.0, 0.8 * GONE_S, 2 * GONE_S)]
+    shares = [sent({ONE: 3.0}, age_s)[ONE] for age_s in (0.0, 0.8 * MAX_COUNTS_AGE_S, 2 * MAX_COUNTS_AGE_S)]
     assert shares[0] < 10 < shares[1] < 90
     assert shares[2] in range(70, 130)
-    assert sent({ONE: 3.0}, 2 * GONE_S) == sent({}, 0.0)  # to the very draws
+    assert sent({ONE: 3.0}, 2 * MAX_COUNTS_AGE_S) == sent({}, 0.0)  # to the very draws
 
 
 def test_a_lower_own_load_wins_whatever_is_told() -> None:
@@ -61,15 +61,15 @@
     bench = Bench(workers(2))
     bench.feed(api.Request("j", "safe", 5.0, key=1))
     [worker] = [w for w in bench.d.workers.values() if w.load]
-    assert own_counts(bench.d.workers.values()) == {number(worker.address): 1.0}
-    assert 0 <= number("any") < 1 << 32
+    assert own_slots_in_flight(bench.d.workers.values()) == {worker_number(worker.address): 1.0}
+    assert 0 <= worker_number("any") < 1 << 32
 
 
 def test_a_shared_floor_is_one_of_all_and_first_sends_still_allow_their_share() -> None:
     bucket = Bucket(2.0, 0.0)
-    budget = SharedBudget(RetryBudget(share=0.1, least_per_s=200.0), bucket)
+    budget = SharedRetryBudget(RetryBudget(share=0.1, least_per_s=200.0), bucket)
     assert not budget.try_spend(0.1)
-    assert bucket.refused == 1
+    assert bucket.rejected == 1
     for _ in range(20):
         budget.record_first_send(0.1)
     assert [budget.try_spend(0.1) for _ in range(3)] == [True, True, False]
@@ -85,10 +85,12 @@
     return Peers("n1", ["n1", "n2", "n3", "n4"], 1, 1000, now)
 
 
-def hears(p: Peers, now: float, *wants: Want, sender: str = "n2", order: int = 1) -> list[tuple[str, Packet]]:
+def hears(
+    p: Peers, now: float, *wants: Demand, sender: str = "n2", order: int = 1
+) -> list[tuple[str, Packet]]:
     row = Row(sender, 9, 1000, order, 0.0, now, wants)
-    p.hear(now, Packet(Kind.WORD, sender, 9, 1000, rows=(row,)))
-    return p.turn(max(now, p.next_at(), p.gossip_at))
+    p.receive(now, Packet(PacketKind.GOSSIP, sender, 9, 1000, rows=(row,)))
+    return p.tick(max(now, p.next_at(), p.next_gossip_at))
 
 
 def door(p: Peers, rate: float = 20.0, keys: int = 10) -> SharedBuckets:
@@ -103,12 +105,12 @@
     assert max(waits) <= MAX_RETRY_AFTER_S
     assert d.take(10.0, "b") == 0.0  # each address has its own
     assert list(p.escrow.budgets) == ["door:a"]
-    p.turn(11.0)
-    [row] = [r for r, _ in p.rows.held.values()]
-    assert row.wants[0].budget == "door:a"
-    assert row.wants[0].rate > 5.0
-    grant = Grant(1, "door:a", 5.0, p.rows.held["n1"][0].asked, p.boot)
-    p.hear(11.0, Packet(Kind.WORD, "n2", 9, 1000, grants=(grant,)))
+    p.tick(11.0)
+    [row] = [r for r, _ in p.rows.by_owner.values()]
+    assert row.demands[0].budget == "door:a"
+    assert row.demands[0].rate > 5.0
+    grant = Grant(1, "door:a", 5.0, p.rows.by_owner["n1"][0].requested_at, p.boot)
+    p.receive(11.0, Packet(PacketKind.GOSSIP, "n2", 9, 1000, grants=(grant,)))
     assert sum(d.take(11.0 + n / 100, "a") == 0.0 for n in range(400)) == pytest.approx(4 * 10, abs=8)
 
 
@@ -116,46 +118,46 @@
     p = peers()
     d = door(p)
     assert d.take(1.0, "a") == 0.0
-    told = hears(p, 2.0, Want("door:a", 15.0, 0.0, 0.0), Want("other:a", 9.0, 0.0, 0.0))
+    told = hears(p, 2.0, Demand("door:a", 15.0, 0.0, 0.0), Demand("other:a", 9.0, 0.0, 0.0))
     [grant] = [g for to, packet in told if to == "n2" for g in packet.grants]
     assert grant.budget == "door:a"
     assert grant.rate == pytest.approx(4.0)
     assert p.buckets["door:a"] is d.of["door:a"]  # its bucket here has that less
-    assert p.buckets["door:a"].allowed(2.2) == pytest.approx(1.0)
+    assert p.buckets["door:a"].rate_at(2.2) == pytest.approx(1.0)
     assert list(p.escrow.budgets) == ["door:a"]  # of what nobody here has a limit for nothing is held
     for n in range(200):
-        p.turn(3.0 + n / 5)
+        p.tick(3.0 + n / 5)
     assert not p.escrow.budgets
-    assert d.take(43.0 + IDLE_S, "a") == 0.0
-    assert d.of["door:a"].allowed(60.0) == pytest.approx(5.0)
+    assert d.take(43.0 + BUDGET_IDLE_TIMEOUT_S, "a") == 0.0
+    assert d.of["door:a"].rate_at(60.0) == pytest.approx(5.0)
 
 
 def test_tables_are_bounded() -> None:
     p = peers()
     d = door(p, keys=5)
-    for n in range(3 * MOST_BUDGETS):
+    for n in range(3 * MAX_DYNAMIC_BUDGETS):
         for _ in range(30):
             d.take(1.0, f"a{n}")
     assert len(d.of) == 5
-    assert len(p.escrow.budgets) == MOST_BUDGETS == len(p.idle)
+    assert len(p.escrow.budgets) == MAX_DYNAMIC_BUDGETS == len(p.last_used_at)
     before = p.buckets["door:a0"]
     assert "door:a0" not in d.of
     assert d.take(1.0, "a0") > 0.0
     assert d.of["door:a0"] is before
     draw = Random(1)
     for n in range(40):
-        wants = [Want(f"door:b{draw.random()}", 1.0, 0.0, 0.0) for _ in range(8)]
+        wants = [Demand(f"door:b{draw.random()}", 1.0, 0.0, 0.0) for _ in range(8)]
         hears(p, 2.0 + n / 5, *wants, order=n + 1)
-    assert len(p.escrow.budgets) <= MOST_BUDGETS
+    assert len(p.escrow.budgets) <= MAX_DYNAMIC_BUDGETS
 
 
 def test_a_start_has_what_is_never_lent_and_a_larger_number_told_makes_shares_smaller() -> None:
     p = peers(now=0.0)
-    assert p.share("b", 40.0, 0.0).allowed(0.0) == pytest.approx(1.0)
-    p.turn(20.0)
-    assert p.buckets["b"].allowed(20.0) == pytest.approx(10.0)
-    assert p.share("c", 40.0, 20.0, least=200).allowed(20.0) == pytest.approx(0.2)
+    assert p.share("b", 40.0, 0.0).rate_at(0.0) == pytest.approx(1.0)
+    p.tick(20.0)
+    assert p.buckets["b"].rate_at(20.0) == pytest.approx(10.0)
+    assert p.share("c", 40.0, 20.0, least=200).rate_at(20.0) == pytest.approx(0.2)
     p.share("b", 80.0, 20.0)  # another limit holds
-    assert p.buckets["b"].allowed(20.0) == pytest.approx(20.0)
-    p.listed(20.0, [f"n{n}" for n in range(1, 9)])
-    assert p.buckets["b"].allowed(20.0) == pytest.approx(10.0)
+    assert p.buckets["b"].rate_at(20.0) == pytest.approx(20.0)
+    p.set_dispatchers(20.0, [f"n{n}" for n in range(1, 9)])
+    assert p.buckets["b"].rate_at(20.0) == pytest.approx(10.0)
--- a/tests/core/peers/test_members.py
+++ b/tests/core/peers/test_members.py
@@ -4,23 +4,35 @@
 
 import pytest
 
-from finchladder.core.peers.membership import LOOK_FOR, PIECE, Members, Say, Timing
-from finchladder.core.peers.messages import ROOM, Kind, Packet, Rumour, Standing
+from finchladder.core.peers.membership import (
+    GONE_PROBE_INTERVAL,
+    TABLE_UPDATES_PER_PACKET,
+    MemberList,
+    ProbeMessage,
+    Timing,
+)
+from finchladder.core.peers.messages import MAX_PAYLOAD_BYTES, MemberStatus, MemberUpdate, Packet, PacketKind
 
-ALIVE, SUSPECTED, GONE = Standing.ALIVE, Standing.SUSPECTED, Standing.GONE
+ALIVE, SUSPECTED, GONE = MemberStatus.ALIVE, MemberStatus.SUSPECTED, MemberStatus.GONE
 NAMES = ["n1", "n2", "n3", "n4", "n5"]
 T = Timing()
 
 
-def members(names: list[str] = NAMES) -> Members:
-    return Members("n1", names, 50, 0.0, Random(1), T)
+def members(names: list[str] = NAMES) -> MemberList:
+    return MemberList("n1", names, 50, 0.0, Random(1), T)
 
 
-def hold(m: Members, standing: Standing, incarnation: int, name: str = "n2") -> None:
-    m._hold(0.0, m.of[name], incarnation, standing, "n5")
+def hold(m: MemberList, standing: MemberStatus, incarnation: int, name: str = "n2") -> None:
+    m._set_status(0.0, m.by_name[name], incarnation, standing, "n5")
 
 
-def word(sender: str, *rumours: Rumour, kind: Kind = Kind.WORD, number: int = 0, about: str = "") -> Packet:
+def word(
+    sender: str,
+    *rumours: MemberUpdate,
+    kind: PacketKind = PacketKind.GOSSIP,
+    number: int = 0,
+    about: str = "",
+) -> Packet:
     return Packet(kind, sender, 7, 1, number, about, rumours)
 
 
@@ -44,12 +56,12 @@
     ],
 )
 def test_what_is_held_after_a_rumour(
-    held: tuple[Standing, int], heard: tuple[Standing, int], then: tuple[Standing, int]
+    held: tuple[MemberStatus, int], heard: tuple[MemberStatus, int], then: tuple[MemberStatus, int]
 ) -> None:
     m = members()
     hold(m, *held)
-    m.hear(1.0, word("n3", Rumour("n2", heard[1], heard[0])))
-    assert (m.of["n2"].standing, m.of["n2"].incarnation) == then
+    m.receive(1.0, word("n3", MemberUpdate("n2", heard[1], heard[0])))
+    assert (m.by_name["n2"].status, m.by_name["n2"].incarnation) == then
 
 
 @pytest.mark.parametrize(
@@ -63,11 +75,13 @@
         ((GONE, 49), 50),
     ],
 )
-def test_who_is_said_to_be_gone_says_that_it_is_there(heard: tuple[Standing, int], incarnation: int) -> None:
+def test_who_is_said_to_be_gone_says_that_it_is_there(
+    heard: tuple[MemberStatus, int], incarnation: int
+) -> None:
     m = members()
-    m.hear(1.0, word("n3", Rumour("n1", heard[1], heard[0])))
-    assert (m.me.standing, m.me.incarnation) == (ALIVE, incarnation)
-    assert Rumour("n1", incarnation, ALIVE) in m.rumours("n4", ROOM)
+    m.receive(1.0, word("n3", MemberUpdate("n1", heard[1], heard[0])))
+    assert (m.own_member.status, m.own_member.incarnation) == (ALIVE, incarnation)
+    assert MemberUpdate("n1", incarnation, ALIVE) in m.select_updates("n4", MAX_PAYLOAD_BYTES)
 
 
 def test_a_suspicion_ends_sooner_the_more_accuse_and_not_before_its_shortest() -> None:
@@ -76,91 +90,99 @@
         m = members()
         hold(m, ALIVE, 3)
         for who in accusers:
-            m._apply(10.0, Rumour("n2", 3, SUSPECTED), who)
-        ends.append(m.of["n2"].until - 10.0)
-    assert ends[0] == ends[1] > ends[2] > ends[3] == ends[4] == pytest.approx(T.suspicion * T.period_s)
-    m.turn_at = 10.0 + ends[4]
-    m.turn(m.turn_at)
-    assert m.of["n2"].standing is GONE
+            m._apply(10.0, MemberUpdate("n2", 3, SUSPECTED), who)
+        ends.append(m.by_name["n2"].suspicion_ends_at - 10.0)
+    assert (
+        ends[0] == ends[1] > ends[2] > ends[3] == ends[4] == pytest.approx(T.suspicion_periods * T.period_s)
+    )
+    m.next_round_at = 10.0 + ends[4]
+    m.tick(m.next_round_at)
+    assert m.by_name["n2"].status is GONE
 
 
-def quiet(m: Members, standing: Standing = ALIVE) -> None:
+def quiet(m: MemberList, standing: MemberStatus = ALIVE) -> None:
     for n in NAMES[1:]:
         hold(m, standing, 3, n)
-    m.hot.clear()
+    m.pending_updates.clear()
 
 
-def play(m: Members, now: float, end: float) -> tuple[float, list[Say]]:
+def play(m: MemberList, now: float, end: float) -> tuple[float, list[ProbeMessage]]:
     """Turns as they are due, up to `end`."""
-    said: list[Say] = []
+    said: list[ProbeMessage] = []
     while m.next_at() <= end:
         now = max(now, m.next_at())
-        said += m.turn(now)
+        said += m.tick(now)
     return now, said
 
 
 def test_one_that_does_not_answer_is_asked_for_through_others_then_suspected() -> None:
     m = members()
     quiet(m)
-    now, said = play(m, 0.0, m.turn_at)
-    [ping] = [s for s in said if s.kind is Kind.PING]
-    now, said = play(m, now, now + T.answer_s)
-    helpers = {s.to for s in said if s.kind is Kind.ASK and s.about == ping.to and s.number == ping.number}
+    now, said = play(m, 0.0, m.next_round_at)
+    [ping] = [s for s in said if s.kind is PacketKind.PING]
+    now, said = play(m, now, now + T.ack_timeout_s)
+    helpers = {
+        s.to
+        for s in said
+        if s.kind is PacketKind.PING_REQUEST and s.target == ping.to and s.sequence == ping.sequence
+    }
     assert helpers == {*NAMES[1:]} - {ping.to}
-    assert m.of[ping.to].standing is ALIVE
+    assert m.by_name[ping.to].status is ALIVE
     for helper in helpers:
-        m.hear(now, word(helper, kind=Kind.NACK, number=ping.number, about=ping.to))
+        m.receive(now, word(helper, kind=PacketKind.NACK, number=ping.sequence, about=ping.to))
     play(m, now, now + T.period_s)
-    assert m.of[ping.to].standing is SUSPECTED
-    assert m.health == 0
+    assert m.by_name[ping.to].status is SUSPECTED
+    assert m.health_score == 0
 
 
 def test_an_answer_through_a_helper_counts_and_silent_helpers_put_oneself_in_doubt() -> None:
     m = members()
     quiet(m)
-    now, said = play(m, 0.0, m.turn_at)
-    now, _ = play(m, now, now + T.answer_s)
-    m.hear(now, word("n5", kind=Kind.ACK, number=said[0].number, about=said[0].to))
+    now, said = play(m, 0.0, m.next_round_at)
+    now, _ = play(m, now, now + T.ack_timeout_s)
+    m.receive(now, word("n5", kind=PacketKind.ACK, number=said[0].sequence, about=said[0].to))
     assert not m.probes
-    assert m.of[said[0].to].standing is ALIVE
-    now, said = play(m, now, m.turn_at)
+    assert m.by_name[said[0].to].status is ALIVE
+    now, said = play(m, now, m.next_round_at)
     play(m, now, now + T.period_s - 0.001)
-    now, _ = play(m, now, m.turn_at)
-    assert m.health == 1
-    assert m.turn_at == now + 2 * T.period_s
+    now, _ = play(m, now, m.next_round_at)
+    assert m.health_score == 1
+    assert m.next_round_at == now + 2 * T.period_s
 
 
 def test_asked_by_another_it_pings_and_tells_the_end() -> None:
     m = members()
     quiet(m)
-    [ping] = m.hear(0.0, word("n3", kind=Kind.ASK, number=9, about="n4"))
-    assert (ping.kind, ping.to) == (Kind.PING, "n4")
-    assert m.hear(0.1, word("n4", kind=Kind.ACK, number=ping.number)) == [Say(Kind.ACK, "n3", 9, "n4")]
-    m.hear(0.2, word("n3", kind=Kind.ASK, number=10, about="n4"))
-    assert Say(Kind.NACK, "n3", 10, "n4") in m.turn(0.2 + T.answer_s)
+    [ping] = m.receive(0.0, word("n3", kind=PacketKind.PING_REQUEST, number=9, about="n4"))
+    assert (ping.kind, ping.to) == (PacketKind.PING, "n4")
+    assert m.receive(0.1, word("n4", kind=PacketKind.ACK, number=ping.sequence)) == [
+        ProbeMessage(PacketKind.ACK, "n3", 9, "n4")
+    ]
+    m.receive(0.2, word("n3", kind=PacketKind.PING_REQUEST, number=10, about="n4"))
+    assert ProbeMessage(PacketKind.NACK, "n3", 10, "n4") in m.tick(0.2 + T.ack_timeout_s)
     for about in ("n1", "n3", "nobody"):
-        assert m.hear(0.3, word("n3", kind=Kind.ASK, number=11, about=about)) == []
+        assert m.receive(0.3, word("n3", kind=PacketKind.PING_REQUEST, number=11, about=about)) == []
 
 
 def test_what_was_not_looked_at_is_nobodys_silence() -> None:
     m = members()
     quiet(m)
-    now, said = play(m, 0.0, m.turn_at)
+    now, said = play(m, 0.0, m.next_round_at)
     hold(m, SUSPECTED, 3, "n5")
-    until = m.of["n5"].until
-    m.turn(now + 30.0)  # it stood still
-    assert m.of[said[0].to].standing is not SUSPECTED or said[0].to == "n5"
-    assert m.health >= 1
-    assert m.of["n5"].until > until + 25.0
-    assert m.of["n5"].standing is SUSPECTED
+    until = m.by_name["n5"].suspicion_ends_at
+    m.tick(now + 30.0)  # it stood still
+    assert m.by_name[said[0].to].status is not SUSPECTED or said[0].to == "n5"
+    assert m.health_score >= 1
+    assert m.by_name["n5"].suspicion_ends_at > until + 25.0
+    assert m.by_name["n5"].status is SUSPECTED
 
 
 def test_those_that_are_gone_are_looked_for_and_a_silent_one_of_them_is_not_suspected() -> None:
     m = members()
     quiet(m, GONE)
-    _, said = play(m, 0.0, 3 * LOOK_FOR * T.period_s)
+    _, said = play(m, 0.0, 3 * GONE_PROBE_INTERVAL * T.period_s)
     assert len(said) >= 2
-    assert {s.kind for s in said} == {Kind.PING}
+    assert {s.kind for s in said} == {PacketKind.PING}
     assert not m.probes
     assert m.count(GONE) == 4
     assert m.alive() == ["n1"]
@@ -170,23 +192,27 @@
     m = members()
     quiet(m)
     hold(m, SUSPECTED, 4, "n2")
-    times = sum(Rumour("n2", 4, SUSPECTED) in m.rumours("n4", ROOM)[:1] for _ in range(40))
+    times = sum(
+        MemberUpdate("n2", 4, SUSPECTED) in m.select_updates("n4", MAX_PAYLOAD_BYTES)[:1] for _ in range(40)
+    )
     assert times >= m.repeats
-    assert not m.hot
-    told = [m.rumours("n4", ROOM) for _ in range(8)]
-    assert all(len(t) <= PIECE for t in told)
+    assert not m.pending_updates
+    told = [m.select_updates("n4", MAX_PAYLOAD_BYTES) for _ in range(8)]
+    assert all(len(t) <= TABLE_UPDATES_PER_PACKET for t in told)
     assert {r.name for t in told for r in t} == {*NAMES[1:]}
-    assert m.rumours("n2", ROOM)[0] == Rumour("n2", 4, SUSPECTED)  # who is suspected hears of it first
-    assert m.rumours("n4", 10) == []
+    assert m.select_updates("n2", MAX_PAYLOAD_BYTES)[0] == MemberUpdate(
+        "n2", 4, SUSPECTED
+    )  # who is suspected hears of it first
+    assert m.select_updates("n4", 10) == []
 
 
 def test_another_list_is_followed() -> None:
     m = members()
     quiet(m)
     hold(m, SUSPECTED, 9, "n2")
-    m.listed(["n1", "n3", "n9"])
+    m.set_names(["n1", "n3", "n9"])
     assert m.alive() == ["n1", "n3"]
-    assert "n2" not in m.hot
-    assert m.of["n9"].standing is GONE
-    m.hear(1.0, word("n2", Rumour("n2", 99, ALIVE)))
-    assert "n2" not in m.of
+    assert "n2" not in m.pending_updates
+    assert m.by_name["n9"].status is GONE
+    m.receive(1.0, word("n2", MemberUpdate("n2", 99, ALIVE)))
+    assert "n2" not in m.by_name
--- a/tests/core/peers/test_values.py
+++ b/tests/core/peers/test_values.py
@@ -7,16 +7,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from finchladder.core.peers.bucket import BURST_S, HOLD_S, Bucket
-from finchladder.core.peers.messages import ROOM, Part, Row, Want
-from finchladder.core.peers.state_rows import FORGET_S, MOST_WANTS, Rows
-from finchladder.core.peers.sums import STALE_S, Sums
+from finchladder.core.peers.bucket import BURST_S, TOKEN_HOLD_S, Bucket
+from finchladder.core.peers.messages import MAX_PAYLOAD_BYTES, Demand, PartialSum, Row
+from finchladder.core.peers.state_rows import MAX_DEMANDS_PER_ROW, ROW_TTL_S, RowTable
+from finchladder.core.peers.sums import MAX_PART_AGE_S, FleetSums
 
 
 def row(
     owner: str, incarnation: int, order: int, age_s: float = 0.0, spent: float = 0.0, boot: int = 0
 ) -> Row:
-    return Row(owner, boot, incarnation, order, age_s, 5.0, (Want("b", 1.0, 0.0, spent),))
+    return Row(owner, boot, incarnation, order, age_s, 5.0, (Demand("b", 1.0, 0.0, spent),))
 
 
 # what an owner writes under one order is one thing, however old it is when it comes
@@ -25,15 +25,15 @@
     st.sampled_from(["n2", "n3"]),
     st.integers(1, 3),
     st.integers(1, 3),
-    st.floats(0, 2 * FORGET_S),
+    st.floats(0, 2 * ROW_TTL_S),
 )
 
 
 def merged(rows: list[Row]) -> dict[str, Row]:
-    held = Rows("n1", 1, 3)
+    held = RowTable("n1", 1, 3)
     for r in rows:
         held.merge(0.0, r)
-    return {owner: r for owner, (r, _) in held.held.items()}
+    return {owner: r for owner, (r, _) in held.by_owner.items()}
 
 
 @given(st.lists(ROWS, max_size=5), st.data())
@@ -44,51 +44,51 @@
 
 
 def test_a_row_is_held_to_its_age_and_a_new_life_counts_from_nothing_once() -> None:
-    held = Rows("n1", 1, 3)
+    held = RowTable("n1", 1, 3)
     assert held.merge(0.0, row("n2", 1, 9, 10.0, 90.0))
     assert not held.merge(1.0, row("n2", 1, 8, 0.0, 80.0))
-    assert held.spent(0.0, "b") == (90.0, 1)
+    assert held.total_spent(0.0, "b") == (90.0, 1)
     assert held.merge(2.0, row("n2", 2, 1, 0.0, 3.0))
-    assert held.spent(2.0, "b") == (3.0, 1)
+    assert held.total_spent(2.0, "b") == (3.0, 1)
     assert not held.merge(3.0, row("n2", 1, 99, 0.0, 990.0))
-    assert held.spent(3.0, "b") == (3.0, 1)
-    assert not held.merge(3.0, row("n3", 1, 1, FORGET_S))
+    assert held.total_spent(3.0, "b") == (3.0, 1)
+    assert not held.merge(3.0, row("n3", 1, 1, ROW_TTL_S))
     assert held.stale == 1
-    assert [r.age_s for r in held.others(7.0, 60.0)] == [5.0]
-    assert held.others(7.0, 4.0) == []
-    held.forget(2.0 + FORGET_S, ["n1", "n2"])
-    assert held.spent(40.0, "b") == (0.0, 0)
+    assert [r.age_s for r in held.rows_of_peers(7.0, 60.0)] == [5.0]
+    assert held.rows_of_peers(7.0, 4.0) == []
+    held.remove_expired(2.0 + ROW_TTL_S, ["n1", "n2"])
+    assert held.total_spent(40.0, "b") == (0.0, 0)
     held.merge(40.0, row("n2", 3, 1))
-    held.forget(40.0, ["n1"])  # not listed any more
-    assert not held.held
-    assert not held.tell
+    held.remove_expired(40.0, ["n1"])  # not listed any more
+    assert not held.by_owner
+    assert not held.repeats_left
 
 
 def test_the_own_row_comes_back_as_nothing_and_a_former_lifes_makes_the_next_one_higher() -> None:
-    held = Rows("n1", 1, 3)
-    held.write(0.0, 5, [Want(f"b{n}", float(n), 0.0, 0.0) for n in range(MOST_WANTS + 3)])
-    mine, _ = held.held["n1"]
-    assert len(mine.wants) == MOST_WANTS
-    assert mine.wants[0].rate == MOST_WANTS + 2
+    held = RowTable("n1", 1, 3)
+    held.write(0.0, 5, [Demand(f"b{n}", float(n), 0.0, 0.0) for n in range(MAX_DEMANDS_PER_ROW + 3)])
+    mine, _ = held.by_owner["n1"]
+    assert len(mine.demands) == MAX_DEMANDS_PER_ROW
+    assert mine.demands[0].rate == MAX_DEMANDS_PER_ROW + 2
     assert not held.merge(0.0, row("n1", 5, 70, boot=1))
-    assert held.order == 1
+    assert held.sequence == 1
     assert not held.merge(0.0, row("n1", 5, 70, boot=2))
-    assert held.held["n1"][0] == mine
+    assert held.by_owner["n1"][0] == mine
     held.write(1.0, 6, [])
-    assert held.held["n1"][0].order == 71
+    assert held.by_owner["n1"][0].sequence == 71
 
 
 def test_news_go_first_and_the_rest_in_turn_never_beyond_the_room() -> None:
-    held = Rows("n1", 1, 2)
+    held = RowTable("n1", 1, 2)
     for n in range(2, 30):
         held.merge(0.0, row(f"n{n}", 1, 1, 20.0))
     held.merge(0.0, row("n9", 1, 2, 0.0))
-    told = [held.some(0.0, "n2", ROOM) for _ in range(40)]
+    told = [held.select_rows(0.0, "n2", MAX_PAYLOAD_BYTES) for _ in range(40)]
     assert [t[0].owner for t in told[:2]] == ["n9", "n9"]
-    assert not held.tell
+    assert not held.repeats_left
     assert {r.owner for t in told for r in t} >= {f"n{n}" for n in range(3, 30)}
     assert not any(r.owner == "n2" for t in told for r in t)
-    assert held.some(0.0, "n3", 20) == []
+    assert held.select_rows(0.0, "n3", 20) == []
 
 
 @settings(deadline=None)
@@ -101,7 +101,7 @@
     fixed: float, steps: list[tuple[float, float]], holds: bool
 ) -> None:
     """The bound that bucket.py states, for rights that change at any time."""
-    b, now, flows = Bucket(fixed, 0.0, holds=holds), 0.0, [(0.0, fixed)]
+    b, now, flows = Bucket(fixed, 0.0, keeps_tokens=holds), 0.0, [(0.0, fixed)]
     taken: list[float] = []
     for wait, right in steps:
         for part in range(8):
@@ -109,27 +109,27 @@
             while b.take(at):
                 taken.append(at)
         now += wait
-        b.allow(now, right, now + 1.0)
-        b.fixed = min(fixed, right)
+        b.set_rate(now, right, now + 1.0)
+        b.guaranteed_rate = min(fixed, right)
         flows += [(now, right), (now + 1.0, min(fixed, right))]
     most = max(r for _, r in flows)
     for n, first in enumerate(taken):
         for m in range(n, len(taken)):
             window = taken[m] - first
-            assert m - n + 1 <= most * window + 1 + max(HOLD_S * min(1.0, most), most * BURST_S) + 1e-6
+            assert m - n + 1 <= most * window + 1 + max(TOKEN_HOLD_S * min(1.0, most), most * BURST_S) + 1e-6
 
 
 def test_a_right_ends_with_its_lease_and_a_whole_token_of_a_slow_one_is_given_up() -> None:
     b = Bucket(1.0, 0.0)
-    b.allow(0.0, 100.0, 0.5)
-    assert b.allowed(0.5) == 100.0
-    assert b.allowed(0.51) == 1.0
+    b.set_rate(0.0, 100.0, 0.5)
+    assert b.rate_at(0.5) == 100.0
+    assert b.rate_at(0.51) == 1.0
     assert sum(b.take(10.0) for _ in range(100)) <= 1 + 25  # what was saved up by 0.5, and no more
-    slow, kept = Bucket(0.1, 0.0), Bucket(0.1, 0.0, holds=True)
-    for at, there in ((9.9, False), (10.1, True), (10.0 + HOLD_S + 0.1, False), (21.1, True)):
-        assert slow.left(at) is there
-    assert kept.left(13.0)
-    assert kept.left(1000.0)
+    slow, kept = Bucket(0.1, 0.0), Bucket(0.1, 0.0, keeps_tokens=True)
+    for at, there in ((9.9, False), (10.1, True), (10.0 + TOKEN_HOLD_S + 0.1, False), (21.1, True)):
+        assert slow.has_token(at) is there
+    assert kept.has_token(13.0)
+    assert kept.has_token(1000.0)
     assert kept.wait_s(1000.0) == 0.0
     assert kept.take(1000.0)
     assert kept.wait_s(1000.0) == pytest.approx(9.75, 0.05)
@@ -140,28 +140,29 @@
     for n in range(400):
         b.take(n / 20)
         if n % 10 == 9:
-            b.needs((n + 1) / 20)
-    assert b.needs(20.0) == pytest.approx(20.0, 0.05)
-    assert b.refused >= 399
-    assert b.needs(30.0) < 0.1
+            b.update_demand((n + 1) / 20)
+    assert b.update_demand(20.0) == pytest.approx(20.0, 0.05)
+    assert b.rejected >= 399
+    assert b.update_demand(30.0) < 0.1
 
 
-def ring(n: int, lose: object = None, waves: int = 3) -> list[Sums]:
+def ring(n: int, lose: object = None, waves: int = 3) -> list[FleetSums]:
     """n of them, each with counts of its own, after some waves; `lose`: names what is lost."""
-    all_of = {f"n{i:03}": Sums(f"n{i:03}") for i in range(n)}
+    all_of = {f"n{i:03}": FleetSums(f"n{i:03}") for i in range(n)}
     names = sorted(all_of)
     draw = Random(n)
     for wave in range(waves):
-        queue: list[tuple[str, str, Part]] = []
+        queue: list[tuple[str, str, PartialSum]] = []
         for i, name in enumerate(draw.sample(names, n)):
             now = wave * 0.1 + i * 0.0001
             queue += [
-                (name, to, p) for to, p in all_of[name].begin(now, names, {1: 1.0, 100 + int(name[1:]): 2.0})
+                (name, to, p)
+                for to, p in all_of[name].begin_wave(now, names, {1: 1.0, 100 + int(name[1:]): 2.0})
             ]
         while queue:
             sender, to, part = queue.pop(draw.randrange(len(queue)))
             if sender != lose:
-                told = all_of[to].hear(wave * 0.1 + 0.05, sender, part)
+                told = all_of[to].receive(wave * 0.1 + 0.05, sender, part)
                 queue += [(to, other, p) for other, p in told]
     return [all_of[name] for name in names]
 
@@ -181,21 +182,21 @@
     totals = [one.total(0.3) for one in sums]
     assert all(t is None or t.members <= 13 for t in totals)
     assert any(t is None or t.members < 13 for t in totals)
-    assert ring(13)[0].total(0.3 + STALE_S) is None
+    assert ring(13)[0].total(0.3 + MAX_PART_AGE_S) is None
 
 
 def test_a_part_of_an_earlier_wave_or_of_no_level_of_the_ring_is_dropped() -> None:
     one = ring(8)[0]
     held = dict(one.parts)
     level, (part, _) = next(iter(held.items()))
-    sender = next(s for s, at in one.heard_wave if at == level)
+    sender = next(s for s, at in one.last_received_wave if at == level)
     for p in (part._replace(wave=0), part._replace(level=31), part._replace(level=40), part):
-        assert one.hear(0.3, sender, p) == []
+        assert one.receive(0.3, sender, p) == []
         assert one.parts == held
 
 
 def test_sums_are_the_same_for_every_order_of_the_same_names() -> None:
     for names in permutations(["a", "b", "c"]):
-        one = Sums("b")
-        assert [to for to, _ in one.begin(0.0, names, {})] == ["c", "a"]
+        one = FleetSums("b")
+        assert [to for to, _ in one.begin_wave(0.0, names, {})] == ["c", "a"]
         assert one.ring == ["a", "b", "c"]
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -11,7 +11,7 @@
 from finchladder.core import api
 from finchladder.core.membership import decisions, removal_guards, sources
 from finchladder.core.membership.decisions import ANY_START, FactKind, MembershipSettings, Source
-from finchladder.core.membership.sources import Standing
+from finchladder.core.membership.sources import SourceStatus
 from tests.core.membership_oracle import (
     ABC,
     BOTH,
@@ -98,7 +98,7 @@
         self.facts: list[decisions.Fact] = []
         apply = self.pair.apply
 
-        def keep(d: decisions.Decided) -> None:
+        def keep(d: decisions.Decision) -> None:
             self.facts.extend(d.facts)
             apply(d)
 
@@ -125,11 +125,11 @@
         return sum(state is R for state, *_ in self.pair.told.values())
 
     def lead(self) -> str:
-        assert self.pair.m.lead is not None
-        return self.pair.m.lead.source.name
+        assert self.pair.m.leader is not None
+        return self.pair.m.leader.source.name
 
     def told(self) -> list[FactKind]:
-        found = [f.what for f in self.facts]
+        found = [f.kind for f in self.facts]
         self.facts.clear()
         return found
 
@@ -276,7 +276,7 @@
     case = Case(count=4)
     case.tell(ETCD, {"w0": Word(D)}, step=3)
     case.tell(ETCD, case.all, whole=True, step=-2)
-    assert (case.state("w0"), case.pair.m.by_name[ETCD].standing) == (D, Standing.BEHIND)
+    assert (case.state("w0"), case.pair.m.by_name[ETCD].status) == (D, SourceStatus.BEHIND)
     case.tell(ETCD, {"w1": Word(D)})
     case.tell(ETCD, {"w0": Word(D)})
     assert (case.state("w0"), case.state("w1"), case.lead()) == (D, D, ETCD)
@@ -378,8 +378,8 @@
         first = m.report(
             50.0, decisions.Report(PAST.name, 3, workers, dict.fromkeys("ab", ("h", 1)), age_s=age)
         )
-        assert (m.up, len(first.workers.entries), m.age_s(50.0) == age) == (used, 2 * used, used)
-        told = [f.what for f in first.facts]
+        assert (m.has_list, len(first.workers.entries), m.age_s(50.0) == age) == (used, 2 * used, used)
+        told = [f.kind for f in first.facts]
         assert told == [FactKind.LEADS if used else FactKind.OLD]
         whole = api.WorkerList(api.ListKind.FULL, (api.WorkerEntry("b", R), api.WorkerEntry("a", R)))
         live = m.report(60.0, decisions.Report(DISCOVERY, 1, whole, dict.fromkeys("ab", ("h", 1))))
@@ -410,7 +410,7 @@
     gone = api.WorkerList(api.ListKind.PATCH, (api.WorkerEntry("w5", G),))
     assert m.next_due < 1.0
     for _ in range(2):
-        names += [e.worker for e in m.due(1.0).workers.entries]
+        names += [e.worker for e in m.apply_due(1.0).workers.entries]
     names += [e.worker for e in m.report(1.0, decisions.Report(DISCOVERY, 2, gone, {})).workers.entries]
     assert names == ["w7", "w8", "w0", "w1", "w2", "w3", "w4", "w5", "w5", "w6"]
     assert m.next_due > 1.0
@@ -430,11 +430,11 @@
         workers = api.WorkerList(kind, tuple(api.WorkerEntry(n, s) for n, s in names.items()))
         decided = [m.report(1.0, decisions.Report(source, version, workers, dict.fromkeys(names, ("h", 1))))]
         while m.next_due <= 1.0:
-            decided.append(m.due(then))
+            decided.append(m.apply_due(then))
         for d in decided:
             told.update((e.worker, e.state) for e in d.workers.entries)
             seen.update(e.worker for e in d.workers.entries if e.state is G)
-        assert [f.number for d in decided for f in d.facts if f.what is FactKind.HOLDING] in ([], [17])
+        assert [f.number for d in decided for f in d.facts if f.kind is FactKind.HOLDING] in ([], [17])
 
     ready = {f"w{n}": R for n in range(20)}
     tell(ETCD, 1, api.ListKind.FULL, ready)
@@ -447,7 +447,7 @@
     assert [seen.get(f"w{n}", 0) for n in range(4)] == [one_before, 1, 1, 1]
     assert sum(seen.values()) < 5
     assert len(m.mass_removal_guard.held) == 17
-    assert m.counts[decisions.Belief.HELD] == 17
+    assert m.counts[decisions.MemberState.HELD] == 17
 
 
 @pytest.mark.parametrize(("most", "left_out"), [(3, 2), (5, 0)])
@@ -459,7 +459,7 @@
     workers = api.WorkerList(api.ListKind.FULL, tuple(api.WorkerEntry(name, R) for name in "abcde"))
     told = m.report(1.0, decisions.Report(DISCOVERY, 1, workers, dict.fromkeys("abcde", ("h", 1))))
     assert len(told.workers.entries) == 5 - left_out
-    assert [f.number for f in told.facts if f.what is FactKind.FULL] == [left_out] * (left_out > 0)
+    assert [f.number for f in told.facts if f.kind is FactKind.FULL] == [left_out] * (left_out > 0)
 
 
 @pytest.mark.parametrize("name", MembershipSettings.__dataclass_fields__)
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -15,20 +15,20 @@
 from finchladder.config.options import PeersOptions
 from finchladder.core.health.detection.overrides import STANCES, Override
 from finchladder.core.health.detection.reports import MAX_WORKER_REPORTS, WorkerReport
-from finchladder.core.peers.exchange import Peers, Rule
+from finchladder.core.peers.exchange import ExchangeSettings, Peers
 from finchladder.core.peers.messages import (
-    MOST_INCARNATION,
-    ROOM,
+    MAX_INCARNATION,
+    MAX_PAYLOAD_BYTES,
+    Demand,
     Grant,
-    Kind,
+    MemberStatus,
+    MemberUpdate,
     Packet,
-    Part,
+    PacketKind,
+    PartialSum,
     Return,
     Row,
-    Rumour,
-    Standing,
-    Want,
-    flaw,
+    validation_error,
 )
 from finchladder.net.peers.actor import PeersActor
 from finchladder.net.peers.datagrams import (
@@ -40,8 +40,8 @@
 )
 
 NAME = st.text("abcdefgh.-_0123456789", min_size=1, max_size=32)
-INT, FIGURE = st.integers(0, MOST_INCARNATION), st.floats(0, 1e9)
-WANT = st.builds(Want, st.text(max_size=40), FIGURE, FIGURE, FIGURE)
+INT, FIGURE = st.integers(0, MAX_INCARNATION), st.floats(0, 1e9)
+WANT = st.builds(Demand, st.text(max_size=40), FIGURE, FIGURE, FIGURE)
 TENTHS, NUMBER = st.integers(0, 6_000).map(lambda n: n / 10), st.integers(0, (1 << 32) - 1)
 SAID = st.builds(WorkerReport, NUMBER, TENTHS, TENTHS, TENTHS, TENTHS, TENTHS, st.integers(0, 15))
 ROW = st.builds(
@@ -62,7 +62,7 @@
     Override, NAME, st.sampled_from(STANCES), st.floats(0, 86_400), INT, NAME, st.text(max_size=80)
 )
 PART = st.builds(
-    Part,
+    PartialSum,
     st.integers(0, 40),
     INT,
     st.integers(1, 1000),
@@ -73,13 +73,13 @@
 )
 PACKET = st.builds(
     Packet,
-    st.sampled_from(Kind),
+    st.sampled_from(PacketKind),
     NAME,
     INT,
     INT,
     st.integers(0, 1 << 31),
     NAME,
-    st.lists(st.builds(Rumour, NAME, INT, st.sampled_from(Standing)), max_size=12).map(tuple),
+    st.lists(st.builds(MemberUpdate, NAME, INT, st.sampled_from(MemberStatus)), max_size=12).map(tuple),
     st.lists(ROW, max_size=3).map(tuple),
     st.lists(st.builds(Grant, INT, st.text(max_size=40), FIGURE, FIGURE, INT), max_size=3).map(tuple),
     st.lists(st.builds(Return, INT, INT, FIGURE), max_size=3).map(tuple),
@@ -89,14 +89,14 @@
 
 
 def room(p: Packet) -> int:
-    told: list[Rumour | Row | Grant | Return | Part | Override] = [
-        *p.rumours,
+    told: list[MemberUpdate | Row | Grant | Return | PartialSum | Override] = [
+        *p.updates,
         *p.rows,
         *p.grants,
         *p.returns,
         *p.orders,
     ]
-    return sum(t.room for t in [*told, *([p.part] if p.part else [])])
+    return sum(t.room for t in [*told, *([p.partial_sum] if p.partial_sum else [])])
 
 
 @settings(deadline=None)
@@ -104,8 +104,8 @@
 def test_what_fits_the_room_fits_a_datagram_and_comes_back(p: Packet) -> None:
     data = encode("a-fleet-of-thirty-two-characters", p)
     if (
-        room(p) <= ROOM
-        and all(c.isascii() for row in p.rows for w in row.wants for c in w.budget)
+        room(p) <= MAX_PAYLOAD_BYTES
+        and all(c.isascii() for row in p.rows for w in row.demands for c in w.budget)
         and all(g.budget.isascii() for g in p.grants)
     ):
         assert len(data) <= MAX_DATAGRAM_BYTES
@@ -114,7 +114,7 @@
 
 
 def made() -> Peers:
-    p = Peers("n1", ["n1", "n2", "n3"], 1, 1000, 0.0, Rule(wave_s=0.1))
+    p = Peers("n1", ["n1", "n2", "n3"], 1, 1000, 0.0, ExchangeSettings(wave_s=0.1))
     p.share("b", 10.0, 0.0)
     return p
 
@@ -123,13 +123,23 @@
     """All that a datagram could change; `dropped` aside."""
     shown = p.show(5.0)
     del shown["dropped"]
-    rest = p.escrow.given, p.escrow.taken, p.escrow.returned, p.rows.held, p.sums.parts, p.members.probes
-    return f"{shown} {rest} {sorted(p.members.hot)}"
+    rest = (
+        p.escrow.lent_grants,
+        p.escrow.borrowed_grants,
+        p.escrow.returned_until,
+        p.rows.by_owner,
+        p.sums.parts,
+        p.members.probes,
+    )
+    return f"{shown} {rest} {sorted(p.members.pending_updates)}"
 
 
-GOOD = Packet(Kind.WORD, "n2", 7, 1000)
+GOOD = Packet(PacketKind.GOSSIP, "n2", 7, 1000)
 SOUND = encode(
-    "f", GOOD._replace(rumours=(Rumour("n3", 5, Standing.ALIVE),), rows=(Row("n3", 1, 1, 1, 0.0, 1.0, ()),))
+    "f",
+    GOOD._replace(
+        updates=(MemberUpdate("n3", 5, MemberStatus.ALIVE),), rows=(Row("n3", 1, 1, 1, 0.0, 1.0, ()),)
+    ),
 )
 
 
@@ -147,26 +157,26 @@
     except MalformedDatagramError:
         assert state(p) == before
         return
-    if flaw(packet) is not None or packet.sender not in ("n2", "n3"):
-        assert p.hear(1.0, packet) == []
+    if validation_error(packet) is not None or packet.sender not in ("n2", "n3"):
+        assert p.receive(1.0, packet) == []
         # a packet in one's own name from another process is counted, and changes nothing else
-        assert p.conflicts == (packet.sender == "n1" and packet.boot != p.boot)
-        p.conflicts = 0
+        assert p.name_conflicts == (packet.sender == "n1" and packet.boot != p.boot)
+        p.name_conflicts = 0
         assert state(p) == before
     else:
-        p.hear(1.0, packet)
-        p.turn(2.0)
+        p.receive(1.0, packet)
+        p.tick(2.0)
 
 
 def test_a_packet_in_ones_own_name_is_counted_as_a_conflict_and_changes_nothing_else() -> None:
     p, before = made(), state(made())
-    assert p.hear(1.0, GOOD._replace(sender="n1", boot=p.boot + 1)) == []
-    assert p.conflicts == 1
-    p.conflicts = 0
+    assert p.receive(1.0, GOOD._replace(sender="n1", boot=p.boot + 1)) == []
+    assert p.name_conflicts == 1
+    p.name_conflicts = 0
     assert state(p) == before
 
 
-WANT_OF_ALL = Want("b", 1.0, 0.0, 1.0)
+WANT_OF_ALL = Demand("b", 1.0, 0.0, 1.0)
 
 
 def rowed(**changes: object) -> Packet:
@@ -176,44 +186,44 @@
 @pytest.mark.parametrize(
     "packet",
     [
-        GOOD._replace(incarnation=MOST_INCARNATION + 1),
-        GOOD._replace(rumours=(Rumour("n3", MOST_INCARNATION + 1, Standing.GONE),)),
+        GOOD._replace(incarnation=MAX_INCARNATION + 1),
+        GOOD._replace(updates=(MemberUpdate("n3", MAX_INCARNATION + 1, MemberStatus.GONE),)),
         rowed(age_s=math.nan),
         rowed(age_s=-1.0),
-        rowed(asked=math.inf),
+        rowed(requested_at=math.inf),
         rowed(incarnation=1 << 52),
-        rowed(wants=(Want("b", 1e300, 0.0, 0.0),)),
-        rowed(wants=(Want("b", 1.0, 0.0, math.nan),)),
-        rowed(wants=(Want("b", 1.0, -1.0, 0.0),)),
-        rowed(wants=(WANT_OF_ALL, WANT_OF_ALL)),
+        rowed(demands=(Demand("b", 1e300, 0.0, 0.0),)),
+        rowed(demands=(Demand("b", 1.0, 0.0, math.nan),)),
+        rowed(demands=(Demand("b", 1.0, -1.0, 0.0),)),
+        rowed(demands=(WANT_OF_ALL, WANT_OF_ALL)),
         GOOD._replace(grants=(Grant(1, "b", math.inf, 0.0, 1),)),
         GOOD._replace(grants=(Grant(1, "b", 1.0, math.nan, 1),)),
         GOOD._replace(returns=(Return(1, 1, math.nan),)),
-        GOOD._replace(part=Part(1, 1, 0, 0.0, ())),
-        GOOD._replace(part=Part(1, 1, 2, math.nan, ())),
-        GOOD._replace(part=Part(64, 1, 2, 0.0, ())),
-        GOOD._replace(part=Part(0, 1, 1, 0.0, ((1, math.nan),))),
+        GOOD._replace(partial_sum=PartialSum(1, 1, 0, 0.0, ())),
+        GOOD._replace(partial_sum=PartialSum(1, 1, 2, math.nan, ())),
+        GOOD._replace(partial_sum=PartialSum(64, 1, 2, 0.0, ())),
+        GOOD._replace(partial_sum=PartialSum(0, 1, 1, 0.0, ((1, math.nan),))),
     ],
 )
 def test_figures_that_cannot_be_change_nothing(packet: Packet) -> None:
     p, before = made(), state(made())
-    assert p.hear(1.0, packet) == []
+    assert p.receive(1.0, packet) == []
     assert state(p) == before
     assert p.dropped == {"flaw": 1}
 
 
 def test_an_unlisted_one_and_another_process_of_the_own_name_change_nothing() -> None:
     p, before = made(), state(made())
-    assert p.hear(1.0, GOOD._replace(sender="n9")) == []
+    assert p.receive(1.0, GOOD._replace(sender="n9")) == []
     assert state(p) == before
-    p.hear(1.0, GOOD._replace(sender="n1", boot=p.boot))
-    assert p.conflicts == 0  # an echo of its own words
-    p.hear(1.0, GOOD._replace(sender="n1", boot=p.boot + 1))
-    assert p.conflicts == 1
-    rumours = (Rumour("n9", 5, Standing.GONE),)
-    p.hear(1.0, GOOD._replace(rumours=rumours, rows=(Row("n9", 1, 1, 1, 0.0, 1.0, ()),)))
-    assert "n9" not in p.members.of
-    assert "n9" not in p.rows.held
+    p.receive(1.0, GOOD._replace(sender="n1", boot=p.boot))
+    assert p.name_conflicts == 0  # an echo of its own words
+    p.receive(1.0, GOOD._replace(sender="n1", boot=p.boot + 1))
+    assert p.name_conflicts == 1
+    rumours = (MemberUpdate("n9", 5, MemberStatus.GONE),)
+    p.receive(1.0, GOOD._replace(updates=rumours, rows=(Row("n9", 1, 1, 1, 0.0, 1.0, ()),)))
+    assert "n9" not in p.members.by_name
+    assert "n9" not in p.rows.by_owner
 
 
 ENDED = encode("f", GOOD)
@@ -268,7 +278,7 @@
             actor._open()
             assert actor.socket is not None
             for sender in (stranger, other):
-                sender.sendto(encode("f", GOOD._replace(kind=Kind.PING, number=4)), actor.own_address)
+                sender.sendto(encode("f", GOOD._replace(kind=PacketKind.PING, sequence=4)), actor.own_address)
             stranger.sendto(encode("f", GOOD._replace(sender="n9")), actor.own_address)
             for _ in range(1000):
                 if actor.received == 3:
@@ -282,7 +292,7 @@
         assert shown["datagrams"]["received"] == 3
         other.settimeout(5)
         answer = decode("f", other.recv(MAX_DATAGRAM_BYTES))
-        assert (answer.kind, answer.sender, answer.number) == (Kind.ACK, "n1", 4)
+        assert (answer.kind, answer.sender, answer.sequence) == (PacketKind.ACK, "n1", 4)
         text = "\n".join(format_answer(shown))
         assert "n1: 3 listed, 2 alive, 0 suspected, 1 gone" in text
         assert "dropped: address: 1" in text
