--- a/finchladder/core/membership/__init__.py
+++ b/finchladder/core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which workers exist: endpoint lists, their sources and watches, the subset that is used."""
+"""Worker membership: endpoint lists, their sources and watches, and the subset that a dispatcher uses."""
--- a/finchladder/core/membership/aperture.py
+++ b/finchladder/core/membership/aperture.py
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ApertureSettings:
-    """Settings of the aperture: numbers of connections, and the lower bound of a subset."""
+    """Settings of the aperture: connection limits and the minimum size of a subset."""
 
-    server_connections: int = 256  # that a worker accepts from all dispatchers together
-    connections_each: int = 24  # that one dispatcher may open to one worker
-    least: int = 4  # workers of a stratum per subset: both candidates of a key, and alternatives
+    server_connections: int = 256  # connections that a worker accepts from all dispatchers together
+    connections_each: int = 24  # connections that one dispatcher may open to one worker
+    least: int = 4  # minimum workers of a stratum in a subset: both candidates of a key, and alternatives
 
     def __post_init__(self) -> None:
         if not 1 <= self.connections_each <= self.server_connections <= 1_000_000:
@@ -56,10 +56,10 @@
     return min(n, max(settings.least, n * settings.served // dispatchers))
 
 
-def ring_window(ring: Sequence[RingPosition], index: int, dispatchers: int, wide: int) -> list[str]:
+def ring_window(ring: Sequence[RingPosition], index: int, dispatchers: int, width: int) -> list[str]:
     """Returns the names of `wide` neighbours in the ring from this dispatcher's start."""
     start = index * len(ring) // dispatchers
-    return [ring[(start + i) % len(ring)][1] for i in range(wide)]
+    return [ring[(start + i) % len(ring)][1] for i in range(width)]
 
 
 class Aperture:
@@ -92,14 +92,14 @@
                 self._remove(name, touched)
                 self.stratum[name] = stratum
                 new.setdefault(stratum, []).append(ring_position(name))
-        for stratum, places in new.items():
+        for stratum, positions in new.items():
             ring = self.rings.setdefault(stratum, [])
             touched.add(stratum)
-            if len(places) < 16:
-                for at in places:
-                    insort(ring, at)
-            else:  # a list of many: sorted once
-                ring.extend(places)
+            if len(positions) < 16:
+                for position in positions:
+                    insort(ring, position)
+            else:  # many new entries: one sort is cheaper than many insertions
+                ring.extend(positions)
                 ring.sort()
         entered: set[str] = set()
         left: set[str] = set()
@@ -114,8 +114,8 @@
 
     def replace(self, listed: Iterable[tuple[str, Stratum]]) -> Change:
         """Applies a full list, which removes all workers that it lacks."""
-        whole = dict(listed)
-        return self.change(whole.items(), [name for name in self.stratum if name not in whole])
+        full_list = dict(listed)
+        return self.change(full_list.items(), [name for name in self.stratum if name not in full_list])
 
     def _remove(self, name: str, touched: set[Stratum]) -> None:
         if (stratum := self.stratum.pop(name, None)) is not None:
@@ -127,5 +127,5 @@
         ring = self.rings[stratum]
         if self.index is None or self.dispatchers is None:
             return frozenset(name for _, name in ring)
-        wide = subset_width(len(ring), self.dispatchers, self.settings)
-        return frozenset(ring_window(ring, self.index, self.dispatchers, wide))
+        width = subset_width(len(ring), self.dispatchers, self.settings)
+        return frozenset(ring_window(ring, self.index, self.dispatchers, width))
--- a/finchladder/core/membership/decisions.py
+++ b/finchladder/core/membership/decisions.py
@@ -1,10 +1,10 @@
 """Membership: merges the endpoint lists of several sources into the list of workers in use.
 
-Input: `Report` (a full list, or changed entries) and `heard` (alive, nothing new), each with the time, and
-`due` at `next_due`. Output: `Decided`, the changes of the merged list.
+Input: `Report` (a full list, or changed entries) and heartbeats of the sources, each with the time, and
+`apply_due` at `next_due`. Output: `Decision`, the changes of the merged list.
 
-- One source leads: the first that is live. It determines the members; another takes over when it is lost.
-- A draining notice of any source holds, for the incarnation of the worker that it names and earlier ones.
+- The first live source is the leader. It determines the members; another source takes over when it is lost.
+- A draining notice of any source applies to the incarnation of the worker that it names and to earlier ones.
 - Of two incarnations of a worker the newer counts, whichever source reports it.
 - Mass removals and flapping entries are not applied at once (removal_guards.py).
 - Reports that are out of order wait until their state is known (sources.py).
@@ -37,7 +37,7 @@
     LOST = "lost"  # no message of `source` for `seconds`; number: its last entries
     BACK = "back"  # `source` is in step again
     STALE = "stale"  # a report of `source` does not follow its previous one, and was dropped
-    BEHIND = "behind"  # `source` reports a list `number` versions older than its last, which is pending
+    BEHIND = "behind"  # `source` reported a list `number` versions older than its last; it is pending
     ANEW = "anew"  # `source` has restarted: the pending list, or one of another epoch, is in use
     HOLDING = "holding"  # `number` entries were removed at once: they stay until confirmed
     RELEASED = "released"  # `number` of them are removed
@@ -50,11 +50,11 @@
 
 
 class Fact(NamedTuple):
-    """A noteworthy change, for the log."""
+    """A change that is logged."""
 
     kind: FactKind
     source: str = ""
-    names: tuple[str, ...] = ()  # the first few concerned
+    names: tuple[str, ...] = ()  # the first of the affected workers
     number: int = 0
     seconds: float = 0.0
 
@@ -62,8 +62,8 @@
 class Decision(NamedTuple):
     """Changes of the merged list, with entries that are not ready first.
 
-    The first one that has entries is FULL (STALE if from a stored list), all others are PATCH. There is
-    nothing to apply if `workers.entries` is empty.
+    The first non-empty one is FULL (STALE if from a stored list), all others are PATCH. If `workers.entries`
+    is empty, there is nothing to apply.
     """
 
     workers: WorkerList
@@ -73,19 +73,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """Settings of the merge. Shares are of the listed entries that are not draining; times are in seconds."""
+    """Settings of the merge. Shares refer to the listed entries that are not draining; times are seconds."""
 
-    max_vanish: float = 0.5  # larger removals without draining are held; 1: never held
-    vanish_window_s: float = (
-        10.0  # the window of a mass removal: leases cut off together expire over their full term
-    )
-    hold_s: float = 900.0  # an unconfirmed removal is applied after this, if others are ready
+    max_vanish: float = 0.5  # larger shares removed without draining are held; 1: never held
+    # window of a mass removal: leases that lose their holders together expire over a full term
+    vanish_window_s: float = 10.0
+    hold_s: float = 900.0  # an unconfirmed removal is applied after this time, if other workers are ready
     max_age_s: float = 3600.0  # an older list is neither loaded at start nor protected from replacement
-    settle_s: float = 5.0  # a preferred source must be live this long before it leads again
-    back_s: float = 1.5  # a source that reports older versions for so long has restarted
-    flap_most: int = 3  # times that an entry may stop being ready within `flap_window_s`
+    settle_s: float = 5.0  # a preferred source must be live for this time before it becomes the leader again
+    back_s: float = 1.5  # a source that reports older versions for this time must have restarted
+    flap_most: int = 3  # number of times that an entry may stop being ready within `flap_window_s`
     flap_window_s: float = 60.0
-    flap_hold_s: float = 1.5  # a flapping entry must be ready for so long
+    flap_hold_s: float = 1.5  # a flapping entry must be ready for this time before use
 
     def __post_init__(self) -> None:
         bounds = {
@@ -107,17 +106,17 @@
 class MemberState(Enum):
     """State of one worker in the merged list."""
 
-    __hash__ = object.__hash__  # Enum's own takes longer than the rest of a look-up
+    __hash__ = object.__hash__  # Enum.__hash__ takes longer than the rest of a dictionary look-up
 
     ABSENT = "absent"
     READY = "ready"
     DRAINING = "draining"
-    HELD = "held"  # no longer listed, but part of a mass removal: state unchanged
+    HELD = "held"  # no longer listed, but part of a mass removal: still treated as ready
     DAMPED = "damped"  # reported as ready, but flapping
 
 
 class SourceVerdict(Enum):
-    """Combined statement of all sources about one worker."""
+    """Combined status of one worker over all sources."""
 
     __hash__ = object.__hash__
 
@@ -169,7 +168,7 @@
 
 
 class MemberRecord:
-    """One worker of the merged list; `entry.state` is as reported, `belief` is what applies."""
+    """One worker of the merged list; `entry.state` is the reported status, `state` the one that applies."""
 
     __slots__ = ("state", "entry", "address")
 
@@ -177,7 +176,7 @@
         self.state, self.entry, self.address = state, entry, address
 
     def effective(self) -> tuple[WorkerEntry, Address]:
-        """Returns the entry, in the state that applies, and the address."""
+        """Returns the entry, with the status that applies, and the address."""
         state = STATUS_OF_STATE[self.state]
         return (self.entry if self.entry.state is state else self.entry._replace(state=state)), self.address
 
@@ -189,18 +188,18 @@
     """Merges the lists of sources, which are given in order of preference.
 
     A change costs O(changed entries x sources), a full list O(its entries), and a change of the leader or of
-    a source's standing O(entries of both lists); no other cost grows with the fleet.
+    a source's status O(entries of both lists); no other cost grows with the fleet.
     """
 
     def __init__(self, sources: Sequence[Source], settings: MembershipSettings) -> None:
         self.settings = settings
         self.source_states = [SourceState(source, rank) for rank, source in enumerate(sources)]
-        self.by_name = {t.source.name: t for t in self.source_states}
+        self.by_name = {src.source.name: src for src in self.source_states}
         if len(self.by_name) < len(self.source_states) or not self.source_states:
-            raise ValueError("membership: sources are needed, each with a name of its own")
+            raise ValueError("membership: at least one source is required, and source names must be unique")
         self.leader: SourceState | None = None
-        self.drain_sources: list[SourceState] = []  # whose draining notices apply; the leader first
-        self.live_followers: list[SourceState] = []  # live sources but the leader
+        self.drain_sources: list[SourceState] = []  # sources whose draining notices apply; the leader first
+        self.live_followers: list[SourceState] = []  # live sources except the leader
         self.members: dict[str, MemberRecord] = {}
         self.counts = dict.fromkeys(MemberState, 0)
         self.mass_removal_guard = MassRemovalGuard(
@@ -211,10 +210,9 @@
         self.dropped: set[str] = set()  # sources whose reports were dropped since the last accepted one
         self.lost: set[str] = set()  # sources that were live and are now lost
         self.has_begun = self.is_outdated = False
-        self.pending_names: dict[str, None] = {}  # reported, not processed yet
-        self._entries_before: dict[
-            str, EffectiveEntry | None
-        ] = {}  # entries before the current step changed them
+        self.pending_names: dict[str, None] = {}  # names of reported entries that are not processed yet
+        # entries before the current step changed them
+        self._entries_before: dict[str, EffectiveEntry | None] = {}
         self._damped: list[str] = []
         self._facts: list[Fact] = []
 
@@ -226,19 +224,19 @@
         Raises:
             KeyError: The source was not given at construction.
         """
-        t = self.by_name[r.source]
+        src = self.by_name[r.source]
         if r.workers.kind is ListKind.STALE and r.age_s > self.settings.max_age_s:
-            self._add_fact(FactKind.OLD, t, seconds=r.age_s)
-            return self._step(now, t, lambda: NOTHING)
-        return self._step(now, t, lambda: t.report(now, r))
+            self._add_fact(FactKind.OLD, src, seconds=r.age_s)
+            return self._step(now, src, lambda: NOTHING)
+        return self._step(now, src, lambda: src.report(now, r))
 
     def record_heartbeat(self, now: float, source: str, in_step: bool = True) -> Decision:
         """Records that a source is alive and has nothing new."""
-        t = self.by_name[source]
-        return self._step(now, t, lambda: t.record_heartbeat(now, in_step))
+        src = self.by_name[source]
+        return self._step(now, src, lambda: src.record_heartbeat(now, in_step))
 
     def apply_due(self, now: float) -> Decision:
-        """Applies what is due at `now`; call it at `next_due`. Additional calls are harmless."""
+        """Applies the changes due at `now`; call it at `next_due`. Additional calls are harmless."""
         return self._step(now, None, lambda: NOTHING)
 
     # --- queries
@@ -246,7 +244,7 @@
     @property
     def has_list(self) -> bool:
         """Whether a list is known; an empty stored list does not count."""
-        return bool(self.members) or any(t.is_live for t in self.source_states)
+        return bool(self.members) or any(src.is_live for src in self.source_states)
 
     def age_s(self, now: float) -> float:
         """Returns the seconds since the list in use was last known to be valid."""
@@ -254,8 +252,8 @@
 
     @property
     def next_due(self) -> float:
-        """Time at which `due` may have an effect; -inf: now, inf: never."""
-        s, lead = self.settings, self.leader
+        """Time at which `apply_due` may have an effect; -inf: now, inf: never."""
+        s, leader = self.settings, self.leader
         if self.pending_names:
             return -inf
         times = [
@@ -263,36 +261,47 @@
             self.flap_damping.next_due(),
             self.disagreements.next_due(),
         ]
-        for t in self.source_states:
-            times.append(t.next_expiry_at)
-            if t.status in REACHABLE_STANDINGS:
-                times.append(t.received_at + t.source.silence_timeout_s)
-            if t.status is SourceStatus.BEHIND:
-                times.append(t.since if self.is_outdated else t.since + s.back_s)
-            if lead is not None and t.is_live and t.rank < lead.rank:
-                times.append(t.since + s.settle_s)
-            if t is not lead and t in self.drain_sources and not t.is_live:
-                times.append(t.valid_at + s.max_age_s)
-        if lead is not None and not self.is_outdated and not any(t.is_live for t in self.source_states):
-            times.append(lead.valid_at + s.max_age_s)
+        for src in self.source_states:
+            times.append(src.next_expiry_at)
+            if src.status in REACHABLE_STANDINGS:
+                times.append(src.received_at + src.source.silence_timeout_s)
+            if src.status is SourceStatus.BEHIND:
+                times.append(src.since if self.is_outdated else src.since + s.back_s)
+            if leader is not None and src.is_live and src.rank < leader.rank:
+                times.append(src.since + s.settle_s)
+            if src is not leader and src in self.drain_sources and not src.is_live:
+                times.append(src.valid_at + s.max_age_s)
+        if leader is not None and not self.is_outdated and not any(src.is_live for src in self.source_states):
+            times.append(leader.valid_at + s.max_age_s)
         return min(times)
 
     # --- one step
 
-    def _step(self, now: float, teller: SourceState | None, act: Callable[[], SourceUpdate]) -> Decision:
-        before = [t.status for t in self.source_states]
+    def _step(self, now: float, reporter: SourceState | None, apply: Callable[[], SourceUpdate]) -> Decision:
+        old_statuses = [src.status for src in self.source_states]
         names = self._apply_timeouts(now)
-        if teller is not None:
-            first, update = not teller.has_list, self._record_update(now, teller, act())
-            if not (first and teller.is_live):  # otherwise its entries had no effect before
+        if reporter is not None:
+            first, update = not reporter.has_list, self._record_update(now, reporter, apply())
+            if not (first and reporter.is_live):  # a first list that is not live has no effect
                 names |= update
-        turned = [(t, was) for t, was in zip(self.source_states, before, strict=True) if t.status is not was]
-        for t, was in turned:
-            self._record_status_change(now, t, was)
+        status_changes = [
+            (src, old_status)
+            for src, old_status in zip(self.source_states, old_statuses, strict=True)
+            if src.status is not old_status
+        ]
+        for src, old_status in status_changes:
+            self._record_status_change(now, src, old_status)
         names |= self._choose_leader(now)
-        for t, was in turned:  # whether its entries apply beside the leader's has changed
-            if self.leader is not None and t is not self.leader and SourceStatus.LIVE in (was, t.status):
-                names |= _differing_names(t, self.leader)
+        for (
+            src,
+            old_status,
+        ) in status_changes:  # its entries began or ceased to apply in addition to the leader's
+            if (
+                self.leader is not None
+                and src is not self.leader
+                and SourceStatus.LIVE in (old_status, src.status)
+            ):
+                names |= _differing_names(src, self.leader)
         names |= self._select_drain_sources(now)
         if self.leader is not None:
             self._process_names(now, names, self.leader)
@@ -303,134 +312,149 @@
 
     def _apply_timeouts(self, now: float) -> dict[str, None]:
         names: dict[str, None] = {}
-        for t in self.source_states:
-            if t.status is SourceStatus.BEHIND and (
-                self.is_outdated or now >= t.since + self.settings.back_s
+        for src in self.source_states:
+            if src.status is SourceStatus.BEHIND and (
+                self.is_outdated or now >= src.since + self.settings.back_s
             ):
-                names |= self._record_update(now, t, t.commit_restarted(now))
-            if t.status in REACHABLE_STANDINGS and now >= t.received_at + t.source.silence_timeout_s:
-                names |= t.mark_lost(now).names
-            names |= t.expire_departures(now)
+                names |= self._record_update(now, src, src.commit_restarted(now))
+            if src.status in REACHABLE_STANDINGS and now >= src.received_at + src.source.silence_timeout_s:
+                names |= src.mark_lost(now).names
+            names |= src.expire_departures(now)
         return names
 
-    def _record_update(self, now: float, t: SourceState, update: SourceUpdate) -> dict[str, None]:
+    def _record_update(self, now: float, src: SourceState, update: SourceUpdate) -> dict[str, None]:
         if update.stale:
-            if t.source.name not in self.dropped:
-                self._add_fact(FactKind.STALE, t)
-            self.dropped.add(t.source.name)
+            if src.source.name not in self.dropped:
+                self._add_fact(FactKind.STALE, src)
+            self.dropped.add(src.source.name)
         elif update.names:
-            self.dropped.discard(t.source.name)
+            self.dropped.discard(src.source.name)
         if update.versions_behind:
-            self._add_fact(FactKind.BEHIND, t, number=update.versions_behind)
+            self._add_fact(FactKind.BEHIND, src, number=update.versions_behind)
         if update.restarted:
-            self._add_fact(FactKind.ANEW, t, number=len(t.table))
+            self._add_fact(FactKind.ANEW, src, number=len(src.table))
         if update.omitted:
-            self._add_fact(FactKind.FULL, t, number=update.omitted)
+            self._add_fact(FactKind.FULL, src, number=update.omitted)
         return update.names
 
-    def _record_status_change(self, now: float, t: SourceState, was: SourceStatus) -> None:
-        name = t.source.name
-        if t.status is SourceStatus.LOST and was in (SourceStatus.LIVE, SourceStatus.BEHIND):
+    def _record_status_change(self, now: float, src: SourceState, old_status: SourceStatus) -> None:
+        name = src.source.name
+        if src.status is SourceStatus.LOST and old_status in (SourceStatus.LIVE, SourceStatus.BEHIND):
             self.lost.add(name)
-            self._add_fact(FactKind.LOST, t, number=len(t.table), seconds=now - t.received_at)
-        elif t.is_live and name in self.lost:
+            self._add_fact(FactKind.LOST, src, number=len(src.table), seconds=now - src.received_at)
+        elif src.is_live and name in self.lost:
             self.lost.discard(name)
-            self._add_fact(FactKind.BACK, t)
+            self._add_fact(FactKind.BACK, src)
 
     def _choose_leader(self, now: float) -> dict[str, None]:
-        """Selects the leader and returns the names to evaluate again if it changed."""
-        cur = self.leader
-        live = [t for t in self.source_states if t.is_live]
+        """Selects the leader; if it changed, returns the names to evaluate again."""
+        current = self.leader
+        live = [src for src in self.source_states if src.is_live]
         if live:
             self.is_outdated = False
-        elif cur is not None and not self.is_outdated and now >= cur.valid_at + self.settings.max_age_s:
+        elif (
+            current is not None and not self.is_outdated and now >= current.valid_at + self.settings.max_age_s
+        ):
             self.is_outdated = True
-            self._add_fact(FactKind.OLD, cur, seconds=now - cur.valid_at)
-        if cur is not None and (cur.is_live or (cur.status is SourceStatus.BEHIND and not self.is_outdated)):
+            self._add_fact(FactKind.OLD, current, seconds=now - current.valid_at)
+        if current is not None and (
+            current.is_live or (current.status is SourceStatus.BEHIND and not self.is_outdated)
+        ):
             new = next(
-                (t for t in live if t.rank < cur.rank and now >= t.since + self.settings.settle_s), cur
+                (
+                    src
+                    for src in live
+                    if src.rank < current.rank and now >= src.since + self.settings.settle_s
+                ),
+                current,
             )
         else:
-            found = live or ([cur] if cur is not None else [t for t in self.source_states if t.has_list])
-            if not found:
+            candidates = live or (
+                [current] if current is not None else [src for src in self.source_states if src.has_list]
+            )
+            if not candidates:
                 return {}
-            new = found[0]
-        if new is cur:
+            new = candidates[0]
+        if new is current:
             return {}
         self.leader = new
         self._add_fact(FactKind.LEADS, new, number=len(new.table))
         self.disagreements.clear()
-        if cur is None:
+        if current is None:
             return dict.fromkeys(new.table)
-        return _differing_names(cur, new)
+        return _differing_names(current, new)
 
     def _select_drain_sources(self, now: float) -> dict[str, None]:
-        """Selects the sources whose notices apply. Those of a lost source apply until its list is too old."""
-        was, lead = self.drain_sources, self.leader
-        self.live_followers = [t for t in self.source_states if t.is_live and t is not lead]
-        self.drain_sources = [lead] if lead is not None else []
-        for t in self.source_states:
-            lately = t.is_live or now < t.valid_at + self.settings.max_age_s
-            if t is not lead and t.has_list and lately and not t.source.is_stored_list:
-                self.drain_sources.append(t)
+        """Selects the sources whose draining notices apply; a lost one is included until its list is too old.
+
+        Returns:
+            The names with notices of a source that is no longer included.
+        """
+        previous, leader = self.drain_sources, self.leader
+        self.live_followers = [src for src in self.source_states if src.is_live and src is not leader]
+        self.drain_sources = [leader] if leader is not None else []
+        for src in self.source_states:
+            is_recent = src.is_live or now < src.valid_at + self.settings.max_age_s
+            if src is not leader and src.has_list and is_recent and not src.source.is_stored_list:
+                self.drain_sources.append(src)
         names: dict[str, None] = {}
-        for t in was:
-            if t not in self.drain_sources:
-                names |= t.draining_names()
+        for src in previous:
+            if src not in self.drain_sources:
+                names |= src.draining_names()
         return names
 
     # --- one worker
 
-    def _process_names(self, now: float, names: dict[str, None], lead: SourceState) -> None:
+    def _process_names(self, now: float, names: dict[str, None], leader: SourceState) -> None:
         """Processes removed and draining workers at once, to detect mass removals, and the rest in slices."""
-        at_once: list[str] = []
+        immediate: list[str] = []
         for name in names:
-            if name not in lead.table or any(name in t.may_drain for t in self.drain_sources):
+            if name not in leader.table or any(name in src.may_drain for src in self.drain_sources):
                 self.pending_names.pop(name, None)
-                at_once.append(name)
+                immediate.append(name)
             else:
                 self.pending_names[name] = None
-        if len(at_once) > SLICE_SIZE:
-            at_once = self._defer_mass_removal(now, at_once, lead)
-        for name in at_once:
-            self._evaluate(now, name, lead)
+        if len(immediate) > SLICE_SIZE:
+            immediate = self._defer_mass_removal(now, immediate, leader)
+        for name in immediate:
+            self._evaluate(now, name, leader)
         for name in list(islice(self.pending_names, SLICE_SIZE)):
             del self.pending_names[name]
-            self._evaluate(now, name, lead)
+            self._evaluate(now, name, leader)
 
-    def _defer_mass_removal(self, now: float, names: list[str], lead: SourceState) -> list[str]:
+    def _defer_mass_removal(self, now: float, names: list[str], leader: SourceState) -> list[str]:
         """Defers a mass removal to later slices, and returns the other names."""
-        vanish = {
+        removed = {
             name: None
             for name in names
             if (member := self.members.get(name)) is not None
             and member.state not in UNAVAILABLE
-            and not lead.lists(name)
+            and not leader.lists(name)
             and not self._is_confirmed(name, member.entry.started_at)
         }
-        self._detect_mass_removal(now, vanish)
+        self._detect_mass_removal(now, removed)
         if not self.mass_removal_guard.is_protecting:
             return names
-        self.pending_names |= vanish
-        return [name for name in names if name not in vanish]
+        self.pending_names |= removed
+        return [name for name in names if name not in removed]
 
-    def _is_confirmed(self, name: str, born: float) -> bool:
-        """Whether another source confirms the removal, or the worker was draining."""
-        return any(name in t.departures for t in self.live_followers) or any(
-            t.draining_start(name) >= born for t in self.drain_sources
+    def _is_confirmed(self, name: str, started_at: float) -> bool:
+        """Whether another source confirms the removal of a worker, or the worker was draining."""
+        return any(name in src.departures for src in self.live_followers) or any(
+            src.draining_start(name) >= started_at for src in self.drain_sources
         )
 
-    def _evaluate(self, now: float, name: str, lead: SourceState) -> None:
-        source_entry = lead.table.get(name)
+    def _evaluate(self, now: float, name: str, leader: SourceState) -> None:
+        source_entry = leader.table.get(name)
         if self.live_followers or self.disagreements.reported or self.disagreements.unreported:
-            self.disagreements.compare(now, name, lead, self.live_followers)
+            self.disagreements.compare(now, name, leader, self.live_followers)
         if source_entry is None or source_entry.address is None:
             return self._evaluate_missing(now, name)
         entry, address = source_entry.entry, source_entry.address
         newest = entry.started_at if entry.started_at != ANY_START else -1.0
-        drains = max(t.draining_start(name) for t in self.drain_sources)
-        for t in self.live_followers:
-            other = t.table.get(name)
+        draining_start = max(src.draining_start(name) for src in self.drain_sources)
+        for src in self.live_followers:
+            other = src.table.get(name)
             if (
                 other is not None
                 and other.address is not None
@@ -438,16 +462,16 @@
             ):
                 entry, address, newest = other.entry, other.address, other.entry.started_at
         member = self.members.get(name)
-        belief = member.state if member is not None else MemberState.ABSENT
-        if drains >= entry.started_at:
+        state = member.state if member is not None else MemberState.ABSENT
+        if draining_start >= entry.started_at:
             verdict = SourceVerdict.DRAINING
-        elif belief in UNAVAILABLE and (
-            belief is MemberState.DAMPED or self.flap_damping.is_flapping(now, name)
+        elif state in UNAVAILABLE and (
+            state is MemberState.DAMPED or self.flap_damping.is_flapping(now, name)
         ):
             verdict = SourceVerdict.FLAPPING
         else:
             verdict = SourceVerdict.READY
-        if entry.started_at == ANY_START:  # a notice; nothing newer is known of the worker
+        if entry.started_at == ANY_START:  # a draining notice, and no source knows the worker's start
             entry = entry._replace(started_at=member.entry.started_at if member is not None else 0.0)
         if self.mass_removal_guard.recent_removals or self.mass_removal_guard.held:
             self.mass_removal_guard.record_return(now, name)
@@ -461,7 +485,7 @@
         if self._is_confirmed(name, member.entry.started_at):
             self.mass_removal_guard.resolve(name)
             verdict = SourceVerdict.GONE
-        elif not isinstance(member, MemberRecord):  # removed before, still unconfirmed
+        elif not isinstance(member, MemberRecord):  # already removed, still unconfirmed
             return
         elif member.state in UNAVAILABLE:
             verdict = SourceVerdict.GONE
@@ -507,39 +531,41 @@
     def _advance_guard(self, now: float) -> None:
         self._detect_mass_removal(now, {})
         if self.pending_names:
-            return  # the held ones are known once all names are processed
+            return  # the held workers are complete once all names are processed
         while (
-            turn := self.mass_removal_guard.advance(now, self._listed_count(), self.counts[MemberState.READY])
+            event := self.mass_removal_guard.advance(
+                now, self._listed_count(), self.counts[MemberState.READY]
+            )
         ) is not None:
-            if turn is GuardEvent.NONE_HELD:
+            if event is GuardEvent.NONE_HELD:
                 self._add_fact(FactKind.RETURNED, self.leader)
                 continue
-            over = [
+            released = [
                 name
                 for name in self.mass_removal_guard.held
-                if turn is GuardEvent.BELOW_THRESHOLD or not self._is_listed_elsewhere(name)
+                if event is GuardEvent.BELOW_THRESHOLD or not self._is_listed_elsewhere(name)
             ]
-            for name in over:
+            for name in released:
                 member = self.members[name]
                 self.mass_removal_guard.resolve(name)
                 self._set_state(now, name, SourceVerdict.GONE, member.entry, member.address)
-            if over:
-                self._add_fact(FactKind.RELEASED, self.leader, over, len(over))
+            if released:
+                self._add_fact(FactKind.RELEASED, self.leader, released, len(released))
 
-    def _detect_mass_removal(self, now: float, more: dict[str, None]) -> None:
-        back = self.mass_removal_guard.detect_mass_removal(now, self._listed_count(), len(more))
-        if back is None:
+    def _detect_mass_removal(self, now: float, deferred: dict[str, None]) -> None:
+        restored = self.mass_removal_guard.detect_mass_removal(now, self._listed_count(), len(deferred))
+        if restored is None:
             return
-        for name, gone in back.items():
+        for name, gone in restored.items():
             self._set_state(now, name, SourceVerdict.MASS_REMOVAL, gone.entry, gone.address)
-        names = [*islice(back, MAX_NAMES_IN_FACT), *islice(more, MAX_NAMES_IN_FACT)]
+        names = [*islice(restored, MAX_NAMES_IN_FACT), *islice(deferred, MAX_NAMES_IN_FACT)]
         self._add_fact(
-            FactKind.HOLDING, self.leader, names, len(back) + len(more), self.settings.vanish_window_s
+            FactKind.HOLDING, self.leader, names, len(restored) + len(deferred), self.settings.vanish_window_s
         )
 
     def _is_listed_elsewhere(self, name: str) -> bool:
-        """Whether another live source lists it."""
-        return any(t.lists(name) for t in self.live_followers)
+        """Whether another live source lists the worker."""
+        return any(src.lists(name) for src in self.live_followers)
 
     def _release_stable(self, now: float) -> None:
         if self._damped:
@@ -561,50 +587,50 @@
 
     def _add_fact(
         self,
-        what: FactKind,
-        t: SourceState | None,
+        kind: FactKind,
+        src: SourceState | None,
         names: Sequence[str] = (),
         number: int = 0,
         seconds: float = 0.0,
     ) -> None:
-        source = t.source.name if t is not None else ""
-        self._facts.append(Fact(what, source, tuple(names[:MAX_NAMES_IN_FACT]), number, seconds))
+        source = src.source.name if src is not None else ""
+        self._facts.append(Fact(kind, source, tuple(names[:MAX_NAMES_IN_FACT]), number, seconds))
 
     def _build_decision(self, now: float) -> Decision:
-        first: list[WorkerEntry] = []
-        rest: list[WorkerEntry] = []
+        not_ready: list[WorkerEntry] = []
+        ready: list[WorkerEntry] = []
         addresses: dict[str, Address] = {}
         for name, before in self._entries_before.items():
             member = self.members.get(name)
-            was = before[0].state if before is not None else WorkerStatus.REMOVED
+            old_status = before[0].state if before is not None else WorkerStatus.REMOVED
             if member is None:
                 if before is not None:
-                    first.append(before[0]._replace(state=WorkerStatus.REMOVED))
+                    not_ready.append(before[0]._replace(state=WorkerStatus.REMOVED))
                 state = WorkerStatus.REMOVED
             else:
-                entry, address = shown = member.effective()
+                entry, address = effective = member.effective()
                 state = entry.state
-                if before is None or not _is_equivalent(before, shown):
-                    (rest if state is WorkerStatus.READY else first).append(entry)
+                if before is None or not _is_equivalent(before, effective):
+                    (ready if state is WorkerStatus.READY else not_ready).append(entry)
                     addresses[name] = address
-            if was is WorkerStatus.READY and state is not WorkerStatus.READY:
+            if old_status is WorkerStatus.READY and state is not WorkerStatus.READY:
                 self.flap_damping.record_departure(now, name)
-        entries = (*first, *rest)
+        entries = (*not_ready, *ready)
         kind = ListKind.PATCH
         if entries and not self.has_begun:
             self.has_begun = True
-            kind = ListKind.FULL if any(t.is_live for t in self.source_states) else ListKind.STALE
+            kind = ListKind.FULL if any(src.is_live for src in self.source_states) else ListKind.STALE
         facts, self._facts, self._entries_before = tuple(self._facts), [], {}
         return Decision(WorkerList(kind, entries), addresses, facts)
 
 
 def _is_equivalent(a: EffectiveEntry, b: EffectiveEntry) -> bool:
-    """Whether two entries are equal but for their weight, which no decision uses."""
+    """Whether two entries are equal except for their weight, which no decision uses."""
     return a[0][:-1] == b[0][:-1] and a[1] == b[1]
 
 
 def _differing_names(a: SourceState, b: SourceState) -> dict[str, None]:
-    """Returns the names on which two sources differ, or of which they remember departures."""
+    """Returns the names whose entries differ between two sources, or whose departures one of them stores."""
     names = {name: None for name, source_entry in a.table.items() if b.table.get(name) != source_entry}
     names.update((name, None) for name in b.table if name not in a.table)
     for marks in (a.departures, a.drains_before_restart, b.departures, b.drains_before_restart):
--- a/finchladder/core/membership/disagreement.py
+++ b/finchladder/core/membership/disagreement.py
@@ -1,4 +1,4 @@
-"""Detects workers on which a source disagrees with the leading one for unusually long."""
+"""Detects workers on which a source disagrees with the leader for longer than propagation explains."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 def _disagree(a: SourceEntry | None, b: SourceEntry | None) -> bool:
     """Whether two sources disagree on a state; a draining notice, known to one source, does not count."""
-    if any(w is not None and w.entry.started_at == ANY_START for w in (a, b)):
+    if any(entry is not None and entry.entry.started_at == ANY_START for entry in (a, b)):
         return False
     return (a and a.entry.state) is not (b and b.entry.state)
 
@@ -20,15 +20,19 @@
     """Tracks disagreements, and which of them were reported. A call costs O(sources)."""
 
     def __init__(self) -> None:
-        self.unreported: OrderedDict[str, tuple[float, str]] = OrderedDict()  # since when, and which source
+        self.unreported: OrderedDict[str, tuple[float, str]] = (
+            OrderedDict()
+        )  # start of the disagreement, name of the source
         self.reported: dict[str, None] = {}
-        self.next_at = -inf  # told of at most every DISAGREE_S
-        self.has_ended = False  # nothing that was told of is so any more
+        self.next_at = -inf  # reported at most every DISAGREE_S
+        self.has_ended = False  # all reported disagreements have ended, which is not yet returned
 
-    def compare(self, now: float, name: str, lead: SourceState, others: Iterable[SourceState]) -> None:
+    def compare(self, now: float, name: str, leader: SourceState, others: Iterable[SourceState]) -> None:
         """Compares the sources' entries of one worker."""
-        word = lead.table.get(name)
-        source = next((t.source.name for t in others if _disagree(t.table.get(name), word)), None)
+        leader_entry = leader.table.get(name)
+        source = next(
+            (src.source.name for src in others if _disagree(src.table.get(name), leader_entry)), None
+        )
         if source is None:
             self.unreported.pop(name, None)
             if name in self.reported:
@@ -38,7 +42,7 @@
             self.unreported.setdefault(name, (now, source))
 
     def clear(self) -> None:
-        """Forgets all disagreements, as after a change of the leader."""
+        """Removes all disagreements, for a change of the leader."""
         self.has_ended = bool(self.reported)
         self.unreported.clear()
         self.reported.clear()
@@ -61,7 +65,7 @@
         return ended
 
     def next_due(self) -> float:
-        """Returns when `due` next reports something; inf: never."""
+        """Returns when `take_due` next returns something; inf: never."""
         return (
             max(next(iter(self.unreported.values()))[0] + DISAGREE_S, self.next_at)
             if self.unreported
--- a/finchladder/core/membership/removal_guards.py
+++ b/finchladder/core/membership/removal_guards.py
@@ -10,26 +10,26 @@
 
 from finchladder.core.api import WorkerEntry
 
-RETURN_QUIET_S = 1.0  # without a return for so long, removals count as final
-MAX_FLAPPING_WORKERS = 16_384  # workers whose departures are counted; the oldest is evicted first
+RETURN_QUIET_S = 1.0  # removals are final if no held worker has returned for this time
+MAX_FLAPPING_WORKERS = 16_384  # with stored departures; the oldest is evicted first
 
 
 class GuardState(Enum):
-    """States of the guard against mass removals."""
+    """State of the guard against mass removals."""
 
     NORMAL = "calm"  # removals are applied
-    PROTECTING = "holding"  # who vanishes, or has within the window, stays until a second sign
+    PROTECTING = "holding"  # removed workers, also those of the window, are held until confirmed
 
 
 class GuardEvent(Enum):
     """Events that change the guard's state."""
 
-    MASS_REMOVAL = "mass"  # more than the share was removed within the window
-    NONE_HELD = "over"  # no removal is held any more
-    BELOW_THRESHOLD = (
-        "few"  # the others came back, or new ones: no more than the share is away, and nobody comes back
-    )
-    HOLD_EXPIRED = "waited"  # held for hold_s; those that nobody else lists are gone, if others are ready
+    MASS_REMOVAL = "mass"  # more than the allowed share was removed within the window
+    NONE_HELD = "over"  # no removal is held anymore
+    # workers returned or joined: at most the allowed share is missing, and no more are returning
+    BELOW_THRESHOLD = "few"
+    # held for hold_s; workers that no other source lists are removed, if others are ready
+    HOLD_EXPIRED = "waited"
 
 
 TRANSITIONS = {
@@ -49,9 +49,9 @@
 
 
 class MassRemovalGuard:
-    """Who vanished without having drained: within the window while CALM, who is held while HOLDING.
+    """Records removals without draining: in NORMAL state those of the window, in PROTECTING the held ones.
 
-    Each call costs O(1), but for what it returns and, once for each, what leaves the window.
+    Each call costs O(1), plus O(1) for each returned removal and for each one that leaves the window.
     """
 
     def __init__(self, share: float, window_s: float, hold_s: float) -> None:
@@ -59,8 +59,8 @@
         self.state = GuardState.NORMAL
         self.recent_removals: OrderedDict[str, Removal] = OrderedDict()
         self.held: dict[str, None] = {}
-        self.hold_until = inf  # when those that are held have waited long enough
-        self.last_return_at = 0.0  # when one of them last came back
+        self.hold_until = inf  # when the waiting time of the held removals ends
+        self.last_return_at = 0.0  # when a held worker was last listed again
 
     @property
     def is_protecting(self) -> bool:
@@ -72,7 +72,7 @@
         self.recent_removals[name] = Removal(now, entry, address)
 
     def resolve(self, name: str) -> None:
-        """Forgets a worker that is listed again or confirmed as removed."""
+        """Discards the removal of a worker that is listed again or confirmed as removed."""
         self.recent_removals.pop(name, None)
         self.held.pop(name, None)
 
@@ -108,27 +108,27 @@
             return None
         self.state = TRANSITIONS[self.state, GuardEvent.MASS_REMOVAL]
         self.hold_until, self.last_return_at = now + self.hold_s, now
-        back, self.recent_removals = dict(self.recent_removals), OrderedDict()
-        self.held = dict.fromkeys(back)
-        return back
+        removals, self.recent_removals = dict(self.recent_removals), OrderedDict()
+        self.held = dict.fromkeys(removals)
+        return removals
 
     def advance(self, now: float, listed: int, others: int) -> GuardEvent | None:
         """Returns the event due at `now`, if any. `listed` includes held workers, `others` are ready."""
         if not self.is_protecting:
             return None
         if not self.held:
-            turn = GuardEvent.NONE_HELD
+            event = GuardEvent.NONE_HELD
         elif self._is_below_threshold(listed) and now >= self.last_return_at + RETURN_QUIET_S:
-            turn = GuardEvent.BELOW_THRESHOLD
+            event = GuardEvent.BELOW_THRESHOLD
         elif now >= self.hold_until:
             self.hold_until = now + self.hold_s
             if not others:
                 return None
-            turn = GuardEvent.HOLD_EXPIRED
+            event = GuardEvent.HOLD_EXPIRED
         else:
             return None
-        self.state = TRANSITIONS[self.state, turn]
-        return turn
+        self.state = TRANSITIONS[self.state, event]
+        return event
 
     def _is_below_threshold(self, listed: int) -> bool:
         return len(self.held) <= self.share * listed
@@ -147,10 +147,12 @@
 class FlapDamping:
     """Counts how often workers stop being ready; flapping ones must stay ready for a while before use."""
 
-    def __init__(self, most: int, window_s: float, hold_s: float) -> None:
-        self.max_departures, self.window_s, self.hold_s = most, window_s, hold_s
-        self.departures: OrderedDict[str, tuple[float, ...]] = OrderedDict()  # the last `most` times of each
-        self.damped: OrderedDict[str, float] = OrderedDict()  # since when each is ready
+    def __init__(self, max_departures: int, window_s: float, hold_s: float) -> None:
+        self.max_departures, self.window_s, self.hold_s = max_departures, window_s, hold_s
+        self.departures: OrderedDict[str, tuple[float, ...]] = (
+            OrderedDict()
+        )  # the last `max_departures` times of each worker
+        self.damped: OrderedDict[str, float] = OrderedDict()  # time since which each worker is ready
 
     def record_departure(self, now: float, name: str) -> None:
         """Records that a worker stopped being ready."""
--- a/finchladder/core/membership/sources.py
+++ b/finchladder/core/membership/sources.py
@@ -1,8 +1,9 @@
 """State of one source of the endpoint list: its reports in order, and whether they are current.
 
 A source is in step while its reports are the newest ones. A source that was unreachable may replay old
-entries, and one that was restored or lags may report an older list: both are pending beside the table in use
-until they are known to be current. `TRANSITIONS` is the complete state table; a pair not in it is a bug.
+entries, and one that was restored or lags may report an older list: such reports are pending, separate from
+the table in use, until they are known to be current. `TRANSITIONS` is the complete state table; a pair that
+is not in it is a bug.
 """
 
 from collections import OrderedDict
@@ -14,17 +15,17 @@
 
 Address = tuple[str, int]  # host as numbers, port
 
-ANY_START = inf  # as `born` of a DRAINING entry: a notice that holds whatever start it is of
-MAX_NAMES = 50_000  # that one source may list: 20 MB
-DEPARTURE_TTL_S = 300.0  # departures are remembered so long: others may report them late
-MAX_DEPARTURES = 16_384  # of these; the oldest goes first
+ANY_START = inf  # `started_at` of a DRAINING entry: a notice that applies to every incarnation
+MAX_NAMES = 50_000  # names that one source may list: 20 MB
+DEPARTURE_TTL_S = 300.0  # departures are stored for this time, as other sources may report them late
+MAX_DEPARTURES = 16_384  # stored departures; the oldest is evicted first
 
 
 class Source(NamedTuple):
     """A source of the endpoint list, with its name in the log.
 
-    Without a message for `quiet_s` seconds it is lost. A `past` source reports a stored list once: it is
-    never live, so any other source has precedence.
+    It is lost after `silence_timeout_s` seconds without a message. A source with `is_stored_list` reports a
+    stored list once: it is never live, so any other source has precedence.
     """
 
     name: str
@@ -38,9 +39,9 @@
     `workers.kind`: FULL (missing entries are removed), PATCH (changed entries), or STALE (all entries as last
     known, an initial list).
 
-    `version` orders what one source tells within one `epoch` (etcd: revision and cluster id; discovery: index
-    and ""). An entry without an address is a draining notice (its `started_at` is ANY_START,
-    unless the incarnation is known). `in_step`: nothing that was so before is still to come.
+    `version` orders the reports of one source within one `epoch` (etcd: revision and cluster id; discovery:
+    index and ""). An entry without an address is a draining notice (its `started_at` is ANY_START, unless the
+    incarnation is known). `in_step`: no outdated entries will follow.
     """
 
     source: str
@@ -49,7 +50,7 @@
     addresses: dict[str, Address]
     epoch: str = ""
     in_step: bool = True
-    age_s: float = 0.0  # STALE: since it was known to hold
+    age_s: float = 0.0  # STALE: time since the list was last known to be valid
 
 
 class SourceEntry(NamedTuple):
@@ -64,22 +65,22 @@
 
     NEVER = "never"  # it has not reported a full list yet
     LIVE = "live"  # in step: its reports apply as they arrive
-    LOST = "lost"  # no message for quiet_s, or a stored list: its last list stays in use
-    CATCHING_UP = "catching"  # reachable, but may replay: reports are pending, the last list stays
-    BEHIND = "behind"  # it reports a list older than its last one: that is pending
+    LOST = "lost"  # no message for silence_timeout_s, or a stored list: its last list stays in use
+    CATCHING_UP = "catching"  # reachable, but may replay: reports are pending, the last list stays in use
+    BEHIND = "behind"  # it reported a list older than its last one, which is pending
 
 
 class SourceEvent(Enum):
     """Events that change a source's standing."""
 
-    BEFORE = "before"  # a list as it was last known
+    BEFORE = "before"  # a stored list
     IN_STEP = "in step"
     REPLAY = "replay"  # reachable, but older changes may still arrive
-    OLDER = "older"  # its full list, with later changes, is of an older version
-    CAUGHT_UP = "caught up"  # the older list has come to the version of the last one
-    ANEW = "anew"  # it stayed older for so long that it must have restarted
-    QUIET = "quiet"  # no message for quiet_s
-    UNDONE = "undone"  # the same, before its first list was in step
+    OLDER = "older"  # its full list, including later changes, has an older version
+    CAUGHT_UP = "caught up"  # the older list has reached the version of the last one
+    ANEW = "anew"  # the list stayed older for so long that the source must have restarted
+    QUIET = "quiet"  # no message for silence_timeout_s
+    UNDONE = "undone"  # likewise, before its first list was in step
 
 
 S = SourceStatus
@@ -110,26 +111,27 @@
     """A worker that a source no longer lists, or that it reported before its list restarted."""
 
     noted_at: float
-    drained_start: float | None  # the start that had drained before
+    drained_start: float | None  # start time of the incarnation that was draining before
 
 
 class _PendingList:
-    """Reported entries that are not committed; `is_full`: replaces the table, otherwise changes of it."""
+    """Reported entries that are not committed; `is_full`: they replace the table instead of changing it."""
 
-    def __init__(self, epoch: str, version: int, whole: bool) -> None:
-        self.epoch, self.version, self.is_full = epoch, version, whole
+    def __init__(self, epoch: str, version: int, is_full: bool) -> None:
+        self.epoch, self.version, self.is_full = epoch, version, is_full
         self.entries: dict[str, SourceEntry | None] = {}
         self.drained: dict[str, float] = {}  # incarnations that were draining before their removal
 
 
 class SourceUpdate(NamedTuple):
-    """Result of a report: the names whose entries of the source may have changed."""
+    """Result of a report; `names` are those whose entries of the source may have changed."""
 
     names: dict[str, None]
-    stale: bool = False  # it was dropped
-    versions_behind: int = 0  # versions by which a list that is now doubted lies back
+    stale: bool = False  # the report was dropped
+    # version difference of a list that has become pending as older than the last one
+    versions_behind: int = 0
     restarted: bool = False
-    omitted: int = 0  # names past the bound
+    omitted: int = 0  # number of names beyond MAX_NAMES
 
 
 NOTHING = SourceUpdate({})
@@ -143,7 +145,7 @@
         self.status = S.NEVER
         self.since = 0.0  # time of the last change of `standing`
         self.received_at = 0.0
-        self.valid_at = 0.0  # when its table was last known to be valid
+        self.valid_at = 0.0  # time at which its table was last known to be valid
         self.epoch, self.version = "", -1
         self.has_list = False
         self.table: dict[str, SourceEntry] = {}
@@ -152,27 +154,29 @@
         self.drains_before_restart: OrderedDict[str, Departure] = (
             OrderedDict()
         )  # draining notices from before its restart
-        self.may_drain: set[str] = set()  # superset of the workers it reports or remembers as draining
+        self.may_drain: set[str] = (
+            set()
+        )  # superset of the workers that it reports, or is stored to have reported, as draining
 
     @property
     def is_live(self) -> bool:
         """Whether the source is in step."""
         return self.status is S.LIVE
 
-    def _apply(self, now: float, sign: SourceEvent) -> None:
+    def _apply(self, now: float, event: SourceEvent) -> None:
         try:
-            standing = TRANSITIONS[self.status, sign]
+            standing = TRANSITIONS[self.status, event]
         except KeyError:
-            raise ValueError(f"a source that is {self.status.value} can't be {sign.value}") from None
+            raise ValueError(f"a source that is {self.status.value} can't be {event.value}") from None
         if standing is not self.status:
             self.status, self.since = standing, now
         if standing is S.LIVE:
             self.valid_at = now
 
-    # --- what it tells
+    # --- input
 
     def report(self, now: float, r: Report) -> SourceUpdate:
-        """Applies a report and returns which names it concerns."""
+        """Applies a report and returns the affected names."""
         kind = r.workers.kind
         if kind is ListKind.BROKEN:
             return NOTHING
@@ -200,7 +204,7 @@
         )
 
     def mark_lost(self, now: float) -> SourceUpdate:
-        """Marks the source as lost after `quiet_s` without a message; a pending list remains pending."""
+        """Marks the source as lost after `silence_timeout_s`; a pending list remains pending."""
         before = self._older_pending_names()
         self._apply(now, SourceEvent.QUIET if self.has_list else SourceEvent.UNDONE)
         return SourceUpdate(before)
@@ -232,89 +236,93 @@
         before = self._older_pending_names()
         self.pending = self._add_entries(_PendingList(r.epoch, r.version, True), r)
         if self._is_older(self.pending):
-            first = self.status is not S.BEHIND
+            is_first = self.status is not S.BEHIND
             self._apply(now, SourceEvent.OLDER)
             return SourceUpdate(
-                before | self._older_pending_names(), versions_behind=self.version - r.version if first else 0
+                before | self._older_pending_names(),
+                versions_behind=self.version - r.version if is_first else 0,
             )
         self._apply(now, SourceEvent.CAUGHT_UP if self.status is S.BEHIND else self._event_of(r.in_step))
         return self._commit(now, self.pending, before) if self.is_live else NOTHING
 
     def _apply_patch(self, now: float, r: Report) -> SourceUpdate:
-        on = self.pending or _PendingList(self.epoch, self.version, False)
-        if not (self.has_list or self.pending) or r.epoch != on.epoch or r.version < on.version:
+        pending = self.pending or _PendingList(self.epoch, self.version, False)
+        if not (self.has_list or self.pending) or r.epoch != pending.epoch or r.version < pending.version:
             return SourceUpdate({}, stale=True)
         before = self._older_pending_names()
-        self.pending = self._add_entries(on, r)
-        if self.status is S.BEHIND and not self._is_older(on):
+        self.pending = self._add_entries(pending, r)
+        if self.status is S.BEHIND and not self._is_older(pending):
             self._apply(now, SourceEvent.CAUGHT_UP)
         else:
             self._apply(now, self._event_of(r.in_step))
         if self.is_live:
-            return self._commit(now, on, before)
+            return self._commit(now, pending, before)
         if before:
             return SourceUpdate({e.worker: None for e in r.workers.entries})
         return self._behind_update()
 
-    def _add_entries(self, waiting: _PendingList, r: Report) -> _PendingList:
-        waiting.version = r.version
-        words, address = waiting.entries, r.addresses.get
+    def _add_entries(self, pending: _PendingList, r: Report) -> _PendingList:
+        pending.version = r.version
+        entries, address = pending.entries, r.addresses.get
         for e in r.workers.entries:
-            before = words.get(e.worker)
+            before = entries.get(e.worker)
             if e.state is not WorkerStatus.REMOVED:
-                words[e.worker] = SourceEntry(e, address(e.worker))
+                entries[e.worker] = SourceEntry(e, address(e.worker))
                 if e.state is WorkerStatus.DRAINING:
                     self.may_drain.add(e.worker)
             else:
-                words[e.worker] = None
+                entries[e.worker] = None
                 if before is not None and before.entry.state is WorkerStatus.DRAINING:
-                    waiting.drained[e.worker] = before.entry.started_at
-        return waiting
+                    pending.drained[e.worker] = before.entry.started_at
+        return pending
 
-    def _commit(self, now: float, new: _PendingList, names: dict[str, None]) -> SourceUpdate:
-        """Commits a pending list to the table; `names` are reported as concerned in any case."""
-        anew = self.has_list and (new.epoch != self.epoch or new.version < self.version)
-        left_out = 0
+    def _commit(self, now: float, pending: _PendingList, names: dict[str, None]) -> SourceUpdate:
+        """Commits a pending list to the table; `names` are reported as affected in any case."""
+        is_restarted = self.has_list and (pending.epoch != self.epoch or pending.version < self.version)
+        omitted = 0
         table = self.table
-        if new.is_full:
-            for name in [name for name in table if name not in new.entries]:
+        if pending.is_full:
+            for name in [name for name in table if name not in pending.entries]:
                 names[name] = None
-                self._remove(now, name, anew)
-        for name, word in new.entries.items():
+                self._remove(now, name, is_restarted)
+        for name, entry in pending.entries.items():
             old = table.get(name)
-            if word is None:
-                if old is not None or name in new.drained:
+            if entry is None:
+                if old is not None or name in pending.drained:
                     names[name] = None
-                    self._remove(now, name, anew, new.drained.get(name))
+                    self._remove(now, name, is_restarted, pending.drained.get(name))
             elif old is None and len(table) >= MAX_NAMES:
-                left_out += 1
-            elif old != word:
+                omitted += 1
+            elif old != entry:
                 names[name] = None
-                table[name] = word
-                if self.departures or self.drains_before_restart or anew:
-                    self._note_listed(now, name, word, old if anew else None)
-        self.epoch, self.version, self.has_list, self.pending = new.epoch, new.version, True, None
-        return SourceUpdate(names, restarted=anew, omitted=left_out)
-
-    def _note_listed(self, now: float, name: str, word: SourceEntry, before: SourceEntry | None) -> None:
-        """Forgets a departure; `before`: the entry from before a restart of the source."""
+                table[name] = entry
+                if self.departures or self.drains_before_restart or is_restarted:
+                    self._note_listed(now, name, entry, old if is_restarted else None)
+        self.epoch, self.version, self.has_list, self.pending = pending.epoch, pending.version, True, None
+        return SourceUpdate(names, restarted=is_restarted, omitted=omitted)
+
+    def _note_listed(self, now: float, name: str, entry: SourceEntry, before: SourceEntry | None) -> None:
+        """Removes a stored departure; `before`: the entry from before a restart of the source."""
         self.departures.pop(name, None)
         self.drains_before_restart.pop(name, None)
         if (
             before is not None
             and before.entry.state is WorkerStatus.DRAINING
-            and word.entry.state is WorkerStatus.READY
+            and entry.entry.state is WorkerStatus.READY
         ):
             self._record_departure(self.drains_before_restart, name, Departure(now, before.entry.started_at))
 
-    def _remove(self, now: float, name: str, anew: bool, drained: float | None = None) -> None:
-        """Removes an entry; `drained`: its draining incarnation. Not for a restarted list that lacks it."""
-        word = self.table.pop(name, None)
-        if drained is None and word is not None and word.entry.state is WorkerStatus.DRAINING:
-            drained = word.entry.started_at
+    def _remove(self, now: float, name: str, is_restarted: bool, drained: float | None = None) -> None:
+        """Removes an entry and stores its departure, unless a restarted list merely lacks a ready entry.
+
+        `drained`: the incarnation that was draining.
+        """
+        entry = self.table.pop(name, None)
+        if drained is None and entry is not None and entry.entry.state is WorkerStatus.DRAINING:
+            drained = entry.entry.started_at
         self.drains_before_restart.pop(name, None)
         self.departures.pop(name, None)
-        if drained is not None or not anew:
+        if drained is not None or not is_restarted:
             self._record_departure(self.departures, name, Departure(now, drained))
 
     def _record_departure(self, marks: OrderedDict[str, Departure], name: str, mark: Departure) -> None:
@@ -324,38 +332,40 @@
         if len(marks) > MAX_DEPARTURES:
             marks.popitem(last=False)
 
-    # --- what it says
+    # --- queries
 
     def lists(self, name: str) -> bool:
         """Whether the source lists the worker as a member."""
-        word = self.table.get(name)
-        return word is not None and word.address is not None
+        entry = self.table.get(name)
+        return entry is not None and entry.address is not None
 
     def draining_start(self, name: str) -> float:
         """Returns the latest start of the worker that the source reported as draining; -inf: none."""
         if name not in self.may_drain:
             return -inf
         found = -inf
-        word = self.table.get(name)
-        doubted = self.pending.entries.get(name) if self.pending is not None else None
-        for one in (word, doubted if self.status is S.BEHIND else None):
-            if one is not None and one.entry.state is WorkerStatus.DRAINING:
-                found = max(found, one.entry.started_at)
+        entry = self.table.get(name)
+        pending_entry = self.pending.entries.get(name) if self.pending is not None else None
+        for candidate in (entry, pending_entry if self.status is S.BEHIND else None):
+            if candidate is not None and candidate.entry.state is WorkerStatus.DRAINING:
+                found = max(found, candidate.entry.started_at)
         for marks in (self.departures, self.drains_before_restart):
             if (mark := marks.get(name)) is not None and mark.drained_start is not None:
                 found = max(found, mark.drained_start)
-        if found == -inf and doubted is None:
+        if found == -inf and pending_entry is None:
             self.may_drain.discard(name)
         return found
 
     def draining_names(self) -> dict[str, None]:
-        """Returns the workers that the source reports or remembers as draining or departed."""
-        names = {name: None for name, word in self.table.items() if word.entry.state is WorkerStatus.DRAINING}
+        """Returns the workers that the source reports as draining, or whose departures are stored."""
+        names = {
+            name: None for name, entry in self.table.items() if entry.entry.state is WorkerStatus.DRAINING
+        }
         return names | dict.fromkeys(self.departures) | dict.fromkeys(self.drains_before_restart)
 
     @property
     def next_expiry_at(self) -> float:
-        """Time at which the oldest remembered departure expires."""
+        """Time at which the oldest stored departure expires."""
         return min(
             (
                 next(iter(m.values())).noted_at + DEPARTURE_TTL_S
--- a/finchladder/core/membership/subscription.py
+++ b/finchladder/core/membership/subscription.py
@@ -15,7 +15,7 @@
         self.is_subscribed, self.retry_at, self.failures = on, 0.0, 0
 
     def record_loss(self, now: float, first_s: float, most_s: float, random: Random) -> None:
-        """Schedules a retry with backoff and jitter, as dispatchers tend to lose the list simultaneously."""
+        """Schedules a retry with backoff and jitter, as all dispatchers usually lose the list at once."""
         self.is_subscribed = False
         self.failures += 1
         wait = min(most_s, first_s * 2 ** min(self.failures, MAX_DOUBLINGS))
--- a/finchladder/core/membership/subset_filter.py
+++ b/finchladder/core/membership/subset_filter.py
@@ -1,6 +1,6 @@
 """Filters lists of all workers to the subset of the aperture.
 
-Workers outside the subset are unknown to the decisions. A worker that leaves the subset is reported as
+Workers outside the subset are unknown to the dispatcher core. A worker that leaves the subset is reported as
 removed: it receives no new jobs, its idle connections close, and its running jobs complete.
 """
 
@@ -20,34 +20,36 @@
 
     def __init__(self, index: int, dispatchers: int, settings: ApertureSettings) -> None:
         self.aperture = Aperture(index, dispatchers, settings)
-        self.listed: dict[str, WorkerEntry] = {}  # ready or draining, as last told
+        self.listed: dict[str, WorkerEntry] = {}  # ready or draining workers, as last reported
         self.addresses: dict[str, Address] = {}
 
-    def apply(self, told: WorkerList, addresses: dict[str, Address]) -> tuple[WorkerList, dict[str, Address]]:
+    def apply(
+        self, workers: WorkerList, addresses: dict[str, Address]
+    ) -> tuple[WorkerList, dict[str, Address]]:
         """Returns the list to apply instead, and its addresses."""
-        named = {e.worker: e for e in told.entries}  # of two entries for one, the last holds
+        named = {e.worker: e for e in workers.entries}  # the last of several entries for a worker applies
         self.addresses.update(addresses)
-        here = {name: e for name, e in named.items() if e.state is not WorkerStatus.REMOVED}
-        strata = [(name, (e.zone, e.kind)) for name, e in here.items()]
-        if told.kind in (ListKind.FULL, ListKind.STALE):
-            self.listed = here
-            self.addresses = {name: at for name, at in self.addresses.items() if name in here}
+        present = {name: e for name, e in named.items() if e.state is not WorkerStatus.REMOVED}
+        strata = [(name, (e.zone, e.kind)) for name, e in present.items()]
+        if workers.kind in (ListKind.FULL, ListKind.STALE):
+            self.listed = present
+            self.addresses = {name: address for name, address in self.addresses.items() if name in present}
             self.aperture.replace(strata)
-            return self._to_list(told.kind, (e for name, e in here.items() if name in self.aperture))
-        gone = [name for name in named if name not in here]
-        self.listed |= here
+            return self._to_list(workers.kind, (e for name, e in present.items() if name in self.aperture))
+        gone = [name for name in named if name not in present]
+        self.listed |= present
         change = self.aperture.change(strata, gone)
         out = [self.listed[name]._replace(state=WorkerStatus.REMOVED) for name in sorted(change.removed)]
         for name in gone:
             self.listed.pop(name, None)
             self.addresses.pop(name, None)
-        out += [e for name, e in here.items() if name in self.aperture and name not in change.added]
+        out += [e for name, e in present.items() if name in self.aperture and name not in change.added]
         out += [self.listed[name] for name in sorted(change.added)]
-        return self._to_list(told.kind, out)
+        return self._to_list(workers.kind, out)
 
     def _to_list(
         self, kind: ListKind, entries: Iterable[WorkerEntry]
     ) -> tuple[WorkerList, dict[str, Address]]:
         out = WorkerList(kind, tuple(entries))
-        here = (e.worker for e in out.entries if e.state is not WorkerStatus.REMOVED)
-        return out, {name: self.addresses[name] for name in here if name in self.addresses}
+        present = (e.worker for e in out.entries if e.state is not WorkerStatus.REMOVED)
+        return out, {name: self.addresses[name] for name in present if name in self.addresses}
--- a/finchladder/core/membership/watch.py
+++ b/finchladder/core/membership/watch.py
@@ -1,9 +1,9 @@
-"""Discovery's watch: when it times out, how soon it is reopened, and which versions are applied.
+"""Watch on service discovery: its timeouts, when it is reopened, and which list versions are applied.
 
 All timeouts derive from two figures of the protocol: an open watch sends a line every HEARTBEAT_INTERVAL_S,
-and a change counts as propagated MAX_PROPAGATION_S after discovery had it and was reachable, whatever call
-failed, was rejected or cancelled. So a silent watch must be detected, and another one opened and answered,
-within that time:
+and a change must be propagated MAX_PROPAGATION_S after discovery has it and is reachable, even if calls
+failed, were rejected or were cancelled. So a silent watch must be detected, and another one opened and
+answered, within that time:
 
     SILENCE_TIMEOUT_S + reopen_within_s + open_timeout_s + MARGIN_S <= MAX_PROPAGATION_S
 
@@ -33,14 +33,16 @@
 
 HEARTBEAT_INTERVAL_S = 2.0
 MAX_PROPAGATION_S = 6.0
-SILENCE_TIMEOUT_S = HEARTBEAT_INTERVAL_S + 0.6  # a line may be late; one watch too many costs a call
-LINE_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S  # for a line that arrives in pieces
-MARGIN_S = 0.3  # for event loop delays and for applying the list
-LOCAL_OPEN_TIMEOUT_S = 1.0  # with a local agent
-SHARED_OPEN_TIMEOUT_S = 2.1  # with one discovery for all dispatchers, where calls are queued
+SILENCE_TIMEOUT_S = (
+    HEARTBEAT_INTERVAL_S + 0.6
+)  # allows a late line; a watch that is reopened needlessly costs one call
+LINE_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S  # timeout of a line that arrives in pieces
+MARGIN_S = 0.3  # margin for event loop delays and for applying the list
+LOCAL_OPEN_TIMEOUT_S = 1.0  # timeout of opening a watch with a local agent
+SHARED_OPEN_TIMEOUT_S = 2.1  # timeout with one discovery service for all dispatchers, where calls are queued
 RENUMBERED_AFTER_S = 5.0
-INITIAL_LIST_WAIT_S = 0.3  # a new process waits so long for a confirmation of its stored list
-NO_CHANGE_WAIT_S = 0.05  # after the head of a watch's answer: changes would arrive with it
+INITIAL_LIST_WAIT_S = 0.3  # time for which a new process waits for a confirmation of its stored list
+NO_CHANGE_WAIT_S = 0.05  # after the response head of a watch: pending changes arrive together with it
 
 
 class WatchState:
@@ -49,22 +51,22 @@
     __slots__ = ("open_timeout_s", "reopen_within_s", "retry_within_s", "version", "taken_at", "has_older")
 
     def __init__(self, shared: bool) -> None:
-        """`shared`: one discovery answers all dispatchers; else an agent is beside each."""
+        """`shared`: one discovery service answers all dispatchers; otherwise each has a local agent."""
         self.open_timeout_s = SHARED_OPEN_TIMEOUT_S if shared else LOCAL_OPEN_TIMEOUT_S
         self.reopen_within_s = MAX_PROPAGATION_S - SILENCE_TIMEOUT_S - self.open_timeout_s - MARGIN_S
         self.retry_within_s = MAX_PROPAGATION_S - 2 * self.open_timeout_s - MARGIN_S
-        self.version: int | None = None  # of the last list taken; None: none since the start
+        self.version: int | None = None  # of the last applied list; None: none since the start
         self.taken_at = 0.0
-        self.has_older = False  # older ones have come since
+        self.has_older = False  # whether older lists have arrived since
 
     def silent_at(self, last_byte: float, last_line: float) -> float:
         """Returns when an open watch times out unless more data arrives."""
         return min(last_byte + SILENCE_TIMEOUT_S, last_line + LINE_TIMEOUT_S)
 
-    def accept(self, now: float, version: int, whole: bool) -> bool:
+    def accept(self, now: float, version: int, is_full: bool) -> bool:
         """Returns whether a list of that version is to be applied, and records it if so."""
-        older = self.version is not None and version < self.version
-        if older and not (whole and self.is_renumbered(now)):
+        is_older = self.version is not None and version < self.version
+        if is_older and not (is_full and self.is_renumbered(now)):
             self.has_older = True
             return False
         self.version, self.taken_at, self.has_older = version, now, False
--- a/finchladder/core/membership/watch_backoff.py
+++ b/finchladder/core/membership/watch_backoff.py
@@ -1,22 +1,23 @@
 """Backoff of calls to discovery, after a call that failed or a watch that was lost.
 
-One service of limited capacity answers all dispatchers of a fleet; calls are queued there, and time out if
-that takes too long. Usually all watches are lost at once: simultaneous calls, or early retries, would keep
-the service overloaded. So, beyond the backoff of a small fleet, each dispatcher waits a random part of a time
-that grows with their number: together they make about CALLS_PER_S, evenly spread, within two bounds, as a
-change must be propagated in a fixed time however many call (watch.py). Meanwhile each uses its last list.
-
-| the call before | backoff of a small fleet | part of the spread |
+One service of limited capacity answers all dispatchers of a fleet; calls are queued there, and may time out.
+Usually all watches are lost at once: simultaneous calls, or early retries, would keep the service overloaded.
+So, in addition to the backoff of a small fleet, each dispatcher waits a random part of a time that grows with
+the number of dispatchers: together they make about CALLS_PER_S calls, evenly spread. The wait has two upper
+bounds, as a change must be propagated in a fixed time regardless of that number (watch.py). Meanwhile each
+dispatcher uses its last list.
+
+| previous call | backoff of a small fleet | random part of the spread |
 | --- | --- | --- |
-| brought changes, or lost a watch that had | up to 2 * MIN_WAIT_S | any |
-| failed, or brought nothing | twice the last wait up to MAX_WAIT_S, half of it random | the second half |
+| returned changes, or a watch that had returned some was lost | up to 2 * MIN_WAIT_S | any |
+| failed, or returned nothing | twice the last wait up to MAX_WAIT_S, half of it random | the second half |
 """
 
 from random import Random
 
-MIN_WAIT_S, MAX_WAIT_S = 0.1, 0.8  # of a few dispatchers
-SMALL_FLEET = 8
-CALLS_PER_S = 10.0  # of all others together
+MIN_WAIT_S, MAX_WAIT_S = 0.1, 0.8  # backoff of a small fleet, in seconds
+SMALL_FLEET = 8  # dispatchers up to which the backoff needs no spread
+CALLS_PER_S = 10.0  # rate of calls of the dispatchers beyond SMALL_FLEET together
 
 
 class WatchBackoff:
--- a/finchladder/core/peers/__init__.py
+++ b/finchladder/core/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What dispatchers say to each other, and what each makes of it: pure; times and draws are passed in."""
+"""Protocol between dispatchers: messages and state machines without I/O; time and randomness are inputs."""
--- a/finchladder/core/peers/bucket.py
+++ b/finchladder/core/peers/bucket.py
@@ -1,22 +1,24 @@
-"""Tokens of one dispatcher's part of a shared budget: no more than its right, in any window, over a restart.
+"""Token bucket for one dispatcher's part of a shared budget, bounded in any window and across restarts.
 
-A token comes each 1 / right seconds, up to `depth` of them; a start begins with none. Of one among many the
-right is far less than a token a second, so a token that is whole and not used for HOLD_S is given up: else
-all that were idle would use theirs in one second. In any window of W seconds all together take at most
+The bucket gains one token every 1 / rate seconds, up to `depth` tokens; a new bucket has none. With many
+dispatchers the rate of each is far below one token per second, so a full token that is unused for
+TOKEN_HOLD_S is discarded: otherwise all idle dispatchers could spend theirs within the same second. In any
+window of W seconds all dispatchers together take at most
 
-    limit x W + sum of depths,    depth = 1 + right x (HOLD_S if right < 1 / HOLD_S else BURST_S)
+    limit x W + sum of depths,    depth = 1 + rate x (TOKEN_HOLD_S if rate < 1 / TOKEN_HOLD_S else BURST_S)
 
-so e = (dispatchers + limit x HOLD_S) / (limit x W) in the worst case, that all have a whole token at once;
-of those that are idle HOLD_S / (HOLD_S + 1 / right) have one.
+so the excess is e = (dispatchers + limit x TOKEN_HOLD_S) / (limit x W) in the worst case, in which all
+dispatchers hold a full token at once. The share of idle dispatchers that hold one is
+TOKEN_HOLD_S / (TOKEN_HOLD_S + 1 / rate).
 """
 
-BURST_S = 0.25  # of its right that one may save up beyond a whole token: jobs come unevenly
+BURST_S = 0.25  # seconds of its rate that a bucket may save beyond one full token: jobs arrive in bursts
 TOKEN_HOLD_S = 1.0
-DEMAND_AVERAGING_S = 1.0  # over which the need is averaged
+DEMAND_AVERAGING_S = 1.0  # averaging time of the demand
 
 
 class Bucket:
-    """`right` and when it ends are told by whoever keeps the escrow; nothing here asks anyone."""
+    """Token bucket whose rate is set from outside, by the owner of the escrow; it sends no messages."""
 
     __slots__ = (
         "guaranteed_rate",
@@ -42,28 +44,33 @@
         burst_s: float = BURST_S,
         keeps_tokens: bool = False,
     ) -> None:
-        """`fixed`: tokens a second that are this one's whatever is heard. `holds`: whole ones stay, unused.
-
-        `level` to begin with, below 0 if it is drawn: all that start at one moment must not come to their
-        first token at one moment.
+        """Creates a bucket.
+
+        Args:
+            guaranteed_rate: Rate in tokens per second that does not depend on messages from peers.
+            now: Current time, in seconds.
+            tokens: Initial number of tokens. Random negative values prevent dispatchers that start
+                simultaneously from gaining their first token simultaneously.
+            burst_s: Seconds of the rate that may be saved beyond one full token.
+            keeps_tokens: Whether unused full tokens are kept.
         """
         self.burst_s, self.keeps_tokens = burst_s, keeps_tokens
         self.guaranteed_rate = self.rate = guaranteed_rate
-        self.rate_until = float("inf")  # after that the right is what is fixed
+        self.rate_until = float("inf")  # afterwards the guaranteed rate applies
         self.tokens = tokens
         self.refilled_at = self.demand_updated_at = now
         self.full_token_since: float | None = None
-        self.requested = 0  # since `asked_at`
-        self.demand = 0.0  # a second, averaged
+        self.requested = 0  # number of requests since `demand_updated_at`
+        self.demand = 0.0  # requests per second, averaged over DEMAND_AVERAGING_S
         self.spent = self.rejected = 0
 
-    def set_rate(self, now: float, right: float, until: float) -> None:
-        """Another right holds from now, to `until`; after that what is `fixed`."""
+    def set_rate(self, now: float, rate: float, until: float) -> None:
+        """Sets the rate that applies from now until `until`; afterwards the guaranteed rate applies."""
         self._refill(now)
-        self.rate, self.rate_until = right, until
+        self.rate, self.rate_until = rate, until
 
     def rate_at(self, now: float) -> float:
-        """What may be used at that time, a second, if nothing else is told until then."""
+        """Returns the rate per second that applies at `now` unless it is set again before."""
         return self.rate if now <= self.rate_until else min(self.rate, self.guaranteed_rate)
 
     def has_token(self, now: float) -> bool:
@@ -71,7 +78,7 @@
         return self.tokens >= 1
 
     def take(self, now: float) -> bool:
-        """Counts as needed, whether or not there is one."""
+        """Takes a token if there is one; the request counts as demand in either case."""
         self.requested += 1
         if not self.has_token(now):
             self.rejected += 1
@@ -82,24 +89,24 @@
         return True
 
     def wait_s(self, now: float) -> float:
-        """Until there is a token, if nothing changes."""
+        """Returns the seconds until there is a token, at the current rate."""
         if self.has_token(now):
             return 0.0
         return (1 - self.tokens) / self.rate if self.rate > 0 else float("inf")
 
     def update_demand(self, now: float) -> float:
-        """What is asked of it, a second; to be looked at some times a second."""
+        """Updates and returns the demand, in requests per second; call it several times per second."""
         span = now - self.demand_updated_at
         if span > 0:
-            part = min(1.0, span / DEMAND_AVERAGING_S)
-            self.demand += part * (self.requested / span - self.demand)
+            weight = min(1.0, span / DEMAND_AVERAGING_S)
+            self.demand += weight * (self.requested / span - self.demand)
             self.requested, self.demand_updated_at = 0, now
         return self.demand
 
     def _refill(self, now: float) -> None:
         if now <= self.refilled_at:
             return
-        if self.refilled_at < self.rate_until < now:  # the right became smaller in between
+        if self.refilled_at < self.rate_until < now:  # the rate decreased in between
             self._add_tokens(self.rate_until)
         if now > self.rate_until:
             self.rate, self.rate_until = min(self.rate, self.guaranteed_rate), float("inf")
@@ -107,29 +114,29 @@
 
     @property
     def is_slow(self) -> bool:
-        """Of many that are idle few must have a whole token."""
+        """Whether unused full tokens are discarded, so that few of many idle dispatchers hold one."""
         return not self.keeps_tokens and self.rate * TOKEN_HOLD_S < 1
 
     def _add_tokens(self, now: float) -> None:
-        rate, left = self.rate, now - self.refilled_at
+        rate, remaining_s = self.rate, now - self.refilled_at
         depth = 1.0 + rate * (TOKEN_HOLD_S if self.is_slow else self.burst_s)
         self.refilled_at = now
         if rate <= 0:
             return
-        # where more is asked for than there is, the next one will come for it soon
+        # if demand exceeds the rate, the next request will soon use the token
         hold_s = max(TOKEN_HOLD_S, 3 / self.demand) if self.demand > rate else TOKEN_HOLD_S
-        while left > 0:
+        while remaining_s > 0:
             if self.tokens < 1:
-                step = min(left, (1 - self.tokens) / rate)
+                step = min(remaining_s, (1 - self.tokens) / rate)
                 self.tokens += rate * step
-                left -= step
+                remaining_s -= step
                 if self.tokens >= 1 - 1e-9:
-                    self.tokens, self.full_token_since = max(1.0, self.tokens), now - left
+                    self.tokens, self.full_token_since = max(1.0, self.tokens), now - remaining_s
                 continue
-            since = now - left if self.full_token_since is None else self.full_token_since
-            held = since + hold_s - (now - left)
-            if held > left or not self.is_slow:
-                self.tokens = min(depth, self.tokens + rate * left)
+            since = now - remaining_s if self.full_token_since is None else self.full_token_since
+            hold_remaining_s = since + hold_s - (now - remaining_s)
+            if hold_remaining_s > remaining_s or not self.is_slow:
+                self.tokens = min(depth, self.tokens + rate * remaining_s)
                 return
-            left -= max(0.0, held)
+            remaining_s -= max(0.0, hold_remaining_s)
             self.tokens, self.full_token_since = 0.0, None
--- a/finchladder/core/peers/escrow.py
+++ b/finchladder/core/peers/escrow.py
@@ -1,29 +1,31 @@
-"""A budget that all dispatchers share: rights to so much a second, lent for a while, never more than all.
+"""Escrow of a rate budget that dispatchers share: rates are lent by lease and never exceed the limit.
 
-Each listed dispatcher owns limit / listed. A part of that, KEPT, it never lends; the rest it lends to those
-that tell they want more, while it does not need it. A right is used by one of them at any moment:
+Each listed dispatcher owns limit / dispatchers. It never lends UNLENDABLE_SHARE of that; it lends the rest,
+while it does not need it, to dispatchers that report excess demand. At any time only one dispatcher may use a
+lent rate:
 
-| right of one | its owner may use it | the borrower may use it |
+| state of a rate | its owner may use it | the borrower may use it |
 | --- | --- | --- |
-| not lent | yes; after a start, for LEASE_S + margin, only what is never lent | no |
-| lent at `t` for a row of `asked` | from t + LEASE_S + margin, own clock | until asked + LEASE_S, own clock |
-| the grant is lost, or comes too late | likewise | never |
-| renewed or larger, at `t2` for `asked2` | from t2 + LEASE_S + margin | until asked2 + LEASE_S |
-| made smaller | never: it might not be heard; it runs out | - |
-| given back, as of `asked` | from when that comes | from before it is said never again |
-| renewed for a later `asked`, meanwhile | as if it was not given back | it may come, and count |
-| the owner has died, and is back | after LEASE_S + margin; what it never lends at once | to its end |
-| the borrower has died | from t + LEASE_S + margin | never: `boot` is another's |
-
-Why the sum holds however links are cut, late, doubled or one-way: a grant answers a row that its borrower
-wrote before, so `asked` was before `t` in true time, and the borrower's time is over LEASE_S after `asked`;
-the owner's begins LEASE_S + margin after `t`. The margin is for clocks whose seconds differ by up to DRIFT.
-No wall clock is read, and none is compared with another's. As in Doorman, leases; as with escrowed counters
-(O'Neil 1986), the rights are in the dispatchers themselves, so each part of a split has its members' rights.
-
-What it costs: a right that comes too late is used by nobody for LEASE_S + margin. Memory: MOST_GRANTS given
-and MOST_GRANTS taken, one for each borrower and budget; one is told once for each row that asks, and
-renewed not more often than each RENEW_S.
+| not lent | yes; for LEASE_S + margin after a start, only the unlendable share | no |
+| lent at `t` for a row written at `r` | from t + LEASE_S + margin, own clock | until r + LEASE_S, own clock |
+| the grant is lost or arrives too late | likewise | never |
+| renewed or increased, at `t2` for `r2` | from t2 + LEASE_S + margin | until r2 + LEASE_S |
+| reduced | never: the message might be lost; the lease expires instead | - |
+| returned, as of `r` | once the return arrives | no longer, from before the return is sent |
+| renewed for a later `r`, meanwhile | as if it had not been returned | the renewal may arrive, and counts |
+| the owner has restarted | after LEASE_S + margin; the unlendable share at once | until the lease expires |
+| the borrower has restarted | from t + LEASE_S + margin | never: `boot` differs |
+
+The total holds for links that are cut, delayed, duplicating or one-way: a grant answers a row that its
+borrower wrote before, so `r` (`requested_at`) precedes `t` in true time. The borrower stops LEASE_S after
+`r`, and the owner starts LEASE_S + margin after `t`. The margin covers clocks whose rates differ by up to
+MAX_CLOCK_DRIFT. No wall clock is read, and clocks of different dispatchers are never compared. The leases
+follow Doorman; as with escrowed counters (O'Neil 1986), the dispatchers themselves hold the rates, so each
+side of a network partition keeps the rates of its members.
+
+Cost: a rate whose grant arrives too late is unused for LEASE_S + margin. Memory: MAX_GRANTS lent and
+MAX_GRANTS borrowed grants, one per borrower and budget. A grant is sent once per row that requests it, and
+renewed at most every RENEW_INTERVAL_S.
 """
 
 from collections.abc import Iterable
@@ -31,47 +33,55 @@
 
 from finchladder.core.peers.messages import Demand, Grant, Return, Row
 
-UNLENDABLE_SHARE = 0.1  # of one's own, never lent
+UNLENDABLE_SHARE = 0.1  # share of the own rate that is never lent
 LEASE_S = 8.0
-MAX_CLOCK_DRIFT = 0.005  # that two clocks' seconds differ at the most; a crystal's differ by 0.0001
+MAX_CLOCK_DRIFT = (
+    0.005  # largest relative difference between two clock rates; quartz crystals differ by 0.0001
+)
 MARGIN_S = 2 * MAX_CLOCK_DRIFT * LEASE_S + 0.02
-RENEW_INTERVAL_S = 2.0  # between grants of one right to one borrower
-MIN_GRANT_SHARE = 0.02  # of one's own share: less is not worth a grant
-OVERLENDING_FACTOR = 1.5  # times one's part of what another lacks: not all of the others have some to spare
+RENEW_INTERVAL_S = 2.0  # shortest time between two renewals of one grant
+MIN_GRANT_SHARE = 0.02  # smallest grant, as a share of the own rate: less is not worth a message
+OVERLENDING_FACTOR = (
+    1.5  # lend this multiple of the own part of a shortage: not every other dispatcher can lend
+)
 MAX_GRANTS = 1024
-RETURN_THRESHOLD = 0.7  # of what is borrowed: who needs less of it returns some
+RETURN_THRESHOLD = 0.7  # a dispatcher that needs less than this share of the borrowed rate returns some
 
 
 class LentGrant(NamedTuple):
+    """A grant that this dispatcher has lent."""
+
     serial: int
     borrower: str
     boot: int
     budget: str
     rate: float
-    until: float  # by the owner's clock
+    until: float  # on the owner's clock
     sent_at: float
-    requested_at: float  # of the row that it answers, by the borrower's clock
+    requested_at: float  # when the answered row was written, on the borrower's clock
 
 
 class BorrowedGrant(NamedTuple):
+    """A grant that this dispatcher has borrowed."""
+
     owner: str
     owner_boot: int
     serial: int
     budget: str
     rate: float
-    until: float  # by the borrower's clock
+    until: float  # on the borrower's clock
     requested_at: float
 
 
 class Budget:
-    """Of one dispatcher: what it owns, and what it would use."""
+    """One dispatcher's share of a budget, and its demand."""
 
     __slots__ = ("name", "limit", "dispatchers", "demand")
 
     def __init__(self, name: str, limit: float, dispatchers: int) -> None:
-        """`limit`: a second, of all. `listed`: dispatchers that have a share, oneself included."""
+        """`limit`: total rate per second. `dispatchers`: number that have a share, this one included."""
         self.name, self.limit, self.dispatchers = name, limit, max(1, dispatchers)
-        self.demand = 0.0  # a second: what it would use if it could
+        self.demand = 0.0  # requests per second of this dispatcher, granted or not
 
     @property
     def own_share(self) -> float:
@@ -79,20 +89,22 @@
 
 
 class Escrow:
-    """All budgets of one dispatcher. Rights add up to the limit over all, at any moment."""
+    """Budgets of one dispatcher. Over all dispatchers the usable rates never exceed the limit."""
 
     def __init__(self, name: str, boot: int, now: float) -> None:
         self.name, self.boot = name, boot
-        self.full_share_at = now + LEASE_S + MARGIN_S  # what a former life has lent is over by then
+        self.full_share_at = now + LEASE_S + MARGIN_S  # leases from before a restart have expired by then
         self.budgets: dict[str, Budget] = {}
         self.lent_grants: dict[int, LentGrant] = {}
-        self.borrowed_grants: dict[tuple[str, int, int], BorrowedGrant] = {}  # by owner, its boot, its serial
+        self.borrowed_grants: dict[
+            tuple[str, int, int], BorrowedGrant
+        ] = {}  # by owner, boot of the owner and serial
         self.returned_until: dict[
             tuple[str, int, int], float
-        ] = {}  # never again, and until when that is remembered
+        ] = {}  # returned grants, which are never accepted again, and when their records expire
         self.serial = 0
 
-    # --- what may be used
+    # --- usable rates
 
     def lent_rate(self, name: str) -> float:
         return sum(g.rate for g in self.lent_grants.values() if g.budget == name)
@@ -101,96 +113,94 @@
         return sum(t.rate for t in self.borrowed_grants.values() if t.budget == name and now < t.until)
 
     def usable_rate(self, now: float, name: str) -> float:
-        """What this dispatcher may use of the budget now, a second."""
+        """Returns the rate per second that this dispatcher may use of the budget now."""
         b = self.budgets[name]
-        own = b.own_share if now >= self.full_share_at else UNLENDABLE_SHARE * b.own_share
-        return max(0.0, own - self.lent_rate(name)) + self.borrowed_rate(now, name)
+        own_rate = b.own_share if now >= self.full_share_at else UNLENDABLE_SHARE * b.own_share
+        return max(0.0, own_rate - self.lent_rate(name)) + self.borrowed_rate(now, name)
 
     def rate_valid_until(self, now: float, name: str) -> float:
-        """When the right becomes smaller by itself at the soonest; inf: it does not."""
+        """Returns when the usable rate next decreases as a lease expires; inf: never."""
         ends = (t.until for t in self.borrowed_grants.values() if t.budget == name and now < t.until)
         return min(ends, default=float("inf"))
 
     def excess_demand(self, now: float, name: str) -> float:
-        """What it would use beyond its own, a second. What it borrows counts as wanted, or it would end."""
+        """Returns the demand per second beyond the own rate, including the borrowed rate, to renew leases."""
         b = self.budgets[name]
-        own = b.own_share if now >= self.full_share_at else UNLENDABLE_SHARE * b.own_share
-        return max(0.0, b.demand - max(0.0, own - self.lent_rate(name)))
+        own_rate = b.own_share if now >= self.full_share_at else UNLENDABLE_SHARE * b.own_share
+        return max(0.0, b.demand - max(0.0, own_rate - self.lent_rate(name)))
 
-    # --- giving
+    # --- lending
 
     def lend(self, now: float, rows: Iterable[Row]) -> list[tuple[str, Grant]]:
-        """To those that want, in proportion, what is not needed here. `rows`: of others, fresh ones."""
+        """Lends unused rates in proportion to the excess demands. `rows`: recent rows of the peers."""
         self._remove_expired(now)
-        asking: dict[str, list[tuple[Row, Demand]]] = {}
+        requests_by_budget: dict[str, list[tuple[Row, Demand]]] = {}
         for row in rows:
-            for want in row.demands:
-                if want.rate > 0 and want.budget in self.budgets:
-                    asking.setdefault(want.budget, []).append((row, want))
-        told: list[tuple[str, Grant]] = []
-        for name, askers in asking.items():
-            told += self._lend_budget(now, self.budgets[name], askers)
-        return told
+            for demand in row.demands:
+                if demand.rate > 0 and demand.budget in self.budgets:
+                    requests_by_budget.setdefault(demand.budget, []).append((row, demand))
+        grants: list[tuple[str, Grant]] = []
+        for name, requests in requests_by_budget.items():
+            grants += self._lend_budget(now, self.budgets[name], requests)
+        return grants
 
     def _lend_budget(
-        self, now: float, b: Budget, askers: list[tuple[Row, Demand]]
+        self, now: float, b: Budget, requests: list[tuple[Row, Demand]]
     ) -> list[tuple[str, Grant]]:
         lent = self.lent_rate(b.name)
         spare = min((1 - UNLENDABLE_SHARE) * b.own_share, b.own_share - b.demand) - lent
-        over = max(0.0, -spare)  # is needed here again: so much is let run out
+        overlent = max(0.0, -spare)  # needed here again: grants of this total are not renewed
         if now < self.full_share_at:
             spare = 0.0
-        missing = {row.owner: max(0.0, want.rate - want.borrowed) for row, want in askers}
-        all_missing = sum(missing.values())
-        givers = max(1, b.dispatchers - len(askers))
-        held = {(g.borrower, g.boot): g for g in self.lent_grants.values() if g.budget == b.name}
-        told: list[tuple[str, Grant]] = []
-        for row, _ in askers:
-            g = held.get((row.owner, row.boot))
-            if g is not None and row.requested_at <= g.requested_at:  # what it said has been answered
+        missing = {row.owner: max(0.0, demand.rate - demand.borrowed) for row, demand in requests}
+        total_missing = sum(missing.values())
+        lenders = max(1, b.dispatchers - len(requests))
+        granted = {(g.borrower, g.boot): g for g in self.lent_grants.values() if g.budget == b.name}
+        grants: list[tuple[str, Grant]] = []
+        for row, _ in requests:
+            g = granted.get((row.owner, row.boot))
+            if g is not None and row.requested_at <= g.requested_at:  # this row has been answered
                 continue
-            more = 0.0
-            if spare > MIN_GRANT_SHARE * b.own_share and all_missing > 0:
-                lack = missing[row.owner]
-                # others give as well; who finds that too little has come says so, and gets more
-                more = min(spare * lack / all_missing, OVERLENDING_FACTOR * lack / givers)
-            if more < MIN_GRANT_SHARE * b.own_share:
-                more = 0.0
+            extra_rate = 0.0
+            if spare > MIN_GRANT_SHARE * b.own_share and total_missing > 0:
+                shortage = missing[row.owner]
+                # other owners lend as well; a borrower that received too little requests again
+                extra_rate = min(spare * shortage / total_missing, OVERLENDING_FACTOR * shortage / lenders)
+            if extra_rate < MIN_GRANT_SHARE * b.own_share:
+                extra_rate = 0.0
             if g is None:
-                if not more or len(self.lent_grants) >= MAX_GRANTS:
+                if not extra_rate or len(self.lent_grants) >= MAX_GRANTS:
                     continue
                 self.serial += 1
-                serial, rate = self.serial, more
+                serial, rate = self.serial, extra_rate
             else:
-                if over > 0:
-                    over -= g.rate
+                if overlent > 0:
+                    overlent -= g.rate
                     continue
-                if not more and now < g.sent_at + RENEW_INTERVAL_S:
+                if not extra_rate and now < g.sent_at + RENEW_INTERVAL_S:
                     continue
-                serial, rate = g.serial, g.rate + more
+                serial, rate = g.serial, g.rate + extra_rate
             lent_until = now + LEASE_S + MARGIN_S
             self.lent_grants[serial] = LentGrant(
                 serial, row.owner, row.boot, b.name, rate, lent_until, now, row.requested_at
             )
-            told.append((row.owner, Grant(serial, b.name, rate, row.requested_at, row.boot)))
-        return told
+            grants.append((row.owner, Grant(serial, b.name, rate, row.requested_at, row.boot)))
+        return grants
 
-    # --- taking
+    # --- borrowing
 
     def accept_grant(self, now: float, owner: str, owner_boot: int, g: Grant) -> bool:
-        """A grant that came. False: it is none of this life's, over, or of no use."""
+        """Stores a received grant. Returns False if it is for another incarnation, expired or superseded."""
         key = owner, owner_boot, g.serial
         if g.boot != self.boot or g.budget not in self.budgets or key in self.returned_until:
             return False
         until = g.requested_at + LEASE_S
-        if (
-            until <= now or g.requested_at > now
-        ):  # `asked` is this process's own reading: the future was never said
+        if until <= now or g.requested_at > now:  # a reading of this clock cannot lie in the future
             return False
-        before = self.borrowed_grants.get(key)
-        if before is None and len(self.borrowed_grants) >= MAX_GRANTS:
+        previous = self.borrowed_grants.get(key)
+        if previous is None and len(self.borrowed_grants) >= MAX_GRANTS:
             return False
-        if before is not None and before.until >= until:
+        if previous is not None and previous.until >= until:
             return False
         self.borrowed_grants[key] = BorrowedGrant(
             owner, owner_boot, g.serial, g.budget, g.rate, until, g.requested_at
@@ -198,8 +208,8 @@
         return True
 
     def return_unneeded(self, now: float) -> list[tuple[str, Return]]:
-        """What is borrowed and hardly needed any more: used no more from here on, and said to its owner."""
-        told: list[tuple[str, Return]] = []
+        """Stops the use of borrowed rates that are hardly needed, and returns the messages to the owners."""
+        returns: list[tuple[str, Return]] = []
         for name in self.budgets:
             borrowed = self.borrowed_rate(now, name)
             missing = self.excess_demand(now, name)
@@ -213,17 +223,19 @@
                 borrowed -= t.rate
                 del self.borrowed_grants[key]
                 if len(self.returned_until) < 4 * MAX_GRANTS:
-                    # where its owner heeds it, no grant of that serial was asked for later than this one
+                    # the owner accepts this only if it has granted this serial for no later row
                     self.returned_until[key] = t.until
-                    told.append((t.owner, Return(t.serial, t.owner_boot, t.requested_at)))
-        return told
+                    returns.append((t.owner, Return(t.serial, t.owner_boot, t.requested_at)))
+        return returns
+
+    def accept_return(self, borrower_boot: int, r: Return) -> bool:
+        """Applies a borrower's return of a grant, and returns whether it was valid.
 
-    def accept_return(self, boot_of_teller: int, r: Return) -> bool:
-        """A borrower says that it is done with a grant. It is to be this one's, and to have come to the last:
-        one that was renewed since may still come there, and count for all that the borrower knows by then.
+        A grant that was renewed after the returned one stays lent: the renewal may still reach the borrower,
+        which would then use it.
         """
         g = self.lent_grants.get(r.serial)
-        if r.boot != self.boot or g is None or g.boot != boot_of_teller or g.requested_at > r.requested_at:
+        if r.boot != self.boot or g is None or g.boot != borrower_boot or g.requested_at > r.requested_at:
             return False
         del self.lent_grants[r.serial]
         return True
--- a/finchladder/core/peers/exchange.py
+++ b/finchladder/core/peers/exchange.py
@@ -1,18 +1,19 @@
-"""One dispatcher among its peers: what it hears, what it says and when, and what it makes of it.
+"""Exchange of one dispatcher with its peers: processes received packets and decides what to send and when.
 
-Members, rows, escrow and sums are units of their own; this one packs what they have to say into packets, and
-hands each packet to all of them. Nothing that serves a job calls it or waits for it: it is told how much is
-asked of each budget, and tells what may be used.
+The member list, the state rows, the escrow and the sums are separate units. This module packs their output
+into packets, and passes each received packet to all of them. No code that serves a job calls it or waits for
+it: it receives the demand on each budget, and returns the rate that may be used.
 
-| what it says | how often | to whom |
+| sent | how often | receivers |
 | --- | --- | --- |
-| a ping | each period | one member, in turn (members.py) |
-| a word with news | each GOSSIP_S, while there are any | one member, drawn |
-| its row | when its wants change by a fifth, at most each ROW_S; else each REFRESH_S | with any of them |
-| a grant, a return | at once | who asked, who gave |
-| parts of sums | each wave_s | log2 n members (sums.py) |
-| its row, of real servers | after a bad ending, each ROW_S while one is in question | AT_ONCE members |
-| the operator's words | with any of them | |
+| a ping | every period | one member in rotation (membership.py) |
+| a packet with updates | every GOSSIP_INTERVAL_S, while there are any | one random member |
+| the own row, if a demand changed by a fifth | at most every ROW_INTERVAL_S | with any of these packets |
+| the own row otherwise | every REFRESH_INTERVAL_S | with any of these packets |
+| a grant, a return | at once | the borrower, the owner |
+| partial sums | every wave_s | log2 n members (sums.py) |
+| reports on workers | after a failure, every ROW_INTERVAL_S while a case is open | URGENT_FANOUT members |
+| overrides of operators | with any of these packets | |
 """
 
 from collections.abc import Callable, Iterable
@@ -47,50 +48,52 @@
 
 GOSSIP_INTERVAL_S = 0.1
 ROW_INTERVAL_S = 0.5
-MAX_DEMAND_AGE_S = 4.0  # a want that is older is not answered: a lease would be half over
-MAX_DYNAMIC_BUDGETS = 128  # that come and go with who asks; those that are configured are not counted
-BUDGET_IDLE_TIMEOUT_S = 10.0  # after which such a one goes, if nothing of it is lent or wanted
+MAX_DEMAND_AGE_S = 4.0  # older demands are not answered: half of the lease would have passed
+MAX_DYNAMIC_BUDGETS = 128  # budgets that are created on demand; configured budgets are not counted
+BUDGET_IDLE_TIMEOUT_S = (
+    10.0  # a budget created on demand is removed after this, unless it is lent, borrowed or in demand
+)
 LEAVE_RECIPIENTS = 5
 URGENT_FANOUT, URGENT_PERIOD_S = (
     3,
     0.5,
-)  # members that are told of a bad real server at a time, and for how long
-UNHEALTHY_SCORE = 3  # of members.py: some lost datagrams prove nothing of real servers
+)  # members that receive an urgent report on a worker, and for how long
+UNHEALTHY_SCORE = 3  # health score of membership.py: a few lost datagrams prove nothing about workers
 REPORT_INTERVAL_S, URGENT_REPORT_INTERVAL_S = (
     2.0,
     0.1,
-)  # what others say is handed on so often at the least; if it is of bad ones
-CHANGE_THRESHOLD = 0.2  # by so much a want must change to be told before its time
+)  # longest time between two deliveries of peers' reports, and that while new reports are pending
+CHANGE_THRESHOLD = 0.2  # relative change of a demand that causes an early row
 Packets = list[tuple[str, Packet]]
 
 
 class ExchangeSettings(NamedTuple):
-    """How this dispatcher takes part. `wave_s` 0: counts are not shared."""
+    """Settings of the exchange. With `wave_s` 0, slots in flight are not shared."""
 
     timing: Timing = Timing()
     wave_s: float = 0.0
 
 
 class Evidence(Protocol):
-    """What this dispatcher has to say of real servers."""
+    """Source of this dispatcher's reports on workers."""
 
-    def has_urgent_report(self) -> bool: ...  # a bad ending that was not told yet
+    def has_urgent_report(self) -> bool: ...  # whether there is a failure that was not reported yet
     def own_report(self, now: float) -> OwnReport: ...
-    def is_ejected(
-        self, subject_id: int
-    ) -> bool: ...  # held out here already: more words change nothing soon
+    # whether it is ejected here already, so that further reports change nothing soon
+    def is_ejected(self, subject_id: int) -> bool: ...
 
 
 class BudgetFamily(NamedTuple):
-    """Budgets of one kind that come and go, as one for each client's address."""
+    """Budgets of one kind that are created on demand, such as one per client address."""
 
     limit: float
     min_dispatchers: int
-    make_bucket: Callable[[str, float], Bucket]  # of that name, and what is its own a second
+    # makes a bucket from the budget's name and the own rate per second
+    make_bucket: Callable[[str, float], Bucket]
 
 
 class Peers:
-    """Feed it `hear` and `turn`; both return what is to be sent, by the receiver's name."""
+    """State machine of the exchange; `receive` and `tick` return packets to send, by receiver."""
 
     def __init__(
         self,
@@ -102,7 +105,7 @@
         settings: ExchangeSettings | None = None,
         own_counts: Callable[[], dict[int, float]] = dict,
     ) -> None:
-        """`counts`: own slots in flight by real server's number, when a wave begins."""
+        """`own_counts`: returns the own slots in flight by worker number; called once per wave."""
         self.name, self.settings, self.own_counts = name, settings or ExchangeSettings(), own_counts
         self.random = random = Random(f"{seed}/peers")
         self.boot = random.getrandbits(32)
@@ -111,28 +114,32 @@
         self.escrow = Escrow(name, self.boot, now)
         self.sums = FleetSums(name)
         self.buckets: dict[str, Bucket] = {}
-        self.families: dict[str, BudgetFamily] = {}  # by what their names begin with
-        self.last_used_at: dict[str, float] = {}  # budgets of families, and when they were last of any use
+        self.families: dict[str, BudgetFamily] = {}  # by prefix of the budgets' names
+        self.last_used_at: dict[str, float] = {}  # of the budgets created on demand
         self.next_gossip_at = now + random.random() * GOSSIP_INTERVAL_S
         self.next_row_at = now + random.random() * ROW_INTERVAL_S
         self.next_wave_at = now + random.random() * (self.settings.wave_s or 1.0)
         self.last_row: tuple[float, dict[str, float]] = 0.0, {}
-        self.name_conflicts = 0  # packets in one's own name from another process
+        self.name_conflicts = 0  # packets from another process that uses this dispatcher's name
         self.dropped: dict[str, int] = {}
         self.evidence: Evidence | None = None
         self.orders = OverrideTable(name, self.members.repeats)
         self.urgent_until = self.next_report_at = self.next_totals_at = now
-        self.peer_totals = 0.0, 0.0, 1  # endings that others tell of, bad ones of them, and how many tell
+        self.peer_totals = (
+            0.0,
+            0.0,
+            1,
+        )  # attempts that peers reported as ended, the failed ones, and the number of reporters with this one
         self.changed_owners: dict[
             str, None
-        ] = {}  # whose words of real servers have, since they were handed on
+        ] = {}  # peers whose reports on workers changed since their delivery
 
     # --- budgets
 
     def share(self, name: str, limit: float, now: float, least: int = 1) -> Bucket:
-        """Has a budget of `limit` a second shared, and returns this dispatcher's part of it.
+        """Shares a budget of `limit` per second, and returns the bucket with this dispatcher's part of it.
 
-        `least`: dispatchers that are known to exist whatever the list says.
+        `least`: minimum number of dispatchers, used if the member list is shorter.
         """
         budget = self.escrow.budgets.get(name)
         if budget is None:
@@ -147,12 +154,12 @@
         return budget
 
     def unshared_rate(self, limit: float, least: int, now: float) -> float:
-        """What is one's own of a budget that nobody has asked others for."""
-        own = limit / max(len(self.members.by_name), least)
-        return own if now >= self.escrow.full_share_at else UNLENDABLE_SHARE * own
+        """Returns the own rate per second of a budget that is not shared yet."""
+        own_rate = limit / max(len(self.members.by_name), least)
+        return own_rate if now >= self.escrow.full_share_at else UNLENDABLE_SHARE * own_rate
 
     def claim(self, now: float, name: str, family: BudgetFamily) -> None:
-        """Others are asked for some of it, and may ask for it. Without room, it stays one's own share."""
+        """Shares a budget of a family from now on. Beyond MAX_DYNAMIC_BUDGETS it remains at the own rate."""
         if name not in self.escrow.budgets:
             if len(self.last_used_at) >= MAX_DYNAMIC_BUDGETS:
                 return
@@ -162,26 +169,26 @@
         self.last_used_at[name] = now
 
     def _claim_requested(self, now: float, rows: list[Row]) -> None:
-        """Budgets of families that others want, nobody here has asked for: one's share can be lent."""
+        """Creates family budgets that only peers demand, so that the own rate can be lent."""
         for name in {
             w.budget for row in rows for w in row.demands if w.rate > 0
         } - self.escrow.budgets.keys():
-            for start, family in self.families.items():
-                if name.startswith(start):
+            for prefix, family in self.families.items():
+                if name.startswith(prefix):
                     self.claim(now, name, family)
                     break
 
     def _remove_idle_budgets(self, now: float) -> None:
-        for name, at in list(self.last_used_at.items()):
+        for name, used_at in list(self.last_used_at.items()):
             budget = self.escrow.budgets[name]
             used = self.escrow.lent_rate(name) or self.escrow.borrowed_rate(now, name)
             if used or budget.demand > CHANGE_THRESHOLD * budget.own_share:
                 self.last_used_at[name] = now
-            elif now - at > BUDGET_IDLE_TIMEOUT_S:
+            elif now - used_at > BUDGET_IDLE_TIMEOUT_S:
                 del self.last_used_at[name], self.buckets[name], self.escrow.budgets[name]
 
     def set_dispatchers(self, now: float, names: Iterable[str], least: int = 1) -> None:
-        """Another list of dispatchers holds."""
+        """Replaces the list of dispatchers; at least `least` are assumed to exist."""
         self.members.set_names(names)
         self.rows.repeats = self.members.repeats
         for name, b in self.escrow.budgets.items():
@@ -189,16 +196,16 @@
             self._update_rate(now, name)
 
     def _update_rate(self, now: float, name: str) -> None:
-        right = self.escrow.usable_rate(now, name)
+        rate = self.escrow.usable_rate(now, name)
         bucket = self.buckets[name]
-        # at the first end of a lease, until this is looked at again, nothing counts that was borrowed
-        bucket.guaranteed_rate = right - self.escrow.borrowed_rate(now, name)
-        bucket.set_rate(now, right, self.escrow.rate_valid_until(now, name))
+        # after the first lease expires, until the next update, no borrowed rate is used
+        bucket.guaranteed_rate = rate - self.escrow.borrowed_rate(now, name)
+        bucket.set_rate(now, rate, self.escrow.rate_valid_until(now, name))
 
-    # --- hearing
+    # --- receiving
 
     def receive(self, now: float, p: Packet) -> Packets:
-        """A packet that was decoded. What is unusable or of nobody's is counted and changes nothing."""
+        """Processes a decoded packet; an invalid one, or one of an unlisted sender, is only counted."""
         if p.sender == self.name:
             if p.boot != self.boot:
                 self.name_conflicts += 1
@@ -207,63 +214,63 @@
             return self._drop("unlisted")
         if validation_error(p) is not None:
             return self._drop("flaw")
-        said = self.members.receive(now, p)
+        replies = self.members.receive(now, p)
         for row in p.rows:
             if row.owner in self.members.by_name:
-                before = self.rows.by_owner.get(row.owner)
+                previous = self.rows.by_owner.get(row.owner)
                 if self.rows.merge(now, row) and self.evidence is not None:
-                    self._record_reports(now, row, before[0].worker_reports if before is not None else ())
+                    self._record_reports(now, row, previous[0].worker_reports if previous is not None else ())
         for order in p.orders:
             self.orders.merge(now, order)
-        taken = [self.escrow.accept_grant(now, p.sender, p.boot, g) for g in p.grants]
-        back = [self.escrow.accept_return(p.boot, r) for r in p.returns]
-        if any(taken) or any(back):
+        accepted = [self.escrow.accept_grant(now, p.sender, p.boot, g) for g in p.grants]
+        returned = [self.escrow.accept_return(p.boot, r) for r in p.returns]
+        if any(accepted) or any(returned):
             self._update_rates(now)
-        told = [self._build_packet(now, s) for s in said]
+        packets = [self._build_packet(now, reply) for reply in replies]
         if p.partial_sum is not None:
-            told += self._sum_packets(self.sums.receive(now, p.sender, p.partial_sum))
-        if (told_of := self.members.correction_for(p)) is not None and not said:
-            told.append((p.sender, self._empty_packet(PacketKind.GOSSIP)._replace(updates=(told_of,))))
-        return told
+            packets += self._sum_packets(self.sums.receive(now, p.sender, p.partial_sum))
+        if (correction := self.members.correction_for(p)) is not None and not replies:
+            packets.append((p.sender, self._empty_packet(PacketKind.GOSSIP)._replace(updates=(correction,))))
+        return packets
 
-    def _record_reports(self, now: float, row: Row, before: tuple[WorkerReport, ...]) -> None:
-        if not (row.worker_reports or before):
+    def _record_reports(self, now: float, row: Row, previous: tuple[WorkerReport, ...]) -> None:
+        if not (row.worker_reports or previous):
             return
         self.changed_owners[row.owner] = None
         assert self.evidence is not None
-        known = {s.subject_id for s in before if s.bad + s.link >= MIN_URGENT_BAD_ATTEMPTS}
-        new = [
+        known = {s.subject_id for s in previous if s.bad + s.link >= MIN_URGENT_BAD_ATTEMPTS}
+        new_subjects = [
             s.subject_id
             for s in row.worker_reports
             if s.bad + s.link >= MIN_URGENT_BAD_ATTEMPTS and s.subject_id not in known
         ]
-        if not all(map(self.evidence.is_ejected, new)):
+        if not all(map(self.evidence.is_ejected, new_subjects)):
             self.urgent_until = now + URGENT_PERIOD_S
             self.rows.urgent[row.owner] = None
 
-    def _drop(self, why: str) -> Packets:
-        self.dropped[why] = self.dropped.get(why, 0) + 1
+    def _drop(self, reason: str) -> Packets:
+        self.dropped[reason] = self.dropped.get(reason, 0) + 1
         return []
 
-    # --- saying
+    # --- sending
 
     def next_at(self) -> float:
         waves = [self.next_wave_at] if self.settings.wave_s else []
         return min([self.members.next_at(), self.next_gossip_at, *waves])
 
     def tick(self, now: float) -> Packets:
-        """What is due by now; to be called at `next_at`, or later."""
-        told = [self._build_packet(now, s) for s in self.members.tick(now)]
+        """Returns the packets due at `now`; call it at `next_at` or later."""
+        packets = [self._build_packet(now, s) for s in self.members.tick(now)]
         if now >= self.next_gossip_at:
             self.next_gossip_at = now + GOSSIP_INTERVAL_S
-            told += self._gossip(now)
+            packets += self._gossip(now)
         if self.settings.wave_s and now >= self.next_wave_at:
             self.next_wave_at = max(self.next_wave_at + self.settings.wave_s, now + self.settings.wave_s / 2)
-            told += self._sum_packets(self.sums.begin_wave(now, self.members.alive(), self.own_counts()))
-        return told
+            packets += self._sum_packets(self.sums.begin_wave(now, self.members.alive(), self.own_counts()))
+        return packets
 
     def _gossip(self, now: float) -> Packets:
-        told: Packets = []
+        packets: Packets = []
         rows: list[Row] = []
         if self.evidence is not None and self.evidence.has_urgent_report():
             self.next_row_at, self.urgent_until = now, now + URGENT_PERIOD_S
@@ -277,39 +284,39 @@
             if self.escrow.budgets or self.evidence is not None:
                 self._write_row(now)
         grants = self.escrow.lend(now, rows)
-        by: dict[str, list[Grant]] = {}
+        by_borrower: dict[str, list[Grant]] = {}
         for to, grant in grants:
-            by.setdefault(to, []).append(grant)
-        for to, some in by.items():
-            while some:
-                n, room = 0, MAX_PAYLOAD_BYTES
-                while n < len(some) and some[n].room <= room:
-                    room -= some[n].room
+            by_borrower.setdefault(to, []).append(grant)
+        for to, batch in by_borrower.items():
+            while batch:
+                n, free_bytes = 0, MAX_PAYLOAD_BYTES
+                while n < len(batch) and batch[n].room <= free_bytes:
+                    free_bytes -= batch[n].room
                     n += 1
-                told.append(
-                    (to, self._empty_packet(PacketKind.GOSSIP)._replace(grants=tuple(some[: n or 1])))
+                packets.append(
+                    (to, self._empty_packet(PacketKind.GOSSIP)._replace(grants=tuple(batch[: n or 1])))
                 )
-                some = some[n or 1 :]
-        for to, back in self.escrow.return_unneeded(now):
-            told.append((to, self._empty_packet(PacketKind.GOSSIP)._replace(returns=(back,))))
+                batch = batch[n or 1 :]
+        for to, grant_return in self.escrow.return_unneeded(now):
+            packets.append((to, self._empty_packet(PacketKind.GOSSIP)._replace(returns=(grant_return,))))
         self._update_rates(now)
         if self.members.pending_updates or self.rows.repeats_left or self.orders.pending:
-            to_all = URGENT_FANOUT if now < self.urgent_until else 1
-            told += [
+            fanout = URGENT_FANOUT if now < self.urgent_until else 1
+            packets += [
                 self._build_packet(now, ProbeMessage(PacketKind.GOSSIP, to))
-                for to in self.members.sample_alive(to_all)
+                for to in self.members.sample_alive(fanout)
             ]
-        return told
+        return packets
 
     def _is_present(self, row: Row) -> bool:
-        held = self.members.by_name.get(row.owner)
-        return held is not None and held.status is not MemberStatus.GONE
+        member = self.members.by_name.get(row.owner)
+        return member is not None and member.status is not MemberStatus.GONE
 
     def _write_row(self, now: float) -> None:
         self.next_row_at = now + ROW_INTERVAL_S
         for name, bucket in self.buckets.items():
             self.escrow.budgets[name].demand = bucket.update_demand(now)
-        wants = [
+        demands = [
             Demand(
                 n,
                 self.escrow.excess_demand(now, n),
@@ -318,25 +325,25 @@
             )
             for n in self.escrow.budgets
         ]
-        at, before = self.last_row
-        now_wanted = {w.budget: w.rate for w in wants}
-        news = any(
-            abs(rate - before.get(n, 0.0)) > CHANGE_THRESHOLD * max(rate, before.get(n, 0.0))
-            for n, rate in now_wanted.items()
+        written_at, previous = self.last_row
+        excess_demands = {w.budget: w.rate for w in demands}
+        has_changed = any(
+            abs(rate - previous.get(n, 0.0)) > CHANGE_THRESHOLD * max(rate, previous.get(n, 0.0))
+            for n, rate in excess_demands.items()
         )
-        # who wants anything says it again while the leases of what it has go on
-        wanting = any(now_wanted.values()) and now - at >= 2 * ROW_INTERVAL_S
-        own = None
+        # a demand is repeated so that its leases are renewed before they expire
+        is_repeat_due = any(excess_demands.values()) and now - written_at >= 2 * ROW_INTERVAL_S
+        own_report = None
         if self.evidence is not None:
-            news = news or self.evidence.has_urgent_report()
-            own = self.evidence.own_report(now)
-            said = self.rows.by_owner.get(self.name)
-            # also that nothing is in question any more
-            open_ = own.worker_reports or (said is not None and said[0].worker_reports)
-            wanting = wanting or (bool(open_) and now - at >= ROW_INTERVAL_S)
-        if news or wanting or now - at >= REFRESH_INTERVAL_S:
-            self.last_row = now, now_wanted
-            self.rows.write(now, self.members.own_member.incarnation, wants, own)
+            has_changed = has_changed or self.evidence.has_urgent_report()
+            own_report = self.evidence.own_report(now)
+            published = self.rows.by_owner.get(self.name)
+            # the end of the last open case is reported as well
+            open_cases = own_report.worker_reports or (published is not None and published[0].worker_reports)
+            is_repeat_due = is_repeat_due or (bool(open_cases) and now - written_at >= ROW_INTERVAL_S)
+        if has_changed or is_repeat_due or now - written_at >= REFRESH_INTERVAL_S:
+            self.last_row = now, excess_demands
+            self.rows.write(now, self.members.own_member.incarnation, demands, own_report)
 
     def _update_rates(self, now: float) -> None:
         for name in self.escrow.budgets:
@@ -345,34 +352,34 @@
     def _empty_packet(self, kind: PacketKind) -> Packet:
         return Packet(kind, self.name, self.boot, self.members.own_member.incarnation)
 
-    def _build_packet(self, now: float, s: ProbeMessage) -> tuple[str, Packet]:
-        rumours = self.members.select_updates(s.to, MAX_PAYLOAD_BYTES // 2)
-        room = MAX_PAYLOAD_BYTES - sum(r.room for r in rumours)
-        orders = self.orders.select(now, room // 2)
-        room -= sum(o.room for o in orders)
-        rows = self.rows.select_rows(now, s.to, room)
-        return s.to, self._empty_packet(s.kind)._replace(
-            sequence=s.sequence,
-            target=s.target,
-            updates=tuple(rumours),
+    def _build_packet(self, now: float, message: ProbeMessage) -> tuple[str, Packet]:
+        updates = self.members.select_updates(message.to, MAX_PAYLOAD_BYTES // 2)
+        free_bytes = MAX_PAYLOAD_BYTES - sum(r.room for r in updates)
+        overrides = self.orders.select(now, free_bytes // 2)
+        free_bytes -= sum(o.room for o in overrides)
+        rows = self.rows.select_rows(now, message.to, free_bytes)
+        return message.to, self._empty_packet(message.kind)._replace(
+            sequence=message.sequence,
+            target=message.target,
+            updates=tuple(updates),
             rows=tuple(rows),
-            orders=tuple(orders),
+            orders=tuple(overrides),
         )
 
     def _sum_packets(self, parts: list[tuple[str, PartialSum]]) -> Packets:
         return [(to, self._empty_packet(PacketKind.GOSSIP)._replace(partial_sum=part)) for to, part in parts]
 
     def leave(self, now: float) -> Packets:
-        """The last words of a process that leaves in good order: nobody need suspect it first."""
-        me = self.members.own_member
-        last = MemberUpdate(self.name, me.incarnation, MemberStatus.GONE)
-        word = self._empty_packet(PacketKind.GOSSIP)._replace(updates=(last,))
-        return [(to, word) for to in self.members.sample_alive(LEAVE_RECIPIENTS)]
+        """Returns the packets that announce a graceful shutdown, to avoid the suspicion timeout."""
+        own_member = self.members.own_member
+        update = MemberUpdate(self.name, own_member.incarnation, MemberStatus.GONE)
+        packet = self._empty_packet(PacketKind.GOSSIP)._replace(updates=(update,))
+        return [(to, packet) for to in self.members.sample_alive(LEAVE_RECIPIENTS)]
 
-    # --- what is made of it
+    # --- results
 
     def take_reports(self, now: float) -> PeerReports | None:
-        """What others say of real servers, if it is due to be handed on."""
+        """Returns the peers' reports on workers if they are due for delivery."""
         if self.evidence is None or now < self.next_report_at - (
             REPORT_INTERVAL_S - URGENT_REPORT_INTERVAL_S
         ) * bool(self.changed_owners):
@@ -385,20 +392,20 @@
                 sum(min(r.bad, r.ended) for r in rows),
                 len(rows) + 1,
             )
-        told = []
+        reports = []
         for owner in self.changed_owners:
-            if (found := self.rows.by_owner.get(owner)) is not None:
-                told.append(
-                    PeerReport(owner, found[0].zone, self.rows.age_s(now, owner), found[0].worker_reports)
+            if (stored := self.rows.by_owner.get(owner)) is not None:
+                reports.append(
+                    PeerReport(owner, stored[0].zone, self.rows.age_s(now, owner), stored[0].worker_reports)
                 )
         self.changed_owners, self.next_report_at = {}, now + REPORT_INTERVAL_S
-        return PeerReports(tuple(told), *self.peer_totals, self.members.health_score >= UNHEALTHY_SCORE)
+        return PeerReports(tuple(reports), *self.peer_totals, self.members.health_score >= UNHEALTHY_SCORE)
 
     def total(self, now: float) -> Total | None:
         return self.sums.total(now) if self.settings.wave_s else None
 
     def show(self, now: float) -> dict[str, Any]:
-        """All of it for whoever asks; times are ages in seconds."""
+        """Returns the state as a JSON object; times are ages in seconds."""
         budgets = []
         for name, b in self.escrow.budgets.items():
             bucket = self.buckets[name]
--- a/finchladder/core/peers/loads.py
+++ b/finchladder/core/peers/loads.py
@@ -1,15 +1,17 @@
-"""Told counts at the choice: ties of own loads go to who has least in flight for all dispatchers together.
+"""Breaks ties between workers of equal own load by the slots in flight of all dispatchers.
 
-It breaks ties and overrules nothing: a lower own load still wins, and t and the rules still bound. What was
-told decays: with age the chances go back to those that are drawn by size, and after GONE_S nothing is left.
+The counts of all dispatchers only break ties: a lower own load still wins, and the limits and rules of the
+dispatcher still apply. Counts decay: with age the probabilities return to those drawn by capacity, and after
+MAX_COUNTS_AGE_S the counts have no effect.
 
-| what is known | chance of a worker among those whose own loads are alike |
+| known | weight of a worker among those with equal own loads |
 | --- | --- |
-| counts of all, told age_s ago | (size / (1 + in flight)) to the power of SHARP x (1 - age_s / GONE_S) |
-| none, or older | as without peers (sizes.py) |
+| counts of age age_s | (capacity / (1 + in flight)) ^ (LOAD_EXPONENT x (1 - age_s / MAX_COUNTS_AGE_S)) |
+| no counts, or older ones | as without peers (worker_capacity.py) |
 
-In flight is what was told for the others, and what oneself has there now. Of counts of a part of the members
-the others' are taken to be alike. O(real servers that are told of) for each telling, O(1) for each look.
+In flight is the sum of the peers' reported counts and the own current load. If only some of the members
+reported, the load of the others is assumed to be distributed alike. An update costs O(reported workers), a
+look-up O(1).
 """
 
 from collections.abc import Iterable, Sequence
@@ -23,16 +25,16 @@
 
 LOAD_EXPONENT = 8.0
 MAX_COUNTS_AGE_S = 3.0
-CROSS_ZONE_FACTOR = 1.5  # a crossing between zones counts as so many times the load
+CROSS_ZONE_FACTOR = 1.5  # a worker in another zone counts as this multiple of its load
 
 
 def worker_number(worker: str) -> int:
-    """What stands for a real server in a datagram: 32 bits, the same at all."""
+    """Returns the 32-bit number that represents a worker in datagrams; it is equal at all dispatchers."""
     return crc32(worker.encode())
 
 
 def own_slots_in_flight(workers: Iterable[Worker]) -> dict[int, float]:
-    """What oneself has in flight; two real servers of one number are counted together."""
+    """Returns the own slots in flight by worker number; workers whose numbers collide are added up."""
     counts: dict[int, float] = {}
     for w in workers:
         if w.load > 0:
@@ -42,20 +44,22 @@
 
 
 class PeerLoadCapacity(WorkerCapacity):
-    """Takes the place of the decisions' Sizes."""
+    """Worker capacities that also break ties by the load of the whole fleet."""
 
     __slots__ = ("peer_counts", "counted_at", "now", "number_cache")
 
     def __init__(self, before: WorkerCapacity) -> None:
         super().__init__(before.settings)
         self.peer_counts: dict[int, float] = {}
-        self.counted_at = -MAX_COUNTS_AGE_S  # as of when the counts are, by the decisions' clock
+        self.counted_at = -MAX_COUNTS_AGE_S  # when the counts were valid, on the dispatcher's clock
         self.now = 0.0
         self.number_cache: dict[str, int] = {}
 
     @property
     def draws_ties(self) -> bool:
-        return not self.settings.weights_report_load  # few dispatchers too: they hear of all
+        return (
+            not self.settings.weights_report_load
+        )  # also with few dispatchers, as each receives the counts of all
 
     def update_counts(self, now: float, e: PeerLoads) -> None:
         self.peer_counts, self.counted_at, self.now = e.slots_in_flight, now - e.age_s, now
@@ -82,13 +86,13 @@
 
 
 def attach(d: Dispatcher) -> PeerLoadCapacity:
-    """Has these decisions heed Held; without it they are as ever."""
+    """Makes a dispatcher use the counts of `PeerLoads` events; without this call it ignores them."""
     loads = PeerLoadCapacity(d.worker_load.learned_capacity)
     d.worker_load.learned_capacity = loads
-    handle = d.handlers
+    handlers = d.handlers
 
-    def heard(e: PeerLoads) -> None:
+    def record_counts(e: PeerLoads) -> None:
         loads.update_counts(d.now, e)
 
-    handle[PeerLoads] = heard
+    handlers[PeerLoads] = record_counts
     return loads
--- a/finchladder/core/peers/membership.py
+++ b/finchladder/core/peers/membership.py
@@ -1,28 +1,28 @@
-"""Who of the listed dispatchers is there: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health.
+"""Failure detection among dispatchers: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health.
 
-Each period one other member is pinged; who does not answer is asked through others, then suspected, and after
-a while held for gone, unless it says itself that it is there. What is held travels as rumours beside all that
-is said. Incarnations order what is said of one member; only it raises its own.
+Each period one other member is pinged. If it does not answer, it is probed indirectly through other members,
+then suspected, and after the suspicion timeout considered gone, unless it refutes this itself. Updates of
+member states are piggybacked on all packets. Incarnations order the updates about one member; only the member
+itself increases its incarnation.
 
-| held of a member | heard, incarnation | held then |
+| state of a member | received update, its incarnation | next state |
 | --- | --- | --- |
-| anything | alive, higher | alive |
+| any | alive, higher | alive |
 | alive, suspected or gone | suspected, higher | suspected |
-| alive | suspected, the same | suspected |
-| suspected | suspected, the same, by another accuser | suspected, and for gone sooner |
-| anything but gone | gone, the same or higher | gone |
-| suspected | nothing, for its time | gone |
+| alive | suspected, equal | suspected |
+| suspected | suspected, equal, by another reporter | suspected, with a shorter timeout |
+| any but gone | gone, equal or higher | gone |
+| suspected | none until the suspicion timeout | gone |
 | gone | gone, higher | gone |
-| oneself | suspected or gone, the same or higher | oneself alive, one higher than that |
-| oneself | alive, higher: of a former life | oneself alive, one higher than that |
-| anything | anything else | as before |
+| this dispatcher | suspected or gone, equal or higher | alive, with the received incarnation + 1 |
+| this dispatcher | alive, higher: from before a restart | alive, with the received incarnation + 1 |
+| any | any other | unchanged |
 
-A listed member that nobody has heard of is held for gone, with incarnation 0, and looked for with the others
-that are gone: one in LOOK_FOR pings goes to one of those, so that what was split heals. Nothing that must be
-safe rests on any of it.
+A listed member without any update is considered gone, with incarnation 0. One in GONE_PROBE_INTERVAL pings
+goes to a gone member, so that a partition heals. No safety property depends on this failure detector.
 
-Costs, O(1) in the number of members each: a ping a period, at most HELPERS questions for one that is silent,
-MOST_RUMOURS with anything said. Memory: a record for each listed member.
+Costs, each O(1) in the number of members: a ping per period, at most INDIRECT_PROBES ping requests for a
+member that does not answer, MAX_UPDATES_PER_PACKET updates per packet. Memory: a record per listed member.
 """
 
 from collections.abc import Iterable
@@ -32,28 +32,29 @@
 
 from finchladder.core.peers.messages import MAX_INCARNATION, MemberStatus, MemberUpdate, Packet, PacketKind
 
-INDIRECT_PROBES = 3
-MAX_HEALTH_SCORE = 8  # waits grow up to so many times, plus one, while this process itself seems to be unwell
-MAX_UPDATES_PER_PACKET = 12  # with one packet
-TABLE_UPDATES_PER_PACKET = (
-    4  # of them of the table in turn, where there is nothing new: what a lost rumour left out
-)
-REPEAT_FACTOR = 3.0  # a rumour is told so many times the logarithm of the members
-MAX_CONFIRMATIONS = 2  # besides the first, that bring a suspicion to its shortest time
-MAX_SUSPICION_FACTOR = 3.0  # times the shortest: how long a suspicion of one accuser lasts
-GONE_PROBE_INTERVAL = 4
-MAX_LATENESS = 0.5  # of a period: later than that, silence is taken for one's own lateness
+INDIRECT_PROBES = 3  # members that are requested to ping a silent one
+MAX_HEALTH_SCORE = 8  # timeouts grow up to (this + 1) times while this process itself seems unhealthy
+MAX_UPDATES_PER_PACKET = 12  # updates in one packet
+TABLE_UPDATES_PER_PACKET = 4  # of these, from the member table in rotation, which repairs lost updates
+REPEAT_FACTOR = 3.0  # an update is sent this many times half the binary logarithm of the number of members
+MAX_CONFIRMATIONS = 2  # further reporters that reduce the suspicion timeout to its minimum
+MAX_SUSPICION_FACTOR = 3.0  # suspicion timeout with a single reporter, as a multiple of the minimum
+GONE_PROBE_INTERVAL = 4  # rounds between two pings of gone members
+# share of a period; if a round begins later, missing answers are attributed to a stall of this process
+MAX_LATENESS = 0.5
 
 
 class Timing(NamedTuple):
+    """Periods and timeouts of the failure detector."""
+
     period_s: float = 0.5
-    ack_timeout_s: float = 0.15  # for a direct answer, before helpers are asked
-    suspicion_periods: float = (
-        4.0  # periods, times the logarithm (of 10) of the members, of the shortest suspicion
-    )
+    ack_timeout_s: float = 0.15  # for a direct answer, before indirect probes are sent
+    suspicion_periods: float = 4.0  # minimum suspicion timeout, in periods per log10 of the number of members
 
 
 class ProbeMessage(NamedTuple):
+    """A message to send to a member; `target` is the probed member if it is another one."""
+
     kind: PacketKind
     to: str
     sequence: int = 0
@@ -61,6 +62,8 @@
 
 
 class Member:
+    """State of one listed dispatcher."""
+
     __slots__ = (
         "name",
         "incarnation",
@@ -76,16 +79,16 @@
         self.name = name
         self.incarnation, self.status = 0, MemberStatus.GONE
         self.since = self.suspicion_ends_at = 0.0
-        self.reporters: set[str] = set()  # at most ACCUSERS + 1
-        self.repeats_left = 0  # times that what is held of it is still to be told
-        self.last_seen_at = -1.0  # when it said anything itself
+        self.reporters: set[str] = set()  # members that suspect it; at most MAX_CONFIRMATIONS + 1
+        self.repeats_left = 0  # number of packets that still carry its update
+        self.last_seen_at = -1.0  # time of the last packet from the member itself; negative: none
 
     def update(self) -> MemberUpdate:
         return MemberUpdate(self.name, self.incarnation, self.status)
 
 
 class _Probe:
-    """A ping of one's own that is not answered yet, or one for another that asked."""
+    """An unanswered ping, sent by this dispatcher for itself or at the request of another member."""
 
     __slots__ = ("target", "indirect_at", "ends_at", "helpers", "nacks", "requester", "requester_sequence")
 
@@ -102,10 +105,12 @@
         self.requester, self.requester_sequence = (
             requester,
             requester_sequence,
-        )  # for whom, and that one's number
+        )  # member that requested the ping ("": none), and the sequence of its request
 
 
 class MemberList:
+    """States of the listed dispatchers, as known to this one, and its probes."""
+
     def __init__(
         self,
         name: str,
@@ -115,18 +120,22 @@
         random: Random,
         timing: Timing | None = None,
     ) -> None:
-        """`incarnation`: to begin with; one that is too low is raised once others tell of a higher one."""
+        """`incarnation`: the initial value; it is increased once peers report a higher one."""
         self.name, self.timing, self.random = name, timing or Timing(), random
         self.by_name: dict[str, Member] = {}
-        self.probe_order: list[str] = []  # of pings; each is pinged once in a round
+        self.probe_order: list[str] = []  # shuffled names; each is pinged once per pass
         self.probe_index, self.rounds = 0, 0
-        self.health_score = 0  # 0: well
+        self.health_score = 0  # 0: healthy
         self.probes: dict[int, _Probe] = {}
         self.sequence = random.getrandbits(31)
         self.next_round_at = now + random.random() * self.timing.period_s
-        self.table_index = random.randrange(1 << 16)  # where the pieces of the table have come to
-        self.pending_updates: dict[str, None] = {}  # members with `tell` above 0, the longest untold first
-        self.refuted = self.failed = 0  # counts for whoever watches
+        self.table_index = random.randrange(
+            1 << 16
+        )  # rotation position of the updates that are sent from the table
+        self.pending_updates: dict[
+            str, None
+        ] = {}  # members with `repeats_left` above 0, least recently sent first
+        self.refuted = self.failed = 0  # statistics: refuted suspicions of this dispatcher, failed probes
         self.own_member = self.by_name[name] = Member(name)
         self.own_member.status, self.own_member.incarnation = (
             MemberStatus.ALIVE,
@@ -137,45 +146,45 @@
         self._queue_update(self.own_member)
 
     def set_names(self, names: Iterable[str]) -> None:
-        """Another list holds from now on. Who is not in it any more is forgotten."""
-        wanted = {*names, self.name}
-        for name in [n for n in self.by_name if n not in wanted]:
+        """Replaces the list of members; those that are no longer listed are removed."""
+        listed = {*names, self.name}
+        for name in [n for n in self.by_name if n not in listed]:
             del self.by_name[name]
             self.pending_updates.pop(name, None)
-        for name in sorted(wanted - self.by_name.keys()):
+        for name in sorted(listed - self.by_name.keys()):
             self.by_name[name] = Member(name)
-        self.probes = {n: p for n, p in self.probes.items() if p.target in wanted}
-        self.probe_order = sorted(wanted - {self.name})
+        self.probes = {n: p for n, p in self.probes.items() if p.target in listed}
+        self.probe_order = sorted(listed - {self.name})
         self.random.shuffle(self.probe_order)
 
-    # --- what is held
+    # --- state
 
     def alive(self) -> list[str]:
-        """Those held alive or only suspected, oneself among them, by name."""
+        """Returns the sorted names of the members that are alive or suspected, including this dispatcher."""
         return sorted(n for n, m in self.by_name.items() if m.status is not MemberStatus.GONE)
 
     def count(self, standing: MemberStatus) -> int:
         return sum(m.status is standing for m in self.by_name.values())
 
-    def sample_alive(self, most: int) -> list[str]:
+    def sample_alive(self, count: int) -> list[str]:
         others = [n for n in self.probe_order if self.by_name[n].status is not MemberStatus.GONE]
-        return others if len(others) <= most else self.random.sample(others, most)
+        return others if len(others) <= count else self.random.sample(others, count)
 
     @property
     def repeats(self) -> int:
         return ceil(REPEAT_FACTOR * log(len(self.by_name) + 1, 2) / 2)
 
-    # --- what is heard
+    # --- receiving
 
     def receive(self, now: float, p: Packet) -> list[ProbeMessage]:
-        """From a listed member; whoever calls this has seen to that."""
-        m = self.by_name.get(p.sender)
-        if m is None or p.sender == self.name:
+        """Processes a packet and returns the answers; the caller ensures that the sender is listed."""
+        member = self.by_name.get(p.sender)
+        if member is None or p.sender == self.name:
             return []
-        m.last_seen_at = now
+        member.last_seen_at = now
         self._apply(now, MemberUpdate(p.sender, p.incarnation, MemberStatus.ALIVE), p.sender)
-        for rumour in p.updates:
-            self._apply(now, rumour, p.sender)
+        for update in p.updates:
+            self._apply(now, update, p.sender)
         if p.kind is PacketKind.PING:
             return [ProbeMessage(PacketKind.ACK, p.sender, p.sequence)]
         if p.kind is PacketKind.PING_REQUEST:
@@ -201,78 +210,84 @@
             or len(self.probes) > 8 * INDIRECT_PROBES
         ):
             return []
-        end = now + self.timing.ack_timeout_s
-        return [self._ping(p.target, _Probe(p.target, end, end, p.sender, p.sequence))]
+        ends_at = now + self.timing.ack_timeout_s
+        return [self._ping(p.target, _Probe(p.target, ends_at, ends_at, p.sender, p.sequence))]
 
     def _ping(self, target: str, probe: _Probe) -> ProbeMessage:
         self.sequence = (self.sequence + 1) & 0x7FFFFFFF
         self.probes[self.sequence] = probe
         return ProbeMessage(PacketKind.PING, target, self.sequence)
 
-    def _apply(self, now: float, r: MemberUpdate, by: str) -> None:
-        m = self.by_name.get(r.name)
-        if m is None:  # unlisted here: of no concern
+    def _apply(self, now: float, update: MemberUpdate, reporter: str) -> None:
+        member = self.by_name.get(update.name)
+        if member is None:  # not listed here
             return
-        if m is self.own_member:
-            higher = r.incarnation > m.incarnation
-            if higher or (r.incarnation == m.incarnation and r.status is not MemberStatus.ALIVE):
-                m.incarnation = min(r.incarnation + 1, MAX_INCARNATION)
+        if member is self.own_member:
+            is_newer = update.incarnation > member.incarnation
+            if is_newer or (
+                update.incarnation == member.incarnation and update.status is not MemberStatus.ALIVE
+            ):
+                member.incarnation = min(update.incarnation + 1, MAX_INCARNATION)
                 self.refuted += 1
-                if r.status is not MemberStatus.ALIVE:  # Lifeguard: who is suspected may be the slow one
+                if (
+                    update.status is not MemberStatus.ALIVE
+                ):  # Lifeguard: a suspected process may itself be slow
                     self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
-                self._queue_update(m)
+                self._queue_update(member)
             return
-        if r.incarnation < m.incarnation:
+        if update.incarnation < member.incarnation:
             return
-        higher = r.incarnation > m.incarnation
-        if r.status is MemberStatus.SUSPECTED and not higher:
+        is_newer = update.incarnation > member.incarnation
+        if update.status is MemberStatus.SUSPECTED and not is_newer:
             if (
-                m.status is MemberStatus.SUSPECTED
-                and by not in m.reporters
-                and len(m.reporters) <= MAX_CONFIRMATIONS
+                member.status is MemberStatus.SUSPECTED
+                and reporter not in member.reporters
+                and len(member.reporters) <= MAX_CONFIRMATIONS
             ):
-                m.reporters.add(by)
-                m.suspicion_ends_at = min(
-                    m.suspicion_ends_at, m.since + self._suspicion_s(len(m.reporters) - 1)
+                member.reporters.add(reporter)
+                member.suspicion_ends_at = min(
+                    member.suspicion_ends_at, member.since + self._suspicion_s(len(member.reporters) - 1)
                 )
-                self._queue_update(m)
-            if m.status is not MemberStatus.ALIVE:
+                self._queue_update(member)
+            if member.status is not MemberStatus.ALIVE:
                 return
-        if higher or r.status > m.status:
-            self._set_status(now, m, r.incarnation, r.status, by)
+        if is_newer or update.status > member.status:
+            self._set_status(now, member, update.incarnation, update.status, reporter)
 
-    def _set_status(self, now: float, m: Member, incarnation: int, standing: MemberStatus, by: str) -> None:
-        m.incarnation, m.status, m.since = incarnation, standing, now
-        m.reporters = {by} if standing is MemberStatus.SUSPECTED else set()
-        m.suspicion_ends_at = now + self._suspicion_s(0)
-        self._queue_update(m)
+    def _set_status(
+        self, now: float, member: Member, incarnation: int, standing: MemberStatus, reporter: str
+    ) -> None:
+        member.incarnation, member.status, member.since = incarnation, standing, now
+        member.reporters = {reporter} if standing is MemberStatus.SUSPECTED else set()
+        member.suspicion_ends_at = now + self._suspicion_s(0)
+        self._queue_update(member)
 
-    def _suspicion_s(self, others: int) -> float:
-        """How long it lasts, with so many accusers besides the first."""
+    def _suspicion_s(self, confirmations: int) -> float:
+        """Returns the suspicion timeout with `others` reporters besides the first."""
         shortest = self.timing.suspicion_periods * max(1.0, log10(len(self.by_name))) * self.timing.period_s
-        part = log(others + 1) / log(MAX_CONFIRMATIONS + 1)
-        return shortest * max(1.0, MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1) * part)
+        progress = log(confirmations + 1) / log(MAX_CONFIRMATIONS + 1)
+        return shortest * max(1.0, MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1) * progress)
 
-    def _queue_update(self, m: Member) -> None:
-        m.repeats_left = self.repeats
-        self.pending_updates.pop(m.name, None)
-        self.pending_updates[m.name] = None
+    def _queue_update(self, member: Member) -> None:
+        member.repeats_left = self.repeats
+        self.pending_updates.pop(member.name, None)
+        self.pending_updates[member.name] = None
 
-    # --- what is to be done
+    # --- periodic work
 
     def tick(self, now: float) -> list[ProbeMessage]:
-        """What is due by now. To be called at `next_at`, or later."""
-        said: list[ProbeMessage] = []
+        """Returns the messages due at `now`; call it at `next_at` or later."""
+        messages: list[ProbeMessage] = []
         if now >= self.next_round_at:
             if now > self.next_round_at + MAX_LATENESS * self.timing.period_s:
                 self._record_stall(now)
             self.next_round_at = now + self.timing.period_s * (1 + self.health_score)
-            said += self._start_probe(now)
+            messages += self._start_probe(now)
         for number, probe in list(self.probes.items()):
             if now >= probe.ends_at:
                 del self.probes[number]
                 if probe.requester:
-                    said.append(
+                    messages.append(
                         ProbeMessage(PacketKind.NACK, probe.requester, probe.requester_sequence, probe.target)
                     )
                 else:
@@ -282,11 +297,11 @@
                     :INDIRECT_PROBES
                 ]
                 probe.helpers = max(1, len(helpers))
-                said += [ProbeMessage(PacketKind.PING_REQUEST, n, number, probe.target) for n in helpers]
-        for m in self.by_name.values():
-            if m.status is MemberStatus.SUSPECTED and now >= m.suspicion_ends_at:
-                self._set_status(now, m, m.incarnation, MemberStatus.GONE, self.name)
-        return said
+                messages += [ProbeMessage(PacketKind.PING_REQUEST, n, number, probe.target) for n in helpers]
+        for member in self.by_name.values():
+            if member.status is MemberStatus.SUSPECTED and now >= member.suspicion_ends_at:
+                self._set_status(now, member, member.incarnation, MemberStatus.GONE, self.name)
+        return messages
 
     def next_at(self) -> float:
         return min(
@@ -297,21 +312,21 @@
         )
 
     def _record_stall(self, now: float) -> None:
-        """Answers may lie unread: nobody is blamed for what this process did not look at."""
-        lost = now - self.next_round_at
+        """Discards pending probes after a stall of this process, as answers may have arrived unread."""
+        stall_s = now - self.next_round_at
         self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
         self.probes = {n: p for n, p in self.probes.items() if p.requester}
-        for m in self.by_name.values():
-            if m.status is MemberStatus.SUSPECTED:
-                m.suspicion_ends_at += lost
+        for member in self.by_name.values():
+            if member.status is MemberStatus.SUSPECTED:
+                member.suspicion_ends_at += stall_s
 
     def _start_probe(self, now: float) -> list[ProbeMessage]:
         self.rounds += 1
-        said: list[ProbeMessage] = []
+        messages: list[ProbeMessage] = []
         if self.rounds % GONE_PROBE_INTERVAL == 0:
             gone = [n for n in self.probe_order if self.by_name[n].status is MemberStatus.GONE]
-            if gone:  # whether it answers counts for nothing, so no probe is kept
-                said.append(
+            if gone:  # a missing answer has no effect, so no probe is stored
+                messages.append(
                     ProbeMessage(PacketKind.PING, self.random.choice(gone), self.random.getrandbits(31))
                 )
         for _ in range(len(self.probe_order)):
@@ -321,60 +336,60 @@
             name = self.probe_order[self.probe_index]
             self.probe_index += 1
             if self.by_name[name].status is not MemberStatus.GONE:
-                longer = 1 + self.health_score
-                answer, end = (
-                    now + self.timing.ack_timeout_s * longer,
-                    now + 0.9 * self.timing.period_s * longer,
+                factor = 1 + self.health_score
+                indirect_at, ends_at = (
+                    now + self.timing.ack_timeout_s * factor,
+                    now + 0.9 * self.timing.period_s * factor,
                 )
-                return [*said, self._ping(name, _Probe(name, answer, end))]
-        return said
+                return [*messages, self._ping(name, _Probe(name, indirect_at, ends_at))]
+        return messages
 
     def _record_timeout(self, now: float, probe: _Probe) -> None:
-        m = self.by_name.get(probe.target)
-        if m is None:
+        member = self.by_name.get(probe.target)
+        if member is None:
             return
         self.failed += 1
         if probe.helpers and probe.nacks < min(probe.helpers, INDIRECT_PROBES) and len(self.alive()) > 2:
-            # Lifeguard: helpers that say nothing either make oneself the one in doubt
+            # Lifeguard: if helpers do not answer either, this process itself may be unhealthy
             self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
-        if m.status is MemberStatus.ALIVE:
-            self._set_status(now, m, m.incarnation, MemberStatus.SUSPECTED, self.name)
-        elif m.status is MemberStatus.SUSPECTED:
-            self._apply(now, MemberUpdate(m.name, m.incarnation, MemberStatus.SUSPECTED), self.name)
-
-    # --- what is told
-
-    def select_updates(self, to: str, room: int) -> list[MemberUpdate]:
-        """For one packet: what the receiver is to know of itself, news, and a piece of the table in turn."""
-        told: list[MemberUpdate] = []
-        held = self.by_name.get(to)
-        if held is not None and held.incarnation and held.status is not MemberStatus.ALIVE:
-            told.append(held.update())
-            room -= told[0].room
+        if member.status is MemberStatus.ALIVE:
+            self._set_status(now, member, member.incarnation, MemberStatus.SUSPECTED, self.name)
+        elif member.status is MemberStatus.SUSPECTED:
+            self._apply(now, MemberUpdate(member.name, member.incarnation, MemberStatus.SUSPECTED), self.name)
+
+    # --- sending
+
+    def select_updates(self, to: str, free_bytes: int) -> list[MemberUpdate]:
+        """Selects updates for one packet: the receiver's own state, new updates, and part of the table."""
+        updates: list[MemberUpdate] = []
+        receiver = self.by_name.get(to)
+        if receiver is not None and receiver.incarnation and receiver.status is not MemberStatus.ALIVE:
+            updates.append(receiver.update())
+            free_bytes -= updates[0].room
         for name in list(self.pending_updates):
-            if len(told) >= MAX_UPDATES_PER_PACKET:
+            if len(updates) >= MAX_UPDATES_PER_PACKET:
                 break
-            m = self.by_name[name]
-            rumour = m.update()
-            if name == to or rumour.room > room:
+            member = self.by_name[name]
+            update = member.update()
+            if name == to or update.room > free_bytes:
                 continue
-            room -= rumour.room
-            told.append(rumour)
+            free_bytes -= update.room
+            updates.append(update)
             del self.pending_updates[name]
-            m.repeats_left -= 1
-            if m.repeats_left > 0:
-                self.pending_updates[name] = None  # behind the others
+            member.repeats_left -= 1
+            if member.repeats_left > 0:
+                self.pending_updates[name] = None  # moves to the end
         names = self.probe_order
-        for _ in range(min(TABLE_UPDATES_PER_PACKET, MAX_UPDATES_PER_PACKET - len(told), len(names))):
+        for _ in range(min(TABLE_UPDATES_PER_PACKET, MAX_UPDATES_PER_PACKET - len(updates), len(names))):
             self.table_index += 1
-            m = self.by_name[names[self.table_index % len(names)]]
-            rumour = m.update()
-            if m.incarnation and rumour not in told and rumour.room <= room:
-                room -= rumour.room
-                told.append(rumour)
-        return told
+            member = self.by_name[names[self.table_index % len(names)]]
+            update = member.update()
+            if member.incarnation and update not in updates and update.room <= free_bytes:
+                free_bytes -= update.room
+                updates.append(update)
+        return updates
 
     def correction_for(self, p: Packet) -> MemberUpdate | None:
-        """What a sender has to be told that speaks under an incarnation of before."""
-        m = self.by_name.get(p.sender)
-        return m.update() if m is not None and m.incarnation > p.incarnation else None
+        """Returns the update to send to a sender that uses an outdated incarnation, or None."""
+        member = self.by_name.get(p.sender)
+        return member.update() if member is not None and member.incarnation > p.incarnation else None
--- a/finchladder/core/peers/messages.py
+++ b/finchladder/core/peers/messages.py
@@ -1,7 +1,8 @@
-"""What one dispatcher tells another. Times are seconds; clocks of different dispatchers are never compared.
+"""Messages between dispatchers. Times are seconds; clocks of different dispatchers are never compared.
 
-Each record has a bound on its bytes in a packet, so that what is told fits into one datagram before it is
-encoded. `boot` names one life of a process: it is drawn at its start, and compared for equality alone.
+Each record has an upper bound of its encoded size (`room`, in bytes), so that packets are limited to the size
+of a datagram before they are encoded. `boot` identifies one run of a process: a random number that is drawn
+at its start and only compared for equality.
 """
 
 from enum import IntEnum
@@ -12,15 +13,15 @@
 from finchladder.core.health.detection.overrides import Override
 from finchladder.core.health.detection.overrides import has_invalid_values as has_invalid_override
 
-MAX_PAYLOAD_BYTES = 1_000  # bytes of a packet for all that is told beside the head
-MAX_INCARNATION = 1 << 50  # they begin with the wall clock's milliseconds, and go up by ones
+MAX_PAYLOAD_BYTES = 1_000  # size limit of a packet without its header
+MAX_INCARNATION = 1 << 50  # incarnations begin with the wall clock's milliseconds and increase by one
 MAX_AGE_S = 3_600.0
-MAX_RATE_PER_S = 1e9  # a second, of any budget
-MAX_TOTAL = 1e15  # of anything that is counted
+MAX_RATE_PER_S = 1e9  # limit of any budget
+MAX_TOTAL = 1e15  # limit of any counter
 
 
 class MemberStatus(IntEnum):
-    """What is held of a member, in the order in which one overrules another of the same incarnation."""
+    """State of a member; of two updates of the same incarnation the one with the higher value applies."""
 
     ALIVE = 0
     SUSPECTED = 1
@@ -28,15 +29,17 @@
 
 
 class PacketKind(IntEnum):
-    GOSSIP = 0  # asks for no answer
+    """Purpose of a packet; all kinds carry updates, rows and overrides."""
+
+    GOSSIP = 0  # requires no answer
     PING = 1
     ACK = 2
-    PING_REQUEST = 3  # ping `about` for me
-    NACK = 4  # I asked `about` for you, and have heard nothing
+    PING_REQUEST = 3  # requests the receiver to ping `target`
+    NACK = 4  # `target` did not answer the requested ping
 
 
 class MemberUpdate(NamedTuple):
-    """What the teller holds of a member."""
+    """State of a member as known to the sender."""
 
     name: str
     incarnation: int
@@ -48,46 +51,48 @@
 
 
 class Demand(NamedTuple):
-    """Of one budget, as its owner tells it."""
+    """Demand of a row's owner on one budget."""
 
     budget: str
-    rate: float  # what the owner would use beyond its own, a second; 0: nothing
-    borrowed: float  # what others have lent it of that
-    spent: float  # taken out of it since the owner's start
+    rate: float  # excess demand per second beyond the own rate; 0: none
+    borrowed: float  # part of `rate` that others have lent it
+    spent: float  # tokens taken since the owner's start
 
 
 class Row(NamedTuple):
-    """What an owner says of itself; the newest counts, by (incarnation, order)."""
+    """State that an owner publishes of itself; the row with the highest (incarnation, sequence) applies."""
 
     owner: str
     boot: int
     incarnation: int
     sequence: int
     age_s: (
-        float  # since the owner wrote it, as far as those who had it know; the time on the way is not in it
+        float  # time since it was written that it spent at the processes that forwarded it, without transit
     )
-    requested_at: float  # when it was written, by the owner's own clock: others only give it back
+    requested_at: float  # when it was written, on the owner's clock; others only echo it
     demands: tuple[Demand, ...]
-    # of real servers, where [judgement] is on
+    # reports on workers, if [judgement] is enabled
     zone: int = 0
-    ended: float = 0.0  # jobs lately
-    bad: float = 0.0  # of those
+    ended: float = 0.0  # attempts that ended recently
+    bad: float = 0.0  # number of these that failed
     worker_reports: tuple[reports.WorkerReport, ...] = ()
 
     @property
     def room(self) -> int:
-        told = sum(len(w.budget) + 30 for w in self.demands) + sum(s.room for s in self.worker_reports)
-        return len(self.owner) + 75 + told
+        variable_part = sum(len(w.budget) + 30 for w in self.demands) + sum(
+            s.room for s in self.worker_reports
+        )
+        return len(self.owner) + 75 + variable_part
 
 
 class Grant(NamedTuple):
-    """So much of a budget is the receiver's, and not the giver's, until its `asked` plus a lease's time."""
+    """Lends the receiver `rate` of a budget until one lease duration after `requested_at`."""
 
-    serial: int  # the giver's; a later grant of the same serial replaces the one before
+    serial: int  # unique at the owner; a later grant with the same serial replaces the previous one
     budget: str
     rate: float
     requested_at: float
-    boot: int  # of the receiver, as its row said
+    boot: int  # of the receiver, from its row
 
     @property
     def room(self) -> int:
@@ -95,11 +100,11 @@
 
 
 class Return(NamedTuple):
-    """A grant of the receiver that the teller uses no more, and never will again."""
+    """Returns a grant to its owner, the receiver; the sender has stopped to use it permanently."""
 
     serial: int
-    boot: int  # of the receiver, who gave it
-    requested_at: float  # of the last grant of this serial that came, by the teller's clock
+    boot: int  # of the receiver, which lent it
+    requested_at: float  # of the last received grant with this serial, on the sender's clock
 
     @property
     def room(self) -> int:
@@ -107,13 +112,13 @@
 
 
 class PartialSum(NamedTuple):
-    """Counts of several dispatchers together: one step of a sum over all."""
+    """Slots in flight of several dispatchers, added up: one step of the sum over all dispatchers."""
 
     level: int
-    wave: int  # the teller's count of its rounds: what comes of an earlier one is dropped
-    members: int  # whose counts are in it
-    age_s: float  # mean
-    counts: tuple[tuple[int, float], ...]  # by real server's number: slots in flight
+    wave: int  # number of the sender's wave; parts of earlier waves are dropped
+    members: int  # number of dispatchers whose counts are included
+    age_s: float  # mean age of the counts
+    counts: tuple[tuple[int, float], ...]  # worker number, slots in flight
 
     @property
     def room(self) -> int:
@@ -121,11 +126,13 @@
 
 
 class Packet(NamedTuple):
+    """One datagram, before encoding."""
+
     kind: PacketKind
     sender: str
     boot: int
     incarnation: int
-    sequence: int = 0  # of a ping, given back with what answers it
+    sequence: int = 0  # of a ping; echoed by its answers
     target: str = ""
     updates: tuple[MemberUpdate, ...] = ()
     rows: tuple[Row, ...] = ()
@@ -136,14 +143,14 @@
 
 
 def validation_error(p: Packet) -> str | None:
-    """What is wrong with figures of the right types; None: nothing. One flaw makes the whole unusable."""
+    """Returns which part of a packet has values out of range, or None. Such a packet must be dropped."""
     if not 0 <= p.incarnation <= MAX_INCARNATION or p.sequence < 0 or p.boot < 0:
         return "incarnation"
     if not all(0 <= r.incarnation <= MAX_INCARNATION for r in p.updates):
-        return "incarnation of a rumour"
+        return "incarnation of an update"
     for row in p.rows:
         if not 0 <= row.incarnation <= MAX_INCARNATION or row.sequence < 0 or row.boot < 0:
-            return "order of a row"
+            return "incarnation, sequence or boot of a row"
         if not _is_in_range(row.age_s, MAX_AGE_S) or not isfinite(row.requested_at):
             return "age of a row"
         if not all(
@@ -152,37 +159,37 @@
             and _is_in_range(w.spent, MAX_TOTAL)
             for w in row.demands
         ):
-            return "figures of a row"
+            return "demands of a row"
         if len({w.budget for w in row.demands}) < len(row.demands):
-            return "a budget twice in a row"
-        counts = (
+            return "duplicate budget in a row"
+        are_totals_valid = (
             _is_in_range(row.ended, MAX_TOTAL)
             and _is_in_range(row.bad, MAX_TOTAL)
             and 0 <= row.zone < 1 << 32
         )
-        if not counts or reports.has_invalid_values(row.worker_reports):
-            return "evidence of a row"
+        if not are_totals_valid or reports.has_invalid_values(row.worker_reports):
+            return "reports of a row"
     if has_invalid_override(p.orders):
-        return "figures of an order"
+        return "values of an override"
     if not all(isfinite(r.requested_at) and r.serial >= 0 for r in p.returns):
-        return "figures of a return"
+        return "values of a return"
     for grant in p.grants:
         if (
             not _is_in_range(grant.rate, MAX_RATE_PER_S)
             or not isfinite(grant.requested_at)
             or grant.serial < 0
         ):
-            return "figures of a grant"
+            return "values of a grant"
     if p.partial_sum is not None:
-        extent = (
+        is_valid = (
             0 <= p.partial_sum.level < 64 and p.partial_sum.wave >= 0 and 0 < p.partial_sum.members <= 1 << 20
         )
-        if not extent or not _is_in_range(p.partial_sum.age_s, MAX_AGE_S):
-            return "extent of a sum"
+        if not is_valid or not _is_in_range(p.partial_sum.age_s, MAX_AGE_S):
+            return "level, wave, members or age of a partial sum"
         if not all(0 <= n < 1 << 32 and _is_in_range(count, MAX_TOTAL) for n, count in p.partial_sum.counts):
-            return "counts of a sum"
+            return "counts of a partial sum"
     return None
 
 
-def _is_in_range(value: float, most: float) -> bool:
-    return 0 <= value <= most  # False for NaN
+def _is_in_range(value: float, maximum: float) -> bool:
+    return 0 <= value <= maximum  # False for NaN
--- a/finchladder/core/peers/retries.py
+++ b/finchladder/core/peers/retries.py
@@ -1,9 +1,9 @@
-"""A route's retry budget whose floor is one of all dispatchers together: first sends still allow their share.
+"""Retry budget of a route whose minimum rate is shared by all dispatchers.
 
-| part of the budget | whose | why it holds |
+| part of the budget | scope | why the limit holds |
 | --- | --- | --- |
-| share x first sends | one's own first sends | over all it adds up to share x all first sends, without talk |
-| least_per_s | all dispatchers' | a bucket of what the escrow allows |
+| share x first sends | own first sends | adds up to share x all first sends, without messages |
+| least_per_s | all dispatchers | a token bucket at the rate that the escrow allows |
 """
 
 from finchladder.core.peers.bucket import Bucket
--- a/finchladder/core/peers/state_rows.py
+++ b/finchladder/core/peers/state_rows.py
@@ -1,18 +1,18 @@
-"""What each dispatcher says of itself, as values that merge: the newest row of an owner counts.
+"""Replicated state rows, one per dispatcher: the newest row of each owner is stored.
 
-| a row comes | what is held then |
+| received row | stored row |
 | --- | --- |
-| of an owner that is not listed, or oneself | nothing of it |
-| older than FORGET_S | nothing of it |
-| higher (incarnation, order) than the one held | the new one |
-| the same or lower | as before; of the same the lower age |
+| of an owner that is not listed, or of this dispatcher | unchanged |
+| older than ROW_TTL_S | unchanged |
+| higher (incarnation, sequence) than the stored one | the received one |
+| equal or lower | unchanged; of equal rows the one with the lower age |
 
-Merging commutes, is idempotent and associative, and needs no order. An owner's row of a former life, which
-comes back to it, makes nothing but its own next one higher. What is not renewed is forgotten after FORGET_S,
-with its owner's totals: one that starts anew counts from 0, once.
+Merging is commutative, idempotent and associative, so rows may arrive in any order. If an owner receives its
+row from before a restart, it only raises the sequence of its next row. A row that is not renewed is removed
+after ROW_TTL_S, with its owner's totals; the totals of a restarted owner begin at 0, once.
 
-A sum over all is that of the rows held: of those that nobody renews it ages with them, to what oneself has.
-Costs: a merge O(1), rows for a packet O(MOST_ROWS). Memory: a row for each listed member.
+A total over all dispatchers is the sum over the stored rows. Without renewal it shrinks as rows expire, down
+to the own row. Costs: O(1) per merge, O(MAX_ROWS_PER_PACKET) per packet. Memory: a row per listed member.
 """
 
 from collections.abc import Iterable
@@ -21,37 +21,44 @@
 from finchladder.core.peers.messages import Demand, Row
 
 ROW_TTL_S = 30.0
-REFRESH_INTERVAL_S = 4.0  # a row is written anew at least so often
-MAX_ROWS_PER_PACKET = 6  # with one packet
-MAX_DEMANDS_PER_ROW = 8  # in one row; of more those that want most
-MAX_NEW_ROW_AGE_S = 3.0  # rows younger than that are told first, and so often as rumours
+REFRESH_INTERVAL_S = 4.0  # longest time between two versions of the own row
+MAX_ROWS_PER_PACKET = 6  # rows in one packet
+MAX_DEMANDS_PER_ROW = 8  # the largest demands are kept
+MAX_NEW_ROW_AGE_S = 3.0  # younger rows have priority, and are sent as often as member updates
 
 
 class RowTable:
+    """Stored rows by owner, and which of them are still to be sent."""
+
     def __init__(self, name: str, boot: int, repeats: int) -> None:
         self.name, self.boot, self.repeats = name, boot, repeats
-        self.by_owner: dict[str, tuple[Row, float]] = {}  # and when it came here
-        self.repeats_left: dict[str, int] = {}  # owners of rows that are news: how often still
-        self.urgent: dict[str, None] = {}  # of those, whose news can't wait
+        self.by_owner: dict[str, tuple[Row, float]] = {}  # with the time of receipt
+        self.repeats_left: dict[
+            str, int
+        ] = {}  # owners of new rows, with the number of packets still to carry them
+        self.urgent: dict[str, None] = {}  # those of them that are sent first
         self.sequence = 0
-        self.rotation: list[str] = []  # of the other rows, which fill what room is left
+        self.rotation: list[str] = []  # owners of other rows, which fill the remaining space
         self.merged = self.stale = 0
 
     def write(
-        self, now: float, incarnation: int, wants: Iterable[Demand], own: OwnReport | None = None
+        self, now: float, incarnation: int, demands: Iterable[Demand], own_report: OwnReport | None = None
     ) -> None:
-        """One's own row, anew. Of equal budgets none may stand twice. `own`: one's word of real servers."""
-        told = sorted(wants, key=lambda w: (-w.rate, w.budget))[:MAX_DEMANDS_PER_ROW]
+        """Writes the own row. Each budget occurs once in `wants`. `own`: the own report on workers."""
+        kept = sorted(demands, key=lambda w: (-w.rate, w.budget))[:MAX_DEMANDS_PER_ROW]
         self.sequence += 1
-        row = Row(self.name, self.boot, incarnation, self.sequence, 0.0, now, tuple(told))
-        if own is not None:
+        row = Row(self.name, self.boot, incarnation, self.sequence, 0.0, now, tuple(kept))
+        if own_report is not None:
             row = row._replace(
-                zone=own.zone, ended=own.attempts, bad=own.bad_attempts, worker_reports=own.worker_reports
+                zone=own_report.zone,
+                ended=own_report.attempts,
+                bad=own_report.bad_attempts,
+                worker_reports=own_report.worker_reports,
             )
         self._store(now, row)
 
     def merge(self, now: float, row: Row) -> bool:
-        """Whether it is news. The owner is listed; whoever calls this has seen to that."""
+        """Merges a row and returns whether it is new; the caller ensures that the owner is listed."""
         if row.owner == self.name:
             if row.boot != self.boot:
                 self.sequence = max(self.sequence, row.sequence)
@@ -60,9 +67,9 @@
             self.stale += 1
             return False
         if (found := self.by_owner.get(row.owner)) is not None:
-            held, since = found
-            if (row.incarnation, row.sequence) <= (held.incarnation, held.sequence):
-                if row == held._replace(age_s=row.age_s) and row.age_s < held.age_s + now - since:
+            stored, received_at = found
+            if (row.incarnation, row.sequence) <= (stored.incarnation, stored.sequence):
+                if row == stored._replace(age_s=row.age_s) and row.age_s < stored.age_s + now - received_at:
                     self.by_owner[row.owner] = row, now
                 return False
         self._store(now, row)
@@ -76,8 +83,8 @@
             self.repeats_left[row.owner] = self.repeats
 
     def age_s(self, now: float, owner: str) -> float:
-        row, since = self.by_owner[owner]
-        return row.age_s + max(0.0, now - since)
+        row, received_at = self.by_owner[owner]
+        return row.age_s + max(0.0, now - received_at)
 
     def remove_expired(self, now: float, listed: Iterable[str]) -> None:
         keep = set(listed)
@@ -85,41 +92,48 @@
             del self.by_owner[owner]
             self.repeats_left.pop(owner, None)
 
-    def rows_of_peers(self, now: float, most_age_s: float) -> list[Row]:
-        """Rows of others that are no older than that, their age as of now."""
+    def rows_of_peers(self, now: float, max_age_s: float) -> list[Row]:
+        """Returns the rows of other dispatchers up to an age, with their current age."""
         return [
             row._replace(age_s=age)
             for owner, (row, _) in self.by_owner.items()
-            if owner != self.name and (age := self.age_s(now, owner)) <= most_age_s
+            if owner != self.name and (age := self.age_s(now, owner)) <= max_age_s
         ]
 
     def total_spent(self, now: float, budget: str) -> tuple[float, int]:
-        """What all have taken out of it, and of how many that is known."""
+        """Returns the tokens that all dispatchers took from a budget, and of how many this is known."""
         found = [w.spent for row, _ in self.by_owner.values() for w in row.demands if w.budget == budget]
         return sum(found), len(found)
 
-    def select_rows(self, now: float, to: str, room: int, names: int = MAX_ROWS_PER_PACKET) -> list[Row]:
-        """For one packet: news first, those told least often before others, then the rest in turn."""
-        told: list[Row] = []
+    def select_rows(
+        self, now: float, to: str, free_bytes: int, max_rows: int = MAX_ROWS_PER_PACKET
+    ) -> list[Row]:
+        """Selects rows for one packet: new ones first, the least often sent before others, then others."""
+        selected: list[Row] = []
         self.urgent = {o: None for o in self.urgent if o in self.repeats_left}
         for owner in [*self.urgent, *(o for o in self.repeats_left if o not in self.urgent)]:
-            if len(told) >= names:
-                return told
+            if len(selected) >= max_rows:
+                return selected
             row, _ = self.by_owner[owner]
-            if owner == to or row.room > room:
+            if owner == to or row.room > free_bytes:
                 continue
-            room -= row.room
-            told.append(row._replace(age_s=self.age_s(now, owner)))
-            left = self.repeats_left.pop(owner) - 1
-            if left > 0:
-                self.repeats_left[owner] = left
-        for _ in range(min(2, names - len(told), len(self.by_owner))):
+            free_bytes -= row.room
+            selected.append(row._replace(age_s=self.age_s(now, owner)))
+            repeats = self.repeats_left.pop(owner) - 1
+            if repeats > 0:
+                self.repeats_left[owner] = repeats
+        for _ in range(min(2, max_rows - len(selected), len(self.by_owner))):
             if not self.rotation:
                 self.rotation = list(self.by_owner)
             owner = self.rotation.pop()
             found = self.by_owner.get(owner)
-            if found is None or owner == to or any(r.owner == owner for r in told) or found[0].room > room:
+            if (
+                found is None
+                or owner == to
+                or any(r.owner == owner for r in selected)
+                or found[0].room > free_bytes
+            ):
                 continue
-            room -= found[0].room
-            told.append(found[0]._replace(age_s=self.age_s(now, owner)))
-        return told
+            free_bytes -= found[0].room
+            selected.append(found[0]._replace(age_s=self.age_s(now, owner)))
+        return selected
--- a/tests/core/membership_oracle.py
+++ b/tests/core/membership_oracle.py
@@ -1,8 +1,8 @@
-"""Membership once more, from its rules: every step folds all that was told and goes through all entries.
+"""Oracle of membership, a second implementation of its rules: each step replays all reports on all entries.
 
-No table of states, no index, no list of what is due: it is asked at every tick of the clock. What waits,
-leads and holds is told apart by plain conditions. `python -m tests.core.membership_oracle 5` checks all
-histories of five actions.
+It has no state tables, no indexes and no timers: it is evaluated at every tick of the clock, and determines
+pending lists, the leader and held workers by plain conditions. `python -m tests.core.membership_oracle 5`
+checks all histories of five actions.
 """
 
 import copy
@@ -17,7 +17,7 @@
 from finchladder.core.membership.decisions import Decision, Membership, MembershipSettings, Report, Source
 
 R, D, G = api.WorkerStatus.READY, api.WorkerStatus.DRAINING, api.WorkerStatus.REMOVED
-TICK = 0.5  # times are whole numbers of it: no sum of them is rounded
+TICK = 0.5  # times are multiples of this, so that sums are exact
 CALM_S, LEFT_S = 1.0, 300.0
 
 
@@ -34,7 +34,9 @@
     version: int
     whole: bool
     words: dict[str, Word]
-    drained: dict[str, Word] = field(default_factory=dict)  # of those that are gone in the end
+    drained: dict[str, Word] = field(
+        default_factory=dict
+    )  # draining entries of workers that the report removes
 
 
 @dataclass
@@ -43,17 +45,17 @@
     quiet_s: float
     past: bool
     heard: float = 0.0
-    good: float = 0.0  # when it was last live
+    good: float = 0.0  # time at which it was last live
     live_since: float | None = None
     doubt_since: float | None = None
-    log: list[Telling] = field(default_factory=list)  # what holds, in its order
+    log: list[Telling] = field(default_factory=list)  # committed reports, in order
     wait: list[Telling] = field(default_factory=list)
 
     def listed(self) -> bool:
         return bool(self.log)
 
     def fold(self) -> tuple[dict[str, Word], dict[str, tuple[float, Word]], dict[str, tuple[float, Word]]]:
-        """Its table, who left it, and whose drain it told before it began anew."""
+        """Returns its table, its departures, and its draining notices from before a restart of the source."""
         table: dict[str, Word] = {}
         left: dict[str, tuple[float, Word]] = {}
         kept: dict[str, tuple[float, Word]] = {}
@@ -81,7 +83,7 @@
         return bool(w and last and w[0].whole and w[-1].epoch == last.epoch and w[-1].version < last.version)
 
     def take(self, now: float) -> None:
-        """As one telling, whatever came in it."""
+        """Commits all pending reports as one."""
         words: dict[str, Word] = {}
         drained: dict[str, Word] = {}
         for t in self.wait:
@@ -131,10 +133,10 @@
         self.s, self.old = s, False
         self.all = [Src(x.name, x.silence_timeout_s, x.is_stored_list) for x in sources]
         self.lead: Src | None = None
-        self.shown: dict[str, tuple[str, Word]] = {}  # ready, draining, held, damped
-        self.gone: dict[str, tuple[float, Word]] = {}  # vanished lately, and believed so
+        self.shown: dict[str, tuple[str, Word]] = {}  # state (ready, draining, held or damped) and entry
+        self.gone: dict[str, tuple[float, Word]] = {}  # removed within the window, and applied
         self.holding, self.held_at, self.back_at = False, 0.0, 0.0
-        self.stops: dict[str, list[float]] = {}  # when each stopped being ready
+        self.stops: dict[str, list[float]] = {}  # times at which each worker stopped being ready
         self.steady: dict[str, float] = {}
 
     def ready(self) -> dict[str, Word]:
@@ -184,7 +186,7 @@
     def judge(self, now: float, lead: Src) -> None:
         folded = {x.name: x.fold() for x in self.all}
         others = [x for x in self.all if x is not lead and x.live_since is not None]
-        drains: dict[str, float] = {}  # the newest start that drains
+        drains: dict[str, float] = {}  # the latest draining incarnation
         for x in self.all:
             lately = x.live_since is not None or now < x.good + self.s.max_age_s
             if x is not lead and (x.past or not x.listed() or not lately):
@@ -265,16 +267,16 @@
             self.holding = False
 
 
-# --- both beside each other ---------------------------------------------------------------------------------
+# --- comparison of both -------------------------------------------------------------------------------------
 
 
 @dataclass
 class Act:
-    """What one source does, or (without one) how long nothing happens."""
+    """Action of one source, or (without a source) the passing of time."""
 
     who: str = ""
-    words: dict[str, Word] | None = None  # None: it is heard, no more
-    step: int = 1  # by which its version grows
+    words: dict[str, Word] | None = None  # None: a heartbeat only
+    step: int = 1  # increase of its version
     whole: bool = False
     in_step: bool = True
     before: bool = False
@@ -283,7 +285,7 @@
 
 
 class Pair:
-    """The program's membership, called when it wants to be, beside the oracle, called at every tick."""
+    """Runs `Membership`, called when due, in parallel with the oracle, called at every tick."""
 
     def __init__(self, sources: list[Source], s: MembershipSettings) -> None:
         self.m, self.o = Membership(sources, s), Oracle(sources, s)
@@ -355,7 +357,7 @@
 
 
 def check_all(depth: int, first: list[Act], of: Pair | None = None, so_far: tuple[int, ...] = ()) -> int:
-    """All histories of so many actions after the first ones; how many there are."""
+    """Checks all histories of `depth` actions after the first ones, and returns their number."""
     if of is None:
         of = Pair(SOURCES, SMALL)
         for act in first:
--- a/tests/core/peers/test_escrow.py
+++ b/tests/core/peers/test_escrow.py
@@ -1,4 +1,4 @@
-"""Rights of a budget: every order of a few steps among three dispatchers, and what single steps do."""
+"""Escrow of a shared budget: all orders of a few steps among three dispatchers, and single steps."""
 
 from copy import copy
 
@@ -9,11 +9,11 @@
 
 LIMIT, DEEP = 30.0, 8
 STEP_S = LEASE_S / 2 + 0.1
-SPEEDS = (1.0, 0.9955, 1.0045)  # of their clocks
+SPEEDS = (1.0, 0.9955, 1.0045)  # of the three clocks
 
 
 class State:
-    """Three escrows, what they have said, and the true time. What was said may still come, or come twice."""
+    """Three escrows, their sent messages, and the true time; messages may be delayed, lost or duplicated."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -21,21 +21,23 @@
         self.offsets = [100.0, 5000.0, 0.0]
         self.escrows = [self._made(i, -2 * LEASE_S) for i in range(3)]
         self.rows: tuple[Row, ...] = ()
-        self.said: tuple[tuple[int, int, int, Grant | Return], ...] = ()  # from, its boot, to, what
+        self.said: tuple[
+            tuple[int, int, int, Grant | Return], ...
+        ] = ()  # sender, its boot, receiver, message
 
     def _made(self, i: int, begun: float) -> Escrow:
         e = Escrow(f"n{i}", 10 * i + self.boots[i], self.offsets[i] + begun * SPEEDS[i])
         e.budgets["b"] = Budget("b", LIMIT, 3)
         e.budgets["b"].demand = (1000.0, 0.0, 0.0)[
             i
-        ]  # the first wants all; the second lends; the third as told
+        ]  # the first demands everything, the second lends, the demand of the third changes
         return e
 
     def clock(self, i: int) -> float:
         return self.offsets[i] + self.now * SPEEDS[i]
 
     def after(self, step: tuple[object, ...]) -> "State | None":
-        """None: the step is not to be had here, or changes nothing."""
+        """Returns the state after a step, or None if the step is impossible or changes nothing."""
         s = copy(self)
         s.escrows, s.boots, s.offsets = list(self.escrows), list(self.boots), list(self.offsets)
         kind, i = step[0], step[1]
@@ -126,8 +128,8 @@
 ]
 
 
-def test_in_every_order_of_steps_the_rights_add_up_to_the_limit_at_the_most() -> None:
-    """Loss is a word that is never heard, a double one that is heard again, a late one after any wait."""
+def test_usable_rates_never_exceed_limit_in_any_order_of_steps() -> None:
+    """The orders include losses (a message is never received), duplicates and delays of any length."""
     level, seen = [State()], {State().key()}
     lent = 0
     for _ in range(DEEP):
@@ -165,20 +167,20 @@
     return [round(g.rate, 3) for _, g in e.lend(now, rows)]
 
 
-def test_what_is_lent() -> None:
-    assert given(lender(), 1.0, row(0.5, 9.0)) == []  # a start: a former life may have lent it
-    assert given(lender(), LATER, row(1.0, 1000.0)) == [9.0]  # all but what is kept
+def test_lent_rates() -> None:
+    assert given(lender(), 1.0, row(0.5, 9.0)) == []  # just started: an earlier incarnation may have lent it
+    assert given(lender(), LATER, row(1.0, 1000.0)) == [9.0]  # all except the unlendable share
     assert given(lender(need=8.0), LATER, row(1.0, 1000.0)) == [2.0]
     assert given(lender(need=30.0), LATER, row(1.0, 1000.0)) == []
-    assert given(lender(), LATER, row(1.0, 4.0)) == [3.0]  # there are two that may lend, of which one may not
+    assert given(lender(), LATER, row(1.0, 4.0)) == [3.0]  # one of two lenders may have nothing to spare
     assert given(lender(), LATER, row(1.0, 300.0), row(1.0, 100.0, boot=3, owner="n3")) == [6.75, 2.25]
-    assert given(lender(), LATER, row(1.0, 10.0, have=10.0)) == []  # it has what it wants
+    assert given(lender(), LATER, row(1.0, 10.0, have=10.0)) == []  # its demand is met
     e = lender()
     assert given(e, LATER, row(1.0, 1000.0)) == [9.0]
     assert given(e, LATER + 5, row(1.0, 1000.0)) == []
-    assert given(e, LATER + 5, row(2.0, 1000.0)) == [9.0]  # renewed for what was asked since
+    assert given(e, LATER + 5, row(2.0, 1000.0)) == [9.0]  # renewed for the later row
     e.budgets["b"].demand = 30.0
-    assert given(e, LATER + 9, row(3.0, 1000.0)) == []  # needed here: it runs out
+    assert given(e, LATER + 9, row(3.0, 1000.0)) == []  # needed here: the lease expires
     assert e.usable_rate(LATER + 12.9, "b") == pytest.approx(1.0)
     e.lend(LATER + 5 + LEASE_S + MARGIN_S, [])
     assert e.usable_rate(LATER + 5 + LEASE_S + MARGIN_S, "b") == pytest.approx(10.0)
@@ -194,20 +196,20 @@
     ("grant", "taken"),
     [
         (Grant(1, "b", 5.0, 0.0, 2), True),
-        (Grant(1, "b", 5.0, 0.0, 3), False),  # for a former life
+        (Grant(1, "b", 5.0, 0.0, 3), False),  # for an earlier incarnation
         (Grant(1, "other", 5.0, 0.0, 2), False),
-        (Grant(1, "b", 5.0, 1.5, 2), False),  # for what was not asked yet
-        (Grant(1, "b", 5.0, 1.0 - LEASE_S, 2), False),  # over
+        (Grant(1, "b", 5.0, 1.5, 2), False),  # answers a row of the future
+        (Grant(1, "b", 5.0, 1.0 - LEASE_S, 2), False),  # expired
     ],
 )
-def test_which_grants_count(grant: Grant, taken: bool) -> None:
+def test_valid_grants(grant: Grant, taken: bool) -> None:
     e = borrower()
     assert e.accept_grant(1.0, "n1", 1, grant) is taken
     assert e.usable_rate(1.0, "b") == pytest.approx(15.0 if taken else 10.0)
     assert e.usable_rate(LEASE_S + 0.001, "b") == pytest.approx(10.0)
 
 
-def test_a_grant_counts_once_and_what_is_given_back_counts_never_again() -> None:
+def test_grant_counts_once_and_never_after_return() -> None:
     e = borrower()
     e.budgets["b"].demand = 30.0
     older, newer = Grant(1, "b", 5.0, 0.0, 2), Grant(1, "b", 6.0, 1.0, 2)
@@ -215,19 +217,19 @@
     assert not e.accept_grant(2.0, "n1", 1, newer)
     assert not e.accept_grant(2.0, "n1", 1, older)
     assert e.usable_rate(2.0, "b") == pytest.approx(16.0)
-    assert e.return_unneeded(2.0) == []  # it is needed
+    assert e.return_unneeded(2.0) == []  # still needed
     e.budgets["b"].demand = 3.0
     assert e.return_unneeded(2.0) == [("n1", Return(1, 1, 1.0))]
     assert e.usable_rate(2.0, "b") == pytest.approx(10.0)
     assert not e.accept_grant(2.0, "n1", 1, newer)
-    assert e.accept_grant(2.0, "n1", 7, newer)  # of another life of its owner, whose serials begin anew
+    assert e.accept_grant(2.0, "n1", 7, newer)  # of another incarnation of the owner, whose serials restart
 
 
-def test_a_return_ends_only_the_tellers_own_grant() -> None:
+def test_return_ends_only_a_grant_of_its_sender() -> None:
     e = lender()
     e.lend(LATER, [row(1.0, 1000.0)])
     others = ((3, Return(1, 1, 1.0)), (2, Return(2, 1, 1.0)), (2, Return(1, 9, 1.0)))
-    for boot, back in (*others, (2, Return(1, 1, 0.5))):  # the last: it was renewed since
+    for boot, back in (*others, (2, Return(1, 1, 0.5))):  # the last one was renewed since
         assert not e.accept_return(boot, back)
     assert e.usable_rate(LATER, "b") == pytest.approx(UNLENDABLE_SHARE * 10.0)
     assert e.accept_return(2, Return(1, 1, 1.0))
