--- a/tests/core/peers/test_loads.py
+++ b/tests/core/peers/test_loads.py
@@ -1,4 +1,4 @@
-"""Told counts break ties, decay, and overrule nothing; shared budgets of routes and doors."""
+"""Counts of peers break ties, decay and overrule nothing; shared budgets of routes and admission limits."""
 
 from collections import Counter
 from random import Random
@@ -18,7 +18,7 @@
 
 
 def sent(counts: dict[str, float], age_s: float = 0.0, dispatchers: int = 20, busy: str = "") -> Counter[str]:
-    """Where 200 jobs go, each ended before the next comes, when `counts` are told of others."""
+    """Counts the workers of 200 consecutive jobs while the peers report `counts`."""
     bench = Bench(workers(2), dispatchers=dispatchers)
     attach(bench.d)
     if busy:
@@ -36,28 +36,28 @@
 ONE, TWO = workers(2)
 
 
-def test_a_tie_goes_to_who_has_less_in_flight_for_all() -> None:
+def test_tie_goes_to_worker_with_fewer_slots_in_flight_in_fleet() -> None:
     assert sent({ONE: 3.0})[TWO] > 190
     assert sent({TWO: 3.0})[ONE] > 190
     assert sent({ONE: 3.0, TWO: 3.0})[ONE] in range(60, 140)
 
 
-def test_a_few_dispatchers_heed_counts_too() -> None:
+def test_counts_apply_with_few_dispatchers() -> None:
     assert sent({TWO: 3.0}, dispatchers=3)[ONE] > 190
 
 
-def test_what_was_told_decays_to_what_oneself_knows() -> None:
+def test_effect_of_counts_decays_with_age() -> None:
     shares = [sent({ONE: 3.0}, age_s)[ONE] for age_s in (0.0, 0.8 * MAX_COUNTS_AGE_S, 2 * MAX_COUNTS_AGE_S)]
     assert shares[0] < 10 < shares[1] < 90
     assert shares[2] in range(70, 130)
-    assert sent({ONE: 3.0}, 2 * MAX_COUNTS_AGE_S) == sent({}, 0.0)  # to the very draws
+    assert sent({ONE: 3.0}, 2 * MAX_COUNTS_AGE_S) == sent({}, 0.0)  # including the random draws
 
 
-def test_a_lower_own_load_wins_whatever_is_told() -> None:
+def test_lower_own_load_takes_precedence_over_counts() -> None:
     assert sent({TWO: 50.0}, busy=ONE) == {TWO: 200}
 
 
-def test_what_oneself_has_in_flight_is_told_by_number() -> None:
+def test_own_slots_in_flight_are_keyed_by_worker_number() -> None:
     bench = Bench(workers(2))
     bench.feed(api.Request("j", "safe", 5.0, key=1))
     [worker] = [w for w in bench.d.workers.values() if w.load]
@@ -65,7 +65,7 @@
     assert 0 <= worker_number("any") < 1 << 32
 
 
-def test_a_shared_floor_is_one_of_all_and_first_sends_still_allow_their_share() -> None:
+def test_shared_minimum_rate_adds_to_share_of_first_sends() -> None:
     bucket = Bucket(2.0, 0.0)
     budget = SharedRetryBudget(RetryBudget(share=0.1, least_per_s=200.0), bucket)
     assert not budget.try_spend(0.1)
@@ -97,13 +97,13 @@
     return SharedBuckets(p, "door", DoorOptions(rate, 2 * rate, keys), 1)
 
 
-def test_an_address_has_its_share_here_at_once_and_the_rest_is_asked_for() -> None:
+def test_address_uses_own_rate_at_once_and_demands_the_rest() -> None:
     p = peers()
     d = door(p)
     waits = [d.take(n / 100, "a") for n in range(1000)]
     assert waits.count(0.0) == pytest.approx(10 * 20 / 4 + 1, abs=2)
     assert max(waits) <= MAX_RETRY_AFTER_S
-    assert d.take(10.0, "b") == 0.0  # each address has its own
+    assert d.take(10.0, "b") == 0.0  # each address has its own bucket
     assert list(p.escrow.budgets) == ["door:a"]
     p.tick(11.0)
     [row] = [r for r, _ in p.rows.by_owner.values()]
@@ -114,7 +114,7 @@
     assert sum(d.take(11.0 + n / 100, "a") == 0.0 for n in range(400)) == pytest.approx(4 * 10, abs=8)
 
 
-def test_what_others_want_of_an_address_is_lent_and_goes_when_nobody_wants_it() -> None:
+def test_rate_demanded_by_peers_is_lent_and_idle_budget_removed() -> None:
     p = peers()
     d = door(p)
     assert d.take(1.0, "a") == 0.0
@@ -122,9 +122,9 @@
     [grant] = [g for to, packet in told if to == "n2" for g in packet.grants]
     assert grant.budget == "door:a"
     assert grant.rate == pytest.approx(4.0)
-    assert p.buckets["door:a"] is d.of["door:a"]  # its bucket here has that less
+    assert p.buckets["door:a"] is d.of["door:a"]  # the same bucket, whose rate is reduced by the loan
     assert p.buckets["door:a"].rate_at(2.2) == pytest.approx(1.0)
-    assert list(p.escrow.budgets) == ["door:a"]  # of what nobody here has a limit for nothing is held
+    assert list(p.escrow.budgets) == ["door:a"]  # no budget is created for an unknown limit
     for n in range(200):
         p.tick(3.0 + n / 5)
     assert not p.escrow.budgets
@@ -151,13 +151,13 @@
     assert len(p.escrow.budgets) <= MAX_DYNAMIC_BUDGETS
 
 
-def test_a_start_has_what_is_never_lent_and_a_larger_number_told_makes_shares_smaller() -> None:
+def test_start_uses_unlendable_share_and_more_dispatchers_reduce_shares() -> None:
     p = peers(now=0.0)
     assert p.share("b", 40.0, 0.0).rate_at(0.0) == pytest.approx(1.0)
     p.tick(20.0)
     assert p.buckets["b"].rate_at(20.0) == pytest.approx(10.0)
     assert p.share("c", 40.0, 20.0, least=200).rate_at(20.0) == pytest.approx(0.2)
-    p.share("b", 80.0, 20.0)  # another limit holds
+    p.share("b", 80.0, 20.0)  # the limit changed
     assert p.buckets["b"].rate_at(20.0) == pytest.approx(20.0)
     p.set_dispatchers(20.0, [f"n{n}" for n in range(1, 9)])
     assert p.buckets["b"].rate_at(20.0) == pytest.approx(10.0)
--- a/tests/core/peers/test_members.py
+++ b/tests/core/peers/test_members.py
@@ -1,4 +1,4 @@
-"""What is held of a member, by the table of members.py; probes, lateness, and what is told."""
+"""Member states by the table of membership.py; probes, stalls of the own process, and selected updates."""
 
 from random import Random
 
@@ -55,7 +55,7 @@
         ((ALIVE, 3), (SUSPECTED, 2), (ALIVE, 3)),
     ],
 )
-def test_what_is_held_after_a_rumour(
+def test_member_state_after_update(
     held: tuple[MemberStatus, int], heard: tuple[MemberStatus, int], then: tuple[MemberStatus, int]
 ) -> None:
     m = members()
@@ -75,16 +75,14 @@
         ((GONE, 49), 50),
     ],
 )
-def test_who_is_said_to_be_gone_says_that_it_is_there(
-    heard: tuple[MemberStatus, int], incarnation: int
-) -> None:
+def test_own_member_refutes_suspicion(heard: tuple[MemberStatus, int], incarnation: int) -> None:
     m = members()
     m.receive(1.0, word("n3", MemberUpdate("n1", heard[1], heard[0])))
     assert (m.own_member.status, m.own_member.incarnation) == (ALIVE, incarnation)
     assert MemberUpdate("n1", incarnation, ALIVE) in m.select_updates("n4", MAX_PAYLOAD_BYTES)
 
 
-def test_a_suspicion_ends_sooner_the_more_accuse_and_not_before_its_shortest() -> None:
+def test_suspicion_timeout_shrinks_with_reporters_down_to_minimum() -> None:
     ends = []
     for accusers in (["n3"], ["n3", "n3"], ["n3", "n4"], ["n3", "n4", "n5"], ["n3", "n4", "n5", "n1"]):
         m = members()
@@ -107,7 +105,7 @@
 
 
 def play(m: MemberList, now: float, end: float) -> tuple[float, list[ProbeMessage]]:
-    """Turns as they are due, up to `end`."""
+    """Ticks whenever due, up to `end`."""
     said: list[ProbeMessage] = []
     while m.next_at() <= end:
         now = max(now, m.next_at())
@@ -115,7 +113,7 @@
     return now, said
 
 
-def test_one_that_does_not_answer_is_asked_for_through_others_then_suspected() -> None:
+def test_silent_member_is_probed_indirectly_then_suspected() -> None:
     m = members()
     quiet(m)
     now, said = play(m, 0.0, m.next_round_at)
@@ -135,7 +133,7 @@
     assert m.health_score == 0
 
 
-def test_an_answer_through_a_helper_counts_and_silent_helpers_put_oneself_in_doubt() -> None:
+def test_indirect_answer_counts_and_silent_helpers_raise_own_health_score() -> None:
     m = members()
     quiet(m)
     now, said = play(m, 0.0, m.next_round_at)
@@ -150,7 +148,7 @@
     assert m.next_round_at == now + 2 * T.period_s
 
 
-def test_asked_by_another_it_pings_and_tells_the_end() -> None:
+def test_ping_request_is_forwarded_and_answered() -> None:
     m = members()
     quiet(m)
     [ping] = m.receive(0.0, word("n3", kind=PacketKind.PING_REQUEST, number=9, about="n4"))
@@ -164,20 +162,20 @@
         assert m.receive(0.3, word("n3", kind=PacketKind.PING_REQUEST, number=11, about=about)) == []
 
 
-def test_what_was_not_looked_at_is_nobodys_silence() -> None:
+def test_stall_of_own_process_causes_no_suspicion() -> None:
     m = members()
     quiet(m)
     now, said = play(m, 0.0, m.next_round_at)
     hold(m, SUSPECTED, 3, "n5")
     until = m.by_name["n5"].suspicion_ends_at
-    m.tick(now + 30.0)  # it stood still
+    m.tick(now + 30.0)  # the process stalled
     assert m.by_name[said[0].to].status is not SUSPECTED or said[0].to == "n5"
     assert m.health_score >= 1
     assert m.by_name["n5"].suspicion_ends_at > until + 25.0
     assert m.by_name["n5"].status is SUSPECTED
 
 
-def test_those_that_are_gone_are_looked_for_and_a_silent_one_of_them_is_not_suspected() -> None:
+def test_gone_members_are_pinged_but_not_suspected() -> None:
     m = members()
     quiet(m, GONE)
     _, said = play(m, 0.0, 3 * GONE_PROBE_INTERVAL * T.period_s)
@@ -188,7 +186,7 @@
     assert m.alive() == ["n1"]
 
 
-def test_news_are_told_so_often_and_a_piece_of_the_table_after_them() -> None:
+def test_updates_are_repeated_and_table_is_sent_in_rotation() -> None:
     m = members()
     quiet(m)
     hold(m, SUSPECTED, 4, "n2")
@@ -202,11 +200,11 @@
     assert {r.name for t in told for r in t} == {*NAMES[1:]}
     assert m.select_updates("n2", MAX_PAYLOAD_BYTES)[0] == MemberUpdate(
         "n2", 4, SUSPECTED
-    )  # who is suspected hears of it first
+    )  # a suspected member receives this first
     assert m.select_updates("n4", 10) == []
 
 
-def test_another_list_is_followed() -> None:
+def test_member_list_is_replaced() -> None:
     m = members()
     quiet(m)
     hold(m, SUSPECTED, 9, "n2")
--- a/tests/core/peers/test_values.py
+++ b/tests/core/peers/test_values.py
@@ -1,4 +1,4 @@
-"""Rows that merge, buckets, and sums over all."""
+"""Merging of state rows, token buckets, and sums over all dispatchers."""
 
 from itertools import permutations
 from random import Random
@@ -19,7 +19,7 @@
     return Row(owner, boot, incarnation, order, age_s, 5.0, (Demand("b", 1.0, 0.0, spent),))
 
 
-# what an owner writes under one order is one thing, however old it is when it comes
+# rows of one owner with equal incarnation and sequence differ only in their age
 ROWS = st.builds(
     lambda owner, incarnation, order, age: row(owner, incarnation, order, age, 100.0 * incarnation + order),
     st.sampled_from(["n2", "n3"]),
@@ -40,10 +40,10 @@
 def test_merging_commutes_and_is_idempotent(rows: list[Row], data: st.DataObject) -> None:
     whole = merged(rows)
     assert merged(data.draw(st.permutations(rows))) == whole == merged(rows + rows)
-    assert merged([*whole.values(), *rows]) == whole  # associative: what is merged may be merged on
+    assert merged([*whole.values(), *rows]) == whole  # associative: merged rows may be merged again
 
 
-def test_a_row_is_held_to_its_age_and_a_new_life_counts_from_nothing_once() -> None:
+def test_row_expires_and_restarted_owner_counts_from_zero_once() -> None:
     held = RowTable("n1", 1, 3)
     assert held.merge(0.0, row("n2", 1, 9, 10.0, 90.0))
     assert not held.merge(1.0, row("n2", 1, 8, 0.0, 80.0))
@@ -59,12 +59,12 @@
     held.remove_expired(2.0 + ROW_TTL_S, ["n1", "n2"])
     assert held.total_spent(40.0, "b") == (0.0, 0)
     held.merge(40.0, row("n2", 3, 1))
-    held.remove_expired(40.0, ["n1"])  # not listed any more
+    held.remove_expired(40.0, ["n1"])  # no longer listed
     assert not held.by_owner
     assert not held.repeats_left
 
 
-def test_the_own_row_comes_back_as_nothing_and_a_former_lifes_makes_the_next_one_higher() -> None:
+def test_own_row_is_ignored_and_row_before_restart_raises_sequence() -> None:
     held = RowTable("n1", 1, 3)
     held.write(0.0, 5, [Demand(f"b{n}", float(n), 0.0, 0.0) for n in range(MAX_DEMANDS_PER_ROW + 3)])
     mine, _ = held.by_owner["n1"]
@@ -78,7 +78,7 @@
     assert held.by_owner["n1"][0].sequence == 71
 
 
-def test_news_go_first_and_the_rest_in_turn_never_beyond_the_room() -> None:
+def test_new_rows_go_first_and_others_in_rotation_within_size_limit() -> None:
     held = RowTable("n1", 1, 2)
     for n in range(2, 30):
         held.merge(0.0, row(f"n{n}", 1, 1, 20.0))
@@ -97,10 +97,10 @@
     st.lists(st.tuples(st.floats(0.0, 3.0), st.floats(0.05, 50)), max_size=30),
     st.booleans(),
 )
-def test_no_window_holds_more_than_its_rights_and_the_depth(
+def test_tokens_in_any_window_are_bounded_by_rate_and_depth(
     fixed: float, steps: list[tuple[float, float]], holds: bool
 ) -> None:
-    """The bound that bucket.py states, for rights that change at any time."""
+    """The bound of bucket.py holds for rates that change at any time."""
     b, now, flows = Bucket(fixed, 0.0, keeps_tokens=holds), 0.0, [(0.0, fixed)]
     taken: list[float] = []
     for wait, right in steps:
@@ -119,12 +119,12 @@
             assert m - n + 1 <= most * window + 1 + max(TOKEN_HOLD_S * min(1.0, most), most * BURST_S) + 1e-6
 
 
-def test_a_right_ends_with_its_lease_and_a_whole_token_of_a_slow_one_is_given_up() -> None:
+def test_rate_ends_with_lease_and_slow_bucket_discards_full_token() -> None:
     b = Bucket(1.0, 0.0)
     b.set_rate(0.0, 100.0, 0.5)
     assert b.rate_at(0.5) == 100.0
     assert b.rate_at(0.51) == 1.0
-    assert sum(b.take(10.0) for _ in range(100)) <= 1 + 25  # what was saved up by 0.5, and no more
+    assert sum(b.take(10.0) for _ in range(100)) <= 1 + 25  # only the tokens that were saved up to 0.5 s
     slow, kept = Bucket(0.1, 0.0), Bucket(0.1, 0.0, keeps_tokens=True)
     for at, there in ((9.9, False), (10.1, True), (10.0 + TOKEN_HOLD_S + 0.1, False), (21.1, True)):
         assert slow.has_token(at) is there
@@ -135,7 +135,7 @@
     assert kept.wait_s(1000.0) == pytest.approx(9.75, 0.05)
 
 
-def test_the_need_is_what_was_asked_granted_or_not() -> None:
+def test_demand_counts_granted_and_rejected_requests() -> None:
     b = Bucket(0.001, 0.0)
     for n in range(400):
         b.take(n / 20)
@@ -147,7 +147,7 @@
 
 
 def ring(n: int, lose: object = None, waves: int = 3) -> list[FleetSums]:
-    """n of them, each with counts of its own, after some waves; `lose`: names what is lost."""
+    """Returns n members, each with its own counts, after some waves; `lose`: whose datagrams are lost."""
     all_of = {f"n{i:03}": FleetSums(f"n{i:03}") for i in range(n)}
     names = sorted(all_of)
     draw = Random(n)
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize("n", [2, 3, 4, 5, 7, 8, 9, 13, 16, 31, 40])
-def test_all_come_to_the_sum_of_all_whatever_their_number(n: int) -> None:
+def test_all_members_compute_total_for_any_fleet_size(n: int) -> None:
     for one in ring(n):
         total = one.total(0.3)
         assert total is not None
@@ -177,7 +177,7 @@
         assert total.counts == {1: float(n)} | {100 + i: 2.0 for i in range(n)}
 
 
-def test_one_that_says_nothing_is_missing_and_old_parts_count_no_more() -> None:
+def test_silent_member_is_missing_and_old_parts_expire() -> None:
     sums = ring(13, lose="n004")
     totals = [one.total(0.3) for one in sums]
     assert all(t is None or t.members <= 13 for t in totals)
@@ -185,7 +185,7 @@
     assert ring(13)[0].total(0.3 + MAX_PART_AGE_S) is None
 
 
-def test_a_part_of_an_earlier_wave_or_of_no_level_of_the_ring_is_dropped() -> None:
+def test_part_of_earlier_wave_or_invalid_level_is_dropped() -> None:
     one = ring(8)[0]
     held = dict(one.parts)
     level, (part, _) = next(iter(held.items()))
@@ -195,7 +195,7 @@
         assert one.parts == held
 
 
-def test_sums_are_the_same_for_every_order_of_the_same_names() -> None:
+def test_ring_is_independent_of_order_of_names() -> None:
     for names in permutations(["a", "b", "c"]):
         one = FleetSums("b")
         assert [to for to, _ in one.begin_wave(0.0, names, {})] == ["c", "a"]
--- a/tests/core/peers/test_world.py
+++ b/tests/core/peers/test_world.py
@@ -1,4 +1,4 @@
-"""Fleets of 3 to 9 at virtual time, with faults from seeds: what an eye from outside sees at every step."""
+"""Fleets of 3 to 9 dispatchers in virtual time with seeded faults, checked at every step."""
 
 import sys
 from pathlib import Path
@@ -10,17 +10,17 @@
 from finchladder.sim import peers as world
 from finchladder.sim.peers import Fault, Play, World
 
-PARTS, EACH = 8, 25  # of the seeds: parts are played beside each other
+PARTS, EACH = 8, 25  # parts of the seeds, which may run in parallel, and seeds in each
 
 
 @pytest.mark.parametrize("part", range(PARTS))
-def test_no_rule_is_broken_by_any_seed(part: int) -> None:
+def test_no_seed_violates_a_rule(part: int) -> None:
     for seed in range(1 + EACH * part, 1 + EACH * (part + 1)):
         play = Play(seed)
         assert play.run() is None, f"seed {seed}: {play.broken} in {play.world}"
 
 
-def test_a_seed_is_played_the_same_again() -> None:
+def test_simulation_is_deterministic() -> None:
     plays = [Play(5), Play(5)]
     for play in plays:
         play.run()
@@ -29,7 +29,7 @@
 
 
 def used(split: tuple[int, ...], skew: float, demand: float = 150.0) -> float:
-    """The part of the limit of 50 a second that nine dispatchers use from second 20 to 40."""
+    """Returns the used share of a limit of 50 per second with nine dispatchers, from second 20 to 40."""
     faults = (Fault("split", 2.0, 60.0, 1.0, split),) if split else ()
     play, marks = Play(1, World(9, 50.0, demand, skew, 40.0, faults)), []
     for at in (20.0, 39.99):
@@ -42,82 +42,92 @@
     ("split", "skew", "least"),
     [
         ((), 0.0, 0.9),
-        ((), 0.95, 0.87),  # nearly all of it is asked for at one: what others never lend is left over
-        ((0, 1, 2), 0.0, 0.9),  # each part has its members' rights
-        ((0, 1, 2), 0.95, 0.28),  # and one that is asked alone has those of its part: a third
+        (
+            (),
+            0.95,
+            0.87,
+        ),  # nearly all demand is at one dispatcher: the others' unlendable shares remain unused
+        ((0, 1, 2), 0.0, 0.9),  # each side of the partition has its members' rates
+        ((0, 1, 2), 0.95, 0.28),  # with all demand at one dispatcher, it has the rates of its side: a third
     ],
 )
-def test_a_limit_is_used(split: tuple[int, ...], skew: float, least: float) -> None:
+def test_limit_is_used(split: tuple[int, ...], skew: float, least: float) -> None:
     assert used(split, skew) >= least
 
 
-# in which module, what is taken out, what is there for it, which rule misses it, and from which seed on
+# module, replaced source text, its replacement, the rule that detects the fault, and the first seed
 MUTANTS: dict[str, tuple[ModuleType, str, str, str, int]] = {
-    "a start forgets what its former life has lent": (
+    "a restarted owner ignores earlier leases": (
         escrow,
         "self.full_share_at = now + LEASE_S + MARGIN_S",
         "self.full_share_at = now",
         "rights",
         8,
     ),
-    "the lender's time is over first": (
+    "the lender's lease expires first": (
         escrow,
         "lent_until = now + LEASE_S + MARGIN_S",
         "lent_until = now + LEASE_S / 2",
         "rights",
         1,
     ),
-    "a lease begins when it comes": (
+    "a lease begins when it is received": (
         escrow,
         "until = g.requested_at + LEASE_S\n",
         "until = now + LEASE_S\n",
         "rights",
         45,
     ),
-    "what was returned may come again": (
+    "a returned grant is accepted again": (
         escrow,
         "or key in self.returned_until",
         "",
         "rights",
         50,
     ),
-    "a return ends what was renewed meanwhile": (
+    "a return ends a grant that was renewed since": (
         escrow,
         " or g.requested_at > r.requested_at",
         "",
         "rights",
         16,
     ),
-    "all of the own is lent": (escrow, "UNLENDABLE_SHARE = 0.1", "UNLENDABLE_SHARE = 0.0", "never zero", 1),
-    "what is needed again is renewed": (
+    "the whole own rate is lent": (
+        escrow,
+        "UNLENDABLE_SHARE = 0.1",
+        "UNLENDABLE_SHARE = 0.0",
+        "never zero",
+        1,
+    ),
+    "a needed rate is renewed": (
         escrow,
         "spare = min((1 - UNLENDABLE_SHARE) * b.own_share, b.own_share - b.demand) - lent",
         "spare = b.own_share",
         "never zero",
         1,
     ),
-    "a grant may be made smaller": (
+    "a grant is reduced": (
         escrow,
-        "serial, rate = g.serial, g.rate + more",
+        "serial, rate = g.serial, g.rate + extra_rate",
         "serial, rate = g.serial, g.rate / 2",
         "rights",
         1,
     ),
-    "a bucket keeps a right whose lease is over": (
+    "a bucket keeps a rate whose lease has expired": (
         bucket,
         "if now <= self.rate_until else",
         "if True else",
         "rights",
         17,
     ),
-    "nobody says that it is there after all": (
+    "a member does not refute suspicion": (
         membership,
-        "        if m is self.own_member:\n",
+        "        if member is self.own_member:\n",
         "        if False:\n",
         "heals",
         1,
     ),
-    "who is gone is not looked for": (
+    "gone members are not pinged": (
         membership,
         "if self.rounds % GONE_PROBE_INTERVAL == 0:",
         "if False:",
@@ -126,14 +136,14 @@
     ),
     "suspicion never ends": (
         membership,
-        "self._set_status(now, m, m.incarnation, MemberStatus.GONE, self.name)",
+        "self._set_status(now, member, member.incarnation, MemberStatus.GONE, self.name)",
         "pass",
         "heals",
         15,
     ),
-    "an old life's row is as good as a new one": (
+    "an older row replaces a newer one": (
         state_rows,
-        "if (row.incarnation, row.sequence) <= (held.incarnation, held.sequence):",
+        "if (row.incarnation, row.sequence) <= (stored.incarnation, stored.sequence):",
         "if False:",
         "once",
         1,
@@ -142,11 +152,11 @@
 
 
 def mutated(module: ModuleType, old: str, new: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Has all of core/peers use that module with other text."""
+    """Makes all of core/peers use a module with changed source text."""
     text = Path(str(module.__file__)).read_text()
     assert text.count(old) >= 1, old
     other = ModuleType(module.__name__)
-    monkeypatch.setitem(sys.modules, module.__name__, other)  # its records are looked up there
+    monkeypatch.setitem(sys.modules, module.__name__, other)  # NamedTuples are looked up in sys.modules
     exec(compile(text.replace(old, new), str(module.__file__), "exec"), other.__dict__)
     for user in (exchange, world):
         for name, value in vars(user).items():
@@ -155,7 +165,7 @@
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_a_guard_that_is_taken_out_is_missed(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_removed_guard_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     module, old, new, rule, first = MUTANTS[name]
     mutated(module, old, new, monkeypatch)
     found = (Play(seed).run() for seed in range(first, first + 30))
--- a/tests/core/test_aperture.py
+++ b/tests/core/test_aperture.py
@@ -1,4 +1,4 @@
-"""Subsets of the fleet, balanced, steady and with each key's pair inside; spill that does not flap."""
+"""Aperture subsets are balanced and stable; zone spillover does not flap."""
 
 from collections import Counter
 from random import Random
@@ -23,20 +23,20 @@
     subset_width,
 )
 
-SETTINGS = ApertureSettings(server_connections=240, connections_each=24)  # a real server serves ten
+SETTINGS = ApertureSettings(server_connections=240, connections_each=24)  # a worker serves ten dispatchers
 HOME = ("a", "m")
 ROUND = (SpilloverState.SPILLING, SpilloverState.RETURNING, SpilloverState.HOME)
 
 
 def subsets(names: list[str], dispatchers: int) -> list[set[str]]:
     ring = sorted(ring_position(n) for n in names)
-    wide = subset_width(len(ring), dispatchers, SETTINGS)
-    return [set(ring_window(ring, i, dispatchers, wide)) for i in range(dispatchers)]
+    width = subset_width(len(ring), dispatchers, SETTINGS)
+    return [set(ring_window(ring, i, dispatchers, width)) for i in range(dispatchers)]
 
 
 @settings(derandomize=True)
 @given(st.integers(1, 400), st.integers(1, 150))
-def test_each_real_server_is_in_nearly_equally_many_subsets(n: int, dispatchers: int) -> None:
+def test_workers_are_in_almost_equal_numbers_of_subsets(n: int, dispatchers: int) -> None:
     names = [f"s-{i}" for i in range(n)]
     found = subsets(names, dispatchers)
     count = Counter(name for subset in found for name in subset)
@@ -49,7 +49,7 @@
 
 @settings(max_examples=50, derandomize=True)
 @given(st.integers(100, 400), st.integers(11, 120), st.integers(0, 10**6))
-def test_a_join_or_a_leave_moves_at_most_two_of_each_subset(n: int, dispatchers: int, new: int) -> None:
+def test_join_or_leave_changes_at_most_two_workers_of_each_subset(n: int, dispatchers: int, new: int) -> None:
     names = [f"s-{i}" for i in range(n)]
     joined = subsets([*names, f"new-{new}"], dispatchers)
     for before, after in zip(subsets(names, dispatchers), joined, strict=True):
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(("n", "dispatchers"), [(1000, 50), (10_000, 200)])
-def test_one_more_dispatcher_moves_a_tenth_of_a_subset(n: int, dispatchers: int) -> None:
+def test_additional_dispatcher_changes_a_tenth_of_a_subset(n: int, dispatchers: int) -> None:
     names = [f"s-{i}" for i in range(n)]
     before, after = subsets(names, dispatchers), subsets(names, dispatchers + 1)
     moved = [len(b - a) / len(b) for b, a in zip(before, after[:-1], strict=True)]
@@ -68,7 +68,7 @@
 
 @settings(max_examples=30, derandomize=True, deadline=None)
 @given(st.integers(0, 2**32), st.integers(0, 39))
-def test_entry_by_entry_is_the_same_as_a_whole_list(seed: int, index: int) -> None:
+def test_incremental_changes_equal_full_list(seed: int, index: int) -> None:
     random, aperture, listed = Random(seed), Aperture(index, 40, SETTINGS), dict[str, tuple[str, str]]()
     inside: set[str] = set()
     for _ in range(60):
@@ -91,12 +91,12 @@
 
 
 @pytest.mark.parametrize(("index", "dispatchers"), [(None, None), (None, 40), (3, None), (3, 10)])
-def test_unknown_or_few_dispatchers_use_all(index: int | None, dispatchers: int | None) -> None:
+def test_unknown_or_few_dispatchers_use_all_workers(index: int | None, dispatchers: int | None) -> None:
     aperture = Aperture(index, dispatchers, SETTINGS)
     assert len(aperture.change([(f"s-{i}", HOME) for i in range(50)]).added) == 50
 
 
-def test_an_index_beyond_the_dispatchers_is_refused() -> None:
+def test_index_beyond_number_of_dispatchers_is_rejected() -> None:
     with pytest.raises(ValueError, match="none of 40"):
         Aperture(40, 40, SETTINGS)
 
@@ -104,7 +104,7 @@
 def walk(
     demand_of: list[float], other_free: list[float]
 ) -> tuple[ZoneSpillover, list[tuple[float, SpilloverState]]]:
-    """A home of 100 slots, looked at each 0.1 s; what goes away leaves its slots free."""
+    """Observes a home zone of 100 slots every 0.1 s; spilled load frees its slots."""
     spill, seen, now = ZoneSpillover(SpilloverSettings()), [(0.0, SpilloverState.HOME)], 0.0
     for demand, free in zip(demand_of, other_free, strict=True):
         away = demand * spill.share_away if spill.target else 0.0
@@ -125,14 +125,14 @@
             90.0,
             [SpilloverState.HOME, SpilloverState.SPILLING],
             (0.05, 0.26),
-        ),  # what must
+        ),  # as much as necessary
         (
             [130.0] * 300 + [85.0] * 300,
             90.0,
             [SpilloverState.HOME, SpilloverState.SPILLING],
             (0, 0.1),
         ),  # home nearly full
-        ([130.0] * 600, 10.0, [SpilloverState.HOME], (0, 0)),  # the other zone has no room either
+        ([130.0] * 600, 10.0, [SpilloverState.HOME], (0, 0)),  # the other zone has no capacity either
         (
             [*([60.0] * 20 + [130.0] * 4) * 25],
             90.0,
@@ -142,7 +142,7 @@
         ([130.0] * 300 + [60.0] * 300, 90.0, [SpilloverState.HOME, *ROUND], (0, 0)),
     ],
 )
-def test_spills_and_comes_back(
+def test_zone_spills_and_returns(
     demand: list[float], free: float, states: list[SpilloverState], part: tuple[float, float]
 ) -> None:
     spill, seen = walk(demand, [free] * len(demand))
@@ -154,8 +154,8 @@
 
 @pytest.mark.parametrize("step", [1.0, 5.0, 20.0])
 @pytest.mark.parametrize("other_step", [0.0, 20.0])
-def test_no_random_walk_makes_it_flap(step: float, other_step: float) -> None:
-    """Ten walks of five minutes round the thresholds; in half of them the other zone flickers."""
+def test_random_walks_do_not_cause_flapping(step: float, other_step: float) -> None:
+    """Ten walks of five minutes around the thresholds; in half of them the other zone varies too."""
     for seed in range(10):
         random, demand, free, demands, frees = Random(seed), 95.0, 30.0, [], []
         for _ in range(3000):
@@ -170,7 +170,7 @@
         assert soon <= 3
 
 
-def test_refusals_make_a_zone_full_and_a_zone_that_is_full_gets_nothing() -> None:
+def test_rejections_mark_zone_full_and_full_zone_receives_nothing() -> None:
     spill, others = ZoneSpillover(SpilloverSettings()), {"b": ZoneLoad(100, 50), "c": ZoneLoad(100, 80)}
     for i in range(7):
         spill.observe(i / 10, ZoneLoad(100, 50, sent=20, rejected=3), others)
@@ -182,7 +182,7 @@
     assert spill.next_zone() != "b"
 
 
-def test_spill_states_and_signs_are_all_in_the_table() -> None:
+def test_transition_table_covers_all_spillover_states_and_events() -> None:
     assert {s for s, _ in TRANSITIONS} == set(SpilloverState)
     assert {s for _, s in TRANSITIONS} == set(SpilloverEvent)
     with pytest.raises(ValueError, match="full_at"):
--- a/tests/core/test_members.py
+++ b/tests/core/test_members.py
@@ -1,4 +1,4 @@
-"""The aperture in front of the fleet index: what is outside is not known behind it, what leaves ends well."""
+"""Filter of the aperture: workers outside are unknown, and jobs of leaving workers complete."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 from finchladder.net.endpoint_watcher import EndpointWatcher
 from tests.helpers import Bench, entry, settings
 
-TEN = ApertureSettings(server_connections=240, connections_each=24)  # a real server serves ten dispatchers
+TEN = ApertureSettings(server_connections=240, connections_each=24)  # a worker serves ten dispatchers
 AT = ("127.0.0.1", 80)
 Told = tuple[api.WorkerList, dict[str, tuple[str, int]]]
 
@@ -35,7 +35,7 @@
 
 
 class Behind:
-    """The decisions behind the members, told only what comes out."""
+    """A dispatcher that receives only the filtered lists."""
 
     def __init__(self, index: int = 7, dispatchers: int = 40, n: int = 200) -> None:
         self.members = SubsetFilter(index, dispatchers, TEN)
@@ -54,7 +54,7 @@
         return {w.address for w in self.bench.d.workers.values() if w.is_ready}
 
 
-def test_both_homes_of_a_key_are_inside_and_what_is_outside_is_not_known() -> None:
+def test_both_candidates_of_a_key_are_inside_and_outside_workers_unknown() -> None:
     b = Behind()
     inside = {name for name in b.names if name in b.members.aperture}
     assert b.ready == inside
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("state", [WorkerStatus.DRAINING, WorkerStatus.REMOVED])
-def test_news_of_what_is_outside_is_void_but_for_what_moves_by_it(state: WorkerStatus) -> None:
+def test_changes_outside_have_no_effect_except_on_subset(state: WorkerStatus) -> None:
     b = Behind()
     outside = next(name for name in b.names if name not in b.members.aperture)
     before, zone = b.ready, b.members.listed[outside].zone
@@ -87,7 +87,7 @@
     assert inside not in b.ready
 
 
-def test_a_join_or_a_leave_moves_few_and_what_left_gets_nothing_new_while_its_job_ends_as_always() -> None:
+def test_worker_leaving_subset_gets_no_new_jobs_and_completes_old_ones() -> None:
     b = Behind()
     jobs = {sent.worker: name for name, [sent] in (b.bench.ask() for _ in range(50))}
     assert len(jobs) == 50
@@ -111,7 +111,7 @@
 
 @examples(max_examples=40, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 2**32), st.integers(0, 39))
-def test_entry_by_entry_what_is_known_behind_is_what_a_whole_list_gives(seed: int, index: int) -> None:
+def test_incremental_filtering_equals_filtered_full_list(seed: int, index: int) -> None:
     random, b = Random(seed), Behind(index, 40, 60)
     held = {name: entry(name, zone="ab"[i % 2]) for i, name in enumerate(b.names)}
     for _ in range(40):
@@ -140,10 +140,10 @@
     return json.dumps({"index": index, "snapshot": whole, "endpoints": listed}).encode()
 
 
-def test_a_long_list_is_taken_whole_before_any_of_it_is_applied_and_news_overtake_it(
+def test_long_list_is_read_completely_before_use_and_urgent_changes_overtake_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Half read, it would have another subset, whose real servers would come and go."""
+    """Applied by slices, the list would have other subsets in between, whose workers would join and leave."""
 
     async def play() -> None:
         monkeypatch.setattr(endpoint_watcher, "LONG_LIST_BYTES", 2000)
@@ -176,7 +176,7 @@
         assert all(
             s is state.get(n, WorkerStatus.READY) for n, s in ready.items() if s is not WorkerStatus.REMOVED
         )
-        assert len(applied) <= 50 + 16  # the subset, and what the first slices' subsets had of it
+        assert len(applied) <= 50 + 16  # the subset, and at most one slice of 16 entries
 
     asyncio.run(play())
 
@@ -192,12 +192,12 @@
         ("[spill]\nrefused_at = 0", "> 0"),
     ],
 )
-def test_settings_that_cant_be_used_are_said_in_one_line(text: str, error: str) -> None:
+def test_invalid_settings_are_rejected(text: str, error: str) -> None:
     with pytest.raises(ValueError, match=error):
         read_ini(text, "a.ini")
 
 
-def test_an_index_beyond_the_dispatchers_ends_the_start() -> None:
+def test_index_beyond_number_of_dispatchers_prevents_start() -> None:
     options = read_ini("[aperture]", "a.ini")
     assert options.aperture == ApertureOptions()
     with pytest.raises(ValueError, match="none of 3"):
@@ -206,6 +206,6 @@
     read_ini("", "a.ini").check([], 192, settings(index=3, dispatchers=3))
 
 
-def test_off_there_is_neither_filter_nor_split() -> None:
+def test_disabled_aperture_adds_no_filter_or_zone_split() -> None:
     assert Dispatcher(settings(), 1).worker_index.pools[None].by_zone == {}
     assert EndpointWatcher(AT, lambda *a: None, lambda names: None, http1.connect).subset is None
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: every small history beside an oracle, long random ones, and a table of cases for each rule."""
+"""Membership: all small histories and long random ones against an oracle, and cases for each rule."""
 
 from collections import Counter
 from random import Random
@@ -44,7 +44,7 @@
         [*BOTH, Act(ETCD, {}, whole=True)],
     ],
 )
-def test_all_histories_of_two_actions_from_other_beginnings(first: list[Act]) -> None:
+def test_all_histories_of_two_actions_from_other_initial_states(first: list[Act]) -> None:
     assert check_all(2, first) == 144
 
 
@@ -61,7 +61,7 @@
         return super().__getitem__(pair)
 
 
-def test_random_histories_that_take_every_transition(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_random_histories_cover_every_transition(monkeypatch: pytest.MonkeyPatch) -> None:
     tables = {module: Seen(module.TRANSITIONS) for module in (decisions, sources, removal_guards)}
     for module, table in tables.items():
         monkeypatch.setattr(module, "TRANSITIONS", table)
@@ -76,7 +76,7 @@
 
 @settings(max_examples=20, deadline=None, derandomize=True)
 @given(st.lists(st.dictionaries(st.sampled_from("abcdefgh"), WORDS, max_size=2), max_size=20))
-def test_one_source_that_changes_slowly_is_simply_followed(changes: list[dict[str, Word]]) -> None:
+def test_single_slowly_changing_source_is_followed(changes: list[dict[str, Word]]) -> None:
     pair, truth = Pair([Source(DISCOVERY)], MembershipSettings()), dict[str, Word]()
     for words in [{n: Word(R) for n in "abcdefgh"}, *changes]:
         usable = {n: Word(w.state, 0.0) for n, w in words.items()}
@@ -91,7 +91,7 @@
 
 
 class Case:
-    """Both sources have told ten ready real servers; etcd leads."""
+    """Both sources have reported `count` ready workers; etcd is the leader."""
 
     def __init__(self, count: int = 10, **rules: Any) -> None:
         self.pair = Pair(SOURCES, MembershipSettings(**rules))
@@ -111,7 +111,7 @@
         self.pair.play(Act(source, words, **more))
 
     def wait(self, seconds: float, *heard: str) -> None:
-        """These sources are heard meanwhile."""
+        """Lets time pass, with heartbeats of the given sources every second."""
         for _ in range(int(seconds)):
             self.pair.play(Act(ticks=SECOND))
             for source in heard:
@@ -134,7 +134,7 @@
         return found
 
 
-BORN = 5.0  # a later start
+BORN = 5.0  # start of a later incarnation
 
 
 @pytest.mark.parametrize(
@@ -146,16 +146,16 @@
         (Word(R), Word(G), R),
         (Word(G), Word(R), G),
         (Word(G), Word(D), G),
-        (Word(R, BORN), Word(D), R),  # the drain was about the start before
+        (Word(R, BORN), Word(D), R),  # the drain was of the previous incarnation
         (Word(D), Word(R, BORN), R),
         (Word(R), Word(D, BORN), D),
-        (Word(R, BORN), Word(D, ANY_START, 0), D),  # a notice holds for any start
+        (Word(R, BORN), Word(D, ANY_START, 0), D),  # a notice applies to every incarnation
         (Word(D, ANY_START), Word(R, BORN), D),
-        (Word(G), Word(D, ANY_START, 0), G),  # a notice alone lists nobody
+        (Word(G), Word(D, ANY_START, 0), G),  # a notice alone lists no worker
         (Word(D, ANY_START, 0), Word(R), G),
     ],
 )
-def test_two_sources_disagree_about_one_real_server_for_a_minute(
+def test_two_sources_disagree_on_one_worker_for_a_minute(
     lead: Word, other: Word, believed: api.WorkerStatus
 ) -> None:
     case = Case()
@@ -169,10 +169,10 @@
         assert born == max(w.born for w in (lead, other) if w.born != ANY_START) or believed is G
     notice = ANY_START in (lead.born, other.born)
     wanted = [FactKind.LEADS] + [FactKind.DISAGREE] * (lead.state is not other.state and not notice)
-    assert case.told() == wanted  # and once only
+    assert case.told() == wanted  # and only once
 
 
-def test_that_the_sources_agree_is_told_once_all_of_it_is_over() -> None:
+def test_agreement_is_reported_once_after_all_disagreements() -> None:
     case = Case()
     case.tell(DISCOVERY, {"w0": Word(G), "w1": Word(G)})
     case.wait(6, ETCD, DISCOVERY)
@@ -183,7 +183,7 @@
     assert case.told() == [FactKind.AGREED]
 
 
-def test_a_drain_holds_though_its_source_is_lost_or_lists_the_real_server_no_more() -> None:
+def test_drain_applies_after_source_is_lost_or_removes_worker() -> None:
     case = Case()
     case.tell(DISCOVERY, {"w0": Word(D), "w1": Word(D)})
     case.tell(DISCOVERY, {"w1": Word(G)})
@@ -194,7 +194,7 @@
     assert case.ready() == 10
 
 
-def test_drains_of_a_lost_source_end_with_the_age_of_its_list() -> None:
+def test_drains_of_lost_source_end_with_maximum_age_of_its_list() -> None:
     case = Case(max_age_s=60.0)
     case.tell(DISCOVERY, {"w0": Word(D)})
     case.wait(59, ETCD)
@@ -203,7 +203,7 @@
     assert case.state("w0") is R
 
 
-def test_another_leads_when_the_first_is_lost_and_gives_back_once_that_is_steady() -> None:
+def test_second_source_leads_until_first_is_stable_again() -> None:
     case = Case()
     case.tell(DISCOVERY, {"w0": Word(G)})
     case.wait(2.5, DISCOVERY)
@@ -218,14 +218,14 @@
     assert case.told() == [FactKind.LEADS, FactKind.LOST, FactKind.LEADS, FactKind.BACK, FactKind.LEADS]
 
 
-def test_a_stall_that_ends_in_a_replay() -> None:
-    """The connection stands for a minute; meanwhile discovery tells drains, leavings and a restart."""
+def test_stall_that_ends_in_replay() -> None:
+    """The connection stalls for a minute, while discovery reports drains, removals and a restart."""
     case = Case()
     case.wait(10, DISCOVERY)
     case.tell(DISCOVERY, {"w0": Word(D), "w1": Word(D), "w2": Word(D)})
     case.tell(DISCOVERY, {"w1": Word(G), "w2": Word(R, BORN)})
     case.wait(50, DISCOVERY)
-    for n in range(3):  # old words, one after another
+    for n in range(3):  # outdated entries, one after another
         case.tell(ETCD, {"w3": Word(D), "w1": Word(R), "w2": Word(D)}, in_step=False)
         case.tell(ETCD, {"w3": Word(R), "w4": Word(G)}, in_step=False)
         assert (case.state("w3"), case.state("w4"), case.state("w2"), case.ready()) == (R, R, R, 8), n
@@ -235,7 +235,7 @@
     assert [case.state(f"w{n}") for n in range(5)] == [D, D, R, R, R]
 
 
-def test_what_follows_on_nothing_is_dropped_and_told_of_once() -> None:
+def test_out_of_order_reports_are_dropped_and_logged_once() -> None:
     case = Case()
     case.told()
     for _ in range(3):
@@ -246,8 +246,8 @@
 
 
 @pytest.mark.parametrize(("epoch", "step", "at_once"), [("", -5, False), ("restored", -5, True)])
-def test_a_source_restored_from_a_backup(epoch: str, step: int, at_once: bool) -> None:
-    """The list in use stays until the new one is whole and believed; what drains holds, old or new."""
+def test_source_restored_from_backup(epoch: str, step: int, at_once: bool) -> None:
+    """The old list is used until the new one is complete and accepted; drains of both lists apply."""
     case = Case(count=4)
     case.tell(ETCD, {"w0": Word(D)})
     backup = {n: w for n, w in case.all.items() if n != "w3"} | {"w1": Word(D)}
@@ -260,7 +260,7 @@
     assert case.ready() == 3
 
 
-def test_drains_of_a_doubted_list_count_while_its_source_is_heard() -> None:
+def test_drains_of_pending_list_apply_while_source_is_reachable() -> None:
     case = Case(back_s=60.0)
     case.tell(ETCD, case.all | {"w0": Word(D), "w1": Word(D)}, whole=True, step=-5)
     for words in (None, {"w1": Word(R)}):
@@ -272,7 +272,7 @@
     assert (case.state("w0"), case.state("w1")) == (D, R)
 
 
-def test_a_member_that_lags_answers_the_range_and_another_the_watch() -> None:
+def test_lagging_etcd_member_answers_range_and_another_the_watch() -> None:
     case = Case(count=4)
     case.tell(ETCD, {"w0": Word(D)}, step=3)
     case.tell(ETCD, case.all, whole=True, step=-2)
@@ -284,21 +284,21 @@
     assert FactKind.ANEW not in case.told()
 
 
-def test_a_mass_of_leases_that_end_is_not_believed() -> None:
+def test_mass_expiry_of_leases_is_held_back() -> None:
     case = Case(count=20, hold_s=10.0)
-    for n in range(20):  # one by one, within the window
+    for n in range(20):  # removed one by one within the window
         case.tell(ETCD, {f"w{n}": Word(G)})
         assert case.ready() >= 10
     assert case.ready() == 20
     assert FactKind.HOLDING in case.told()
-    case.tell(ETCD, {"w0": Word(D)})  # one that comes back to drain
+    case.tell(ETCD, {"w0": Word(D)})  # a held worker is listed again as draining
     case.tell(DISCOVERY, {"w1": Word(D)})
-    case.tell(DISCOVERY, {"w2": Word(G)})  # the second sign
+    case.tell(DISCOVERY, {"w2": Word(G)})  # confirmed by the second source
     assert (case.state("w0"), case.state("w1"), case.state("w2"), case.ready()) == (D, G, G, 17)
     case.tell(ETCD, {"x": Word(R)})
-    case.wait(60, ETCD, DISCOVERY)  # past hold_s, but discovery lists them
+    case.wait(60, ETCD, DISCOVERY)  # longer than hold_s, but discovery lists them
     assert case.ready() == 18
-    for n in range(3, 19):  # they come back, one after another; one does not
+    for n in range(3, 19):  # all but one are listed again, one after another
         case.wait(0.5, ETCD, DISCOVERY)
         case.tell(ETCD, {f"w{n}": Word(R)})
         assert case.ready() == 18
@@ -318,7 +318,7 @@
         (6, 0.5, 1.0, True),
     ],
 )
-def test_how_many_may_vanish(gone: int, share: float, window: float, believed: bool) -> None:
+def test_share_of_workers_that_may_be_removed(gone: int, share: float, window: float, believed: bool) -> None:
     case = Case(max_vanish=share, vanish_window_s=window)
     for n in range(gone):
         case.tell(ETCD, {f"w{n}": Word(G)})
@@ -326,7 +326,7 @@
     assert case.ready() == (10 - gone if believed else 10)
 
 
-def test_whoever_drained_may_go_in_any_number_and_a_fleet_may_be_replaced() -> None:
+def test_drained_workers_may_all_be_removed_and_fleet_replaced() -> None:
     case = Case()
     case.tell(ETCD, {n: Word(D) for n in case.all})
     case.tell(ETCD, {f"x{n}": Word(R) for n in range(10)}, whole=True)
@@ -338,12 +338,12 @@
     assert FactKind.HOLDING not in case.told()
 
 
-def test_an_empty_list_is_never_believed_but_part_of_a_fleet_is_after_a_while() -> None:
+def test_empty_list_is_never_applied_but_partial_removal_is_after_hold() -> None:
     case = Case(hold_s=20.0)
     case.tell(DISCOVERY, {f"w{n}": Word(G) for n in range(4)})
     case.tell(ETCD, {}, whole=True)
-    assert case.ready() == 6  # those that both lack are gone
-    case.wait(3, ETCD)  # discovery is lost: nobody lists them
+    assert case.ready() == 6  # workers that neither source lists are removed
+    case.wait(3, ETCD)  # discovery is lost: no live source lists them
     case.wait(100, ETCD)
     assert case.ready() == 6
     case.tell(ETCD, {"x": Word(R)})
@@ -351,7 +351,7 @@
     assert case.ready() == 1
 
 
-def test_an_entry_that_comes_and_goes_must_be_steady_unless_it_is_the_last() -> None:
+def test_flapping_entry_must_be_stable_unless_it_is_the_last() -> None:
     case = Case(count=3)
     for _ in range(3):
         case.tell(ETCD, {"w0": Word(G)})
@@ -367,10 +367,10 @@
     assert case.state("w0") is R
     case.tell(ETCD, {"w0": Word(D)})
     case.tell(ETCD, {"w0": Word(R), "w1": Word(D), "w2": Word(D)})
-    assert case.ready() == 1  # rather than nobody
+    assert case.ready() == 1  # rather than no worker at all
 
 
-def test_a_list_of_before_is_used_until_a_source_lives_and_not_if_it_is_too_old() -> None:
+def test_stored_list_is_used_until_source_is_live_unless_too_old() -> None:
     for age, used in ((100.0, True), (7200.0, False)):
         m = decisions.Membership([Source(DISCOVERY), PAST], MembershipSettings())
         entries = (api.WorkerEntry("a", R), api.WorkerEntry("b", D))
@@ -385,28 +385,28 @@
         live = m.report(60.0, decisions.Report(DISCOVERY, 1, whole, dict.fromkeys("ab", ("h", 1))))
         assert {e.worker for e in live.workers.entries} == (
             {"b"} if used else {"a", "b"}
-        )  # its drain is over
+        )  # its drain has ended
         assert live.workers.kind is (api.ListKind.PATCH if used else api.ListKind.FULL)
 
 
-def test_without_any_source_the_list_stays_and_its_age_is_told() -> None:
+def test_list_stays_without_sources_and_its_age_is_logged() -> None:
     case = Case(count=4, max_age_s=60.0, back_s=600.0)
     case.wait(70)
     assert case.ready() == 4
     assert case.told().count(FactKind.OLD) == 1
-    case.tell(ETCD, {"w0": Word(R), "w1": Word(R)}, whole=True, step=-5)  # doubted no more
+    case.tell(ETCD, {"w0": Word(R), "w1": Word(R)}, whole=True, step=-5)  # no longer pending
     case.wait(0.5)
     assert case.ready() == 2
 
 
-def test_a_long_list_is_gone_through_in_slices_and_ends_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_long_list_is_processed_in_slices_with_same_result(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(decisions, "SLICE_SIZE", 2)
     m = decisions.Membership([Source(DISCOVERY)], MembershipSettings())
     entries = tuple(api.WorkerEntry(f"w{n}", D if n > 6 else R) for n in range(9))
     where = {e.worker: ("h", 1) for e in entries}
     told = m.report(1.0, decisions.Report(DISCOVERY, 1, api.WorkerList(api.ListKind.FULL, entries), where))
     names = [e.worker for e in told.workers.entries]
-    assert names == ["w7", "w8", "w0", "w1"]  # what drains comes first, all of it
+    assert names == ["w7", "w8", "w0", "w1"]  # all draining entries come first
     gone = api.WorkerList(api.ListKind.PATCH, (api.WorkerEntry("w5", G),))
     assert m.next_due < 1.0
     for _ in range(2):
@@ -417,7 +417,7 @@
 
 
 @pytest.mark.parametrize("one_before", [False, True])
-def test_a_long_list_that_lacks_all_changes_nothing_on_the_way(
+def test_long_list_without_known_workers_removes_none_meanwhile(
     one_before: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(decisions, "SLICE_SIZE", 2)
@@ -441,7 +441,7 @@
     tell(DISCOVERY, 1, api.ListKind.FULL, ready)
     tell(DISCOVERY, 2, api.ListKind.PATCH, {"w1": D, "w2": G, "w3": G})
     tell(ETCD, 2, api.ListKind.PATCH, {"w0": G} if one_before else {})
-    tell(ETCD, 3, api.ListKind.FULL, {}, 2.5)  # the process is slow: the slices take over a second
+    tell(ETCD, 3, api.ListKind.FULL, {}, 2.5)  # the process is slow: the slices take more than a second
     assert {n for n, s in told.items() if s is G} == {"w1", "w2", "w3"}
     assert told["w0"] is R
     assert [seen.get(f"w{n}", 0) for n in range(4)] == [one_before, 1, 1, 1]
@@ -451,9 +451,7 @@
 
 
 @pytest.mark.parametrize(("most", "left_out"), [(3, 2), (5, 0)])
-def test_more_names_than_are_kept_are_left_out(
-    most: int, left_out: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_names_beyond_limit_are_omitted(most: int, left_out: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(sources, "MAX_NAMES", most)
     m = decisions.Membership([Source(DISCOVERY)], MembershipSettings())
     workers = api.WorkerList(api.ListKind.FULL, tuple(api.WorkerEntry(name, R) for name in "abcde"))
--- a/tests/core/test_recalls.py
+++ b/tests/core/test_recalls.py
@@ -1,4 +1,4 @@
-"""Calls of discovery by many dispatchers at once."""
+"""Backoff of calls to discovery by many dispatchers at once."""
 
 from collections import Counter
 from random import Random
@@ -22,7 +22,7 @@
 
 
 def calls(dispatchers: int, seconds: float, one_wait: bool = False) -> list[float]:
-    """When all of them call, if all lose their watch at 0 and every call fails at once."""
+    """Returns the times of all calls if all watches are lost at 0 and every call fails at once."""
     made = []
     for n in range(dispatchers):
         own = recalls(dispatchers, n)
@@ -34,12 +34,14 @@
 
 
 @pytest.mark.parametrize(("dispatchers", "a_second"), [(1, 2), (3, 6), (8, 14), (40, 40)])
-def test_a_discovery_that_fails_gets_few_calls_a_second(dispatchers: int, a_second: float) -> None:
+def test_failing_discovery_receives_few_calls_per_second(dispatchers: int, a_second: float) -> None:
     late = [at for at in calls(dispatchers, 30.0) if at > 10.0]
-    assert len(late) / 20 < a_second  # eight dispatchers as before: each 1.7 calls a second
+    assert (
+        len(late) / 20 < a_second
+    )  # with eight dispatchers, as in a small fleet, each makes 1.7 calls per second
 
 
-def test_a_watch_that_all_lose_at_once_is_asked_for_spread_over_all_the_time_there_is() -> None:
+def test_reopening_after_common_loss_is_spread_over_allowed_time() -> None:
     per_tenth = Counter(int(at * 10) for at in calls(40, 30.0, one_wait=True))
     assert set(per_tenth) == set(range(10))
     assert max(per_tenth.values()) <= 9
@@ -48,9 +50,7 @@
 
 @pytest.mark.parametrize("shared", [True, False])
 @pytest.mark.parametrize("dispatchers", [1, 8, 28, 999])
-def test_whatever_was_lost_or_failed_a_change_is_had_in_the_time_in_which_it_counts_as_told(
-    dispatchers: int, shared: bool
-) -> None:
+def test_change_is_propagated_in_time_after_any_loss_or_failure(dispatchers: int, shared: bool) -> None:
     rules = WatchState(shared)
     own = WatchBackoff(dispatchers, Random(1), rules.reopen_within_s, rules.retry_within_s)
     call = rules.open_timeout_s
@@ -67,14 +67,14 @@
     ("dispatchers", "most"),
     [(1, MAX_WAIT_S), (8, MAX_WAIT_S), (12, MAX_WAIT_S + 0.4), (999, SHARED.retry_within_s)],
 )
-def test_waits_grow_with_the_dispatchers_up_to_a_bound(dispatchers: int, most: float) -> None:
+def test_waits_grow_with_number_of_dispatchers_up_to_bound(dispatchers: int, most: float) -> None:
     own = recalls(dispatchers)
     waits = [own.next_wait_s(opened=False, news=False) for _ in range(200)]
     assert max(waits) <= most
     assert min(waits[20:]) >= most / 2
 
 
-def test_news_ends_a_long_wait() -> None:
+def test_change_resets_backoff() -> None:
     own = recalls(3)
     for _ in range(10):
         own.next_wait_s(opened=False, news=False)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Peers on real sockets: real servers, discovery and clients that do what a test says."""
+"""Counterparts of a dispatcher on real sockets: workers, discovery and clients, controlled by the tests."""
 
 import asyncio
 import itertools
@@ -46,7 +46,7 @@
 
 
 async def exchange(port: int, data: bytes, pieces: int = 1, client: str = "127.0.0.1") -> Message:
-    """One message to the dispatcher on a connection of its own, in so many pieces."""
+    """Sends one message to the dispatcher on a new connection, in `pieces` writes, and returns the answer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, local_addr=(client, 0))
     size = -(-len(data) // pieces)
     for at in range(0, len(data), size):
@@ -126,7 +126,7 @@
 
 
 class Discovery(Listener):
-    """Answers every watch with what `first` holds, then passes on what the test pushes; else it is silent."""
+    """Answers every watch with the line `first`, then sends only the lines that the test pushes."""
 
     def __init__(self) -> None:
         self.first = b""
@@ -141,7 +141,7 @@
             self.push(self.first)
 
     def push(self, line: bytes, size: int = 7) -> None:
-        """A line in chunks that end anywhere."""
+        """Sends a line in chunks of `size` bytes."""
         for at in range(0, len(line) + 1, size):
             piece = (line + b"\n")[at : at + size]
             self.watches[-1].write(b"%x\r\n%s\r\n" % (len(piece), piece) if piece else b"")
@@ -157,10 +157,11 @@
 
 
 def free_port() -> int:
-    """For a process that is yet to listen there.
+    """Returns a port for a process that will listen on it.
 
-    Below the range from which the system takes ports for connections, and at a place of this process's own:
-    else another test that plays at the same time may be given the port before it is listened on.
+    It is below the range from which the system takes ports for connections, and the search starts at a
+    position derived from the process id: otherwise a test that runs at the same time might get the port
+    before it is listened on.
     """
     for port in _ports:
         with socket.socket() as s, suppress(OSError):
@@ -179,7 +180,7 @@
         return await exchange(self.port, request(*args, **more))
 
     async def list(self, *entries: dict[str, object], index: int = 9) -> None:
-        """Returns once the list is in use: an unusable line ends the watch, the next one names it."""
+        """Returns once the list is in use: an invalid line ends the watch; the next one names its index."""
         self.discovery.push(list_line(index, [*entries]))
         self.discovery.push(b"}")
         while not self.discovery.asked[-1].endswith(f"index={index}"):
@@ -190,7 +191,7 @@
 async def node(
     tmp_path: Path, *servers: RealServer, ini: str = "", args: tuple[str, ...] = (), **more: object
 ) -> AsyncIterator[Node]:
-    """The program as it is deployed, with these real servers in the list that it knows from before."""
+    """Runs the program as deployed, with these workers in its initial list."""
     discovery, port = Discovery(), free_port()
     for listener in (discovery, *servers):
         await listener.open()
--- a/tests/test_believing.py
+++ b/tests/test_believing.py
@@ -1,4 +1,4 @@
-"""Membership around its decision: the last good list on disk, the actor, and the program as it is started."""
+"""Membership outside its core: the last good list on disk, the actor, and the whole program."""
 
 import asyncio
 import os
@@ -32,7 +32,7 @@
 GOOD = LastGood("etcd", 7, 1796122054.5, write_list(7, LISTED))
 
 
-def test_a_written_list_is_read_as_it_was() -> None:
+def test_written_list_round_trips() -> None:
     news = read_list(GOOD.body)
     assert news.workers == api.WorkerList(api.ListKind.FULL, tuple(e for e, _ in LISTED))
     assert news.addresses == {e.worker: address for e, address in LISTED}
@@ -51,12 +51,12 @@
 
 
 def read(path: Path) -> tuple[Found | None, str]:
-    """As the thread does it."""
+    """Reads the file as the thread does, and returns the log as well."""
     found: tuple[Found | None, str] = log_of(last_good_file(str(path))._read)
     return found
 
 
-def test_a_list_is_written_whole_and_read_back(tmp_path: Path) -> None:
+def test_list_file_is_written_atomically_and_read_back(tmp_path: Path) -> None:
     path = tmp_path / "new" / "last"
     assert read(path) == (None, "")
     last_good_list.write(path, GOOD)
@@ -89,7 +89,7 @@
     ],
     ids=range(10),
 )
-def test_a_broken_or_foreign_file_is_named_and_set_aside(data: bytes, why: str, tmp_path: Path) -> None:
+def test_corrupt_or_foreign_file_is_logged_and_set_aside(data: bytes, why: str, tmp_path: Path) -> None:
     path = tmp_path / "last"
     path.write_bytes(data)
     found, said = read(path)
@@ -101,11 +101,11 @@
     assert (tmp_path / "last.set-aside").read_bytes() == data
 
 
-def test_a_failing_disk_is_told_of_once_and_leaves_the_file_as_it_was(tmp_path: Path) -> None:
+def test_disk_failure_is_logged_once_and_keeps_file(tmp_path: Path) -> None:
     path = tmp_path / "last"
     file: LastGoodFile[EndpointUpdate] = last_good_file(str(path))
     file._write(lambda: GOOD)
-    (tmp_path / "last.new").mkdir()  # it can't be written beside its place
+    (tmp_path / "last.new").mkdir()  # the temporary file can't be created
     said = log_of(lambda: file._write(lambda: GOOD._replace(version=9)))[1]
     said += log_of(lambda: file._write(lambda: GOOD._replace(version=9)))[1]
     assert said.count("can't be written") == 1
@@ -118,7 +118,7 @@
     assert last_good_list.decode(path.read_bytes()).version == 7
 
 
-def test_the_thread_reads_first_and_writes_the_newest_before_it_ends(tmp_path: Path) -> None:
+def test_thread_reads_first_and_writes_newest_list_before_it_ends(tmp_path: Path) -> None:
     path, found = tmp_path / "last", list[Found | None]()
     file = last_good_file(str(path))
     for n in range(5):
@@ -129,7 +129,7 @@
     assert last_good_list.decode(path.read_bytes()).version == 4
 
 
-def test_the_page_has_the_settings_as_they_are() -> None:
+def test_page_lists_current_settings() -> None:
     page = (ROOT / "docs" / "MEMBERSHIP.md").read_text().partition("## When")[0]
     lines = [[cell.strip(" `") for cell in line.split("|")] for line in page.splitlines()]
     rows = {line[1]: line[3:5] for line in lines if len(line) == 6}
@@ -141,7 +141,9 @@
         least = "" if meta.ge is None else f"{meta.ge:g} to {meta.le}"
         assert (rows[name][0].removesuffix(" s"), rows[name][1]) == (least, told), name
     rules = {f: getattr(MembershipOptions().settings(), f) for f in MembershipSettings.__dataclass_fields__}
-    assert rules == {f: getattr(MembershipSettings(), f) for f in rules}  # what the file leaves out
+    assert rules == {
+        f: getattr(MembershipSettings(), f) for f in rules
+    }  # defaults of settings that the file omits
 
 
 # --- the actor ----------------------------------------------------------------------------------------------
@@ -164,7 +166,7 @@
 
 
 class Disk:
-    """Holds one list, and is as slow as it is told."""
+    """Stores one list; with `answers` False it never completes a read."""
 
     def __init__(self, good: LastGood | None, answers: bool = True) -> None:
         self.good, self.answers = good, answers
@@ -186,7 +188,7 @@
     return Report("discovery", version, workers, dict.fromkeys(names, ("127.0.0.1", 80)))
 
 
-def test_a_long_list_comes_in_slices_and_time_is_kept() -> None:
+def test_long_list_is_applied_in_slices_and_timeouts_are_checked() -> None:
     async def play() -> None:
         applied, now = Applied(), [100.0]
         sources = [Source("discovery", 0.0), Source("etcd", 60.0)]
@@ -197,7 +199,7 @@
         assert applied.calls == [("change", 9 + 256)]
         while len(applied.states) < 600:
             await asyncio.sleep(0.001)
-        assert not actor.membership.source_states[0].is_live  # its time was up as it was told
+        assert not actor.membership.source_states[0].is_live  # its silence timeout of 0 s has passed
         actor.report(whole({"w0": R}, 6))
         assert applied.calls[-1] == ("tell", 9)
         assert applied.states["w0"] is R
@@ -210,13 +212,13 @@
     ("source", "version", "age", "known", "answers", "used"),
     [
         ("discovery", 7, 60.0, 6, True, True),
-        ("discovery", 7, 60.0, 8, True, False),  # what the configuration knows is newer
-        ("etcd", 7, 60.0, 8, True, True),  # no such order between the two
+        ("discovery", 7, 60.0, 8, True, False),  # the list of the configuration is newer
+        ("etcd", 7, 60.0, 8, True, True),  # versions of etcd and of discovery are not comparable
         ("etcd", 7, 7200.0, 8, True, False),
         ("etcd", 7, 60.0, None, False, False),  # the disk hangs
     ],
 )
-def test_which_list_a_start_begins_with(
+def test_list_used_at_start(
     source: str,
     version: int,
     age: float,
@@ -236,7 +238,7 @@
         assert await actor.load_last_good(line) == (b"" if used else line)
         assert applied.states == ({"a": R, "b": D} if used else {})
         actor.close()
-        assert disk.good == good  # a list of before is not written again, as if it were of now
+        assert disk.good == good  # the old list is not written again with the current time
         actor.report(whole({"a": R, "c": D}))
         actor.close()
         assert disk.good is not None
@@ -246,7 +248,7 @@
     asyncio.run(play())
 
 
-def test_lines_of_one_kind_are_not_told_more_than_once_a_second() -> None:
+def test_log_lines_of_one_kind_are_limited_to_one_per_second() -> None:
     async def play() -> None:
         now = [100.0]
         actor = MembershipActor([Source("discovery")], MembershipSettings(), lambda: now[0], Applied(), 16)
@@ -276,7 +278,7 @@
 # --- the program --------------------------------------------------------------------------------------------
 
 
-def test_a_dispatcher_keeps_its_list_and_starts_with_it(tmp_path: Path) -> None:
+def test_dispatcher_stores_its_list_and_starts_with_it(tmp_path: Path) -> None:
     ini = f"[membership]\nlast_good = {tmp_path / 'last'}\n"
 
     async def play() -> None:
@@ -285,7 +287,7 @@
             n.discovery.push(list_line(4, [two.entry("draining")]))
             while (await n.ask(os.urandom(8).hex())).body.startswith(b"w2"):
                 await asyncio.sleep(0.02)
-            n.discovery.push(list_line(5, [], True))  # everything vanishes: that is not believed
+            n.discovery.push(list_line(5, [], True))  # an empty list, a mass removal, is not applied
             await asyncio.sleep(0.2)
             assert [(await n.ask(f"a{i}", f"/s/k{i}")).body for i in range(4)] == [
                 f"w1 ran a{i}".encode() for i in range(4)
@@ -295,7 +297,7 @@
         log = (tmp_path / "log").read_text()
         assert "membership: 1 entries vanished within 10 s (w1), and stay" in log
         assert last_good_list.decode((tmp_path / "last").read_bytes())[:2] == ("discovery", 5)
-        async with node(tmp_path, one, ini=ini, known=None) as n:  # known to nobody but the file
+        async with node(tmp_path, one, ini=ini, known=None) as n:  # only the file has a list
             assert (await exchange(n.port, HEALTH)).status == 200
             assert (await n.ask("b1")).body == b"w1 ran b1"
         assert "started with the last good list, of discovery, 1 entries" in (tmp_path / "log").read_text()
@@ -303,7 +305,7 @@
     run(play())
 
 
-def test_a_drain_in_etcd_counts_beside_discovery_and_etcd_may_come_and_go(tmp_path: Path) -> None:
+def test_drain_in_etcd_applies_with_discovery_and_after_etcd_is_lost(tmp_path: Path) -> None:
     async def play() -> None:
         one, two = RealServer("w1"), RealServer("w2")
         etcd = Etcd()
@@ -314,7 +316,9 @@
             return (await n.ask(id)).body[:2]
 
         async with node(tmp_path, one, two, ini=ini) as n:
-            n.discovery.push(list_line(2, [], False))  # discovery is live, etcd is empty and will lead
+            n.discovery.push(
+                list_line(2, [], False)
+            )  # discovery is live; etcd is empty and becomes the leader
             etcd.cluster.store.txn(Put(b"/finchladder/drain/w1", b""))
             etcd.cluster.written()
             while await runs_at(os.urandom(8).hex()) != b"w2":
@@ -324,7 +328,7 @@
             etcd.close()
             n.discovery.push(list_line(3, [one.entry("ready")], False))
             for i in range(12):
-                assert await runs_at(f"b{i}") == b"w2"  # the notice holds though etcd is away
+                assert await runs_at(f"b{i}") == b"w2"  # the notice applies although etcd is unreachable
         log = (tmp_path / "log").read_text()
         assert "membership: discovery leads, with 2 entries" in log
         assert "Traceback" not in log
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams of peers: what goes out comes back, and whatever else comes is dropped and changes nothing."""
+"""Datagrams of peers: encoding round-trips, and invalid datagrams are dropped without effect."""
 
 import asyncio
 import math
@@ -101,7 +101,7 @@
 
 @settings(deadline=None)
 @given(PACKET)
-def test_what_fits_the_room_fits_a_datagram_and_comes_back(p: Packet) -> None:
+def test_packet_within_size_limit_fits_datagram_and_round_trips(p: Packet) -> None:
     data = encode("a-fleet-of-thirty-two-characters", p)
     if (
         room(p) <= MAX_PAYLOAD_BYTES
@@ -120,7 +120,7 @@
 
 
 def state(p: Peers) -> str:
-    """All that a datagram could change; `dropped` aside."""
+    """Returns all state that a datagram could change, except `dropped`."""
     shown = p.show(5.0)
     del shown["dropped"]
     rest = (
@@ -150,7 +150,7 @@
         lambda cut: SOUND[: cut[0]] + cut[1] + SOUND[cut[0] + 1 :]
     )
 )
-def test_whatever_comes_is_a_packet_or_is_unusable(data: bytes) -> None:
+def test_arbitrary_bytes_are_decoded_or_rejected(data: bytes) -> None:
     p, before = made(), state(made())
     try:
         packet = decode("f", data)
@@ -159,7 +159,7 @@
         return
     if validation_error(packet) is not None or packet.sender not in ("n2", "n3"):
         assert p.receive(1.0, packet) == []
-        # a packet in one's own name from another process is counted, and changes nothing else
+        # a packet of another process with this dispatcher's name is counted, and has no other effect
         assert p.name_conflicts == (packet.sender == "n1" and packet.boot != p.boot)
         p.name_conflicts = 0
         assert state(p) == before
@@ -168,7 +168,7 @@
         p.tick(2.0)
 
 
-def test_a_packet_in_ones_own_name_is_counted_as_a_conflict_and_changes_nothing_else() -> None:
+def test_packet_with_own_name_is_counted_as_conflict_without_other_effect() -> None:
     p, before = made(), state(made())
     assert p.receive(1.0, GOOD._replace(sender="n1", boot=p.boot + 1)) == []
     assert p.name_conflicts == 1
@@ -205,19 +205,19 @@
         GOOD._replace(partial_sum=PartialSum(0, 1, 1, 0.0, ((1, math.nan),))),
     ],
 )
-def test_figures_that_cannot_be_change_nothing(packet: Packet) -> None:
+def test_out_of_range_values_have_no_effect(packet: Packet) -> None:
     p, before = made(), state(made())
     assert p.receive(1.0, packet) == []
     assert state(p) == before
     assert p.dropped == {"flaw": 1}
 
 
-def test_an_unlisted_one_and_another_process_of_the_own_name_change_nothing() -> None:
+def test_unlisted_sender_and_name_conflict_have_no_effect() -> None:
     p, before = made(), state(made())
     assert p.receive(1.0, GOOD._replace(sender="n9")) == []
     assert state(p) == before
     p.receive(1.0, GOOD._replace(sender="n1", boot=p.boot))
-    assert p.name_conflicts == 0  # an echo of its own words
+    assert p.name_conflicts == 0  # an echo of its own packet
     p.receive(1.0, GOOD._replace(sender="n1", boot=p.boot + 1))
     assert p.name_conflicts == 1
     rumours = (MemberUpdate("n9", 5, MemberStatus.GONE),)
@@ -249,7 +249,7 @@
         (b"\x91" * 1000, "malformed"),
     ],
 )
-def test_why_a_datagram_is_dropped(data: bytes, why: str) -> None:
+def test_reason_of_dropped_datagram(data: bytes, why: str) -> None:
     with pytest.raises(MalformedDatagramError, match=why):
         decode("f", data)
 
@@ -258,8 +258,8 @@
     return "127.0.0.1", port
 
 
-def test_an_actor_drops_what_comes_from_elsewhere_and_goes_on_without_its_socket() -> None:
-    """Real sockets: one listed, one that is not, and a port that another has."""
+def test_actor_drops_foreign_datagrams_and_runs_without_socket() -> None:
+    """Real sockets: a listed sender, an unlisted one, and an own port that is occupied at first."""
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other,
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger,
@@ -314,13 +314,13 @@
         ("file = x\nnix = 1", "nix"),
     ],
 )
-def test_a_section_that_cannot_be_used(text: str, reason: str, tmp_path: Path) -> None:
+def test_invalid_section_is_rejected(text: str, reason: str, tmp_path: Path) -> None:
     (tmp_path / "o.ini").write_text(f"[peers]\n{text}\n")
     with pytest.raises(ValueError, match=reason):
         read_options(str(tmp_path / "o.ini"))
 
 
-def test_a_list_in_a_file_and_in_the_section_say_the_same(tmp_path: Path) -> None:
+def test_member_list_in_file_equals_list_in_section(tmp_path: Path) -> None:
     (tmp_path / "peers.json").write_text('{"n1": "127.0.0.1:1", "n2": "127.0.0.1:2"}')
     listed = {"n1": ("127.0.0.1", 1), "n2": ("127.0.0.1", 2)}
     assert PeersOptions(file=str(tmp_path / "peers.json")).addresses() == listed
