--- a/finchladder/cluster/configuration/snapshot.py
+++ b/finchladder/cluster/configuration/snapshot.py
@@ -172,13 +172,13 @@
     limits = value.get("limits") or {}
     by_host: dict[str, list[Route]] = {}
     for item in value.get("routes", []):
-        route = _route(item)
+        route = _parse_route(item)
         by_host.setdefault(route.host, []).append(route)
     routes_by_host = {
         host: tuple(sorted(routes, key=lambda route: -len(route.path_prefix)))
         for host, routes in by_host.items()
     }
-    services = {item["name"]: _service(item) for item in value.get("services", [])}
+    services = {item["name"]: _parse_service(item) for item in value.get("services", [])}
     tenants = read_tenants(value.get("tenants", []))
     return ConfigurationSnapshot(
         version=value["version"],
@@ -192,13 +192,13 @@
     )
 
 
-def _route(item: dict[str, Any]) -> Route:
+def _parse_route(item: dict[str, Any]) -> Route:
     timeout_ms = float(item.get("timeout_ms", DEFAULT_TIMEOUT_MS))
     return Route(
         name=item["name"],
         host=item["host"].lower(),
         path_prefix=item["path_prefix"],
-        kind=_request_kind(item.get("kind")),
+        kind=_parse_request_kind(item.get("kind")),
         timeout_s=timeout_ms / 1000,
         latency_target_s=float(item.get("target_latency_ms", timeout_ms)) / 1000,
         max_event_gap_s=float(item.get("gap_aim_ms", 0)) / 1000,
@@ -206,11 +206,11 @@
         max_attempts=max(1, int(item.get("retries", 1))),
         resumable=bool(item.get("resumable", False)),
         is_public=bool(item.get("public", False)),
-        weighted_services=_weighted_services(item),
+        weighted_services=_parse_weighted_services(item),
     )
 
 
-def _request_kind(name: str | None) -> RequestKind:
+def _parse_request_kind(name: str | None) -> RequestKind:
     """Parses the kind of a route's requests; an unknown kind counts as not idempotent."""
     try:
         return RequestKind(name)
@@ -218,7 +218,7 @@
         return RequestKind.NON_IDEMPOTENT
 
 
-def _weighted_services(item: dict[str, Any]) -> tuple[WeightedService, ...]:
+def _parse_weighted_services(item: dict[str, Any]) -> tuple[WeightedService, ...]:
     split = item.get("traffic_split")
     if not split:
         return (WeightedService(1.0, item["service"]),)
@@ -232,17 +232,17 @@
     return tuple(weighted_services)
 
 
-def _service(item: dict[str, Any]) -> Service:
+def _parse_service(item: dict[str, Any]) -> Service:
     engine = item.get("engine")
     return Service(
         name=item["name"],
         max_connections=int(item.get("max_connections", DEFAULT_MAX_CONNECTIONS)),
         health_check=item.get("health_check", ""),
-        engine=_engine(engine) if engine else None,
+        engine=_parse_engine(engine) if engine else None,
     )
 
 
-def _engine(item: dict[str, Any]) -> Engine:
+def _parse_engine(item: dict[str, Any]) -> Engine:
     models = {
         model["name"]: Model(
             name=model["name"],
--- a/finchladder/cluster/placement/adapter_planner.py
+++ b/finchladder/cluster/placement/adapter_planner.py
@@ -14,7 +14,7 @@
         self.state = state
         self.demand = state.inputs.demand
 
-    def actions(self) -> list[LoadAction]:
+    def plan_actions(self) -> list[LoadAction]:
         """Plans at most one load for each adapter with queued requests and applies it to the state."""
         planned: list[LoadAction] = []
         for key in self._queued_adapters():
@@ -63,6 +63,6 @@
 
         def usage(eviction: Eviction) -> tuple[int, float, Eviction]:
             key = DemandKey(self.state.inputs.service, eviction.model, eviction.adapter)
-            return self.demand.running_now(key), self.demand.rate(key), eviction
+            return self.demand.in_flight(key), self.demand.rate(key), eviction
 
         return min(loaded, key=usage, default=None)
--- a/finchladder/cluster/placement/demand.py
+++ b/finchladder/cluster/placement/demand.py
@@ -45,7 +45,7 @@
     tokens_per_s: float = 0.0
     recent_tokens_per_s: float = 0.0
     updated_at: float = 0.0
-    running: float = 0.0  # smoothed number of requests in flight
+    smoothed_in_flight: float = 0.0  # smoothed number of requests in flight
     last_request_at: float = NEVER
 
     def add_requests(self, now: float, requests: int, prompt_tokens: int) -> None:
@@ -56,7 +56,7 @@
         self.recent_tokens_per_s += prompt_tokens / RECENT_TIME_CONSTANT_S
         self.last_request_at = now
 
-    def decay(self, now: float, running: int) -> None:
+    def decay(self, now: float, in_flight: int) -> None:
         """Decays the averages to the present time and adds the current number of requests in flight."""
         elapsed_s = now - self.updated_at
         factor = exp(-elapsed_s / RATE_TIME_CONSTANT_S)
@@ -65,7 +65,7 @@
         self.tokens_per_s *= factor
         self.recent_rate *= recent_factor
         self.recent_tokens_per_s *= recent_factor
-        self.running += (1 - factor) * (running - self.running)
+        self.smoothed_in_flight += (1 - factor) * (in_flight - self.smoothed_in_flight)
         self.updated_at = now
 
     def is_expired(self, now: float) -> bool:
@@ -90,7 +90,7 @@
 
     received_at: float
     queued: Counter[DemandKey] = field(factory=Counter)
-    running: Counter[DemandKey] = field(factory=Counter)
+    in_flight: Counter[DemandKey] = field(factory=Counter)
     worker_loads: Counter[str] = field(factory=Counter)  # requests in flight by worker instance
     replica_requests: Counter[ReplicaKey] = field(factory=Counter)  # requests in flight, including adapters
 
@@ -112,7 +112,7 @@
         self._remove_report(report.sender)
         self.reports[report.sender] = reported
         self.totals.queued.update(reported.queued)
-        self.totals.running.update(reported.running)
+        self.totals.in_flight.update(reported.in_flight)
         self.totals.worker_loads.update(reported.worker_loads)
         self.totals.replica_requests.update(reported.replica_requests)
 
@@ -125,12 +125,12 @@
             key = DemandKey(demand.service, demand.model, demand.adapter)
             if demand.requests:
                 estimate = self.estimates.setdefault(key, DemandEstimate(updated_at=now))
-                estimate.decay(now, self.running_now(key))
+                estimate.decay(now, self.in_flight(key))
                 estimate.add_requests(now, demand.requests, demand.prompt_tokens)
             if demand.queued:
                 reported.queued[key] = demand.queued
             if demand.in_flight:
-                reported.running[key] = demand.in_flight
+                reported.in_flight[key] = demand.in_flight
         return reported
 
     def _remove_report(self, sender: str) -> None:
@@ -138,7 +138,7 @@
         reported = self.reports.pop(sender, None)
         if reported is not None:
             _subtract(self.totals.queued, reported.queued)
-            _subtract(self.totals.running, reported.running)
+            _subtract(self.totals.in_flight, reported.in_flight)
             _subtract(self.totals.worker_loads, reported.worker_loads)
             _subtract(self.totals.replica_requests, reported.replica_requests)
 
@@ -150,7 +150,7 @@
         for sender in expired:
             self._remove_report(sender)
         for key, estimate in list(self.estimates.items()):
-            estimate.decay(now, self.running_now(key))
+            estimate.decay(now, self.in_flight(key))
             if estimate.is_expired(now):
                 del self.estimates[key]
 
@@ -182,14 +182,14 @@
         """Keys with queued requests."""
         return list(self.totals.queued)
 
-    def running(self, key: DemandKey) -> float:
+    def smoothed_in_flight(self, key: DemandKey) -> float:
         """Smoothed number of requests in flight."""
         estimate = self.estimates.get(key)
-        return 0.0 if estimate is None else estimate.running
+        return 0.0 if estimate is None else estimate.smoothed_in_flight
 
-    def running_now(self, key: DemandKey) -> int:
+    def in_flight(self, key: DemandKey) -> int:
         """Last reported number of requests in flight."""
-        return self.totals.running[key]
+        return self.totals.in_flight[key]
 
     def replica_requests(self, instance: str, model: str) -> int:
         """Last reported number of requests in flight for one model at one worker."""
@@ -204,7 +204,7 @@
 
     def tracked_keys(self) -> set[DemandKey]:
         """Keys with an estimate, queued requests or requests in flight."""
-        return set(self.estimates) | set(self.totals.queued) | set(self.totals.running)
+        return set(self.estimates) | set(self.totals.queued) | set(self.totals.in_flight)
 
 
 def _extrapolate(average: float, recent: float) -> float:
--- a/finchladder/cluster/placement/eviction_planner.py
+++ b/finchladder/cluster/placement/eviction_planner.py
@@ -66,6 +66,6 @@
         if state.loaded_replicas[model] <= 1:
             value = state.first_replica_value(model)
         else:
-            value = state.utilization.late_rate_added_by_eviction(worker.instance, model)
+            value = state.utilization.late_request_rate_added_by_eviction(worker.instance, model)
         in_flight = state.inputs.demand.replica_requests(worker.instance, model)
         return value + RUNNING_REQUEST_COST * in_flight
--- a/finchladder/cluster/placement/model_demand.py
+++ b/finchladder/cluster/placement/model_demand.py
@@ -14,15 +14,15 @@
 
     rate: float = 0.0
     queued: int = 0
-    running: float = 0.0  # smoothed number of requests in flight
-    running_now: int = 0
+    smoothed_in_flight: float = 0.0  # smoothed number of requests in flight
+    in_flight: int = 0
     expected_rate: float = 0.0
     expected_tokens_per_s: float = 0.0
 
     @property
     def is_idle(self) -> bool:
         """Whether a replica may be evicted because no request waits for the model and few arrive."""
-        return not self.queued and not self.running_now and self.rate < MAX_IDLE_RATE
+        return not self.queued and not self.in_flight and self.rate < MAX_IDLE_RATE
 
 
 NO_DEMAND = ModelDemand()
@@ -37,8 +37,8 @@
             expected = tracker.expected(key)
             demand.rate += tracker.rate(key)
             demand.queued += tracker.queued(key)
-            demand.running += tracker.running(key)
-            demand.running_now += tracker.running_now(key)
+            demand.smoothed_in_flight += tracker.smoothed_in_flight(key)
+            demand.in_flight += tracker.in_flight(key)
             demand.expected_rate += expected.rate
             demand.expected_tokens_per_s += expected.tokens_per_s
     return demands
--- a/finchladder/cluster/placement/planner.py
+++ b/finchladder/cluster/placement/planner.py
@@ -22,10 +22,10 @@
         self.replica_planner = ReplicaPlanner(self.state, eviction_planner)
         self.prefetch_planner = PrefetchPlanner(self.state, eviction_planner)
 
-    def actions(self) -> list[LoadAction]:
+    def plan_actions(self) -> list[LoadAction]:
         """Plans adapters first, as they load quickly, then models by urgency, and otherwise prefetches."""
-        planned = self.adapter_planner.actions()
-        planned += self.replica_planner.actions()
+        planned = self.adapter_planner.plan_actions()
+        planned += self.replica_planner.plan_actions()
         if not planned and not self.state.has_queued_requests:
-            planned += self.prefetch_planner.actions()
+            planned += self.prefetch_planner.plan_actions()
         return planned
--- a/finchladder/cluster/placement/planning_state.py
+++ b/finchladder/cluster/placement/planning_state.py
@@ -55,7 +55,7 @@
         s_per_token = self.inputs.demand.prefill_s_per_token(self.inputs.service)
         utilization = demand.expected_tokens_per_s * s_per_token
         if not s_per_token:
-            utilization = demand.running / max(1.0, FULL_USE_SLOT_FRACTION * self.engine.slots)
+            utilization = demand.smoothed_in_flight / max(1.0, FULL_USE_SLOT_FRACTION * self.engine.slots)
         return ExpectedLoad(utilization, demand.expected_rate)
 
     @property
@@ -75,7 +75,7 @@
     def next_replica_value(self, model: str) -> float:
         """Value of the next replica of a model, which may be the first one."""
         if self.replicas.get(model, 0):
-            return self.utilization.late_rate_saved_by_replica(model)
+            return self.utilization.late_request_rate_saved_by_replica(model)
         return self.first_replica_value(model)
 
     def first_replica_value(self, model: str) -> float:
--- a/finchladder/cluster/placement/prefetch_planner.py
+++ b/finchladder/cluster/placement/prefetch_planner.py
@@ -21,7 +21,7 @@
         self.state = state
         self.eviction_planner = eviction_planner
 
-    def actions(self) -> list[LoadAction]:
+    def plan_actions(self) -> list[LoadAction]:
         """Plans loads within the limit for prefetches and applies them to the state."""
         planned: list[LoadAction] = []
         for model in self._models_on_no_disk():
--- a/finchladder/cluster/placement/replica_planner.py
+++ b/finchladder/cluster/placement/replica_planner.py
@@ -41,7 +41,7 @@
         self.state = state
         self.eviction_planner = eviction_planner
 
-    def actions(self) -> list[LoadAction]:
+    def plan_actions(self) -> list[LoadAction]:
         """Plans at most one load for each model with demand and applies it to the state."""
         planned: list[LoadAction] = []
         for model in self._models_by_urgency():
@@ -89,14 +89,16 @@
             plan = self.eviction_planner.plan_for(worker, model)
             if plan is None:
                 continue
-            late_rate = (
-                state.utilization.late_rate_added_by_replica(worker.instance, model) if has_replica else 0.0
+            late_request_rate = (
+                state.utilization.late_request_rate_added_by_replica(worker.instance, model)
+                if has_replica
+                else 0.0
             )
             replacement_cost = self._replacement_cost(plan, has_replica)
-            if value - late_rate < max(min_value, REPLACEMENT_MARGIN * replacement_cost):
+            if value - late_request_rate < max(min_value, REPLACEMENT_MARGIN * replacement_cost):
                 continue
             delay_cost = value * self._load_s(worker, model) / VALUE_HORIZON_S
-            cost = plan.cost + late_rate + delay_cost + REQUEST_RATE_COST * state.request_rate(worker)
+            cost = plan.cost + late_request_rate + delay_cost + REQUEST_RATE_COST * state.request_rate(worker)
             candidates.append(ReplicaCandidate(cost, worker.instance, plan))
         return candidates
 
--- a/finchladder/cluster/placement/utilization.py
+++ b/finchladder/cluster/placement/utilization.py
@@ -86,7 +86,7 @@
                 request_rate += load.request_rate / replicas
         return ExpectedLoad(prefill_utilization, request_rate)
 
-    def _late_rate_change(self, instance: str, model: str, load_fraction: float) -> float:
+    def _late_request_rate_change(self, instance: str, model: str, load_fraction: float) -> float:
         """Change of a worker's late requests per second by a (maybe negative) fraction of a model's load."""
         load = self.expected_loads.get(model, NO_LOAD)
         current = self._expected_load_of(instance)
@@ -95,21 +95,21 @@
         utilization = max(0.0, current.prefill_utilization + load_fraction * load.prefill_utilization)
         return request_rate * late_fraction(utilization) - late_before
 
-    def late_rate_saved_by_replica(self, model: str) -> float:
+    def late_request_rate_saved_by_replica(self, model: str) -> float:
         """Late requests per second that a further replica saves at the existing ones. O(replicas)."""
         instances = self._workers_by_model.get(model, set())
         if not instances or model not in self.expected_loads:
             return 0.0
         replicas = len(instances)
         load_fraction = 1 / (replicas + 1) - 1 / replicas
-        return -sum(self._late_rate_change(instance, model, load_fraction) for instance in instances)
+        return -sum(self._late_request_rate_change(instance, model, load_fraction) for instance in instances)
 
-    def late_rate_added_by_replica(self, instance: str, model: str) -> float:
+    def late_request_rate_added_by_replica(self, instance: str, model: str) -> float:
         """Late requests per second that a further replica causes at the worker that loads it."""
         replicas = len(self._workers_by_model.get(model, ()))
-        return self._late_rate_change(instance, model, 1 / (replicas + 1))
+        return self._late_request_rate_change(instance, model, 1 / (replicas + 1))
 
-    def late_rate_added_by_eviction(self, instance: str, model: str) -> float:
+    def late_request_rate_added_by_eviction(self, instance: str, model: str) -> float:
         """Late requests per second that evicting one of several replicas causes; at least 0. O(replicas)."""
         instances = self._workers_by_model.get(model, set())
         replicas = len(instances)
@@ -117,6 +117,8 @@
             return 0.0
         load_fraction = 1 / (replicas - 1) - 1 / replicas
         others = sum(
-            self._late_rate_change(other, model, load_fraction) for other in instances if other != instance
+            self._late_request_rate_change(other, model, load_fraction)
+            for other in instances
+            if other != instance
         )
-        return max(0.0, others + self._late_rate_change(instance, model, -1 / replicas))
+        return max(0.0, others + self._late_request_rate_change(instance, model, -1 / replicas))
--- a/finchladder/cluster/process/action_executor.py
+++ b/finchladder/cluster/process/action_executor.py
@@ -90,7 +90,7 @@
             if (key.service, key.model) == (service, eviction.model)
             and (not eviction.adapter or key.adapter == eviction.adapter)
         ]
-        is_in_use = any(tracker.queued(key) or tracker.running_now(key) for key in keys)
+        is_in_use = any(tracker.queued(key) or tracker.in_flight(key) for key in keys)
         expected_requests = sum(map(tracker.rate, keys)) * EVICTION_NOTICE_S
         return not is_in_use and expected_requests < MAX_UNNOTIFIED_REQUESTS
 
--- a/finchladder/cluster/process/configuration_changes.py
+++ b/finchladder/cluster/process/configuration_changes.py
@@ -20,7 +20,7 @@
 OUTCOME_UNKNOWN = 503
 FORWARD_MARGIN_S = 0.05  # part of the deadline that is reserved for the round trip to the head
 MAX_LOGGED_PROBLEM_CHARS = 200  # problems contain route, service and tenant names without a length limit
-LARGE_BODY_BYTES = 64 << 10  # larger changes and documents are validated in a thread
+LARGE_VALIDATION_BYTES = 64 << 10  # larger changes and documents are validated in a thread
 
 
 def outcome_unknown(problem: str) -> Submitted:
@@ -131,6 +131,6 @@
         Large changes are validated in a thread, so that they do not block the event loop.
         """
         validate = partial(changes.validate_change, state.document, state.version, patch, body)
-        if len(body) + len(state.document) < LARGE_BODY_BYTES:
+        if len(body) + len(state.document) < LARGE_VALIDATION_BYTES:
             return validate()
         return await asyncio.to_thread(validate)
--- a/finchladder/cluster/process/log.py
+++ b/finchladder/cluster/process/log.py
@@ -11,8 +11,8 @@
 
 from finchladder.cluster.types.errors import error_kind, error_location
 
-MAX_BURST_LINES = 200  # capacity of the token bucket
-MAX_LINES_PER_S = 20.0
+MAX_BURST_EVENTS = 200  # capacity of the token bucket
+MAX_EVENTS_PER_S = 20.0
 
 
 class TokenBucket:
@@ -20,14 +20,16 @@
 
     def __init__(self) -> None:
         """Creates a full bucket."""
-        self._tokens = float(MAX_BURST_LINES)
+        self._tokens = float(MAX_BURST_EVENTS)
         self._refilled_at = time.monotonic()
         self._dropped = 0
 
     def take(self) -> tuple[bool, int]:
         """Returns whether a line may be written, and how many lines were dropped before it."""
         now = time.monotonic()
-        self._tokens = min(float(MAX_BURST_LINES), self._tokens + (now - self._refilled_at) * MAX_LINES_PER_S)
+        self._tokens = min(
+            float(MAX_BURST_EVENTS), self._tokens + (now - self._refilled_at) * MAX_EVENTS_PER_S
+        )
         self._refilled_at = now
         if self._tokens < 1:
             self._dropped += 1
--- a/finchladder/cluster/process/placer_lease.py
+++ b/finchladder/cluster/process/placer_lease.py
@@ -65,7 +65,7 @@
             state = await self.chain.confirmed_state()
             if state is None:
                 return REJECTED
-            wait_s = self._claim_wait_s(state.placer, request.holder)
+            wait_s = self._claim_delay_s(state.placer, request.holder)
             if wait_s is None or wait_s > 0 or request.token != state.fence_token:
                 return LeaseReply(False, state.fence_token, int((wait_s or 0) * 1000))
             vacant_s = self.chain.lease.vacant_s(steady())
@@ -74,7 +74,7 @@
             self.chain.lease.renew(steady())
             return LeaseReply(True, state.fence_token + 1, vacant_ms=int(vacant_s * 1000))
 
-    def _claim_wait_s(self, holder: str, claimant: str) -> float | None:
+    def _claim_delay_s(self, holder: str, claimant: str) -> float | None:
         """Returns the seconds until the claim may be granted; None: unknown. An unheld lease is free."""
         chain = self.chain.view.chain
         holder_left = all(member.name != holder for member in chain)
--- a/finchladder/cluster/process/quota_client.py
+++ b/finchladder/cluster/process/quota_client.py
@@ -24,9 +24,9 @@
 CALL_TIMEOUT_S = 0.3
 RETRY_INTERVAL_S = 0.05  # interval between attempts while the account does not reply
 RETURN_DELAY_S = 0.1  # returned grants wait this long for a message that is sent anyway
-MAX_IDLE_WAIT_S = 60.0
+MAX_IDLE_INTERVAL_S = 60.0
 MIN_RETRY_AFTER_S = 0.25  # other requests of the tenant wait for the refilled quota, too
-PROBE_INTERVAL_S = 0.25  # polling interval while the account does not reply and no request waits
+UNANSWERED_POLL_INTERVAL_S = 0.25  # polling interval while the account does not reply and no request waits
 UNREACHABLE_AFTER_S = 1.5  # longer than the election of a new holder takes
 MAX_COST = 10**9  # larger costs are refused here, since a message holds 64-bit integers
 RETRY_AFTER_TOO_LARGE_S = 10.0
@@ -58,7 +58,7 @@
     _returns: list[Reservation] = field(factory=list)
     _exhausted: ExhaustedTenants = field(factory=ExhaustedTenants)
     _changed: Signal = field(factory=Signal)
-    _failing_since: float | None = None  # start of the first of the consecutive failed calls
+    _unanswered_since: float | None = None  # start of the first of the consecutive failed calls
 
     async def reserve(self, tenant: Tenant, cost: int, deadline: float) -> Reservation | QuotaRefusal:
         """Reserves the cost of one request at the account.
@@ -98,7 +98,7 @@
 
     def is_unreachable(self) -> bool:
         """Returns whether the account has not replied for a while although requests were sent."""
-        return self._failing_since is not None and steady() - self._failing_since > UNREACHABLE_AFTER_S
+        return self._unanswered_since is not None and steady() - self._unanswered_since > UNREACHABLE_AFTER_S
 
     def _abandon(self, waiter: _Waiter) -> None:
         """Removes a waiter; quota that was granted to it meanwhile is returned."""
@@ -119,27 +119,27 @@
         """
         while True:
             if not self._waiting:
-                await self._changed.wait(self._idle_wait_s())
-            if self._waiting or self._returns or self._failing_since is not None:
+                await self._changed.wait(self._idle_interval_s())
+            if self._waiting or self._returns or self._unanswered_since is not None:
                 await self._exchange()
 
-    def _idle_wait_s(self) -> float:
-        if self._failing_since is not None:
-            return PROBE_INTERVAL_S
-        return RETURN_DELAY_S if self._returns else MAX_IDLE_WAIT_S
+    def _idle_interval_s(self) -> float:
+        if self._unanswered_since is not None:
+            return UNANSWERED_POLL_INTERVAL_S
+        return RETURN_DELAY_S if self._returns else MAX_IDLE_INTERVAL_S
 
     async def _exchange(self) -> None:
         """Exchanges one message with the account; the returns in it are dropped if the outcome is unknown."""
         waiters, self._waiting = self._waiting, []
-        request = self._request(waiters)
-        asked_at = steady()
+        request = self._reserve_message(waiters)
+        requested_at = steady()
         reply = await self._call_holder(request)
         if reply is not None:
-            self._failing_since = None
-            self._deliver(waiters, reply, asked_at)
+            self._unanswered_since = None
+            self._deliver(waiters, reply, requested_at)
             return
-        if self._failing_since is None:
-            self._failing_since = asked_at
+        if self._unanswered_since is None:
+            self._unanswered_since = requested_at
         self._waiting = [waiter for waiter in waiters if not waiter.outcome_future.done()] + self._waiting
         await asyncio.sleep(RETRY_INTERVAL_S)
 
@@ -154,7 +154,7 @@
             return None
         return reply if isinstance(reply, QuotaReply) and reply.is_holder else None
 
-    def _request(self, waiters: list[_Waiter]) -> ReserveQuota:
+    def _reserve_message(self, waiters: list[_Waiter]) -> ReserveQuota:
         """Returns a message for these waiters, with the grants that may be returned.
 
         A lapsed grant stays spent: if it were returned, it could be granted again in a window that does not
@@ -175,11 +175,13 @@
             returned_term=term,
         )
 
-    def _deliver(self, waiters: list[_Waiter], reply: QuotaReply, asked_at: float) -> None:
+    def _deliver(self, waiters: list[_Waiter], reply: QuotaReply, requested_at: float) -> None:
         """Resolves the waiters; grants to waiters that have left meanwhile are returned."""
         for waiter, grant in zip(waiters, reply.grants, strict=False):
             if all(grant.granted):
-                reservation = Reservation(waiter.tenant, waiter.cost, reply.term, grant_valid_until(asked_at))
+                reservation = Reservation(
+                    waiter.tenant, waiter.cost, reply.term, grant_valid_until(requested_at)
+                )
                 if waiter.outcome_future.done():
                     self.return_reservation(reservation)
                 else:
--- a/finchladder/cluster/process/quota_service.py
+++ b/finchladder/cluster/process/quota_service.py
@@ -8,7 +8,7 @@
 from finchladder.cluster.process.placer_lease import PlacerLeaseService
 from finchladder.cluster.tenancy.quota_account import QuotaAccount
 from finchladder.cluster.tenancy.quota_rule import QuotaRule
-from finchladder.cluster.tenancy.tenant_limits import TenantLimits
+from finchladder.cluster.tenancy.tenant_lookup import TenantLookup
 from finchladder.cluster.tenancy.tenants import Tenant
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.messages import QuotaDemand, QuotaGrant, QuotaReply, ReserveQuota
@@ -40,16 +40,20 @@
     current_term: Callable[[], Term | None]
     document: Callable[[], bytes]
     account: QuotaAccount
-    _limits: TenantLimits = field(factory=TenantLimits)
+    _tenant_lookup: TenantLookup = field(factory=TenantLookup)
 
     @classmethod
-    def build(cls, role: PlacerLeaseService, rule: QuotaRule) -> "QuotaService":
+    def build(cls, lease_service: PlacerLeaseService, rule: QuotaRule) -> "QuotaService":
         """Creates a service whose terms begin with the elections of the placer."""
 
         def current_term() -> Term | None:
-            return Term(role.lease.token, role.vacant_since) if role.is_held() else None
+            return (
+                Term(lease_service.lease.token, lease_service.vacant_since)
+                if lease_service.is_held()
+                else None
+            )
 
-        return cls(current_term, lambda: role.chain.acknowledged.document, QuotaAccount(rule))
+        return cls(current_term, lambda: lease_service.chain.acknowledged.document, QuotaAccount(rule))
 
     def on_reserve(self, request: ReserveQuota) -> QuotaReply:
         """Takes back the returned quota, then grants the requested quota as far as it is available."""
@@ -57,31 +61,31 @@
         term = self.current_term()
         if term is None:
             return NOT_THE_HOLDER
-        self._begin(term)
+        self._begin_term(term)
         for returned in request.returns:
             tenant = self._tenant(returned.tenant)
             if tenant is not None:
                 self.account.return_units(tenant, returned.units, request.returned_term, now)
-        grants = tuple(self._grant(need, now) for need in request.demands)
+        grants = tuple(self._grant(demand, now) for demand in request.demands)
         return QuotaReply(is_holder=True, term=self.account.term, grants=grants)
 
-    def _begin(self, term: Term) -> None:
+    def _begin_term(self, term: Term) -> None:
         """Begins a term with an account that was empty at the former term's end and has refilled since."""
         if self.account.term != term.number:
             self.account.begin_term(term.number, term.began_at)
             event("quota.term_began", term=term.number)
 
     def _tenant(self, name: str) -> Tenant | None:
-        return self._limits.tenant(self.document(), name)
+        return self._tenant_lookup.tenant(self.document(), name)
 
-    def _grant(self, need: QuotaDemand, now: float) -> QuotaGrant:
+    def _grant(self, demand: QuotaDemand, now: float) -> QuotaGrant:
         """Grants costs in order; a tenant that is not in this process's configuration yet gets nothing."""
-        tenant = self._tenant(need.tenant)
+        tenant = self._tenant(demand.tenant)
         if tenant is None:
-            return QuotaGrant(need.tenant, (False,) * len(need.costs))
-        granted = self.account.reserve(tenant, need.costs, now)
-        refused = [cost for cost, is_granted in zip(need.costs, granted, strict=True) if not is_granted]
+            return QuotaGrant(demand.tenant, (False,) * len(demand.costs))
+        granted = self.account.reserve(tenant, demand.costs, now)
+        refused = [cost for cost, is_granted in zip(demand.costs, granted, strict=True) if not is_granted]
         if not refused:
-            return QuotaGrant(need.tenant, granted)
+            return QuotaGrant(demand.tenant, granted)
         retry_after_ms = self.account.retry_after_ms(tenant, min(refused), now)
-        return QuotaGrant(need.tenant, granted, retry_after_ms, self.account.is_exhausted(tenant, now))
+        return QuotaGrant(demand.tenant, granted, retry_after_ms, self.account.is_exhausted(tenant, now))
--- a/finchladder/cluster/process/service_planner.py
+++ b/finchladder/cluster/process/service_planner.py
@@ -44,7 +44,7 @@
         cold_starts = self._cold_starts.setdefault(service, ColdStartOccupancy())
         inputs = self._inputs(now, service, engine, workers, cold_starts)
         available = {model for worker in workers for model in worker.state.loaded_models} | set(loading)
-        for action in PlanningPass(inputs, loading).actions():
+        for action in PlanningPass(inputs, loading).plan_actions():
             if not action.adapter and action.model not in available:
                 load_s = self.executor.durations(service).expected_s(
                     engine.models[action.model].load_s, is_adapter=False, is_warm=False
--- a/finchladder/cluster/process/store_load_budget.py
+++ b/finchladder/cluster/process/store_load_budget.py
@@ -100,7 +100,7 @@
         self.worker.is_loading_from_store = True
         return True
 
-    def release(self) -> None:
+    def withdraw(self) -> None:
         """Withdraws the load, which was rejected."""
         self.rate_limiter.withdraw(self.acquired_at)
         self.worker.is_loading_from_store = False
--- a/finchladder/cluster/process/update_puller.py
+++ b/finchladder/cluster/process/update_puller.py
@@ -158,7 +158,7 @@
             source = self.sources[address]
             is_long_poll = self._long_polls(address)
             wait_ms = int(1000 * self.timeouts.long_poll_s) if is_long_poll else 0
-            pull = self._pull(dict(self.tables.vector), wait_ms)
+            pull = self._pull_message(dict(self.tables.vector), wait_ms)
             try:
                 reply = await self.peers.call(address, pull, self.timeouts.pull_timeout_s)
             except ClusterError:
@@ -179,7 +179,7 @@
         """
         if not self.primary:
             return False
-        pull = self._pull(dict(self.tables.vector), 0)
+        pull = self._pull_message(dict(self.tables.vector), 0)
         try:
             reply = await self.peers.call(self.primary, pull, timeout_s)
         except ClusterError:
@@ -189,7 +189,7 @@
         self._merge(reply)
         return reply.chain_confirmed
 
-    def _pull(self, vector: dict[str, int], wait_ms: int) -> PullUpdates:
+    def _pull_message(self, vector: dict[str, int], wait_ms: int) -> PullUpdates:
         return PullUpdates(
             sender=self.name,
             vector=vector,
@@ -250,7 +250,9 @@
     async def _resynchronize(self, source: UpdateSource) -> None:
         """Drops the workers that are missing in a control process that knows all workers."""
         try:
-            reply = await self.peers.call(source.address, self._pull({}, 0), self.timeouts.pull_timeout_s)
+            reply = await self.peers.call(
+                source.address, self._pull_message({}, 0), self.timeouts.pull_timeout_s
+            )
         except ClusterError:
             source.knows_all_workers = False
             return
--- a/finchladder/cluster/process/update_server.py
+++ b/finchladder/cluster/process/update_server.py
@@ -77,7 +77,7 @@
     async def on_pull(self, pull: PullUpdates) -> Update:
         """Replies at once if the subscriber lacks any data, otherwise after a change or its timeout."""
         self._register(pull)
-        await self._wait(pull)
+        await self._hold_long_poll(pull)
         subscriber = self._register(pull)
         if self._has_changes(pull):
             subscriber.last_update_at = steady()
@@ -131,7 +131,7 @@
         self.subscribers[pull.sender] = subscriber
         return subscriber
 
-    async def _wait(self, pull: PullUpdates) -> None:
+    async def _hold_long_poll(self, pull: PullUpdates) -> None:
         if not pull.wait_ms:
             return
         self._open_long_polls[pull.sender] += 1
--- a/finchladder/cluster/process/worker_client.py
+++ b/finchladder/cluster/process/worker_client.py
@@ -16,8 +16,8 @@
 HEALTH_PATH = "/healthz"
 ORDER_PATH = "/api/order"
 REPORT_PATH = "/api/report"
-ORDER_STEP = "order"  # name in error messages
-REPORT_STEP = "report"
+ORDER_CALL = "order"  # name in error messages
+REPORT_CALL = "report"
 CALL_TIMEOUT_S = 0.8
 KEEPALIVE_S = 2.0
 
@@ -54,7 +54,7 @@
         headers = {"Content-Type": "application/json", EXPECTED_INSTANCE_HEADER: instance}
         response = await self._call(
             self._order_session,
-            ORDER_STEP,
+            ORDER_CALL,
             address,
             hdrs.METH_POST,
             ORDER_PATH,
@@ -71,16 +71,16 @@
             PeerUnreachableError: The worker sent no valid report.
         """
         headers = {EXPECTED_INSTANCE_HEADER: instance}
-        response = await self._call(self._session, REPORT_STEP, address, hdrs.METH_GET, REPORT_PATH, headers)
+        response = await self._call(self._session, REPORT_CALL, address, hdrs.METH_GET, REPORT_PATH, headers)
         if response.status != HTTPStatus.OK:
             raise PeerUnreachableError(
-                REPORT_STEP, address, f"the worker responded with status {response.status}"
+                REPORT_CALL, address, f"the worker responded with status {response.status}"
             )
         try:
             return report_decoder.decode(response.body)
         except DECODE_ERRORS as error:
             raise PeerUnreachableError(
-                REPORT_STEP, address, f"malformed report: {error_kind(error)}"
+                REPORT_CALL, address, f"malformed report: {error_kind(error)}"
             ) from None
 
     async def is_running(self, address: str, instance: str) -> bool:
--- a/finchladder/cluster/process/worker_orders.py
+++ b/finchladder/cluster/process/worker_orders.py
@@ -96,7 +96,7 @@
                 worker.announced_orders = max(0, worker.announced_orders - 1)
                 return True
             if store_permit is not None:
-                store_permit.release()
+                store_permit.withdraw()
             if status != STATUS_BUSY or not await self._should_resubmit(worker, submitted_at):
                 break
         self._invalidate_report(worker)
--- a/finchladder/cluster/tenancy/tenant_limits.py
+++ b/finchladder/cluster/tenancy/tenant_lookup.py
@@ -8,7 +8,7 @@
 
 
 @define
-class TenantLimits:
+class TenantLookup:
     """Tenants of one document; compares documents by identity, since a replica keeps each as one object."""
 
     _document: bytes = b""
--- a/tests/cluster/planning_scene.py
+++ b/tests/cluster/planning_scene.py
@@ -31,4 +31,4 @@
 ) -> list[LoadAction]:
     return PlanningPass(
         PlanningInput("llm", ENGINE, workers, tracker, loads, loads, 0.2), loading or {}
-    ).actions()
+    ).plan_actions()
--- a/tests/cluster/test_planner.py
+++ b/tests/cluster/test_planner.py
@@ -107,7 +107,9 @@
         tracker.add_report(now, DemandReport("e", 4.0, tuple(demands)))
     workers = [PlannerWorker(f"w{n}", "llm", f"w{n}:1", "z", False, False) for n in range(40)]
     for _ in range(400):
-        actions = PlanningPass(PlanningInput("llm", engine, workers, tracker, 99, 99, 0.25), {}).actions()
+        actions = PlanningPass(
+            PlanningInput("llm", engine, workers, tracker, 99, 99, 0.25), {}
+        ).plan_actions()
         for action in actions:
             state = next(w for w in workers if w.instance == action.instance)
             for evicted_model in (eviction.model for eviction in action.evictions):
--- a/tests/cluster/test_rare_models.py
+++ b/tests/cluster/test_rare_models.py
@@ -49,7 +49,7 @@
         workers = list(self.workers.values())
         return PlanningPass(
             PlanningInput("llm", ENGINE, workers, tracker, 9, 9, 1.0, cold_start_slots), {}
-        ).actions()
+        ).plan_actions()
 
 
 def test_a_replica_with_requests_in_flight_is_not_evicted() -> None:
--- a/tests/cluster/test_silence.py
+++ b/tests/cluster/test_silence.py
@@ -233,6 +233,6 @@
 def test_library_log_records_count_towards_the_line_limit(logged: list[dict[str, Any]]) -> None:
     logger = logging.Logger("some.library")
     logger.addHandler(log.LibraryHandler(logging.WARNING))
-    for _ in range(2 * log.MAX_BURST_LINES):
+    for _ in range(2 * log.MAX_BURST_EVENTS):
         logger.error("again")
-    assert log.MAX_BURST_LINES <= len(logged) < 2 * log.MAX_BURST_LINES
+    assert log.MAX_BURST_EVENTS <= len(logged) < 2 * log.MAX_BURST_EVENTS
--- a/tests/cluster/test_snapshot.py
+++ b/tests/cluster/test_snapshot.py
@@ -6,7 +6,7 @@
 
 from finchladder.cluster.configuration.snapshot import build_snapshot
 from finchladder.cluster.tenancy.api_keys import ApiKey
-from finchladder.cluster.tenancy.tenant_limits import TenantLimits
+from finchladder.cluster.tenancy.tenant_lookup import TenantLookup
 
 DOCUMENT = {
     "version": 3,
@@ -128,9 +128,9 @@
     tenant = snapshot.keys.tenant_of(ApiKey("north-1"))
     assert tenant is not None and tenant.name == "north"
     assert list(snapshot.tenants) == ["north"]
-    limits = TenantLimits()
-    assert limits.tenant(document, "north") == tenant
-    assert limits.tenant(document, "west") is None
+    lookup = TenantLookup()
+    assert lookup.tenant(document, "north") == tenant
+    assert lookup.tenant(document, "west") is None
 
 
 @pytest.mark.parametrize("tenants", [None, {"a": {}}, "north", 5])
@@ -138,7 +138,7 @@
     document = json.dumps({"version": 3, "tenants": tenants}).encode()
     snapshot = build_snapshot(document)
     assert snapshot.keys is not None and snapshot.keys.key_count == 0
-    assert TenantLimits().tenant(document, "north") is None
+    assert TenantLookup().tenant(document, "north") is None
 
 
 def test_a_key_that_two_stored_tenants_share_is_invalid_and_other_keys_are_kept() -> None:
--- a/tests/cluster/test_utilization.py
+++ b/tests/cluster/test_utilization.py
@@ -44,8 +44,10 @@
 def test_a_replica_saves_more_late_requests_if_its_workers_serve_other_models() -> None:
     alone = FleetUtilization({"w1": ["m0"]}, {"m0": HIGH_LOAD, "m1": LOW_LOAD})
     shared = FleetUtilization({"w1": ["m0", "m1"]}, {"m0": HIGH_LOAD, "m1": LOW_LOAD})
-    assert shared.late_rate_saved_by_replica("m0") > alone.late_rate_saved_by_replica("m0") > 0
-    assert alone.late_rate_saved_by_replica("m1") == 0.0, "a first replica saves no late requests"
+    assert (
+        shared.late_request_rate_saved_by_replica("m0") > alone.late_request_rate_saved_by_replica("m0") > 0
+    )
+    assert alone.late_request_rate_saved_by_replica("m1") == 0.0, "a first replica saves no late requests"
 
 
 def test_a_replica_causes_more_late_requests_at_a_busy_worker() -> None:
@@ -53,8 +55,8 @@
         {"w1": ["m0"], "w2": ["m1"], "w3": []}, {"m0": HIGH_LOAD, "m1": ExpectedLoad(0.7, 9.0)}
     )
     assert (
-        utilization.late_rate_added_by_replica("w2", "m0")
-        > utilization.late_rate_added_by_replica("w3", "m0")
+        utilization.late_request_rate_added_by_replica("w2", "m0")
+        > utilization.late_request_rate_added_by_replica("w3", "m0")
         > 0
     )
 
@@ -85,14 +87,14 @@
         if model in models:
             without = [m - {model} if n == number else m for n, m in enumerate(loaded)]
             loss = max(0.0, late_rate(without) - late_rate(loaded)) if replicas > 1 else 0.0
-            assert utilization.late_rate_added_by_eviction(str(number), model) == pytest.approx(
+            assert utilization.late_request_rate_added_by_eviction(str(number), model) == pytest.approx(
                 loss, abs=1e-6
             )
         elif replicas:
             more = [m | {model} if n == number else m for n, m in enumerate(loaded)]
-            change = utilization.late_rate_added_by_replica(
+            change = utilization.late_request_rate_added_by_replica(
                 str(number), model
-            ) - utilization.late_rate_saved_by_replica(model)
+            ) - utilization.late_request_rate_saved_by_replica(model)
             assert change == pytest.approx(late_rate(more) - late_rate(loaded), abs=1e-6)
 
 
@@ -122,7 +124,7 @@
     def plan(self) -> list[LoadAction]:
         return PlanningPass(
             PlanningInput("llm", ENGINE, self.workers, self.tracker, 9, 9, 0.25), {}
-        ).actions()
+        ).plan_actions()
 
 
 def test_a_replica_is_added_before_an_engine_is_overloaded_at_the_least_utilized_worker() -> None:
