--- a/tests/cluster/test_chain_model.py
+++ b/tests/cluster/test_chain_model.py
@@ -73,5 +73,5 @@
         found: Replica = min(replicas, key=lambda r: (r.state_view, r.state.sequence))
         return found
 
-    monkeypatch.setattr(chain, "newest", oldest)
+    monkeypatch.setattr(chain, "newest_replica", oldest)
     assert searched(views=3).broken is not None
