--- a/finchladder/cluster/process/action_executor.py
+++ b/finchladder/cluster/process/action_executor.py
@@ -1,4 +1,4 @@
-"""Execution of the planner's actions at workers, and measurement of load durations."""
+"""Executes the planner's actions at workers, and measures how long their loads take."""
 
 import asyncio
 
@@ -21,15 +21,15 @@
 from finchladder.cluster.types.errors import PeerUnreachableError
 from finchladder.cluster.types.workers import PendingLoad
 
-EVICTION_NOTICE_S = 0.05  # time between the announcement of an eviction and its order
+EVICTION_NOTICE_S = 0.05  # minimum time between the announcement of evictions and the first order
 MAX_UNNOTIFIED_REQUESTS = (
-    0.02  # expected requests during the notice; with fewer, a model is evicted without notice
+    0.02  # requests expected within EVICTION_NOTICE_S; below that, models are evicted without notice
 )
 
 
 @define
 class ActionExecutor:
-    """Executes load actions, and owns the measured durations of loads."""
+    """Executes load actions, and stores the measured durations of loads."""
 
     updates: UpdateServer
     orders: WorkerOrders
@@ -40,7 +40,7 @@
     _durations: dict[str, LoadDurations] = field(factory=dict)  # keyed by service
 
     def durations(self, service: str) -> LoadDurations:
-        """Returns the measured durations of loads at the workers of a service."""
+        """Returns the load durations that were measured at the workers of a service."""
         return self._durations.setdefault(service, LoadDurations())
 
     async def execute(self, worker: ManagedWorker, action: LoadAction, engine: Engine) -> None:
@@ -82,7 +82,10 @@
         return EVICTION_NOTICE_S + self.updates.batch_interval_s()
 
     def _is_hardly_used(self, service: str, eviction: Eviction) -> bool:
-        """Returns whether no request uses it, and hardly any will before dispatchers receive the notice."""
+        """Returns whether no request is queued or running for the model or adapter, and few are expected.
+
+        Requests that arrive within EVICTION_NOTICE_S may still be sent to the worker.
+        """
         tracker = self.demand.tracker
         keys = [
             key
@@ -133,7 +136,10 @@
         is_warm: bool,
         load_duration_s: float,
     ) -> None:
-        """Records the duration of a load, which also shows whether a returned worker has kept its disk."""
+        """Records the duration of a load.
+
+        If the worker restarted at its address, the duration also shows whether it kept its disk.
+        """
         configured_load_s = engine.models[action.model].load_s
         durations = self.durations(worker.state.service)
         instance = worker.state.instance
--- a/finchladder/cluster/process/attempt.py
+++ b/finchladder/cluster/process/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to send a request to a worker: the data that is sent, and the classification of its outcome."""
+"""One attempt to send a request to a worker: the data that is sent, and the outcome of the attempt."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -34,7 +34,7 @@
 from finchladder.cluster.types.errors import error_kind
 
 CONNECT_TIMEOUT_S = 0.6
-FIRST_REDIRECTION_STATUS = 300  # lowest status code that is not a success
+FIRST_REDIRECTION_STATUS = 300  # lowest status code above those for success (2xx)
 
 
 @dataclass(frozen=True)
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class NotExecuted:
-    """The worker reported that it has not run the request and will not run it."""
+    """The worker responded that it has not run the request and will not run it."""
 
     status: int
     retry_after_s: float
@@ -186,7 +186,7 @@
 def _is_response_to(response: aiohttp.ClientResponse, outgoing: OutgoingRequest) -> bool:
     """Returns whether the response has the request's id.
 
-    A response without an id counts if the worker could not parse the request.
+    A response without an id is accepted if it reports that the worker could not parse the request.
     """
     request_id = response.headers.get(REQUEST_ID_HEADER)
     if request_id is None:
--- a/finchladder/cluster/process/attempt_sender.py
+++ b/finchladder/cluster/process/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sending of attempts, limited by the requests' deadlines and this dispatcher's retry budgets."""
+"""Sends attempts within the requests' deadlines; resumed streams also count against the retry budgets."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -26,14 +26,14 @@
 from finchladder.cluster.routing.workers import Worker
 from finchladder.cluster.transport.peers import steady
 
-SEND_AFTER_QUEUE_CLOSED_S = 0.05  # grace for requests that got a worker just before the queue closed
+SEND_AFTER_QUEUE_CLOSED_S = 0.05  # time for sending requests that got a worker before the queue closed
 
 
 @define
 class AttemptSender:
     """Sends the attempts of all requests, and times them out.
 
-    `may_send`: returns whether the newest configuration still allows a request.
+    `may_send`: returns whether a request may still be sent under the newest configuration.
     """
 
     session: aiohttp.ClientSession
@@ -56,7 +56,7 @@
     async def resume(
         self, request: AdmittedRequest, attempted: frozenset[str], last_event_id: str
     ) -> WorkerStream | None:
-        """Resumes a stream after that event at another worker; returns None if that is not possible.
+        """Resumes a stream at another worker after the event `last_event_id`; None if that is not possible.
 
         The caller closes the stream.
         """
@@ -78,7 +78,7 @@
                 outcome.response.close()
                 return None
             in_flight.record_first_token()
-            attempt.pop_all()  # closing the stream ends the attempt
+            attempt.pop_all()  # the attempt ends when the caller closes the stream, not with this block
             return WorkerStream(worker, outcome.response, in_flight)
 
     @asynccontextmanager
--- a/finchladder/cluster/process/chain_service.py
+++ b/finchladder/cluster/process/chain_service.py
@@ -26,7 +26,7 @@
 from finchladder.cluster.types.operations import ControlState, Operation, SetConfiguration
 
 REPLICATE_TIMEOUT_S = 1.2  # time for all successors to store an operation
-MIN_BYTES_PER_S = 1_000_000  # minimum transfer rate, by which the size of a message extends the timeout
+MIN_BYTES_PER_S = 1_000_000  # minimum transfer rate; size / rate is added to the timeout of a message
 FETCH_TIMEOUT_S = 1.0
 READ_TIMEOUT_S = 0.4
 
@@ -37,14 +37,15 @@
 
     Attributes:
         confirm_interval_s: Seconds between two confirmations by the head.
-        acknowledged: The newest state that all members of a chain are known to hold; only this state is
-            visible outside of the chain.
-        write_lock: The head holds this lock from the check of an operation until the operation has ended.
-        confirmed_view: The last view in which the chain has confirmed this process as head.
-        confirmed_at: Start time of the last successful confirmation, by this process or a predecessor.
-        last_request_view: View of the last request from the predecessor.
+        acknowledged: The newest state that all members of a chain are known to have stored; only this state
+            is visible outside of the chain.
+        write_lock: Held by the head from the validation of an operation until the operation has ended.
+        confirmed_view: Number of the last view in which the chain has confirmed this process as head.
+        confirmed_at: Start of the last request to replicate or confirm a state that succeeded at this process
+            and all its successors.
+        last_request_view: Number of the view of the last request from the predecessor.
         last_request_at: Arrival time of that request.
-        started_view: The last view in which this process, as head, has begun a confirmation.
+        started_view: Number of the last view in which this process, as head, has begun a confirmation.
         renewable_until: Latest time at which the lease can have been renewed before `started_view`; None:
             unknown.
     """
@@ -130,7 +131,7 @@
         return reply
 
     def _acknowledge(self, replica: Replica, view: View, began_at: float) -> None:
-        """Records that every member holds the replica, since predecessors store it before they forward it."""
+        """Records that every member has stored the replica: members store it before they forward it."""
         self.confirmed_at = max(self.confirmed_at, began_at)
         if replica.state_view != view.number or replica.state.sequence < self.acknowledged.sequence:
             return
@@ -141,7 +142,10 @@
     # --- as head ------------------------------------------------------------------------------------------
 
     async def confirm(self) -> bool:
-        """As head, requests that all members confirm that they hold its state in the current view."""
+        """As head, requests that all members confirm that they have stored its state in the current view.
+
+        Returns whether they have, and the view is still the current one.
+        """
         async with self.write_lock:
             return await self.confirm_locked()
 
@@ -169,7 +173,10 @@
         return self.view.number == view.number
 
     async def _replica_as_head(self, view: View) -> Replica | None:
-        """Returns the head's replica, stored in the view; None after a view change or without replies."""
+        """Returns the head's replica after it was stored in the view.
+
+        Returns None if the view has changed, or if a member that may have newer state does not reply.
+        """
         agreement = self.agreement
         initial = await self._initial_replica(view)
         async with agreement.lock:
@@ -188,10 +195,11 @@
         """Returns the latest time at which a former head can have renewed the placer's lease; None: unknown.
 
         This method runs before the head stores the state in the new view. Only a head renews the lease, and
-        only after the whole chain of its view has confirmed it. If this process was the former head, it has
-        recorded the time; if its view was never confirmed, the lease was not renewed in that view. A member
-        that had stored the state in the former view has recorded when its predecessor last requested a
-        confirmation; it has confirmed nothing since it learned of the new view.
+        only after the whole chain of its view has confirmed the view. If this process was the former head, it
+        has recorded the time of the last renewal; if its view was never confirmed, the lease was not renewed
+        in that view. If this process was another member and had stored the state in the former view, it has
+        recorded when its predecessor last requested a confirmation. It has confirmed nothing since it adopted
+        the new view.
         """
         before = view.number - 1
         if self.confirmed_view == before and self.lease.renewed_at is not None:
@@ -204,9 +212,9 @@
         return self.last_request_at if self.last_request_view == before else agreement.adopted_at
 
     async def _initial_replica(self, view: View) -> Replica | None:
-        """Returns the initial replica of a view's head; None if a member that may hold it does not reply.
+        """Returns the replica with which the head begins a view; None if a required member does not reply.
 
-        It is the head's own replica, or in a view without survivors the newest replica of all members.
+        This is the head's own replica, or in a view without survivors the newest replica of all members.
         """
         own = self.agreement.replica
         if own.state_view == view.number or view.survivors:
@@ -227,7 +235,10 @@
         return chain.newest_replica(replicas)
 
     async def on_fetch(self, request: FetchReplica) -> ReplicaReply:
-        """Replies with this member's replica once older views can no longer change it."""
+        """Replies with this member's replica if the requested view is the current one.
+
+        The lock ensures that no operation of an older view is being stored.
+        """
         agreement = self.agreement
         async with agreement.lock:
             view, replica = agreement.view, agreement.replica
@@ -236,7 +247,10 @@
         return ReplicaReply(view, replica.state_view, replica.state)
 
     async def confirmed_state(self) -> ControlState | None:
-        """Returns the state for the next write, or None if unconfirmed; the caller holds the write lock."""
+        """Returns the state to which the next write applies, or None if the chain does not confirm it.
+
+        The caller holds the write lock.
+        """
         is_confirmed = (
             self.confirmed_view == self.view.number and self.agreement.replica.state == self.acknowledged
         )
@@ -248,7 +262,8 @@
         """Replicates an operation; the caller holds the write lock.
 
         Returns:
-            True once all members have stored it; False if it may or may not survive.
+            True once all members have stored it; False if its outcome is unknown or this process is not a
+            confirmed head.
         """
         agreement = self.agreement
         began_at = steady()
@@ -281,7 +296,7 @@
     # --- as tail ------------------------------------------------------------------------------------------
 
     async def on_read(self, _: ReadState) -> StateReply:
-        """As tail, replies with the newest state, unless a later view may have begun before the request."""
+        """As tail, replies with the newest state, unless a later view may have been decided already."""
         agreement = self.agreement
         view, replica = agreement.view, agreement.replica
         tail = view.tail
@@ -321,14 +336,18 @@
             reply = await self.on_read(ReadState())
         else:
             response = await self.agreement.call_member(tail, ReadState(), 2 * READ_TIMEOUT_S)
-            reply = response if isinstance(response, StateReply) else StateReply(None, "unexpected message")
+            reply = (
+                response
+                if isinstance(response, StateReply)
+                else StateReply(None, "the tail replied with an unexpected message")
+            )
         if reply.state is None:
             raise PeerRefusedError("ReadState", tail.name, reply.problem)
         return reply.state
 
 
 def _message_bytes(request: Replicate) -> int:
-    """Returns the approximate size of a message, which is the size of its configuration document."""
+    """Returns the approximate size of a message: the size of its configuration document."""
     if request.state is not None:
         return len(request.state.document)
     return len(request.operation.document) if isinstance(request.operation, SetConfiguration) else 0
--- a/finchladder/cluster/process/client_responses.py
+++ b/finchladder/cluster/process/client_responses.py
@@ -14,7 +14,7 @@
 
 
 class RejectReason(Enum):
-    """Reason for a rejection with 503; the values appear in the log event `request.refused`."""
+    """Reason for a rejection with 503; the log event `request.refused` contains the value."""
 
     CONFIGURATION_STALE = "doubtful"
     CONFIGURATION_UNCONFIRMED = "unconfirmed"
@@ -34,7 +34,7 @@
 
 @define
 class ClientResponses:
-    """Creates responses. `draining`: connections close after their next response."""
+    """Creates responses. `draining`: whether connections close after their next response."""
 
     draining: bool = False
 
@@ -60,7 +60,7 @@
         return self.finish(response)
 
     def unauthorized(self, reason: UnauthorizedReason) -> web.StreamResponse:
-        """Returns a 401: no configuration in force has the request's key."""
+        """Returns a 401: the request has no API key that the configuration in force contains."""
         event("request.unauthorized", reason=reason.value)
         response = web.Response(status=HTTPStatus.UNAUTHORIZED, text="the request has no valid API key\n")
         response.headers[AUTHENTICATE_HEADER] = AUTHENTICATION_CHALLENGE
@@ -77,7 +77,7 @@
         return self.finish(web.Response(status=status, text=text + "\n"))
 
     def finish(self, response: web.StreamResponse) -> web.StreamResponse:
-        """Closes the connection after the response while draining; must be called before its head is sent."""
+        """Makes the connection close after the response if `draining` is set; must precede the sending."""
         if self.draining:
             response.force_close()
         return response
--- a/finchladder/cluster/process/configuration_changes.py
+++ b/finchladder/cluster/process/configuration_changes.py
@@ -18,13 +18,14 @@
 INVALID = 400
 CONFLICT = 412
 OUTCOME_UNKNOWN = 503
-FORWARD_MARGIN_S = 0.05  # part of the deadline that is reserved for the round trip to the head
+FORWARD_MARGIN_S = 0.05  # part of the caller's time that is reserved for the round trip to the head
 MAX_LOGGED_PROBLEM_CHARS = 200  # problems contain route, service and tenant names without a length limit
-LARGE_VALIDATION_BYTES = 64 << 10  # larger changes and documents are validated in a thread
+# A change is validated in a thread if its body and the stored document together have at least this size.
+LARGE_VALIDATION_BYTES = 64 << 10
 
 
 def outcome_unknown(problem: str) -> Submitted:
-    """Returns the outcome of a change that may or may not have been accepted; its sender retries."""
+    """Returns the reply for a change whose outcome is unknown; the operator's client then retries."""
     return Submitted(OUTCOME_UNKNOWN, 0, problem)
 
 
@@ -40,7 +41,7 @@
 
 @define
 class ConfigurationChanges:
-    """Validates and stores the operator's configuration changes, and returns their outcomes."""
+    """Validates the operator's configuration changes, stores them in the chain, and returns outcomes."""
 
     chain: ChainService
 
@@ -78,7 +79,7 @@
         )
 
     async def submit_at_head(self, base: int, patch: bool, body: bytes, deadline_s: float) -> Submitted:
-        """Applies a change as head; the work continues after the caller's deadline."""
+        """Applies a change as head; a change that is being applied at the deadline is completed."""
         deadline = steady() + deadline_s
         work = asyncio.ensure_future(self._submit_in_order(base, patch, body, deadline))
         try:
@@ -116,7 +117,7 @@
     async def _confirmed_rejection(self, base: int, outcome: Submitted) -> Submitted:
         """Returns the rejection once the chain has confirmed this process as its head.
 
-        A head that was replaced would reject changes because of an outdated state.
+        Otherwise a head that was replaced could reject changes because its state is outdated.
         """
         if await self.chain.confirm_locked():
             _log_rejection(base, outcome)
@@ -128,7 +129,8 @@
     ) -> changes.ValidChange | changes.InvalidChange:
         """Returns the resulting document, or the reason why the change is invalid.
 
-        Large changes are validated in a thread, so that they do not block the event loop.
+        Changes with at least LARGE_VALIDATION_BYTES are validated in a thread, so that they do not block the
+        event loop.
         """
         validate = partial(changes.validate_change, state.document, state.version, patch, body)
         if len(body) + len(state.document) < LARGE_VALIDATION_BYTES:
--- a/finchladder/cluster/process/configuration_refresher.py
+++ b/finchladder/cluster/process/configuration_refresher.py
@@ -1,4 +1,4 @@
-"""Refresh of a dispatcher's configuration before it rejects an API key that its configuration lacks."""
+"""Refreshes a dispatcher's configuration before the dispatcher rejects a request with an unknown API key."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,15 +9,16 @@
 from finchladder.cluster.transport.peers import steady
 
 PULL_TIMEOUT_S = 0.2  # short, since a client waits for the pull
-MIN_PULL_INTERVAL_S = 0.2  # bounds the load that clients without valid keys put on control processes
+MIN_PULL_INTERVAL_S = 0.2  # limits the load on control processes from clients without valid keys
 NEVER = -1e9
 
 
 @define
 class ConfigurationRefresher:
-    """Pulls at most once per `MIN_PULL_INTERVAL_S`; all waiting callers share one pull.
+    """Pulls the configuration at most once per `MIN_PULL_INTERVAL_S`; all waiting callers share one pull.
 
-    `pull_once`: pulls with a timeout in seconds; returns whether the chain has recently confirmed the source.
+    `pull_once`: pulls with a timeout in seconds; returns whether the chain has recently confirmed the control
+    process that replied.
     """
 
     pull_once: Callable[[float], Awaitable[bool]]
@@ -27,7 +28,7 @@
     _is_confirmed: bool = False  # result of the last pull
 
     async def refresh(self) -> bool:
-        """Refreshes the configuration; returns whether the chain has recently confirmed its source."""
+        """Refreshes the configuration; returns whether the chain has recently confirmed its sender."""
         if self._pull is None:
             if steady() - self._pulled_at < MIN_PULL_INTERVAL_S:
                 return self._is_confirmed
--- a/finchladder/cluster/process/contact_timeouts.py
+++ b/finchladder/cluster/process/contact_timeouts.py
@@ -1,8 +1,8 @@
-"""Timeouts for detecting a loss of contact, as fractions of the deployment's setting `contact_ms`.
+"""Timeouts for detecting a loss of contact, derived from the deployment's setting `contact_ms`.
 
-A dispatcher may receive updates only from processes that the chain no longer confirms. It then serves for
-`confirmation_validity_s`, because a source may have had a recent confirmation when it replied, and for
-another `unconfirmed_timeout_s`. After the sum, `contact_s`, a dispatcher need not count as connected.
+If all control processes that a dispatcher reaches have lost contact with the chain, they still report it as
+confirmed for up to `confirmation_validity_s` after its last confirmation. The dispatcher serves for another
+`unconfirmed_timeout_s`. The sum is `contact_s`, after which a dispatcher need not count as connected.
 """
 
 from attrs import frozen
@@ -12,8 +12,8 @@
 CONFIRMATIONS_PER_CONTACT_PERIOD = 10
 MAX_CONFIRM_INTERVAL_S = 0.3
 MAX_LONG_POLL_S = 1.0
-# The maximum intervals and timeouts of pulls apply from a `contact_s` of FULL_LENGTH_CONTACT_S on; below it,
-# all of them are reduced by the same factor.
+# The following maximum intervals and timeouts apply if `contact_s` is at least MIN_UNSCALED_CONTACT_S.
+# Otherwise they are multiplied by `contact_s` / MIN_UNSCALED_CONTACT_S.
 MIN_UNSCALED_CONTACT_S = 3.0
 MAX_PULL_TIMEOUT_S = 1.8
 MAX_SOURCE_TIMEOUT_S = 2.0
@@ -24,53 +24,56 @@
 
 @frozen
 class ContactTimeouts:
-    """Timeouts of one deployment. `contact_s`: time without contact after which a process is disconnected."""
+    """Timeouts of one deployment.
+
+    `contact_s`: seconds without contact after which a process counts as disconnected.
+    """
 
     contact_s: float
 
     @property
     def confirmation_validity_s(self) -> float:
-        """Time for which the last confirmation by the chain is valid in a control process."""
+        """Seconds for which a control process reports the last confirmation by the chain as recent."""
         return CONFIRMATION_FRACTION * self.contact_s
 
     @property
     def unconfirmed_timeout_s(self) -> float:
-        """Time for which a dispatcher serves without a confirmation once the core has lost its quorum."""
+        """Seconds for which a dispatcher serves without a confirmation after the core has lost its quorum."""
         return UNCONFIRMED_FRACTION * self.contact_s
 
     @property
     def status_validity_s(self) -> float:
-        """Time for which a dispatcher relies on the last status of a control process."""
+        """Seconds for which a dispatcher uses the last status that it received from a control process."""
         return self.contact_s
 
     @property
     def confirm_interval_s(self) -> float:
-        """Interval between two confirmations of the chain by its head."""
+        """Seconds between two confirmations of the chain by its head."""
         return min(MAX_CONFIRM_INTERVAL_S, self.contact_s / CONFIRMATIONS_PER_CONTACT_PERIOD)
 
     @property
     def pull_timeout_s(self) -> float:
-        """Timeout of a pull."""
+        """Timeout of a pull in seconds."""
         return self._scaled(MAX_PULL_TIMEOUT_S)
 
     @property
     def source_timeout_s(self) -> float:
-        """Time without an update after which another source becomes the primary."""
+        """Seconds without an update from the primary source after which another one replaces it."""
         return self._scaled(MAX_SOURCE_TIMEOUT_S)
 
     @property
     def poll_interval_s(self) -> float:
-        """Interval between two polls of a source that is not long-polled."""
+        """Seconds between two polls of a source that is not long-polled."""
         return self._scaled(MAX_POLL_INTERVAL_S)
 
     @property
     def retry_interval_s(self) -> float:
-        """Interval between a failed pull and the next one."""
+        """Seconds between a failed pull and the next one."""
         return self._scaled(MAX_RETRY_INTERVAL_S)
 
     @property
     def source_update_interval_s(self) -> float:
-        """Interval between two updates of the set of sources."""
+        """Seconds between two updates of the set of sources."""
         return self._scaled(MAX_SOURCE_UPDATE_INTERVAL_S)
 
     def _scaled(self, max_s: float) -> float:
@@ -78,5 +81,8 @@
 
     @property
     def long_poll_s(self) -> float:
-        """Maximum duration of a long poll; a reply without changes also confirms its source."""
+        """Maximum duration of a long poll in seconds.
+
+        It is at most `unconfirmed_timeout_s`, because a reply without changes also reports a confirmation.
+        """
         return min(MAX_LONG_POLL_S, self.unconfirmed_timeout_s)
--- a/finchladder/cluster/process/control_api.py
+++ b/finchladder/cluster/process/control_api.py
@@ -19,8 +19,8 @@
 
 CONFIG_PATH = "/api/config"
 INSTANCES_PREFIX = "/api/instances/"
-RESPONSE_DEADLINE_S = 0.9  # callers try another process after 1 s without a response
-MIN_BYTES_PER_S = 1_000_000  # minimum transfer rate, by which the size of the body extends the deadline
+RESPONSE_DEADLINE_S = 0.9  # callers send the request to another process after 1 s without a response
+MIN_BYTES_PER_S = 1_000_000  # minimum transfer rate; size / rate is added to the deadline
 MAX_BODY_BYTES = 64 << 20
 
 
--- a/finchladder/cluster/process/control_plane.py
+++ b/finchladder/cluster/process/control_plane.py
@@ -1,6 +1,7 @@
 """The replicated control state of a control process: views, chain, configuration and the placer's lease.
 
-The disk and the peers are injected, so the same code runs on machines and in `finchladder.lab.cluster`.
+The disk and the peers are injected, so that the same code runs in production and in the simulation
+`finchladder.lab.cluster`.
 """
 
 import asyncio
@@ -44,7 +45,7 @@
     Submit,
 )
 
-LEASE_FRACTION = 0.25  # fraction of the window within which no two lease holders may both act
+LEASE_FRACTION = 0.25  # duration of the lease as a fraction of the exclusion window
 DISK_PROBE_INTERVAL_S = 1.0
 
 Handler = Callable[[Any], Awaitable[Reply]]
@@ -52,7 +53,10 @@
 
 @frozen
 class RecoveredState:
-    """The durable state that was read from the local disk at startup."""
+    """The durable state that was read from the local disk at startup.
+
+    `founder`: whether the disk was empty when the system was bootstrapped.
+    """
 
     founder: bool
     acceptor: Acceptor
--- a/finchladder/cluster/process/core_node.py
+++ b/finchladder/cluster/process/core_node.py
@@ -24,7 +24,7 @@
 from finchladder.cluster.types.members import Member
 from finchladder.cluster.types.messages import DemandReport, PullUpdates, Reply, Request, ReserveQuota
 
-SHUTDOWN_LINGER_S = 0.3  # peers may still fetch updates before the listeners close
+SHUTDOWN_LINGER_S = 0.3  # time before the listeners close, in which peers can still fetch updates
 LEAVE_CHAIN_TIMEOUT_S = 1.5  # time for the other members to adopt a view without this process
 
 
--- a/finchladder/cluster/process/core_sessions.py
+++ b/finchladder/cluster/process/core_sessions.py
@@ -1,6 +1,6 @@
 """Worker sessions of a control process, and the exchange of replicated tables with other processes.
 
-The control state and the peers are injected, so the same code runs on machines and in
+The control state and the peers are injected, so that the same code runs in production and in the simulation
 `finchladder.lab.cluster`.
 """
 
@@ -22,8 +22,8 @@
 from finchladder.cluster.transport.peers import steady
 from finchladder.cluster.types.messages import Update
 
-ANNOUNCE_INTERVAL_S = 1.0  # maximum interval between two notifications of subscribers
-ANY_VERSION = 1 << 60  # a control process gets its configuration from the chain, so it pulls none
+ANNOUNCE_INTERVAL_S = 1.0  # maximum time between two notifications of the subscribers
+ANY_VERSION = 1 << 60  # above all versions: a control process gets its configuration from the chain
 
 IsRunning = Callable[[str, str], Awaitable[bool]]
 
@@ -58,8 +58,8 @@
             timeouts: Timeouts for detecting a loss of contact.
             peers: Sends requests to other processes.
             tasks: Owns the background tasks.
-            random: Random source for the origin's name and the jitter of pulls.
-            is_running: Returns whether a worker, given by address and instance, is running.
+            random: Random source for the name of this incarnation and for the jitter of pulls.
+            is_running: Returns whether a worker incarnation, given by address and instance, is running.
         """
         me = control.agreement.me
         tables = ReplicatedTables(f"{me.name}/{random.getrandbits(32):x}")
@@ -119,7 +119,7 @@
         }
 
     async def _announce_state(self) -> None:
-        """Notifies the subscribers whenever the chain has acknowledged a state."""
+        """Applies retirements and notifies the subscribers whenever the chain has acknowledged a state."""
         while True:
             self.sessions.apply_retirements(self.control.chain.acknowledged.retirements)
             await self.control.chain.changed.wait(ANNOUNCE_INTERVAL_S)
@@ -133,7 +133,7 @@
 
 
 def placer_address(control: ControlPlane) -> str:
-    """Returns the peer address of the placer; empty while there is none."""
+    """Returns the peer address of the placer; empty if there is no placer or it has left the view."""
     name = control.chain.acknowledged.placer
     for member in control.agreement.view.members():
         if member.name == name:
--- a/finchladder/cluster/process/demand_intake.py
+++ b/finchladder/cluster/process/demand_intake.py
@@ -1,4 +1,4 @@
-"""Receipt of the dispatchers' demand reports."""
+"""Receives the dispatchers' demand reports at the placer."""
 
 from attrs import define, field
 
@@ -10,12 +10,12 @@
 from finchladder.cluster.types.messages import DemandReply, DemandReport
 
 MIN_REPORT_INTERVAL_MS = 400
-MAX_REPORTS_PER_S = 150  # total over all dispatchers
+MAX_REPORTS_PER_S = 150  # limit for the reports of all dispatchers together
 
 
 @define
 class DemandIntake:
-    """Owns the demand tracker; `demand_queued` fires when a report shows queued requests."""
+    """Adds reports to the demand tracker; `demand_queued` fires when a report contains queued requests."""
 
     lease_service: PlacerLeaseService
     updates: UpdateServer
@@ -34,7 +34,7 @@
         )
 
     def _report_interval_ms(self) -> int:
-        """Returns an interval that grows with the number of dispatchers, to limit the load on the placer."""
+        """Returns the report interval; it grows with the number of dispatchers to limit the placer's load."""
         dispatchers = max(1, self.updates.dispatcher_count())
         return max(MIN_REPORT_INTERVAL_MS, 1000 * dispatchers // MAX_REPORTS_PER_S)
 
@@ -43,5 +43,5 @@
         self._queued_since = {key: self._queued_since.get(key, now) for key in self.tracker.queued_keys()}
 
     def queued_for_s(self, key: DemandKey, now: float) -> float:
-        """Returns how long requests have been queued for a model or adapter; 0 if none are queued."""
+        """Returns the seconds for which requests have been queued for a model or adapter; 0 if none are."""
         return now - self._queued_since.get(key, now)
--- a/finchladder/cluster/process/demand_reporter.py
+++ b/finchladder/cluster/process/demand_reporter.py
@@ -1,4 +1,4 @@
-"""Reports of a dispatcher's demand to the placer, which replies with the load of other dispatchers."""
+"""Reports a dispatcher's demand to the placer, which replies with the load of the other dispatchers."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,12 +15,12 @@
 REPORT_INTERVAL_S = 0.4  # initial interval, until the placer requests another one
 REPORT_TIMEOUT_S = 0.6
 REPORT_BATCH_DELAY_S = 0.01  # requests that are queued within this time go into one report
-PEER_LOADS_EXPIRY_S = 2.0  # time beyond the interval after which peer loads without an update are dropped
+PEER_LOADS_EXPIRY_S = 2.0  # peer loads expire this long after an update is due
 
 
 @define
 class DemandReporter:
-    """Reports at the interval that the placer requests, and at once when a request waits for a replica.
+    """Reports at the interval that the placer requests, and when a request begins to wait for a replica.
 
     Attributes:
         placer_address: Returns the placer's address; empty while it is unknown.
@@ -71,6 +71,6 @@
         )
 
     def expire_peer_loads(self, now: float, interval_s: float) -> None:
-        """Drops the peers' loads if they are outdated, since they would mislead worker selection."""
+        """Drops the peers' loads if they are outdated, since worker selection would use wrong loads."""
         if now - self.peer_loads_received_at > interval_s + PEER_LOADS_EXPIRY_S:
             self.pools().set_peer_loads(now, {})
--- a/finchladder/cluster/process/dispatcher_node.py
+++ b/finchladder/cluster/process/dispatcher_node.py
@@ -31,15 +31,15 @@
 from finchladder.cluster.types.messages import Update
 
 READY_PATH = "/api/readyz"
-WORKER_KEEPALIVE_S = 20.0  # shorter for workers that announce a shorter timeout
-UNCONFIRMED_READY_AFTER_S = 4.0  # time until a dispatcher is ready although the chain has not confirmed it
+WORKER_KEEPALIVE_S = 20.0  # reduced if a worker announces a shorter timeout
+UNCONFIRMED_READY_AFTER_S = 4.0  # time after the start from which readiness requires no confirmed state
 
 # Phases of a graceful shutdown
-READINESS_PROPAGATION_S = 2.5  # time until the platform sends no new connections
-MAX_READINESS_GRACE_FRACTION = 0.4  # fraction of the platform's grace period, if that is short
+READINESS_PROPAGATION_S = 2.5  # time from becoming unready until the platform opens no new connections
+MAX_READINESS_GRACE_FRACTION = 0.4  # limits READINESS_PROPAGATION_S to this fraction of the grace period
 SHUTDOWN_POLL_S = 0.05
-FINAL_RESPONSES_S = 0.3  # time for the responses to requests that were timed out
-EXIT_MARGIN_S = 0.6  # time between the last response and the SIGKILL of the platform
+FINAL_RESPONSES_S = 0.3  # time to send the responses to requests that are timed out at the end
+EXIT_MARGIN_S = 0.6  # time between the last response and the end of the grace period (SIGKILL)
 
 
 @define
@@ -47,9 +47,10 @@
     """Components of a dispatcher and their lifecycle from startup to shutdown.
 
     Attributes:
-        has_confirmed_state: Whether a state that the chain confirmed was received.
+        has_confirmed_state: Whether an update with a configuration arrived from a control process that the
+            chain had recently confirmed.
         stopping: Whether a graceful shutdown has begun.
-        key_salt: Salt of the digests of API keys in this process.
+        key_salt: Salt for the digests of API keys in this process.
     """
 
     settings: Settings
@@ -116,7 +117,7 @@
     # --- updates ------------------------------------------------------------------------------------------
 
     def _apply_update(self, update: Update, changed_instances: list[str]) -> None:
-        """Activates a newer configuration and updates the pools."""
+        """Activates the configuration of an update if it is newer, and updates the pools."""
         if update.document and update.version > self.router.snapshot.version:
             self._activate(snapshot.build_snapshot(decompress(update.document), self.key_salt))
         if changed_instances:
@@ -182,7 +183,7 @@
     async def _graceful_shutdown(self, frontend: Listener) -> None:
         """Becomes unready, waits for open requests, then times out those that remain.
 
-        Requests that arrive before the listening socket closes get a response, too.
+        Requests that arrive before the listening socket closes also get a response.
         """
         began_at = steady()
         grace_s = self.settings.bounds.grace_s
@@ -213,5 +214,5 @@
 
     async def _wait_for_connections(self, frontend: Listener, drain_deadline: float) -> None:
         while frontend.connection_count and steady() < drain_deadline:
-            await asyncio.sleep(SHUTDOWN_POLL_S)  # requests already sent are read before the close
+            await asyncio.sleep(SHUTDOWN_POLL_S)  # for requests that were already sent
             frontend.close_idle()
--- a/finchladder/cluster/process/failure_detection.py
+++ b/finchladder/cluster/process/failure_detection.py
@@ -15,7 +15,7 @@
 PING_INTERVAL_S = 0.2
 PING_TIMEOUT_S = 0.4
 SUSPICION_TIMEOUT_S = 0.75  # a member that has not replied for longer is suspected to have failed
-UNKNOWN_VIEW = -1  # state view of a member that has not replied yet
+UNKNOWN_VIEW = -1  # value of `state_view` for a member that has not replied yet
 
 
 @frozen
@@ -51,7 +51,7 @@
         return self.agreement.pong(request.view)
 
     def forget_former_members(self) -> None:
-        """Drops the status of lost disks, which would otherwise accumulate with every replaced disk."""
+        """Drops the status of former members, so that it does not accumulate with every replaced disk."""
         view = self.agreement.view
         members = {member.disk_id for group in (view.members(), *view.state_sources) for member in group}
         now = steady()
@@ -75,7 +75,7 @@
         return addresses
 
     async def run_pings(self) -> None:
-        """Pings all targets at a fixed interval; a ping without a reply delays no other ping."""
+        """Pings all targets at a fixed interval without waiting for the replies to earlier pings."""
         running: set[asyncio.Task[None]] = set()
         try:
             while True:
@@ -104,7 +104,7 @@
             if reply.newer_view is not None:
                 await self.agreement.learn(reply.newer_view)
         except ClusterError:
-            return  # `alive_members` reflects both an unreachable peer and a failed local disk
+            return  # `alive_members` accounts for an unreachable peer as well as for a failed local disk
 
     def alive_members(self) -> dict[str, MemberStatus]:
         """Returns the members that are not suspected, including this process, keyed by disk id."""
@@ -130,7 +130,10 @@
         return alive
 
     def stored_state_views(self) -> dict[str, int]:
-        """Returns the view of each member's stored state as of its last reply, keyed by disk id."""
+        """Returns the number of the view in which each member last stored the state, keyed by disk id.
+
+        The numbers are those of the last replies.
+        """
         return {disk_id: status.pong.state_view for disk_id, status in self.peer_statuses.items()}
 
     def joining_members(self) -> list[Member]:
@@ -143,10 +146,10 @@
         ]
 
     def is_quorum_lost(self) -> bool:
-        """Returns whether a majority of machines replies, but no majority of the voters.
+        """Returns whether as many machines reply as form a majority, but no majority of the voters.
 
-        Some machines have then restarted without their disks, and the last acknowledged operations may be
-        stored only by a voter that does not reply.
+        Some machines have then restarted with empty disks, and the last acknowledged operations may be stored
+        only by a voter that does not reply.
         """
         view = self.agreement.view
         alive = self.alive_members()
--- a/finchladder/cluster/process/fleet_observer.py
+++ b/finchladder/cluster/process/fleet_observer.py
@@ -1,4 +1,4 @@
-"""State of the fleet that each control process records to be ready to become the placer."""
+"""State of the workers that every control process records, because it may become the placer."""
 
 from attrs import define, field
 
@@ -10,7 +10,7 @@
 
 @define
 class FleetObserver:
-    """Owns the inventory of the workers' disks and the log of announced loads."""
+    """Records the models on the workers' disks, and the loads that placement records announce."""
 
     updates: UpdateServer
     load_window_s: float
@@ -22,7 +22,7 @@
         self.announced_loads = AnnouncedLoadLog(self.load_window_s)
 
     def record_disks(self) -> None:
-        """Records models that workers report as loaded, as these are on their disks. O(workers)."""
+        """Records the models that workers report as loaded, which are on their disks, too. O(workers)."""
         for record in self.updates.tables.live_workers():
             models = (loaded.model for loaded in record.loaded_models)
             self.disks.record_models(record.instance, record.address, models)
--- a/finchladder/cluster/process/in_flight.py
+++ b/finchladder/cluster/process/in_flight.py
@@ -1,4 +1,4 @@
-"""Accounting of a request that runs at a worker."""
+"""Counts a request in the load of the worker that runs it, and in the demand."""
 
 from finchladder.cluster.routing.demand import DemandCounter
 from finchladder.cluster.routing.requests import ClassifiedRequest
@@ -9,11 +9,11 @@
 class InFlightRequest:
     """Context manager that adds a request to a worker's load and to the demand while an attempt runs.
 
-    An attempt may end earlier than its context: an interrupted stream continues at another worker.
+    An attempt may end before its context is left: an interrupted stream continues at another worker.
     """
 
     def __init__(self, demand: DemandCounter, request: ClassifiedRequest, worker: Worker) -> None:
-        """Prepares the accounting; nothing is counted before the context is entered."""
+        """Creates the context manager; nothing is counted before it is entered."""
         self._demand = demand
         self._request = request
         self._worker = worker
@@ -30,7 +30,10 @@
         return self
 
     def record_first_token(self) -> None:
-        """Reduces the load to that of decoding: the head of a model's response comes with its first token."""
+        """Reduces the load to that of decoding.
+
+        The caller has received the head of the response, which a model sends with the first token.
+        """
         if not self._request.key.model:
             return
         if self._was_idle:
--- a/finchladder/cluster/process/log.py
+++ b/finchladder/cluster/process/log.py
@@ -1,4 +1,4 @@
-"""Structured logging with eliot: one JSON object per line on standard error, at a bounded rate."""
+"""Structured logging with eliot: one JSON object per line on standard error, at a limited rate."""
 
 import json
 import logging
@@ -16,7 +16,7 @@
 
 
 class TokenBucket:
-    """Rate limit over all log lines of a process."""
+    """Rate limit for all log events of a process."""
 
     def __init__(self) -> None:
         """Creates a full bucket."""
@@ -25,7 +25,7 @@
         self._dropped = 0
 
     def take(self) -> tuple[bool, int]:
-        """Returns whether a line may be written, and how many lines were dropped before it."""
+        """Returns whether an event may be logged, and the number of events dropped directly before it."""
         now = time.monotonic()
         self._tokens = min(
             float(MAX_BURST_EVENTS), self._tokens + (now - self._refilled_at) * MAX_EVENTS_PER_S
@@ -54,7 +54,7 @@
 
 
 def event(kind: str, **fields: Any) -> None:
-    """Logs one event; docs/ONCALL.md lists the kinds."""
+    """Logs one event unless the rate limit is reached; docs/ONCALL.md lists the kinds."""
     admitted, dropped = _limit.take()
     if not admitted:
         return
@@ -67,7 +67,7 @@
     """Logs the records of libraries as events without their texts, which may quote requests."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Logs one event without the text."""
+        """Logs the record without its text."""
         error = record.exc_info[1] if record.exc_info else None
         event(
             "library.logged",
--- a/finchladder/cluster/process/main.py
+++ b/finchladder/cluster/process/main.py
@@ -1,4 +1,4 @@
-"""The command line of the system's processes."""
+"""Command line that starts a control process or a dispatcher."""
 
 import asyncio
 import gc
--- a/finchladder/cluster/process/managed_worker.py
+++ b/finchladder/cluster/process/managed_worker.py
@@ -1,4 +1,4 @@
-"""The state of a worker that the placer tracks during one term."""
+"""State of a worker that the placer manages during one term."""
 
 import asyncio
 
@@ -12,18 +12,19 @@
 
 @define
 class ManagedWorker:
-    """A worker, the order in progress there, and the state that was announced to dispatchers.
+    """A worker, its current action, and the state that was announced to dispatchers.
 
-    `last_report` is None while the worker's state is unknown; it gets no orders until it has reported again.
+    `last_report` is None while the worker's state is unknown; the placer sends no order to the worker until
+    it has received another report.
     """
 
     state: PlannerWorker
     term: int = 0
     last_report: WorkerReport | None = None
-    orders_taken: int = 0  # number of orders that the worker took from any placer
-    announced_orders: int = 0  # orders of the current action that the worker has not taken yet
+    orders_taken: int = 0  # number of orders that the worker has accepted from any placer
+    announced_orders: int = 0  # number of announced orders that the worker has not accepted yet
     serial: int = 0  # serial number of the last placement record
-    evicting: set[Eviction] = field(factory=set)  # loaded, but hidden from dispatchers
+    evicting: set[Eviction] = field(factory=set)  # still loaded, but not announced as usable
     task: asyncio.Task[None] | None = None
     retry_at: float = 0.0
     action: LoadAction | None = None
@@ -32,10 +33,13 @@
     is_loading_from_store: bool = False
     orders_announced_before_term: int = 0
     orders_taken_before_term: int | None = None  # None: the worker has not reported in this term
-    store_load_times: list[float] = field(factory=list)  # start times of loads from the store in this term
+    store_load_times: list[float] = field(factory=list)  # start times of loads from the weight store
 
     def placement_record(self, now: float, window_s: float) -> PlacementRecord:
-        """Returns the record of usable models and the pending load, with data for a successor placer."""
+        """Returns the record of usable models and the pending load.
+
+        It also contains the data that a successor placer needs to limit loads: accepted orders and load ages.
+        """
         usable_models = tuple(
             LoadedModel(model, self._usable_adapters(model, adapters))
             for model, adapters in sorted(self.state.loaded_models.items())
@@ -55,25 +59,26 @@
         return tuple(adapter for adapter in sorted(adapters) if Eviction(model, adapter) not in self.evicting)
 
     def _recent_load_ages_ms(self, now: float, window_s: float) -> tuple[int, ...]:
-        """Returns the ages of loads from the store that began here within the window; drops older ones."""
+        """Returns the ages of loads from the store that began within the window, and drops older loads."""
         self.store_load_times = [at for at in self.store_load_times if at > now - window_s]
         return tuple(int(1000 * (now - at)) for at in self.store_load_times)
 
     def unannounced_orders(self) -> int:
-        """Returns the number of unannounced orders that the worker took before this term; 1 if unknown."""
+        """Returns the number of unannounced orders that were accepted before this term; 1 if unknown."""
         if self.orders_taken_before_term is None:
             return 1
         return max(0, self.orders_taken_before_term - self.orders_announced_before_term)
 
     def order_request(self, operation: str, model: str, adapter: str, lease_holder: str) -> OrderRequest:
-        """Returns an order that a worker accepts only if it took exactly the known orders and all have ended.
+        """Returns an order that the worker rejects if it has accepted other orders or one is in progress.
 
-        So the models that the worker holds when it accepts the order are those that the placer assumes.
+        Therefore the models in the worker's memory when it accepts the order are those that the placer
+        assumes.
         """
         return OrderRequest(operation, model, lease_holder, self.term, adapter or None, self.orders_taken)
 
     def finish_action(self) -> None:
-        """Clears the state of the current action, which has ended or failed."""
+        """Clears the state of the current action after its end or failure."""
         self.task = None
         self.action = None
         self.pending_load = None
--- a/finchladder/cluster/process/managed_workers.py
+++ b/finchladder/cluster/process/managed_workers.py
@@ -1,4 +1,4 @@
-"""The workers that the placer manages during one term, and the placement records that it announces."""
+"""The workers that the placer manages during one term, and the announcement of placement records."""
 
 from collections.abc import Iterator
 
@@ -23,7 +23,7 @@
 
 @define
 class ManagedWorkers:
-    """Owns the workers of one term. `term`: its fencing token; `NO_TERM` outside of a term."""
+    """Tracks the workers of one term. `term`: its fencing token; `NO_TERM` outside of a term."""
 
     updates: UpdateServer
     orders: WorkerOrders
@@ -38,7 +38,7 @@
         self.term = token
 
     def end_term(self) -> None:
-        """Cancels all orders and drops the workers."""
+        """Cancels the tasks of all workers and drops the workers."""
         for worker in self.by_instance.values():
             _cancel_task(worker)
         self.by_instance.clear()
@@ -82,16 +82,16 @@
         if placement is None:
             return ManagedWorker(state, self.term)
         announced = placement.record
-        # A worker that was lost and has returned within the term already has records of this term.
+        # A worker that was lost and became ready again within the term already has records of this term.
         serial = announced.serial if announced.token == self.term else 0
         return ManagedWorker(
             state, self.term, serial=serial, orders_announced_before_term=announced.orders_taken
         )
 
     async def refresh(self, worker: ManagedWorker) -> None:
-        """Fetches a worker's state once no order is in progress there, and announces it if it has changed.
+        """Fetches a worker's report once no order is in progress there, and announces a changed state.
 
-        The last announcement may be that of a placer that was lost in the middle of an action.
+        The announced state may be outdated because a placer was lost in the middle of an action.
         """
         try:
             self.accept_report(worker, await self.orders.fetch_idle_report(worker))
@@ -114,7 +114,7 @@
             self.announce(worker)
 
     def _is_announcement_stale(self, worker: ManagedWorker) -> bool:
-        """Returns whether dispatchers assume other models than the worker has loaded."""
+        """Returns whether the announced models differ from those that the worker has loaded."""
         tables = self.updates.tables
         session = tables.workers.get(worker.state.instance)
         if session is None:
@@ -127,7 +127,7 @@
         return usable_models(session.record, placement) != record.usable_models
 
     def announce(self, worker: ManagedWorker) -> None:
-        """Publishes the worker's placement record to the dispatchers, if it has changed."""
+        """Sends the worker's placement record to the dispatchers if it has changed."""
         record = worker.placement_record(steady(), self.load_window_s)
         if record == worker.announced_record:
             return
--- a/finchladder/cluster/process/placer.py
+++ b/finchladder/cluster/process/placer.py
@@ -1,4 +1,4 @@
-"""The placer: decides which worker loads which model while its process holds the placer's lease."""
+"""The placer: decides which worker loads which model while this process holds the placer's lease."""
 
 import secrets
 
@@ -25,10 +25,10 @@
 
 @define
 class Placer:
-    """Runs in each control process, plans only while that process holds the lease, and resets in each term.
+    """Runs in every control process, but plans only while its process holds the lease; terms start empty.
 
-    `takeover_delay_s`: minimum time from the last order of a lease holder until another process gets the
-    lease.
+    `takeover_delay_s`: minimum time between the last order of a lease holder and the grant of the lease to
+    another process.
     """
 
     lease_service: PlacerLeaseService
@@ -47,7 +47,7 @@
     planner: ServicePlanner = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Creates the components, each of which owns its state."""
+        """Creates the components."""
         self.observer = FleetObserver(self.updates, self.load_window_s)
         disks = self.observer.disks
         self.demand = DemandIntake(self.lease_service, self.updates)
@@ -89,7 +89,7 @@
         self.budget.begin_term(token, steady(), is_reelected=self.lease_service.reacquired)
         self.workers.follow_sessions(self.snapshot)
         if token > 1:
-            self.tasks.spawn(self.takeover.run(token), "survey of the workers")
+            self.tasks.spawn(self.takeover.run(token), "takeover of the placer")
 
     def _plan(self) -> None:
         now = steady()
--- a/finchladder/cluster/process/placer_lease.py
+++ b/finchladder/cluster/process/placer_lease.py
@@ -1,4 +1,4 @@
-"""The placer's lease: the head of the chain grants and renews it, and one process at a time holds it."""
+"""The placer's lease: the head of the chain grants it to at most one process at a time, and renews it."""
 
 import asyncio
 
@@ -20,15 +20,16 @@
 
 @define
 class PlacerLeaseService:
-    """Both sides of the placer's lease in one control process.
+    """The placer's lease in one control process, which grants it as head and claims it as candidate.
 
     Attributes:
         chain: The replication chain, whose head grants the lease.
-        lease: The lease as this process holds it.
-        last_order_at: Time at which this process last sent an order to a worker.
+        lease: The lease that this process holds or has held.
+        last_order_at: Time at which this process last sent an order to a worker; initially its start.
         latest_token: The highest fencing token that this process has received.
-        reacquired: Whether the lease belonged to a former incarnation of this process when it was granted.
-        vacant_since: Time before the last election of this process after which no former holder acted.
+        reacquired: Whether this process or a former incarnation of it was also the previous holder.
+        vacant_since: Start of the time before the last grant to this process in which certainly no process
+            held the lease (monotonic seconds).
     """
 
     chain: ChainService
@@ -50,7 +51,7 @@
     # --- as head ------------------------------------------------------------------------------------------
 
     async def on_renew(self, request: RenewLease) -> LeaseReply:
-        """Renews the lease if the chain confirms, after the request, that no later view has begun."""
+        """Renews the lease if the chain confirms this process as head after the request has arrived."""
         if not await self.chain.confirm():
             return REJECTED
         state = self.chain.acknowledged
@@ -60,7 +61,7 @@
         return LeaseReply(True, state.fence_token)
 
     async def on_claim(self, request: ClaimLease) -> LeaseReply:
-        """Grants a free lease with the next token; the current holder may always reacquire its own lease."""
+        """Grants a free lease with the next fencing token; the last holder can reacquire it at once."""
         async with self.chain.write_lock:
             state = await self.chain.confirmed_state()
             if state is None:
@@ -75,14 +76,17 @@
             return LeaseReply(True, state.fence_token + 1, vacant_ms=int(vacant_s * 1000))
 
     def _claim_delay_s(self, holder: str, claimant: str) -> float | None:
-        """Returns the seconds until the claim may be granted; None: unknown. An unheld lease is free."""
+        """Returns the seconds until the claim may be granted; None if unknown.
+
+        They are 0 if no process has held the lease yet or the claimant was the last holder.
+        """
         chain = self.chain.view.chain
         holder_left = all(member.name != holder for member in chain)
         wait_s = self.chain.lease.wait_s(steady(), holder_left=holder_left)
         return 0.0 if holder in ("", claimant) and wait_s is not None else wait_s
 
     async def on_release(self, request: ReleaseLease) -> LeaseReply:
-        """Releases the lease; a successor then waits only until the holder's last order is old enough."""
+        """Releases the lease; a successor then waits only for the exclusion window after the last order."""
         state = self.chain.acknowledged
         if state.placer == request.holder and state.fence_token == request.token:
             self.chain.lease.release(steady(), request.idle_ms / 1000)
@@ -109,7 +113,7 @@
         return REJECTED
 
     async def run(self) -> None:
-        """Renews the lease while it is held, and otherwise tries to claim it."""
+        """Renews the lease while this process is the holder, and otherwise tries to claim it."""
         while True:
             try:
                 await self._renew_or_claim()
@@ -129,7 +133,7 @@
             await self._claim(requested_at, reacquired=state.placer == self.me.name)
 
     async def _renew(self, requested_at: float) -> None:
-        """Renews the lease, also after it has expired, as long as no other process was granted it."""
+        """Renews the lease, which is also possible after its expiry until another process gets it."""
         reply = await self._call_head(RenewLease(self.me.name, self.lease.token))
         if reply.granted:
             self.lease.extend(requested_at, reply.token)
--- a/finchladder/cluster/process/placer_takeover.py
+++ b/finchladder/cluster/process/placer_takeover.py
@@ -1,4 +1,4 @@
-"""Recovery of the loads that a new placer's predecessor began."""
+"""Queries the workers at the beginning of a term about the loads that the previous placer began."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 @define
 class PlacerTakeover:
-    """Queries the workers at the beginning of a term."""
+    """Restores the rate limiters of loads from the workers' reports at the beginning of a term."""
 
     updates: UpdateServer
     orders: WorkerOrders
@@ -32,8 +32,8 @@
     async def run(self, term: int) -> None:
         """Fetches the reports of all workers, and restores the rate limiters from them.
 
-        A process that started within the window has not received all announcements made in it, so its rate
-        limiters keep their assumptions.
+        A process that started less than `load_window_s` ago may not have received all announcements of that
+        time. Its rate limiters continue to assume that the previous placer used its full limit.
         """
         await asyncio.gather(*(self._query_worker(worker) for worker in self.workers))
         now = steady()
@@ -46,7 +46,7 @@
                 self._restore_loads(now, name, service.engine)
 
     async def _query_worker(self, worker: ManagedWorker) -> None:
-        # a worker that does not respond counts as one unannounced order
+        # for a worker that does not respond, one unannounced order is assumed
         with suppress(PeerUnreachableError):
             report = await self.orders.fetch_report(worker)
             if worker.last_report is None and worker.orders_taken_before_term is None:
@@ -55,7 +55,7 @@
                     self.workers.accept_report(worker, report)
 
     def _restore_loads(self, now: float, service: str, engine: Engine) -> None:
-        """Counts the announced loads, and each unannounced order as a load that begins now."""
+        """Counts the announced loads, and counts each unannounced order as a load that begins now."""
         workers = self.workers.of_service(service)
         instances = (worker.state.instance for worker in workers)
         recent_loads = self.observer.announced_loads.recent_loads(now, instances)
--- a/finchladder/cluster/process/pool_updater.py
+++ b/finchladder/cluster/process/pool_updater.py
@@ -1,4 +1,4 @@
-"""Updates of a dispatcher's pools from the worker and placement records that it pulls."""
+"""Updates a dispatcher's pools from the worker and placement records that it pulls."""
 
 from attrs import define, field
 
@@ -15,7 +15,7 @@
     expected_replicas: dict[str, ExpectedReplica] = field(factory=dict)
 
     def updated_pools(self, pools: Pools, changed_instances: list[str]) -> Pools:
-        """Returns the pools after those workers' records changed. O(changed instances + number of keys)."""
+        """Returns the pools after the records of these workers changed. O(changed instances + pool keys)."""
         self._update_expected_replicas(changed_instances)
         changes = {}
         for instance in changed_instances:
--- a/finchladder/cluster/process/quota_client.py
+++ b/finchladder/cluster/process/quota_client.py
@@ -1,4 +1,4 @@
-"""A dispatcher's client of the quota account: requests grants, one message at a time; returns unused ones."""
+"""A dispatcher's client of the quota account: requests grants and returns those that are not used."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,13 +22,13 @@
 from finchladder.cluster.types.messages import QuotaDemand, QuotaGrant, QuotaReply, QuotaReturn, ReserveQuota
 
 CALL_TIMEOUT_S = 0.3
-RETRY_INTERVAL_S = 0.05  # interval between attempts while the account does not reply
-RETURN_DELAY_S = 0.1  # returned grants wait this long for a message that is sent anyway
+RETRY_INTERVAL_S = 0.05  # time between a failed call and the next one
+RETURN_DELAY_S = 0.1  # unused grants are returned with the next request, at the latest after this time
 MAX_IDLE_INTERVAL_S = 60.0
-MIN_RETRY_AFTER_S = 0.25  # other requests of the tenant wait for the refilled quota, too
+MIN_RETRY_AFTER_S = 0.25  # earlier retries would compete with other requests for the refilled quota
 UNANSWERED_POLL_INTERVAL_S = 0.25  # polling interval while the account does not reply and no request waits
-UNREACHABLE_AFTER_S = 1.5  # longer than the election of a new holder takes
-MAX_COST = 10**9  # larger costs are refused here, since a message holds 64-bit integers
+UNREACHABLE_AFTER_S = 1.5  # time without a reply; longer than the election of a new holder takes
+MAX_COST = 10**9  # larger costs are rejected without a message, since messages have 64-bit integers
 RETRY_AFTER_TOO_LARGE_S = 10.0
 
 
@@ -58,15 +58,15 @@
     _returns: list[Reservation] = field(factory=list)
     _exhausted: ExhaustedTenants = field(factory=ExhaustedTenants)
     _changed: Signal = field(factory=Signal)
-    _unanswered_since: float | None = None  # start of the first of the consecutive failed calls
+    _unanswered_since: float | None = None  # start of the first failed call since the last reply
 
     async def reserve(self, tenant: Tenant, cost: int, deadline: float) -> Reservation | QuotaRefusal:
         """Reserves the cost of one request at the account.
 
         Args:
-            tenant: Tenant of the request, which has a limit.
+            tenant: Tenant of the request; it must have a limit.
             cost: Cost in units of the tenant's quota.
-            deadline: Deadline for the reply of the account (monotonic seconds).
+            deadline: Latest time to wait for the reply of the account (monotonic seconds).
         """
         if cost > MAX_COST:
             return QuotaExhausted(RETRY_AFTER_TOO_LARGE_S)
@@ -92,16 +92,16 @@
         return outcome
 
     def return_reservation(self, reservation: Reservation) -> None:
-        """Queues the return of a reservation that was not spent and will not be spent."""
+        """Queues a reservation that will not be spent to be returned to the account."""
         self._returns.append(reservation)
         self._changed.fire()
 
     def is_unreachable(self) -> bool:
-        """Returns whether the account has not replied for a while although requests were sent."""
+        """Returns whether all calls to the account have failed for longer than UNREACHABLE_AFTER_S."""
         return self._unanswered_since is not None and steady() - self._unanswered_since > UNREACHABLE_AFTER_S
 
     def _abandon(self, waiter: _Waiter) -> None:
-        """Removes a waiter; quota that was granted to it meanwhile is returned."""
+        """Removes a waiter whose request no longer waits, and returns quota that was already granted."""
         if waiter in self._waiting:
             self._waiting.remove(waiter)
         if not waiter.outcome_future.done():
@@ -129,7 +129,11 @@
         return RETURN_DELAY_S if self._returns else MAX_IDLE_INTERVAL_S
 
     async def _exchange(self) -> None:
-        """Exchanges one message with the account; the returns in it are dropped if the outcome is unknown."""
+        """Exchanges one message with the account.
+
+        If there is no reply, the demands are sent again, but not the returned grants, since the account may
+        have received them.
+        """
         waiters, self._waiting = self._waiting, []
         request = self._reserve_message(waiters)
         requested_at = steady()
@@ -144,7 +148,7 @@
         await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _call_holder(self, request: ReserveQuota) -> QuotaReply | None:
-        """Returns the holder's reply; None if there is no holder or it does not reply in time."""
+        """Returns the reply of the account's holder; None if it is unknown or does not reply in time."""
         address = self.holder_address()
         if not address:
             return None
@@ -155,10 +159,11 @@
         return reply if isinstance(reply, QuotaReply) and reply.is_holder else None
 
     def _reserve_message(self, waiters: list[_Waiter]) -> ReserveQuota:
-        """Returns a message for these waiters, with the grants that may be returned.
+        """Returns a message with the demands of these waiters and the unused grants.
 
-        A lapsed grant stays spent: if it were returned, it could be granted again in a window that does not
-        contain the first grant. Only grants of the newest term are worth returning.
+        An expired grant is not returned: its units could be granted again within a window of the quota rule
+        that does not contain the first grant. Grants of older terms are not returned, because the account
+        ignores units of another term.
         """
         now = steady()
         returns = [reservation for reservation in self._returns if reservation.is_valid(now)]
@@ -176,7 +181,7 @@
         )
 
     def _deliver(self, waiters: list[_Waiter], reply: QuotaReply, requested_at: float) -> None:
-        """Resolves the waiters; grants to waiters that have left meanwhile are returned."""
+        """Passes the grants to the waiters; grants for requests that no longer wait are returned."""
         for waiter, grant in zip(waiters, reply.grants, strict=False):
             if all(grant.granted):
                 reservation = Reservation(
--- a/finchladder/cluster/process/quota_service.py
+++ b/finchladder/cluster/process/quota_service.py
@@ -20,7 +20,7 @@
 class Term:
     """A term of the account, which begins with the election of its holder.
 
-    `began_at`: a time after which no former holder granted anything (monotonic seconds of this process).
+    `began_at`: a time after which no former holder granted any quota (monotonic seconds of this process).
     """
 
     number: int
@@ -29,12 +29,12 @@
 
 @define
 class QuotaService:
-    """Grants quota while this process holds the account, which is checked in the same step as the grant.
+    """Grants quota while this process holds the account; no await separates this check from the grant.
 
     Attributes:
-        current_term: Returns the term while this process holds the account; None while it does not.
+        current_term: Returns the current term; None if this process does not hold the account.
         document: Returns the newest acknowledged configuration as JSON; empty if there is none.
-        account: Token buckets of the current term, or of the last one that this process held.
+        account: Token buckets of the current term, or of the last term of this process.
     """
 
     current_term: Callable[[], Term | None]
@@ -56,7 +56,7 @@
         return cls(current_term, lambda: lease_service.chain.acknowledged.document, QuotaAccount(rule))
 
     def on_reserve(self, request: ReserveQuota) -> QuotaReply:
-        """Takes back the returned quota, then grants the requested quota as far as it is available."""
+        """Adds the returned units to the account, then grants the requested quota as far as available."""
         now = steady()
         term = self.current_term()
         if term is None:
@@ -70,7 +70,7 @@
         return QuotaReply(is_holder=True, term=self.account.term, grants=grants)
 
     def _begin_term(self, term: Term) -> None:
-        """Begins a term with an account that was empty at the former term's end and has refilled since."""
+        """Begins a term with buckets that were empty at `began_at` and have been refilled since then."""
         if self.account.term != term.number:
             self.account.begin_term(term.number, term.began_at)
             event("quota.term_began", term=term.number)
@@ -79,7 +79,7 @@
         return self._tenant_lookup.tenant(self.document(), name)
 
     def _grant(self, demand: QuotaDemand, now: float) -> QuotaGrant:
-        """Grants costs in order; a tenant that is not in this process's configuration yet gets nothing."""
+        """Grants the costs in order; grants nothing to a tenant that this process's configuration lacks."""
         tenant = self._tenant(demand.tenant)
         if tenant is None:
             return QuotaGrant(demand.tenant, (False,) * len(demand.costs))
--- a/finchladder/cluster/process/request_failures.py
+++ b/finchladder/cluster/process/request_failures.py
@@ -1,4 +1,4 @@
-"""Log events for requests that a listener rejects: the kind of the problem, never the contents."""
+"""Logs requests that a listener rejects: the kind of the problem, but no data of the request."""
 
 from finchladder.cluster.process.log import event
 from finchladder.cluster.transport.http_connection import RequestFailure
--- a/finchladder/cluster/process/request_quota.py
+++ b/finchladder/cluster/process/request_quota.py
@@ -1,4 +1,4 @@
-"""Quota of one request, from its admission to the end of its last attempt."""
+"""Quota reservation of one request, from its admission to the end of its last attempt."""
 
 from typing import Protocol
 
@@ -17,7 +17,7 @@
         ...
 
     def return_reservation(self, reservation: Reservation) -> None:
-        """Gives back a reservation that was not spent."""
+        """Returns a reservation that was not spent to the account."""
         ...
 
 
@@ -36,8 +36,8 @@
 class RequestQuota:
     """The quota reservation of one request; a request without a tenant or a limit needs none.
 
-    The reservation is spent before an attempt is sent. After an attempt that certainly did not run, the
-    request takes it back for the next attempt.
+    The reservation is spent before an attempt is sent. If the attempt certainly did not run, the reservation
+    is restored for the next attempt.
     """
 
     source: QuotaSource
@@ -61,7 +61,7 @@
     async def reserve(self) -> QuotaRefusal | None:
         """Reserves quota for the next attempt; returns the refusal, if there is one.
 
-        A lapsed reservation is lost, so the cost of the request then counts twice.
+        An expired reservation is not returned to the account, so the cost of the request then counts twice.
         """
         if self.tenant is None or self.is_reserved():
             return None
@@ -77,11 +77,11 @@
         self._spent, self._reservation = self._reservation, None
 
     def restore(self) -> None:
-        """Takes the reservation back from an attempt that certainly did not run."""
+        """Restores the reservation after an attempt that certainly did not run."""
         self._reservation, self._spent = self._spent, None
 
     def release(self) -> None:
-        """Gives back an unspent reservation at the end of the request."""
+        """Returns an unspent reservation to the account at the end of the request."""
         if self._reservation is not None:
             self.source.return_reservation(self._reservation)
             self._reservation = None
--- a/finchladder/cluster/process/retirement_propagation.py
+++ b/finchladder/cluster/process/retirement_propagation.py
@@ -1,4 +1,4 @@
-"""Storage and replication of a worker's retirement before the worker's call is acknowledged."""
+"""Propagates a worker's retirement, its drain or deregistration, before its call is acknowledged."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,13 +11,13 @@
 from finchladder.cluster.types.operations import WorkerRetirement
 from finchladder.cluster.types.workers import SessionPhase, Stamp
 
-PROPAGATION_TIMEOUT_S = 0.5  # limit of the wait for live subscribers, which may be slow or cut off
+PROPAGATION_TIMEOUT_S = 0.5  # maximum wait for live subscribers, which may be slow or unreachable
 PROPAGATION_POLL_INTERVAL_S = 0.02
 
 
 @define
 class RetirementPropagation:
-    """Stores retirements in the chain and waits until subscribers have them.
+    """Stores retirements in the chain and waits until subscribers have received them.
 
     `record`: stores a retirement in the chain; returns True once it is stored.
     """
@@ -29,9 +29,9 @@
     acknowledged: set[str] = field(factory=set)  # instances whose retirement was acknowledged here
 
     async def propagate(self, instance: str) -> bool:
-        """Returns whether the retirement is stored in the chain and most voters have its record.
+        """Returns whether the retirement is stored in the chain and a majority of voters has its record.
 
-        Every dispatcher that is connected to most voters then receives the record in time.
+        Every dispatcher that is connected to a majority of the voters then receives the record in time.
         """
         worker = self.tables.workers.get(instance)
         if worker is None or worker.record.phase is SessionPhase.READY:
@@ -49,7 +49,7 @@
         return True
 
     async def _wait_for_subscribers(self, stamp: Stamp) -> bool:
-        """Waits for the live subscribers; returns whether one of them and most voters have the record."""
+        """Waits for the live subscribers; returns whether any of them and most voters have the record."""
         deadline = steady() + PROPAGATION_TIMEOUT_S
         while True:
             subscribers = [s for s in self.updates.live_subscribers() if s.long_polls]
@@ -60,9 +60,9 @@
         return any(s.has(stamp) for s in subscribers) and self._has_majority(stamp)
 
     def _has_majority(self, stamp: Stamp) -> bool:
-        """Returns whether most voters have a record, counting this process if it is a voter.
+        """Returns whether a majority of the voters has the record, counting this process if it is a voter.
 
-        A subscriber that has not pulled recently does not count: it may have ended and lost its tables.
+        A subscriber that has not pulled recently is not counted: it may have ended and lost its tables.
         """
         voters = {voter.name for voter in self.updates.view().voters}
         names_with_record = {
--- a/finchladder/cluster/process/router.py
+++ b/finchladder/cluster/process/router.py
@@ -1,4 +1,4 @@
-"""Request handling on the data plane: classify, admit, select a worker, attempt, retry, respond."""
+"""Handles client requests: classifies and admits them, selects a worker, sends, retries and responds."""
 
 from collections.abc import Awaitable, Callable
 from http import HTTPStatus
@@ -60,20 +60,22 @@
 from finchladder.cluster.tenancy.reservations import QuotaExhausted, QuotaRefusal, QuotaUnavailable
 from finchladder.cluster.transport.peers import steady
 
-CLIENT_RETRY_GRACE_S = 0.5  # a rejected client has retried or given up this long after its `Retry-After`
-MAX_CONNECT_FAILURES = 4  # limit for one request
-QUOTA_TIMEOUT_FRACTION = 0.25  # fraction of the latency target; a later refusal loses the request's value
+CLIENT_RETRY_GRACE_S = 0.5  # time after `Retry-After` within which a rejected client retries or gives up
+MAX_CONNECT_FAILURES = 4  # maximum number of failed connections for one request
+# Timeout of a quota reservation as a fraction of the latency target. After a later rejection, a retry of the
+# client would miss the latency target.
+QUOTA_TIMEOUT_FRACTION = 0.25
 MIN_QUOTA_TIMEOUT_S = 0.05
-RETRY_AFTER_NO_ACCOUNT_S = 1.5  # the account has a new holder by then; clients retry once or twice
+RETRY_AFTER_NO_ACCOUNT_S = 1.5  # time for the election of a new holder; clients retry only once or twice
 NO_RESPONSE = "the worker sent no usable response"
 
 
 @define
 class AttemptHistory:
-    """Attempts of one request.
+    """Failed attempts of one request.
 
-    `attempted`: instances that may have received the request; `may_have_run`: whether one of them may have
-    run it.
+    `attempted`: instances that may have received the request; `may_have_run`: whether one of these instances
+    may have run it.
     """
 
     attempted: frozenset[str] = frozenset()
@@ -90,12 +92,12 @@
 
 
 async def _confirm_configuration() -> bool:
-    """Returns True: a router without a source of configurations has nothing to refresh."""
+    """Returns True; default for a router that has no process to refresh its configuration from."""
     return True
 
 
 def _authorize(client_request: web.BaseRequest, snapshot: ConfigurationSnapshot) -> AuthorizationDecision:
-    """Returns the decision of one configuration on a request."""
+    """Returns whether a configuration allows a request, and by which route and tenant."""
     headers = client_request.headers
     host = headers.get(HOST_HEADER, "").partition(":")[0]
     path = client_request.raw_path.partition("?")[0]
@@ -108,13 +110,14 @@
 
     Attributes:
         make_retry_budget: Creates the retry budget of a service.
-        dispatcher_count: Returns the number of dispatchers; 0: unknown.
-        is_configuration_stale: Returns whether a newer configuration may be in force.
+        dispatcher_count: Returns the number of dispatchers; 0 if unknown.
+        is_configuration_stale: Returns whether an unknown, newer configuration may be in force.
         refresh_configuration: Replaces `snapshot` if a newer configuration is available at once; returns
             whether the chain has recently confirmed the source of the configuration.
         quotas: Grants quota to tenants that have a limit.
-        reject_unfinishable_from: Requests that arrive later are rejected if they may outlast the process.
-        open_requests: Number of requests without a complete response.
+        reject_unfinishable_from: Requests that arrive after this time (monotonic seconds) are rejected if the
+            process may end before they do.
+        open_requests: Number of requests that are being handled.
     """
 
     session: aiohttp.ClientSession
@@ -157,9 +160,9 @@
         """Begins a graceful shutdown: connections close after their next response.
 
         Args:
-            reject_unfinishable_from: Requests that arrive later (monotonic seconds) and may last until
-                `queue_closes_at` are rejected, since the end of the process would interrupt them.
-            queue_closes_at: No request is queued after this time.
+            reject_unfinishable_from: Requests that arrive after this time (monotonic seconds) are rejected if
+                their deadline is after `queue_closes_at`, since the end of the process could interrupt them.
+            queue_closes_at: No request is queued after this time (monotonic seconds).
         """
         self.responses.draining = True
         self.reject_unfinishable_from = reject_unfinishable_from
@@ -187,7 +190,7 @@
         if not self.snapshot.version or self.is_configuration_stale():
             return self.responses.reject(RETRY_AFTER_NO_REPLICA_S, RejectReason.CONFIGURATION_STALE)
         arrived_at = steady()
-        snapshot = self.snapshot  # valid for the whole request, except in `_may_send`
+        snapshot = self.snapshot  # used for the whole request, except for the check in `_may_send`
         decision = _authorize(client_request, snapshot)
         is_confirmed = True
         if isinstance(decision, Unauthorized):
@@ -207,7 +210,7 @@
     def _reject_unauthorized(self, reason: UnauthorizedReason, is_confirmed: bool) -> web.StreamResponse:
         """Responds with 401 only if the configuration is confirmed.
 
-        A 401 states that no configuration in force has the key.
+        A client treats a 401 as final, and a newer configuration may contain the key.
         """
         if is_confirmed:
             return self.responses.unauthorized(reason)
@@ -220,7 +223,7 @@
         authorized: Authorized,
         arrived_at: float,
     ) -> web.StreamResponse:
-        """Serves an authorized request unless it is too large, too late or over its quota."""
+        """Serves an authorized request unless it is too large, has no quota, or may outlast the process."""
         classified = classify(client_request.headers, authorized.route, arrived_at)
         body = await self._read_body(client_request, snapshot.max_body_bytes)
         if body is None:
@@ -241,7 +244,7 @@
             quota.release()
 
     def _quota(self, authorized: Authorized, classified: ClassifiedRequest) -> RequestQuota:
-        """Returns the quota of the request with its cost; nothing is reserved yet."""
+        """Creates the quota of the request with its cost and timeout, without reserving anything yet."""
         tenant = authorized.tenant
         cost = 0 if tenant is None else tenant.cost(classified.total_tokens)
         timeout_s = max(MIN_QUOTA_TIMEOUT_S, QUOTA_TIMEOUT_FRACTION * classified.latency_target_s)
@@ -250,7 +253,7 @@
     def _reject_without_quota(
         self, refusal: QuotaRefusal, classified: ClassifiedRequest, tenant_name: str | None
     ) -> web.StreamResponse:
-        """Returns the response to a request that got no quota and that no worker can have run."""
+        """Returns the response to a request that got no quota and was certainly not run by any worker."""
         match refusal:
             case QuotaExhausted(retry_after_s):
                 return self.responses.over_quota(retry_after_s)
@@ -260,7 +263,7 @@
                 )
 
     async def _read_body(self, client_request: web.BaseRequest, max_bytes: int) -> bytes | None:
-        """Returns the body; None if it exceeds the limit."""
+        """Returns the body; None if it is larger than `max_bytes`."""
         chunks = []
         size = 0
         try:
@@ -304,7 +307,7 @@
     # --- select, attempt, retry ---------------------------------------------------------------------------
 
     async def _serve(self, request: AdmittedRequest) -> web.StreamResponse:
-        """Sends the request to one worker after another until there is a response."""
+        """Sends the request to one worker after another until a response can be returned."""
         history = AttemptHistory()
         while True:
             worker = await self._next_worker(request, history)
@@ -329,7 +332,7 @@
     async def _next_worker(
         self, request: AdmittedRequest, history: AttemptHistory
     ) -> Worker | web.StreamResponse:
-        """Returns the worker for the next attempt, or the response if there is none."""
+        """Returns the worker for the next attempt, or the response to the client if there is no worker."""
         while True:
             worker = await self.queue.select_worker(request.classified, history.attempted)
             if worker is None:
@@ -354,8 +357,9 @@
     def _reject_changed(self, request: AdmittedRequest, history: AttemptHistory) -> web.StreamResponse:
         """Returns the response to a request whose authorization has changed since its arrival.
 
-        Clients do not retry after a 401, so it is used only for requests that the newest configuration does
-        not allow. A request that it allows for another tenant is authorized again when the client retries.
+        Clients do not retry after a 401, so this status is used only for requests that the newest
+        configuration does not allow. A request that the configuration allows for another tenant gets a 503,
+        and is authorized again when the client retries.
         """
         if history.may_have_run:
             return self.responses.error(HTTPStatus.BAD_GATEWAY, NO_RESPONSE)
@@ -437,7 +441,7 @@
         """Rejects a request that found no worker in time.
 
         If the model has no replica, the request counts as queued until its client may have retried. Otherwise
-        the placer would load the model after its clients have left, or not at all.
+        the placer would load the model too late or not at all, since the queue would look empty.
         """
         classified, tenant_name = request.classified, request.authorized.tenant_name
         retry_after_s = self.queue.retry_after_s(classified)
--- a/finchladder/cluster/process/service_planner.py
+++ b/finchladder/cluster/process/service_planner.py
@@ -1,4 +1,4 @@
-"""Planning for one service at a time, and the start of the planned actions."""
+"""Plans the placement for one service at a time, and starts the planned actions."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -24,7 +24,7 @@
 
 @define
 class ServicePlanner:
-    """Plans the placement of each service, and owns the occupancy by cold starts."""
+    """Plans the placement of each service, and tracks how many model slots its cold starts occupy."""
 
     tasks: Tasks
     workers: ManagedWorkers
@@ -35,7 +35,7 @@
     _cold_starts: dict[str, ColdStartOccupancy] = field(factory=dict)  # keyed by service
 
     def plan(self, now: float, service: str, engine: Engine) -> None:
-        """Refreshes workers whose state is unknown, plans, and starts a task per action. O(workers)."""
+        """Refreshes workers whose state is unknown, plans, and starts a task for each action. O(workers)."""
         workers = self.workers.of_service(service)
         for worker in workers:
             self._refresh_if_due(worker, now)
@@ -59,7 +59,7 @@
             worker.task = self.tasks.spawn(self.workers.refresh(worker), "worker refresh")
 
     def _update_state(self, worker: ManagedWorker, now: float) -> None:
-        """Updates the state of a worker for the planner."""
+        """Updates those parts of a worker's state that change without its report."""
         state, action = worker.state, worker.action
         state.is_busy = worker.task is not None or now < worker.retry_at
         state.models_on_disk = self.disks.models_on(state.instance)
--- a/finchladder/cluster/process/settings.py
+++ b/finchladder/cluster/process/settings.py
@@ -1,4 +1,4 @@
-"""Parsing and validation of a process's settings file; the names of the settings contain their units."""
+"""Parses and validates the settings file of a process; the names of the settings contain their units."""
 
 import os
 import tomllib
@@ -41,7 +41,7 @@
 
 @frozen
 class Bounds:
-    """Bounds from the operators' rules; names ending in `_s` are in seconds."""
+    """Limits and times from the operators' rules; names ending in `_s` are in seconds."""
 
     drain_s: float
     grace_s: float
@@ -73,7 +73,7 @@
     zone: str
     region: str
     peer_port: int
-    seeds: tuple[str, ...]  # control addresses
+    seeds: tuple[str, ...]  # control addresses of the first control processes
     bootstrap: bool
     serves: frozenset[str]
     heartbeat_s: float
@@ -87,7 +87,7 @@
 
     @property
     def peer_address(self) -> str:
-        """The address of this process in the internal protocol."""
+        """The address at which other processes call this one by the internal protocol."""
         return f"{self.ip}:{self.peer_port}"
 
     def peer_address_of(self, control_address: str) -> str:
@@ -129,7 +129,7 @@
         source: Path of the file, for error messages.
 
     Raises:
-        InvalidSettingsError: The settings are invalid; the message has the first problem.
+        InvalidSettingsError: The settings are invalid; the message describes the first problem.
     """
     try:
         value = tomllib.loads(text)
@@ -165,7 +165,7 @@
 
 
 def _bounds_conflict(bounds: Bounds, heartbeat_s: float) -> str:
-    """Returns the reason why the bounds can't be kept together; empty if they can."""
+    """Returns the reason why the settings contradict each other; empty if they do not."""
     if bounds.contact_s < heartbeat_s:
         contact_ms, heartbeat_ms = bounds.contact_s * 1000, heartbeat_s * 1000
         return f"bounds.contact_ms {contact_ms:g} is shorter than heartbeat_ms {heartbeat_ms:g}"
@@ -173,10 +173,10 @@
 
 
 def load_settings() -> Settings:
-    """Loads the settings from the file that the environment names.
+    """Loads the settings from the file that the environment variable FINCHLADDER_NODE_FILE names.
 
     Raises:
-        InvalidSettingsError: The file can't be read or is invalid; the message has the first problem.
+        InvalidSettingsError: The file can't be read or is invalid; the message describes the first problem.
     """
     path = os.environ.get(FILE_VARIABLE, "")
     try:
--- a/finchladder/cluster/process/store_load_budget.py
+++ b/finchladder/cluster/process/store_load_budget.py
@@ -1,7 +1,7 @@
-"""Budget for loads from the weight store that the placer may begin, per service.
+"""Number of loads from the weight store that the placer may begin for each service.
 
-The store limits loads over a sliding window, whichever process orders them, and is efficient only up to a
-limited number of concurrent loads.
+The operators' rule limits the loads within a sliding window, no matter which process ordered them. Each load
+becomes slower if there are too many concurrent ones.
 """
 
 from collections.abc import Iterable, Sequence
@@ -17,9 +17,9 @@
 
 @define
 class StoreLoadBudget:
-    """Owns the rate limiters of one term.
+    """Budget of all services, with one rate limiter for each service in the current term.
 
-    `takeover_delay_s`: minimum age of a predecessor's last order when another process gets the lease.
+    `takeover_delay_s`: minimum age of the predecessor's last order when another process gets the lease.
     """
 
     window_s: float
@@ -30,14 +30,14 @@
     _predecessor_active_until: float | None = None
 
     def begin_term(self, token: int, now: float, is_reelected: bool) -> None:
-        """Resets the limiters; `is_reelected`: a former incarnation of this process held the lease."""
+        """Resets the limiters; `is_reelected`: whether this process was also the last holder."""
         self.limiters = {}
         has_predecessor = token > 1
         delay_s = 0.0 if is_reelected else self.takeover_delay_s
         self._predecessor_active_until = now - delay_s if has_predecessor else None
 
     def limiter(self, service: str, engine: Engine) -> LoadRateLimiter:
-        """Returns the limiter of a service; a new one assumes that a predecessor used its full budget."""
+        """Returns the limiter of a service; a new one assumes that a predecessor used its full limit."""
         limiter = self.limiters.get(service)
         if limiter is None:
             limiter = LoadRateLimiter(engine.max_loads_per_s, self.window_s, self.allowed_overage)
@@ -47,7 +47,7 @@
         return limiter
 
     def restore(self, service: str, engine: Engine, load_times: Iterable[float]) -> None:
-        """Replaces the assumption about a predecessor by the loads that it is known to have begun."""
+        """Replaces the assumption about the predecessor's loads by their known start times."""
         self.limiter(service, engine).restore(load_times)
 
     def remaining(
@@ -60,7 +60,8 @@
     ) -> int:
         """Returns how many more loads from the store may be planned.
 
-        Loads that wait for an eviction do not occupy the store yet, but each of them will.
+        Loads that wait for an eviction do not use the store yet. Therefore the loads that are in progress or
+        wait for an eviction may be up to twice the maximum number of concurrent loads.
         """
         max_concurrent = max_concurrent_store_loads(engine, len(workers), reserved_workers_factor)
         loading = sum(worker.is_loading_from_store for worker in workers)
@@ -83,8 +84,8 @@
 class StoreLoadPermit:
     """Permit for one load from the store.
 
-    The load counts from the time at which its order is sent, unless the worker rejects the order. That time
-    may be long after the load was planned if an evicted model is still in use.
+    The load is counted at the time at which its order is sent, and is withdrawn if the worker rejects the
+    order. If an evicted model is still in use, this may be long after the load was planned.
     """
 
     rate_limiter: LoadRateLimiter
@@ -101,6 +102,6 @@
         return True
 
     def withdraw(self) -> None:
-        """Withdraws the load, which was rejected."""
+        """Withdraws the load, since the worker rejected its order."""
         self.rate_limiter.withdraw(self.acquired_at)
         self.worker.is_loading_from_store = False
--- a/finchladder/cluster/process/stream_relay.py
+++ b/finchladder/cluster/process/stream_relay.py
@@ -1,4 +1,4 @@
-"""Relay of a streaming response to the client; an interrupted stream is resumed at another worker."""
+"""Relays a streaming response to the client, and resumes an interrupted stream at another worker."""
 
 import aiohttp
 from aiohttp import web
@@ -22,7 +22,7 @@
 
 @define
 class StreamRelay:
-    """Relays one stream. `events`: its event buffer; None unless the route's streams can be resumed."""
+    """Relays one stream. `events`: buffer for its events; None if the route's streams cannot be resumed."""
 
     request: AdmittedRequest
     sender: AttemptSender
@@ -36,7 +36,7 @@
     async def relay(self, stream: WorkerStream) -> web.StreamResponse:
         """Relays the stream until its end; aborts the client connection if the stream can't be resumed.
 
-        All of its attempts are closed when this returns, raises or is cancelled.
+        All attempts of the stream are closed when this method returns, raises or is cancelled.
 
         Raises:
             ClientDisconnectedError: The client's connection is lost.
--- a/finchladder/cluster/process/tasks.py
+++ b/finchladder/cluster/process/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of a process: named, restarted after errors, cancelled together."""
+"""Background tasks of a process, which have names, restart after errors and are cancelled together."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -55,9 +55,9 @@
 
 
 async def result_within(work: "asyncio.Future[T]", timeout_s: float) -> T | None:
-    """Returns the result of the work or raises its error; returns None after the timeout.
+    """Returns the result of the work or raises its error; returns None if the timeout passes first.
 
-    Work that has timed out continues; its later result or error is ignored.
+    The work continues after the timeout, but its result or error is ignored.
     """
     done, _ = await asyncio.wait({work}, timeout=timeout_s)
     if done:
@@ -67,7 +67,7 @@
 
 
 def _retrieve_exception(work: "asyncio.Future[Any]") -> None:
-    # asyncio logs exceptions that are never retrieved
+    # otherwise asyncio would log the exception as never retrieved
     if not work.cancelled():
         work.exception()
 
--- a/finchladder/cluster/process/update_puller.py
+++ b/finchladder/cluster/process/update_puller.py
@@ -1,8 +1,8 @@
-"""Pulls of the replicated tables, the configuration and the view from control processes.
+"""Pulls the replicated tables, the configuration and the view from control processes, called sources.
 
-A control process long-polls all its peers. A dispatcher long-polls one, its primary, and polls the others in
-turn, so that its load does not grow with their number. It polls each of them often while its primary fails or
-reports that the chain has not confirmed it.
+A control process long-polls all sources. A dispatcher long-polls only one, its primary. It polls each of the
+others at an interval that is proportional to their number, so that the total rate of polls stays the same.
+While the primary fails or reports that the chain has not confirmed it, the interval is shorter.
 """
 
 import asyncio
@@ -33,23 +33,23 @@
     address: str
     task: asyncio.Task[None]
     origin: str = ""
-    received_at: float = NEVER  # arrival time of its last update
+    received_at: float = NEVER  # arrival time of the last update
     knows_all_workers: bool = False
     chain_confirmed: bool = False
     quorum_lost: bool = False
     last_call_failed: bool = False
 
     def is_confirmed(self) -> bool:
-        """Returns whether it replies and the chain has recently confirmed it."""
+        """Returns whether the source replies and the chain has recently confirmed it."""
         return self.chain_confirmed and not self.last_call_failed
 
 
 @define
 class UpdatePuller:
-    """Keeps `tables` and the configuration as new as those of any reachable control process.
+    """Merges the updates of all sources into `tables`, and passes them on to `on_update`.
 
     `on_update`: called with each update after its records were merged, and with the instances that changed.
-    `seeds`: peer addresses that are used while no member replies.
+    `seeds`: peer addresses that are also pulled from while no source replies.
     """
 
     name: str
@@ -66,14 +66,14 @@
     timeouts: ContactTimeouts
     view: View = GENESIS
     sources: dict[str, UpdateSource] = field(factory=dict)  # keyed by peer address
-    primary: str = ""  # address of the source that a dispatcher long-polls; empty if there is none
+    primary: str = ""  # address of the dispatcher's primary source; empty if there is none
     placer: str = ""  # peer address of the placer; empty: unknown
     placer_term: int = 0  # fencing token of the placer
     dispatcher_count: int = 0
-    confirmed_at: float = NEVER  # time of the last reported confirmation by the chain
-    quorum_lost_at: float = NEVER  # time of the first report of the loss after a period without reports
+    confirmed_at: float = NEVER  # time of the last update from a source that the chain had confirmed
+    quorum_lost_at: float = NEVER  # start of the last period in which sources reported a loss of the quorum
     expired_at: float = field(factory=steady)  # time of the last cleanup of the tables
-    poll_now: Signal = field(factory=Signal)  # fires if the primary has changed or is no longer confirmed
+    poll_now: Signal = field(factory=Signal)  # fires when the primary changes or is no longer confirmed
 
     async def run(self) -> None:
         """Keeps the set of sources up to date."""
@@ -100,11 +100,11 @@
             self.sources.pop(address).task.cancel()
 
     def has_core_lost_quorum(self) -> bool:
-        """Returns whether most of the core runs without a quorum.
+        """Returns whether control processes report a lost quorum, and none was confirmed recently.
 
-        The core may then have acknowledged a newer configuration or the drain of a worker that no replying
-        process has stored. A dispatcher that is cut off from most of the core gets no such report and
-        continues with its current state.
+        The processes that do not reply may then have acknowledged a newer configuration or the drain of a
+        worker that no replying process has stored. A dispatcher that cannot reach most control processes gets
+        no such report and continues with its current state.
         """
         since = max(self.confirmed_at, self.quorum_lost_at)
         return self._is_quorum_loss_reported() and steady() - since > self.timeouts.unconfirmed_timeout_s
@@ -117,7 +117,7 @@
         return self.timeouts.poll_interval_s * max(1, len(self.sources) - 1)
 
     def _choose_primary(self, members: tuple[Member, ...]) -> str:
-        """Chooses a live member by rendezvous hash, if possible a confirmed one in the own zone."""
+        """Chooses a live member by rendezvous hash, preferring confirmed members and then the same zone."""
         live = [m for m in members if m.peer_address in self.sources and self._is_live(m.peer_address)]
         confirmed = [m for m in live if self.sources[m.peer_address].is_confirmed()] or live
         candidates = [m for m in confirmed if m.zone == self.zone] or confirmed
@@ -127,7 +127,7 @@
         return chosen.peer_address
 
     def _is_live(self, address: str) -> bool:
-        """Returns whether the last pull that was due got a reply or is still within its timeout."""
+        """Returns whether the last update is recent enough for the interval at which the source is polled."""
         polling_delay_s = 0.0 if self._long_polls(address) else self.poll_interval_s()
         return steady() - self.sources[address].received_at < self.timeouts.source_timeout_s + polling_delay_s
 
@@ -142,11 +142,11 @@
         return any(s.quorum_lost and now - s.received_at < validity_s for s in self.sources.values())
 
     def _long_polls(self, address: str) -> bool:
-        """Returns whether that source is long-polled; a dispatcher without a primary long-polls all."""
+        """Returns whether the source is long-polled; a dispatcher without a primary long-polls all."""
         return not self.is_dispatcher or address == self.primary or not self.primary
 
     def _expire_tables(self) -> None:
-        """Removes expired entries in a dispatcher; in a control process `WorkerExpiry` removes them."""
+        """Removes expired entries of a dispatcher's tables; `WorkerExpiry` does it in control processes."""
         now = steady()
         if self.is_dispatcher and now - self.expired_at > EXPIRY_INTERVAL_S:
             self.expired_at = now
@@ -174,8 +174,8 @@
     async def pull_once(self, timeout_s: float) -> bool:
         """Pulls from the primary; returns whether it replied in time and the chain has recently confirmed it.
 
-        The status of the source does not change: the regular pulls use it to detect that a resynchronization
-        is needed, and their timeout is longer.
+        This does not change the status of the source. Otherwise the regular pulls would not detect that a
+        resynchronization is needed, and exceeding this shorter timeout would mark the source as failed.
         """
         if not self.primary:
             return False
@@ -242,13 +242,13 @@
         self.on_update(update, changed)
 
     def _record_placer(self, update: Update) -> None:
-        """Adopts the placer in the update, unless a source that is ahead has reported a later one."""
+        """Adopts the placer in the update, unless a placer with a higher fencing token is already known."""
         if update.placer and update.placer_term >= self.placer_term:
             self.placer = update.placer
             self.placer_term = update.placer_term
 
     async def _resynchronize(self, source: UpdateSource) -> None:
-        """Drops the workers that are missing in a control process that knows all workers."""
+        """Pulls the complete tables of a source that knows all workers, and drops workers missing in them."""
         try:
             reply = await self.peers.call(
                 source.address, self._pull_message({}, 0), self.timeouts.pull_timeout_s
--- a/finchladder/cluster/process/update_server.py
+++ b/finchladder/cluster/process/update_server.py
@@ -1,7 +1,8 @@
-"""Server for the processes that pull the replicated tables, the configuration and the view.
+"""Serves the replicated tables, the configuration and the view to the processes that pull them.
 
-A subscriber long-polls: it gets a reply at once if it lacks any data, otherwise when the data changes.
-Updates for many dispatchers are batched, unless one takes a worker out of use.
+The server replies to a long poll at once if the subscriber has not received all data, and otherwise when the
+data changes. Updates to many dispatchers are batched, unless a worker is no longer ready or the control state
+has changed.
 """
 
 from asyncio import sleep
@@ -20,12 +21,13 @@
 from finchladder.cluster.types.operations import ControlState
 from finchladder.cluster.types.workers import SessionPhase, Stamp
 
-SUBSCRIBER_TIMEOUT_S = 2.5  # a subscriber that has not pulled for longer does not count as live
+SUBSCRIBER_TIMEOUT_S = 2.5  # a subscriber whose last pull is older does not count as live
 SUBSCRIBER_RETENTION_S = 60.0
 MAX_LONG_POLL_S = 2.0
-BATCH_INTERVAL_PER_DISPATCHER_S = 0.001  # time between updates to a dispatcher, per dispatcher
+# The minimum time between two updates to the same dispatcher is this value times the number of dispatchers.
+BATCH_INTERVAL_PER_DISPATCHER_S = 0.001
 MAX_BATCH_INTERVAL_S = 0.25
-URGENCY_CHECK_INTERVAL_S = 0.02  # changes are too frequent to examine each of them
+URGENCY_CHECK_INTERVAL_S = 0.02  # changes are too frequent to check each one for urgency
 DISPATCHER_COUNT_INTERVAL_S = 0.1
 NEVER = -1e9
 
@@ -38,25 +40,25 @@
     vector: dict[str, int]
     last_pull_at: float
     is_dispatcher: bool
-    long_polls: bool  # True: it receives changes at once; False: it polls periodically
-    last_update_at: float = NEVER  # time of the last reply to it that had changes
+    long_polls: bool  # whether it long-polls instead of polling periodically
+    last_update_at: float = NEVER  # time of the last reply that contained changes
 
     def has(self, stamp: Stamp) -> bool:
-        """Returns whether it has the record with that stamp or a newer one."""
+        """Returns whether the subscriber has the change with this stamp."""
         return self.vector.get(stamp.origin, 0) >= stamp.counter
 
     def is_live(self, now: float) -> bool:
-        """Returns whether it has pulled recently; `now` is in monotonic seconds."""
+        """Returns whether the subscriber has pulled recently; `now` is in monotonic seconds."""
         return now - self.last_pull_at < SUBSCRIBER_TIMEOUT_S
 
 
 @define
 class UpdateServer:
-    """Replies to pulls, and tracks which subscriber has which records.
+    """Replies to pulls, and tracks which changes each subscriber has received.
 
     `is_chain_confirmed`: returns whether the chain was recently confirmed; `is_quorum_lost`: returns whether
-    too few voters reply although most control processes do; `placer_address`: returns an empty string while
-    there is no placer.
+    too few voters reply although most control processes do; `placer_address`: returns the address of the
+    placer, empty if there is none.
     """
 
     tables: ReplicatedTables
@@ -75,7 +77,7 @@
     _open_long_polls: Counter[str] = field(factory=Counter, init=False)  # keyed by subscriber
 
     async def on_pull(self, pull: PullUpdates) -> Update:
-        """Replies at once if the subscriber lacks any data, otherwise after a change or its timeout."""
+        """Replies to a pull; a long poll without newer data gets its reply after a change or the timeout."""
         self._register(pull)
         await self._hold_long_poll(pull)
         subscriber = self._register(pull)
@@ -100,11 +102,11 @@
         return self._dispatcher_count
 
     def batch_interval_s(self) -> float:
-        """Returns the seconds between two updates to one dispatcher; changes in between are sent together."""
+        """Returns the minimum seconds between two updates to the same dispatcher, which batch the changes."""
         return min(MAX_BATCH_INTERVAL_S, BATCH_INTERVAL_PER_DISPATCHER_S * self.dispatcher_count())
 
     def knows_all_workers(self) -> bool:
-        """Returns whether every live worker must have sent a heartbeat since this process started."""
+        """Returns whether this process has run long enough to have a record of every live worker."""
         return steady() - self.started_at > registration_timeout_s(self.heartbeat_s)
 
     def expire_subscribers(self, now: float) -> None:
@@ -151,7 +153,7 @@
                 break
 
     async def _wait_for_batch(self, pull: PullUpdates) -> None:
-        """Delays changes that closely follow the last update, unless one of them is urgent."""
+        """Waits until the batch interval since the last update has passed, unless a change is urgent."""
         if not pull.is_dispatcher:
             return
         due_at = self.subscribers[pull.sender].last_update_at + self.batch_interval_s()
--- a/finchladder/cluster/process/view_agreement.py
+++ b/finchladder/cluster/process/view_agreement.py
@@ -1,4 +1,4 @@
-"""The Paxos acceptor and learner of a control process: its durable votes and the newest decided view."""
+"""The Paxos acceptor and learner of a control process, with its durable votes and newest decided view."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,15 +28,15 @@
     Request,
 )
 
-DISK_STALL_TIMEOUT_S = 0.6  # a disk counts as failed while a write has been pending for longer
+DISK_STALL_TIMEOUT_S = 0.6  # a disk counts as failed while any write has been pending for longer
 
 
 @define
 class ViewAgreement:
     """Durable state of one control process, which is a Paxos acceptor and learner.
 
-    `lock` orders all changes of durable state. Each of `adoption_listeners` is called when a newer decided
-    view is durable, before `changed` fires.
+    `lock` serializes all changes of the durable state. When a newer decided view is durable, the
+    `adoption_listeners` are called, and then `changed` fires.
     """
 
     me: Member
@@ -130,7 +130,7 @@
         self.changed.fire()
 
     async def call_member(self, member: Member, request: Request, timeout_s: float) -> Reply:
-        """Calls a member of the chain; gives up once a view excludes it, since its reply would be stale.
+        """Calls a member of the chain; cancels the call once a newer view excludes the member.
 
         Raises:
             ClusterError: The member sent no reply, rejected the request, or is no longer in the chain.
@@ -155,10 +155,10 @@
                 call.cancel()
 
     async def leave_chain(self, timeout_s: float) -> bool:
-        """Announces the shutdown of this process, and waits until a view without it is adopted.
+        """Announces the shutdown of this process, and waits until a view whose chain excludes it is adopted.
 
-        Returns False after the timeout. A process does not leave a chain of the minimum length, because the
-        remaining members could lose acknowledged state.
+        Returns False if the timeout passes first. A process does not leave a chain of the minimum length,
+        because the remaining members could lose acknowledged state.
         """
         if len(self.view.chain) <= self.limits.min_chain_length:
             return False
--- a/finchladder/cluster/process/view_proposer.py
+++ b/finchladder/cluster/process/view_proposer.py
@@ -18,21 +18,21 @@
 VOTE_TIMEOUT_S = 0.6
 PROPOSAL_INTERVAL_S = PING_INTERVAL_S / 2
 MAX_PROPOSAL_BACKOFF_S = 0.25
-BACKOFF_JITTER = (0.2, 1.0)  # range of the random factor of the backoff
-BOOTSTRAP_TIMEOUT_S = 1.0  # the first view waits this long for all seeds, then takes a majority
-PROPOSAL_STAGGER_S = 0.12  # delay per rank, so that voters do not outbid each other's ballots
-UNDECIDED_TIMEOUT_S = 1.0  # an accepted view without a known decision is proposed again after this time
+BACKOFF_JITTER = (0.2, 1.0)  # range of the random factor of MAX_PROPOSAL_BACKOFF_S
+BOOTSTRAP_TIMEOUT_S = 1.0  # time from the start after which a majority of the seeds forms the first view
+PROPOSAL_STAGGER_S = 0.12  # delay between voters, so that they do not preempt each other's ballots
+UNDECIDED_TIMEOUT_S = 1.0  # time since its vote after which a voter proposes an undecided view again
 
 
 @define
 class ViewProposer:
-    """Proposes the next view whenever the set of live members requires one."""
+    """Proposes the next view whenever members have failed, joined or started to shut down."""
 
     agreement: ViewAgreement
     detector: FailureDetector
     peers: Peers
     random: Random
-    highest_round: int = 0  # highest round of all ballots that were received
+    highest_round: int = 0  # highest round of all ballots that were sent or received
     change_needed_since: float | None = None
 
     @property
@@ -41,7 +41,7 @@
         return self.agreement.view
 
     def reset_proposal_delay(self) -> None:
-        """Restarts the staggered delays of the proposers after a view was adopted."""
+        """Restarts the delay of this process's proposals after a view was adopted."""
         self.change_needed_since = None
 
     async def run(self) -> None:
@@ -78,12 +78,12 @@
         return following or self._undecided_view()
 
     def _undecided_view(self) -> View | None:
-        """Returns an accepted view whose decision is unknown; reads are rejected until it is decided."""
+        """Returns the accepted view if it is still undecided; reads are rejected until it is decided."""
         waited_s = steady() - self.agreement.accepted_at
         return self.agreement.acceptor.accepted if waited_s > UNDECIDED_TIMEOUT_S else None
 
     def _bootstrap_view(self) -> View | None:
-        """Returns the first view, which has all seeds, or a majority of them after the timeout."""
+        """Returns the first view with all seeds, or after the timeout with those of a majority that reply."""
         seeds = self._seed_addresses()
         alive = self.detector.alive_members().values()
         found = [status.member for status in alive if status.healthy and status.member.peer_address in seeds]
@@ -95,7 +95,10 @@
         return first_view(found, self.agreement.limits)
 
     def is_proposal_due(self) -> bool:
-        """Returns whether the delay for this process's rank has passed since a change was first needed."""
+        """Returns whether the delay for this process's rank among the live voters has passed.
+
+        The delay begins when this process first needs a change.
+        """
         now = steady()
         if self.change_needed_since is None:
             self.change_needed_since = now
@@ -106,7 +109,10 @@
         return now - self.change_needed_since >= rank * PROPOSAL_STAGGER_S
 
     async def propose(self, proposal: View) -> bool:
-        """Runs both phases of Paxos; returns whether a view was decided, possibly an earlier accepted one."""
+        """Runs both phases of Paxos; returns whether a view was decided.
+
+        The decided view may be another one that a voter has already accepted.
+        """
         base = self.view
         addresses = self._voter_addresses()
         quorum = len(addresses) // 2 + 1
@@ -152,7 +158,7 @@
     ) -> list[Reply]:
         """Returns the replies of all voters, or those received until a quorum has granted the request.
 
-        The remaining calls are then cancelled, but not the local vote, which is a write to the local disk.
+        The remaining calls to other voters are then cancelled. The local vote continues to be written.
         """
         own_address = self.agreement.me.peer_address
         by_address = {
--- a/finchladder/cluster/process/worker_backoff.py
+++ b/finchladder/cluster/process/worker_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff of a worker after an attempt that failed there."""
+"""Backoff of a worker after a failed attempt."""
 
 from http import HTTPStatus
 
@@ -9,14 +9,17 @@
 from finchladder.cluster.transport.peers import steady
 
 REJECTION_BACKOFF_S = 0.1
-MAX_REJECTION_BACKOFF_S = 1.0  # limit for the backoff that a worker requests
-MISDIRECTED_BACKOFF_S = 0.4  # applies to one key at a worker that does not have its model
+MAX_REJECTION_BACKOFF_S = 1.0  # limit for the backoff that a worker requests by `Retry-After`
+MISDIRECTED_BACKOFF_S = 0.4  # backoff for one model or adapter that the worker has not loaded
 MIN_FAILURE_BACKOFF_S = 0.5
 MAX_FAILURE_BACKOFF_S = 4.0
 
 
 def record_failure(worker: Worker, request: ClassifiedRequest, failure: FailedAttempt) -> None:
-    """Starts a backoff: for the request's key after a rejection, otherwise exponential for the worker."""
+    """Starts a backoff of the worker, which is exponential unless the worker rejected the request.
+
+    After a rejection of a request for a model, only the model or adapter of the request is affected.
+    """
     now = steady()
     if isinstance(failure, NotExecuted):
         _back_off_after_rejection(worker, request, failure, now)
--- a/finchladder/cluster/process/worker_client.py
+++ b/finchladder/cluster/process/worker_client.py
@@ -16,7 +16,7 @@
 HEALTH_PATH = "/healthz"
 ORDER_PATH = "/api/order"
 REPORT_PATH = "/api/report"
-ORDER_CALL = "order"  # name in error messages
+ORDER_CALL = "order"  # name of the call in error messages
 REPORT_CALL = "report"
 CALL_TIMEOUT_S = 0.8
 KEEPALIVE_S = 2.0
@@ -33,8 +33,8 @@
 class WorkerClient:
     """Calls workers over persistent connections; a control process has one client.
 
-    A response does not identify its request. Orders use separate connections, so that a surplus response to
-    a report request, which has status 200, can't be taken for the response to a load order.
+    A response does not identify its request. Orders use separate connections, so that a duplicate response to
+    a report request, which has status 200, can't be mistaken for the response to a load order.
     """
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
             The status of the worker's response.
 
         Raises:
-            PeerUnreachableError: There was no response; the worker may have taken the order.
+            PeerUnreachableError: There was no response; the worker may have accepted the order.
         """
         headers = {"Content-Type": "application/json", EXPECTED_INSTANCE_HEADER: instance}
         response = await self._call(
@@ -84,7 +84,7 @@
             ) from None
 
     async def is_running(self, address: str, instance: str) -> bool:
-        """Returns whether that instance responds at the address, whatever its health."""
+        """Returns whether the instance responds at the address, healthy or not."""
         try:
             async with (
                 asyncio.timeout(CALL_TIMEOUT_S),
--- a/finchladder/cluster/process/worker_expiry.py
+++ b/finchladder/cluster/process/worker_expiry.py
@@ -1,4 +1,8 @@
-"""Detection of lost workers by missing heartbeats, and removal of expired entries."""
+"""Detects lost workers by missing heartbeats, and removes expired entries.
+
+The owner of a worker is the control process that receives its heartbeats. An origin is the name of one
+incarnation of a control process.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,9 +19,9 @@
 from finchladder.cluster.types.workers import SessionPhase, WorkerRecord
 
 CHECK_INTERVAL_S = 0.25
-MAX_CHECK_DELAY_S = 0.5  # a later check shows that this process was stalled, not its workers
+MAX_CHECK_DELAY_S = 0.5  # if a check is delayed by more, this process was stalled
 CLEANUP_INTERVAL_S = 5.0
-OWNER_TIMEOUT_S = 4.0  # time without an update from an owner before other processes check its workers
+OWNER_TIMEOUT_S = 4.0  # time without an update after which an owner counts as unreachable
 OWNER_RETENTION_S = 60.0
 NEVER = -1e9
 
@@ -27,7 +31,7 @@
 
 @define
 class WorkerExpiry:
-    """Checks this process's own workers, and those of owners that it can't reach.
+    """Checks the workers that this process owns, and those of unreachable owners.
 
     `is_running(address, instance)`: queries the worker itself; `is_chain_confirmed`: returns whether the
     chain was recently confirmed.
@@ -39,8 +43,8 @@
     heartbeat_s: float
     is_running: Callable[[str, str], Awaitable[bool]]
     is_chain_confirmed: Callable[[], bool]
-    owners_last_seen_at: dict[str, float] = field(factory=dict)  # keyed by origin of another control process
-    workers_responded_at: dict[str, float] = field(factory=dict)  # keyed by instance, of unreachable owners
+    owners_last_seen_at: dict[str, float] = field(factory=dict)  # time of the last update, keyed by origin
+    workers_responded_at: dict[str, float] = field(factory=dict)  # time of the last response, by instance
     _cleaned_up_at: float = field(factory=steady, init=False)
     _checked_at: float = field(factory=steady, init=False)
     _resumed_at: float = field(default=NEVER, init=False)  # end of the last stall of this process
@@ -53,14 +57,14 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     def record_owner_update(self, origin: str) -> None:
-        """Records that an update of that origin was received."""
+        """Records that an update from the origin was received."""
         self.owners_last_seen_at[origin] = steady()
 
     def expire_own_workers(self) -> None:
-        """Marks own workers as lost that sent no heartbeat for too long, and removes expired entries.
+        """Marks owned workers without recent heartbeats as lost, and removes expired entries.
 
-        Heartbeats that arrived while this process was stalled may not have been read, so its workers get the
-        full timeout once it resumes.
+        Heartbeats that arrived while this process was stalled may not have been read yet. Therefore the
+        timeout of its workers begins again when it resumes.
         """
         now = steady()
         if now - self._checked_at > CHECK_INTERVAL_S + MAX_CHECK_DELAY_S:
@@ -78,10 +82,10 @@
                     self._declare_lost(record, heartbeat.sequence)
 
     async def expire_orphans(self) -> None:
-        """Marks workers as lost whose owner is unreachable and that do not respond themselves.
+        """Marks workers as lost that do not respond to this process and whose owner is unreachable.
 
-        The owner may be cut off from this process but not from its workers. A process that is cut off from
-        the chain marks no worker as lost.
+        The owner may be unreachable only from this process, and still receive heartbeats of its workers. A
+        process that the chain has not confirmed recently marks no such worker as lost.
         """
         if not self.is_chain_confirmed():
             return
--- a/finchladder/cluster/process/worker_orders.py
+++ b/finchladder/cluster/process/worker_orders.py
@@ -1,8 +1,8 @@
-"""Orders to workers under the placer's lease, one at a time to each worker, and detection of their end.
+"""Sends orders to workers under the placer's lease, one at a time to each worker, and detects their end.
 
 A worker's report is some hundred ms old, but its response to an order is current. A worker responds to a
 repeated load order with 202 while the load is in progress and with 200 as soon as it has ended, and does not
-count it as another order. So the placer detects the end of a load by sending the order again.
+count the repetition as another order. So the placer detects the end of a load by sending its order again.
 """
 
 import asyncio
@@ -28,10 +28,10 @@
 
 POLL_INTERVAL_S = 0.1
 MIN_POLL_INTERVAL_S = 0.02
-POLL_INTERVAL_FRACTION = 0.1  # fraction of the time that a load has taken so far
+POLL_INTERVAL_FRACTION = 0.1  # interval between checks as a fraction of the time since a load began
 QUICK_EVICTION_S = 0.06  # most evictions end within this time
 EVICTION_TIMEOUT_S = 10.0
-LOAD_OVERDUE_S = 0.5  # time after the expected end of a load from which the worker's report is checked
+LOAD_OVERDUE_S = 0.5  # time after the expected end of a load from which reports are checked, too
 WORKER_RETRY_DELAY_S = 0.5  # delay before an unreachable worker is queried again
 
 
@@ -73,14 +73,15 @@
         """Sends one order until it is accepted.
 
         Args:
-            worker: Recipient of the order; its state has to be known.
+            worker: Worker that receives the order; it gets none while its state is unknown.
             operation: `LOAD` or `EVICT`.
-            model: The model, or the one that the adapter belongs to.
-            adapter: Empty for the model itself.
-            store_permit: Acquired before each attempt of a load from the store.
+            model: Name of the model, for an adapter that of its base model.
+            adapter: Name of the adapter; empty for an order on the model itself.
+            store_permit: Permit for a load from the weight store, acquired for each attempt; None for other
+                orders.
 
         Returns:
-            Whether it was accepted; if not, the worker's state is unknown.
+            Whether the order was accepted; if not, the worker's state is unknown.
 
         Raises:
             PeerUnreachableError: The worker does not respond.
@@ -105,10 +106,10 @@
     async def wait_until_loaded(
         self, worker: ManagedWorker, model: str, adapter: str, expected_s: float
     ) -> bool:
-        """Sends an accepted load order again, from its expected end until the worker has loaded the model.
+        """Waits until a worker has loaded a model or adapter, by sending the accepted load order again.
 
         Returns:
-            Whether it was loaded; if not, the worker's state is unknown.
+            Whether the load has succeeded; if not, the worker's state is unknown.
 
         Raises:
             PeerUnreachableError: The worker does not respond.
@@ -136,12 +137,16 @@
         return lease.token == worker.term and not lease.is_dropped
 
     def _invalidate_report(self, worker: ManagedWorker) -> None:
-        """Marks a worker's state as unknown; it has to report before it gets another order."""
+        """Marks a worker's state as unknown, so that it gets no order until its report was fetched."""
         worker.last_report = None
         worker.retry_at = steady() + WORKER_RETRY_DELAY_S
 
     async def _send(self, worker: ManagedWorker, operation: str, model: str, adapter: str) -> int:
-        """Sends an order before the lease ends; the order counts as sent until its call has ended."""
+        """Sends an order before the lease ends.
+
+        `last_order_at` is also updated after the call, since the worker may receive the order at any time
+        during the call.
+        """
         body = worker.order_request(operation, model, adapter, self.lease_service.me.name)
         address = worker.state.address
         timeout_s = self.lease_service.lease.expires_at - steady()
@@ -156,7 +161,7 @@
         return status
 
     async def _should_resubmit(self, worker: ManagedWorker, submitted_at: float) -> bool:
-        """Returns whether a rejected order may be sent again, since the previous one is in progress."""
+        """Returns, after a delay, whether to send an order again that a worker rejected as busy."""
         if steady() - submitted_at < QUICK_EVICTION_S:
             await asyncio.sleep(QUICK_EVICTION_S / 2)
             return True
--- a/finchladder/cluster/process/worker_retirement.py
+++ b/finchladder/cluster/process/worker_retirement.py
@@ -1,8 +1,9 @@
-"""Retirements of workers, which the chain stores before they are acknowledged.
+"""Stores retirements of workers, their drains and deregistrations, in the chain before acknowledgment.
 
-The tables of workers are in memory, and all control processes may end at once. A dispatcher that was cut off
-when a drain was acknowledged would then continue to use that worker, so the stored retirements are applied to
-the tables again. Retirements that arrive together, as when a zone is drained, are stored in one operation.
+The tables of workers are only in memory, and all control processes may restart at once. A dispatcher that was
+disconnected when a drain was acknowledged would then continue to use the worker. Therefore the stored
+retirements are applied to the tables again. Retirements that arrive together, for example when a zone is
+drained, are stored in one operation.
 """
 
 import asyncio
@@ -23,20 +24,20 @@
 )
 
 RECORD_TIMEOUT_S = 0.7  # shorter than the 1 s after which a worker calls the next control process
-# The chain keeps a retirement twice as long as the tables keep an ended worker. Within that time every
-# connected dispatcher receives the retirement, and one that restarts finds no record of the worker.
+# The chain keeps a retirement twice as long as the tables keep an ended worker. By then every connected
+# dispatcher has received it, and a dispatcher that starts later gets no record of the worker.
 RETENTION_S = 120.0
 
 
 @define
 class RetirementRecorder:
-    """Forwards retirements to the head, which writes them to the chain."""
+    """Forwards retirements to the head of the chain, or as head writes them to the chain."""
 
     chain: ChainService
     pending: dict[str, WorkerRetirement] = field(factory=dict)  # not stored yet, keyed by instance
     _first_read_at: dict[str, float] = field(
         factory=dict, init=False
-    )  # time of the first reading, keyed by instance
+    )  # time at which this process first found the retirement in the chain, keyed by instance
 
     async def record(self, retirement: WorkerRetirement) -> bool:
         """Stores a retirement in the chain; returns True once it is stored."""
@@ -85,7 +86,10 @@
             return True
 
     def _expired(self, state: ControlState) -> set[str]:
-        """Returns instances that were retired long ago; a new head counts from its first reading of each."""
+        """Returns the instances whose retirements are older than RETENTION_S.
+
+        A new head counts the age from the time at which it first found the retirement in the chain.
+        """
         now = steady()
         first_read_at = self._first_read_at
         self._first_read_at = {r.instance: first_read_at.get(r.instance, now) for r in state.retirements}
--- a/finchladder/cluster/process/worker_selection.py
+++ b/finchladder/cluster/process/worker_selection.py
@@ -13,22 +13,24 @@
 from finchladder.cluster.routing.workers import Worker
 from finchladder.cluster.transport.peers import steady
 
-MAX_QUEUE_TIME_FRACTION = 0.8  # fraction of the client's time; a request that would queue longer is rejected
-UNKNOWN_LOAD_QUEUE_TIME_FRACTION = 0.6  # fraction of that time if no replica is known to be loading
+MAX_QUEUE_TIME_FRACTION = 0.8  # maximum queue time as a fraction of the time that the client waits
+# Fraction of the maximum queue time for which a request is queued if it does not wait for a replica that is
+# being loaded.
+UNKNOWN_LOAD_QUEUE_TIME_FRACTION = 0.6
 LOAD_DELAY_ALLOWANCE_S = 1.5  # a replica may become usable this much later than announced
-AVAILABILITY_POLL_INTERVAL_S = 0.03  # polling interval, since the end of a worker's backoff fires no signal
+AVAILABILITY_POLL_INTERVAL_S = 0.03  # needed because the end of a worker's backoff fires no signal
 RETRY_AFTER_BUSY_S = 0.3
 RETRY_AFTER_NO_REPLICA_S = 1.0
 
 
 @define
 class RequestQueue:
-    """Queue of requests that wait for a worker.
+    """Selects workers for requests, and queues requests while none is available.
 
     Attributes:
         dispatcher_count: Returns the number of dispatchers that select workers at the same time.
         pools: The current pools, replaced as one object.
-        pools_changed: Fired after `pools` was replaced.
+        pools_changed: Fires after `pools` was replaced.
         closes_at: No request is queued after this time (monotonic seconds).
     """
 
@@ -74,9 +76,9 @@
                 self.demand.add_queued(request.key, -1)
 
     def _queue_deadline(self, request: ClassifiedRequest, has_replicas: bool) -> float:
-        """Returns the time until which a request may be queued, later if a replica becomes usable in time.
+        """Returns the time until which a request may be queued; it is later if a replica is being loaded.
 
-        If a load is overdue when the request arrives, the allowance counts once, from the arrival.
+        If a load is already overdue when the request arrives, LOAD_DELAY_ALLOWANCE_S begins at the arrival.
         """
         client_s = min(request.client_stall_timeout_s, request.deadline - request.arrived_at)
         latest_deadline = request.arrived_at + MAX_QUEUE_TIME_FRACTION * client_s
--- a/finchladder/cluster/process/worker_sessions.py
+++ b/finchladder/cluster/process/worker_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of the workers that call this control process: heartbeats, draining, deregistration."""
+"""Sessions of the workers that send heartbeats to this control process, drain or deregister."""
 
 import msgspec
 from attrs import define, field
@@ -12,7 +12,7 @@
 from finchladder.cluster.types.worker_api import Heartbeat, loaded_models
 from finchladder.cluster.types.workers import SessionPhase, StampedWorker, WorkerRecord
 
-DRAINING_STATE = "draining"  # state in the heartbeats of a draining worker
+DRAINING_STATE = "draining"  # value of `state` in the heartbeats of a draining worker
 
 
 @define
@@ -34,7 +34,11 @@
     _applied_retirements: tuple[WorkerRetirement, ...] = field(default=(), init=False)
 
     async def on_heartbeat(self, instance: str, heartbeat: Heartbeat) -> bool:
-        """Updates the worker's record; returns whether the heartbeat may be acknowledged."""
+        """Updates the worker's record; returns whether the heartbeat may be acknowledged.
+
+        A heartbeat of a draining or deregistered worker is acknowledged only after the propagation of its
+        retirement.
+        """
         known = self.tables.workers.get(instance)
         if known is not None and known.record.phase is SessionPhase.DEREGISTERED:
             return await self.retirements.propagate(instance)
@@ -66,7 +70,7 @@
         return await self.retirements.propagate(instance)
 
     def apply_retirements(self, retirements: tuple[WorkerRetirement, ...]) -> None:
-        """Applies the retirements that the chain has stored, which survive the loss of all tables."""
+        """Applies the retirements that the chain has stored to the tables, which may have been lost."""
         if retirements is self._applied_retirements:
             return
         applied = frozenset(self._applied_retirements)
@@ -127,7 +131,7 @@
 
 
 def _unknown_worker(instance: str) -> WorkerRecord:
-    """Returns a record for a retired worker without any other data."""
+    """Returns a record that marks a worker as deregistered about which nothing else is known."""
     return WorkerRecord(
         instance=instance,
         service="",
@@ -141,12 +145,12 @@
 
 
 def _retires(retirement: WorkerRetirement, record: WorkerRecord) -> bool:
-    """Returns whether a stored retirement changes the phase of that worker."""
+    """Returns whether a stored retirement changes the phase of the worker's record."""
     if retirement.deregistered:
         return record.phase is not SessionPhase.DEREGISTERED
     return record.phase is SessionPhase.READY and record.sequence <= retirement.sequence
 
 
 def _is_unchanged(known: WorkerRecord, received: WorkerRecord) -> bool:
-    """Returns whether a heartbeat changes only the sequence, which is not replicated."""
+    """Returns whether the records differ at most in the sequence number, which alone is not replicated."""
     return msgspec.structs.replace(known, sequence=received.sequence) == received
--- a/finchladder/cluster/process/worker_stream.py
+++ b/finchladder/cluster/process/worker_stream.py
@@ -1,4 +1,4 @@
-"""A worker's response that is being relayed to the client."""
+"""The response of a worker while it is relayed to the client."""
 
 import aiohttp
 from attrs import define
@@ -9,7 +9,7 @@
 
 @define
 class WorkerStream:
-    """A response whose body is still being received, and the accounting of the attempt that it belongs to."""
+    """A worker's response, whose body is still being received, and the context of its attempt."""
 
     worker: Worker
     response: aiohttp.ClientResponse
