--- a/finchladder/cluster/placement/demand.py
+++ b/finchladder/cluster/placement/demand.py
@@ -18,7 +18,7 @@
 
 RATE_TIME_CONSTANT_S = 4.0
 RECENT_TIME_CONSTANT_S = 1.0  # time constant of the short-term averages, from which trends are computed
-TREND_WEIGHT = 0.5  # a rise above the long-term average is extrapolated by this fraction
+TREND_WEIGHT = 0.5  # fraction of a rise above the long-term average that is added to the recent average
 REPORT_EXPIRY_S = 3.0
 MIN_TRACKED_RATE = 0.003  # an estimate below this number of requests per second may be removed
 ESTIMATE_EXPIRY_S = 10 * RATE_TIME_CONSTANT_S  # minimum time from the last request to the removal
@@ -45,7 +45,7 @@
     tokens_per_s: float = 0.0
     recent_tokens_per_s: float = 0.0
     updated_at: float = 0.0
-    smoothed_in_flight: float = 0.0  # smoothed number of requests in flight
+    smoothed_in_flight: float = 0.0  # moving average of the number of requests in flight
     last_request_at: float = NEVER
 
     def add_requests(self, now: float, requests: int, prompt_tokens: int) -> None:
@@ -91,7 +91,7 @@
     received_at: float
     queued: Counter[DemandKey] = field(factory=Counter)
     in_flight: Counter[DemandKey] = field(factory=Counter)
-    worker_loads: Counter[str] = field(factory=Counter)  # by instance, in the unit of `DemandReport`
+    worker_loads: Counter[str] = field(factory=Counter)  # by instance, in the unit of the reports
     replica_requests: Counter[ReplicaKey] = field(factory=Counter)  # in flight, including those for adapters
 
 
@@ -100,7 +100,7 @@
     """Tracks the demand for all services from the reports of all dispatchers."""
 
     estimates: dict[DemandKey, DemandEstimate] = field(factory=dict)
-    reports: dict[str, ReportedDemand] = field(factory=dict)  # last report by dispatcher
+    reports: dict[str, ReportedDemand] = field(factory=dict)  # last report, by dispatcher name
     totals: ReportedDemand = field(factory=lambda: ReportedDemand(0.0))
     # Prefill time of one prompt token in seconds by service and dispatcher.
     prefill_reports: dict[str, dict[str, float]] = field(factory=dict)
@@ -197,7 +197,7 @@
         return self.totals.replica_requests[ReplicaKey(instance, model)]
 
     def peer_loads(self, sender: str) -> dict[str, int]:
-        """Load by worker instance that other dispatchers than `sender` reported, in `DemandReport`'s unit."""
+        """Load by worker instance that all dispatchers except `sender` reported, in the reports' unit."""
         others = Counter(self.totals.worker_loads)
         if sender in self.reports:
             _subtract(others, self.reports[sender].worker_loads)
--- a/finchladder/cluster/placement/disk_inventory.py
+++ b/finchladder/cluster/placement/disk_inventory.py
@@ -33,7 +33,7 @@
     """Disks of the workers that reported models."""
 
     by_instance: dict[str, WorkerDisk] = field(factory=dict)
-    latest_instances: dict[str, str] = field(factory=dict)  # latest incarnation by address
+    latest_instances: dict[str, str] = field(factory=dict)  # instance of the latest incarnation, by address
 
     def record_models(self, instance: str, address: str, models: Iterable[str]) -> None:
         """Records models that a worker has loaded, since a load stores the model on the worker's disk."""
--- a/finchladder/cluster/placement/load_rate_limiter.py
+++ b/finchladder/cluster/placement/load_rate_limiter.py
@@ -12,8 +12,8 @@
 
 from attrs import define, field
 
-RULE_EXTRA_LOADS = 3  # number of loads in each window that the rule allows in addition
-CLOCK_SAFETY_LOADS = 1  # number of allowed loads that stay unused, since the store's clock may differ
+RULE_EXTRA_LOADS = 3  # number of loads per window that the rule allows in addition to the rate
+CLOCK_SAFETY_LOADS = 1  # number of allowed loads not used, since the weight store has another clock
 
 
 @define
--- a/finchladder/cluster/placement/model_demand.py
+++ b/finchladder/cluster/placement/model_demand.py
@@ -14,7 +14,7 @@
 
     rate: float = 0.0
     queued: int = 0
-    smoothed_in_flight: float = 0.0  # smoothed number of requests in flight
+    smoothed_in_flight: float = 0.0  # moving average of the number of requests in flight
     in_flight: int = 0
     expected_rate: float = 0.0
     expected_tokens_per_s: float = 0.0
--- a/finchladder/cluster/placement/planning_state.py
+++ b/finchladder/cluster/placement/planning_state.py
@@ -10,7 +10,7 @@
 from finchladder.cluster.placement.utilization import ExpectedLoad, FleetUtilization
 
 QUEUED_REQUEST_VALUE = 1.5  # value that each queued request adds to a model's first replica
-UNIFORM_DEMAND_FRACTION = 0.15  # fraction of the demand that is expected to be spread over all models
+UNIFORM_DEMAND_FRACTION = 0.15  # fraction of the demand that is assumed to be equal for all models
 # A worker counts as fully utilized at this fraction of its request slots if no prefill time is reported.
 FULL_USE_SLOT_FRACTION = 0.15
 
--- a/finchladder/cluster/placement/prefetch_planner.py
+++ b/finchladder/cluster/placement/prefetch_planner.py
@@ -29,7 +29,7 @@
             if model.load_s < LONG_LOAD_S or min(self.state.store_loads_left, prefetches_left) <= 0:
                 continue
             action = self._plan(model.name)
-            if action is None:  # no worker can evict enough unused models
+            if action is None:  # no worker has room or enough unused models, so other prefetches fail, too
                 break
             self.state.apply(action)
             planned.append(action)
--- a/finchladder/cluster/process/attempt.py
+++ b/finchladder/cluster/process/attempt.py
@@ -97,7 +97,7 @@
     tenant_name: str | None = None
 
     def headers(self, worker: Worker, last_event_id: str) -> list[tuple[str, str]]:
-        """Returns the headers for that worker in wire order; a non-empty `last_event_id` resumes a stream."""
+        """Returns the headers for the worker in wire order; a non-empty `last_event_id` resumes a stream."""
         written = [
             (DEADLINE_HEADER, str(self._remaining_ms())),
             (EXPECTED_INSTANCE_HEADER, worker.instance),
@@ -173,7 +173,7 @@
         return Broken("the worker switched the connection to another protocol")
     if not _is_response_to(response, outgoing):
         response.close()
-        return Broken("the response has the id of another request or none")
+        return Broken("the response has no request id or that of another request")
     if NOT_EXECUTED_HEADER in headers or response.status == HTTPStatus.MISDIRECTED_REQUEST:
         response.release()
         return NotExecuted(response.status, _parse_retry_after_s(headers.get(RETRY_AFTER_HEADER)))
--- a/finchladder/cluster/process/client_responses.py
+++ b/finchladder/cluster/process/client_responses.py
@@ -73,7 +73,7 @@
         return self.finish(response)
 
     def error(self, status: HTTPStatus, text: str) -> web.StreamResponse:
-        """Returns a response with that status and one line of text."""
+        """Returns a response with the status and one line of text."""
         return self.finish(web.Response(status=status, text=text + "\n"))
 
     def finish(self, response: web.StreamResponse) -> web.StreamResponse:
--- a/finchladder/cluster/process/configuration_refresher.py
+++ b/finchladder/cluster/process/configuration_refresher.py
@@ -9,7 +9,7 @@
 from finchladder.cluster.transport.peers import steady
 
 PULL_TIMEOUT_S = 0.2  # short, since a client waits for the pull
-MIN_PULL_INTERVAL_S = 0.2  # limits the load on control processes from clients without valid keys
+MIN_PULL_INTERVAL_S = 0.2  # limits the pulls that clients without valid keys cause
 NEVER = -1e9
 
 
@@ -28,7 +28,7 @@
     _is_confirmed: bool = False  # result of the last pull
 
     async def refresh(self) -> bool:
-        """Refreshes the configuration; returns whether the chain has recently confirmed its sender."""
+        """Pulls the configuration; returns whether the chain has recently confirmed the replying process."""
         if self._pull is None:
             if steady() - self._pulled_at < MIN_PULL_INTERVAL_S:
                 return self._is_confirmed
--- a/finchladder/cluster/process/contact_timeouts.py
+++ b/finchladder/cluster/process/contact_timeouts.py
@@ -38,7 +38,7 @@
 
     @property
     def unconfirmed_timeout_s(self) -> float:
-        """Seconds for which a dispatcher serves without a confirmation after the core has lost its quorum."""
+        """Seconds for which a dispatcher serves without a confirmation after a lost quorum was reported."""
         return UNCONFIRMED_FRACTION * self.contact_s
 
     @property
--- a/finchladder/cluster/process/control_api.py
+++ b/finchladder/cluster/process/control_api.py
@@ -100,14 +100,14 @@
         if body is None:
             return _json(400, ProblemResponse("the request body is incomplete or too large"))
         if request.method == "DELETE":
-            return await self._acknowledge_heartbeat(self._sessions.on_deregister(instance))
+            return await self._acknowledge_call(self._sessions.on_deregister(instance))
         try:
             heartbeat = heartbeat_decoder.decode(body)
         except DECODE_ERRORS as error:
             return _json(400, ProblemResponse(f"malformed heartbeat: {error_kind(error)}"))
-        return await self._acknowledge_heartbeat(self._sessions.on_heartbeat(instance, heartbeat))
+        return await self._acknowledge_call(self._sessions.on_heartbeat(instance, heartbeat))
 
-    async def _acknowledge_heartbeat(self, work: Awaitable[bool]) -> web.StreamResponse:
+    async def _acknowledge_call(self, work: Awaitable[bool]) -> web.StreamResponse:
         if not await work:
             return _json(
                 503, ProblemResponse("the drain or deregistration was not stored and replicated in time")
--- a/finchladder/cluster/process/demand_reporter.py
+++ b/finchladder/cluster/process/demand_reporter.py
@@ -12,10 +12,10 @@
 from finchladder.cluster.types.errors import ClusterError
 from finchladder.cluster.types.messages import DemandReply, DemandReport
 
-REPORT_INTERVAL_S = 0.4  # initial interval, until the placer requests another one
+REPORT_INTERVAL_S = 0.4  # initial interval; the placer can request another one
 REPORT_TIMEOUT_S = 0.6
 REPORT_BATCH_DELAY_S = 0.01  # requests that are queued within this time go into one report
-PEER_LOADS_EXPIRY_S = 2.0  # peer loads expire this long after an update is due
+PEER_LOADS_EXPIRY_S = 2.0  # peer loads expire if the next ones are overdue by more than this time
 
 
 @define
--- a/finchladder/cluster/process/dispatcher_node.py
+++ b/finchladder/cluster/process/dispatcher_node.py
@@ -32,7 +32,7 @@
 
 READY_PATH = "/api/readyz"
 WORKER_KEEPALIVE_S = 20.0  # reduced if a worker announces a shorter timeout
-UNCONFIRMED_READY_AFTER_S = 4.0  # time after the start from which readiness requires no confirmed state
+UNCONFIRMED_READY_AFTER_S = 4.0  # time after the start from which readiness needs no confirmed state
 
 # Phases of a graceful shutdown
 READINESS_PROPAGATION_S = 2.5  # time from becoming unready until the platform opens no new connections
@@ -214,5 +214,5 @@
 
     async def _wait_for_connections(self, frontend: Listener, drain_deadline: float) -> None:
         while frontend.connection_count and steady() < drain_deadline:
-            await asyncio.sleep(SHUTDOWN_POLL_S)  # for requests that were already sent
+            await asyncio.sleep(SHUTDOWN_POLL_S)  # lets requests arrive that were sent before
             frontend.close_idle()
--- a/finchladder/cluster/process/managed_worker.py
+++ b/finchladder/cluster/process/managed_worker.py
@@ -24,7 +24,7 @@
     orders_taken: int = 0  # number of orders that the worker has accepted from any placer
     announced_orders: int = 0  # number of announced orders that the worker has not accepted yet
     serial: int = 0  # serial number of the last placement record
-    evicting: set[Eviction] = field(factory=set)  # still loaded, but not announced as usable
+    evicting: set[Eviction] = field(factory=set)  # ordered evictions, no longer announced as usable
     task: asyncio.Task[None] | None = None
     retry_at: float = 0.0
     action: LoadAction | None = None
@@ -32,7 +32,7 @@
     announced_record: PlacementRecord | None = None
     is_loading_from_store: bool = False
     orders_announced_before_term: int = 0
-    orders_taken_before_term: int | None = None  # None: the worker has not reported in this term
+    orders_taken_before_term: int | None = None  # None until the worker has reported in this term
     store_load_times: list[float] = field(factory=list)  # start times of loads from the weight store
 
     def placement_record(self, now: float, window_s: float) -> PlacementRecord:
--- a/finchladder/cluster/process/placer_lease.py
+++ b/finchladder/cluster/process/placer_lease.py
@@ -149,7 +149,7 @@
             self.lease.extend(requested_at, reply.token)
             event("placer.elected", token=reply.token)
         elif reply.retry_after_ms:
-            # a view change may shorten the wait
+            # waits no longer than until the next view change, which may free the lease earlier
             await self.chain.agreement.changed.wait(reply.retry_after_ms / 1000)
 
     def _is_candidate(self) -> bool:
--- a/finchladder/cluster/process/router.py
+++ b/finchladder/cluster/process/router.py
@@ -62,8 +62,8 @@
 
 CLIENT_RETRY_GRACE_S = 0.5  # time after `Retry-After` within which a rejected client retries or gives up
 MAX_CONNECT_FAILURES = 4  # maximum number of failed connections for one request
-# Timeout of a quota reservation as a fraction of the latency target. After a later rejection, a retry of the
-# client would miss the latency target.
+# Timeout of a quota reservation as a fraction of the latency target. After a later rejection, the client
+# could not retry within the latency target.
 QUOTA_TIMEOUT_FRACTION = 0.25
 MIN_QUOTA_TIMEOUT_S = 0.05
 RETRY_AFTER_NO_ACCOUNT_S = 1.5  # time for the election of a new holder; clients retry only once or twice
--- a/finchladder/cluster/process/update_server.py
+++ b/finchladder/cluster/process/update_server.py
@@ -34,13 +34,13 @@
 
 @define
 class Subscriber:
-    """A process that pulls from this one."""
+    """A process that pulls updates from this one."""
 
     name: str
     vector: dict[str, int]
     last_pull_at: float
     is_dispatcher: bool
-    long_polls: bool  # whether it long-polls instead of polling periodically
+    long_polls: bool  # whether the subscriber long-polls instead of polling periodically
     last_update_at: float = NEVER  # time of the last reply that contained changes
 
     def has(self, stamp: Stamp) -> bool:
@@ -74,7 +74,7 @@
     _compressor: DocumentCompressor = field(factory=DocumentCompressor, init=False)
     _dispatcher_count: int = field(default=0, init=False)
     _dispatchers_counted_at: float = field(default=NEVER, init=False)
-    _open_long_polls: Counter[str] = field(factory=Counter, init=False)  # keyed by subscriber
+    _open_long_polls: Counter[str] = field(factory=Counter, init=False)  # keyed by name of the subscriber
 
     async def on_pull(self, pull: PullUpdates) -> Update:
         """Replies to a pull; a long poll without newer data gets its reply after a change or the timeout."""
--- a/finchladder/cluster/process/view_proposer.py
+++ b/finchladder/cluster/process/view_proposer.py
@@ -19,9 +19,9 @@
 PROPOSAL_INTERVAL_S = PING_INTERVAL_S / 2
 MAX_PROPOSAL_BACKOFF_S = 0.25
 BACKOFF_JITTER = (0.2, 1.0)  # range of the random factor of MAX_PROPOSAL_BACKOFF_S
-BOOTSTRAP_TIMEOUT_S = 1.0  # time from the start after which a majority of the seeds forms the first view
+BOOTSTRAP_TIMEOUT_S = 1.0  # the first view needs all seeds in this time after the start, then a majority
 PROPOSAL_STAGGER_S = 0.12  # delay between voters, so that they do not preempt each other's ballots
-UNDECIDED_TIMEOUT_S = 1.0  # time since its vote after which a voter proposes an undecided view again
+UNDECIDED_TIMEOUT_S = 1.0  # time after its vote from which a voter proposes an undecided view again
 
 
 @define
--- a/finchladder/cluster/process/worker_orders.py
+++ b/finchladder/cluster/process/worker_orders.py
@@ -1,8 +1,9 @@
 """Sends orders to workers under the placer's lease, one at a time to each worker, and detects their end.
 
-A worker's report is some hundred ms old, but its response to an order is current. A worker responds to a
-repeated load order with 202 while the load is in progress and with 200 as soon as it has ended, and does not
-count the repetition as another order. So the placer detects the end of a load by sending its order again.
+A worker's report is a few hundred milliseconds old, but its response to an order is current. A worker
+responds to a repeated load order with 202 while the load is in progress and with 200 as soon as it has ended,
+and does not count the repetition as another order. So the placer detects the end of a load by sending its
+order again.
 """
 
 import asyncio
@@ -29,9 +30,9 @@
 POLL_INTERVAL_S = 0.1
 MIN_POLL_INTERVAL_S = 0.02
 POLL_INTERVAL_FRACTION = 0.1  # interval between checks as a fraction of the time since a load began
-QUICK_EVICTION_S = 0.06  # most evictions end within this time
+QUICK_EVICTION_S = 0.06  # time from the first attempt within which most evictions end
 EVICTION_TIMEOUT_S = 10.0
-LOAD_OVERDUE_S = 0.5  # time after the expected end of a load from which reports are checked, too
+LOAD_OVERDUE_S = 0.5  # a load that exceeds its expected duration by more is checked by a report
 WORKER_RETRY_DELAY_S = 0.5  # delay before an unreachable worker is queried again
 
 
--- a/finchladder/cluster/process/worker_retirement.py
+++ b/finchladder/cluster/process/worker_retirement.py
@@ -34,10 +34,10 @@
     """Forwards retirements to the head of the chain, or as head writes them to the chain."""
 
     chain: ChainService
-    pending: dict[str, WorkerRetirement] = field(factory=dict)  # not stored yet, keyed by instance
+    pending: dict[str, WorkerRetirement] = field(factory=dict)  # retirements to store, by instance
     _first_read_at: dict[str, float] = field(
         factory=dict, init=False
-    )  # time at which this process first found the retirement in the chain, keyed by instance
+    )  # time at which this process first found a retirement in the chain, keyed by instance
 
     async def record(self, retirement: WorkerRetirement) -> bool:
         """Stores a retirement in the chain; returns True once it is stored."""
--- a/finchladder/cluster/process/worker_selection.py
+++ b/finchladder/cluster/process/worker_selection.py
@@ -18,7 +18,7 @@
 # being loaded.
 UNKNOWN_LOAD_QUEUE_TIME_FRACTION = 0.6
 LOAD_DELAY_ALLOWANCE_S = 1.5  # a replica may become usable this much later than announced
-AVAILABILITY_POLL_INTERVAL_S = 0.03  # needed because the end of a worker's backoff fires no signal
+AVAILABILITY_POLL_INTERVAL_S = 0.03  # polling is needed since the end of a backoff fires no signal
 RETRY_AFTER_BUSY_S = 0.3
 RETRY_AFTER_NO_REPLICA_S = 1.0
 
--- a/finchladder/cluster/process/worker_sessions.py
+++ b/finchladder/cluster/process/worker_sessions.py
@@ -25,7 +25,7 @@
 
 @define
 class WorkerSessions:
-    """Converts the calls of workers into records of the replicated tables."""
+    """Converts heartbeats and deregistrations of workers into records of the replicated tables."""
 
     tables: ReplicatedTables
     retirements: RetirementPropagation
--- a/finchladder/cluster/replication/lease.py
+++ b/finchladder/cluster/replication/lease.py
@@ -19,7 +19,7 @@
 
 from attrs import define
 
-RENEWALS_PER_LEASE = 3  # the lease does not expire because of two lost renewals
+RENEWALS_PER_LEASE = 3  # so that two lost renewals do not let the lease expire
 CLOCK_MARGIN_S = 0.2
 
 
--- a/finchladder/cluster/replication/membership.py
+++ b/finchladder/cluster/replication/membership.py
@@ -24,8 +24,8 @@
     """Status of a member that replies to pings."""
 
     member: Member
-    state_view: int  # view in which the member last stored the state
-    healthy: bool  # whether its disk completes writes
+    state_view: int  # number of the view in which the member last stored the state
+    healthy: bool  # whether the member's disk completes writes
     shutting_down: bool = False
 
 
--- a/finchladder/cluster/routing/authorization.py
+++ b/finchladder/cluster/routing/authorization.py
@@ -93,7 +93,7 @@
     if tenant is not None or route.is_public:
         tenant_key = None if tenant is None else key
         return Authorized(snapshot.version, route, tenant, tenant_key, has_tenants=True)
-    return Unauthorized(_reason(credentials))
+    return Unauthorized(_unauthorized_reason(credentials))
 
 
 def is_still_authorized(authorized: Authorized, newest: ConfigurationSnapshot) -> bool:
@@ -113,7 +113,7 @@
     return authorized.tenant_name == (None if tenant is None else tenant.name)
 
 
-def _reason(credentials: Credentials) -> UnauthorizedReason:
+def _unauthorized_reason(credentials: Credentials) -> UnauthorizedReason:
     match credentials:
         case MissingKey():
             return UnauthorizedReason.MISSING
--- a/finchladder/cluster/routing/selection.py
+++ b/finchladder/cluster/routing/selection.py
@@ -24,7 +24,7 @@
 MIN_REMOTE_ZONE_WORKERS = 1  # minimum number of workers of other zones in a subset
 AFFINITY_SLOT_FRACTION = 0.2  # a candidate is preferred while a smaller fraction of its slots is in use
 AFFINITY_QUEUE_S = 0.1  # a candidate is preferred while less prefill time is queued at it
-REMOTE_ZONE_PENALTY = 0.5  # requests added to the load of a worker in another zone, to break ties
+REMOTE_ZONE_PENALTY = 0.5  # number of requests added to a load in another zone, to break ties
 MAX_CACHED_RANKS = 4096
 
 
--- a/finchladder/cluster/sessions/replicated_tables.py
+++ b/finchladder/cluster/sessions/replicated_tables.py
@@ -53,7 +53,7 @@
         self.vector: dict[str, int] = {}
         self._last_advances: dict[str, OriginAdvance] = {}
         self._stale_origins: frozenset[str] = frozenset()
-        self._ended_at: dict[str, float] = {}  # time at which a worker was first found to have ended
+        self._ended_at: dict[str, float] = {}  # first time at which a worker was found to have ended
         self._worker_log = StampLog(self._worker_stamp)
         self._placement_log = StampLog(self._placement_stamp)
 
--- a/finchladder/cluster/sessions/stamp_log.py
+++ b/finchladder/cluster/sessions/stamp_log.py
@@ -29,7 +29,7 @@
         """
         self._current_stamp = current_stamp
         self._entries: dict[str, list[LogEntry]] = {}  # entries by origin, ordered by counter
-        self._compaction_sizes: dict[str, int] = {}  # length that triggers a compaction, by origin
+        self._compaction_sizes: dict[str, int] = {}  # list length that triggers a compaction, by origin
 
     def add(self, key: str, stamp: Stamp) -> None:
         """Adds the new stamp of a record. O(log entries) if the counter is the highest of its origin."""
--- a/finchladder/cluster/transport/exchange.py
+++ b/finchladder/cluster/transport/exchange.py
@@ -35,7 +35,7 @@
     """One connection to a server, with at most one exchange at a time."""
 
     _final_responses = 0  # number of final response heads in the current exchange
-    _head_tail = b""  # last bytes of an incomplete head
+    _head_tail = b""  # last received bytes of an incomplete head
 
     def set_response_params(self, **parameters: Any) -> None:
         """Begins an exchange; closes the connection if bytes were received since the last exchange."""
--- a/finchladder/cluster/types/messages.py
+++ b/finchladder/cluster/types/messages.py
@@ -57,7 +57,7 @@
     base: int  # version that the change is based on
     patch: bool
     body: bytes
-    deadline_ms: int  # time within which the sender needs the outcome
+    deadline_ms: int  # time after receipt within which the sender needs the outcome
 
 
 class ReadState(Message, frozen=True, tag=7):
--- a/finchladder/cluster/types/worker_api.py
+++ b/finchladder/cluster/types/worker_api.py
@@ -27,7 +27,7 @@
 
 
 class WorkerReport(msgspec.Struct):
-    """Status of a worker, up to some hundred ms old; `sequence` is the number of accepted orders."""
+    """Status of a worker, up to a few hundred milliseconds old; `sequence` counts the accepted orders."""
 
     sequence: int = 0
     busy: bool = False
--- a/finchladder/cluster/types/workers.py
+++ b/finchladder/cluster/types/workers.py
@@ -1,4 +1,4 @@
-"""Records of the replicated tables: workers, and the models that they have loaded by the placer's orders."""
+"""Records of the replicated tables: the sessions of workers, and the placement of models on them."""
 
 from enum import Enum
 
@@ -38,7 +38,7 @@
     slots: int
     phase: SessionPhase
     sequence: int  # sequence number of the last heartbeat; higher is newer
-    owner: str  # origin of the control process that receives the heartbeats
+    owner: str  # origin (incarnation) of the control process that receives the heartbeats
     loaded_models: tuple[LoadedModel, ...] = ()
     remaining_ms: int | None = None  # announced time until the worker is preempted; None if not announced
 
