--- a/finchladder/cluster/placement/demand.py
+++ b/finchladder/cluster/placement/demand.py
@@ -184,7 +184,7 @@
         return list(self.totals.queued)
 
     def smoothed_in_flight(self, key: DemandKey) -> float:
-        """Smoothed number of requests in flight."""
+        """Moving average of the number of requests in flight."""
         estimate = self.estimates.get(key)
         return 0.0 if estimate is None else estimate.smoothed_in_flight
 
