--- a/finchladder/cluster/process/router.py
+++ b/finchladder/cluster/process/router.py
@@ -153,7 +153,7 @@
 
     @property
     def pools_changed(self) -> Signal:
-        """Fired after `pools` was replaced."""
+        """Signal that fires after `pools` was replaced."""
         return self.queue.pools_changed
 
     def drain(self, reject_unfinishable_from: float, queue_closes_at: float) -> None:
@@ -441,7 +441,7 @@
         """Rejects a request that found no worker in time.
 
         If the model has no replica, the request counts as queued until its client may have retried. Otherwise
-        the placer would load the model too late or not at all, since the queue would look empty.
+        the placer would load the model only after its clients have given up, or not at all.
         """
         classified, tenant_name = request.classified, request.authorized.tenant_name
         retry_after_s = self.queue.retry_after_s(classified)
--- a/finchladder/cluster/process/settings.py
+++ b/finchladder/cluster/process/settings.py
@@ -95,7 +95,7 @@
         return f"{control_address.rpartition(':')[0]}:{self.peer_port}"
 
 
-def _bounds(value: Mapping[str, Any]) -> Bounds:
+def _parse_bounds(value: Mapping[str, Any]) -> Bounds:
     def seconds(name: str, default_ms: float) -> float:
         return float(value.get(name, default_ms)) / 1000
 
@@ -139,7 +139,7 @@
     if problem:
         raise InvalidSettingsError("check settings", source, problem)
     listen = value["listen"]
-    bounds = _bounds(value.get("bounds", {}))
+    bounds = _parse_bounds(value.get("bounds", {}))
     heartbeat_s = float(value.get("heartbeat_ms", DEFAULT_HEARTBEAT_MS)) / 1000
     problem = _bounds_conflict(bounds, heartbeat_s)
     if problem:
