--- a/finchladder/core/api.py
+++ b/finchladder/core/api.py
@@ -117,9 +117,7 @@
     message_bytes: int = 256  # size of a full message between peers
     clock_tick_s: float = 0.001  # shortest time between two batches of events
     drain_grace_s: float = 1.0  # time after which a worker listed as draining or removed must be sent nothing
-    subscribe_timeout_s: float = (
-        10.0  # a dispatcher without a subscription counts as notified after this time
-    )
+    subscribe_timeout_s: float = 10.0  # after this, a dispatcher without a subscription counts as notified
     slow_start_initial_share: float = 0.1  # share of its full capacity that a worker has when it starts
     slow_start_s: float = 20.0  # time from the start until a worker has its full capacity
     # a worker in slow start fails if it is sent overload_multiple times its capacity for overload_window_s
--- a/finchladder/core/dispatch/outcomes.py
+++ b/finchladder/core/dispatch/outcomes.py
@@ -19,9 +19,8 @@
     def __init__(self, state: DispatcherState, estimates: WorkEstimates) -> None:
         self.state = state
         self.estimates = estimates
-        self.full_share = (
-            0.0  # moving average: share of placements that found no worker, or one that rejected the job
-        )
+        # moving average: share of placements that found no worker, or one that rejected the job
+        self.full_share = 0.0
 
     def record_placement(self, is_placed: bool) -> None:
         """Records a placement. `is_placed`: the job was sent or answered at once, not queued."""
