--- a/finchladder/core/dispatch/key_frequency.py
+++ b/finchladder/core/dispatch/key_frequency.py
@@ -84,7 +84,7 @@
         count, epoch = self.counts.get(key, (0.0, self.epoch))
         return decayed(count, self.epoch - epoch)
 
-    def share(self, key: int) -> float:
+    def traffic_fraction(self, key: int) -> float:
         """Returns the key's share of all requests, 0 to 1."""
         return self.count(key) / self.total if self.total else 0.0
 
@@ -97,7 +97,7 @@
         estimate only adds pairs.
         """
         if not self.is_large_fleet:
-            share = self.share(key) if self.total > MIN_REQUESTS else 0.0
+            share = self.traffic_fraction(key) if self.total > MIN_REQUESTS else 0.0
             pairs = int(share * workers) or 1
             return pairs, int(self.count(key)) % pairs if pairs > 1 else 0
         share = max(0.0, self.count(key) - 1) / (self.total + PRIOR_REQUESTS)
--- a/finchladder/core/dispatch/placement.py
+++ b/finchladder/core/dispatch/placement.py
@@ -69,7 +69,7 @@
 
     def _choose_least_loaded(self, job: Job, pool: PoolIndex) -> Worker | None:
         """Selects the least loaded accepting worker; if the first few reject, that of a random sample."""
-        if self.state.worker_load.draws_ties:
+        if self.state.worker_load.breaks_ties_at_random:
             return self._draw_least_loaded(job, pool)
         by_load = pool.by_load(MAX_CANDIDATES)
         chosen, rejecting = first_accepting(
--- a/finchladder/core/dispatch/records.py
+++ b/finchladder/core/dispatch/records.py
@@ -29,7 +29,7 @@
         "load_threshold",
         "backoff_until",
         "unstarted_attempts",
-        "failure_share",
+        "failure_rate",
         "ejected_until",
         "ejection_count",
         "slow_start_credit",
@@ -78,7 +78,7 @@
         self.load_threshold = load_threshold
         self.backoff_until = 0.0
         self.backoff_count = 0
-        self.failure_share = 0.0  # moving average of the share of failed attempts
+        self.failure_rate = 0.0  # moving average of the share of failed attempts
         self.ejected_until = 0.0
         self.ejection_count = 0
         self.slow_start_credit = credit  # seconds of work that may still be sent to it in slow start
--- a/finchladder/core/dispatch/rules.py
+++ b/finchladder/core/dispatch/rules.py
@@ -53,7 +53,7 @@
             return False
         if job.attempts and not all(self._may_follow(job, attempt, worker) for attempt in job.attempts):
             return False
-        if worker.failure_share > SUSPECT_THRESHOLD and not state.health.may_receive(
+        if worker.failure_rate > SUSPECT_THRESHOLD and not state.health.may_receive(
             state.now, job, worker, state.worker_index
         ):
             return False
--- a/finchladder/core/dispatch/worker_capacity.py
+++ b/finchladder/core/dispatch/worker_capacity.py
@@ -90,7 +90,7 @@
         self.run_times: dict[str, tuple[float, float]] = {}
 
     @property
-    def draws_ties(self) -> bool:
+    def breaks_ties_at_random(self) -> bool:
         """Whether ties are broken by learned capacities.
 
         This is not needed in a small fleet, where the local loads suffice, or if the weights report load.
@@ -99,7 +99,7 @@
 
     def update_weights(self, workers: dict[str, Worker], entries: Sequence[WorkerEntry]) -> None:
         """Sets the nominal capacities from the static weights of a list."""
-        if not self.draws_ties:
+        if not self.breaks_ties_at_random:
             return
         self.typical_weight.update(entries)
         for entry in entries:
@@ -109,7 +109,7 @@
 
     def record_run(self, worker: Worker, job_class: JobClass, run_time_s: float) -> None:
         """Records the run time of a job of that class at the worker."""
-        if not self.draws_ties or run_time_s <= 0:
+        if not self.breaks_ties_at_random or run_time_s <= 0:
             return
         kind_samples = self.samples_by_kind.get(worker.kind, [0.0, 0.0])
         if len(self.samples_by_kind) < MAX_KINDS:
--- a/finchladder/core/dispatch/worker_index.py
+++ b/finchladder/core/dispatch/worker_index.py
@@ -238,8 +238,8 @@
         return joins
 
     def update_suspect(self, worker: Worker) -> None:
-        """Updates `suspects`. Must be called after each change of the worker's `failure_share`."""
-        if worker.failure_share > self.suspect_threshold and self.workers.get(worker.address) is worker:
+        """Updates `suspects`. Must be called after each change of the worker's `failure_rate`."""
+        if worker.failure_rate > self.suspect_threshold and self.workers.get(worker.address) is worker:
             self.suspects[worker] = None
         else:
             self.suspects.pop(worker, None)
--- a/finchladder/core/dispatch/worker_load.py
+++ b/finchladder/core/dispatch/worker_load.py
@@ -73,9 +73,9 @@
         self.common_run_times_s: dict[str, float] = {}
 
     @property
-    def draws_ties(self) -> bool:
+    def breaks_ties_at_random(self) -> bool:
         """Whether ties are broken at random, as the local load is only a small part of a worker's load."""
-        return self.max_capacity > 0 or self.learned_capacity.draws_ties
+        return self.max_capacity > 0 or self.learned_capacity.breaks_ties_at_random
 
     def record_run(self, worker: Worker, job_class: JobClass, run_time_s: float) -> None:
         """Records a run time. Those that include a fetch are longer and hardly change a low percentile."""
@@ -169,7 +169,7 @@
         """
         if len(candidates) == 1:
             return candidates[0]
-        if self.learned_capacity.draws_ties:
+        if self.learned_capacity.breaks_ties_at_random:
             return self.learned_capacity.draw(candidates, random, key_shares)
         if not self.max_capacity:
             return [
--- a/finchladder/core/dispatch/zone_dispatcher.py
+++ b/finchladder/core/dispatch/zone_dispatcher.py
@@ -9,7 +9,7 @@
 | new, in the share that is spilled | target zone, home zone |
 | queued, no spillover | home zone |
 | queued, spillover in progress | home zone, target zone |
-| queued for at least HOME_ONLY_SHARE of its latency target | home zone, all zones |
+| queued for at least HOME_ONLY_TARGET_FRACTION of its latency target | home zone, all zones |
 | sent before, or no worker in the home zone | all zones |
 
 So no job is rejected because the home zone is full while another zone is not. Only workers of the kinds and
@@ -32,7 +32,9 @@
 
 OBSERVATION_INTERVAL_S = 0.1
 MAX_OBSERVED_WORKERS = 128  # per zone; a random sample of larger zones; observing so many takes 0.1 ms
-HOME_ONLY_SHARE = 0.25  # share of its latency target from which a queued job may be sent to any zone
+HOME_ONLY_TARGET_FRACTION = (
+    0.25  # share of its latency target from which a queued job may be sent to any zone
+)
 
 
 class ZoneDispatcher(Dispatcher):
@@ -139,7 +141,7 @@
         if home is None or not home.size or job.attempts:
             return (all_zones,)
         waited_s = self.now - job.arrived_at
-        if waited_s >= HOME_ONLY_SHARE * job.job_class.latency_target_s:
+        if waited_s >= HOME_ONLY_TARGET_FRACTION * job.job_class.latency_target_s:
             return home, all_zones
         spillover = self.spillovers[job.job_class.kind]
         if not waited_s:
--- a/finchladder/core/dispatch/zone_spillover.py
+++ b/finchladder/core/dispatch/zone_spillover.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-MAX_WAIT_FACTOR = 8.0  # limit of `wait_factor`, which doubles if spilling soon starts again
+MAX_DURATION_FACTOR = 8.0  # limit of `duration_factor`, which doubles if spilling soon starts again
 
 
 class SpilloverState(Enum):
@@ -77,15 +77,15 @@
     open_slots: float | None = None
 
     @property
-    def free_share(self) -> float:
+    def free_fraction(self) -> float:
         """The share of free slots, 0 to 1."""
         return self.free / self.slots if self.slots > 0 else 0.0
 
     @property
-    def open_share(self) -> float:
+    def open_fraction(self) -> float:
         """The share of slots of workers that would accept a job now, 0 to 1."""
         if self.open_slots is None:
-            return self.free_share
+            return self.free_fraction
         return self.open_slots / self.slots if self.slots > 0 else 0.0
 
 
@@ -96,13 +96,13 @@
         "settings",
         "state",
         "target",
-        "share_away",
+        "spilled_fraction",
         "credit",
         "full_since",
         "capacity_since",
         "no_target_since",
-        "wait_factor",
-        "changed_at",
+        "duration_factor",
+        "spilling_started_at",
         "observed_at",
     )
 
@@ -110,13 +110,13 @@
         self.settings = settings
         self.state = SpilloverState.HOME
         self.target: str | None = None
-        self.share_away = 0.0  # share of new jobs sent to the target zone
+        self.spilled_fraction = 0.0  # share of new jobs sent to the target zone
         self.credit = 0.0  # fraction of a job to spill; the next job is spilled when it reaches 1
         self.full_since: float | None = None  # since when the home zone has been full, None if it is not
         self.capacity_since: float | None = None  # the same for enough free slots for all work
         self.no_target_since: float | None = None  # None: there is a target zone
-        self.wait_factor = 1.0  # factor on full_s and back_s
-        self.changed_at: float | None = None  # time of the last start of spilling
+        self.duration_factor = 1.0  # factor on full_s and back_s
+        self.spilling_started_at: float | None = None  # time of the last start of spilling
         self.observed_at = 0.0
 
     def observe(
@@ -140,49 +140,50 @@
         event = self._due_event(now)
         if event is not None:
             self._change_state(event, now)
-        self._adapt_share(elapsed_s, home, is_full)
+        self._adapt_spilled_fraction(elapsed_s, home, is_full)
 
     def _choose_target(self, others: Mapping[str, ZoneLoad]) -> None:
         """Selects the other zone with the most open slots, but keeps a current target that is not full."""
         target = others.get(self.target) if self.target is not None else None
         if self.state is not SpilloverState.HOME and target is not None and not self._is_full(target):
             return
-        candidates = [zone for zone in sorted(others) if others[zone].open_share >= self.settings.back_at]
-        self.target = max(candidates, key=lambda z: others[z].open_share * others[z].slots, default=None)
+        candidates = [zone for zone in sorted(others) if others[zone].open_fraction >= self.settings.back_at]
+        self.target = max(candidates, key=lambda z: others[z].open_fraction * others[z].slots, default=None)
 
-    def _adapt_share(self, elapsed_s: float, home: ZoneLoad, is_full: bool) -> None:
+    def _adapt_spilled_fraction(self, elapsed_s: float, home: ZoneLoad, is_full: bool) -> None:
         settings = self.settings
         if self.state is SpilloverState.RETURNING:
-            self.share_away = max(0.0, self.share_away - elapsed_s / settings.ramp_s)
+            self.spilled_fraction = max(0.0, self.spilled_fraction - elapsed_s / settings.ramp_s)
         if self.state is not SpilloverState.SPILLING:
             return
         if self.target is None:  # the other zones are full as well
-            self.share_away *= max(0.0, 1 - elapsed_s / settings.full_s)
+            self.spilled_fraction *= max(0.0, 1 - elapsed_s / settings.full_s)
         elif is_full:
-            step = max(0.1, self.share_away) * elapsed_s / settings.full_s
-            self.share_away = min(1.0, self.share_away + step)
-        elif home.free_share >= settings.back_at:  # more work is spilled than necessary
-            self.share_away *= max(0.0, 1 - elapsed_s / settings.ramp_s)
+            step = max(0.1, self.spilled_fraction) * elapsed_s / settings.full_s
+            self.spilled_fraction = min(1.0, self.spilled_fraction + step)
+        elif home.free_fraction >= settings.back_at:  # more work is spilled than necessary
+            self.spilled_fraction *= max(0.0, 1 - elapsed_s / settings.ramp_s)
 
     def next_zone(self) -> str | None:
         """Returns the zone for the next job, None for the home zone. The spilled jobs are spaced evenly."""
         if self.target is None:
             return None
-        self.credit += self.share_away
+        self.credit += self.spilled_fraction
         if self.credit < 1 - 1e-9:
             return None
         self.credit -= 1
         return self.target
 
     def _is_full(self, zone: ZoneLoad) -> bool:
-        return zone.open_share <= self.settings.full_at or zone.rejected > self.settings.refused_at * max(
+        return zone.open_fraction <= self.settings.full_at or zone.rejected > self.settings.refused_at * max(
             zone.sent, 1
         )
 
-    def _changed_recently(self, now: float) -> bool:
+    def _has_started_recently(self, now: float) -> bool:
         """Whether spilling last started so recently that state changes must wait longer."""
         return (
-            self.changed_at is not None and now - self.changed_at < 2 * MAX_WAIT_FACTOR * self.settings.back_s
+            self.spilling_started_at is not None
+            and now - self.spilling_started_at < 2 * MAX_DURATION_FACTOR * self.settings.back_s
         )
 
     def _due_event(self, now: float) -> SpilloverEvent | None:
@@ -191,11 +192,11 @@
         )
         if self.state is not SpilloverState.HOME and has_no_target:
             return SpilloverEvent.NO_TARGET
-        if not self._changed_recently(now):
-            self.wait_factor = 1.0
+        if not self._has_started_recently(now):
+            self.duration_factor = 1.0
         # while work returns to the home zone, spilling resumes after full_s without the factor
-        wait_factor = self.wait_factor if self.state is SpilloverState.HOME else 1.0
-        if self.full_since is not None and now - self.full_since >= self.settings.full_s * wait_factor:
+        duration_factor = self.duration_factor if self.state is SpilloverState.HOME else 1.0
+        if self.full_since is not None and now - self.full_since >= self.settings.full_s * duration_factor:
             return (
                 SpilloverEvent.HOME_FULL
                 if self.state is not SpilloverState.SPILLING and self.target is not None
@@ -204,26 +205,26 @@
         if self.state is SpilloverState.SPILLING and self.capacity_since is not None:
             return (
                 SpilloverEvent.HOME_HAS_CAPACITY
-                if now - self.capacity_since >= self.settings.back_s * self.wait_factor
+                if now - self.capacity_since >= self.settings.back_s * self.duration_factor
                 else None
             )
         return (
             SpilloverEvent.RETURNED
-            if self.state is SpilloverState.RETURNING and self.share_away <= 0
+            if self.state is SpilloverState.RETURNING and self.spilled_fraction <= 0
             else None
         )
 
     def _change_state(self, event: SpilloverEvent, now: float) -> None:
         self.state = TRANSITIONS[self.state, event]
         if event is SpilloverEvent.HOME_FULL:
-            self.wait_factor = (
-                min(MAX_WAIT_FACTOR, 2 * self.wait_factor) if self._changed_recently(now) else 1.0
+            self.duration_factor = (
+                min(MAX_DURATION_FACTOR, 2 * self.duration_factor) if self._has_started_recently(now) else 1.0
             )
-            self.changed_at = now
-            self.share_away = max(self.share_away, 0.1)
+            self.spilling_started_at = now
+            self.spilled_fraction = max(self.spilled_fraction, 0.1)
             self.capacity_since = None
         elif self.state is SpilloverState.HOME:
-            self.share_away = self.credit = 0.0
+            self.spilled_fraction = self.credit = 0.0
             self.full_since = None  # the home zone must be full for full_s again
 
 
--- a/finchladder/core/health/detection/detector.py
+++ b/finchladder/core/health/detection/detector.py
@@ -701,7 +701,7 @@
             self._local_score(now, worker.address, c) > LOCAL_SUSPECT_SCORE
             for c in self.evidence.get(worker.address, ())
         )
-        worker.failure_share = 1.0 if until or worker.address in self.verdicts else 0.3 if suspect else 0.0
+        worker.failure_rate = 1.0 if until or worker.address in self.verdicts else 0.3 if suspect else 0.0
         worker_index.update_suspect(worker)
 
     # --- queries of the dispatcher
--- a/finchladder/core/health/outlier_ejection.py
+++ b/finchladder/core/health/outlier_ejection.py
@@ -70,19 +70,19 @@
     ) -> None:
         """Updates a worker after an attempt; `run_time_s` is 0 if it is not known. O(1)."""
         is_bad = signal is not AttemptSignal.GOOD
-        worker.failure_share += FAILURE_SMOOTHING * (is_bad - worker.failure_share)
+        worker.failure_rate += FAILURE_SMOOTHING * (is_bad - worker.failure_rate)
         if not is_bad and worker.ejected_until:
             self._readmit(worker)
         elif not is_bad:
-            if worker.failure_share <= SUSPECT_THRESHOLD:
+            if worker.failure_rate <= SUSPECT_THRESHOLD:
                 worker.ejection_count = 0
-        elif worker.failure_share > EJECT_THRESHOLD or worker.ejected_until:
+        elif worker.failure_rate > EJECT_THRESHOLD or worker.ejected_until:
             self._eject(now, worker)
         worker_index.update_suspect(worker)
 
     def _readmit(self, worker: Worker) -> None:
         worker.ejected_until = 0.0
-        worker.failure_share = min(worker.failure_share, MAX_READMITTED_SHARE)
+        worker.failure_rate = min(worker.failure_rate, MAX_READMITTED_SHARE)
         self.ejected.pop(worker.address, None)
 
     def _eject(self, now: float, worker: Worker) -> None:
--- a/finchladder/core/peers/loads.py
+++ b/finchladder/core/peers/loads.py
@@ -56,7 +56,7 @@
         self.number_cache: dict[str, int] = {}
 
     @property
-    def draws_ties(self) -> bool:
+    def breaks_ties_at_random(self) -> bool:
         return (
             not self.settings.weights_report_load
         )  # also with few dispatchers, as each receives the counts of all
--- a/tests/core/judging/test_judging.py
+++ b/tests/core/judging/test_judging.py
@@ -347,7 +347,7 @@
         receive(b, {})
     assert not detector.evidence
     assert not detector.local_ejections
-    assert not b.d.workers["w3"].failure_share
+    assert not b.d.workers["w3"].failure_rate
     assert not detector.ejected
     assert "w3" in sent_to(b, "unsafe", 300)
 
--- a/tests/core/oracle.py
+++ b/tests/core/oracle.py
@@ -96,7 +96,7 @@
 class ScanWorkerIndex(WorkerIndex):
     @property  # type: ignore[override]
     def suspects(self) -> list[Worker]:
-        return [w for w in self.workers.values() if w.failure_share > SUSPECT_THRESHOLD]
+        return [w for w in self.workers.values() if w.failure_rate > SUSPECT_THRESHOLD]
 
     @suspects.setter
     def suspects(self, value: Any) -> None:
--- a/tests/core/test_aperture.py
+++ b/tests/core/test_aperture.py
@@ -107,7 +107,7 @@
     """Observes a home zone of 100 slots every 0.1 s; spilled load frees its slots."""
     spill, seen, now = ZoneSpillover(SpilloverSettings()), [(0.0, SpilloverState.HOME)], 0.0
     for demand, free in zip(demand_of, other_free, strict=True):
-        away = demand * spill.share_away if spill.target else 0.0
+        away = demand * spill.spilled_fraction if spill.target else 0.0
         spill.observe(now, ZoneLoad(100, max(0.0, 100 - (demand - away))), {"b": ZoneLoad(100, free)}, away)
         if spill.state is not seen[-1][1]:
             seen.append((now, spill.state))
@@ -147,9 +147,9 @@
 ) -> None:
     spill, seen = walk(demand, [free] * len(demand))
     assert [s for _, s in seen] == states
-    assert part[0] <= spill.share_away <= part[1]
+    assert part[0] <= spill.spilled_fraction <= part[1]
     sent = [spill.next_zone() for _ in range(1000)]
-    assert sent.count("b") == pytest.approx(1000 * spill.share_away, abs=1)
+    assert sent.count("b") == pytest.approx(1000 * spill.spilled_fraction, abs=1)
 
 
 @pytest.mark.parametrize("step", [1.0, 5.0, 20.0])
--- a/tests/core/test_guarded.py
+++ b/tests/core/test_guarded.py
@@ -313,10 +313,10 @@
     name, [send] = b.ask()
     b.now += 0.1
     b.end(name, E.ERROR)
-    failure_share = b.g.inner.workers[send.worker].failure_share
+    failure_rate = b.g.inner.workers[send.worker].failure_rate
     b.now += 0.1
     b.end(name, E.OK, 1)  # a retry did not overtake the attempt
-    assert b.g.inner.workers[send.worker].failure_share == failure_share
+    assert b.g.inner.workers[send.worker].failure_rate == failure_rate
 
 
 def test_progress_reports_are_tracked_for_each_hedged_attempt() -> None:
@@ -330,8 +330,8 @@
     silent, told = (b.g.inner.workers[s.worker] for s in b.sends(name))
     assert done(b, name) == "send 0, send 0.3, cancel 0"
     assert (silent.load, told.load) == (0, 1)
-    assert silent.failure_share
-    assert not told.failure_share
+    assert silent.failure_rate
+    assert not told.failure_rate
     b.end(name, E.ERROR, 1)  # no attempt is left, and the slots remain free
     b.run_until(START + 9.4)
     assert told.load == 0
--- a/tests/core/test_sizes.py
+++ b/tests/core/test_sizes.py
@@ -246,6 +246,6 @@
     old = Bench(workers(8), dispatchers=MANY, zone="a").d
     restored = Bench([], dispatchers=3, zone="b").d
     snapshot.restore(snapshot.take(old, Arrivals(Options(), 1)), restored, Arrivals(Options(), 1))
-    assert not restored.worker_load.draws_ties
+    assert not restored.worker_load.breaks_ties_at_random
     assert not restored.state.key_frequency.is_large_fleet
     assert restored.worker_load.learned_capacity.settings.zone == "b"
--- a/tests/core/test_zones.py
+++ b/tests/core/test_zones.py
@@ -10,7 +10,11 @@
 from finchladder.config.options import CaptureOptions, Options, SpillOptions
 from finchladder.config.settings import read_seed
 from finchladder.core.api import Ending, ListKind, WorkerPool, WorkerStatus
-from finchladder.core.dispatch.zone_dispatcher import HOME_ONLY_SHARE, MAX_OBSERVED_WORKERS, ZoneDispatcher
+from finchladder.core.dispatch.zone_dispatcher import (
+    HOME_ONLY_TARGET_FRACTION,
+    MAX_OBSERVED_WORKERS,
+    ZoneDispatcher,
+)
 from finchladder.core.dispatch.zone_spillover import SpilloverSettings
 from finchladder.core.routing.limited_dispatcher import RouteLimitedDispatcher, make_decisions
 from finchladder.core.routing.routes import NO_ROUTES
@@ -105,9 +109,9 @@
     z.d.workers["a0"].backoff_until = 1e9
     name, sent = z.ask("safe")
     assert sent == []
-    z.run_until(z.now + HOME_ONLY_SHARE * 0.9)
+    z.run_until(z.now + HOME_ONLY_TARGET_FRACTION * 0.9)
     assert z.zones_of(name) == []
-    z.run_until(z.now + HOME_ONLY_SHARE * 0.3)
+    z.run_until(z.now + HOME_ONLY_TARGET_FRACTION * 0.3)
     assert z.zones_of(name) == ["b"]
 
 
@@ -135,13 +139,13 @@
     assert load == 0
     for w in z.d.workers.values():
         w.backoff_until = 1e9
-    assert z.d._measure_zone(pool, None, "a")[0].open_share == 0
+    assert z.d._measure_zone(pool, None, "a")[0].open_fraction == 0
     for w in z.d.workers.values():
         w.backoff_until, w.load_threshold = 0.0, 20.0
         z.d.worker_index.add_load(w, 19.5)
     # a worker whose load is just below its threshold is not full
     zone_load, load = z.d._measure_zone(pool, None, "a")
-    assert [zone_load.free_share, zone_load.open_share] == pytest.approx([0.025, 1])
+    assert [zone_load.free_fraction, zone_load.open_fraction] == pytest.approx([0.025, 1])
     assert load == pytest.approx(19.5 * size)
     for name in z.zone:
         z.patch(entry(name, zone=z.zone[name], started_at=z.now))
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -197,7 +197,7 @@
     b.end(name, api.Ending.ERROR)
     assert all(s.worker != suspect for _ in range(4) for s in b.ask("unsafe")[1])
     w = b.d.workers[suspect]
-    w.failure_share, w.ejected_until, b.d.state.health.ejected[suspect] = (
+    w.failure_rate, w.ejected_until, b.d.state.health.ejected[suspect] = (
         0.9,
         b.now,
         w,
@@ -207,7 +207,7 @@
     assert sent[0].worker == suspect
     b.serve(name)
     assert not w.ejected_until
-    assert w.failure_share > 0.3
+    assert w.failure_rate > 0.3
     assert all(s.worker != suspect for s in b.ask("unsafe")[1])
 
 
@@ -219,7 +219,7 @@
     assert api.Cancel(other, 0) not in [a for _, a in b.log]
     b.end(name, api.Ending.CANCELLED)
     assert [s.worker for s in b.sends(name)] == [sent[0].worker, "w2" if sent[0].worker == "w1" else "w1"]
-    assert b.d.workers[sent[0].worker].failure_share > 0
+    assert b.d.workers[sent[0].worker].failure_rate > 0
     busy = Bench(["w1"])
     (name, _), (other, _) = busy.ask("safe"), busy.ask("safe")
     busy.start(name)
@@ -283,7 +283,7 @@
     b.feed(api.LoopStall(9.9))
     b.feed(api.Timer(0))
     assert b.d.placement.is_under_threshold(b.d.workers["w1"])
-    assert not b.d.workers["w1"].failure_share
+    assert not b.d.workers["w1"].failure_rate
     b.now += 5.0  # without a stall
     b.feed(api.Timer(0))
-    assert b.d.workers["w1"].failure_share
+    assert b.d.workers["w1"].failure_rate
--- a/tests/test_stored_state.py
+++ b/tests/test_stored_state.py
@@ -188,7 +188,7 @@
     assert WORKERS
     for address, values in WORKERS.items():
         w = dispatcher.workers[address]
-        assert (w.zone, w.is_ready, w.load, w.load_threshold, w.failure_share, w.ejection_count) == values
+        assert (w.zone, w.is_ready, w.load, w.load_threshold, w.failure_rate, w.ejection_count) == values
     for id, values in JOBS.items():
         j = dispatcher.jobs[id]
         sent = tuple((a.worker.address, a.sent_at, a.ending) for a in j.attempts)
