--- a/finchladder/cli/calls.py
+++ b/finchladder/cli/calls.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from finchladder.config.addresses import parse_address
-from finchladder.features.fault_injection import Order
+from finchladder.features.fault_injection import FaultOrder
 
 CHUNK_BYTES = 64 * 1024
 FAULT_INJECTION_KEY_VARIABLE = "NODE_DRILL_KEY"  # not an argument: every user of the machine can read those
@@ -58,7 +58,7 @@
         connection.close()
 
 
-def drill(order: Order, key: str) -> str:
+def drill(order: FaultOrder, key: str) -> str:
     """Orders a fault injection and returns the answer.
 
     Raises:
--- a/finchladder/cli/drill.py
+++ b/finchladder/cli/drill.py
@@ -8,7 +8,7 @@
 from finchladder.cli import calls
 from finchladder.cli.front import add_config_option, fail
 from finchladder.config.option_files import read_options
-from finchladder.features.fault_injection import Order
+from finchladder.features.fault_injection import FaultOrder
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
@@ -34,7 +34,7 @@
         order = msgspec.convert(
             {"class": args.job_class, "share": args.share, "delay_ms": args.delay_ms, "for_s": args.for_s}
             | ({"abort_share": args.abort_share} if args.abort_share is not None else {}),
-            Order,
+            FaultOrder,
         )
         print(calls.drill(order, key), end="")
     except (ValueError, msgspec.ValidationError) as e:
--- a/finchladder/cli/replay.py
+++ b/finchladder/cli/replay.py
@@ -47,5 +47,5 @@
             replay.run(lines)
         except ValueError as e:
             fail(f"{args.file}: {e}")
-    warn(f"{replay.inputs} inputs, {replay.compared} decisions compared, {replay.differ} differ")
-    sys.exit(1 if replay.differ else 0)
+    warn(f"{replay.inputs} inputs, {replay.compared} decisions compared, {replay.differences} differ")
+    sys.exit(1 if replay.differences else 0)
--- a/finchladder/features/admission_limits.py
+++ b/finchladder/features/admission_limits.py
@@ -6,10 +6,12 @@
 
 from finchladder.config.options import DoorOptions, Options
 
-SLACK = 1e-6  # seconds: rounding must not make a client early that retries exactly at the announced time
+ROUNDING_TOLERANCE_S = (
+    1e-6  # seconds: rounding must not make a client early that retries exactly at the announced time
+)
 
 
-class Buckets:
+class TokenBuckets:
     """Token buckets by address.
 
     A bucket is stored as the time at which it is full again, so full buckets need no entry.
@@ -17,12 +19,12 @@
 
     def __init__(self, options: DoorOptions) -> None:
         """Starts with all buckets full."""
-        self.interval = 1 / options.rate
-        self.room = (options.burst - 1) * self.interval + SLACK
+        self.interval_s = 1 / options.rate
+        self.max_lead_s = (options.burst - 1) * self.interval_s + ROUNDING_TOLERANCE_S
         self.max_keys = options.max_keys
         self.full_at: OrderedDict[str, float] = OrderedDict()  # the least recently seen first
         # counted from the first request on: at 1.7e9 s, added intervals would each lose up to 2e-7 s
-        self.start: float | None = None
+        self.started_at: float | None = None
 
     def take(self, now: float, address: str) -> float:
         """Takes a token of an address.
@@ -30,18 +32,18 @@
         Returns:
             0.0, or the seconds until the next token if there is none.
         """
-        if self.start is None:
-            self.start = now
-        now -= self.start
+        if self.started_at is None:
+            self.started_at = now
+        now -= self.started_at
         full_at = self.full_at.get(address)
         if full_at is None:
             full_at = now
             if len(self.full_at) >= self.max_keys:
                 self.full_at.popitem(last=False)
-        admitted = full_at - now <= self.room
-        self.full_at[address] = max(full_at, now) + self.interval if admitted else full_at
+        admitted = full_at - now <= self.max_lead_s
+        self.full_at[address] = max(full_at, now) + self.interval_s if admitted else full_at
         self.full_at.move_to_end(address)
-        return 0.0 if admitted else self.interval
+        return 0.0 if admitted else self.interval_s
 
 
 class Limits(Protocol):
@@ -52,21 +54,21 @@
         ...
 
 
-class Door:
+class ClientLimits:
     """The admission limits of all job classes."""
 
     def __init__(self, options: Options) -> None:
         """Creates the buckets of the general limit and of classes with one of their own."""
-        self.general: Limits | None = Buckets(options.door) if options.door is not None else None
-        self.of_class: dict[str, Limits] = {name: Buckets(o) for name, o in options.door_of.items()}
+        self.general: Limits | None = TokenBuckets(options.door) if options.door is not None else None
+        self.by_class: dict[str, Limits] = {name: TokenBuckets(o) for name, o in options.door_of.items()}
 
-    def share(self, options: Options, make: Callable[[str, DoorOptions], Limits]) -> None:
+    def use_shared(self, options: Options, make: Callable[[str, DoorOptions], Limits]) -> None:
         """Replaces the limits by ones that are shared by all dispatchers, each with a unique name."""
         if options.door is not None:
             self.general = make("door", options.door)
-        self.of_class = {name: make(f"door.{name}", o) for name, o in options.door_of.items()}
+        self.by_class = {name: make(f"door.{name}", o) for name, o in options.door_of.items()}
 
-    def turn_away(self, now: float, address: str, job_class: str) -> float:
+    def take(self, now: float, address: str, job_class: str) -> float:
         """Returns 0.0 if a request is admitted, else the seconds until the next token."""
-        buckets = self.of_class.get(job_class, self.general)
+        buckets = self.by_class.get(job_class, self.general)
         return buckets.take(now, address) if buckets is not None else 0.0
--- a/finchladder/features/capture.py
+++ b/finchladder/features/capture.py
@@ -15,8 +15,8 @@
 from finchladder.core import api
 from finchladder.core.api import Ending
 from finchladder.core.routing.limited_dispatcher import NewRoutes
-from finchladder.features.fault_injection import Order
-from finchladder.features.request_admission import Verdict
+from finchladder.features.fault_injection import FaultOrder
+from finchladder.features.request_admission import AdmissionDecision
 
 SEGMENTS_PER_RING = 8  # segments in a full ring: the oldest is dropped at once
 OPENING_LINE_BYTES = 256  # bytes reserved for the first line of a dump
@@ -29,7 +29,7 @@
     32  # values of a load report, and letters of their names; no decision looks at it today
 )
 
-STATES = {
+STATE_BY_ENDING = {
     Ending.OK: "done",
     Ending.ERROR: "failed",
     Ending.OVERLOADED: "returned",
@@ -44,7 +44,7 @@
 encode = msgspec.json.Encoder().encode
 
 
-def in_line(t: float, e: api.Event | NewRoutes) -> Line:
+def encode_input(t: float, e: api.Event | NewRoutes) -> Line:
     """Encodes an input as a line; `t` has all digits, so that decoding restores the same float."""
     if isinstance(e, api.Request):
         line: Line = {"t": t, "in": "request", "id": e.id, "class": e.job_class, "patience": e.timeout_s}
@@ -54,11 +54,11 @@
     if isinstance(e, api.Started):
         return {"t": t, "in": "event", "id": e.request, "state": "started", "attempt": e.attempt}
     if isinstance(e, api.Progress):
-        told = {"state": "running", "attempt": e.attempt, "share": e.done_share}
-        return {"t": t, "in": "event", "id": e.request} | told
+        progress = {"state": "running", "attempt": e.attempt, "share": e.done_share}
+        return {"t": t, "in": "event", "id": e.request} | progress
     if isinstance(e, api.Ended):
         ended = {
-            "state": STATES[e.ending],
+            "state": STATE_BY_ENDING[e.ending],
             "attempt": e.attempt,
             "finished": e.finished,
             "took": e.duration_s,
@@ -83,7 +83,7 @@
     return dict(usable[:MAX_REPORT_VALUES])
 
 
-def out_line(t: float, a: api.Action) -> Line:
+def encode_action(t: float, a: api.Action) -> Line:
     """Encodes an action as a line."""
     if isinstance(a, api.Send):
         line: Line = {"t": t, "out": "send", "id": a.request, "server": a.worker}
@@ -103,23 +103,23 @@
     return {"t": t, "out": "log", "text": a.text}
 
 
-def decided_lines(t: float, actions: Sequence[api.Action], error: Exception | None) -> list[Line]:
+def encode_decision(t: float, actions: Sequence[api.Action], error: Exception | None) -> list[Line]:
     """Encodes the dispatcher's actions, or the error in place of them."""
     if error is not None:
         return [{"t": t, "out": "error", "error": type(error).__name__}]
-    return [out_line(t, a) for a in actions]
+    return [encode_action(t, a) for a in actions]
 
 
-def judged_lines(t: float, request_id: str, verdict: Verdict) -> list[Line]:
+def encode_admission(t: float, request_id: str, decision: AdmissionDecision) -> list[Line]:
     """Encodes the decision on a request; one that is admitted at once has no line."""
-    if verdict.wait > 0:
-        return [{"t": t, "out": "turn_away", "id": request_id, "retry_after": verdict.wait}]
-    if (drill := verdict.drill) is not None:
-        return [{"t": t, "out": "drill", "id": request_id, "hold": drill.hold, "abort": drill.abort}]
+    if decision.wait_s > 0:
+        return [{"t": t, "out": "turn_away", "id": request_id, "retry_after": decision.wait_s}]
+    if (fault := decision.fault) is not None:
+        return [{"t": t, "out": "drill", "id": request_id, "hold": fault.delay_s, "abort": fault.abort}]
     return []
 
 
-def ordered_lines(t: float, order: Order, until: float | None) -> list[Line]:
+def encode_fault_order(t: float, order: FaultOrder, until: float | None) -> list[Line]:
     """Encodes the answer to an order for fault injection."""
     return [{"t": t, "out": "drill", "class": order.job_class, "until": until}] if until is not None else []
 
@@ -144,16 +144,16 @@
 class Ring:
     """Segments of bounded total size; the oldest are dropped first."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_bytes: int) -> None:
         """Starts empty.
 
         Args:
-            most: The maximum size in bytes.
+            max_bytes: The maximum size in bytes.
         """
-        self.most = most - OPENING_LINE_BYTES
+        self.max_bytes = max_bytes - OPENING_LINE_BYTES
         self.segments = deque([Segment(b"")])
         self.size = self.lost = 0  # bytes held, and inputs that are not held any more
-        self.next_at = self.most // SEGMENTS_PER_RING
+        self.next_segment_bytes = self.max_bytes // SEGMENTS_PER_RING
 
     def add(self, block: bytes) -> None:
         """Appends a block."""
@@ -161,7 +161,7 @@
         last.blocks.append(block)
         last.size += len(block)
         self.size += len(block)
-        while self.size > self.most:
+        while self.size > self.max_bytes:
             self._drop_oldest()
 
     def _drop_oldest(self) -> None:
@@ -170,37 +170,37 @@
         self.lost += len(oldest.blocks)
         if not self.segments:
             self.segments.append(Segment(None))
-            self.next_at = 0
+            self.next_segment_bytes = 0
 
-    def wants_state(self) -> bool:
+    def needs_snapshot(self) -> bool:
         """Returns whether a new segment is due."""
-        return self.segments[-1].size >= self.next_at
+        return self.segments[-1].size >= self.next_segment_bytes
 
     @property
-    def room(self) -> int:
+    def max_snapshot_bytes(self) -> int:
         """Maximum size of a snapshot in bytes."""
-        return self.most // 4
+        return self.max_bytes // 4
 
-    def begin(self) -> Segment:
+    def begin_segment(self) -> Segment:
         """Starts a new segment; a snapshot of this moment may follow."""
         segment = Segment(None)
         self.segments.append(segment)
-        self.next_at = self.most // SEGMENTS_PER_RING
+        self.next_segment_bytes = self.max_bytes // SEGMENTS_PER_RING
         return segment
 
-    def state(self, segment: Segment, state: bytes) -> None:
+    def set_snapshot(self, segment: Segment, state: bytes) -> None:
         """Sets the snapshot of a segment; ignored if it is too large or the segment was dropped."""
-        if len(state) > self.room or segment not in self.segments:
+        if len(state) > self.max_snapshot_bytes or segment not in self.segments:
             return
         segment.start = state
         segment.size += len(state)
         self.size += len(state)
         if segment is self.segments[-1]:
-            self.next_at = len(state) + self.most // SEGMENTS_PER_RING
-        while self.size > self.most:
+            self.next_segment_bytes = len(state) + self.max_bytes // SEGMENTS_PER_RING
+        while self.size > self.max_bytes:
             self._drop_oldest()
 
-    def gap(self) -> None:
+    def record_gap(self) -> None:
         """Records a missed input, after which the earlier blocks can't be continued."""
         self.lost += 1
         while len(self.segments) > 1 or self.segments[0].blocks or self.segments[0].start is not None:
@@ -215,18 +215,18 @@
         return lost, lines + [block for s in segments for block in s.blocks]
 
 
-def chunks(lines: Sequence[bytes]) -> Iterator[bytes]:
-    """Yields the same bytes in chunks of bounded size."""
-    piece = bytearray()
+def split_chunks(lines: Sequence[bytes]) -> Iterator[bytes]:
+    """Yields the same bytes in split_chunks of bounded size."""
+    chunk = bytearray()
     for line in lines:
-        for at in range(0, len(line), CHUNK_BYTES):
-            part = line[at : at + CHUNK_BYTES]
-            if len(piece) + len(part) > CHUNK_BYTES:
-                yield bytes(piece)
-                piece.clear()
-            piece += part
-    if piece:
-        yield bytes(piece)
+        for start in range(0, len(line), CHUNK_BYTES):
+            part = line[start : start + CHUNK_BYTES]
+            if len(chunk) + len(part) > CHUNK_BYTES:
+                yield bytes(chunk)
+                chunk.clear()
+            chunk += part
+    if chunk:
+        yield bytes(chunk)
 
 
 class Sink(Protocol):
@@ -242,7 +242,7 @@
         """Appends to the current file."""
 
 
-class States(Protocol):
+class SnapshotSource(Protocol):
     """Incremental snapshot of the state at the time of `begin`; `size` is the number of bytes so far."""
 
     size: int
@@ -253,7 +253,7 @@
     def step(self) -> bytes | None:
         """Does one step; returns the encoded snapshot after the last one."""
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Discards the current snapshot."""
 
 
@@ -263,35 +263,37 @@
     def __init__(self, t: float, inputs: int, segment: Segment | None, for_file: bool) -> None:
         """Starts without blocks."""
         self.t, self.inputs, self.segment, self.for_file = t, inputs, segment, for_file
-        self.since: list[bytes] = []
+        self.blocks_since: list[bytes] = []
 
 
 class Capture:
     """Records inputs and decisions.
 
-    `soon` schedules a callback after pending work, as a snapshot takes a step for each worker and job. If it
-    isn't set, the steps run at once.
+    A snapshot takes many steps. `schedule` runs one step in a later iteration of the event loop; if it isn't
+    set, all steps run at once.
     """
 
-    def __init__(self, options: CaptureOptions, seed: str, states: States, sink: Sink | None = None) -> None:
+    def __init__(
+        self, options: CaptureOptions, seed: str, snapshots: SnapshotSource, sink: Sink | None = None
+    ) -> None:
         """Starts with an empty ring.
 
         Args:
             options: Sizes of the ring and of files.
             seed: The decisions' seed.
-            states: Encodes the present state.
+            snapshots: Encodes the present state.
             sink: Destination of files, if they are to be written.
         """
-        self.seed, self.states, self.sink = seed, states, sink
+        self.seed, self.snapshots, self.sink = seed, snapshots, sink
         self.ring = Ring(options.ring_bytes)
-        self.file_most, self.file_size = options.file_bytes, 0
-        self.file_ok, self.retry_at = False, -math.inf
+        self.max_file_bytes, self.file_size = options.file_bytes, 0
+        self.file_ok, self.file_retry_at = False, -math.inf
         self.inputs = 0
-        self.soon: Callable[[Callable[[], None]], None] | None = None
-        self.beginning: PendingSnapshot | None = None
-        self.too_large = self.skip = 0  # states in a row; times that the next one is not tried
+        self.schedule: Callable[[Callable[[], None]], None] | None = None
+        self.pending: PendingSnapshot | None = None
+        self.too_large = self.snapshots_to_skip = 0  # states in a row; times that the next one is not tried
 
-    def opening(self, t: float, lost: int) -> bytes:
+    def opening_line(self, t: float, lost: int) -> bytes:
         """Returns the first line of a capture."""
         return encode_block([{"t": t, "in": "capture", "seed": self.seed, "lost": lost}])
 
@@ -299,7 +301,7 @@
         """Opens the first file before any input; the seed determines the initial state."""
         self._open_file(t, self.inputs, b"")
 
-    def decided(
+    def record_event(
         self,
         t: float,
         event: api.Event | NewRoutes,
@@ -307,93 +309,102 @@
         error: Exception | None = None,
     ) -> None:
         """Records an event and the dispatcher's actions."""
-        self._add(t, [in_line(t, event), *decided_lines(t, actions, error)])
+        self._add(t, [encode_input(t, event), *encode_decision(t, actions, error)])
 
-    def judged(
-        self, t: float, client: str, request_id: str, job_class: str, patience: float, verdict: Verdict
+    def record_request(
+        self,
+        t: float,
+        client: str,
+        request_id: str,
+        job_class: str,
+        patience: float,
+        decision: AdmissionDecision,
     ) -> None:
         """Records a request and its admission."""
         line: Line = {"t": t, "in": "arrival", "id": request_id, "class": job_class, "client": client}
-        self._add(t, [line | {"patience": patience}, *judged_lines(t, request_id, verdict)])
+        self._add(t, [line | {"patience": patience}, *encode_admission(t, request_id, decision)])
 
-    def ordered(self, t: float, order: Order, until: float | None) -> None:
+    def record_fault_order(self, t: float, order: FaultOrder, until: float | None) -> None:
         """Records an order for fault injection."""
-        self._add(t, [{"t": t, "in": "drill", "order": order}, *ordered_lines(t, order, until)])
+        self._add(t, [{"t": t, "in": "drill", "order": order}, *encode_fault_order(t, order, until)])
 
-    def left(self, t: float) -> None:
+    def record_shutdown(self, t: float) -> None:
         """Records the start of the graceful shutdown."""
         self._add(t, [{"t": t, "in": "leave"}])
 
-    def gap(self) -> None:
+    def record_gap(self) -> None:
         """Records that an input was missed."""
-        self.ring.gap()
+        self.ring.record_gap()
         self.file_ok = False
         self._drop_state()
 
     def dump(self, t: float) -> list[bytes]:
         """Returns the lines of the ring."""
         lost, lines = self.ring.content()
-        return [self.opening(t, lost), *lines]
+        return [self.opening_line(t, lost), *lines]
 
     def _add(self, t: float, lines: list[Line]) -> None:
         block = encode_block(lines)
         self.inputs += 1
         self.ring.add(block)
         file_due = self.sink is not None and self._to_file(t, block)
-        if (now := self.beginning) is not None:
+        if (now := self.pending) is not None:
             if now.for_file:
-                now.since.append(block)
-        elif file_due or self.ring.wants_state():
+                now.blocks_since.append(block)
+        elif file_due or self.ring.needs_snapshot():
             self._begin(t, file_due)
 
     # --- the state ----------------------------------------------------------------------------------------
 
     def _begin(self, t: float, for_file: bool) -> None:
-        segment = self.ring.begin() if self.ring.wants_state() else None
-        if self.skip:
-            self.skip -= 1
+        segment = self.ring.begin_segment() if self.ring.needs_snapshot() else None
+        if self.snapshots_to_skip:
+            self.snapshots_to_skip -= 1
             if for_file:
                 self._open_file(t, self.inputs, b"")
             return
-        self.beginning = PendingSnapshot(t, self.inputs, segment, for_file)
-        self.states.begin()
-        if self.soon is not None:
-            return self.soon(self._go_on)
-        while self.beginning is not None:
+        self.pending = PendingSnapshot(t, self.inputs, segment, for_file)
+        self.snapshots.begin()
+        if self.schedule is not None:
+            return self.schedule(self._go_on)
+        while self.pending is not None:
             self._step()
 
     def _go_on(self) -> None:
-        if self.beginning is not None:
+        if self.pending is not None:
             self._step()
-        if self.beginning is not None and self.soon is not None:
-            self.soon(self._go_on)
+        if self.pending is not None and self.schedule is not None:
+            self.schedule(self._go_on)
 
     def _step(self) -> None:
-        now = self.beginning
+        now = self.pending
         assert now is not None
-        state = self.states.step()
-        room = max(self.ring.room if now.segment else 0, self.file_most // 2 if now.for_file else 0)
-        size = self.states.size if state is None else len(state)
-        too_large = size > room or sum(map(len, now.since)) > self.file_most // 4
+        state = self.snapshots.step()
+        room = max(
+            self.ring.max_snapshot_bytes if now.segment else 0,
+            self.max_file_bytes // 2 if now.for_file else 0,
+        )
+        size = self.snapshots.size if state is None else len(state)
+        too_large = size > room or sum(map(len, now.blocks_since)) > self.max_file_bytes // 4
         if state is None and not too_large:
             return
         self._drop_state()
         if too_large or state is None:  # as it will be again soon
             self.too_large += 1
-            self.skip = min(2**self.too_large, MAX_SKIPPED_SNAPSHOTS)
+            self.snapshots_to_skip = min(2**self.too_large, MAX_SKIPPED_SNAPSHOTS)
             if now.for_file:
-                self._open_file(now.t, now.inputs, b"", now.since)
+                self._open_file(now.t, now.inputs, b"", now.blocks_since)
             return
         self.too_large = 0
         line = encode_block([{"t": now.t, "in": "state", "state": msgspec.Raw(state)}])
         if now.segment is not None:
-            self.ring.state(now.segment, line)
+            self.ring.set_snapshot(now.segment, line)
         if now.for_file:
-            self._open_file(now.t, now.inputs, line, now.since)
+            self._open_file(now.t, now.inputs, line, now.blocks_since)
 
     def _drop_state(self) -> None:
-        self.beginning = None
-        self.states.drop()
+        self.pending = None
+        self.snapshots.discard()
 
     # --- files --------------------------------------------------------------------------------------------
 
@@ -402,15 +413,15 @@
         assert self.sink is not None
         self.file_ok = self.file_ok and self.sink.write(block)
         if not self.file_ok:  # one input missed and the rest of the file could not be replayed
-            return t >= self.retry_at
+            return t >= self.file_retry_at
         self.file_size += len(block)
-        return self.file_size >= self.file_most * 7 // 8  # so that what comes next still fits
+        return self.file_size >= self.max_file_bytes * 7 // 8  # so that what comes next still fits
 
     def _open_file(self, t: float, inputs: int, state: bytes, since: Sequence[bytes] = ()) -> None:
         """Opens a file with the number of inputs before it, a snapshot and the blocks since."""
         if self.sink is None:
             return
-        self.retry_at = t + FILE_RETRY_INTERVAL_S
-        head = self.opening(t, inputs) + (state if len(state) <= self.file_most // 2 else b"")
+        self.file_retry_at = t + FILE_RETRY_INTERVAL_S
+        head = self.opening_line(t, inputs) + (state if len(state) <= self.max_file_bytes // 2 else b"")
         data = head + b"".join(since)
         self.file_ok, self.file_size = self.sink.open(data), len(data)
--- a/finchladder/features/fault_injection.py
+++ b/finchladder/features/fault_injection.py
@@ -9,34 +9,36 @@
 # a request whose delay exceeds the client's timeout is answered this many seconds before the timeout
 RESPONSE_MARGIN_S = 0.05
 
-Part = Annotated[float, Meta(ge=0, le=1)]
+Share = Annotated[float, Meta(ge=0, le=1)]
 
 
-class Order(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"job_class": "class"}):
+class FaultOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"job_class": "class"}):
     """Body of the control call; both shares are of all requests of the class."""
 
     job_class: str
-    share: Part
+    share: Share
     for_s: Annotated[float, Meta(gt=0, le=600)]
     delay_ms: Annotated[float, Meta(ge=0, le=600_000)] = 0.0
-    abort_share: Part | None = None  # None: a drill without a delay aborts what it takes, one with it nothing
+    abort_share: Share | None = (
+        None  # None: a drill without a delay aborts what it takes, one with it nothing
+    )
 
     @property
-    def aborts(self) -> float:
+    def total_abort_share(self) -> float:
         """The share of requests that are aborted."""
         if self.abort_share is None:
             return 0.0 if self.delay_ms else self.share
         return self.abort_share
 
 
-class Effect(NamedTuple):
+class InjectedFault(NamedTuple):
     """The fault of one request: a delay in seconds, then a 503 if `abort`, else normal dispatch."""
 
-    hold: float = 0.0
+    delay_s: float = 0.0
     abort: bool = False
 
 
-class Drills:
+class FaultInjector:
     """The active fault injections by job class."""
 
     def __init__(self, seed: int) -> None:
@@ -46,14 +48,14 @@
             seed: Seed of a generator of their own.
         """
         self.random = Random(f"drills {seed}")  # the core's draws must be the same with faults and without
-        self.running: dict[str, tuple[float, Order]] = {}  # by class, with the time of its end
+        self.active: dict[str, tuple[float, FaultOrder]] = {}  # by class, with the time of its end
         self.applied: dict[str, int] = {}
         self.stopped = False
 
-    def order(self, now: float, order: Order) -> float:
+    def start(self, now: float, order: FaultOrder) -> float:
         """Starts an injection, replacing the class's earlier one, and returns the time at which it ends."""
         until = now + order.for_s
-        self.running[order.job_class] = until, order
+        self.active[order.job_class] = until, order
         self.applied.setdefault(order.job_class, 0)
         return until
 
@@ -61,26 +63,28 @@
         """Stops all injections permanently; later orders have no effect."""
         self.stopped = True
 
-    def apply(self, now: float, job_class: str, patience: float) -> Effect | None:
+    def apply(self, now: float, job_class: str, timeout_s: float) -> InjectedFault | None:
         """Returns the fault for a new request, or None.
 
         Args:
             now: The current time in seconds.
             job_class: The request's class.
-            patience: The client's timeout in seconds.
+            timeout_s: The client's timeout in seconds.
         """
-        until, order = self.running.get(job_class, (0.0, None))
+        until, order = self.active.get(job_class, (0.0, None))
         if order is None or self.stopped:
             return None
         if now >= until:
-            del self.running[job_class]
+            del self.active[job_class]
             return None
-        draw, delay = self.random.random(), order.delay_ms / 1000
-        if draw < order.aborts:
-            effect = Effect(abort=True)
-        elif delay and draw < order.aborts + order.share:
-            most = patience - min(RESPONSE_MARGIN_S, patience / 2)
-            effect = Effect(delay) if delay < most else Effect(most, abort=True)
+        draw, delay_s = self.random.random(), order.delay_ms / 1000
+        if draw < order.total_abort_share:
+            effect = InjectedFault(abort=True)
+        elif delay_s and draw < order.total_abort_share + order.share:
+            max_delay_s = timeout_s - min(RESPONSE_MARGIN_S, timeout_s / 2)
+            effect = (
+                InjectedFault(delay_s) if delay_s < max_delay_s else InjectedFault(max_delay_s, abort=True)
+            )
         else:
             return None
         self.applied[job_class] += 1
--- a/finchladder/features/replay.py
+++ b/finchladder/features/replay.py
@@ -18,11 +18,18 @@
 )
 from finchladder.core.routing.routes import Route, Routes
 from finchladder.features import snapshot
-from finchladder.features.capture import STATES, Line, decided_lines, encode, judged_lines, ordered_lines
-from finchladder.features.fault_injection import Order
-from finchladder.features.request_admission import Arrivals
+from finchladder.features.capture import (
+    STATE_BY_ENDING,
+    Line,
+    encode,
+    encode_admission,
+    encode_decision,
+    encode_fault_order,
+)
+from finchladder.features.fault_injection import FaultOrder
+from finchladder.features.request_admission import RequestAdmission
 
-ENDINGS = {state: ending for ending, state in STATES.items()}
+ENDING_BY_STATE = {state: ending for ending, state in STATE_BY_ENDING.items()}
 
 
 class Opening(msgspec.Struct):
@@ -89,9 +96,9 @@
             return api.Started(self.id, self.attempt)
         if self.state == "running":
             return api.Progress(self.id, self.attempt, self.share)
-        if self.state not in ENDINGS:
+        if self.state not in ENDING_BY_STATE:
             raise ValueError(f"unknown state {self.state!r}")
-        ending = ENDINGS[self.state]
+        ending = ENDING_BY_STATE[self.state]
         return api.Ended(self.id, self.attempt, ending, self.finished, self.took, self.report)
 
 
@@ -106,7 +113,7 @@
         return api.Timer(self.token)
 
 
-class UnseenIn(msgspec.Struct):
+class LoopStallIn(msgspec.Struct):
     """An event loop stall."""
 
     t: float
@@ -117,7 +124,7 @@
         return api.LoopStall(self.seconds)
 
 
-class GoneIn(msgspec.Struct):
+class DisconnectIn(msgspec.Struct):
     """A client that disconnected."""
 
     t: float
@@ -161,38 +168,38 @@
     patience: float
 
 
-class DrillIn(msgspec.Struct):
+class FaultOrderIn(msgspec.Struct):
     """An order for fault injection."""
 
     t: float
-    order: Order
+    order: FaultOrder
 
 
-class LeaveIn(msgspec.Struct):
+class ShutdownIn(msgspec.Struct):
     """The start of the graceful shutdown."""
 
     t: float
 
 
-Event = RequestIn | EventIn | TimerIn | UnseenIn | GoneIn | ListIn | RoutesIn
-Input = Opening | StateIn | ArrivalIn | DrillIn | LeaveIn | Event
+Event = RequestIn | EventIn | TimerIn | LoopStallIn | DisconnectIn | ListIn | RoutesIn
+Input = Opening | StateIn | ArrivalIn | FaultOrderIn | ShutdownIn | Event
 INPUTS: dict[str, type[Input]] = {
     "capture": Opening,
     "state": StateIn,
     "request": RequestIn,
     "event": EventIn,
     "timer": TimerIn,
-    "unseen": UnseenIn,
-    "gone": GoneIn,
+    "unseen": LoopStallIn,
+    "gone": DisconnectIn,
     "list": ListIn,
     "arrival": ArrivalIn,
-    "drill": DrillIn,
-    "leave": LeaveIn,
+    "drill": FaultOrderIn,
+    "leave": ShutdownIn,
     "routes": RoutesIn,
 }
 
 
-class Peek(msgspec.Struct):
+class LineKind(msgspec.Struct):
     """The fields that tell the kind of a line."""
 
     in_: str | None = msgspec.field(default=None, name="in")
@@ -209,17 +216,17 @@
 
 def read_lines(lines: Iterable[bytes], warn: Callable[[str], None]) -> Iterator[tuple[int, Input | Line]]:
     """Yields each line's number and its input or decision; a truncated last line is skipped."""
-    held: tuple[int, bytes] | None = None
+    pending: tuple[int, bytes] | None = None
     for numbered in enumerate(lines, 1):
-        if held is not None:
-            yield _read(*held)
-        held = numbered
-    if held is None:
+        if pending is not None:
+            yield _read(*pending)
+        pending = numbered
+    if pending is None:
         raise ValueError("it is empty")
     try:
-        last = _read(*held)
+        last = _read(*pending)
     except MalformedLineError as e:
-        if held[1].endswith(b"\n") or not held[1].strip():
+        if pending[1].endswith(b"\n") or not pending[1].strip():
             raise
         warn(f"{e}; the last line was cut, and is skipped")
         return
@@ -228,12 +235,12 @@
 
 def _read(number: int, line: bytes) -> tuple[int, Input | Line]:
     try:
-        peek = msgspec.json.decode(line, type=Peek)
-        if peek.out is not None and peek.in_ is None:
+        kind = msgspec.json.decode(line, type=LineKind)
+        if kind.out is not None and kind.in_ is None:
             return number, msgspec.json.decode(line, type=Line)
-        if peek.in_ not in INPUTS:
+        if kind.in_ not in INPUTS:
             raise MalformedLineError(number, "it is no record of a capture")
-        return number, msgspec.json.decode(line, type=INPUTS[peek.in_])
+        return number, msgspec.json.decode(line, type=INPUTS[kind.in_])
     except (msgspec.MsgspecError, UnicodeDecodeError) as e:
         raise MalformedLineError(number, e) from None
 
@@ -245,7 +252,7 @@
         self,
         settings: api.Settings,
         options: Options,
-        say: Callable[[str], None],
+        report: Callable[[str], None],
         warn: Callable[[str], None],
         routes: Routes | None = None,
     ) -> None:
@@ -254,20 +261,26 @@
         Args:
             settings: The platform's settings.
             options: The operator's options.
-            say: Called with each line that differs.
+            report: Called with each line that differs.
             warn: Called with what can't be compared, and why.
             routes: The operator's routes, if any.
         """
-        self.settings, self.options, self.say, self.warn, self.routes = settings, options, say, warn, routes
-        self.inputs = self.compared = self.differ = 0
+        self.settings, self.options, self.report, self.warn, self.routes = (
+            settings,
+            options,
+            report,
+            warn,
+            routes,
+        )
+        self.inputs = self.compared = self.differences = 0
         self.dispatcher: Dispatcher | RouteLimitedDispatcher | None = (
             None  # None: there is nothing that could be compared
         )
-        self.arrivals: Arrivals | None = None
+        self.arrivals: RequestAdmission | None = None
         self.opening: Opening | None = None
         self.recorded: list[tuple[int, Line]] = []
         self.expected: list[Line] | None = None  # of the last input
-        self.at = 0  # the last input's line
+        self.input_line = 0  # the last input's line
 
     def run(self, lines: Iterable[bytes]) -> None:
         """Replays all lines.
@@ -282,17 +295,17 @@
                 self.recorded.append((number, record))
                 continue
             self._compare(last=False)
-            self.at = number
+            self.input_line = number
             if self.opening is None and not isinstance(record, Opening):
                 raise MalformedLineError(number, "a capture begins with its seed")
             try:
-                self._take(number, record)
+                self._process(number, record)
             except ValueError as e:
                 raise e if isinstance(e, MalformedLineError) else MalformedLineError(number, e) from None
         self._compare(last=True)
         self._end_of_capture()
 
-    def _take(self, number: int, record: Input) -> None:
+    def _process(self, number: int, record: Input) -> None:
         self.expected = None
         if isinstance(record, Opening):
             self._end_of_capture()
@@ -306,20 +319,20 @@
 
     def _begin(self, opening: Opening) -> None:
         self.opening = opening
-        self.dispatcher, self.arrivals = (None, None) if opening.lost else self._fresh()
+        self.dispatcher, self.arrivals = (None, None) if opening.lost else self._create()
 
-    def _fresh(self) -> tuple[Dispatcher | RouteLimitedDispatcher, Arrivals]:
+    def _create(self) -> tuple[Dispatcher | RouteLimitedDispatcher, RequestAdmission]:
         assert self.opening is not None
         seed = read_seed(self.opening.seed)
         made = make_decisions(self.settings, seed, self.routes, self.options.spillover_settings())
-        return made, Arrivals(self.options, seed)
+        return made, RequestAdmission(self.options, seed)
 
     def _restore(self, record: StateIn) -> None:
-        dispatcher, arrivals = self._fresh()
-        lacking = snapshot.restore(record.state, dispatcher, arrivals)
-        for what in lacking:
-            self.warn(f"line {self.at}: can't be compared: {what}")
-        self.dispatcher, self.arrivals = dispatcher, None if lacking else arrivals
+        dispatcher, arrivals = self._create()
+        not_comparable = snapshot.restore(record.state, dispatcher, arrivals)
+        for what in not_comparable:
+            self.warn(f"line {self.input_line}: can't be compared: {what}")
+        self.dispatcher, self.arrivals = dispatcher, None if not_comparable else arrivals
 
     def _end_of_capture(self) -> None:
         if self.opening is not None and self.opening.lost and self.dispatcher is None:
@@ -328,9 +341,9 @@
                 " none of its decisions can be compared"
             )
 
-    def _decide(self, record: ArrivalIn | DrillIn | LeaveIn | Event) -> list[Line] | None:
+    def _decide(self, record: ArrivalIn | FaultOrderIn | ShutdownIn | Event) -> list[Line] | None:
         t = record.t
-        if not isinstance(record, ArrivalIn | DrillIn | LeaveIn):
+        if not isinstance(record, ArrivalIn | FaultOrderIn | ShutdownIn):
             event = record.event()
             if self.dispatcher is None:
                 return None
@@ -338,17 +351,17 @@
                 raise ValueError("new routes hold from here on, and the operator's file is none in TOML")
             dispatcher: Decisions = self.dispatcher
             try:
-                return decided_lines(t, dispatcher.handle(t, event), None)
+                return encode_decision(t, dispatcher.handle(t, event), None)
             except Exception as e:  # any error is recorded in a capture too, and compared
-                return decided_lines(t, [], e)
+                return encode_decision(t, [], e)
         if self.arrivals is None:
             return None
         if isinstance(record, ArrivalIn):
-            verdict = self.arrivals.judge(t, record.client, record.id, record.job_class, record.patience)
-            return judged_lines(t, record.id, verdict)
-        if isinstance(record, DrillIn):
-            return ordered_lines(t, record.order, self.arrivals.order(t, record.order))
-        self.arrivals.leave(t)
+            decision = self.arrivals.admit(t, record.client, record.id, record.job_class, record.patience)
+            return encode_admission(t, record.id, decision)
+        if isinstance(record, FaultOrderIn):
+            return encode_fault_order(t, record.order, self.arrivals.start_fault(t, record.order))
+        self.arrivals.begin_shutdown(t)
         return []
 
     def _compare(self, last: bool) -> None:
@@ -362,7 +375,7 @@
         if before == expected:
             return
         if last and before == expected[: len(before)]:
-            self.warn(f"line {self.at}: what was decided on the last input may be cut off")
+            self.warn(f"line {self.input_line}: what was decided on the last input may be cut off")
             return
         keys = [encode(line) for line in before], [encode(line) for line in expected]
         for kind, a, b, c, d in SequenceMatcher(None, *keys, autojunk=False).get_opcodes():
@@ -371,9 +384,9 @@
 
     def _differ(self, before: list[tuple[int, Line]], now: list[Line]) -> None:
         for n in range(max(len(before), len(now))):
-            number = before[n][0] if n < len(before) else self.at
+            number = before[n][0] if n < len(before) else self.input_line
             if n < len(before):
-                self.say(f"{number}: - {encode(before[n][1]).decode()}")
+                self.report(f"{number}: - {encode(before[n][1]).decode()}")
             if n < len(now):
-                self.say(f"{number}: + {encode(now[n]).decode()}")
-            self.differ += 1
+                self.report(f"{number}: + {encode(now[n]).decode()}")
+            self.differences += 1
--- a/finchladder/features/request_admission.py
+++ b/finchladder/features/request_admission.py
@@ -3,68 +3,79 @@
 from typing import NamedTuple, Protocol
 
 from finchladder.config.options import Options
-from finchladder.features.admission_limits import Door
-from finchladder.features.fault_injection import Drills, Effect, Order
+from finchladder.features.admission_limits import ClientLimits
+from finchladder.features.fault_injection import FaultInjector, FaultOrder, InjectedFault
 
 
-class Verdict(NamedTuple):
+class AdmissionDecision(NamedTuple):
     """The decision on one request."""
 
-    wait: float = 0.0  # above 0: turned away, a token is back after so many seconds
-    drill: Effect | None = None
+    wait_s: float = 0.0  # above 0: turned away, a token is back after so many seconds
+    fault: InjectedFault | None = None
 
 
-ADMITTED = Verdict()
+ADMITTED = AdmissionDecision()
 
 
-class Tap(Protocol):
+class AdmissionObserver(Protocol):
     """Observer of every input and of the decision on it."""
 
-    def judged(
-        self, t: float, client: str, request_id: str, job_class: str, patience: float, verdict: Verdict
+    def record_request(
+        self,
+        t: float,
+        client: str,
+        request_id: str,
+        job_class: str,
+        timeout_s: float,
+        decision: AdmissionDecision,
     ) -> None:
         """Observes the decision on a request."""
 
-    def ordered(self, t: float, order: Order, until: float | None) -> None:
+    def record_fault_order(self, t: float, order: FaultOrder, until: float | None) -> None:
         """Observes an order for fault injection."""
 
-    def left(self, t: float) -> None:
+    def record_shutdown(self, t: float) -> None:
         """Observes the start of the graceful shutdown."""
 
 
-class Arrivals:
+class RequestAdmission:
     """Decides on requests before they are dispatched."""
 
     def __init__(self, options: Options, seed: int) -> None:
         """Creates the limits and fault injection that the options enable."""
-        self.door = Door(options) if options.door or options.door_of else None
-        self.drills = Drills(seed) if options.drill is not None else None
-        self.tap: Tap | None = None
+        self.client_limits = ClientLimits(options) if options.door or options.door_of else None
+        self.fault_injector = FaultInjector(seed) if options.drill is not None else None
+        self.observer: AdmissionObserver | None = None
 
-    def judge(self, now: float, client: str, request_id: str, job_class: str, patience: float) -> Verdict:
+    def admit(
+        self, now: float, client: str, request_id: str, job_class: str, timeout_s: float
+    ) -> AdmissionDecision:
         """Decides on a request and notifies the observer."""
-        verdict = self._judge(now, client, job_class, patience)
-        if self.tap is not None:
-            self.tap.judged(now, client, request_id, job_class, patience, verdict)
-        return verdict
-
-    def _judge(self, now: float, client: str, job_class: str, patience: float) -> Verdict:
-        if self.door is not None and (wait := self.door.turn_away(now, client, job_class)) > 0:
-            return Verdict(wait)
-        if self.drills is not None and (effect := self.drills.apply(now, job_class, patience)) is not None:
-            return Verdict(drill=effect)
+        decision = self._decide(now, client, job_class, timeout_s)
+        if self.observer is not None:
+            self.observer.record_request(now, client, request_id, job_class, timeout_s, decision)
+        return decision
+
+    def _decide(self, now: float, client: str, job_class: str, timeout_s: float) -> AdmissionDecision:
+        if self.client_limits is not None and (wait_s := self.client_limits.take(now, client, job_class)) > 0:
+            return AdmissionDecision(wait_s)
+        if (
+            self.fault_injector is not None
+            and (fault := self.fault_injector.apply(now, job_class, timeout_s)) is not None
+        ):
+            return AdmissionDecision(fault=fault)
         return ADMITTED
 
-    def order(self, now: float, order: Order) -> float | None:
+    def start_fault(self, now: float, order: FaultOrder) -> float | None:
         """Starts a fault injection; returns the time at which it ends, or None if they are disabled."""
-        until = self.drills.order(now, order) if self.drills is not None else None
-        if self.tap is not None:
-            self.tap.ordered(now, order, until)
+        until = self.fault_injector.start(now, order) if self.fault_injector is not None else None
+        if self.observer is not None:
+            self.observer.record_fault_order(now, order, until)
         return until
 
-    def leave(self, now: float) -> None:
+    def begin_shutdown(self, now: float) -> None:
         """Stops fault injection at the start of a graceful shutdown."""
-        if self.drills is not None:
-            self.drills.stop()
-        if self.tap is not None:
-            self.tap.left(now)
+        if self.fault_injector is not None:
+            self.fault_injector.stop()
+        if self.observer is not None:
+            self.observer.record_shutdown(now)
--- a/finchladder/features/shared_admission_limits.py
+++ b/finchladder/features/shared_admission_limits.py
@@ -14,35 +14,37 @@
 MAX_RETRY_AFTER_S = 2.0  # told to one that is turned away: by then others may have lent some
 
 
-class SharedBuckets:
+class SharedTokenBuckets:
     """Token buckets as `admission_limits.Buckets`, shared between dispatchers.
 
     At most `max_keys` addresses are stored; core/peers limits how many of them are shared.
     """
 
-    def __init__(self, peers: Peers, name: str, options: DoorOptions, least: int) -> None:
+    def __init__(self, peers: Peers, name: str, options: DoorOptions, min_dispatchers: int) -> None:
         """Registers the family of buckets with the peers.
 
         Args:
             peers: The exchange with other dispatchers.
             name: The limit's unique name.
             options: Rate, burst and number of addresses.
-            least: The minimum number of dispatchers.
+            min_dispatchers: The minimum number of dispatchers.
         """
-        self.peers, self.start, self.options = peers, f"{name}:", options
-        self.family = BudgetFamily(options.rate, least, self._bucket)
-        peers.families[self.start] = self.family
-        self.of: OrderedDict[str, Bucket] = OrderedDict()  # by budget's name, the least recently seen first
+        self.peers, self.prefix, self.options = peers, f"{name}:", options
+        self.family = BudgetFamily(options.rate, min_dispatchers, self._bucket)
+        peers.families[self.prefix] = self.family
+        self.buckets: OrderedDict[str, Bucket] = (
+            OrderedDict()
+        )  # by budget's name, the least recently seen first
         self.now = 0.0
 
     def take(self, now: float, address: str) -> float:
         """Takes a token; returns 0.0, or the seconds until a retry may succeed."""
-        name, self.now = self.start + address, now
-        bucket = self.of.get(name)
+        name, self.now = self.prefix + address, now
+        bucket = self.buckets.get(name)
         if bucket is None:
             own = self.peers.unshared_rate(self.options.rate, self.family.min_dispatchers, now)
             bucket = self._bucket(name, own)
-        self.of.move_to_end(name)
+        self.buckets.move_to_end(name)
         if name not in self.peers.buckets:
             alone = self.peers.unshared_rate(self.options.rate, self.family.min_dispatchers, now)
             if alone != bucket.rate:
@@ -55,11 +57,11 @@
 
     def _bucket(self, name: str, own: float) -> Bucket:
         """Returns a bucket; an existing one is reused, as a new one starts with a complete token."""
-        bucket = self.of.get(name)
+        bucket = self.buckets.get(name)
         if bucket is None:
             burst_s = (self.options.burst - 1) / self.options.rate
             kept = self.peers.buckets.get(name)  # of one that had to leave this table while it was shared
-            bucket = self.of[name] = kept or Bucket(own, self.now, 1.0, burst_s, keeps_tokens=True)
-            if len(self.of) > self.options.max_keys:
-                self.of.popitem(last=False)
+            bucket = self.buckets[name] = kept or Bucket(own, self.now, 1.0, burst_s, keeps_tokens=True)
+            if len(self.buckets) > self.options.max_keys:
+                self.buckets.popitem(last=False)
         return bucket
--- a/finchladder/features/snapshot.py
+++ b/finchladder/features/snapshot.py
@@ -34,11 +34,11 @@
 from finchladder.core.routing.limited_dispatcher import RoutedJob, RouteLimitedDispatcher, RouteLimits
 from finchladder.core.routing.retry_budget import RetryBudgetWindow
 from finchladder.core.routing.routes import Queue, Route, Routes
-from finchladder.features.fault_injection import Order
-from finchladder.features.request_admission import Arrivals
+from finchladder.features.fault_injection import FaultOrder
+from finchladder.features.request_admission import RequestAdmission
 
-ADDRESSES = 1000  # of the door's table; a larger one is not carried, and a replay says so
-RECORDS: tuple[type, ...] = (
+MAX_STORED_ADDRESSES = 1000  # of the door's table; a larger one is not carried, and a replay says so
+RECORD_TYPES: tuple[type, ...] = (
     Worker,
     Attempt,
     Job,
@@ -58,16 +58,26 @@
     TypicalWeight,
     OutlierEjection,
 )
-IN_PLACE: dict[type, tuple[str, ...]] = {  # records of which there are many, and their containers
+MUTABLE_FIELDS: dict[type, tuple[str, ...]] = {  # records of frequent types, and their containers
     Worker: ("unstarted_attempts", "fetched_keys"),
     Job: ("attempts",),
     RoutedJob: (),
 }
 SCALARS = frozenset({type(None), bool, int, float, str})
 CONTAINERS = frozenset({dict, list, OrderedDict})
-SLICE, PIECE, DEEP = 64, 512, 64  # records, items, and items that are containers, written at a time
+RECORDS_PER_STEP, ITEMS_PER_STEP, CONTAINERS_PER_STEP = (
+    64,
+    512,
+    64,
+)  # records, items, and items that are containers, written at a time
 encode = msgspec.json.Encoder().encode
-WHOLE: tuple[type, ...] = (Route, Queue, WorkerPool, Request, RequestLimits)  # values that are never changed
+IMMUTABLE_TYPES: tuple[type, ...] = (
+    Route,
+    Queue,
+    WorkerPool,
+    Request,
+    RequestLimits,
+)  # values that are never changed
 # Stored name of each field of the dispatcher that is stored, and the path of the attribute that holds it.
 # Captures outlive names: a field that moves or is renamed changes its path here and keeps its stored name.
 DISPATCHER_FIELDS = {
@@ -102,8 +112,14 @@
     "look_at": "next_observation_at",
     "draws": "zone_random",
 }
-ROUND = {"settings", "handlers", "inner", "margin_s", "freed"}  # the same of what stands round the Dispatcher
-RANDOM = "<625I"
+UNSTORED_ROUTE_FIELDS = {
+    "settings",
+    "handlers",
+    "inner",
+    "margin_s",
+    "freed",
+}  # the same of what stands round the Dispatcher
+RANDOM_STATE_FORMAT = "<625I"
 
 State = dict[str, Any]
 
@@ -112,33 +128,33 @@
     """The state can't be carried, or does not go with the configuration; the message says why in one line."""
 
 
-def fields_of(kind: type) -> list[str]:
+def stored_slots(kind: type) -> list[str]:
     anew = ("load_level", "pools", "settings")  # by Dispatcher.reindex
     return [name for name in kind.__slots__ if name not in anew]  # type: ignore[attr-defined]
 
 
-def put_random(random: Random) -> list[object]:
+def encode_random(random: Random) -> list[object]:
     version, numbers, gauss = random.getstate()
-    return [version, base64.b64encode(struct.pack(RANDOM, *numbers)).decode(), gauss]
+    return [version, base64.b64encode(struct.pack(RANDOM_STATE_FORMAT, *numbers)).decode(), gauss]
 
 
-def set_random(random: Random, data: list[Any]) -> None:
+def restore_random(random: Random, data: list[Any]) -> None:
     version, numbers, gauss = data
-    random.setstate((version, struct.unpack(RANDOM, base64.b64decode(numbers)), gauss))
+    random.setstate((version, struct.unpack(RANDOM_STATE_FORMAT, base64.b64decode(numbers)), gauss))
 
 
-class Frozen(NamedTuple):
+class FrozenContainer(NamedTuple):
     """A container as it was: `name` as the state has it, and what it held, pairs for a dict.
 
-    `deep`: a dict that holds containers in turn.
+    `is_nested`: a dict that holds containers in turn.
     """
 
     name: str
     items: list[Any]
-    deep: bool = False
+    is_nested: bool = False
 
 
-def watched(kind: type, save: Callable[[Any], None]) -> type:
+def tracked_type(kind: type, save: Callable[[Any], None]) -> type:
     """Like `kind`, but an object of it is saved before the first change of it. What is changed in place is
     saved when it is looked at."""
 
@@ -154,23 +170,23 @@
         return property(get)
 
     fields: dict[str, Any] = {"__slots__": (), "__setattr__": set_field}
-    return type(kind.__name__, (kind,), fields | {name: reading(name) for name in IN_PLACE[kind]})
+    return type(kind.__name__, (kind,), fields | {name: reading(name) for name in MUTABLE_FIELDS[kind]})
 
 
-class Taking:
-    """The state of the decisions at one moment, written in slices while they go on: copy on write.
+class SnapshotWriter:
+    """Encodes the state at one moment in steps, while decisions continue: copy on write.
 
-    At that moment (`begin`) containers are copied as they are, and the records of which there are many become
-    `watched`: each is written before it changes, or when its turn comes. All that can change and is not
-    watched is reached through something watched, so it is written in time as well. `begin` costs 0.4 us a
-    record, a `step` some 2 ms, and `drop` ends it at any time. Each record is written once, and a reference
-    wherever it stands: a real server is known by many jobs.
+    `begin` copies the containers and turns the records of the most frequent types into tracked types (see
+    `tracked_type`), so that each is encoded before its first change, or else when its turn comes. All other
+    mutable state is reached through a tracked record, so it is encoded in time as well. `begin` takes 0.4 us
+    for each record, a `step` about 2 ms; `discard` ends the snapshot at any time. Each record is encoded once
+    and referenced by its number elsewhere, as many jobs refer to the same worker.
     """
 
-    def __init__(self, decisions: Dispatcher | RouteLimitedDispatcher, arrivals: Arrivals) -> None:
+    def __init__(self, decisions: Dispatcher | RouteLimitedDispatcher, arrivals: RequestAdmission) -> None:
         self.decisions, self.arrivals = decisions, arrivals
-        self.plain = {watched(kind, self._save): kind for kind in IN_PLACE}
-        self.watch = {kind: watch for watch, kind in self.plain.items()}
+        self.original_types = {tracked_type(kind, self._save_record): kind for kind in MUTABLE_FIELDS}
+        self.tracked_types = {kind: watch for watch, kind in self.original_types.items()}
         self._clear()
 
     def _clear(self) -> None:
@@ -179,20 +195,22 @@
         self.numbers: dict[int, int] = {}  # of records and wholes, by identity
         self.records: list[Any] = []  # by number; they must live until all is written, as must the wholes
         self.rows: list[bytes | None] = []
-        self.wholes: list[Any] = []
-        self.early: list[tuple[int, list[Any]]] = []  # records whose fields are copied, and not yet written
+        self.immutable_values: list[Any] = []
+        self.unwritten: list[
+            tuple[int, list[Any]]
+        ] = []  # records whose fields are copied, and not yet written
         self.size = 0  # bytes written so far
 
     def begin(self) -> None:
         decisions, arrivals = self.decisions, self.arrivals
         dispatcher = decisions.inner if isinstance(decisions, RouteLimitedDispatcher) else decisions
-        many: list[Any] = [*dispatcher.workers.values(), *dispatcher.jobs.values()]
+        tracked: list[Any] = [*dispatcher.workers.values(), *dispatcher.jobs.values()]
         if isinstance(decisions, RouteLimitedDispatcher):
-            many += decisions.runs.values()
-        self.records, self.rows = [*many], [None] * len(many)
-        self.numbers = dict(zip(map(id, many), range(len(many)), strict=True))
-        for record in many:
-            record.__class__ = self.watch[type(record)]
+            tracked += decisions.runs.values()
+        self.records, self.rows = [*tracked], [None] * len(tracked)
+        self.numbers = dict(zip(map(id, tracked), range(len(tracked)), strict=True))
+        for record in tracked:
+            record.__class__ = self.tracked_types[type(record)]
         fields = {name: self._freeze(attrgetter(path)(dispatcher)) for name, path in _stored(dispatcher)}
         tenants = {
             n: [t.own_rps, t.peers_rps, t.request_count, t.credit]
@@ -200,14 +218,14 @@
         }
         parts: dict[str, Any] = {"fields": fields, "tenants": encode(tenants)}
         if isinstance(decisions, RouteLimitedDispatcher):
-            kept = {name: v for name, v in vars(decisions).items() if name not in ROUND}
+            kept = {name: v for name, v in vars(decisions).items() if name not in UNSTORED_ROUTE_FIELDS}
             parts["routes"] = {name: self._freeze(v) for name, v in kept.items()}
-        if arrivals.door is not None:
-            parts["door"] = encode(_door(arrivals))
-        if (drills := arrivals.drills) is not None:
-            running = [[until, order] for until, order in drills.running.values()]
-            parts["drills"] = encode([put_random(drills.random), running, drills.stopped])
-        self.work = self._write(len(many), parts)
+        if arrivals.client_limits is not None:
+            parts["door"] = encode(_client_limits(arrivals))
+        if (drills := arrivals.fault_injector) is not None:
+            running = [[until, order] for until, order in drills.active.values()]
+            parts["drills"] = encode([encode_random(drills.random), running, drills.stopped])
+        self.work = self._write(len(tracked), parts)
 
     def step(self) -> bytes | None:
         """The whole state as JSON, once it is written; None: there is more to do."""
@@ -218,18 +236,18 @@
         self._clear()  # none is watched any more
         return state
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """O(records). It can be begun anew."""
         for record in self.records:
-            if type(record) in self.plain:
-                object.__setattr__(record, "__class__", self.plain[type(record)])
+            if type(record) in self.original_types:
+                object.__setattr__(record, "__class__", self.original_types[type(record)])
         self._clear()
 
-    def _write(self, many: int, parts: dict[str, Any]) -> Generator[None, None, None]:
-        for n in range(many):
+    def _write(self, record_count: int, parts: dict[str, Any]) -> Generator[None, None, None]:
+        for n in range(record_count):
             if self.rows[n] is None:
-                self._save(self.records[n])
-            if n % SLICE == SLICE - 1:
+                self._save_record(self.records[n])
+            if n % RECORDS_PER_STEP == RECORDS_PER_STEP - 1:
                 yield
         put = self.out.append
         for head, (name, part) in zip(chain([b"{"], repeat(b",")), parts.items(), strict=False):
@@ -239,41 +257,47 @@
                 continue
             for comma, (field, value) in zip(chain([b"{"], repeat(b",")), part.items(), strict=False):
                 put(comma + encode(field) + b":")
-                yield from self._pieces(value, self.out)
+                yield from self._encode_in_steps(value, self.out)
             put(b"}")
-        for number, values in self.early:
-            row = [b"[%d" % RECORDS.index(type(self.records[number]))]
+        for number, values in self.unwritten:
+            row = [b"[%d" % RECORD_TYPES.index(type(self.records[number]))]
             for value in values:
                 row.append(b",")
-                yield from self._pieces(value, row)
+                yield from self._encode_in_steps(value, row)
             self.rows[number] = b"".join(row) + b"]"
-        if self.wholes:
-            put(b',"wholes":' + encode([[WHOLE.index(type(v)), v] for v in self.wholes]))
+        if self.immutable_values:
+            put(b',"wholes":' + encode([[IMMUTABLE_TYPES.index(type(v)), v] for v in self.immutable_values]))
         put(b',"records":[' + b",".join(row for row in self.rows if row is not None) + b"]}")
 
-    def _pieces(self, value: Any, out: list[bytes]) -> Generator[None, None, None]:
-        """A container of many, or of containers, is written some at a time."""
-        if not isinstance(value, Frozen) or (len(value.items) <= PIECE and not value.deep):
-            return self._out(encode(self._put(value)), out)
+    def _encode_in_steps(self, value: Any, out: list[bytes]) -> Generator[None, None, None]:
+        """A container of many items, or of containers, is written some at a time."""
+        if not isinstance(value, FrozenContainer) or (
+            len(value.items) <= ITEMS_PER_STEP and not value.is_nested
+        ):
+            return self._append(encode(self._to_json(value)), out)
         name, items, _ = value
         pairs = name != "list"
         out.append(b'{"%b":[' % name.encode() if pairs else b"[")
-        for at in range(0, len(items), DEEP if value.deep else PIECE):
+        for at in range(0, len(items), CONTAINERS_PER_STEP if value.is_nested else ITEMS_PER_STEP):
             if at:
                 out.append(b",")
                 yield
-            if pairs and value.deep:
-                for n, (k, v) in enumerate(items[at : at + DEEP]):
-                    self._out((b"," if n else b"") + b"[" + encode(self._put(k)) + b",", out)
-                    yield from self._pieces(v, out)
+            if pairs and value.is_nested:
+                for n, (k, v) in enumerate(items[at : at + CONTAINERS_PER_STEP]):
+                    self._append((b"," if n else b"") + b"[" + encode(self._to_json(k)) + b",", out)
+                    yield from self._encode_in_steps(v, out)
                     out.append(b"]")
                 continue
-            some = items[at : at + PIECE]
-            put = [[self._put(k), self._put(v)] for k, v in some] if pairs else [self._put(v) for v in some]
-            self._out(encode(put)[1:-1], out)
+            some = items[at : at + ITEMS_PER_STEP]
+            put = (
+                [[self._to_json(k), self._to_json(v)] for k, v in some]
+                if pairs
+                else [self._to_json(v) for v in some]
+            )
+            self._append(encode(put)[1:-1], out)
         out.append(b"]}" if pairs else b"]")
 
-    def _out(self, data: bytes, out: list[bytes]) -> None:
+    def _append(self, data: bytes, out: list[bytes]) -> None:
         self.size += len(data)
         out.append(data)
 
@@ -282,43 +306,45 @@
         kind = type(value)
         if kind is dict or kind is OrderedDict:
             name, items = "dict" if kind is dict else "ordered", list(value.items())
-            if self._may_change(value.values()):
+            if self._needs_copy(value.values()):
                 items = [(k, self._freeze(v)) for k, v in items]
-            return Frozen(name, items, any(type(v) is Frozen for _, v in items[:1]))
+            return FrozenContainer(name, items, any(type(v) is FrozenContainer for _, v in items[:1]))
         if kind is list:
-            return Frozen("list", [self._freeze(v) for v in value] if self._may_change(value) else value[:])
-        if kind in RECORDS and kind not in self.watch and id(value) not in self.numbers:
+            return FrozenContainer(
+                "list", [self._freeze(v) for v in value] if self._needs_copy(value) else value[:]
+            )
+        if kind in RECORD_TYPES and kind not in self.tracked_types and id(value) not in self.numbers:
             number = self._number(value)
-            self.early.append((number, [self._freeze(getattr(value, n)) for n in fields_of(kind)]))
+            self.unwritten.append((number, [self._freeze(getattr(value, n)) for n in stored_slots(kind)]))
         return copy(value) if kind is Random else value
 
-    def _may_change(self, values: Iterable[Any]) -> bool:
-        return not self.still.issuperset(map(type, values))
+    def _needs_copy(self, values: Iterable[Any]) -> bool:
+        return not self.immutable_types.issuperset(map(type, values))
 
     @property
-    def still(self) -> set[type]:
+    def immutable_types(self) -> set[type]:
         """Types of which nothing need be copied."""
-        return {*SCALARS, tuple, Ending, JobClass, SpilloverState, *WHOLE, *self.plain}
+        return {*SCALARS, tuple, Ending, JobClass, SpilloverState, *IMMUTABLE_TYPES, *self.original_types}
 
-    def _put(self, value: Any) -> Any:
+    def _to_json(self, value: Any) -> Any:
         kind = type(value)
         if kind in SCALARS:
             return value
-        if kind in RECORDS or kind in self.plain:
-            return {"record": self._record(value)}
-        if kind in WHOLE:
-            return {"whole": self._whole(value)}
-        if kind is Frozen:
+        if kind in RECORD_TYPES or kind in self.original_types:
+            return {"record": self._record_number(value)}
+        if kind in IMMUTABLE_TYPES:
+            return {"whole": self._immutable_number(value)}
+        if kind is FrozenContainer:
             items = value.items
             if value.name == "list":
-                return [self._put(v) for v in items]
-            return {value.name: [[self._put(k), self._put(v)] for k, v in items]}
+                return [self._to_json(v) for v in items]
+            return {value.name: [[self._to_json(k), self._to_json(v)] for k, v in items]}
         if kind is dict or kind is OrderedDict:
-            return self._put(Frozen("dict" if kind is dict else "ordered", list(value.items())))
+            return self._to_json(FrozenContainer("dict" if kind is dict else "ordered", list(value.items())))
         if kind is list:
-            return [self._put(v) for v in value]
+            return [self._to_json(v) for v in value]
         if kind is tuple:
-            return {"tuple": [self._put(v) for v in value]}
+            return {"tuple": [self._to_json(v) for v in value]}
         if kind is Ending:
             return {"ending": value.value}
         if kind is SpilloverState:
@@ -326,7 +352,7 @@
         if kind is JobClass:
             return {"class": value.name}
         if kind is Random:
-            return {"random": put_random(value)}
+            return {"random": encode_random(value)}
         raise StateError(f"a {kind.__name__} can't be carried")
 
     def _number(self, record: Any) -> int:
@@ -335,44 +361,44 @@
         self.rows.append(None)
         return number
 
-    def _record(self, record: Any) -> int:
+    def _record_number(self, record: Any) -> int:
         if (number := self.numbers.get(id(record))) is None:
             number = self._number(record)
-            self._save(record)
+            self._save_record(record)
         return number
 
-    def _save(self, record: Any) -> None:
+    def _save_record(self, record: Any) -> None:
         """Writes it as it is, as nobody has changed it yet."""
-        kind = self.plain.get(type(record), type(record))
+        kind = self.original_types.get(type(record), type(record))
         object.__setattr__(record, "__class__", kind)
-        row = [RECORDS.index(kind)]
-        for name in fields_of(kind):
+        row = [RECORD_TYPES.index(kind)]
+        for name in stored_slots(kind):
             value = getattr(record, name)
-            if type(value) in CONTAINERS and name not in IN_PLACE.get(kind, (name,)):
+            if type(value) in CONTAINERS and name not in MUTABLE_FIELDS.get(kind, (name,)):
                 raise StateError(f"{kind.__name__}.{name} is a container that is not watched")
-            row.append(value if type(value) in SCALARS else self._put(value))
-        self._row(self.numbers[id(record)], row)
+            row.append(value if type(value) in SCALARS else self._to_json(value))
+        self._set_row(self.numbers[id(record)], row)
 
-    def _row(self, number: int, row: list[Any]) -> None:
+    def _set_row(self, number: int, row: list[Any]) -> None:
         data = self.rows[number] = encode(row)
         self.size += len(data)
 
-    def _whole(self, value: Any) -> int:
+    def _immutable_number(self, value: Any) -> int:
         if (number := self.numbers.get(id(value))) is None:
-            number = self.numbers[id(value)] = len(self.wholes)
-            self.wholes.append(value)
+            number = self.numbers[id(value)] = len(self.immutable_values)
+            self.immutable_values.append(value)
         return number
 
 
-class Reader:
+class SnapshotReader:
     def __init__(
         self, rows: list[list[Any]], wholes: list[list[Any]], classes: Mapping[str, JobClass]
     ) -> None:
         self.classes = classes
-        self.wholes = [msgspec.convert(plain, WHOLE[kind]) for kind, plain in wholes]
-        self.records = [RECORDS[row[0]].__new__(RECORDS[row[0]]) for row in rows]
+        self.immutable_values = [msgspec.convert(plain, IMMUTABLE_TYPES[kind]) for kind, plain in wholes]
+        self.records = [RECORD_TYPES[row[0]].__new__(RECORD_TYPES[row[0]]) for row in rows]
         for record, (kind, *values) in zip(self.records, rows, strict=True):
-            for name, value in zip(fields_of(RECORDS[kind]), values, strict=True):
+            for name, value in zip(stored_slots(RECORD_TYPES[kind]), values, strict=True):
                 setattr(record, name, self.get(value))
             if isinstance(record, Worker):  # also one that only a job still knows
                 record.load_level, record.pools = None, ()
@@ -386,7 +412,7 @@
         if kind == "record":
             return self.records[held]
         if kind == "whole":
-            return self.wholes[held]
+            return self.immutable_values[held]
         if kind == "class":
             if held not in self.classes:
                 raise StateError(f"it holds a job of class {held!r}, which the configuration does not have")
@@ -399,15 +425,15 @@
             return tuple(self.get(v) for v in held)
         if kind == "random":
             random = Random()
-            set_random(random, held)
+            restore_random(random, held)
             return random
         pairs = [(self.get(k), self.get(v)) for k, v in held]
         return OrderedDict(pairs) if kind == "ordered" else dict(pairs)
 
 
-def take(decisions: Dispatcher | RouteLimitedDispatcher, arrivals: Arrivals) -> State:
+def take(decisions: Dispatcher | RouteLimitedDispatcher, arrivals: RequestAdmission) -> State:
     """All at once."""
-    taking = Taking(decisions, arrivals)
+    taking = SnapshotWriter(decisions, arrivals)
     taking.begin()
     while (state := taking.step()) is None:
         pass
@@ -415,7 +441,9 @@
     return found
 
 
-def restore(state: State, decisions: Dispatcher | RouteLimitedDispatcher, arrivals: Arrivals) -> list[str]:
+def restore(
+    state: State, decisions: Dispatcher | RouteLimitedDispatcher, arrivals: RequestAdmission
+) -> list[str]:
     """Into decisions made anew. Returns what of them can't be compared from here on."""
     try:
         _restore(state, decisions)
@@ -438,7 +466,7 @@
 
 def _restore(state: State, decisions: Dispatcher | RouteLimitedDispatcher) -> None:
     dispatcher = decisions.inner if isinstance(decisions, RouteLimitedDispatcher) else decisions
-    reader = Reader(state["records"], state.get("wholes", []), dispatcher.classes)
+    reader = SnapshotReader(state["records"], state.get("wholes", []), dispatcher.classes)
     paths = dict(_stored(dispatcher))
     if paths.keys() ^ state["fields"].keys() not in (set(), ZONE_FIELDS.keys()):
         raise StateError("it is of another version of the decisions")
@@ -462,32 +490,34 @@
         decisions.apply_routes(routes)
 
 
-def _tables(arrivals: Arrivals) -> dict[str, Any]:
-    if arrivals.door is None:
+def _bucket_tables(arrivals: RequestAdmission) -> dict[str, Any]:
+    if arrivals.client_limits is None:
         return {}
-    general = {"": arrivals.door.general} if arrivals.door.general is not None else {}
-    return general | arrivals.door.of_class
+    general = {"": arrivals.client_limits.general} if arrivals.client_limits.general is not None else {}
+    return general | arrivals.client_limits.by_class
 
 
-def _door(arrivals: Arrivals) -> dict[str, Any] | None:
-    tables = _tables(arrivals)
-    if sum(len(b.full_at) for b in tables.values()) > ADDRESSES:
+def _client_limits(arrivals: RequestAdmission) -> dict[str, Any] | None:
+    tables = _bucket_tables(arrivals)
+    if sum(len(b.full_at) for b in tables.values()) > MAX_STORED_ADDRESSES:
         return None
-    return {name: [b.start, list(b.full_at.items())] for name, b in tables.items()}
+    return {name: [b.started_at, list(b.full_at.items())] for name, b in tables.items()}
 
 
-def _restore_arrivals(state: State, arrivals: Arrivals) -> list[str]:
-    lacking = []
-    tables, carried = _tables(arrivals), state.get("door", {})
+def _restore_arrivals(state: State, arrivals: RequestAdmission) -> list[str]:
+    not_comparable = []
+    tables, carried = _bucket_tables(arrivals), state.get("door", {})
     if tables and carried is None:
-        lacking.append("what was decided on arriving requests, as the door's table was too large to carry")
+        not_comparable.append(
+            "what was decided on arriving requests, as the door's table was too large to carry"
+        )
     for name in tables.keys() & (carried or {}).keys():  # a table that is new now starts empty
-        tables[name].start, full_at = carried[name]
+        tables[name].started_at, full_at = carried[name]
         tables[name].full_at = OrderedDict((a, t) for a, t in full_at)
-    if arrivals.drills is not None and "drills" in state:
-        random, running, arrivals.drills.stopped = state["drills"]
-        set_random(arrivals.drills.random, random)
-        orders = [(until, msgspec.convert(order, Order)) for until, order in running]
-        arrivals.drills.running = {order.job_class: (until, order) for until, order in orders}
-        arrivals.drills.applied = dict.fromkeys(arrivals.drills.running, 0)  # decides nothing
-    return lacking
+    if arrivals.fault_injector is not None and "drills" in state:
+        random, running, arrivals.fault_injector.stopped = state["drills"]
+        restore_random(arrivals.fault_injector.random, random)
+        orders = [(until, msgspec.convert(order, FaultOrder)) for until, order in running]
+        arrivals.fault_injector.active = {order.job_class: (until, order) for until, order in orders}
+        arrivals.fault_injector.applied = dict.fromkeys(arrivals.fault_injector.active, 0)  # decides nothing
+    return not_comparable
--- a/finchladder/features/status.py
+++ b/finchladder/features/status.py
@@ -21,7 +21,7 @@
 STATE_BY_ANSWER_KIND = {"refused": "returned", "left": "timed_out", "failed": "failed", "served": "done"}
 
 
-class Shown(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
+class StatusReply(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
     """Answer to a status call, without the body of a result."""
 
     state: str
@@ -49,34 +49,34 @@
 
     def __init__(self, options: StatusOptions) -> None:
         """Starts without jobs."""
-        self.retain, self.most = options.retain_ms / 1000, options.max_entries
-        self.open: dict[str, Entry] = {}
-        self.over: OrderedDict[str, Entry] = OrderedDict()  # by the time of their end, the oldest first
+        self.retain_s, self.max_entries = options.retain_ms / 1000, options.max_entries
+        self.unfinished: dict[str, Entry] = {}
+        self.finished: OrderedDict[str, Entry] = OrderedDict()  # by the time of their end, the oldest first
 
-    def taken(self, now: float, id: str, job_class: str) -> None:
+    def add(self, now: float, id: str, job_class: str) -> None:
         """Adds a job; if all entries are of unfinished jobs, it isn't tracked."""
         self._expire(now)
-        self.over.pop(id, None)
-        if len(self.open) + len(self.over) >= self.most:
-            if not self.over:
+        self.finished.pop(id, None)
+        if len(self.unfinished) + len(self.finished) >= self.max_entries:
+            if not self.finished:
                 return  # all are unfinished: this one runs untracked
-            self.over.popitem(last=False)
-        self.open[id] = Entry(job_class)
+            self.finished.popitem(last=False)
+        self.unfinished[id] = Entry(job_class)
 
-    def sent(self, id: str, server: str) -> None:
+    def record_attempt(self, id: str, server: str) -> None:
         """Records an attempt at a worker."""
-        if (e := self.open.get(id)) is not None:
+        if (e := self.unfinished.get(id)) is not None:
             e.state, e.server, e.share, e.ending = "waiting", server, 0.0, None
 
-    def told(self, now: float, id: str, server: str, state: str, share: float) -> None:
+    def record_report(self, now: float, id: str, server: str, state: str, share: float) -> None:
         """Records a worker's report; reports on earlier attempts are ignored."""
-        e = self.open.get(id)
+        e = self.unfinished.get(id)
         if e is not None and e.server == server and e.ending is None and state in PROGRESS_STATES:
             if state == "running":
                 e.state, e.share = state, share
             elif e.state == "waiting":
                 e.state = state
-        late = self.over.get(id)
+        late = self.finished.get(id)
         if (
             late is not None
             and (late.server, late.state) == (server, "timed_out")
@@ -85,37 +85,37 @@
             # given up, but it ended all the same: now it is known how
             late.state, late.ended_at = state, now
             late.share = 1.0 if state == "done" else late.share
-            self.over.move_to_end(id)
+            self.finished.move_to_end(id)
 
-    def ended(self, id: str, server: str, ending: Ending) -> None:
+    def record_attempt_end(self, id: str, server: str, ending: Ending) -> None:
         """Records the end of an attempt; the job waits again unless it succeeded."""
-        e = self.open.get(id)
+        e = self.unfinished.get(id)
         if e is None or e.ending is Ending.OK or (e.server != server and ending is not Ending.OK):
             return
         e.server, e.ending = server, ending
         e.state, e.share = ("done", 1.0) if ending is Ending.OK else ("waiting", e.share)
 
-    def finished(self, now: float, id: str, kind: str) -> None:
+    def record_answer(self, now: float, id: str, kind: str) -> None:
         """Records that no attempt is pending and the final answer was given or no longer can be."""
-        if (e := self.open.pop(id, None)) is None:
+        if (e := self.unfinished.pop(id, None)) is None:
             return
         e.state = STATE_BY_ENDING[e.ending] if e.ending in STATE_BY_ENDING else STATE_BY_ANSWER_KIND[kind]
         e.ended_at = now
-        self.over[id] = e
+        self.finished[id] = e
 
-    def look(self, now: float, id: str) -> Shown | None:
+    def get(self, now: float, id: str) -> StatusReply | None:
         """Returns a job's status, or None if the id is unknown."""
         self._expire(now)
-        if (e := self.open.get(id)) is not None:
+        if (e := self.unfinished.get(id)) is not None:
             at = e.server if e.ending in (None, Ending.OK) else None  # else it waits for another one
-            return Shown(e.state, at, e.share if at else 0.0, e.job_class)
-        if (e := self.over.get(id)) is not None:
-            return Shown(e.state, e.server, e.share, e.job_class)
+            return StatusReply(e.state, at, e.share if at else 0.0, e.job_class)
+        if (e := self.finished.get(id)) is not None:
+            return StatusReply(e.state, e.server, e.share, e.job_class)
         return None
 
     def _expire(self, now: float) -> None:
-        while self.over:
-            id, e = next(iter(self.over.items()))
-            if now < e.ended_at + self.retain:
+        while self.finished:
+            id, e = next(iter(self.finished.items()))
+            if now < e.ended_at + self.retain_s:
                 return
-            del self.over[id]
+            del self.finished[id]
--- a/finchladder/net/capture_recorder.py
+++ b/finchladder/net/capture_recorder.py
@@ -8,8 +8,8 @@
 from finchladder.core import api
 from finchladder.core.routing.limited_dispatcher import NewRoutes
 from finchladder.features.capture import Capture
-from finchladder.features.fault_injection import Order
-from finchladder.features.request_admission import Verdict
+from finchladder.features.fault_injection import FaultOrder
+from finchladder.features.request_admission import AdmissionDecision
 
 
 class CaptureRecorder:
@@ -23,7 +23,7 @@
         """Runs work of the capture in a later iteration of the event loop."""
         asyncio.get_running_loop().call_soon(self._record, work)
 
-    def decided(
+    def record_event(
         self,
         t: float,
         event: api.Event | NewRoutes,
@@ -31,21 +31,21 @@
         error: Exception | None = None,
     ) -> None:
         """Records an event and the actions, or the error, that it led to; `t` in seconds."""
-        self._record(lambda: self.capture.decided(t, event, actions, error))
+        self._record(lambda: self.capture.record_event(t, event, actions, error))
 
-    def judged(
-        self, t: float, client: str, id: str, job_class: str, patience: float, verdict: Verdict
+    def record_request(
+        self, t: float, client: str, id: str, job_class: str, patience: float, decision: AdmissionDecision
     ) -> None:
         """Records a request and the verdict of rate limits and fault injection; times in seconds."""
-        self._record(lambda: self.capture.judged(t, client, id, job_class, patience, verdict))
+        self._record(lambda: self.capture.record_request(t, client, id, job_class, patience, decision))
 
-    def ordered(self, t: float, order: Order, until: float | None) -> None:
+    def record_fault_order(self, t: float, order: FaultOrder, until: float | None) -> None:
         """Records an operator's order for fault injection, which ends at `until` (seconds)."""
-        self._record(lambda: self.capture.ordered(t, order, until))
+        self._record(lambda: self.capture.record_fault_order(t, order, until))
 
-    def left(self, t: float) -> None:
+    def record_shutdown(self, t: float) -> None:
         """Records that the dispatcher has begun to shut down."""
-        self._record(lambda: self.capture.left(t))
+        self._record(lambda: self.capture.record_shutdown(t))
 
     def _record(self, record: Callable[[], None]) -> None:
         """Makes a record; a failure leaves a gap, after which the capture starts again with a snapshot."""
@@ -55,7 +55,9 @@
             if not self.is_error_logged:
                 self.is_error_logged = True
                 logger.exception("capture: an input could not be recorded")
-            self.capture.gap()
+            self.capture.record_gap()
         if self.capture.too_large and not self.is_size_logged:
             self.is_size_logged = True
-            logger.warning("capture: {} bytes are not room enough for the state", self.capture.ring.room)
+            logger.warning(
+                "capture: {} bytes are not room enough for the state", self.capture.ring.max_snapshot_bytes
+            )
--- a/finchladder/net/control.py
+++ b/finchladder/net/control.py
@@ -9,9 +9,9 @@
 from msgspec import Meta
 
 from finchladder.config.options import Options
-from finchladder.features.capture import Capture, chunks
-from finchladder.features.fault_injection import Order
-from finchladder.features.request_admission import Arrivals
+from finchladder.features.capture import Capture, split_chunks
+from finchladder.features.fault_injection import FaultOrder
+from finchladder.features.request_admission import RequestAdmission
 from finchladder.features.status import JobStatus
 from finchladder.net.decision_actor import Clock
 from finchladder.net.http1 import Head, MalformedMessageError
@@ -36,7 +36,7 @@
 
     def pieces(self) -> Iterator[bytes]:
         """Yields the dump in pieces of bounded size."""
-        return chunks(self.blocks)
+        return split_chunks(self.blocks)
 
 
 class Reportable(Protocol):
@@ -89,7 +89,7 @@
         classes: set[str],
         options: Options,
         status: JobStatus | None,
-        arrivals: Arrivals,
+        arrivals: RequestAdmission,
         capture: Capture | None,
     ) -> None:
         self.clock, self.classes = clock, classes
@@ -108,7 +108,7 @@
         path = head.target.partition("?")[0]
         if self.status is not None and path.startswith(STATUS_PATH):
             return self._answer_get(head, lambda: self._status(unquote(path.removeprefix(STATUS_PATH))))
-        if self.arrivals.drills is not None and path == METRICS_PATH:
+        if self.arrivals.fault_injector is not None and path == METRICS_PATH:
             return self._answer_get(head, self._metrics)
         if self.capture is not None and path == CAPTURE_PATH:
             return self._answer_get(head, self._dump)
@@ -133,18 +133,18 @@
 
     def _status(self, id: str) -> Reply:
         assert self.status is not None
-        status = self.status.look(self.clock(), id)
+        status = self.status.get(self.clock(), id)
         if status is None:
             return Reply(404, b"no job with this id is known here\n")
         return Reply(200, msgspec.json.encode(status), (JSON_HEADER,))
 
     def _metrics(self) -> Reply:
-        assert self.arrivals.drills is not None
+        assert self.arrivals.fault_injector is not None
         lines = [
             "# HELP drill_applied_total Requests that a drill delayed or aborted.",
             "# TYPE drill_applied_total counter",
         ]
-        for name, count in self.arrivals.drills.applied.items():
+        for name, count in self.arrivals.fault_injector.applied.items():
             label = name.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
             lines.append(f'drill_applied_total{{class="{label}"}} {count}')
         text = "".join(f"{line}\n" for line in lines)
@@ -181,13 +181,13 @@
         if self.fault_key is None or not compare_digest(given, self.fault_key.encode()):
             return Reply(403, b"no drill without the key\n")
         try:
-            order = msgspec.json.decode(body, type=Order)
+            order = msgspec.json.decode(body, type=FaultOrder)
         except msgspec.MsgspecError as e:
             raise MalformedMessageError(400, f"drill: {e}") from None
         if order.job_class not in self.classes:
             raise MalformedMessageError(
                 400, f"drill: no such class; there are {', '.join(sorted(self.classes))}"
             )
-        order = msgspec.structs.replace(order, abort_share=order.aborts)
-        self.arrivals.order(self.clock(), order)
+        order = msgspec.structs.replace(order, abort_share=order.total_abort_share)
+        self.arrivals.start_fault(self.clock(), order)
         return Reply(200, msgspec.json.encode(order) + b"\n", (JSON_HEADER,))
--- a/finchladder/net/decision_actor.py
+++ b/finchladder/net/decision_actor.py
@@ -46,7 +46,7 @@
 class DecisionRecorder(Protocol):
     """Records each event and the actions that it led to."""
 
-    def decided(
+    def record_event(
         self,
         t: float,
         event: api.Event | NewRoutes,
@@ -139,10 +139,10 @@
             actions = self.dispatcher.handle(now, event)
         except Exception as e:
             if self.recorder is not None:
-                self.recorder.decided(now, event, [], e)
+                self.recorder.record_event(now, event, [], e)
             raise
         if self.recorder is not None:
-            self.recorder.decided(now, event, actions)
+            self.recorder.record_event(now, event, actions)
         return actions
 
     def _carry_out(self, action: api.Action, now: float) -> None:
@@ -170,7 +170,7 @@
             attempt = Attempt(flow, len(flow.attempts), action.worker, now, deadline, start_by)
             flow.attempts.append(attempt)
             if self.flows.status is not None:
-                self.flows.status.sent(flow.id, action.worker)
+                self.flows.status.record_attempt(flow.id, action.worker)
             self.sender.send(attempt)
         elif isinstance(action, api.Cancel):
             if action.attempt < len(flow.attempts):
--- a/finchladder/net/flows.py
+++ b/finchladder/net/flows.py
@@ -127,7 +127,7 @@
         self.by_id[flow.id] = flow
         self.open += 1
         if self.status is not None:
-            self.status.taken(self.clock(), flow.id, flow.job_class)
+            self.status.add(self.clock(), flow.id, flow.job_class)
 
     def finish(self, flow: Flow, answer: Answer) -> bool:
         """Delivers the first final answer to the client; False for any later one, which is ignored."""
@@ -153,6 +153,6 @@
             # these refer back to the flow: without them it is freed at once, without garbage collection
             flow.attempts, flow.timer = [], None
             if self.status is not None:
-                self.status.finished(self.clock(), flow.id, flow.answer.kind)
+                self.status.record_answer(self.clock(), flow.id, flow.answer.kind)
             if len(self.ended_ids) > self.max_remembered:
                 del self.ended_ids[next(iter(self.ended_ids))]
--- a/finchladder/net/job_intake.py
+++ b/finchladder/net/job_intake.py
@@ -8,8 +8,8 @@
 from finchladder.core import api
 from finchladder.core.connections.graceful_shutdown import GracefulShutdown
 from finchladder.core.routing.routes import NO_ROUTES
-from finchladder.features.fault_injection import Effect
-from finchladder.features.request_admission import Arrivals, Verdict
+from finchladder.features.fault_injection import InjectedFault
+from finchladder.features.request_admission import AdmissionDecision, RequestAdmission
 from finchladder.net.decision_actor import DecisionActor
 from finchladder.net.flows import Answer, Flow, FlowTable
 from finchladder.net.timers import Timers
@@ -34,17 +34,17 @@
         flows: FlowTable,
         decisions: DecisionActor,
         timers: Timers,
-        arrivals: Arrivals,
+        arrivals: RequestAdmission,
         shutdown: GracefulShutdown,
         sockets: int,
     ) -> None:
         self.classes, self.flows, self.decisions, self.clock = classes, flows, decisions, decisions.clock
         self.timers, self.arrivals, self.shutdown = timers, arrivals, shutdown
         self.max_open_flows = int(OPEN_FLOW_SHARE * sockets)
-        self.delayed_flows: dict[Flow, Effect] = {}  # held by fault injection, or about to be aborted
+        self.delayed_flows: dict[Flow, InjectedFault] = {}  # held by fault injection, or about to be aborted
         self.routes = NO_ROUTES
 
-    def check_limits(self, client: str, id: str, job_class: str, left_s: float) -> Verdict:
+    def check_limits(self, client: str, id: str, job_class: str, left_s: float) -> AdmissionDecision:
         """Returns the verdict of rate limits and fault injection on a request; `left_s` in seconds.
 
         Raises:
@@ -52,14 +52,14 @@
         """
         if self.flows.is_known(id):
             raise DuplicateRequestError
-        return self.arrivals.judge(self.clock(), client, id, job_class, left_s)
+        return self.arrivals.admit(self.clock(), client, id, job_class, left_s)
 
     def deadline(self, left_s: float) -> float:
         """Returns the deadline (seconds of the clock) of a request that may take `left_s` more seconds."""
         now = self.clock()
         return self.shutdown.latest_answer_at(now, now + left_s)
 
-    def open_flow(self, flow: Flow, fault: Effect | None = None) -> None:
+    def open_flow(self, flow: Flow, fault: InjectedFault | None = None) -> None:
         """Opens a flow and submits it to the dispatcher core, or rejects it if too many are open.
 
         Raises:
@@ -88,20 +88,20 @@
         """Starts the shutdown: requests held by fault injection are released."""
         now = self.clock()
         self.shutdown.begin(now)
-        self.arrivals.leave(now)
+        self.arrivals.begin_shutdown(now)
         for flow in list(self.delayed_flows):  # a delayed job must be answered before a SIGKILL follows
-            self.delayed_flows[flow] = Effect()
+            self.delayed_flows[flow] = InjectedFault()
             self._release_delayed(flow)
 
-    def _inject_fault(self, flow: Flow, fault: Effect) -> None:
-        kind = "delay" if fault.hold else "abort"
+    def _inject_fault(self, flow: Flow, fault: InjectedFault) -> None:
+        kind = "delay" if fault.delay_s else "abort"
         bound = logger.bind(drill=kind, **_fields(flow))
-        bound.info("drill={} class={} id={} hold={:g}", kind, flow.job_class, flow.id, fault.hold)
+        bound.info("drill={} class={} id={} hold={:g}", kind, flow.job_class, flow.id, fault.delay_s)
         self.delayed_flows[flow] = fault
-        if not fault.hold:
+        if not fault.delay_s:
             return self._release_delayed(flow)
         loop, cancel_deadline = IOLoop.current(), flow.timer
-        handle = loop.call_later(fault.hold, self._release_delayed, flow)
+        handle = loop.call_later(fault.delay_s, self._release_delayed, flow)
 
         def forget() -> None:  # also when the client disconnects: the flow must not stay referenced
             if cancel_deadline is not None:
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -20,7 +20,7 @@
 from finchladder.core.routing.routes import Routes
 from finchladder.features import snapshot
 from finchladder.features.capture import Capture
-from finchladder.features.request_admission import Arrivals
+from finchladder.features.request_admission import RequestAdmission
 from finchladder.features.status import JobStatus
 from finchladder.net.admission import Admission
 from finchladder.net.capture_recorder import CaptureRecorder
@@ -76,7 +76,7 @@
         seed = read_seed(setup.seed)
         peers = self._build_exchange(options.peers, seed) if options.peers is not None else None
         dispatcher = self._build_decisions(seed, file, peers)
-        arrivals = Arrivals(options, seed)
+        arrivals = RequestAdmission(options, seed)
         self._build_peers(peers, arrivals)
         self._build_capture(dispatcher, arrivals)
         self.timers = Timers(self.clock)
@@ -101,7 +101,7 @@
         self.decisions = DecisionActor(dispatcher, self.flows, self.clock)
         return dispatcher
 
-    def _build_peers(self, peers: "Peers | None", arrivals: Arrivals) -> None:
+    def _build_peers(self, peers: "Peers | None", arrivals: RequestAdmission) -> None:
         """Builds outlier detection and then the exchange with the other dispatchers, where enabled."""
         self.detector: OutlierDetector | None = None
         if self.options.judgement is not None:
@@ -110,7 +110,9 @@
         if self.options.peers is not None and peers is not None:
             self._build_peers_actor(self.options, peers, arrivals)
 
-    def _build_capture(self, dispatcher: Dispatcher | RouteLimitedDispatcher, arrivals: Arrivals) -> None:
+    def _build_capture(
+        self, dispatcher: Dispatcher | RouteLimitedDispatcher, arrivals: RequestAdmission
+    ) -> None:
         """Builds the recorder of all inputs and outputs of the dispatcher core, where enabled."""
         self.capture: Capture | None = None
         self.capture_files: Disk | None = None
@@ -119,13 +121,13 @@
         self.capture_files = self.machine.open_capture_files(
             self.options.capture, self.setup.name, int(self.clock() * 1000)
         )
-        states = snapshot.Taking(dispatcher, arrivals)
+        states = snapshot.SnapshotWriter(dispatcher, arrivals)
         self.capture = Capture(self.options.capture, self.setup.seed, states, self.capture_files)
         self.capture.begin(self.clock())
         recorder = CaptureRecorder(self.capture)
         self.decisions.recorder = recorder
-        arrivals.tap = recorder
-        self.capture.soon = recorder.call_soon
+        arrivals.observer = recorder
+        self.capture.schedule = recorder.call_soon
 
     def _build_workers(self) -> "SubsetFilter | None":
         """Builds the pool of workers; returns the subset filter if only a subset of the list is used."""
@@ -168,7 +170,7 @@
         random = Random(f"{seed}/discovery")
         self.watcher.backoff = WatchBackoff(watchers, random, rules.reopen_within_s, rules.retry_within_s)
 
-    def _build_intake(self, arrivals: Arrivals) -> None:
+    def _build_intake(self, arrivals: RequestAdmission) -> None:
         """Builds the intake of jobs, with the time limits of a graceful shutdown."""
         self.classes = {c.name for c in self.setup.settings.classes}
         shutdown = GracefulShutdown(max(c.deadline_s for c in self.setup.settings.classes))
@@ -191,7 +193,7 @@
             )
             self.intake.routes = file.loaded.routes
 
-    def _build_controls(self, arrivals: Arrivals, peers: "Peers | None") -> ControlCalls:
+    def _build_controls(self, arrivals: RequestAdmission, peers: "Peers | None") -> ControlCalls:
         """Builds the control endpoints of the enabled features."""
         controls = ControlCalls(
             self.clock, self.classes, self.options, self.flows.status, arrivals, self.capture
@@ -267,15 +269,17 @@
     def _shared_bucket(self, budget: str, limit: float) -> "Bucket":
         return self.exchange.share(budget, limit, self.clock(), self.setup.settings.dispatchers)
 
-    def _build_peers_actor(self, options: Options, exchange: "Peers", arrivals: Arrivals) -> None:
+    def _build_peers_actor(self, options: Options, exchange: "Peers", arrivals: RequestAdmission) -> None:
         from finchladder.core.peers.loads import attach
-        from finchladder.features.shared_admission_limits import SharedBuckets
+        from finchladder.features.shared_admission_limits import SharedTokenBuckets
         from finchladder.net.peers.actor import PeersActor
 
         assert options.peers is not None
-        if arrivals.door is not None:
+        if arrivals.client_limits is not None:
             min_dispatchers = self.setup.settings.dispatchers
-            arrivals.door.share(options, lambda name, o: SharedBuckets(exchange, name, o, min_dispatchers))
+            arrivals.client_limits.use_shared(
+                options, lambda name, o: SharedTokenBuckets(exchange, name, o, min_dispatchers)
+            )
         on_update = None
         if options.peers.counts:
             attach(self.dispatcher)
--- a/finchladder/net/request_handler.py
+++ b/finchladder/net/request_handler.py
@@ -88,11 +88,11 @@
         if route is not None:
             left_s = route.effective_timeout_s(left_s)
         try:
-            verdict = self.intake.check_limits(connection.client, id, job_class, left_s)
-            if verdict.wait > 0:
+            decision = self.intake.check_limits(connection.client, id, job_class, left_s)
+            if decision.wait_s > 0:
                 connection.raise_value(ConnectionValue.QUERIED)
-                return Reply(429, b"too many requests\n", (f"Retry-After: {verdict.wait:g}",))
-            if self.admission is not None and not connection.is_admitted and verdict.drill is None:
+                return Reply(429, b"too many requests\n", (f"Retry-After: {decision.wait_s:g}",))
+            if self.admission is not None and not connection.is_admitted and decision.fault is None:
                 retry_after_s = self.admission.check(job_class, left_s)
                 if retry_after_s is not None:
                     connection.raise_value(ConnectionValue.QUERIED)
@@ -105,7 +105,7 @@
             flow = Flow(id, job_class, key, facts, message, deadline, connection.deliver)
             if route is not None:
                 flow.route, flow.is_client_retry = route.name, read_client_retry(head)
-            self.intake.open_flow(flow, verdict.drill)
+            self.intake.open_flow(flow, decision.fault)
         except DuplicateRequestError:
             raise MalformedMessageError(
                 400, "a request with this X-Correlation-Id was received before"
--- a/finchladder/net/workers.py
+++ b/finchladder/net/workers.py
@@ -187,7 +187,9 @@
         if attempt is not None and not STAGE_RULES[attempt.stage].accepts_callbacks:
             return
         if self.flows.status is not None:  # the status also records callbacks on abandoned attempts
-            self.flows.status.told(self.clock(), call_back.id, self.worker, call_back.state, call_back.share)
+            self.flows.status.record_report(
+                self.clock(), call_back.id, self.worker, call_back.state, call_back.share
+            )
         if attempt is None:
             return
         if call_back.state == "started":
@@ -258,7 +260,7 @@
         on_abandon = STAGE_RULES[attempt.stage].on_abandon
         attempt.step(Step.END)
         if self.flows.status is not None:
-            self.flows.status.ended(attempt.flow.id, self.worker, ending)
+            self.flows.status.record_attempt_end(attempt.flow.id, self.worker, ending)
         self.timers.cancel(attempt)
         if self.attempts.get(attempt.flow.id) is attempt:
             del self.attempts[attempt.flow.id]
@@ -484,7 +486,7 @@
         else:
             attempt.step(Step.END)
             if self.flows.status is not None:
-                self.flows.status.ended(attempt.flow.id, attempt.worker, E.VOID)
+                self.flows.status.record_attempt_end(attempt.flow.id, attempt.worker, E.VOID)
             self.decisions.submit(AttemptEnd(attempt, E.VOID, 0.0, None))
 
     def cancel(self, attempt: Attempt) -> None:
--- a/finchladder/sim/inner.py
+++ b/finchladder/sim/inner.py
@@ -31,7 +31,7 @@
         self.sent: dict[str, int] = {}
         self.unwanted: list[tuple[str, int]] = []  # given up in this turn
 
-    def decided(
+    def record_event(
         self,
         t: float,
         event: api.Event | NewRoutes,
@@ -39,7 +39,7 @@
         error: Exception | None = None,
     ) -> None:
         if self.further is not None:
-            self.further.decided(t, event, actions, error)
+            self.further.record_event(t, event, actions, error)
         if isinstance(event, api.Ended):
             key = event.request, event.attempt
             if (server := self.out.pop(key, None)) is None:
@@ -175,7 +175,7 @@
         if isinstance(guarded := node.decisions.dispatcher, RouteLimitedDispatcher):
             left["jobs under routes"] = [*guarded.runs, *guarded.alarms.due_at]
         if node.flows.status is not None:
-            left["jobs whose status is open"] = list(node.flows.status.open)
+            left["jobs whose status is open"] = list(node.flows.status.unfinished)
         for what, value in left.items():
             if value:
                 self.found("left over", f"{what}: {value}")
--- a/tests/core/peers/test_loads.py
+++ b/tests/core/peers/test_loads.py
@@ -13,7 +13,7 @@
 from finchladder.core.peers.messages import Demand, Grant, Packet, PacketKind, Row
 from finchladder.core.peers.retries import SharedRetryBudget
 from finchladder.core.routing.routes import RetryBudget
-from finchladder.features.shared_admission_limits import MAX_RETRY_AFTER_S, SharedBuckets
+from finchladder.features.shared_admission_limits import MAX_RETRY_AFTER_S, SharedTokenBuckets
 from tests.helpers import Bench, workers
 
 
@@ -93,8 +93,8 @@
     return p.tick(max(now, p.next_at(), p.next_gossip_at))
 
 
-def door(p: Peers, rate: float = 20.0, keys: int = 10) -> SharedBuckets:
-    return SharedBuckets(p, "door", DoorOptions(rate, 2 * rate, keys), 1)
+def door(p: Peers, rate: float = 20.0, keys: int = 10) -> SharedTokenBuckets:
+    return SharedTokenBuckets(p, "door", DoorOptions(rate, 2 * rate, keys), 1)
 
 
 def test_address_uses_own_rate_at_once_and_demands_the_rest() -> None:
@@ -122,14 +122,14 @@
     [grant] = [g for to, packet in told if to == "n2" for g in packet.grants]
     assert grant.budget == "door:a"
     assert grant.rate == pytest.approx(4.0)
-    assert p.buckets["door:a"] is d.of["door:a"]  # the same bucket, whose rate is reduced by the loan
+    assert p.buckets["door:a"] is d.buckets["door:a"]  # the same bucket, whose rate is reduced by the loan
     assert p.buckets["door:a"].rate_at(2.2) == pytest.approx(1.0)
     assert list(p.escrow.budgets) == ["door:a"]  # no budget is created for an unknown limit
     for n in range(200):
         p.tick(3.0 + n / 5)
     assert not p.escrow.budgets
     assert d.take(43.0 + BUDGET_IDLE_TIMEOUT_S, "a") == 0.0
-    assert d.of["door:a"].rate_at(60.0) == pytest.approx(5.0)
+    assert d.buckets["door:a"].rate_at(60.0) == pytest.approx(5.0)
 
 
 def test_tables_are_bounded() -> None:
@@ -138,12 +138,12 @@
     for n in range(3 * MAX_DYNAMIC_BUDGETS):
         for _ in range(30):
             d.take(1.0, f"a{n}")
-    assert len(d.of) == 5
+    assert len(d.buckets) == 5
     assert len(p.escrow.budgets) == MAX_DYNAMIC_BUDGETS == len(p.last_used_at)
     before = p.buckets["door:a0"]
-    assert "door:a0" not in d.of
+    assert "door:a0" not in d.buckets
     assert d.take(1.0, "a0") > 0.0
-    assert d.of["door:a0"] is before
+    assert d.buckets["door:a0"] is before
     draw = Random(1)
     for n in range(40):
         wants = [Demand(f"door:b{draw.random()}", 1.0, 0.0, 0.0) for _ in range(8)]
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -23,7 +23,7 @@
 from finchladder.core.dispatch.worker_index import Ring, WorkerIndex
 from finchladder.core.timing_wheel import MAX_SLOTS_AHEAD, TimingWheel
 from finchladder.features import snapshot
-from finchladder.features.request_admission import Arrivals
+from finchladder.features.request_admission import RequestAdmission
 from tests.core.oracle import ReferencePool, ScanningDispatcher
 from tests.helpers import Bench, entry, settings
 
@@ -155,7 +155,7 @@
     for step in range(1000):
         history.step()
         if step == 500:
-            arrivals, restored = Arrivals(Options(), 1), Dispatcher(HISTORY_SETTINGS, 9)
+            arrivals, restored = RequestAdmission(Options(), 1), Dispatcher(HISTORY_SETTINGS, 9)
             state = json.loads(json.dumps(snapshot.take(history.dispatchers[0], arrivals), default=list))
             snapshot.restore(state, restored, arrivals)
             history.dispatchers.append(restored)
--- a/tests/core/test_guarded_replay.py
+++ b/tests/core/test_guarded_replay.py
@@ -15,7 +15,7 @@
 from finchladder.features import snapshot
 from finchladder.features.capture import Capture, encode_block
 from finchladder.features.replay import Replay
-from finchladder.features.request_admission import Arrivals
+from finchladder.features.request_admission import RequestAdmission
 from tests.helpers import settings
 from tests.test_capture import FEATURES, SEED, TENANTS, Play
 
@@ -62,8 +62,8 @@
         super().__init__(ring_bytes=ring_bytes)
         self.g = RouteLimitedDispatcher(self.d, routes, read_seed(SEED))
         self.d = self.g  # type: ignore[assignment]
-        self.capture.states = snapshot.Taking(self.g, self.arrivals)
-        self.capture.soon = self.later.append  # states are written while the run continues
+        self.capture.snapshots = snapshot.SnapshotWriter(self.g, self.arrivals)
+        self.capture.schedule = self.later.append  # states are written while the run continues
 
     def feed(self, event: api.Event) -> list[api.Action]:
         actions = super().feed(event)
@@ -135,10 +135,10 @@
     carried = snapshot.take(g, play.arrivals)
     state = encode_block([{"t": play.now, "in": "state", "state": carried}])
     assert all(scope.latency is None or scope.latency.buckets for scope in g.scopes.values())
-    states = snapshot.Taking(play.g, play.arrivals)
+    states = snapshot.SnapshotWriter(play.g, play.arrivals)
     play.capture = Capture(CaptureOptions(ring_bytes=50_000_000), SEED, states)
     play.play(600)
-    data = [play.capture.opening(play.now, 1), state, *play.capture.dump(play.now)[1:]]
+    data = [play.capture.opening_line(play.now, 1), state, *play.capture.dump(play.now)[1:]]
     differences, warnings = list[str](), list[str]()
     replay = Replay(
         settings(tenants=TENANTS, may_message_peers=True),
@@ -151,5 +151,5 @@
     assert (differences, warnings) == ([], [])
     assert replay.compared > 1000
     inner = Dispatcher(g.settings, 9)  # a dispatcher without routes
-    assert snapshot.restore(carried, inner, Arrivals(FEATURES, 5)) == []
+    assert snapshot.restore(carried, inner, RequestAdmission(FEATURES, 5)) == []
     assert inner.jobs
--- a/tests/core/test_sizes.py
+++ b/tests/core/test_sizes.py
@@ -13,7 +13,7 @@
 from finchladder.core.dispatch.worker_capacity import MAX_KINDS, MIN_SPEED, WorkerCapacity
 from finchladder.core.dispatch.worker_index import PoolIndex, Ring, ring_points
 from finchladder.features import snapshot
-from finchladder.features.request_admission import Arrivals
+from finchladder.features.request_admission import RequestAdmission
 from tests.helpers import Bench, entry, settings, workers
 from tests.test_mechanism import key_with_pair, pair_of
 
@@ -245,7 +245,9 @@
 def test_a_restored_state_follows_the_current_settings() -> None:
     old = Bench(workers(8), dispatchers=MANY, zone="a").d
     restored = Bench([], dispatchers=3, zone="b").d
-    snapshot.restore(snapshot.take(old, Arrivals(Options(), 1)), restored, Arrivals(Options(), 1))
+    snapshot.restore(
+        snapshot.take(old, RequestAdmission(Options(), 1)), restored, RequestAdmission(Options(), 1)
+    )
     assert not restored.worker_load.breaks_ties_at_random
     assert not restored.state.key_frequency.is_large_fleet
     assert restored.worker_load.learned_capacity.settings.zone == "b"
--- a/tests/core/test_zones.py
+++ b/tests/core/test_zones.py
@@ -20,7 +20,7 @@
 from finchladder.core.routing.routes import NO_ROUTES
 from finchladder.features import snapshot
 from finchladder.features.capture import Capture
-from finchladder.features.request_admission import Arrivals
+from finchladder.features.request_admission import RequestAdmission
 from tests.core.test_fleet import HISTORY_SETTINGS, History
 from tests.helpers import Bench, entry, settings
 from tests.test_capture import replayed
@@ -178,7 +178,7 @@
         history.step()
         if step == 300:
             arrivals, other = (
-                Arrivals(Options(), 1),
+                RequestAdmission(Options(), 1),
                 make_decisions(HISTORY_SETTINGS, 9, NO_ROUTES if seed else None, SPILL),
             )
             state = json.loads(json.dumps(snapshot.take(spilling, arrivals), default=list))
@@ -191,14 +191,14 @@
 
 
 def test_a_capture_with_spillover_replays_with_the_settings_of_the_operators_file() -> None:
-    z, arrivals = Zones(3, 3), Arrivals(Options(), 1)
+    z, arrivals = Zones(3, 3), RequestAdmission(Options(), 1)
     z.d = ZoneDispatcher(settings(**TWO), read_seed("5"), SPILL)
-    capture = Capture(CaptureOptions(ring_bytes=150_000), "5", snapshot.Taking(z.d, arrivals))
+    capture = Capture(CaptureOptions(ring_bytes=150_000), "5", snapshot.SnapshotWriter(z.d, arrivals))
     handle = z.d.handle
 
     def recorded(now: float, event: api.Event) -> list[api.Action]:
         actions = handle(now, event)
-        capture.decided(now, event, actions)
+        capture.record_event(now, event, actions)
         return actions
 
     z.d.handle = recorded  # type: ignore[method-assign]
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -25,12 +25,12 @@
     Capture,
     Ring,
     Sink,
-    chunks,
-    in_line,
+    encode_input,
+    split_chunks,
 )
-from finchladder.features.fault_injection import Order
+from finchladder.features.fault_injection import FaultOrder
 from finchladder.features.replay import EventIn, ListIn, Replay, RequestIn
-from finchladder.features.request_admission import Arrivals
+from finchladder.features.request_admission import RequestAdmission
 from finchladder.net.capture_files import CaptureFiles
 from finchladder.net.capture_recorder import CaptureRecorder
 from finchladder.net.control import ControlCalls
@@ -97,11 +97,11 @@
     def __init__(self, sink: Sink | None = None, options: Options = FEATURES, **of_capture: Any) -> None:
         super().__init__()
         self.d = Dispatcher(settings(tenants=TENANTS, may_message_peers=True), read_seed(SEED))
-        self.arrivals = Arrivals(options, read_seed(SEED))
-        states = snapshot.Taking(self.d, self.arrivals)
+        self.arrivals = RequestAdmission(options, read_seed(SEED))
+        states = snapshot.SnapshotWriter(self.d, self.arrivals)
         self.capture = Capture(CaptureOptions(**of_capture), SEED, states, sink)
         self.capture.begin(self.now)
-        self.arrivals.tap = self.capture
+        self.arrivals.observer = self.capture
         self.chance = Random(3)
         self.out: dict[tuple[str, int], None] = {}
         self.sent = Counter[str]()
@@ -110,7 +110,7 @@
         if not hasattr(self, "capture"):
             return []
         actions = super().feed(event)
-        self.capture.decided(self.now, event, actions)
+        self.capture.record_event(self.now, event, actions)
         for a in actions:
             if isinstance(a, api.Send):
                 self.out[a.request, self.sent[a.request]] = None
@@ -125,8 +125,8 @@
             todo = pick.random()
             if todo < 0.4 or not self.out:
                 client = f"10.0.0.{pick.randrange(50)}"
-                verdict = self.arrivals.judge(self.now, client, f"r{step}", "safe", 3.0)
-                if not verdict.wait:
+                decision = self.arrivals.admit(self.now, client, f"r{step}", "safe", 3.0)
+                if not decision.wait_s:
                     kind = pick.choice(("safe", "unsafe", "keyed"))
                     self.ask(
                         kind,
@@ -154,7 +154,9 @@
                 self.feed(api.WorkerList(api.ListKind.BROKEN))
             else:
                 self.feed(api.WorkerList(api.ListKind.FULL, tuple(entry(n) for n in names)))
-                self.arrivals.order(self.now, Order("safe", 0.3, 1.0, delay_ms=100, abort_share=0.2))
+                self.arrivals.start_fault(
+                    self.now, FaultOrder("safe", 0.3, 1.0, delay_ms=100, abort_share=0.2)
+                )
 
     def dumped(self) -> bytes:
         return b"".join(self.capture.dump(self.now))
@@ -209,7 +211,7 @@
     assert play.d.state.key_frequency
     assert state["door"]
     assert state["drills"]
-    other, arrivals = Dispatcher(play.d.settings, 5), Arrivals(FEATURES, 5)
+    other, arrivals = Dispatcher(play.d.settings, 5), RequestAdmission(FEATURES, 5)
     assert snapshot.restore(msgspec.json.decode(text), other, arrivals) == []
     assert msgspec.json.encode(snapshot.take(other, arrivals)) == text
     plain = [{n: v for n, v in attributes(d).items() if isinstance(v, int | float)} for d in (other, play.d)]
@@ -238,13 +240,13 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Whatever is decided between the slices; and where it is left half written, nothing is left behind."""
-    monkeypatch.setattr(snapshot, "SLICE", 1)
-    monkeypatch.setattr(snapshot, "PIECE", 3)
-    monkeypatch.setattr(snapshot, "DEEP", 1)
-    random, arrivals = Random(seed), Arrivals(FEATURES, 1)
+    monkeypatch.setattr(snapshot, "RECORDS_PER_STEP", 1)
+    monkeypatch.setattr(snapshot, "ITEMS_PER_STEP", 3)
+    monkeypatch.setattr(snapshot, "CONTAINERS_PER_STEP", 1)
+    random, arrivals = Random(seed), RequestAdmission(FEATURES, 1)
     day = History(random, 25, Dispatcher(HISTORY_SETTINGS, 5))
     day.begin()
-    taking = snapshot.Taking(day.dispatchers[0], arrivals)
+    taking = snapshot.SnapshotWriter(day.dispatchers[0], arrivals)
     for n in range(25):
         for _ in range(random.randrange(60)):
             day.step()
@@ -254,7 +256,7 @@
             if random.random() < 0.7:
                 day.step()
             if n % 5 == 4 and random.random() < 0.1:
-                taking.drop()
+                taking.discard()
                 break
         d = day.dispatchers[0]
         assert {type(record) for record in [*d.workers.values(), *d.jobs.values()]} <= {Worker, Job}
@@ -283,7 +285,7 @@
 
 
 def test_a_field_that_is_changed_in_place_must_be_watched(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(snapshot.IN_PLACE, Worker, ("fetched_keys",))
+    monkeypatch.setitem(snapshot.MUTABLE_FIELDS, Worker, ("fetched_keys",))
     play = Play()
     with pytest.raises(snapshot.StateError, match="Worker.unstarted"):
         play.play(5000)
@@ -293,17 +295,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Steps are taken between inputs here, as a loop would."""
-    monkeypatch.setattr(snapshot, "SLICE", 2)
+    monkeypatch.setattr(snapshot, "RECORDS_PER_STEP", 2)
     disk = CaptureFiles(str(tmp_path), "n", 1, 50, 100_000_000)
     play, later = Play(disk, file_bytes=200_000, ring_bytes=200_000), list[Callable[[], None]]()
-    play.capture.soon = later.append
+    play.capture.schedule = later.append
     disk.start()
     most = 0
     for _ in range(2500):
         play.play(3)
         for work in [later.pop() for _ in later[:1]]:
             work()
-        most = max(most, len(play.capture.beginning.since) if play.capture.beginning else 0)
+        most = max(most, len(play.capture.pending.blocks_since) if play.capture.pending else 0)
     disk.close()
     disk.join()
     assert most > 5
@@ -315,14 +317,14 @@
     assert len(files) > 5
     for file in files:
         assert replayed(file.read_bytes())[:2] == ([], [])
-    play.capture.gap()
-    assert play.capture.beginning is None
+    play.capture.record_gap()
+    assert play.capture.pending is None
 
 
 def test_a_state_that_cant_be_carried_is_said_and_prints_no_false_differences() -> None:
     play = Play(options=Options(door=DoorOptions(max_keys=2000)), ring_bytes=100_000)
     for n in range(1500):  # more addresses than are carried
-        play.arrivals.judge(play.now, f"10.1.{n // 250}.{n % 250}", f"a{n}", "safe", 1.0)
+        play.arrivals.admit(play.now, f"10.1.{n // 250}.{n % 250}", f"a{n}", "safe", 1.0)
     play.play(1500)
     said, warned, replay = replayed(play.dumped(), Options(door=DoorOptions(max_keys=2000)))
     assert said == []
@@ -340,8 +342,8 @@
     ring = Ring(OPENING_LINE_BYTES + 800)
     for n in range(1000):
         ring.add(b"%05d\n" % n)
-        if ring.wants_state():
-            ring.state(ring.begin(), b"state %05d\n" % n)
+        if ring.needs_snapshot():
+            ring.set_snapshot(ring.begin_segment(), b"state %05d\n" % n)
         lost, lines = ring.content()
         size = sum(map(len, lines))
         assert size <= 800
@@ -349,11 +351,11 @@
         assert lost + sum(len(x) == 6 for x in lines) == n + 1
         assert n < 130 or size >= 800 * (SEGMENTS_PER_RING - 2) // SEGMENTS_PER_RING
         assert not lost or lines[0] == b"state %05d\n" % (lost - 1)
-    ring.gap()  # what was missed leads nowhere
+    ring.record_gap()  # what was missed leads nowhere
     assert ring.content() == (1001, [])
     ring.add(b"x" * 900)
     assert ring.size == 0
-    assert ring.wants_state()
+    assert ring.needs_snapshot()
 
 
 def test_what_can_be_recorded_comes_back_as_it_was_given() -> None:
@@ -366,9 +368,9 @@
         (api.WorkerList(api.ListKind.PATCH, (entry("w", zone="z", started_at=t, weight=1 / 3),)), ListIn),
     ]
     for e, kind in cases:
-        record = msgspec.json.decode(msgspec.json.encode(in_line(t, e)), type=kind)
+        record = msgspec.json.decode(msgspec.json.encode(encode_input(t, e)), type=kind)
         assert (record.t, record.event()) == (t, e)
-    assert [len(p) for p in chunks([b"x" * 40_000, b"y" * 100_000])] == [40_000, 65_536, 34_464]
+    assert [len(p) for p in split_chunks([b"x" * 40_000, b"y" * 100_000])] == [40_000, 65_536, 34_464]
 
 
 def short_capture() -> list[bytes]:
@@ -479,7 +481,7 @@
     play = Play()
     recorder = CaptureRecorder(play.capture)
     play.play(50)
-    recorder.decided(play.now, api.HealthChecked("w", E.OK, 0.1), [])  # has no line
+    recorder.record_event(play.now, api.HealthChecked("w", E.OK, 0.1), [])  # has no line
     play.play(2000)
     data = play.dumped()
     assert json.loads(data.partition(b"\n")[0])["lost"] > 50
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -1,4 +1,4 @@
-"""Door limits: the buckets with times handed in, and the door on real sockets."""
+"""ClientLimits limits: the buckets with times handed in, and the door on real sockets."""
 
 import asyncio
 from pathlib import Path
@@ -6,14 +6,14 @@
 import pytest
 
 from finchladder.config.options import DoorOptions, Options
-from finchladder.features.admission_limits import Buckets, Door
+from finchladder.features.admission_limits import ClientLimits, TokenBuckets
 from tests.peers import HEALTH, RealServer, exchange, node, read_message, request, run
 
 
 @pytest.mark.parametrize("start", [0.0, 1.7e9])
 def test_a_hundred_in_a_second_are_the_burst_and_what_returns_meanwhile(start: float) -> None:
-    door = Door(Options(door=DoorOptions()))
-    waits = [door.turn_away(start + n / 100, "10.0.0.1", "a") for n in range(100)]
+    door = ClientLimits(Options(door=DoorOptions()))
+    waits = [door.take(start + n / 100, "10.0.0.1", "a") for n in range(100)]
     assert (waits.count(0.0), waits.count(0.05)) == (59, 41)  # the last comes at 0.99 s
     assert waits[:40] == [0.0] * 40
 
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize(("rate", "burst"), [(20.0, 40.0), (0.3, 1.0), (10_000.0, 10_000.0)])
 def test_who_comes_back_when_told_to_is_let_in(rate: float, burst: float) -> None:
     """Rounding at today's times must neither eat tokens nor turn away who waited exactly so long."""
-    buckets, now = Buckets(DoorOptions(rate, burst)), 1764585417.123
+    buckets, now = TokenBuckets(DoorOptions(rate, burst)), 1764585417.123
     assert [buckets.take(now, "a") for _ in range(int(burst))] == [0.0] * int(burst)
     for n in range(1, 50):
         assert buckets.take(now + (n - 1) / rate, "a") == 1 / rate
@@ -29,17 +29,17 @@
 
 
 def test_the_least_recently_seen_address_is_dropped_and_starts_full() -> None:
-    buckets = Buckets(DoorOptions(rate=1, burst=1, max_keys=2))
+    buckets = TokenBuckets(DoorOptions(rate=1, burst=1, max_keys=2))
     assert [buckets.take(0.0, a) for a in ("a", "b", "a", "c", "a", "b")] == [0.0, 0.0, 1.0, 0.0, 1.0, 0.0]
     assert list(buckets.full_at) == ["a", "b"]  # a refusal counts as seen
 
 
 def test_a_class_has_buckets_of_its_own_in_place_of_the_general_ones() -> None:
     one = DoorOptions(rate=1, burst=1)
-    door = Door(Options(door=one, door_of={"a": DoorOptions(rate=0.2, burst=2)}))
-    assert [door.turn_away(0.0, "x", c) for c in "aaabb"] == [0.0, 0.0, 5.0, 0.0, 1.0]
-    alone = Door(Options(door_of={"a": one}))
-    assert [alone.turn_away(0.0, "x", c) for c in "aabbb"] == [0.0, 1.0, 0.0, 0.0, 0.0]
+    door = ClientLimits(Options(door=one, door_of={"a": DoorOptions(rate=0.2, burst=2)}))
+    assert [door.take(0.0, "x", c) for c in "aaabb"] == [0.0, 0.0, 5.0, 0.0, 1.0]
+    alone = ClientLimits(Options(door_of={"a": one}))
+    assert [alone.take(0.0, "x", c) for c in "aabbb"] == [0.0, 1.0, 0.0, 0.0, 0.0]
 
 
 def test_the_door_limits_jobs_by_address_and_nothing_else(tmp_path: Path) -> None:
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -1,4 +1,4 @@
-"""Drills: who is drawn, with times handed in; and the call, the command and the effects on real sockets."""
+"""Fault injection: random draws with given times; the control call, the command and effects on sockets."""
 
 import asyncio
 import json
@@ -13,8 +13,8 @@
 from finchladder import Dispatcher
 from finchladder.config.options import OFF, DrillOptions, Options
 from finchladder.core.connections.graceful_shutdown import GracefulShutdown
-from finchladder.features.fault_injection import Drills, Effect, Order
-from finchladder.features.request_admission import Arrivals
+from finchladder.features.fault_injection import FaultInjector, FaultOrder, InjectedFault
+from finchladder.features.request_admission import RequestAdmission
 from finchladder.net.control import ControlCalls
 from finchladder.net.decision_actor import Clock, DecisionActor
 from finchladder.net.flows import Answer, Flow, FlowTable
@@ -29,9 +29,9 @@
 INI = f"[drill]\nkey = {KEY}\n[status]\n"
 
 
-def drilled(**order: float) -> Drills:
-    drills = Drills(1)
-    drills.order(0.0, msgspec.convert({"class": "u", "for_s": 10} | order, Order))
+def drilled(**order: float) -> FaultInjector:
+    drills = FaultInjector(1)
+    drills.start(0.0, msgspec.convert({"class": "u", "for_s": 10} | order, FaultOrder))
     return drills
 
 
@@ -51,8 +51,8 @@
 ) -> None:
     drills = drilled(**order)
     got = [drills.apply(1.0, "u", 5.0) for _ in range(4000)]
-    assert got.count(Effect(abort=True)) / 4000 == pytest.approx(aborted, abs=0.03)
-    assert got.count(Effect(hold=2.0)) / 4000 == pytest.approx(held, abs=0.03)
+    assert got.count(InjectedFault(abort=True)) / 4000 == pytest.approx(aborted, abs=0.03)
+    assert got.count(InjectedFault(delay_s=2.0)) / 4000 == pytest.approx(held, abs=0.03)
     assert drills.applied == {"u": 4000 - got.count(None)}
     assert drills.apply(1.0, "s", 5.0) is None
     again = drilled(**order)
@@ -63,13 +63,13 @@
     drills = drilled(share=1.0)
     assert drills.apply(9.9, "u", 5.0)
     assert not drills.apply(10.0, "u", 5.0)
-    assert not drills.running
+    assert not drills.active
     drills = drilled(share=1.0)
-    drills.order(5.0, Order("u", 1.0, 2.0, delay_ms=100))
-    assert drills.apply(6.9, "u", 5.0) == Effect(hold=0.1)
+    drills.start(5.0, FaultOrder("u", 1.0, 2.0, delay_ms=100))
+    assert drills.apply(6.9, "u", 5.0) == InjectedFault(delay_s=0.1)
     assert drills.apply(7.0, "u", 5.0) is None
     drills.stop()  # the dispatcher leaves: none begins any more
-    drills.order(8.0, Order("u", 1.0, 2.0))
+    drills.start(8.0, FaultOrder("u", 1.0, 2.0))
     assert drills.apply(8.1, "u", 5.0) is None
 
 
@@ -78,7 +78,7 @@
     effect = drilled(share=1.0, delay_ms=2000).apply(0.0, "u", patience)
     assert effect is not None
     assert effect.abort
-    assert effect.hold == pytest.approx(hold)
+    assert effect.delay_s == pytest.approx(hold)
 
 
 def post(body: dict[str, object], key: str = KEY, **more: str) -> bytes:
@@ -212,12 +212,12 @@
 )
 def test_an_unusable_order_is_refused(body: bytes) -> None:
     options = Options(drill=DrillOptions(KEY))
-    arrivals = Arrivals(options, 1)
+    arrivals = RequestAdmission(options, 1)
     controls = ControlCalls(Clock(), {"u"}, options, None, arrivals, None)
     with pytest.raises(MalformedMessageError) as e:
         controls.answer(Head(1, Headers([("X-Drill-Key", KEY)]), "POST", "/_drill"), body)
-    assert arrivals.drills is not None
-    assert (e.value.status, arrivals.drills.running) == (400, {})
+    assert arrivals.fault_injector is not None
+    assert (e.value.status, arrivals.fault_injector.active) == (400, {})
 
 
 def test_nothing_is_held_of_a_flow_whose_client_has_left() -> None:
@@ -226,11 +226,11 @@
         module, seen = DecisionActor(Dispatcher(settings(), 1), flows, Clock()), list[object]()
         module.submit = seen.append  # type: ignore[assignment]
         intake = JobIntake(
-            {"u"}, flows, module, Timers(Clock()), Arrivals(OFF, 1), GracefulShutdown(3.0), 128
+            {"u"}, flows, module, Timers(Clock()), RequestAdmission(OFF, 1), GracefulShutdown(3.0), 128
         )
         message = HttpMessage("POST", "/u", Headers([]), b"")
         flow = Flow("a", "u", None, {}, message, Clock()() + 900, lambda answer: None)
-        intake.open_flow(flow, Effect(600.0))
+        intake.open_flow(flow, InjectedFault(600.0))
         assert intake.delayed_flows
         assert not seen
         flows.finish(flow, Answer("left"))
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -14,7 +14,7 @@
 from finchladder.core.connections.body_memory import BodyMemory
 from finchladder.core.connections.graceful_shutdown import GracefulShutdown
 from finchladder.core.dispatch.attempt_stages import Step
-from finchladder.features.request_admission import Arrivals
+from finchladder.features.request_admission import RequestAdmission
 from finchladder.net import client_listener, endpoint_watcher, http1, messages, workers
 from finchladder.net.control import ControlCalls
 from finchladder.net.decision_actor import AttemptEnd, Clock, DecisionActor
@@ -219,7 +219,13 @@
 
 def intake(flows: FlowTable, module: DecisionActor, sockets: int = 128) -> JobIntake:
     return JobIntake(
-        {"s", "unsafe"}, flows, module, Timers(Clock()), Arrivals(OFF, 0), GracefulShutdown(3.0), sockets
+        {"s", "unsafe"},
+        flows,
+        module,
+        Timers(Clock()),
+        RequestAdmission(OFF, 0),
+        GracefulShutdown(3.0),
+        sockets,
     )
 
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -8,35 +8,72 @@
 
 from finchladder.config.options import StatusOptions
 from finchladder.core.api import Ending as E
-from finchladder.features.status import JobStatus, Shown
+from finchladder.features.status import JobStatus, StatusReply
 from tests.peers import ACCEPT, Message, RealServer, exchange, node, request, run
 
-FIRST = [("taken", 0.0, "a", "u")]
-SENT = [*FIRST, ("sent", "a", "w1")]
-RUNS = [*SENT, ("told", 1.0, "a", "w1", "started", 0.0), ("told", 1.0, "a", "w1", "running", 0.4)]
+FIRST = [("add", 0.0, "a", "u")]
+SENT = [*FIRST, ("record_attempt", "a", "w1")]
+RUNS = [
+    *SENT,
+    ("record_report", 1.0, "a", "w1", "started", 0.0),
+    ("record_report", 1.0, "a", "w1", "running", 0.4),
+]
 CASES = [  # the steps of one job, and what is shown after them: state, server, share
     (FIRST, ("waiting", None, 0.0)),
     (SENT, ("waiting", "w1", 0.0)),
     (RUNS[:3], ("started", "w1", 0.0)),
     (RUNS, ("running", "w1", 0.4)),
-    ([*RUNS, ("told", 1.0, "a", "w1", "started", 0.0)], ("running", "w1", 0.4)),  # call-backs may overtake
-    ([*RUNS, ("told", 1.0, "a", "w2", "running", 0.9)], ("running", "w1", 0.4)),
-    ([*RUNS, ("ended", "a", "w1", E.BROKEN)], ("waiting", None, 0.0)),  # a retry may follow
-    ([*RUNS, ("ended", "a", "w1", E.BROKEN), ("sent", "a", "w2")], ("waiting", "w2", 0.0)),
-    ([*RUNS, ("sent", "a", "w2"), ("ended", "a", "w1", E.CANCELLED)], ("waiting", "w2", 0.0)),
-    ([*RUNS, ("sent", "a", "w2"), ("ended", "a", "w1", E.OK)], ("done", "w1", 1.0)),  # the first copy won
-    ([*RUNS, ("ended", "a", "w1", E.OK), ("finished", 2.0, "a", "served")], ("done", "w1", 1.0)),
-    ([*RUNS, ("ended", "a", "w1", E.ERROR), ("finished", 2.0, "a", "failed")], ("failed", "w1", 0.4)),
-    ([*RUNS, ("ended", "a", "w1", E.BROKEN), ("finished", 2.0, "a", "refused")], ("lost", "w1", 0.4)),
-    ([*SENT, ("ended", "a", "w1", E.OVERLOADED), ("finished", 2.0, "a", "refused")], ("returned", "w1", 0.0)),
-    ([*RUNS, ("ended", "a", "w1", E.TIMED_OUT), ("finished", 2.0, "a", "failed")], ("timed_out", "w1", 0.4)),
+    (
+        [*RUNS, ("record_report", 1.0, "a", "w1", "started", 0.0)],
+        ("running", "w1", 0.4),
+    ),  # call-backs may overtake
+    ([*RUNS, ("record_report", 1.0, "a", "w2", "running", 0.9)], ("running", "w1", 0.4)),
+    ([*RUNS, ("record_attempt_end", "a", "w1", E.BROKEN)], ("waiting", None, 0.0)),  # a retry may follow
+    (
+        [*RUNS, ("record_attempt_end", "a", "w1", E.BROKEN), ("record_attempt", "a", "w2")],
+        ("waiting", "w2", 0.0),
+    ),
+    (
+        [*RUNS, ("record_attempt", "a", "w2"), ("record_attempt_end", "a", "w1", E.CANCELLED)],
+        ("waiting", "w2", 0.0),
+    ),
+    (
+        [*RUNS, ("record_attempt", "a", "w2"), ("record_attempt_end", "a", "w1", E.OK)],
+        ("done", "w1", 1.0),
+    ),  # the first copy won
+    (
+        [*RUNS, ("record_attempt_end", "a", "w1", E.OK), ("record_answer", 2.0, "a", "served")],
+        ("done", "w1", 1.0),
+    ),
+    (
+        [*RUNS, ("record_attempt_end", "a", "w1", E.ERROR), ("record_answer", 2.0, "a", "failed")],
+        ("failed", "w1", 0.4),
+    ),
+    (
+        [*RUNS, ("record_attempt_end", "a", "w1", E.BROKEN), ("record_answer", 2.0, "a", "refused")],
+        ("lost", "w1", 0.4),
+    ),
+    (
+        [*SENT, ("record_attempt_end", "a", "w1", E.OVERLOADED), ("record_answer", 2.0, "a", "refused")],
+        ("returned", "w1", 0.0),
+    ),
+    (
+        [*RUNS, ("record_attempt_end", "a", "w1", E.TIMED_OUT), ("record_answer", 2.0, "a", "failed")],
+        ("timed_out", "w1", 0.4),
+    ),
     # the client's leaving is no end while an attempt is out: what it comes to is shown
-    ([*RUNS, ("ended", "a", "w1", E.OK), ("finished", 2.0, "a", "left")], ("done", "w1", 1.0)),
-    ([*RUNS, ("ended", "a", "w1", E.CANCELLED), ("finished", 2.0, "a", "left")], ("timed_out", "w1", 0.4)),
-    ([*FIRST, ("finished", 2.0, "a", "left")], ("timed_out", None, 0.0)),
+    (
+        [*RUNS, ("record_attempt_end", "a", "w1", E.OK), ("record_answer", 2.0, "a", "left")],
+        ("done", "w1", 1.0),
+    ),
+    (
+        [*RUNS, ("record_attempt_end", "a", "w1", E.CANCELLED), ("record_answer", 2.0, "a", "left")],
+        ("timed_out", "w1", 0.4),
+    ),
+    ([*FIRST, ("record_answer", 2.0, "a", "left")], ("timed_out", None, 0.0)),
     # an answer before any send: refused shows as handed back unstarted
-    ([*FIRST, ("finished", 2.0, "a", "refused")], ("returned", None, 0.0)),
-    ([*FIRST, ("finished", 2.0, "a", "failed")], ("failed", None, 0.0)),
+    ([*FIRST, ("record_answer", 2.0, "a", "refused")], ("returned", None, 0.0)),
+    ([*FIRST, ("record_answer", 2.0, "a", "failed")], ("failed", None, 0.0)),
 ]
 
 
@@ -51,39 +88,39 @@
 def test_what_is_shown_follows_the_job(
     steps: list[tuple[object, ...]], shown: tuple[str, str | None, float]
 ) -> None:
-    assert played(steps).look(2.0, "a") == Shown(*shown, job_class="u")
+    assert played(steps).get(2.0, "a") == StatusReply(*shown, job_class="u")
 
 
 @pytest.mark.parametrize("state", ["done", "failed", "lost"])
 def test_a_job_given_up_that_ends_all_the_same_shows_how(state: str) -> None:
-    given_up = [*RUNS, ("ended", "a", "w1", E.CANCELLED), ("finished", 2.0, "a", "left")]
-    table = played([*given_up, ("told", 3.0, "a", "w2", state, 0.0)])
-    assert table.look(3.0, "a") == Shown("timed_out", "w1", 0.4, "u")  # not the one that has it
-    table.told(3.0, "a", "w1", state, 0.0)
-    shown = table.look(62.9, "a")
+    given_up = [*RUNS, ("record_attempt_end", "a", "w1", E.CANCELLED), ("record_answer", 2.0, "a", "left")]
+    table = played([*given_up, ("record_report", 3.0, "a", "w2", state, 0.0)])
+    assert table.get(3.0, "a") == StatusReply("timed_out", "w1", 0.4, "u")  # not the one that has it
+    table.record_report(3.0, "a", "w1", state, 0.0)
+    shown = table.get(62.9, "a")
     assert shown is not None
     assert shown.state == state
-    assert table.look(63.0, "a") is None
+    assert table.get(63.0, "a") is None
 
 
 def test_an_entry_is_kept_from_its_end_on_and_not_from_its_start() -> None:
-    table = played([*FIRST, ("finished", 500.0, "a", "refused")], retain_ms=1000)
-    assert table.look(500.9, "a")
-    assert not table.look(501.0, "a")
-    assert not table.over
+    table = played([*FIRST, ("record_answer", 500.0, "a", "refused")], retain_ms=1000)
+    assert table.get(500.9, "a")
+    assert not table.get(501.0, "a")
+    assert not table.finished
 
 
 def test_the_oldest_finished_goes_first_and_no_unfinished_one_ever() -> None:
     table = JobStatus(StatusOptions(max_entries=3))
     for id in "abc":
-        table.taken(0.0, id, "u")
-    table.taken(0.0, "d", "u")  # not tracked: all are unfinished
-    table.sent("d", "w1")
-    table.finished(0.0, "d", "served")
+        table.add(0.0, id, "u")
+    table.add(0.0, "d", "u")  # not tracked: all are unfinished
+    table.record_attempt("d", "w1")
+    table.record_answer(0.0, "d", "served")
     for id in "ba":
-        table.finished(1.0, id, "served")
-    table.taken(2.0, "e", "u")
-    assert [bool(table.look(2.0, id)) for id in "abcde"] == [True, False, True, False, True]
+        table.record_answer(1.0, id, "served")
+    table.add(2.0, "e", "u")
+    assert [bool(table.get(2.0, id)) for id in "abcde"] == [True, False, True, False, True]
 
 
 def test_a_job_is_followed_from_waiting_to_done_and_then_forgotten(tmp_path: Path) -> None:
--- a/tests/test_stored_state.py
+++ b/tests/test_stored_state.py
@@ -15,7 +15,7 @@
 from finchladder.core.routing.routes import Backoff, Hedge, Queue, RetryBudget, Route, Routes
 from finchladder.features import snapshot
 from finchladder.features.replay import Replay
-from finchladder.features.request_admission import Arrivals
+from finchladder.features.request_admission import RequestAdmission
 from tests.helpers import settings
 from tests.test_capture import canonical
 
@@ -132,10 +132,10 @@
     return msgspec.json.decode(opening)["seed"], msgspec.json.decode(state)["state"]
 
 
-def restored() -> tuple[RouteLimitedDispatcher, Arrivals]:
+def restored() -> tuple[RouteLimitedDispatcher, RequestAdmission]:
     seed, state = stored()
     made = make_decisions(SETTINGS, read_seed(seed) + 1, ROUTES, OPTIONS.spillover_settings())
-    arrivals = Arrivals(OPTIONS, read_seed(seed) + 1)
+    arrivals = RequestAdmission(OPTIONS, read_seed(seed) + 1)
     assert snapshot.restore(state, made, arrivals) == []
     assert isinstance(made, RouteLimitedDispatcher)
     return made, arrivals
@@ -203,4 +203,4 @@
     del state["fields"]["strain"]
     made = make_decisions(SETTINGS, 1, ROUTES, OPTIONS.spillover_settings())
     with pytest.raises(snapshot.StateError, match="another version"):
-        snapshot.restore(state, made, Arrivals(OPTIONS, 1))
+        snapshot.restore(state, made, RequestAdmission(OPTIONS, 1))
