--- a/finchladder/features/admission_limits.py
+++ b/finchladder/features/admission_limits.py
@@ -6,9 +6,7 @@
 
 from finchladder.config.options import DoorOptions, Options
 
-ROUNDING_TOLERANCE_S = (
-    1e-6  # seconds: rounding must not make a client early that retries exactly at the announced time
-)
+ROUNDING_TOLERANCE_S = 1e-6  # so that a retry exactly at the announced time isn't rejected
 
 
 class TokenBuckets:
@@ -23,7 +21,7 @@
         self.max_lead_s = (options.burst - 1) * self.interval_s + ROUNDING_TOLERANCE_S
         self.max_keys = options.max_keys
         self.full_at: OrderedDict[str, float] = OrderedDict()  # the least recently seen first
-        # counted from the first request on: at 1.7e9 s, added intervals would each lose up to 2e-7 s
+        # origin of times: at Unix times of 1.7e9 s each addition of an interval would lose up to 2e-7 s
         self.started_at: float | None = None
 
     def take(self, now: float, address: str) -> float:
@@ -63,12 +61,12 @@
         self.by_class: dict[str, Limits] = {name: TokenBuckets(o) for name, o in options.door_of.items()}
 
     def use_shared(self, options: Options, make: Callable[[str, DoorOptions], Limits]) -> None:
-        """Replaces the limits by ones that are shared by all dispatchers, each with a unique name."""
+        """Replaces the limits by ones shared by all dispatchers, which `make` creates by a unique name."""
         if options.door is not None:
             self.general = make("door", options.door)
         self.by_class = {name: make(f"door.{name}", o) for name, o in options.door_of.items()}
 
     def take(self, now: float, address: str, job_class: str) -> float:
-        """Returns 0.0 if a request is admitted, else the seconds until the next token."""
+        """Returns 0.0 if a request is admitted, otherwise the seconds until the next token."""
         buckets = self.by_class.get(job_class, self.general)
         return buckets.take(now, address) if buckets is not None else 0.0
--- a/finchladder/features/capture.py
+++ b/finchladder/features/capture.py
@@ -23,11 +23,9 @@
 CHUNK_BYTES = 64 * 1024
 MAX_SKIPPED_SNAPSHOTS = 64  # snapshots not attempted after one that was too large
 FILE_RETRY_INTERVAL_S = 10.0  # seconds until a new file is tried after one that could not be written
-# bounds of a load report that is recorded; no decision depends on reports today
+# bounds of a recorded load report; decisions don't depend on load reports
 MAX_REPORT_VALUES = 16
-MAX_REPORT_NAME_LENGTH = (
-    32  # values of a load report, and letters of their names; no decision looks at it today
-)
+MAX_REPORT_NAME_LENGTH = 32  # characters
 
 STATE_BY_ENDING = {
     Ending.OK: "done",
@@ -64,7 +62,7 @@
             "took": e.duration_s,
         }
         line = {"t": t, "in": "event", "id": e.request} | ended
-        return line | ({"report": _report(e.report)} if e.report else {})
+        return line | ({"report": _bounded_report(e.report)} if e.report else {})
     if isinstance(e, api.Timer):
         return {"t": t, "in": "timer", "token": e.token}
     if isinstance(e, api.LoopStall):
@@ -75,10 +73,10 @@
         return {"t": t, "in": "list", "kind": e.kind, "entries": e.entries}
     if isinstance(e, NewRoutes):
         return {"t": t, "in": "routes", "routes": e.routes.all}
-    raise TypeError(f"a {type(e).__name__} has no line")  # nothing here makes the others
+    raise TypeError(f"events of type {type(e).__name__} can't be recorded")  # the program submits no others
 
 
-def _report(report: dict[str, float]) -> dict[str, float]:
+def _bounded_report(report: dict[str, float]) -> dict[str, float]:
     usable = [(n, v) for n, v in report.items() if len(n) <= MAX_REPORT_NAME_LENGTH and math.isfinite(v)]
     return dict(usable[:MAX_REPORT_VALUES])
 
@@ -136,7 +134,7 @@
 
     def __init__(self, start: bytes | None) -> None:
         """Starts without blocks."""
-        self.start = start  # the state's line; empty at the very start; None where it is not known
+        self.start = start  # the snapshot's line; empty: the initial state; None: no snapshot
         self.blocks: list[bytes] = []
         self.size = len(start or b"")
 
@@ -152,7 +150,7 @@
         """
         self.max_bytes = max_bytes - OPENING_LINE_BYTES
         self.segments = deque([Segment(b"")])
-        self.size = self.lost = 0  # bytes held, and inputs that are not held any more
+        self.size = self.lost = 0  # bytes in the ring, and inputs dropped from it
         self.next_segment_bytes = self.max_bytes // SEGMENTS_PER_RING
 
     def add(self, block: bytes) -> None:
@@ -201,7 +199,7 @@
             self._drop_oldest()
 
     def record_gap(self) -> None:
-        """Records a missed input, after which the earlier blocks can't be continued."""
+        """Records a missed input: a replay can't continue after it, so earlier blocks are dropped."""
         self.lost += 1
         while len(self.segments) > 1 or self.segments[0].blocks or self.segments[0].start is not None:
             self._drop_oldest()
@@ -216,7 +214,7 @@
 
 
 def split_chunks(lines: Sequence[bytes]) -> Iterator[bytes]:
-    """Yields the same bytes in split_chunks of bounded size."""
+    """Yields the same bytes in chunks of bounded size."""
     chunk = bytearray()
     for line in lines:
         for start in range(0, len(line), CHUNK_BYTES):
@@ -291,7 +289,7 @@
         self.inputs = 0
         self.schedule: Callable[[Callable[[], None]], None] | None = None
         self.pending: PendingSnapshot | None = None
-        self.too_large = self.snapshots_to_skip = 0  # states in a row; times that the next one is not tried
+        self.too_large = self.snapshots_to_skip = 0  # consecutive failures; snapshots not attempted
 
     def opening_line(self, t: float, lost: int) -> bytes:
         """Returns the first line of a capture."""
@@ -336,7 +334,7 @@
         """Records that an input was missed."""
         self.ring.record_gap()
         self.file_ok = False
-        self._drop_state()
+        self._discard_snapshot()
 
     def dump(self, t: float) -> list[bytes]:
         """Returns the lines of the ring."""
@@ -347,16 +345,16 @@
         block = encode_block(lines)
         self.inputs += 1
         self.ring.add(block)
-        file_due = self.sink is not None and self._to_file(t, block)
-        if (now := self.pending) is not None:
-            if now.for_file:
-                now.blocks_since.append(block)
+        file_due = self.sink is not None and self._append_to_file(t, block)
+        if (pending := self.pending) is not None:
+            if pending.for_file:
+                pending.blocks_since.append(block)
         elif file_due or self.ring.needs_snapshot():
-            self._begin(t, file_due)
+            self._begin_snapshot(t, file_due)
 
-    # --- the state ----------------------------------------------------------------------------------------
+    # --- snapshots ------------------------------------------------------------------------------------------
 
-    def _begin(self, t: float, for_file: bool) -> None:
+    def _begin_snapshot(self, t: float, for_file: bool) -> None:
         segment = self.ring.begin_segment() if self.ring.needs_snapshot() else None
         if self.snapshots_to_skip:
             self.snapshots_to_skip -= 1
@@ -366,56 +364,56 @@
         self.pending = PendingSnapshot(t, self.inputs, segment, for_file)
         self.snapshots.begin()
         if self.schedule is not None:
-            return self.schedule(self._go_on)
+            return self.schedule(self._run_next_step)
         while self.pending is not None:
             self._step()
 
-    def _go_on(self) -> None:
+    def _run_next_step(self) -> None:
         if self.pending is not None:
             self._step()
         if self.pending is not None and self.schedule is not None:
-            self.schedule(self._go_on)
+            self.schedule(self._run_next_step)
 
     def _step(self) -> None:
-        now = self.pending
-        assert now is not None
+        pending = self.pending
+        assert pending is not None
         state = self.snapshots.step()
-        room = max(
-            self.ring.max_snapshot_bytes if now.segment else 0,
-            self.max_file_bytes // 2 if now.for_file else 0,
+        max_size = max(
+            self.ring.max_snapshot_bytes if pending.segment else 0,
+            self.max_file_bytes // 2 if pending.for_file else 0,
         )
         size = self.snapshots.size if state is None else len(state)
-        too_large = size > room or sum(map(len, now.blocks_since)) > self.max_file_bytes // 4
+        too_large = size > max_size or sum(map(len, pending.blocks_since)) > self.max_file_bytes // 4
         if state is None and not too_large:
             return
-        self._drop_state()
-        if too_large or state is None:  # as it will be again soon
+        self._discard_snapshot()
+        if too_large or state is None:  # the next ones will probably be too large as well
             self.too_large += 1
             self.snapshots_to_skip = min(2**self.too_large, MAX_SKIPPED_SNAPSHOTS)
-            if now.for_file:
-                self._open_file(now.t, now.inputs, b"", now.blocks_since)
+            if pending.for_file:
+                self._open_file(pending.t, pending.inputs, b"", pending.blocks_since)
             return
         self.too_large = 0
-        line = encode_block([{"t": now.t, "in": "state", "state": msgspec.Raw(state)}])
-        if now.segment is not None:
-            self.ring.set_snapshot(now.segment, line)
-        if now.for_file:
-            self._open_file(now.t, now.inputs, line, now.blocks_since)
+        line = encode_block([{"t": pending.t, "in": "state", "state": msgspec.Raw(state)}])
+        if pending.segment is not None:
+            self.ring.set_snapshot(pending.segment, line)
+        if pending.for_file:
+            self._open_file(pending.t, pending.inputs, line, pending.blocks_since)
 
-    def _drop_state(self) -> None:
+    def _discard_snapshot(self) -> None:
         self.pending = None
         self.snapshots.discard()
 
     # --- files --------------------------------------------------------------------------------------------
 
-    def _to_file(self, t: float, block: bytes) -> bool:
+    def _append_to_file(self, t: float, block: bytes) -> bool:
         """Appends a block to the file; returns whether the next file is due."""
         assert self.sink is not None
         self.file_ok = self.file_ok and self.sink.write(block)
-        if not self.file_ok:  # one input missed and the rest of the file could not be replayed
+        if not self.file_ok:  # after a missed input the file can't be replayed any further
             return t >= self.file_retry_at
         self.file_size += len(block)
-        return self.file_size >= self.max_file_bytes * 7 // 8  # so that what comes next still fits
+        return self.file_size >= self.max_file_bytes * 7 // 8  # so that the blocks until then still fit
 
     def _open_file(self, t: float, inputs: int, state: bytes, since: Sequence[bytes] = ()) -> None:
         """Opens a file with the number of inputs before it, a snapshot and the blocks since."""
--- a/finchladder/features/fault_injection.py
+++ b/finchladder/features/fault_injection.py
@@ -13,15 +13,13 @@
 
 
 class FaultOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"job_class": "class"}):
-    """Body of the control call; both shares are of all requests of the class."""
+    """Body of the control call; both shares refer to all requests of the class."""
 
     job_class: str
     share: Share
     for_s: Annotated[float, Meta(gt=0, le=600)]
     delay_ms: Annotated[float, Meta(ge=0, le=600_000)] = 0.0
-    abort_share: Share | None = (
-        None  # None: a drill without a delay aborts what it takes, one with it nothing
-    )
+    abort_share: Share | None = None  # None: without a delay `share` is aborted, with a delay none
 
     @property
     def total_abort_share(self) -> float:
@@ -47,7 +45,9 @@
         Args:
             seed: Seed of a generator of their own.
         """
-        self.random = Random(f"drills {seed}")  # the core's draws must be the same with faults and without
+        self.random = Random(
+            f"drills {seed}"
+        )  # separate, so that the dispatcher draws the same numbers without faults
         self.active: dict[str, tuple[float, FaultOrder]] = {}  # by class, with the time of its end
         self.applied: dict[str, int] = {}
         self.stopped = False
--- a/finchladder/features/replay.py
+++ b/finchladder/features/replay.py
@@ -200,7 +200,7 @@
 
 
 class LineKind(msgspec.Struct):
-    """The fields that tell the kind of a line."""
+    """The fields that determine the kind of a line."""
 
     in_: str | None = msgspec.field(default=None, name="in")
     out: str | None = None
@@ -222,13 +222,13 @@
             yield _read(*pending)
         pending = numbered
     if pending is None:
-        raise ValueError("it is empty")
+        raise ValueError("the capture is empty")
     try:
         last = _read(*pending)
     except MalformedLineError as e:
         if pending[1].endswith(b"\n") or not pending[1].strip():
             raise
-        warn(f"{e}; the last line was cut, and is skipped")
+        warn(f"{e}; the last line is truncated and skipped")
         return
     yield last
 
@@ -239,7 +239,7 @@
         if kind.out is not None and kind.in_ is None:
             return number, msgspec.json.decode(line, type=Line)
         if kind.in_ not in INPUTS:
-            raise MalformedLineError(number, "it is no record of a capture")
+            raise MalformedLineError(number, "not a line of a capture")
         return number, msgspec.json.decode(line, type=INPUTS[kind.in_])
     except (msgspec.MsgspecError, UnicodeDecodeError) as e:
         raise MalformedLineError(number, e) from None
@@ -262,7 +262,7 @@
             settings: The platform's settings.
             options: The operator's options.
             report: Called with each line that differs.
-            warn: Called with what can't be compared, and why.
+            warn: Called with a description of decisions that can't be compared.
             routes: The operator's routes, if any.
         """
         self.settings, self.options, self.report, self.warn, self.routes = (
@@ -274,12 +274,12 @@
         )
         self.inputs = self.compared = self.differences = 0
         self.dispatcher: Dispatcher | RouteLimitedDispatcher | None = (
-            None  # None: there is nothing that could be compared
+            None  # None: the state isn't known, so no decision is compared
         )
         self.arrivals: RequestAdmission | None = None
         self.opening: Opening | None = None
         self.recorded: list[tuple[int, Line]] = []
-        self.expected: list[Line] | None = None  # of the last input
+        self.expected: list[Line] | None = None  # decisions on the last input; None: not compared
         self.input_line = 0  # the last input's line
 
     def run(self, lines: Iterable[bytes]) -> None:
@@ -291,13 +291,13 @@
         for number, record in read_lines(lines, self.warn):
             if isinstance(record, dict):
                 if not self.inputs:
-                    raise MalformedLineError(number, "a decision without the input before it")
+                    raise MalformedLineError(number, "a decision without a preceding input")
                 self.recorded.append((number, record))
                 continue
             self._compare(last=False)
             self.input_line = number
             if self.opening is None and not isinstance(record, Opening):
-                raise MalformedLineError(number, "a capture begins with its seed")
+                raise MalformedLineError(number, "the first line must have the seed")
             try:
                 self._process(number, record)
             except ValueError as e:
@@ -337,7 +337,7 @@
     def _end_of_capture(self) -> None:
         if self.opening is not None and self.opening.lost and self.dispatcher is None:
             self.warn(
-                f"the capture has lost its first {self.opening.lost} inputs and carries no state after them:"
+                f"the capture lacks its first {self.opening.lost} inputs and has no state after them:"
                 " none of its decisions can be compared"
             )
 
@@ -348,11 +348,11 @@
             if self.dispatcher is None:
                 return None
             if isinstance(event, NewRoutes) and not isinstance(self.dispatcher, RouteLimitedDispatcher):
-                raise ValueError("new routes hold from here on, and the operator's file is none in TOML")
+                raise ValueError("the capture has routes, which need the operator's file in TOML (--config)")
             dispatcher: Decisions = self.dispatcher
             try:
                 return encode_decision(t, dispatcher.handle(t, event), None)
-            except Exception as e:  # any error is recorded in a capture too, and compared
+            except Exception as e:  # captures record any error, so it is compared
                 return encode_decision(t, [], e)
         if self.arrivals is None:
             return None
@@ -368,14 +368,14 @@
         recorded, self.recorded = self.recorded, []
         if self.expected is None:
             return
-        # as they would be read from a file, so that numbers compare as numbers
+        # encoded and decoded as in a file, so that values compare as they do there
         expected = [msgspec.json.decode(encode(line), type=Line) for line in self.expected]
         before = [line for _, line in recorded]
         self.compared += len(before)
         if before == expected:
             return
         if last and before == expected[: len(before)]:
-            self.warn(f"line {self.input_line}: what was decided on the last input may be cut off")
+            self.warn(f"line {self.input_line}: the decisions on the last input may be truncated")
             return
         keys = [encode(line) for line in before], [encode(line) for line in expected]
         for kind, a, b, c, d in SequenceMatcher(None, *keys, autojunk=False).get_opcodes():
--- a/finchladder/features/shared_admission_limits.py
+++ b/finchladder/features/shared_admission_limits.py
@@ -1,8 +1,9 @@
-"""Admission limits that dispatchers share: an address has its rate at all of them together.
+"""Admission limits shared between dispatchers: the rate of an address applies to all of them together.
 
-Each address has a local bucket with this dispatcher's share, which needs no messages. Only when it is
-rejected is its budget claimed from the peers (core/peers). An address that uses a single dispatcher therefore
-gets nearly the complete rate within a few seconds, and one that uses all of them gets no more than the rate.
+Each address has a local bucket with this dispatcher's share of the rate, which needs no messages. Its budget
+is claimed from the peers (core/peers) only after a rejection. An address that uses a single dispatcher
+therefore gets nearly the complete rate within a few seconds, and one that uses all of them gets no more than
+the rate.
 """
 
 from collections import OrderedDict
@@ -11,11 +12,11 @@
 from finchladder.core.peers.bucket import Bucket
 from finchladder.core.peers.exchange import BudgetFamily, Peers
 
-MAX_RETRY_AFTER_S = 2.0  # told to one that is turned away: by then others may have lent some
+MAX_RETRY_AFTER_S = 2.0  # longest announced time: by then peers may have lent part of their rate
 
 
 class SharedTokenBuckets:
-    """Token buckets as `admission_limits.Buckets`, shared between dispatchers.
+    """Token buckets as `admission_limits.TokenBuckets`, shared between dispatchers.
 
     At most `max_keys` addresses are stored; core/peers limits how many of them are shared.
     """
@@ -34,7 +35,7 @@
         peers.families[self.prefix] = self.family
         self.buckets: OrderedDict[str, Bucket] = (
             OrderedDict()
-        )  # by budget's name, the least recently seen first
+        )  # by the budget's name, the least recently seen first
         self.now = 0.0
 
     def take(self, now: float, address: str) -> float:
@@ -60,8 +61,8 @@
         bucket = self.buckets.get(name)
         if bucket is None:
             burst_s = (self.options.burst - 1) / self.options.rate
-            kept = self.peers.buckets.get(name)  # of one that had to leave this table while it was shared
-            bucket = self.buckets[name] = kept or Bucket(own, self.now, 1.0, burst_s, keeps_tokens=True)
+            shared = self.peers.buckets.get(name)  # still shared, though evicted from this table
+            bucket = self.buckets[name] = shared or Bucket(own, self.now, 1.0, burst_s, keeps_tokens=True)
             if len(self.buckets) > self.options.max_keys:
                 self.buckets.popitem(last=False)
         return bucket
--- a/finchladder/features/snapshot.py
+++ b/finchladder/features/snapshot.py
@@ -1,8 +1,8 @@
-"""The state of the decisions as JSON values, and back: what a capture needs that has lost its start.
+"""Snapshots of the dispatcher's state as JSON, and their restoration: needed by a capture without its start.
 
-Goes through all fields of the records, so a field that policy.py or records.py comes to hold later is carried
-without a change here. What follows from the settings is left out: a state is restored into decisions made
-anew from the configuration as it is then.
+All slots of the record types are stored, so a field that is added to a record type needs no change here.
+Values that are derived from the settings are not stored: a snapshot is restored into a new dispatcher with
+the present configuration.
 """
 
 import base64
@@ -37,7 +37,7 @@
 from finchladder.features.fault_injection import FaultOrder
 from finchladder.features.request_admission import RequestAdmission
 
-MAX_STORED_ADDRESSES = 1000  # of the door's table; a larger one is not carried, and a replay says so
+MAX_STORED_ADDRESSES = 1000  # with more addresses in the admission limits, a replay skips their decisions
 RECORD_TYPES: tuple[type, ...] = (
     Worker,
     Attempt,
@@ -58,18 +58,14 @@
     TypicalWeight,
     OutlierEjection,
 )
-MUTABLE_FIELDS: dict[type, tuple[str, ...]] = {  # records of frequent types, and their containers
+MUTABLE_FIELDS: dict[type, tuple[str, ...]] = {  # the most frequent types, and their container fields
     Worker: ("unstarted_attempts", "fetched_keys"),
     Job: ("attempts",),
     RoutedJob: (),
 }
 SCALARS = frozenset({type(None), bool, int, float, str})
 CONTAINERS = frozenset({dict, list, OrderedDict})
-RECORDS_PER_STEP, ITEMS_PER_STEP, CONTAINERS_PER_STEP = (
-    64,
-    512,
-    64,
-)  # records, items, and items that are containers, written at a time
+RECORDS_PER_STEP, ITEMS_PER_STEP, CONTAINERS_PER_STEP = 64, 512, 64  # encoded in one step
 encode = msgspec.json.Encoder().encode
 IMMUTABLE_TYPES: tuple[type, ...] = (
     Route,
@@ -77,7 +73,7 @@
     WorkerPool,
     Request,
     RequestLimits,
-)  # values that are never changed
+)  # immutable, referenced by number
 # Stored name of each field of the dispatcher that is stored, and the path of the attribute that holds it.
 # Captures outlive names: a field that moves or is renamed changes its path here and keeps its stored name.
 DISPATCHER_FIELDS = {
@@ -104,8 +100,8 @@
     "timer_due": "is_timer_set",
     "serial": "serial",
 }
-# The same for what only a dispatcher with zone spillover has. A state without it is restored all the same,
-# and the spillover then begins anew.
+# The same for the fields of a dispatcher with zone spillover only. A state without them is restored as well;
+# spillover then starts from its initial state.
 ZONE_FIELDS = {
     "spills": "spillovers",
     "counts": "send_counts",
@@ -118,19 +114,19 @@
     "inner",
     "margin_s",
     "freed",
-}  # the same of what stands round the Dispatcher
+}  # of RouteLimitedDispatcher
 RANDOM_STATE_FORMAT = "<625I"
 
 State = dict[str, Any]
 
 
 class StateError(ValueError):
-    """The state can't be carried, or does not go with the configuration; the message says why in one line."""
+    """The state can't be stored, or doesn't fit the configuration; the message is one line."""
 
 
 def stored_slots(kind: type) -> list[str]:
-    anew = ("load_level", "pools", "settings")  # by Dispatcher.reindex
-    return [name for name in kind.__slots__ if name not in anew]  # type: ignore[attr-defined]
+    derived = ("load_level", "pools", "settings")  # set again by Dispatcher.reindex
+    return [name for name in kind.__slots__ if name not in derived]  # type: ignore[attr-defined]
 
 
 def encode_random(random: Random) -> list[object]:
@@ -144,9 +140,9 @@
 
 
 class FrozenContainer(NamedTuple):
-    """A container as it was: `name` as the state has it, and what it held, pairs for a dict.
+    """A copied container: the stored name of its type, and its items (pairs for a dict).
 
-    `is_nested`: a dict that holds containers in turn.
+    `is_nested` is set if the values of a dict are containers too.
     """
 
     name: str
@@ -155,14 +151,16 @@
 
 
 def tracked_type(kind: type, save: Callable[[Any], None]) -> type:
-    """Like `kind`, but an object of it is saved before the first change of it. What is changed in place is
-    saved when it is looked at."""
+    """Returns a subclass of `kind` whose objects are passed to `save` before their first change.
+
+    Fields that are mutated in place are saved when they are read.
+    """
 
     def set_field(record: Any, name: str, value: Any) -> None:
         save(record)
         setattr(record, name, value)
 
-    def reading(name: str) -> property:
+    def saving_property(name: str) -> property:
         def get(record: Any) -> Any:
             save(record)
             return getattr(record, name)
@@ -170,7 +168,9 @@
         return property(get)
 
     fields: dict[str, Any] = {"__slots__": (), "__setattr__": set_field}
-    return type(kind.__name__, (kind,), fields | {name: reading(name) for name in MUTABLE_FIELDS[kind]})
+    return type(
+        kind.__name__, (kind,), fields | {name: saving_property(name) for name in MUTABLE_FIELDS[kind]}
+    )
 
 
 class SnapshotWriter:
@@ -186,22 +186,21 @@
     def __init__(self, decisions: Dispatcher | RouteLimitedDispatcher, arrivals: RequestAdmission) -> None:
         self.decisions, self.arrivals = decisions, arrivals
         self.original_types = {tracked_type(kind, self._save_record): kind for kind in MUTABLE_FIELDS}
-        self.tracked_types = {kind: watch for watch, kind in self.original_types.items()}
+        self.tracked_types = {kind: tracked for tracked, kind in self.original_types.items()}
         self._clear()
 
     def _clear(self) -> None:
         self.work: Generator[None, None, None] | None = None
         self.out: list[bytes] = []
-        self.numbers: dict[int, int] = {}  # of records and wholes, by identity
-        self.records: list[Any] = []  # by number; they must live until all is written, as must the wholes
+        self.numbers: dict[int, int] = {}  # numbers of records and immutable values by `id`
+        self.records: list[Any] = []  # by number; kept so that no `id` is reused during the snapshot
         self.rows: list[bytes | None] = []
         self.immutable_values: list[Any] = []
-        self.unwritten: list[
-            tuple[int, list[Any]]
-        ] = []  # records whose fields are copied, and not yet written
-        self.size = 0  # bytes written so far
+        self.unwritten: list[tuple[int, list[Any]]] = []  # records that are copied, but not yet encoded
+        self.size = 0  # bytes encoded so far
 
     def begin(self) -> None:
+        """Copies or tracks all state, which `step` then encodes; O(records)."""
         decisions, arrivals = self.decisions, self.arrivals
         dispatcher = decisions.inner if isinstance(decisions, RouteLimitedDispatcher) else decisions
         tracked: list[Any] = [*dispatcher.workers.values(), *dispatcher.jobs.values()]
@@ -218,26 +217,26 @@
         }
         parts: dict[str, Any] = {"fields": fields, "tenants": encode(tenants)}
         if isinstance(decisions, RouteLimitedDispatcher):
-            kept = {name: v for name, v in vars(decisions).items() if name not in UNSTORED_ROUTE_FIELDS}
-            parts["routes"] = {name: self._freeze(v) for name, v in kept.items()}
+            stored = {name: v for name, v in vars(decisions).items() if name not in UNSTORED_ROUTE_FIELDS}
+            parts["routes"] = {name: self._freeze(v) for name, v in stored.items()}
         if arrivals.client_limits is not None:
             parts["door"] = encode(_client_limits(arrivals))
-        if (drills := arrivals.fault_injector) is not None:
-            running = [[until, order] for until, order in drills.active.values()]
-            parts["drills"] = encode([encode_random(drills.random), running, drills.stopped])
+        if (injector := arrivals.fault_injector) is not None:
+            active = [[until, order] for until, order in injector.active.values()]
+            parts["drills"] = encode([encode_random(injector.random), active, injector.stopped])
         self.work = self._write(len(tracked), parts)
 
     def step(self) -> bytes | None:
-        """The whole state as JSON, once it is written; None: there is more to do."""
+        """Does one step; returns the state as JSON after the last one, until then None."""
         assert self.work is not None
         for _ in self.work:
             return None
         state = b"".join(self.out)
-        self._clear()  # none is watched any more
+        self._clear()  # no record has a tracked type any more
         return state
 
     def discard(self) -> None:
-        """O(records). It can be begun anew."""
+        """Ends the snapshot, so that another one can begin; O(records)."""
         for record in self.records:
             if type(record) in self.original_types:
                 object.__setattr__(record, "__class__", self.original_types[type(record)])
@@ -270,7 +269,7 @@
         put(b',"records":[' + b",".join(row for row in self.rows if row is not None) + b"]}")
 
     def _encode_in_steps(self, value: Any, out: list[bytes]) -> Generator[None, None, None]:
-        """A container of many items, or of containers, is written some at a time."""
+        """Encodes a value; yields between parts of a large container or of one with containers in it."""
         if not isinstance(value, FrozenContainer) or (
             len(value.items) <= ITEMS_PER_STEP and not value.is_nested
         ):
@@ -302,7 +301,7 @@
         out.append(data)
 
     def _freeze(self, value: Any) -> Any:
-        """What is changed in place is copied, down to records that are watched."""
+        """Copies a value that is mutated in place, down to records of tracked types."""
         kind = type(value)
         if kind is dict or kind is OrderedDict:
             name, items = "dict" if kind is dict else "ordered", list(value.items())
@@ -323,7 +322,7 @@
 
     @property
     def immutable_types(self) -> set[type]:
-        """Types of which nothing need be copied."""
+        """Types whose values need no copy: they are immutable, or their objects are tracked."""
         return {*SCALARS, tuple, Ending, JobClass, SpilloverState, *IMMUTABLE_TYPES, *self.original_types}
 
     def _to_json(self, value: Any) -> Any:
@@ -353,7 +352,7 @@
             return {"class": value.name}
         if kind is Random:
             return {"random": encode_random(value)}
-        raise StateError(f"a {kind.__name__} can't be carried")
+        raise StateError(f"a snapshot can't store values of type {kind.__name__}")
 
     def _number(self, record: Any) -> int:
         number = self.numbers[id(record)] = len(self.records)
@@ -368,14 +367,14 @@
         return number
 
     def _save_record(self, record: Any) -> None:
-        """Writes it as it is, as nobody has changed it yet."""
+        """Encodes a record that hasn't changed since the snapshot began, and makes it untracked."""
         kind = self.original_types.get(type(record), type(record))
         object.__setattr__(record, "__class__", kind)
         row = [RECORD_TYPES.index(kind)]
         for name in stored_slots(kind):
             value = getattr(record, name)
             if type(value) in CONTAINERS and name not in MUTABLE_FIELDS.get(kind, (name,)):
-                raise StateError(f"{kind.__name__}.{name} is a container that is not watched")
+                raise StateError(f"{kind.__name__}.{name} is a container that isn't listed in MUTABLE_FIELDS")
             row.append(value if type(value) in SCALARS else self._to_json(value))
         self._set_row(self.numbers[id(record)], row)
 
@@ -391,6 +390,8 @@
 
 
 class SnapshotReader:
+    """Decodes values of a state; records and immutable values are referenced by number."""
+
     def __init__(
         self, rows: list[list[Any]], wholes: list[list[Any]], classes: Mapping[str, JobClass]
     ) -> None:
@@ -400,7 +401,7 @@
         for record, (kind, *values) in zip(self.records, rows, strict=True):
             for name, value in zip(stored_slots(RECORD_TYPES[kind]), values, strict=True):
                 setattr(record, name, self.get(value))
-            if isinstance(record, Worker):  # also one that only a job still knows
+            if isinstance(record, Worker):  # including one that only a job refers to
                 record.load_level, record.pools = None, ()
 
     def get(self, value: Any) -> Any:
@@ -408,52 +409,59 @@
             return [self.get(v) for v in value]
         if not isinstance(value, dict):
             return value
-        [(kind, held)] = value.items()
+        [(kind, content)] = value.items()
         if kind == "record":
-            return self.records[held]
+            return self.records[content]
         if kind == "whole":
-            return self.immutable_values[held]
+            return self.immutable_values[content]
         if kind == "class":
-            if held not in self.classes:
-                raise StateError(f"it holds a job of class {held!r}, which the configuration does not have")
-            return self.classes[held]
+            if content not in self.classes:
+                raise StateError(f"the state has a job of class {content!r}, which isn't configured")
+            return self.classes[content]
         if kind == "ending":
-            return Ending(held)
+            return Ending(content)
         if kind == "spill":
-            return SpilloverState(held)
+            return SpilloverState(content)
         if kind == "tuple":
-            return tuple(self.get(v) for v in held)
+            return tuple(self.get(v) for v in content)
         if kind == "random":
             random = Random()
-            restore_random(random, held)
+            restore_random(random, content)
             return random
-        pairs = [(self.get(k), self.get(v)) for k, v in held]
+        pairs = [(self.get(k), self.get(v)) for k, v in content]
         return OrderedDict(pairs) if kind == "ordered" else dict(pairs)
 
 
 def take(decisions: Dispatcher | RouteLimitedDispatcher, arrivals: RequestAdmission) -> State:
-    """All at once."""
-    taking = SnapshotWriter(decisions, arrivals)
-    taking.begin()
-    while (state := taking.step()) is None:
+    """Returns a snapshot of the present state."""
+    writer = SnapshotWriter(decisions, arrivals)
+    writer.begin()
+    while (state := writer.step()) is None:
         pass
-    found: State = msgspec.json.decode(state)
-    return found
+    decoded: State = msgspec.json.decode(state)
+    return decoded
 
 
 def restore(
     state: State, decisions: Dispatcher | RouteLimitedDispatcher, arrivals: RequestAdmission
 ) -> list[str]:
-    """Into decisions made anew. Returns what of them can't be compared from here on."""
+    """Restores a state into a new dispatcher and admission.
+
+    Returns:
+        The decisions that can't be compared after this state, one description each.
+
+    Raises:
+        StateError: The state can't be decoded, or doesn't fit the configuration.
+    """
     try:
         _restore(state, decisions)
         return _restore_arrivals(state, arrivals)
     except (LookupError, TypeError, ValueError, AttributeError, struct.error, msgspec.MsgspecError) as e:
-        raise e if isinstance(e, StateError) else StateError(f"it can't be read: {e}") from None
+        raise e if isinstance(e, StateError) else StateError(f"the state can't be decoded: {e}") from None
 
 
 def _stored(dispatcher: Dispatcher) -> Iterable[tuple[str, str]]:
-    """The stored name and the attribute's path of each field that this dispatcher has."""
+    """Returns the stored name and the attribute path of each field of this dispatcher."""
     zone_fields = ZONE_FIELDS if dispatcher.pool_zones else {}
     return chain(zone_fields.items(), DISPATCHER_FIELDS.items())
 
@@ -469,23 +477,23 @@
     reader = SnapshotReader(state["records"], state.get("wholes", []), dispatcher.classes)
     paths = dict(_stored(dispatcher))
     if paths.keys() ^ state["fields"].keys() not in (set(), ZONE_FIELDS.keys()):
-        raise StateError("it is of another version of the decisions")
+        raise StateError("the state has other fields than this version stores")
     fields = {name: reader.get(value) for name, value in state["fields"].items() if name in paths}
-    for name in ("held", "run"):  # by class: those that the configuration has now
-        now = attrgetter(paths[name])(dispatcher)
+    for name in ("held", "run"):  # by class, limited to the configured classes
+        initial = attrgetter(paths[name])(dispatcher)
         kept = {n: v for n, v in fields[name].items() if (n if name == "run" else n[1]) in dispatcher.classes}
-        fields[name] = kept | {n: v for n, v in now.items() if n not in kept}
+        fields[name] = kept | {n: v for n, v in initial.items() if n not in kept}
     for name, value in fields.items():
         _set(dispatcher, paths[name], value)
     worker_load = dispatcher.worker_load
     for part in (dispatcher.state.key_frequency, worker_load, worker_load.learned_capacity):
-        part.settings = dispatcher.settings  # of the configuration of now
+        part.settings = dispatcher.settings  # of the present configuration
     for n, (own, peers, count, credit) in state["tenants"].items():
         if (t := dispatcher.tenants.by_tenant.get(n)) is not None:
             t.own_rps, t.peers_rps, t.request_count, t.credit = own, peers, count, credit
     dispatcher.reindex()
     if isinstance(decisions, RouteLimitedDispatcher):
-        routes = Routes(scope.route for scope in decisions.scopes.values())  # of the configuration of now
+        routes = Routes(scope.route for scope in decisions.scopes.values())  # of the present configuration
         vars(decisions).update({n: reader.get(v) for n, v in state.get("routes", {}).items()})
         decisions.apply_routes(routes)
 
@@ -506,18 +514,18 @@
 
 def _restore_arrivals(state: State, arrivals: RequestAdmission) -> list[str]:
     not_comparable = []
-    tables, carried = _bucket_tables(arrivals), state.get("door", {})
-    if tables and carried is None:
+    tables, stored = _bucket_tables(arrivals), state.get("door", {})
+    if tables and stored is None:
         not_comparable.append(
-            "what was decided on arriving requests, as the door's table was too large to carry"
+            "admission decisions, as the admission limits had too many client addresses to store"
         )
-    for name in tables.keys() & (carried or {}).keys():  # a table that is new now starts empty
-        tables[name].started_at, full_at = carried[name]
+    for name in tables.keys() & (stored or {}).keys():  # other tables start empty
+        tables[name].started_at, full_at = stored[name]
         tables[name].full_at = OrderedDict((a, t) for a, t in full_at)
     if arrivals.fault_injector is not None and "drills" in state:
-        random, running, arrivals.fault_injector.stopped = state["drills"]
+        random, active, arrivals.fault_injector.stopped = state["drills"]
         restore_random(arrivals.fault_injector.random, random)
-        orders = [(until, msgspec.convert(order, FaultOrder)) for until, order in running]
+        orders = [(until, msgspec.convert(order, FaultOrder)) for until, order in active]
         arrivals.fault_injector.active = {order.job_class: (until, order) for until, order in orders}
-        arrivals.fault_injector.applied = dict.fromkeys(arrivals.fault_injector.active, 0)  # decides nothing
+        arrivals.fault_injector.applied = dict.fromkeys(arrivals.fault_injector.active, 0)  # metrics only
     return not_comparable
--- a/finchladder/features/status.py
+++ b/finchladder/features/status.py
@@ -15,9 +15,9 @@
     Ending.OVERLOADED: "returned",
     Ending.BROKEN: "lost",
     Ending.TIMED_OUT: "timed_out",
-    Ending.CANCELLED: "timed_out",  # given up, as nobody waits for it any more
+    Ending.CANCELLED: "timed_out",  # cancelled, as no client waits for the result
 }
-# where no attempt says more: by the kind of the final answer. `left`: the client did not wait for one
+# used if no attempt determines the state. `left`: the client disconnected before the answer
 STATE_BY_ANSWER_KIND = {"refused": "returned", "left": "timed_out", "failed": "failed", "served": "done"}
 
 
@@ -59,7 +59,7 @@
         self.finished.pop(id, None)
         if len(self.unfinished) + len(self.finished) >= self.max_entries:
             if not self.finished:
-                return  # all are unfinished: this one runs untracked
+                return  # all entries are of unfinished jobs
             self.finished.popitem(last=False)
         self.unfinished[id] = Entry(job_class)
 
@@ -82,7 +82,7 @@
             and (late.server, late.state) == (server, "timed_out")
             and state in REPORTED_FINAL_STATES
         ):
-            # given up, but it ended all the same: now it is known how
+            # the attempt was abandoned, but the worker reported its end later
             late.state, late.ended_at = state, now
             late.share = 1.0 if state == "done" else late.share
             self.finished.move_to_end(id)
@@ -107,7 +107,7 @@
         """Returns a job's status, or None if the id is unknown."""
         self._expire(now)
         if (e := self.unfinished.get(id)) is not None:
-            at = e.server if e.ending in (None, Ending.OK) else None  # else it waits for another one
+            at = e.server if e.ending in (None, Ending.OK) else None  # otherwise it waits for another attempt
             return StatusReply(e.state, at, e.share if at else 0.0, e.job_class)
         if (e := self.finished.get(id)) is not None:
             return StatusReply(e.state, e.server, e.share, e.job_class)
--- a/tests/core/test_guarded_replay.py
+++ b/tests/core/test_guarded_replay.py
@@ -17,7 +17,7 @@
 from finchladder.features.replay import Replay
 from finchladder.features.request_admission import RequestAdmission
 from tests.helpers import settings
-from tests.test_capture import FEATURES, SEED, TENANTS, Play
+from tests.test_capture import FEATURES, SEED, TENANTS, RecordedRun
 
 NONE = Routes()
 IDLE = Routes(Route(c, c) for c in ("safe", "unsafe", "keyed"))
@@ -56,7 +56,7 @@
 )
 
 
-class RoutePlay(Play):
+class RoutedRun(RecordedRun):
     def __init__(self, routes: Routes, ring_bytes: int = 50_000_000) -> None:
         self.later = list[Callable[[], None]]()
         super().__init__(ring_bytes=ring_bytes)
@@ -81,22 +81,22 @@
 
 
 def test_routes_without_limits_change_nothing() -> None:
-    plain = Play()
-    plain.play(1500)
+    plain = RecordedRun()
+    plain.run_steps(1500)
     for routes in (NONE, IDLE):
-        play = RoutePlay(routes)
-        play.play(1500)
-        assert play.log == plain.log
-        assert len(play.log) > 2000
+        recorded = RoutedRun(routes)
+        recorded.run_steps(1500)
+        assert recorded.log == plain.log
+        assert len(recorded.log) > 2000
 
 
-def run_with_reloads(ring_bytes: int = 50_000_000) -> RoutePlay:
-    play = RoutePlay(ROUTES, ring_bytes)
-    play.play(1200)
+def run_with_reloads(ring_bytes: int = 50_000_000) -> RoutedRun:
+    recorded = RoutedRun(ROUTES, ring_bytes)
+    recorded.run_steps(1200)
     for routes in (OTHER, ROUTES):
-        play.feed(NewRoutes(routes))  # type: ignore[arg-type]
-        play.play(900)
-    return play
+        recorded.feed(NewRoutes(routes))  # type: ignore[arg-type]
+        recorded.run_steps(900)
+    return recorded
 
 
 @pytest.mark.parametrize(("ring", "lost"), [(50_000_000, False), (300_000, True), (150_000, True)])
@@ -108,7 +108,7 @@
         same = settings(tenants=TENANTS, may_message_peers=True)
         replay = Replay(same, FEATURES, differences.append, warnings.append, routes)
         if routes is None and not lost:
-            with pytest.raises(ValueError, match="the operator's file is none in TOML"):
+            with pytest.raises(ValueError, match="routes, which need the operator's file in TOML"):
                 replay.run(data.splitlines(keepends=True))
             continue
         replay.run(data.splitlines(keepends=True))
@@ -119,8 +119,8 @@
 
 def test_a_replay_from_a_state_after_a_reload_repeats_all_decisions() -> None:
     """The state has queued jobs, backoffs, hedges, and jobs under limits of former routes."""
-    play = run_with_reloads()
-    g, tries = play.g, 0
+    recorded = run_with_reloads()
+    g, tries = recorded.g, 0
 
     def has_all_states() -> bool:
         runs = g.runs.values()
@@ -128,17 +128,17 @@
         return both and bool(g.alarms.due_at and g.gone) and len({id(r.route) for r in runs}) > 3
 
     while not (tries % 2 and has_all_states()):  # while OTHER is in force
-        play.feed(NewRoutes((OTHER, ROUTES)[tries % 2]))  # type: ignore[arg-type]
-        play.play(10)
+        recorded.feed(NewRoutes((OTHER, ROUTES)[tries % 2]))  # type: ignore[arg-type]
+        recorded.run_steps(10)
         tries += 1
         assert tries < 500
-    carried = snapshot.take(g, play.arrivals)
-    state = encode_block([{"t": play.now, "in": "state", "state": carried}])
+    carried = snapshot.take(g, recorded.arrivals)
+    state = encode_block([{"t": recorded.now, "in": "state", "state": carried}])
     assert all(scope.latency is None or scope.latency.buckets for scope in g.scopes.values())
-    states = snapshot.SnapshotWriter(play.g, play.arrivals)
-    play.capture = Capture(CaptureOptions(ring_bytes=50_000_000), SEED, states)
-    play.play(600)
-    data = [play.capture.opening_line(play.now, 1), state, *play.capture.dump(play.now)[1:]]
+    states = snapshot.SnapshotWriter(recorded.g, recorded.arrivals)
+    recorded.capture = Capture(CaptureOptions(ring_bytes=50_000_000), SEED, states)
+    recorded.run_steps(600)
+    data = [recorded.capture.opening_line(recorded.now, 1), state, *recorded.capture.dump(recorded.now)[1:]]
     differences, warnings = list[str](), list[str]()
     replay = Replay(
         settings(tenants=TENANTS, may_message_peers=True),
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -1,4 +1,4 @@
-"""Capture and replay: a long play with times handed in, the ring's bounds, broken files, the command line."""
+"""Capture and replay: long runs with given times, bounds of the ring, damaged files, the command line."""
 
 import asyncio
 import json
@@ -57,7 +57,7 @@
     "endpoint_list",
     "tenants",
 )
-DERIVED = {  # from the settings, from the records, or of one event
+DERIVED = {  # derived from the settings or the records, or valid for one event only
     "endpoint_list.estimates",
     "endpoint_list.state",
     "estimates.state",
@@ -91,8 +91,8 @@
 }
 
 
-class Play(Bench):
-    """A day with trouble of every kind, all of it recorded."""
+class RecordedRun(Bench):
+    """Random requests, attempt outcomes and list changes, all of them recorded."""
 
     def __init__(self, sink: Sink | None = None, options: Options = FEATURES, **of_capture: Any) -> None:
         super().__init__()
@@ -117,7 +117,7 @@
                 self.sent[a.request] += 1
         return actions
 
-    def play(self, steps: int) -> None:
+    def run_steps(self, steps: int) -> None:
         pick, names = self.chance, [f"w{i}" for i in range(8)]
         self.feed(api.WorkerList(api.ListKind.FULL, tuple(entry(n) for n in names)))
         for step in range(steps):
@@ -165,62 +165,64 @@
 def replayed(
     data: bytes, options: Options = FEATURES, **changes: object
 ) -> tuple[list[str], list[str], Replay]:
-    said, warned = list[str](), list[str]()
+    differences, warnings = list[str](), list[str]()
     replay = Replay(
         settings(**({"tenants": TENANTS, "may_message_peers": True} | changes)),
         options,
-        said.append,
-        warned.append,
+        differences.append,
+        warnings.append,
     )
     replay.run(data.splitlines(keepends=True))
-    return said, warned, replay
+    return differences, warnings, replay
 
 
 @pytest.mark.parametrize(("ring", "lost"), [(50_000_000, False), (200_000, True), (70_000, True)])
-def test_a_play_is_decided_alike_in_a_replay_also_from_a_ring_that_lost_its_start(
+def test_a_replay_makes_the_recorded_decisions_also_without_the_start_of_the_capture(
     ring: int, lost: bool
 ) -> None:
-    """Not from the seed then, but from the state that stands where the ring begins."""
-    play = Play(ring_bytes=ring)
-    play.play(5800)  # so long that a job of each class is open where the ring begins
-    data = play.dumped()
+    """Without the start, the replay begins with the snapshot at the start of the ring."""
+    recorded = RecordedRun(ring_bytes=ring)
+    recorded.run_steps(5800)  # long enough that the snapshot has a job of each class
+    data = recorded.dumped()
     opening = json.loads(data.partition(b"\n")[0])
     assert (opening["seed"], opening["lost"] > 0) == (SEED, lost)
     assert len(data) <= ring
-    said, warned, replay = replayed(data)
-    assert (said, warned) == ([], [])
+    differences, warnings, replay = replayed(data)
+    assert (differences, warnings) == ([], [])
     assert replay.compared > (100 if lost else 10_000)
-    assert opening["lost"] + replay.inputs == play.capture.inputs
+    assert opening["lost"] + replay.inputs == recorded.capture.inputs
     assert replayed(data, max_attempts=1)[0]
-    if lost:  # the state holds jobs of that class
-        with pytest.raises(ValueError, match="line 2: it holds a job of class 'keyed'"):
+    if lost:  # the snapshot has jobs of that class
+        with pytest.raises(ValueError, match="line 2: the state has a job of class 'keyed'"):
             replayed(data, classes=settings().classes[:2])
     else:
         assert any("KeyError" in line for line in replayed(data, classes=settings().classes[:2])[0])
     assert replayed(data, Options(door=DoorOptions(rate=1, burst=1), drill=DrillOptions("k")))[0]
 
 
-def test_every_field_of_the_decisions_is_carried() -> None:
-    """The state taken from what was restored is the same again, to the last digit."""
-    play = Play()
-    play.play(4000)
-    state = snapshot.take(play.d, play.arrivals)
+def test_a_restored_state_gives_the_same_snapshot() -> None:
+    """Guards against fields that are stored or restored incompletely or with fewer digits."""
+    recorded = RecordedRun()
+    recorded.run_steps(4000)
+    state = snapshot.take(recorded.d, recorded.arrivals)
     text = msgspec.json.encode(state)
-    assert play.d.jobs
-    assert play.d.state.health.ejected
-    assert play.d.state.key_frequency
+    assert recorded.d.jobs
+    assert recorded.d.state.health.ejected
+    assert recorded.d.state.key_frequency
     assert state["door"]
     assert state["drills"]
-    other, arrivals = Dispatcher(play.d.settings, 5), RequestAdmission(FEATURES, 5)
+    other, arrivals = Dispatcher(recorded.d.settings, 5), RequestAdmission(FEATURES, 5)
     assert snapshot.restore(msgspec.json.decode(text), other, arrivals) == []
     assert msgspec.json.encode(snapshot.take(other, arrivals)) == text
-    plain = [{n: v for n, v in attributes(d).items() if isinstance(v, int | float)} for d in (other, play.d)]
+    plain = [
+        {n: v for n, v in attributes(d).items() if isinstance(v, int | float)} for d in (other, recorded.d)
+    ]
     assert plain[0] == plain[1]
     assert plain[0].keys() >= {"rules.retry_tokens", "outcomes.full_share", "estimates.warm_rate"}
 
 
 def attributes(dispatcher: Dispatcher) -> dict[str, Any]:
-    """All attributes of the dispatcher and its parts, by their paths."""
+    """Returns all attributes of the dispatcher and its parts by path."""
     found = vars(dispatcher).copy()
     for name in PARTS_OF_DISPATCHER:
         found |= {f"{name}.{field}": value for field, value in vars(found.pop(name)).items()}
@@ -228,7 +230,7 @@
 
 
 def test_each_attribute_of_a_dispatcher_is_stored_or_derived() -> None:
-    """One that is new must be put into one of the two tables."""
+    """A new attribute must be added to DISPATCHER_FIELDS or to DERIVED."""
     stored = set(snapshot.DISPATCHER_FIELDS.values())
     assert attributes(Dispatcher(settings(), 1)).keys() == stored | DERIVED
     assert not stored & DERIVED
@@ -236,29 +238,29 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_state_written_in_slices_is_that_of_its_first_moment(
+def test_a_snapshot_in_steps_has_the_state_at_its_beginning(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Whatever is decided between the slices; and where it is left half written, nothing is left behind."""
+    """Decisions between the steps don't change it; a discarded snapshot leaves no tracked records."""
     monkeypatch.setattr(snapshot, "RECORDS_PER_STEP", 1)
     monkeypatch.setattr(snapshot, "ITEMS_PER_STEP", 3)
     monkeypatch.setattr(snapshot, "CONTAINERS_PER_STEP", 1)
     random, arrivals = Random(seed), RequestAdmission(FEATURES, 1)
-    day = History(random, 25, Dispatcher(HISTORY_SETTINGS, 5))
-    day.begin()
-    taking = snapshot.SnapshotWriter(day.dispatchers[0], arrivals)
+    history = History(random, 25, Dispatcher(HISTORY_SETTINGS, 5))
+    history.begin()
+    taking = snapshot.SnapshotWriter(history.dispatchers[0], arrivals)
     for n in range(25):
         for _ in range(random.randrange(60)):
-            day.step()
-        expected = snapshot.take(day.dispatchers[0], arrivals)
+            history.step()
+        expected = snapshot.take(history.dispatchers[0], arrivals)
         taking.begin()
         while (state := taking.step()) is None:
             if random.random() < 0.7:
-                day.step()
+                history.step()
             if n % 5 == 4 and random.random() < 0.1:
                 taking.discard()
                 break
-        d = day.dispatchers[0]
+        d = history.dispatchers[0]
         assert {type(record) for record in [*d.workers.values(), *d.jobs.values()]} <= {Worker, Job}
         if state is not None:
             assert canonical(msgspec.json.decode(state)) == canonical(expected)
@@ -268,7 +270,7 @@
 
 
 def canonical(state: Any) -> Any:
-    """With the records numbered in the order in which they are referred to."""
+    """Returns the state with the records numbered in the order of their first reference."""
     order, rows = dict[int, int](), list[Any]()
 
     def renumbered(value: Any) -> Any:
@@ -284,61 +286,61 @@
     return [fields, rows, len(state["records"])]
 
 
-def test_a_field_that_is_changed_in_place_must_be_watched(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_container_field_missing_from_mutable_fields_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setitem(snapshot.MUTABLE_FIELDS, Worker, ("fetched_keys",))
-    play = Play()
+    recorded = RecordedRun()
     with pytest.raises(snapshot.StateError, match="Worker.unstarted"):
-        play.play(5000)
+        recorded.run_steps(5000)
 
 
-def test_what_comes_while_a_state_is_written_stands_behind_it_in_ring_and_file(
+def test_inputs_during_a_snapshot_follow_it_in_ring_and_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Steps are taken between inputs here, as a loop would."""
+    """The steps run between inputs, as on an event loop."""
     monkeypatch.setattr(snapshot, "RECORDS_PER_STEP", 2)
     disk = CaptureFiles(str(tmp_path), "n", 1, 50, 100_000_000)
-    play, later = Play(disk, file_bytes=200_000, ring_bytes=200_000), list[Callable[[], None]]()
-    play.capture.schedule = later.append
+    recorded, later = RecordedRun(disk, file_bytes=200_000, ring_bytes=200_000), list[Callable[[], None]]()
+    recorded.capture.schedule = later.append
     disk.start()
     most = 0
     for _ in range(2500):
-        play.play(3)
+        recorded.run_steps(3)
         for work in [later.pop() for _ in later[:1]]:
             work()
-        most = max(most, len(play.capture.pending.blocks_since) if play.capture.pending else 0)
+        most = max(most, len(recorded.capture.pending.blocks_since) if recorded.capture.pending else 0)
     disk.close()
     disk.join()
     assert most > 5
-    assert play.capture.ring.lost
-    data = play.dumped()
+    assert recorded.capture.ring.lost
+    data = recorded.dumped()
     assert json.loads(data.partition(b"\n")[0])["lost"]
     assert replayed(data)[:2] == ([], [])
     files = sorted(tmp_path.glob("*.jsonl"))
     assert len(files) > 5
     for file in files:
         assert replayed(file.read_bytes())[:2] == ([], [])
-    play.capture.record_gap()
-    assert play.capture.pending is None
-
-
-def test_a_state_that_cant_be_carried_is_said_and_prints_no_false_differences() -> None:
-    play = Play(options=Options(door=DoorOptions(max_keys=2000)), ring_bytes=100_000)
-    for n in range(1500):  # more addresses than are carried
-        play.arrivals.admit(play.now, f"10.1.{n // 250}.{n % 250}", f"a{n}", "safe", 1.0)
-    play.play(1500)
-    said, warned, replay = replayed(play.dumped(), Options(door=DoorOptions(max_keys=2000)))
-    assert said == []
-    assert "door's table was too large" in warned[0]
+    recorded.capture.record_gap()
+    assert recorded.capture.pending is None
+
+
+def test_a_state_that_cannot_be_stored_is_reported_without_false_differences() -> None:
+    recorded = RecordedRun(options=Options(door=DoorOptions(max_keys=2000)), ring_bytes=100_000)
+    for n in range(1500):  # more addresses than are stored
+        recorded.arrivals.admit(recorded.now, f"10.1.{n // 250}.{n % 250}", f"a{n}", "safe", 1.0)
+    recorded.run_steps(1500)
+    differences, warnings, replay = replayed(recorded.dumped(), Options(door=DoorOptions(max_keys=2000)))
+    assert differences == []
+    assert "too many client addresses" in warnings[0]
     assert replay.compared > 100
-    small = Play(ring_bytes=2000)  # too small for a state
-    small.play(500)
+    small = RecordedRun(ring_bytes=2000)  # too small for a snapshot
+    small.run_steps(500)
     assert len(small.dumped()) <= 2000
-    said, warned, replay = replayed(small.dumped())
-    assert (said, replay.compared) == ([], 0)
-    assert "none of its decisions can be compared" in warned[-1]
+    differences, warnings, replay = replayed(small.dumped())
+    assert (differences, replay.compared) == ([], 0)
+    assert "none of its decisions can be compared" in warnings[-1]
 
 
-def test_the_ring_counts_its_bytes_and_drops_the_oldest() -> None:
+def test_the_ring_counts_its_bytes_and_drops_the_oldest_segments() -> None:
     ring = Ring(OPENING_LINE_BYTES + 800)
     for n in range(1000):
         ring.add(b"%05d\n" % n)
@@ -351,14 +353,14 @@
         assert lost + sum(len(x) == 6 for x in lines) == n + 1
         assert n < 130 or size >= 800 * (SEGMENTS_PER_RING - 2) // SEGMENTS_PER_RING
         assert not lost or lines[0] == b"state %05d\n" % (lost - 1)
-    ring.record_gap()  # what was missed leads nowhere
+    ring.record_gap()  # blocks before a missed input can't be replayed up to the present
     assert ring.content() == (1001, [])
     ring.add(b"x" * 900)
     assert ring.size == 0
     assert ring.needs_snapshot()
 
 
-def test_what_can_be_recorded_comes_back_as_it_was_given() -> None:
+def test_recorded_events_are_decoded_to_equal_events() -> None:
     t = 1764585417.1234567
     cases: list[tuple[api.Event, Any]] = [
         (api.Request("a", "u", 3.999871015548706, 2.0, 64089261806754544, "t", 0.5, 0.1), RequestIn),
@@ -374,12 +376,14 @@
 
 
 def short_capture() -> list[bytes]:
-    play = Play()
-    play.play(40)
-    return play.dumped().splitlines(keepends=True)
+    recorded = RecordedRun()
+    recorded.run_steps(40)
+    return recorded.dumped().splitlines(keepends=True)
 
 
-CUTS: list[tuple[str, Callable[[list[bytes]], list[bytes]], str]] = [  # what it is, and a word of the error
+CUTS: list[
+    tuple[str, Callable[[list[bytes]], list[bytes]], str]
+] = [  # name, change of the lines, part of the error message
     ("cut", lambda x: [*x[:-1], x[-1][:-9]], ""),
     ("cut between lines", lambda x: x[: next(n for n, y in enumerate(x) if b'"out"' in y)], ""),
     ("no line end", lambda x: [*x[:-1], x[-1][:-1]], ""),
@@ -391,14 +395,14 @@
     ("lacking", lambda x: [*x[:9], b'{"t":1,"in":"request","id":"a"}\n', *x[10:]], "line 10: "),
     ("no state", lambda x: [*x[:9], b'{"t":1,"in":"event","id":"a","state":"","attempt":0}\n'], "line 10: "),
     ("an empty line", lambda x: [*x[:9], b"\n", *x[10:]], "line 10: "),
-    ("no opening", lambda x: x[1:], "line 1: a capture begins with its seed"),
+    ("no opening", lambda x: x[1:], "line 1: the first line must have the seed"),
     ("a decision first", lambda x: [x[0], b'{"t":1,"out":"fail","id":"a"}\n'], "line 2: "),
     ("empty", lambda x: [], "empty"),
 ]
 
 
 @pytest.mark.parametrize(("change", "error"), [c[1:] for c in CUTS], ids=[c[0] for c in CUTS])
-def test_a_cut_last_line_is_a_warning_and_any_other_broken_line_an_error(
+def test_a_truncated_last_line_is_a_warning_and_any_other_malformed_line_an_error(
     change: Callable[[list[bytes]], list[bytes]], error: str
 ) -> None:
     data = b"".join(change(short_capture()))
@@ -406,22 +410,22 @@
         with pytest.raises(ValueError, match=error):
             replayed(data)
     else:
-        said, warned, _ = replayed(data)
-        assert said == []
-        assert len(warned) == 1 or data.endswith(b"}")
+        differences, warnings, _ = replayed(data)
+        assert differences == []
+        assert len(warnings) == 1 or data.endswith(b"}")
 
 
-def test_files_of_bounded_size_each_replay_alone_and_the_newest_stay(tmp_path: Path) -> None:
+def test_files_are_bounded_and_replay_separately_and_the_newest_are_kept(tmp_path: Path) -> None:
     def files() -> list[Path]:
         return sorted(tmp_path.glob("capture-n_1-*.jsonl"))
 
     foreign = tmp_path / "capture-n_1-x-0000000000001-000001.jsonl"
     foreign.write_text("another dispatcher's")
-    for start in (1, 2):  # the second start goes on from what the first left
+    for start in (1, 2):  # the second process finds the files of the first
         disk = CaptureFiles(str(tmp_path), "n/1", start, 3, 100_000_000)
-        play = Play(disk, file_bytes=60_000)
+        recorded = RecordedRun(disk, file_bytes=60_000)
         disk.start()
-        play.play(3000)
+        recorded.run_steps(3000)
         disk.close()
         disk.join()
         own = [f for f in files() if f != foreign]
@@ -430,15 +434,15 @@
         compared = 0
         for file in own:
             assert file.stat().st_size <= 60_000
-            said, warned, replay = replayed(file.read_bytes())
-            assert (said, warned) == ([], [])
+            differences, warnings, replay = replayed(file.read_bytes())
+            assert (differences, warnings) == ([], [])
             compared += replay.compared
         assert compared > 300
-        assert replayed(b"".join(f.read_bytes() for f in own))[0] == []  # and one after the other
+        assert replayed(b"".join(f.read_bytes() for f in own))[0] == []  # also concatenated
     assert foreign.exists()
 
 
-def test_a_disk_that_fails_or_hangs_loses_files_and_nothing_else(tmp_path: Path) -> None:
+def test_a_failing_or_hanging_disk_affects_only_the_files(tmp_path: Path) -> None:
     class Flaky:
         ok, opened, blocks = True, 0, list[bytes]()
 
@@ -452,18 +456,18 @@
             return self.ok
 
     disk = Flaky()
-    play = Play(disk, file_bytes=50_000_000)  # so that no file is ended for its size
-    play.play(100)
+    recorded = RecordedRun(disk, file_bytes=50_000_000)  # so large that no file ends because of its size
+    recorded.run_steps(100)
     disk.ok = False
-    play.play(100)
+    recorded.run_steps(100)
     disk.ok = True
-    play.play(2000)
-    assert disk.opened > 1  # a gap can't be replayed over, so a new file begins with the state
-    said, warned, replay = replayed(b"".join(disk.blocks))
-    assert (said, warned) == ([], [])
+    recorded.run_steps(2000)
+    assert disk.opened > 1  # no replay can continue after a gap, so a new file begins with a snapshot
+    differences, warnings, replay = replayed(b"".join(disk.blocks))
+    assert (differences, warnings) == ([], [])
     assert replay.compared > 100
-    assert replayed(play.dumped())[:2] == ([], [])  # the ring missed nothing
-    # nothing reads what waits for a disk that hangs: it is bounded, and no call waits
+    assert replayed(recorded.dumped())[:2] == ([], [])  # the ring missed nothing
+    # data queued for a hanging disk is bounded, and no call blocks
     hanging = CaptureFiles(str(tmp_path), "n", 1, 3, 1000)
     assert [hanging.write(b"x" * 400) for _ in range(4)] == [True, True, False, False]
     blocked = tmp_path / "file"
@@ -477,13 +481,13 @@
     assert not failing.write(b"x")
 
 
-def test_what_cant_be_recorded_is_a_gap_and_harms_nobody() -> None:
-    play = Play()
-    recorder = CaptureRecorder(play.capture)
-    play.play(50)
-    recorder.record_event(play.now, api.HealthChecked("w", E.OK, 0.1), [])  # has no line
-    play.play(2000)
-    data = play.dumped()
+def test_an_event_that_cannot_be_recorded_is_a_gap_and_raises_no_error() -> None:
+    recorded = RecordedRun()
+    recorder = CaptureRecorder(recorded.capture)
+    recorded.run_steps(50)
+    recorder.record_event(recorded.now, api.HealthChecked("w", E.OK, 0.1), [])  # has no encoding
+    recorded.run_steps(2000)
+    data = recorded.dumped()
     assert json.loads(data.partition(b"\n")[0])["lost"] > 50
     assert replayed(data)[:2] == ([], [])
 
@@ -501,12 +505,12 @@
     return process.returncode or 0, out, err.decode()
 
 
-def test_a_run_is_dumped_and_replayed_without_differences_until_the_configuration_changes(
+def test_a_dump_replays_without_differences_unless_the_configuration_changes(
     tmp_path: Path,
 ) -> None:
-    """The check of the operators, from the command line; no body of a request or result is recorded."""
+    """Runs the commands of the operators' check; bodies of requests and results aren't recorded."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         servers = [RealServer("w1"), RealServer("w2", turn_away), RealServer("w3")]
         ini = f"[capture]\nring_bytes = 8000000\nfolder = {tmp_path / 'files'}\n"
         ini += "[door.s]\nrate = 0.01\nburst = 30\n"
@@ -546,16 +550,16 @@
             assert await n.process.wait() == 0
             [file] = (tmp_path / "files").iterdir()
             assert (await command(n, "replay", str(file), *operator))[0] == 0
-            assert (await command(n, "capture", "dump"))[0] == 1  # nobody answers
+            assert (await command(n, "capture", "dump"))[0] == 1  # no dispatcher is running
 
-    run(play())
+    run(scenario())
 
 
-def test_the_ring_is_dumped_in_bounded_pieces_to_one_reader_at_a_time() -> None:
-    """What is being sent is held until it is sent, though the ring goes on: a second would be held too."""
-    play = Play()
-    play.play(2000)
-    controls = ControlCalls(Clock(), set(), FEATURES, None, play.arrivals, play.capture)
+def test_the_ring_is_dumped_in_bounded_chunks_to_one_reader_at_a_time() -> None:
+    """A dump keeps its data in memory until it is sent, so a second one at the same time is rejected."""
+    recorded = RecordedRun()
+    recorded.run_steps(2000)
+    controls = ControlCalls(Clock(), set(), FEATURES, None, recorded.arrivals, recorded.capture)
     head = Head(1, Headers([]), "GET", "/_capture")
     first, second = controls.answer(head, b""), controls.answer(head, b"")
     assert first
@@ -572,8 +576,8 @@
     assert again.dump
 
 
-def test_a_reader_that_leaves_halfway_holds_nothing(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_dump_is_released_when_its_reader_disconnects(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with node(tmp_path, RealServer("w1"), ini="[capture]\n") as n:
             dump = b"GET /_capture HTTP/1.1\r\n\r\n"
             for _ in range(3):
@@ -583,4 +587,4 @@
             while (await exchange(n.port, dump)).status != 200:
                 await asyncio.sleep(0.02)
 
-    run(play())
+    run(scenario())
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -29,10 +29,10 @@
 INI = f"[drill]\nkey = {KEY}\n[status]\n"
 
 
-def drilled(**order: float) -> FaultInjector:
-    drills = FaultInjector(1)
-    drills.start(0.0, msgspec.convert({"class": "u", "for_s": 10} | order, FaultOrder))
-    return drills
+def injector_with(**order: float) -> FaultInjector:
+    injector = FaultInjector(1)
+    injector.start(0.0, msgspec.convert({"class": "u", "for_s": 10} | order, FaultOrder))
+    return injector
 
 
 @pytest.mark.parametrize(
@@ -40,7 +40,7 @@
     [
         ({"share": 0.1, "delay_ms": 2000, "abort_share": 0.02}, 0.02, 0.1),
         ({"share": 1.0, "delay_ms": 2000, "abort_share": 0.3}, 0.3, 0.7),
-        ({"share": 0.4}, 0.4, 0.0),  # nothing else to do to them
+        ({"share": 0.4}, 0.4, 0.0),  # without a delay, `share` is aborted
         ({"share": 0.4, "abort_share": 0.1}, 0.1, 0.0),
         ({"share": 0.4, "delay_ms": 2000}, 0.0, 0.4),
         ({"share": 0.0}, 0.0, 0.0),
@@ -49,33 +49,33 @@
 def test_both_shares_are_of_all_requests_of_the_class(
     order: dict[str, float], aborted: float, held: float
 ) -> None:
-    drills = drilled(**order)
-    got = [drills.apply(1.0, "u", 5.0) for _ in range(4000)]
+    injector = injector_with(**order)
+    got = [injector.apply(1.0, "u", 5.0) for _ in range(4000)]
     assert got.count(InjectedFault(abort=True)) / 4000 == pytest.approx(aborted, abs=0.03)
     assert got.count(InjectedFault(delay_s=2.0)) / 4000 == pytest.approx(held, abs=0.03)
-    assert drills.applied == {"u": 4000 - got.count(None)}
-    assert drills.apply(1.0, "s", 5.0) is None
-    again = drilled(**order)
+    assert injector.applied == {"u": 4000 - got.count(None)}
+    assert injector.apply(1.0, "s", 5.0) is None
+    again = injector_with(**order)
     assert got == [again.apply(1.0, "u", 5.0) for _ in range(4000)]  # the seed decides the draws
 
 
-def test_a_drill_ends_at_its_time_and_a_second_one_replaces_the_first() -> None:
-    drills = drilled(share=1.0)
-    assert drills.apply(9.9, "u", 5.0)
-    assert not drills.apply(10.0, "u", 5.0)
-    assert not drills.active
-    drills = drilled(share=1.0)
-    drills.start(5.0, FaultOrder("u", 1.0, 2.0, delay_ms=100))
-    assert drills.apply(6.9, "u", 5.0) == InjectedFault(delay_s=0.1)
-    assert drills.apply(7.0, "u", 5.0) is None
-    drills.stop()  # the dispatcher leaves: none begins any more
-    drills.start(8.0, FaultOrder("u", 1.0, 2.0))
-    assert drills.apply(8.1, "u", 5.0) is None
+def test_an_injection_ends_at_its_time_and_a_second_one_replaces_the_first() -> None:
+    injector = injector_with(share=1.0)
+    assert injector.apply(9.9, "u", 5.0)
+    assert not injector.apply(10.0, "u", 5.0)
+    assert not injector.active
+    injector = injector_with(share=1.0)
+    injector.start(5.0, FaultOrder("u", 1.0, 2.0, delay_ms=100))
+    assert injector.apply(6.9, "u", 5.0) == InjectedFault(delay_s=0.1)
+    assert injector.apply(7.0, "u", 5.0) is None
+    injector.stop()  # as at a graceful shutdown: no injection starts any more
+    injector.start(8.0, FaultOrder("u", 1.0, 2.0))
+    assert injector.apply(8.1, "u", 5.0) is None
 
 
 @pytest.mark.parametrize(("patience", "hold"), [(2.04, 1.99), (1.0, 0.95), (0.02, 0.01)])
-def test_a_delay_never_outlives_the_clients_time(patience: float, hold: float) -> None:
-    effect = drilled(share=1.0, delay_ms=2000).apply(0.0, "u", patience)
+def test_a_delay_ends_before_the_clients_timeout(patience: float, hold: float) -> None:
+    effect = injector_with(share=1.0, delay_ms=2000).apply(0.0, "u", patience)
     assert effect is not None
     assert effect.abort
     assert effect.delay_s == pytest.approx(hold)
@@ -89,10 +89,10 @@
 
 
 @pytest.mark.parametrize(("ini", "status"), [("", 404), ("[drill]\n", 200)])
-def test_without_a_key_drills_are_refused(tmp_path: Path, ini: str, status: int) -> None:
-    """And without the sections nothing else is new."""
+def test_without_a_key_fault_injection_is_rejected(tmp_path: Path, ini: str, status: int) -> None:
+    """Without the sections the other calls of these features don't exist either."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = RealServer("w1")
         async with node(tmp_path, server, ini=ini) as n:
             assert (await exchange(n.port, post(GOOD, ""))).status == 403
@@ -103,7 +103,7 @@
                 assert (answer.status, answer.body) == (404, b"no such class\n")
             assert (await n.ask("a1", "/u/k")).status == 200
 
-    run(play())
+    run(scenario())
 
 
 async def command(n: Node, *args: str, key: str = KEY) -> tuple[int, str, str]:
@@ -118,10 +118,10 @@
     return process.returncode or 0, out.decode(), err.decode()
 
 
-def test_a_drill_from_the_command_line_aborts_logs_counts_and_ends(tmp_path: Path) -> None:
-    """The check of the operators."""
+def test_an_injection_from_the_command_line_aborts_logs_counts_and_ends(tmp_path: Path) -> None:
+    """Runs the operators' check of fault injection."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = RealServer("w1")
         async with node(tmp_path, server, ini=INI) as n:
             drill = ("--class", "u", "--share", "1.0", "--for-s")
@@ -155,11 +155,11 @@
                 await asyncio.sleep(0.02)
             assert answer.body.startswith(b"w1 ran b")
 
-    run(play())
+    run(scenario())
 
 
-def test_a_delayed_job_goes_on_in_its_time_or_frees_its_flow(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_delayed_job_is_dispatched_after_the_delay_or_released_with_its_client(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = RealServer("w1")
         async with node(tmp_path, server, ini=INI) as n:
 
@@ -183,13 +183,13 @@
             await wait_for("a3", "timed_out")
             late = asyncio.create_task(n.ask("a4", "/u/k", left="600"))
             await wait_for("a4", "waiting")
-            n.process.send_signal(signal.SIGTERM)  # no drill keeps a job back from a dispatcher that leaves
+            n.process.send_signal(signal.SIGTERM)  # a graceful shutdown ends all delays
             assert (await late).body == b"w1 ran a4"
             assert await n.process.wait() == 0
             assert [m.id for m in server.got] == ["a1", "a4"]
             assert (tmp_path / "log").read_text().count("drill=delay class=u") == 4
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -210,7 +210,7 @@
         )
     ],
 )
-def test_an_unusable_order_is_refused(body: bytes) -> None:
+def test_an_invalid_order_is_rejected(body: bytes) -> None:
     options = Options(drill=DrillOptions(KEY))
     arrivals = RequestAdmission(options, 1)
     controls = ControlCalls(Clock(), {"u"}, options, None, arrivals, None)
@@ -220,8 +220,8 @@
     assert (e.value.status, arrivals.fault_injector.active) == (400, {})
 
 
-def test_nothing_is_held_of_a_flow_whose_client_has_left() -> None:
-    async def play() -> None:
+def test_a_delayed_flow_is_released_when_its_client_disconnects() -> None:
+    async def scenario() -> None:
         flows = FlowTable()
         module, seen = DecisionActor(Dispatcher(settings(), 1), flows, Clock()), list[object]()
         module.submit = seen.append  # type: ignore[assignment]
@@ -237,4 +237,4 @@
         assert not intake.delayed_flows
         assert not flows.by_id
 
-    run(play())
+    run(scenario())
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log: today's text, or one JSON object a line with what was bound to it."""
+"""The log: text, or one JSON object a line with its bound fields."""
 
 import io
 import json
@@ -19,14 +19,14 @@
 
 
 @pytest.fixture(autouse=True)
-def _log_as_before() -> Iterator[None]:
+def _restore_logger() -> Iterator[None]:
     yield
     logger.remove()
     logger.configure(extra={})
 
 
 async def _logged(tmp_path: Path, *args: str) -> list[str]:
-    """Of a run with a drill that aborts one job, and a call-back that says nothing known."""
+    """Returns the log of a run with a fault injection that aborts one job."""
     server = RealServer("w1")
     async with node(tmp_path, server, ini="[drill]\nkey = k\n", args=args) as n:
         more = "X-Drill-Key: k\r\n"
@@ -38,7 +38,7 @@
 
 
 def test_json_is_one_object_a_line_with_its_fields(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         records = [json.loads(line)["record"] for line in await _logged(tmp_path, "--log-format", "json")]
         assert {r["extra"]["node"] for r in records} == {"n1"}
         [drill] = [r for r in records if "drill" in r["extra"]]
@@ -46,19 +46,19 @@
         assert (drill["message"], drill["level"]["name"]) == ("drill=abort class=u id=a1 hold=0", "INFO")
         assert records[-1]["message"] == "n1: left"
 
-    run(play())
+    run(scenario())
 
 
-def test_text_is_the_default_and_shows_nothing_more(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_text_is_the_default_and_has_no_bound_fields(tmp_path: Path) -> None:
+    async def scenario() -> None:
         lines = await _logged(tmp_path)
         assert all(TEXT.fullmatch(line) for line in lines)
         assert sum(line.endswith(" - drill=abort class=u id=a1 hold=0") for line in lines) == 1
 
-    run(play())
+    run(scenario())
 
 
-def test_a_trace_stays_on_its_line_and_other_libraries_log_alike() -> None:
+def test_a_traceback_stays_on_its_line_and_other_libraries_use_the_same_format() -> None:
     out = io.StringIO()
     log_to(out, "n1", "json")
     try:
@@ -83,12 +83,12 @@
         (["--log-format", "json", "serve", "--log-format", "text"], "text"),
     ],
 )
-def test_the_format_may_be_named_before_the_command_or_after_it(args: list[str], log_format: str) -> None:
+def test_the_log_format_option_may_precede_or_follow_the_command(args: list[str], log_format: str) -> None:
     assert front.parse(args)[1].log_format == log_format
 
 
 @pytest.mark.parametrize("args", [["--log-format", "xml"], ["--log-format", "json", "replay", "f"]])
-def test_a_format_that_cant_be_used(args: list[str], capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_invalid_log_format_is_rejected(args: list[str], capsys: pytest.CaptureFixture[str]) -> None:
     with pytest.raises(SystemExit) as e:
         front.parse(args)
     assert e.value.code == 2
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -1,4 +1,4 @@
-"""Job status: the table with times handed in, and the call on real sockets."""
+"""Job status: the table with given times, and the call on real sockets."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
     ("record_report", 1.0, "a", "w1", "started", 0.0),
     ("record_report", 1.0, "a", "w1", "running", 0.4),
 ]
-CASES = [  # the steps of one job, and what is shown after them: state, server, share
+CASES = [  # the steps of one job, and the status after them: state, server, share
     (FIRST, ("waiting", None, 0.0)),
     (SENT, ("waiting", "w1", 0.0)),
     (RUNS[:3], ("started", "w1", 0.0)),
@@ -26,7 +26,7 @@
     (
         [*RUNS, ("record_report", 1.0, "a", "w1", "started", 0.0)],
         ("running", "w1", 0.4),
-    ),  # call-backs may overtake
+    ),  # callbacks may arrive out of order
     ([*RUNS, ("record_report", 1.0, "a", "w2", "running", 0.9)], ("running", "w1", 0.4)),
     ([*RUNS, ("record_attempt_end", "a", "w1", E.BROKEN)], ("waiting", None, 0.0)),  # a retry may follow
     (
@@ -61,7 +61,7 @@
         [*RUNS, ("record_attempt_end", "a", "w1", E.TIMED_OUT), ("record_answer", 2.0, "a", "failed")],
         ("timed_out", "w1", 0.4),
     ),
-    # the client's leaving is no end while an attempt is out: what it comes to is shown
+    # a disconnected client doesn't end an attempt: its outcome is shown
     (
         [*RUNS, ("record_attempt_end", "a", "w1", E.OK), ("record_answer", 2.0, "a", "left")],
         ("done", "w1", 1.0),
@@ -71,7 +71,7 @@
         ("timed_out", "w1", 0.4),
     ),
     ([*FIRST, ("record_answer", 2.0, "a", "left")], ("timed_out", None, 0.0)),
-    # an answer before any send: refused shows as handed back unstarted
+    # an answer before any attempt: a rejected job is shown as returned
     ([*FIRST, ("record_answer", 2.0, "a", "refused")], ("returned", None, 0.0)),
     ([*FIRST, ("record_answer", 2.0, "a", "failed")], ("failed", None, 0.0)),
 ]
@@ -85,17 +85,17 @@
 
 
 @pytest.mark.parametrize(("steps", "shown"), CASES)
-def test_what_is_shown_follows_the_job(
+def test_the_status_follows_the_job(
     steps: list[tuple[object, ...]], shown: tuple[str, str | None, float]
 ) -> None:
     assert played(steps).get(2.0, "a") == StatusReply(*shown, job_class="u")
 
 
 @pytest.mark.parametrize("state", ["done", "failed", "lost"])
-def test_a_job_given_up_that_ends_all_the_same_shows_how(state: str) -> None:
+def test_an_abandoned_job_shows_the_end_that_its_worker_reports_later(state: str) -> None:
     given_up = [*RUNS, ("record_attempt_end", "a", "w1", E.CANCELLED), ("record_answer", 2.0, "a", "left")]
     table = played([*given_up, ("record_report", 3.0, "a", "w2", state, 0.0)])
-    assert table.get(3.0, "a") == StatusReply("timed_out", "w1", 0.4, "u")  # not the one that has it
+    assert table.get(3.0, "a") == StatusReply("timed_out", "w1", 0.4, "u")  # a report of another worker
     table.record_report(3.0, "a", "w1", state, 0.0)
     shown = table.get(62.9, "a")
     assert shown is not None
@@ -103,14 +103,14 @@
     assert table.get(63.0, "a") is None
 
 
-def test_an_entry_is_kept_from_its_end_on_and_not_from_its_start() -> None:
+def test_the_retention_time_starts_at_the_end_of_the_job() -> None:
     table = played([*FIRST, ("record_answer", 500.0, "a", "refused")], retain_ms=1000)
     assert table.get(500.9, "a")
     assert not table.get(501.0, "a")
     assert not table.finished
 
 
-def test_the_oldest_finished_goes_first_and_no_unfinished_one_ever() -> None:
+def test_the_oldest_finished_entries_are_evicted_and_unfinished_ones_never() -> None:
     table = JobStatus(StatusOptions(max_entries=3))
     for id in "abc":
         table.add(0.0, id, "u")
@@ -123,13 +123,13 @@
     assert [bool(table.get(2.0, id)) for id in "abcde"] == [True, False, True, False, True]
 
 
-def test_a_job_is_followed_from_waiting_to_done_and_then_forgotten(tmp_path: Path) -> None:
-    """The check of the operators, on real sockets; the result's body never shows."""
+def test_a_jobs_status_is_shown_from_waiting_to_done_and_then_expires(tmp_path: Path) -> None:
+    """Runs the operators' check on real sockets; the status never includes the body of the result."""
 
     async def accept(server: RealServer, message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(ACCEPT)
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = RealServer("w1", accept)
         async with node(tmp_path, server, ini="[status]\nretain_ms = 1500\n") as n:
 
@@ -157,7 +157,7 @@
             while (await look()).status != 404:
                 await asyncio.sleep(0.02)
             assert (await exchange(n.port, request(path="/_status/a"))).status == 405
-            # past its client's leaving: given up, then done all the same
+            # after its client disconnects: abandoned, then done
             _, writer = await asyncio.open_connection("127.0.0.1", n.port)
             writer.write(request("a/1x", "/u/k"))
             while len(server.got) < 2:
@@ -169,4 +169,4 @@
             while b'"done"' not in (await look("a%2F1x")).body:
                 await asyncio.sleep(0.01)
 
-    run(play())
+    run(scenario())
--- a/tests/test_stored_state.py
+++ b/tests/test_stored_state.py
@@ -1,4 +1,4 @@
-"""A capture that an earlier version wrote: a replay of it, the values restored, the names stored again."""
+"""A capture of an earlier version: its replay, the restored values, and the names when stored again."""
 
 from collections import Counter
 from pathlib import Path
@@ -117,7 +117,7 @@
     "r1278": (None, "t2", 254.8460500297294, 257.98570731941993, (0, "keyed"), 0, ()),
     "r1281": (14, None, 255.08739184261694, 256.94122792723465, (0, "unsafe"), 0, ()),
 }
-SCOPE = 7  # the number of that kind of record
+SCOPE = 7  # index of RouteLimits in snapshot.RECORD_TYPES
 HELD = {
     (2, "unsafe"): [],
     (0, "keyed"): [["r1276", "r1278"], ["r1277"]],
@@ -127,7 +127,7 @@
 
 
 def stored() -> tuple[str, dict[str, Any]]:
-    """The seed and the state of the capture."""
+    """Returns the seed and the state of the capture."""
     opening, state = CAPTURE.read_bytes().splitlines()[:2]
     return msgspec.json.decode(opening)["seed"], msgspec.json.decode(state)["state"]
 
@@ -142,11 +142,11 @@
 
 
 def kinds(state: dict[str, Any]) -> dict[int, int]:
-    """How many records of each kind it has, by the kind's number."""
+    """Returns the number of records by the index of their type."""
     return Counter(row[0] for row in state["records"])
 
 
-def test_a_stored_capture_is_decided_alike_in_a_replay() -> None:
+def test_a_replay_of_a_stored_capture_makes_the_same_decisions() -> None:
     differences, warnings = list[str](), list[str]()
     replay = Replay(SETTINGS, OPTIONS, differences.append, warnings.append, ROUTES)
     replay.run(CAPTURE.read_bytes().splitlines(keepends=True))
@@ -161,7 +161,7 @@
     assert canonical(again)[:2] == canonical(state)[:2]
     assert list(again["routes"]) == list(state["routes"])
     assert again["tenants"] == state["tenants"]
-    # a run that is over stays at the scope that was stored, beside the one that the configuration makes anew
+    # a finished job refers to its stored RouteLimits, in addition to those that the configuration creates
     assert kinds(again) | {SCOPE: 0} == kinds(state) | {SCOPE: 0}
 
 
@@ -198,9 +198,9 @@
     } == HELD
 
 
-def test_a_stored_state_does_not_go_with_decisions_that_lack_a_field() -> None:
+def test_a_stored_state_without_a_field_of_this_version_is_rejected() -> None:
     _, state = stored()
     del state["fields"]["strain"]
     made = make_decisions(SETTINGS, 1, ROUTES, OPTIONS.spillover_settings())
-    with pytest.raises(snapshot.StateError, match="another version"):
+    with pytest.raises(snapshot.StateError, match="other fields than this version"):
         snapshot.restore(state, made, RequestAdmission(OPTIONS, 1))
