--- a/finchladder/config/endpoint_list.py
+++ b/finchladder/config/endpoint_list.py
@@ -30,7 +30,7 @@
 
     def to_worker_entry(self) -> api.WorkerEntry:
         """Converts the entry to the core's form; its start time becomes seconds."""
-        # the name, never the address, is the worker's id: it is the same everywhere, so all hashes agree
+        # the id is the name and not the address: it is the same at all dispatchers, as are its hashes
         return api.WorkerEntry(
             self.name,
             WORKER_STATUS_BY_NAME[self.status],
@@ -58,7 +58,7 @@
         return {e.name: parse_address(e.address) for e in self.endpoints if e.status != "gone"}
 
     def to_worker_list(self, kind: api.ListKind | None = None) -> api.WorkerList:
-        """Converts the list to the core's form; `kind` overrides what the list says of itself."""
+        """Converts the list to the core's form; `kind` overrides the list's own kind."""
         found = kind or (api.ListKind.FULL if self.snapshot else api.ListKind.PATCH)
         return api.WorkerList(found, tuple(e.to_worker_entry() for e in self.endpoints))
 
@@ -155,12 +155,12 @@
 
 def write_list(version: int, entries: Iterable[tuple[api.WorkerEntry, tuple[str, int]]]) -> bytes:
     """Encodes a full list in the form that `read_list` decodes."""
-    words = {state: word for word, state in WORKER_STATUS_BY_NAME.items()}
+    names = {status: name for name, status in WORKER_STATUS_BY_NAME.items()}
     listed = [
         ServiceEntry(
             e.worker,
             format_address(address),
-            words[e.state],
+            names[e.state],
             e.zone,
             e.kind,
             e.cell,
--- a/finchladder/config/findings.py
+++ b/finchladder/config/findings.py
@@ -51,7 +51,7 @@
     """Formats a value of the file for a message: of bounded length, printable ASCII only."""
     try:
         text = ascii(value)
-    except ValueError:  # a whole number of more digits than Python writes
+    except ValueError:  # an integer with more digits than Python converts to text
         text = "a number"
     return text if len(text) <= 60 else text[:57] + "..."
 
@@ -68,22 +68,22 @@
 
 
 REMEDIES = {
-    # the file
+    # the file as a whole
     "FL101": "Name a file that can be read",
     "FL102": "Keep it under 1 MB",
     "FL103": "Save it as UTF-8 without a byte order mark",
-    "FL105": "Write it as TOML 1.0 has it",
+    "FL105": "Write it in the syntax of TOML 1.0",
     "FL106": "Keep one of the two",
-    "FL107": "Write it as docs/ROUTES.md has it, where nothing is so deep",
-    "FL108": "Write the file whole again, its end is missing",
-    "FL109": "Write it as docs/FEATURES.md has it",
-    # its tables and values
+    "FL107": "Write it as described in docs/ROUTES.md, with less nesting",
+    "FL108": "Complete the file, its end is missing",
+    "FL109": "Write it as described in docs/FEATURES.md",
+    # tables and values
     "FL111": "Use one of {known}",
     "FL112": "Use one of {known}",
     "FL113": "Write {instead}",
     "FL114": "Write {wanted}",
     "FL115": "Write a number, or leave it out",
-    "FL116": "Write a finite number, or leave it out: then there is no limit",
+    "FL116": "Write a finite number, or leave it out for no limit",
     "FL117": "Write a number from {least}",
     "FL118": "Write a value {bounds}",
     "FL119": "Write one of {known}",
@@ -91,47 +91,47 @@
     "FL121": "Use up to 64 letters, digits, dots, dashes and underscores, the first a letter or digit",
     "FL122": "Name it once",
     "FL123": "Change one of its values",
-    "FL124": "Keep to {most}, and let one route match what several do",
+    "FL124": "Define at most {most}, and merge routes with the same settings",
     "FL125": "Keep one of the two",
-    "FL126": "Write whole parts, as /class/part, without an empty one, a query or a slash at the end",
-    "FL127": "Write it as HTTP has it: {wanted}",
-    "FL128": "Say its share too",
-    "FL129": "Say base_s, above 0",
-    # what a route says, by itself
+    "FL126": "Write complete segments, as /class/part, without empty ones, a query or a slash at the end",
+    "FL127": "Write it in the syntax of HTTP: {wanted}",
+    "FL128": "Set its share too",
+    "FL129": "Set base_s above 0",
+    # each route separately
     "FL131": "Make attempt_timeout_s at most {most:g}",
     "FL132": "Lower attempts, attempt_timeout_s or the backoff, or raise timeout_s",
     "FL133": "Make most_s at least base_s",
     "FL134": "Leave it out, or raise attempts",
-    "FL135": "Name the endings after which to send again, or say attempts = 1",
-    "FL136": "Raise the share or least_per_s, or say attempts = 1",
+    "FL135": "Name the endings after which to retry, or set attempts = 1",
+    "FL136": "Raise share or least_per_s, or set attempts = 1",
     "FL137": "Raise attempts to 2 or more, or leave the hedge out",
-    "FL138": "Say hedge_after or hedge_after_s too",
+    "FL138": "Set hedge_after or hedge_after_s too",
     "FL139": "Make hedge_after_s less than {most:g}",
-    "FL140": "Say concurrency too, or leave the queue out",
+    "FL140": "Set concurrency too, or leave the queue out",
     "FL141": "Make longest_wait_s at most {most:g}",
-    "FL142": "Say length, above 0, or leave the rest of the queue out",
-    "FL143": "Say class or match; match = {{}} takes all jobs",
-    "FL144": "Name one and the same class",
-    "FL145": "Take one of them out, or let one match more than the other does",
+    "FL142": "Set length above 0, or leave the other settings of the queue out",
+    "FL143": "Set class or match; match = {{}} matches all jobs",
+    "FL144": "Use the same class in all of them",
+    "FL145": "Remove one of them, or make one more specific",
     "FL146": "Leave method out, or write POST",
-    "FL147": "Add a route of that class, or take the section out",
-    "FL148": "Add a route, or take the section out",
-    # what a route says, against the platform's settings
+    "FL147": "Add a route of that class, or remove the section",
+    "FL148": "Add a route, or remove the section",
+    # routes against the platform's settings
     "FL161": "Use one of {known}",
     "FL162": "Make timeout_s at most {most:g}",
     "FL163": "Lower attempts, attempt_timeout_s or the backoff",
     "FL164": "Make attempts at most {most}",
-    "FL165": "Leave hedges out, or say hedge_most = 0 in {where}",
-    "FL166": "Leave hedges out, or say hedge_most = 0 in {where}",
-    "FL167": "Keep to endings that prove that the job never ran: overloaded, unreachable, void",
-    "FL168": "Let the last send come within {most:g} s of the first",
-    "FL169": "Name one zone, or say attempts = 1",
+    "FL165": "Leave hedges out, or set hedge_most = 0 in {where}",
+    "FL166": "Leave hedges out, or set hedge_most = 0 in {where}",
+    "FL167": "Use only endings after which the job can't have run: overloaded, unreachable, void",
+    "FL168": "Send the last attempt at most {most:g} s after the first",
+    "FL169": "Name one zone, or set attempts = 1",
     "FL170": "Use one of {known}",
     "FL171": "Use one of {known}",
     "FL172": "Add kind {kind}, or leave kinds out",
     "FL173": "Give {better} at least the priority of {worse}",
     "FL174": "Make timeout_s at least {least:g}",
-    "FL175": "Leave hedges out, or say hedge_most = 0 in {where}",
+    "FL175": "Leave hedges out, or set hedge_most = 0 in {where}",
     "FL176": "Lower the features' sizes, or raise the platform's memory_mb",
 }
 
@@ -160,23 +160,23 @@
         """
         self.add_at(code, self.positions.find(path), reason, **words)
 
-    def add_at(self, code: str, place: Position, reason: str, **words: Any) -> None:
+    def add_at(self, code: str, position: Position, reason: str, **words: Any) -> None:
         """Records a finding at a position; otherwise as `add`."""
         remedy = REMEDIES[code].format(**words)
         one = Finding(
             code,
             self.file,
-            *place,
+            *position,
             _single_line(reason)[:MAX_REASON_LENGTH],
             _single_line(remedy)[:MAX_REASON_LENGTH],
         )
-        self.findings.setdefault((code, place), one)
+        self.findings.setdefault((code, position), one)
 
-    def abort(self, code: str, place: Position, reason: str, **words: Any) -> NoReturn:
+    def abort(self, code: str, position: Position, reason: str, **words: Any) -> NoReturn:
         """Records a finding and ends the check of the file.
 
         Raises:
             UnreadableFileError: Always.
         """
-        self.add_at(code, place, reason, **words)
+        self.add_at(code, position, reason, **words)
         raise UnreadableFileError
--- a/finchladder/config/ini_file.py
+++ b/finchladder/config/ini_file.py
@@ -18,7 +18,7 @@
     Raises:
         configparser.Error: The text can't be parsed.
     """
-    # no interpolation, as a key may hold a %, and no section whose values leak into all others
+    # no interpolation, as a key may contain a %; no default section, as its values would apply to all others
     parser = ConfigParser(interpolation=None, default_section="\0")
     parser.optionxform = str  # type: ignore[assignment,method-assign]
     parser.read_string(text, path)
@@ -56,7 +56,7 @@
     for name, values in sections.items():
         part, dot, job_class = name.partition(".")
         if part == "door" and dot and job_class:
-            # what a class does not say holds as for all: its burst must not fall back below a raised rate
+            # a class inherits from [door]: with the default burst, it could be below a raised rate
             classes[job_class] = _section(name, {**sections.get("door", {}), **values}, DoorOptions, strict)
         elif name in SECTIONS:
             found[name] = _section(name, values, SECTIONS[name], strict)
--- a/finchladder/config/operator_file.py
+++ b/finchladder/config/operator_file.py
@@ -40,7 +40,7 @@
     options: Options
     routes: Routes
     version: str
-    resolved: tuple[ResolvedRoute, ...] = ()  # where each value of each route came from
+    resolved: tuple[ResolvedRoute, ...] = ()  # with the origin of each value
     positions: PositionIndex = PositionIndex()
 
 
@@ -83,7 +83,7 @@
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
-    except (OSError, ValueError) as e:  # ValueError: a name that no file can have
+    except (OSError, ValueError) as e:  # ValueError: an invalid file name
         collector = FindingCollector(path)
         collector.add("FL101", (), f"the file can't be read: {getattr(e, 'strerror', None) or e}")
         raise FindingsError(collector.findings.values()) from None
@@ -101,8 +101,8 @@
     except UnicodeDecodeError as e:
         line = raw.count(b"\n", 0, e.start) + 1
         before = raw[raw.rfind(b"\n", 0, e.start) + 1 : e.start]
-        place = Position(line, len(before.decode("utf-8", "replace")) + 1)
-        collector.abort("FL103", place, f"byte 0x{raw[e.start]:02x} is no UTF-8")
+        position = Position(line, len(before.decode("utf-8", "replace")) + 1)
+        collector.abort("FL103", position, f"byte 0x{raw[e.start]:02x} is not valid UTF-8")
     if text.startswith("\ufeff"):
         collector.abort("FL103", Position(1, 1), "the file begins with a byte order mark")
     return text
@@ -110,7 +110,7 @@
 
 def _ini(collector: FindingCollector, text: str, name: str) -> Options:
     """Parses as a dispatcher does; its error becomes the only finding."""
-    text = text.replace("\r\n", "\n").replace("\r", "\n")  # as reading a file as text does
+    text = text.replace("\r\n", "\n").replace("\r", "\n")  # as Python does when it reads a text file
     collector.positions = ini_positions(text)
     try:
         return read_ini(text, name)
@@ -120,20 +120,22 @@
 
 
 def _toml(collector: FindingCollector, text: str, settings: api.Settings | None, version: str) -> Loaded:
-    whole = _parsed(collector, text)
-    for key in whole:
+    document = _parsed(collector, text)
+    for key in document:
         if key not in SECTIONS and key not in LEVELS:
             known = join_choices([*SECTIONS, *LEVELS])
             collector.add("FL111", (key,), f"there is no section {quote_value(key)}", known=known)
-    options = _features(collector, {k: v for k, v in whole.items() if k in SECTIONS})
+    options = _features(collector, {k: v for k, v in document.items() if k in SECTIONS})
     defaults = (
-        _section(collector, Limits, whole["defaults"], ("defaults",), 0) if "defaults" in whole else None
+        _section(collector, Limits, document["defaults"], ("defaults",), 0)
+        if "defaults" in document
+        else None
     )
-    classes = _named(collector, whole, "class", Limits, 1)
-    routes = _named(collector, whole, "route", RouteTable, 2)
+    classes = _named(collector, document, "class", Limits, 1)
+    routes = _named(collector, document, "route", RouteTable, 2)
     if len(routes) > MAX_ROUTES:
-        place = collector.positions.find(("route", list(routes)[MAX_ROUTES]))
-        collector.abort("FL124", place, f"there are {len(routes)} routes", most=MAX_ROUTES)
+        position = collector.positions.find(("route", list(routes)[MAX_ROUTES]))
+        collector.abort("FL124", position, f"there are {len(routes)} routes", most=MAX_ROUTES)
     resolved = resolve_routes(collector, settings, defaults or {}, classes, routes)
     check_routes(collector, settings, defaults, classes, routes, resolved)
     usable = settings is not None and not collector.findings
@@ -148,24 +150,24 @@
     try:
         return tomllib.loads(text)
     except ValueError as e:
-        said = str(e)
-    except RecursionError:  # the walk has a bound of its own; should it have lost its way, here is another
+        message = str(e)
+    except RecursionError:  # if the walker stopped before it found the depth
         collector.abort("FL107", Position(1, 1), "tables or arrays are nested too deeply")
-    m = _AT.search(said)
+    m = _AT.search(message)
     lines = text.replace("\r\n", "\n").split("\n")
-    place = Position(int(m[1]), int(m[2])) if m else Position(len(lines), len(lines[-1]) + 1)
-    reason = quote_value(_AT.sub("", said).removesuffix(_AT_END))
-    if said.startswith(_DUPLICATE_PREFIXES):
+    position = Position(int(m[1]), int(m[2])) if m else Position(len(lines), len(lines[-1]) + 1)
+    reason = quote_value(_AT.sub("", message).removesuffix(_AT_END))
+    if message.startswith(_DUPLICATE_PREFIXES):
         twice = collector.positions.duplicate
         if twice is None:
-            collector.abort("FL106", place, f"this is there already: {reason}")
+            collector.abort("FL106", position, f"this key or table is defined twice: {reason}")
         key = quote_value(".".join(map(str, twice.path)))
         collector.abort(
-            "FL106", twice.position, f"{key} is there already, at line {twice.first_position.line}"
+            "FL106", twice.position, f"{key} is already defined at line {twice.first_position.line}"
         )
-    if said.endswith(_AT_END):
-        collector.abort("FL108", place, f"the file ends too early: {reason}")
-    collector.abort("FL105", place if m else Position(1, 1), f"this is no TOML: {reason}")
+    if message.endswith(_AT_END):
+        collector.abort("FL108", position, f"the file is incomplete: {reason}")
+    collector.abort("FL105", position if m else Position(1, 1), f"invalid TOML: {reason}")
 
 
 def _features(collector: FindingCollector, sections: dict[str, Any]) -> Options:
@@ -180,7 +182,7 @@
         own = {k: v for k, v in table.items() if k not in classes}
         if (
             own or not classes or (name,) in collector.positions.table_headers
-        ):  # [door.NAME] alone limits no other class
+        ):  # [door.NAME] without [door] doesn't limit other classes
             given[name] = own
             collect_values(collector, SECTIONS[name], own, (name,), 0)
         for job_class, values in classes.items():
@@ -191,20 +193,20 @@
     for name, values in given.items():
         try:
             options_from_sections({n: v for n, v in given.items() if n in (name, "door")}, strict=True)
-        except ValueError as e:  # what no single value shows
+        except ValueError as e:  # conflicts between values
             reason = str(e).partition("]: ")[2]
             key = next((word for word in reason.split() if word in values), "")
             collector.add("FL123", (*name.split(".", 1), key), reason)
-    if len(collector.findings) == before and (odds := section_conflict(given)) is not None:
-        collector.add("FL123", ("membership", "lead"), odds)
+    if len(collector.findings) == before and (conflict := section_conflict(given)) is not None:
+        collector.add("FL123", ("membership", "lead"), conflict)
     return options_from_sections(given, strict=True) if len(collector.findings) == before else OFF
 
 
 def _named(
-    collector: FindingCollector, whole: dict[str, Any], level: str, kind: type[Limits], number: int
+    collector: FindingCollector, document: dict[str, Any], level: str, kind: type[Limits], number: int
 ) -> dict[str, ValuesByPath]:
     """Collects the values of [class.NAME] or [route.NAME] by name."""
-    tables = whole.get(level, {})
+    tables = document.get(level, {})
     if not isinstance(tables, dict):
         collector.add("FL120", (level,), f"{level} is {type_name(tables)}", table=f"[{level}.NAME]")
         return {}
@@ -223,11 +225,11 @@
         collector.add("FL120", path, f"{quote_value(path[-1])} is {type_name(table)}", table=name)
         return None
     found = collect_values(collector, kind, table, path, level)
-    for name in ("class", "match"):  # whether it can be used or not: it says which jobs are meant
+    for name in ("class", "match"):  # also if invalid: they show that the route selects jobs
         if name in table:
             found.setdefault(f"{name}?", GivenValue(True, (*path, name), level))
     if "hedge_after" in table and "hedge_after_s" in table:
-        collector.add("FL125", (*path, "hedge_after_s"), "hedge_after and hedge_after_s are both there")
+        collector.add("FL125", (*path, "hedge_after_s"), "hedge_after and hedge_after_s are both set")
     return found
 
 
--- a/finchladder/config/option_files.py
+++ b/finchladder/config/option_files.py
@@ -21,7 +21,7 @@
     if path is None:
         return OFF
     if is_toml(path):
-        from finchladder.config.operator_file import read  # what a dispatcher with an INI file need not load
+        from finchladder.config.operator_file import read  # not loaded by dispatchers with an INI file
 
         return read(path, settings, memory_mb).options
     try:
--- a/finchladder/config/options.py
+++ b/finchladder/config/options.py
@@ -22,14 +22,14 @@
 if TYPE_CHECKING:
     from finchladder.core.membership.decisions import MembershipSettings
 
-ADDRESS_BYTES = 256  # for an address that an admission limit tracks: 193 measured, more for longer ones
-ENTRY_BYTES = 768  # maximum for a job's status, with an id of 128 characters
-# bytes for each byte of the ring: 1.4 measured with its objects, and as much during a dump
+ADDRESS_BYTES = 256  # of an address in an admission limit: 193 measured, more for longer addresses
+ENTRY_BYTES = 768  # maximum of a job's status, with an id of 128 characters
+# bytes of memory for each byte of the ring: 1.4 measured with its objects, and as much during a dump
 RING_MEMORY_FACTOR = 3
 ETCD_PORT = 2379
 MAX_PEERS = 2000
 PEER_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,31}", re.ASCII)
-MEMORY_DIVISOR = 4  # all features together may use 1/4 of the memory; buffers for bodies get less then
+MEMORY_DIVISOR = 4  # features may use 1/4 of the memory, which reduces the buffers for bodies
 
 Part = TypeVar("Part", bound=msgspec.Struct)
 Rate = Annotated[float, Meta(gt=0, le=10_000)]
@@ -56,7 +56,7 @@
 
 # Section [drill]: fault injection.
 class DrillOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    # a header field's value: visible, and not empty. Without a key all orders are rejected
+    # a nonempty header field value of visible characters; without a key all orders are rejected
     key: Annotated[str, Meta(pattern=r"\A[!-~]([ -~]{0,254}[!-~])?\Z")] | None = None
 
 
@@ -69,7 +69,7 @@
 
     def memory_bytes(self) -> int:
         """Returns the memory that the recorder may use, in bytes."""
-        waiting = 2 * self.file_bytes if self.folder is not None else 0  # for the disk
+        waiting = 2 * self.file_bytes if self.folder is not None else 0  # queued for the disk
         return RING_MEMORY_FACTOR * self.ring_bytes + waiting
 
 
@@ -143,7 +143,7 @@
 
     def settings(self) -> "MembershipSettings":
         """Returns the core's settings."""
-        from finchladder.core.membership.decisions import MembershipSettings  # which is loaded where it is on
+        from finchladder.core.membership.decisions import MembershipSettings  # loaded only if it is on
 
         given = msgspec.structs.asdict(self)
         return MembershipSettings(**{k: v for k, v in given.items() if k not in ("last_good", "lead")})
@@ -153,7 +153,7 @@
 
 
 class EtcdOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Files are PEM; of a password file the first line counts."""
+    """Files are PEM; the password is the first line of its file."""
 
     endpoints: Annotated[list[Annotated[str, Meta(max_length=300)]], Meta(min_length=1, max_length=16)] = (
         msgspec.field(default_factory=lambda: ["http://127.0.0.1:2379"])
@@ -169,13 +169,13 @@
         """Validates the combination of values."""
         found = self.addresses()
         if len(set(found)) < len(found):
-            raise ValueError("endpoints names one twice")
+            raise ValueError("endpoints has duplicates")
         if (self.user is None) != (self.password_file is None):
-            raise ValueError("user and password_file are needed together")
+            raise ValueError("user and password_file must be set together")
         if (self.cert_file is None) != (self.key_file is None):
-            raise ValueError("cert_file and key_file are needed together")
+            raise ValueError("cert_file and key_file must be set together")
         if (self.ca_file or self.cert_file) and not all(e.tls for e in found):
-            raise ValueError("ca_file and cert_file are for endpoints that begin with https:// alone")
+            raise ValueError("ca_file and cert_file need endpoints that all begin with https://")
 
     def addresses(self) -> list[Endpoint]:
         """Returns the parsed endpoints.
@@ -199,7 +199,7 @@
     def __post_init__(self) -> None:
         """Validates the combination of values."""
         if bool(self.members) == (self.file is not None):
-            raise ValueError("either members or file is needed")
+            raise ValueError("exactly one of members and file must be set")
         if self.members:
             self.addresses()
 
@@ -211,7 +211,7 @@
         """
         found = self.addresses()
         if own not in found:
-            raise ValueError(f"[peers]: {own} is none of the {len(found)} that are listed")
+            raise ValueError(f"[peers]: {own} is not among the {len(found)} listed dispatchers")
         return found
 
     def addresses(self) -> dict[str, tuple[str, int]]:
@@ -235,7 +235,7 @@
 class JudgementOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     most_out: Annotated[float, Meta(ge=0.05, le=0.5)] = 0.3
     term_s: Annotated[float, Meta(ge=0.5, le=16)] = 2.0
-    # as for fault injection: without a key no override by the operator is accepted
+    # as in [drill]; without a key all overrides are rejected
     key: Annotated[str, Meta(pattern=r"\A[!-~]([ -~]{0,254}[!-~])?\Z")] | None = None
 
 
@@ -248,14 +248,14 @@
     found: dict[str, tuple[str, int]] = {}
     for name, address in pairs:
         if not PEER_NAME.fullmatch(name):
-            raise ValueError(f"{name[:40]!r} is no dispatcher's name: up to 32 letters, digits, dots, dashes")
+            raise ValueError(f"invalid dispatcher name {name[:40]!r}: up to 32 letters, digits, dots, dashes")
         if name in found:
-            raise ValueError(f"{name} is named twice")
+            raise ValueError(f"dispatcher {name} is listed twice")
         found[name] = parse_address(address)
     if len(set(found.values())) < len(found):
-        raise ValueError("two dispatchers have one address")
+        raise ValueError("two dispatchers have the same address")
     if len(found) > MAX_PEERS:
-        raise ValueError(f"{len(found)} dispatchers are named, and {MAX_PEERS} is the most")
+        raise ValueError(f"{len(found)} dispatchers are listed, at most {MAX_PEERS} are allowed")
     return found
 
 
@@ -263,7 +263,7 @@
     """Options of all features; a feature without an entry is off."""
 
     door: DoorOptions | None = None
-    door_of: dict[str, DoorOptions] = {}  # by class, in place of the general one
+    door_of: dict[str, DoorOptions] = {}  # by class, instead of `door`
     status: StatusOptions | None = None
     drill: DrillOptions | None = None
     capture: CaptureOptions | None = None
@@ -295,16 +295,20 @@
         if self.aperture is not None and settings is not None:
             Aperture(settings.index, settings.dispatchers, self.aperture.settings())
         if self.peers is not None and self.capture is not None:
-            raise ValueError("[peers]: [capture] can't be on beside it: what others tell is not recorded")
+            raise ValueError(
+                "[peers]: can't be combined with [capture], which doesn't record peers' messages"
+            )
         if self.judgement is not None and self.capture is not None:
-            raise ValueError("[judgement]: [capture] can't be on beside it: what is judged is not recorded")
+            raise ValueError(
+                "[judgement]: can't be combined with [capture], which doesn't record outlier detection"
+            )
         known = set(classes)
         for name in self.door_of:
             if name not in known:
                 raise ValueError(f"[door.{name}]: no such class; there are {', '.join(sorted(known))}")
         if (most := memory_mb * 1024 * 1024 // MEMORY_DIVISOR) < self.memory_bytes():
             raise ValueError(
-                f"the features may take {self.memory_bytes()} bytes, and here {most} is the most"
+                f"the features may use {self.memory_bytes()} bytes of memory, at most {most} are allowed"
             )
 
 
--- a/finchladder/config/platform.py
+++ b/finchladder/config/platform.py
@@ -40,7 +40,7 @@
     """The file that NODE_CONFIG names."""
 
     settings: msgspec.Raw
-    discovery: str = ""  # goes before NODE_DISCOVERY, which a file written later can't change
+    discovery: str = ""  # overrides NODE_DISCOVERY, which can't change while the process runs
     seed: str = ""
     known: msgspec.Raw = msgspec.Raw(b"")
     limits: ProcessLimits = msgspec.field(default_factory=ProcessLimits)
@@ -53,7 +53,7 @@
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: str
-    known: bytes  # a list, found usable; empty: none
+    known: bytes  # a validated endpoint list; empty: none
     settings: api.Settings
     caps: ConnectionLimits
     limits: ProcessLimits
@@ -108,12 +108,12 @@
     if caps.conn_idle_s <= 0 or caps.connect_timeout_s <= 0:
         raise ValueError("settings: connIdleS and connectTimeoutS must be above 0")
     if file.limits.sockets < MIN_SOCKETS or file.limits.memory_mb < MIN_MEMORY_MB:
-        raise ValueError(f"limits: {MIN_SOCKETS} sockets and {MIN_MEMORY_MB} MB are the least")
+        raise ValueError(f"limits: at least {MIN_SOCKETS} sockets and {MIN_MEMORY_MB} MB are needed")
     if not file.limits.cores > 0:
         raise ValueError("limits: cores must be above 0")
     discovery = file.discovery or env.get("NODE_DISCOVERY")
     if not discovery:
-        raise ValueError("neither the configuration nor NODE_DISCOVERY names discovery")
+        raise ValueError("neither the configuration nor NODE_DISCOVERY has the address of service discovery")
     known = bytes(file.known) if bytes(file.known) != b"null" else b""
     if known:
         read_list(known)
--- a/finchladder/config/positions.py
+++ b/finchladder/config/positions.py
@@ -10,9 +10,9 @@
 from contextlib import suppress
 from typing import NamedTuple, NoReturn
 
-Path = tuple[str | int, ...]  # keys from the top; a whole number is an item of an array
+Path = tuple[str | int, ...]  # keys from the top level; an integer is the index of an array item
 
-MAX_DEPTH = 16  # parts of a path, items of arrays counted too
+MAX_DEPTH = 16  # elements of a path, array indexes included
 
 _SPACE = re.compile(r"[ \t]*+")
 _GAP = re.compile(r"(?:[ \t\n]++|#[^\n]*+)*+")
@@ -91,27 +91,27 @@
 
 def ini_positions(text: str) -> PositionIndex:
     """Returns the positions of sections and keys in an INI text; paths have one or two parts."""
-    places, section = PositionIndex(), ""
+    index, section = PositionIndex(), ""
     for number, line in enumerate(text.split("\n"), 1):
         if (m := _INI_SECTION.match(line)) is not None:
             section = m[1]
-            places.by_path.setdefault((section,), Position(number, 1))
+            index.by_path.setdefault((section,), Position(number, 1))
         elif (m := _INI_KEY.match(line)) is not None:
-            places.by_path.setdefault((section, m[0].rstrip()), Position(number, 1))
-    return places
+            index.by_path.setdefault((section, m[0].rstrip()), Position(number, 1))
+    return index
 
 
 class _TomlWalker:
     def __init__(self, text: str) -> None:
         self.text, self.offset = text, 0
         self.positions = PositionIndex()
-        self.implied: set[Path] = set()  # tables that exist only because of their content
+        self.implied: set[Path] = set()  # tables that are defined only by their content
         self.table_counts: dict[Path, int] = {}  # tables in each array of tables
         self.line, self.line_start, self.counted_to = (
             1,
             0,
             0,
-        )  # the line counted up to here, and where it begins
+        )  # the line at offset `counted_to`, and the line's offset
 
     def position(self) -> Position:
         """Returns the current position; offsets only grow, so each line is counted once."""
@@ -145,7 +145,7 @@
             self.skip(_GAP)
 
     def read_header(self) -> Path:
-        place = self.position()
+        position = self.position()
         several = self.accept("[[")
         if not several:
             self.expect("[")
@@ -154,12 +154,12 @@
         self.expect("]]" if several else "]")
         if several:
             if path in self.positions.by_path and path not in self.table_counts:
-                self.stop_at_duplicate(path, place)
-            self.record(path, place, again=True)
+                self.stop_at_duplicate(path, position)
+            self.record(path, position, again=True)
             number = self.table_counts.get(path, 0)
             self.table_counts[path] = number + 1
             path = (*path, number)
-        self.record(path, place)
+        self.record(path, position)
         self.positions.table_headers.add(path)
         return path
 
@@ -192,17 +192,17 @@
         raise _PositionLostError
 
     def read_pair(self, table: Path) -> None:
-        place = self.position()
+        position = self.position()
         path = (*table, *self.read_key(MAX_DEPTH - len(table)))
         self.expect("=")
         self.skip(_SPACE)
-        self.record(path, place)
+        self.record(path, position)
         self.read_value(path)
 
-    def record(self, path: Path, place: Position, again: bool = False) -> None:
+    def record(self, path: Path, position: Position, again: bool = False) -> None:
         above = path[:-1]
-        while above and above not in self.positions.by_path:  # what holds a noted path is noted too
-            self.positions.by_path[above] = place
+        while above and above not in self.positions.by_path:  # parents of a recorded path are recorded too
+            self.positions.by_path[above] = position
             self.implied.add(above)
             above = above[:-1]
         if path in self.implied:
@@ -210,11 +210,11 @@
         elif path in self.positions.by_path:
             if again:
                 return
-            self.stop_at_duplicate(path, place)
-        self.positions.by_path[path] = place
+            self.stop_at_duplicate(path, position)
+        self.positions.by_path[path] = position
 
-    def stop_at_duplicate(self, path: Path, place: Position) -> NoReturn:
-        self.positions.duplicate = DuplicateKey(path, place, self.positions.by_path[path])
+    def stop_at_duplicate(self, path: Path, position: Position) -> NoReturn:
+        self.positions.duplicate = DuplicateKey(path, position, self.positions.by_path[path])
         raise _PositionLostError
 
     def read_value(self, path: Path) -> None:
@@ -245,7 +245,7 @@
             self.skip(_GAP)
             if self.accept(","):
                 self.skip(_GAP)
-            elif self.offset == before:  # nothing that could be an item stands here
+            elif self.offset == before:  # there is no array item at this offset
                 raise _PositionLostError
 
 
--- a/finchladder/config/precedence.py
+++ b/finchladder/config/precedence.py
@@ -24,7 +24,7 @@
 ALTERNATIVES = {
     "hedge_after": "hedge_after_s",
     "hedge_after_s": "hedge_after",
-}  # one of them replaces the other
+}  # setting one of them removes the other
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,13 +82,17 @@
     found: list[ResolvedRoute] = []
     for name, own in routes.items():
         match = _match(own)
-        named = {said.value: said for said in (own.get("class"), own.get("match.class")) if said is not None}
+        named = {
+            given.value: given for given in (own.get("class"), own.get("match.class")) if given is not None
+        }
         if match.path is not None:
             named.setdefault(match.path.split("/")[1], own["match.path"])
         if len(named) > 1:
-            words = " and ".join(quote_value(word) for word in named)
+            quoted = " and ".join(quote_value(job_class) for job_class in named)
             collector.add(
-                "FL144", ("route", name), f"nothing can match it, as no job is of the classes {words}"
+                "FL144",
+                ("route", name),
+                f"nothing can match it, as a job has only one of the classes {quoted}",
             )
             continue
         job_class = next(iter(named), None)
@@ -98,8 +102,8 @@
             continue
         match = Match(job_class, match.path, match.method, match.headers)
         for one in [job_class] if job_class is not None or known is None else known:
-            said = _override(_override(dict(defaults), classes.get(one or "", {})), own)
-            found.append(ResolvedRoute(name, one, (known or {}).get(one or ""), match, said))
+            values = _override(_override(dict(defaults), classes.get(one or "", {})), own)
+            found.append(ResolvedRoute(name, one, (known or {}).get(one or ""), match, values))
     return found
 
 
@@ -133,7 +137,7 @@
         r.get("queue.length", 0), QueueOrder(r.get("queue.order", "worth")), r.get("queue.longest_wait_s")
     )
     allowed = retryable_endings(r.cls)
-    resend_on = allowed & {Ending(word) for word in r.get("resend_on", [e.value for e in allowed])}
+    resend_on = allowed & {Ending(name) for name in r.get("resend_on", [e.value for e in allowed])}
     return Route(
         name=r.name,
         job_class=r.cls.name,
--- a/finchladder/config/render.py
+++ b/finchladder/config/render.py
@@ -18,7 +18,7 @@
     """A setting with its value and origin; without a value, `default` describes the default."""
 
     setting: str
-    value: Any  # None: it is not said, and `default` says in words what holds
+    value: Any  # None: not set, and `default` describes the default
     default: str | None
     line: int | None
     section: str | None
@@ -46,22 +46,22 @@
         return "default" if line.line is None else f"{self.file}:{line.line} {line.section}"
 
 
-def explain(r: ResolvedRoute, places: PositionIndex, file: str) -> ExplainedRoute:
+def explain(r: ResolvedRoute, positions: PositionIndex, file: str) -> ExplainedRoute:
     """Returns each setting of a route with the line that it came from."""
     match_names = ("class", *(f"match.{part}" for part in ("class", "path", "method", "headers")))
-    lines = [_line(r, places, name) for name in match_names if name in r.values]
+    lines = [_line(r, positions, name) for name in match_names if name in r.values]
     for name in DEFAULT_TEXTS:
         if name in r.values:
-            lines.append(_line(r, places, name))
+            lines.append(_line(r, positions, name))
         elif ALTERNATIVES.get(name) not in r.values:
             lines.append(ExplainedSetting(name, None, DEFAULT_TEXTS[name], None, None))
     return ExplainedRoute(file, r.name, r.job_class, lines)
 
 
-def _line(r: ResolvedRoute, places: PositionIndex, name: str) -> ExplainedSetting:
-    said = r.values[name]
-    section = ("[defaults]", f"[class.{r.job_class}]", f"[route.{r.name}]")[said.level]
-    return ExplainedSetting(name, said.value, None, places.find(said.path).line, section)
+def _line(r: ResolvedRoute, positions: PositionIndex, name: str) -> ExplainedSetting:
+    given = r.values[name]
+    section = ("[defaults]", f"[class.{r.job_class}]", f"[route.{r.name}]")[given.level]
+    return ExplainedSetting(name, given.value, None, positions.find(given.path).line, section)
 
 
 def to_toml(path: str) -> str:
@@ -71,7 +71,7 @@
         ValueError: The file isn't INI, or can't be converted.
     """
     if is_toml(path):
-        raise ValueError(f"{path}: this is TOML already")
+        raise ValueError(f"{path}: the file is already TOML")
     text = FilePath(path).read_text("utf-8")
     sections = ini_sections(text, path)
     lines: list[str] = []
@@ -94,7 +94,7 @@
     found = "\n".join(lines).strip("\n") + "\n"
     made = load(found, "converted.toml")
     if isinstance(made, FindingsError) or made.options != read_ini(text, path):
-        raise ValueError(f"{path}: there is something in it that can't be converted")
+        raise ValueError(f"{path}: a part of the file can't be converted to TOML")
     return found
 
 
--- a/finchladder/config/route_checks.py
+++ b/finchladder/config/route_checks.py
@@ -13,10 +13,10 @@
 from finchladder.core.api import DeduplicationScope, Effect, Settings
 from finchladder.core.routing.routes import MAY_HAVE_RUN, Match
 
-JOB_METHOD = "POST"  # all jobs come by it; others are answered 405 before there is a job
-TIME_TOLERANCE_S = 1e-9  # sums of times are not exact
+JOB_METHOD = "POST"  # the method of all jobs; others are answered 405 before a job is created
+TIME_TOLERANCE_S = 1e-9  # for rounding errors in sums
 
-MAY_HAVE_RUN_WORDS = {e.value for e in MAY_HAVE_RUN}
+MAY_HAVE_RUN_NAMES = {e.value for e in MAY_HAVE_RUN}
 
 
 def check_routes(
@@ -28,7 +28,7 @@
     resolved: list[ResolvedRoute],
 ) -> None:
     """Runs all semantic checks; those against the platform only if its settings are given."""
-    if not collector.findings:  # else what could not be read may be what it stands below
+    if not collector.findings:  # otherwise an invalid part may be what uses a section
         _check_unused(collector, defaults, classes, routes, resolved)
     for name, own in routes.items():
         _check_match(collector, name, own)
@@ -85,15 +85,15 @@
                 self.collector.add(code, path, reason)
 
 
-# --- which jobs ---------------------------------------------------------------------------------------------
+# --- matched jobs -------------------------------------------------------------------------------------------
 
 
 def _check_match(collector: FindingCollector, name: str, own: ValuesByPath) -> None:
     if "class?" not in own and "match?" not in own:
-        collector.add("FL143", ("route", name), f"route {name} does not say which jobs it is for")
+        collector.add("FL143", ("route", name), f"route {name} has neither class nor match")
     method = own.get("match.method")
     if method is not None and method.value != JOB_METHOD:
-        collector.add("FL146", method.path, f"nothing can match it, as jobs come by {JOB_METHOD} alone")
+        collector.add("FL146", method.path, f"nothing can match it, as all jobs are {JOB_METHOD} requests")
 
 
 def _check_unused(
@@ -104,11 +104,11 @@
     resolved: list[ResolvedRoute],
 ) -> None:
     if defaults is not None and not routes:
-        collector.add("FL148", ("defaults",), "[defaults] stands below no route, so it changes nothing")
+        collector.add("FL148", ("defaults",), "[defaults] has no effect, as there are no routes")
     used = {r.job_class for r in resolved}
     for name in classes:
         if name not in used and None not in used:
-            reason = f"[class.{name}] stands below no route, so it changes nothing"
+            reason = f"[class.{name}] has no effect, as no route has jobs of this class"
             collector.add("FL147", ("class", name), reason)
 
 
@@ -116,7 +116,9 @@
     """Finds routes that are equally specific and could match the same job."""
     groups: dict[object, dict[str, ResolvedRoute]] = {}
     for r in resolved:
-        groups.setdefault((r.match.rank, r.match.parts), {})[r.name] = r  # once, if it is for all classes
+        groups.setdefault((r.match.rank, r.match.parts), {})[r.name] = (
+            r  # once for a route that matches all classes
+        )
     for group in groups.values():
         for a, b in combinations(group.values(), 2):
             if _overlap(a.match, b.match):
@@ -136,8 +138,8 @@
 def _check_priorities(collector: FindingCollector, resolved: list[ResolvedRoute]) -> None:
     """Finds classes of higher value with a lower priority than a class of lower value."""
     ranked = sorted((r for r in resolved if r.cls is not None), key=lambda r: -r.cls.value if r.cls else 0)
-    least: ResolvedRoute | None = None  # priority, of those whose worth is greater
-    waiting: list[ResolvedRoute] = []  # of the worth that is looked at
+    least: ResolvedRoute | None = None  # the route with the lowest priority among classes of higher value
+    waiting: list[ResolvedRoute] = []  # routes of classes with the current value
     for r in ranked:
         assert r.cls is not None
         if waiting and waiting[0].cls is not None and waiting[0].cls.value > r.cls.value:
@@ -145,19 +147,19 @@
             waiting = []
         waiting.append(r)
         if least is not None and least.get("priority", 0) < r.get("priority", 0):
-            said = r.first_given("priority") or least.first_given("priority")
-            assert said is not None
+            given = r.first_given("priority") or least.first_given("priority")
+            assert given is not None
             better, worse = f"route {least.name} ({least.job_class})", f"route {r.name} ({r.job_class})"
             collector.add(
                 "FL173",
-                said.path,
-                f"{worse} would go before {better}, which is worth more",
+                given.path,
+                f"{worse} would take precedence over {better}, whose jobs have a higher value",
                 better=better,
                 worse=worse,
             )
 
 
-# --- each route by itself -----------------------------------------------------------------------------------
+# --- each route separately ----------------------------------------------------------------------------------
 
 
 def _total_limit(r: ResolvedRoute) -> tuple[float, str] | None:
@@ -170,10 +172,10 @@
 
 def check_timeouts(collector: FindingCollector, r: ResolvedRoute) -> None:
     """Checks that the attempts and their backoff fit within the route's time limit."""
-    whole, one = _total_limit(r), r.first_given("attempt_timeout_s")
-    if whole is None:
+    total, one = _total_limit(r), r.first_given("attempt_timeout_s")
+    if total is None:
         return
-    most, what = whole
+    most, what = total
     if one is not None and one.value > most:
         collector.add("FL131", one.path, f"attempt_timeout_s is longer than {what}", most=most)
         return
@@ -183,10 +185,10 @@
     took = count * each + r.backoff.max_total_wait_s(count - 1)
     if took > most + TIME_TOLERANCE_S:
         wait = r.first_given("backoff.base_s")
-        said = _most_specific(*(s for s in (sends, one if sends else None, wait) if s is not None))
+        given = _most_specific(*(s for s in (sends, one if sends else None, wait) if s is not None))
         code = "FL132" if what.startswith("timeout_s") else "FL163"
         reason = f"{count} attempts with their backoff may take {took:g} s, longer than {what}"
-        collector.add(code, said.path, f"in route {r.name} {reason}")
+        collector.add(code, given.path, f"in route {r.name} {reason}")
 
 
 def check_retries(collector: FindingCollector, void: IneffectiveSettings, r: ResolvedRoute) -> None:
@@ -197,11 +199,13 @@
         reason = f"most_s, {most.value:g}, is less than base_s, {base.value:g}"
         collector.add("FL133", _most_specific(base, most).path, reason)
     for name in ("backoff.most_s", "backoff.jitter"):
-        reason = f"{name} changes nothing, as there is no wait"
+        reason = f"{name} has no effect, as base_s is 0"
         void.record("FL129", r.first_given(name), not r.get("backoff.base_s"), base, reason)
     for name in ("backoff.base_s", "resend_on", "retry_budget.share"):
-        reason = f"{name} changes nothing, as attempts = 1 lets no job be sent again"
-        counts = name == "retry_budget.share" and r.get("retry_budget.repeats", False)  # clients' own, too
+        reason = f"{name} has no effect, as attempts = 1 allows no retries"
+        counts = name == "retry_budget.share" and r.get(
+            "retry_budget.repeats", False
+        )  # the budget also limits client retries
         once = r.get("attempts") == 1 and not counts
         void.record("FL134", r.first_given(name), once and r.get(name) != [], sends, reason)
     again = r.first_given("resend_on")
@@ -212,21 +216,21 @@
         and not again.value
         and r.hedge_trigger is None
     ):
-        reason = f"route {r.name} has {sends.value} attempts, and no ending lets a job be sent again"
+        reason = f"route {r.name} has {sends.value} attempts, but resend_on allows no retries"
         collector.add("FL135", _most_specific(sends, again).path, reason)
     share, least = r.first_given("retry_budget.share"), r.first_given("retry_budget.least_per_s")
     for other in (least, r.first_given("retry_budget.window_s"), r.first_given("retry_budget.repeats")):
-        void.record("FL128", other, share is None, None, "retry_budget does not say its share")
-    none = [said for said in (share, least) if said is not None and said.value == 0]
+        void.record("FL128", other, share is None, None, "retry_budget has no share")
+    none = [given for given in (share, least) if given is not None and given.value == 0]
     if len(none) == 2 and r.get("attempts") != 1:
-        count = f"{sends.value} attempts" if sends is not None else "resends"
-        reason = f"route {r.name} has {count}, and a budget of 0 for them"
+        count = f"{sends.value} attempts" if sends is not None else "retries"
+        reason = f"route {r.name} has {count}, but a retry budget of 0"
         collector.add("FL136", _most_specific(*none).path, reason)
 
 
-def _most_specific(*said: GivenValue) -> GivenValue:
+def _most_specific(*given: GivenValue) -> GivenValue:
     """Returns the value of the highest level, the first one of equals."""
-    return max(said, key=lambda s: s.level)
+    return max(given, key=lambda s: s.level)
 
 
 def check_hedging(collector: FindingCollector, void: IneffectiveSettings, r: ResolvedRoute) -> None:
@@ -236,12 +240,10 @@
         r.first_given("attempts"),
         r.first_given("hedge_most"),
     )
-    off = share is not None and share.value == 0  # says that there are none, which is of use in any case
-    void.record(
-        "FL138", share, on is None and not off, None, "hedge_most changes nothing without hedge_after"
-    )
+    off = share is not None and share.value == 0  # disables hedging, which is always valid
+    void.record("FL138", share, on is None and not off, None, "hedge_most has no effect without hedge_after")
     if not off:
-        reason = "a hedge is a second attempt, and attempts = 1"
+        reason = "a hedge is a second attempt, but attempts = 1"
         void.record("FL137", on, r.get("attempts") == 1, sends, reason)
     after, bounds = (
         r.first_given("hedge_after_s"),
@@ -249,7 +251,7 @@
     )
     if after is not None and r.hedge_trigger is not None and bounds and after.value >= min(bounds)[0]:
         most, what = min(bounds)
-        collector.add("FL139", after.path, f"no hedge would ever be sent within {what}", most=most)
+        collector.add("FL139", after.path, f"no hedge would be sent within {what}", most=most)
 
 
 def _attempt_limit(r: ResolvedRoute) -> tuple[float, str] | None:
@@ -262,14 +264,14 @@
     length, order, wait = (r.first_given(f"queue.{name}") for name in ("length", "order", "longest_wait_s"))
     alone = "concurrency" not in r.values
     for one in (length, order, wait):
-        reason = "a queue changes nothing without concurrency, as nothing waits"
+        reason = "a queue has no effect without concurrency, as no job waits"
         void.record("FL140", one, alone, None, reason)
         if one is not length and not alone:
-            reason = "this changes nothing, as the queue's length is 0"
+            reason = "this has no effect, as the queue's length is 0"
             void.record("FL142", one, not r.get("queue.length"), length, reason)
-    whole = _total_limit(r)
-    if wait is not None and whole is not None and wait.value > whole[0]:
-        collector.add("FL141", wait.path, f"longest_wait_s is longer than {whole[1]}", most=whole[0])
+    total = _total_limit(r)
+    if wait is not None and total is not None and wait.value > total[0]:
+        collector.add("FL141", wait.path, f"longest_wait_s is longer than {total[1]}", most=total[0])
 
 
 # --- against the platform's settings ------------------------------------------------------------------------
@@ -284,16 +286,18 @@
         collector.add("FL162", timeout.path, reason, most=cls.deadline_s)
     if timeout is not None and timeout.value < cls.latency_target_s:
         target_s = cls.latency_target_s
-        reason = f"timeout_s ends jobs of {cls.name} that could still be within their aim, {target_s:g} s"
+        reason = (
+            f"timeout_s ends jobs of {cls.name} that could still meet their latency target, {target_s:g} s"
+        )
         collector.add("FL174", timeout.path, reason, least=cls.latency_target_s)
     if sends is not None and sends.value > settings.max_attempts:
-        reason = f"the platform's try limit is {settings.max_attempts}"
+        reason = f"the platform allows at most {settings.max_attempts} attempts"
         collector.add("FL164", sends.path, reason, most=settings.max_attempts)
     if (on := r.hedge_trigger) is not None:
         if not settings.may_hedge:
-            collector.add("FL165", on.path, "the platform allows no second copies", where=_where(r))
+            collector.add("FL165", on.path, "the platform allows no hedging", where=_where(r))
         elif not settings.may_cancel:
-            reason = "the platform allows no cancels, so every second copy would run to its end"
+            reason = "the platform allows no cancellation, so every hedge would run to its end"
             collector.add("FL175", on.path, reason, where=_where(r))
 
 
@@ -307,7 +311,7 @@
     cls, on = r.cls, r.hedge_trigger
     assert cls is not None
     again = r.first_given("resend_on")
-    risky = [word for word in (again.value if again is not None else []) if word in MAY_HAVE_RUN_WORDS]
+    risky = [name for name in (again.value if again is not None else []) if name in MAY_HAVE_RUN_NAMES]
     if cls.effect is Effect.UNSAFE:
         if on is not None:
             reason = f"a job of {cls.name} must never run twice, and a hedge sends it twice"
@@ -334,17 +338,17 @@
         and len(zones.value) > 1
         and (on is not None or (sends is not None and sends.value > 1 and (again is None or risky)))
     ):
-        reason = f"repeats of {cls.name} are dropped within one zone alone, and its resends may go to another"
+        reason = f"{cls.name} is deduplicated only within a zone, but its retries may go to another one"
         collector.add("FL169", zones.path, reason)
 
 
 def _add_outside_window(
-    collector: FindingCollector, r: ResolvedRoute, said: GivenValue, last_s: float
+    collector: FindingCollector, r: ResolvedRoute, given: GivenValue, last_s: float
 ) -> None:
     assert r.cls is not None
     window = f"{r.cls.deduplication_window_s:g} s"
-    reason = f"repeats of {r.cls.name} are dropped for {window}, and its last send may be after {last_s:g} s"
-    collector.add("FL168", said.path, reason, most=r.cls.deduplication_window_s)
+    reason = f"{r.cls.name} is deduplicated for {window}, but its last attempt may be after {last_s:g} s"
+    collector.add("FL168", given.path, reason, most=r.cls.deduplication_window_s)
 
 
 def check_pools(collector: FindingCollector, r: ResolvedRoute, settings: Settings) -> None:
@@ -358,14 +362,14 @@
 
 
 def _check_known(
-    collector: FindingCollector, code: str, what: str, said: GivenValue | None, known: Iterable[str]
+    collector: FindingCollector, code: str, what: str, given: GivenValue | None, known: Iterable[str]
 ) -> GivenValue | None:
-    for n, word in enumerate(said.value if said is not None else ()):
-        if word not in known:
+    for n, name in enumerate(given.value if given is not None else ()):
+        if name not in known:
             collector.add(
                 code,
-                (*said.path, n) if said else (),
-                f"there is no {what} {quote_value(word)}",
+                (*given.path, n) if given else (),
+                f"there is no {what} {quote_value(name)}",
                 known=join_choices(known),
             )
-    return said
+    return given
--- a/finchladder/config/settings.py
+++ b/finchladder/config/settings.py
@@ -8,7 +8,7 @@
 from finchladder.core import api
 
 EFFECTS = {"retryable": "safe", "dedup": "keyed", "fragile": "unsafe"}
-FIELD_PATHS: dict[str, tuple[str, ...]] = {  # of api.Settings, and where the facts hold them
+FIELD_PATHS: dict[str, tuple[str, ...]] = {  # of api.Settings, with their paths in the JSON facts
     "zones": ("zones",),
     "zone": ("az",),
     "kinds": ("flavors",),
@@ -83,7 +83,7 @@
         try:
             named[field] = _at(facts, path)
         except KeyError:
-            continue  # absent: api.Settings has what holds then
+            continue  # absent: api.Settings has the default
     family, caps = facts.get("familyInfo", {}), facts["caps"]
     named["classes"] = [_class(c, family, n, facts["flavors"]) for n, c in enumerate(facts["services"])]
     named["tenants"] = [{"name": t["name"], "quota_rps": t["quotaRps"]} for t in facts.get("accounts", [])]
--- a/finchladder/config/toml_schema.py
+++ b/finchladder/config/toml_schema.py
@@ -130,7 +130,7 @@
 
 
 class Limits(Part):
-    """What `[defaults]`, `[class.NAME]` and `[route.NAME]` may all say; the later one of them wins."""
+    """Settings of `[defaults]`, `[class.NAME]` and `[route.NAME]`; each overrides the preceding ones."""
 
     timeout_s: (
         Annotated[float, Meta(gt=0, le=3600, description="From a job's arrival to its answer.")] | UnsetType
@@ -213,7 +213,7 @@
     "class": Limits,
     "route": RouteTable,
 }
-DEFAULT_TEXTS: dict[str, str] = {  # of what is unsaid, in words; what is not here has none
+DEFAULT_TEXTS: dict[str, str] = {  # defaults of absent settings; settings without an entry have none
     "timeout_s": "the client's patience",
     "attempt_timeout_s": "none",
     "attempts": "the platform's try limit",
@@ -261,12 +261,12 @@
     parts.append(("classes", dict[str, Limits] | UnsetType, msgspec.field(default=UNSET, name="class")))
     parts.append(("route", routes | UnsetType, UNSET))
     found = msgspec.json.schema(msgspec.defstruct("File", parts, bases=(Part,)))
-    # beside its settings, [door] holds a table for each class: [door.NAME]
+    # besides its settings, [door] contains a table for each class: [door.NAME]
     door = SECTIONS["door"].__name__
     found["$defs"][door]["additionalProperties"] = {"$ref": f"#/$defs/{door}"}
     head = {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": "The operator's file"}
-    whole: dict[str, Any] = _portable(head | found)
-    return whole
+    schema: dict[str, Any] = _portable(head | found)
+    return schema
 
 
 def _portable(found: Any) -> Any:
--- a/finchladder/config/value_checks.py
+++ b/finchladder/config/value_checks.py
@@ -29,7 +29,7 @@
     "object": "a table",
     "bool": "true or false",
 }
-PATTERNS = {  # settings whose text has a form of its own: the finding's code, and the form in words
+PATTERNS = {  # settings with a pattern: the finding's code, and a description
     "hedge_after": ("FL119", '"p1" to "p99.99"'),
     "path": ("FL126", ""),
     "method": ("FL127", "capital letters, as POST"),
@@ -69,7 +69,7 @@
                 found[key] = GivenValue(value, here, level)
         elif isinstance(value, dict):
             below = collect_values(collector, deeper, value, here, level)
-            found |= {f"{key}.{name}": said for name, said in below.items()}
+            found |= {f"{key}.{name}": given for name, given in below.items()}
         else:
             names = ", ".join(field_types(deeper))
             collector.add(
@@ -111,9 +111,11 @@
     return True
 
 
-def _add_invalid(collector: FindingCollector, key: str, value: Any, kind: Any, said: str, path: Path) -> None:
+def _add_invalid(
+    collector: FindingCollector, key: str, value: Any, kind: Any, message: str, path: Path
+) -> None:
     """Adds the finding that corresponds to a validation error of msgspec."""
-    said, _, inner = said.partition(" - at `$")
+    message, _, inner = message.partition(" - at `$")
     item: Any = value
     if isinstance(value, list) and (m := _ITEM.match(inner)) is not None:
         path, item = (*path, int(m[1])), value[int(m[1])]
@@ -121,13 +123,13 @@
     if key == "hedge_after" and number:
         instead = 'hedge_after_s = SECONDS, or a percentile as hedge_after = "p95"'
         collector.add("FL113", path, "hedge_after has no unit", instead=instead)
-    elif ", got" in said and not (key == "headers" and isinstance(value, dict)):
-        wanted = said.partition("`")[2].partition("`")[0]
+    elif ", got" in message and not (key == "headers" and isinstance(value, dict)):
+        wanted = message.partition("`")[2].partition("`")[0]
         collector.add("FL114", path, f"{key} is {type_name(item)}", wanted=_WANTED.get(wanted, wanted))
     elif key in PATTERNS:
         code, wanted = PATTERNS[key]
         collector.add(code, path, f"{key} can't be {quote_value(item)}", known=wanted, wanted=wanted)
-    elif "enum" in said:
+    elif "enum" in message:
         collector.add("FL119", path, f"{key} can't be {quote_value(item)}", known=join_choices(choices(kind)))
     elif number and value < 0 and (least := _lower_bound(kind)) is not None and least >= 0:
         collector.add("FL117", path, f"{key} is negative", least=f"{least:g}")
--- a/tests/config/platform.py
+++ b/tests/config/platform.py
@@ -1,4 +1,4 @@
-"""The platform that the examples of docs/ROUTES.md and the files of cases.toml are for, and its variants."""
+"""The platform settings for the examples of docs/ROUTES.md and the files of cases.toml, and variants."""
 
 import json
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 def facts(**caps: bool) -> dict[str, Any]:
-    """What NODE_CONFIG holds."""
+    """Returns the content of the file that NODE_CONFIG names."""
     settings = {
         "az": "a",
         "balancers": 1,
@@ -52,6 +52,6 @@
 
 
 def variant_of(text: str) -> str:
-    """As the first line of a file names it by `#: NAME`."""
+    """Returns the variant that the first line `#: NAME` of a file selects; empty by default."""
     first = text.strip().partition("\n")[0]
     return first.removeprefix("#: ") if first.startswith("#: ") else ""
--- a/tests/config/test_docs.py
+++ b/tests/config/test_docs.py
@@ -1,4 +1,4 @@
-"""docs/ROUTES.md says what holds: its settings are those of the types, and its examples do as they say."""
+"""docs/ROUTES.md agrees with the code: its table of settings, and the codes of its examples."""
 
 import json
 import re
@@ -31,7 +31,7 @@
     "BoolType": "true or false",
 }
 CODES = re.findall(r"^\| (FL\d+) \| (.+?) \| (.+?) \| (.+?) \|$", PAGE, re.MULTILINE)
-NO_TEXT = {"FL101", "FL102", "FL103", "FL124"}  # told in words; test_files.py has them
+NO_TEXT = {"FL101", "FL102", "FL103", "FL124"}  # described without an example; covered by test_files.py
 VARIANT = {"FL165": "no_copies", "FL175": "no_cancels"}
 
 
@@ -54,14 +54,14 @@
     return f"| `{name}` | {what} | {DEFAULT_TEXTS[name]} | {outermost_meta(kind).description} |"
 
 
-def test_the_table_of_settings_is_that_of_the_types() -> None:
+def test_the_table_of_settings_agrees_with_the_types() -> None:
     rows = [row(name, kind) for name, kind in settings_of(RouteTable)]
     assert len(rows) == len(DEFAULT_TEXTS)
     table = PAGE.partition("| setting | value | default | meaning |\n")[2].partition("\n\n")[0]
     assert table.split("\n")[1:] == rows
 
 
-def test_every_code_is_told_of_once() -> None:
+def test_every_code_is_documented_once() -> None:
     assert [code for code, *_ in CODES] == list(REMEDIES)
 
 
@@ -70,23 +70,27 @@
     return load(text, "a.ini" if code == "FL109" else "a.toml", PLATFORMS[VARIANT.get(code, "")], MEMORY_MB)
 
 
-@pytest.mark.parametrize(("code", "bad", "mended"), [(c, b, m) for c, _, b, m in CODES if c not in NO_TEXT])
-def test_the_bad_example_has_this_code_and_the_mended_one_none(code: str, bad: str, mended: str) -> None:
-    found = verdict(code, bad)
+@pytest.mark.parametrize(
+    ("code", "faulty", "corrected"), [(c, b, m) for c, _, b, m in CODES if c not in NO_TEXT]
+)
+def test_the_faulty_example_has_its_code_and_the_corrected_one_none(
+    code: str, faulty: str, corrected: str
+) -> None:
+    found = verdict(code, faulty)
     assert isinstance(found, FindingsError)
     assert [f.code for f in found.reported] == [code]
-    assert isinstance(verdict(code, mended), Loaded)
+    assert isinstance(verdict(code, corrected), Loaded)
 
 
-def test_the_shipped_example_can_be_used_and_is_explained(
+def test_the_shipped_example_is_valid_and_explained(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.chdir(ROOT)
     monkeypatch.setenv("NODE_CONFIG", "examples/config.json")
     front.main(["config", "explain", "examples/routes.toml", "confirms"])
-    told = capsys.readouterr().out.splitlines()
+    output = capsys.readouterr().out.splitlines()
     shown = PAGE.partition("explain examples/routes.toml confirms\n")[2].partition("    ...")[0]
-    assert [line.strip() for line in shown.splitlines()] == [line.strip() for line in told[:5]]
+    assert [line.strip() for line in shown.splitlines()] == [line.strip() for line in output[:5]]
     front.main(["config", "explain", "examples/routes.toml", "exports", "--format", "json"])
     [explained] = json.loads(capsys.readouterr().out)
     lines = {s["setting"]: (s["value"], s["section"], s["default"]) for s in explained["settings"]}
@@ -99,14 +103,14 @@
         assert e.value.code == 2
 
 
-def test_the_page_s_own_file_can_be_used() -> None:
+def test_the_file_on_the_page_is_valid() -> None:
     facts = json.loads((ROOT / "examples" / "config.json").read_text())["settings"]
     block = "    [defaults]\n" + PAGE.partition("    [defaults]\n")[2].partition("\n\n[examples")[0]
     text = re.sub("^    ", "", block, flags=re.MULTILINE)
     assert isinstance(load(text, "a.toml", read_settings(json.dumps(facts))), Loaded)
 
 
-def test_the_schema_has_every_table_and_no_python() -> None:
+def test_the_schema_has_every_table_and_no_python_regex_anchors() -> None:
     found = json_schema()
     text = json.dumps(found)
     assert r"\\A" not in text
@@ -133,14 +137,14 @@
         ("[drill]\nkey = null", '[drill]\nkey = "null"\n'),
     ],
 )
-def test_ini_becomes_toml_with_the_same_meaning(ini: str, toml: str, tmp_path: Path) -> None:
+def test_a_converted_ini_file_has_the_same_options(ini: str, toml: str, tmp_path: Path) -> None:
     (tmp_path / "a.ini").write_text(ini)
     assert to_toml(str(tmp_path / "a.ini")) == toml
     (tmp_path / "a.toml").write_text(toml)
     assert read_options(str(tmp_path / "a.toml")) == read_options(str(tmp_path / "a.ini"))
 
 
-def test_convert_prints_toml_and_refuses_what_is_none_or_unusable(
+def test_convert_prints_toml_and_rejects_toml_and_invalid_files(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setenv("NODE_CONFIG", str(ROOT / "examples" / "config.json"))
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -1,4 +1,4 @@
-"""The operator's file in TOML: each of the bad ones is refused with its own code, the good ones load."""
+"""The operator's file in TOML: invalid files are rejected with their codes, valid files load."""
 
 import json
 import os
@@ -25,7 +25,7 @@
 CASES = tomllib.loads((Path(__file__).parent / "cases.toml").read_text())
 BAD = [(code, text.replace(" ⏎ ", "\n")) for code, texts in CASES["bad"].items() for text in texts]
 GOOD = [text.replace(" ⏎ ", "\n") for text in CASES["good"]["files"]]
-ODD: list[tuple[str, bytes]] = [  # what can't stand in a file of text
+ODD: list[tuple[str, bytes]] = [  # bytes that aren't valid text or exceed limits
     ("FL102", b"#" * (10 * 1024 * 1024)),
     ("FL102", b"#" * (MAX_FILE_BYTES + 1)),
     ("FL103", b"\xff\xfe[\0d\0"),
@@ -54,7 +54,7 @@
 
 
 def check(*args: str) -> int:
-    """`finchladder config check` and what it exits with."""
+    """Runs `finchladder config check` and returns its exit status."""
     try:
         front.main(["config", "check", *args])
     except SystemExit as e:
@@ -69,7 +69,7 @@
     monkeypatch.setenv("NODE_CONFIG", str(tmp_path / "platform.json"))
 
 
-def test_there_are_enough_of_them_and_each_code_has_one() -> None:
+def test_the_cases_are_numerous_and_cover_every_code() -> None:
     assert len(set(BAD)) == len(BAD) >= 150
     assert len(set(GOOD)) == len(GOOD) >= 50
     assert {*CASES["bad"], *(code for code, _ in ODD), "FL101", "FL109"} == set(REMEDIES)
@@ -77,7 +77,7 @@
 
 @pytest.mark.usefixtures("platform")
 @pytest.mark.parametrize(("code", "text"), BAD + ODD, ids=lambda v: v if str(v).startswith("FL") else "")
-def test_a_bad_file_is_refused_with_2_and_its_own_code(
+def test_an_invalid_file_is_rejected_with_exit_status_2_and_its_code(
     code: str,
     text: str | bytes,
     tmp_path: Path,
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.usefixtures("platform")
-def test_good_files_load(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_valid_files_load(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     for n, text in enumerate(GOOD):
         file = tmp_path / f"{n}.toml"
         file.write_text(text)
@@ -111,7 +111,7 @@
         assert {r.name for r in found.routes.all} == set(tomllib.loads(text).get("route", {}))
 
 
-def test_the_bounds_themselves_are_within_them() -> None:
+def test_files_at_the_limits_are_valid() -> None:
     routes = "".join(f"route.r{n} = {{match = {{path = '/view/{n}'}}}}\n" for n in range(MAX_ROUTES))
     for text in ("#" * MAX_FILE_BYTES, routes):
         assert isinstance(loaded(text), Loaded)
@@ -125,7 +125,7 @@
         assert codes(e.value) == {code}
 
 
-def test_all_is_told_at_once_in_the_order_of_the_lines() -> None:
+def test_all_findings_are_reported_in_the_order_of_the_lines() -> None:
     text = """# a
 [defaults]
 hedge_after = "p95"
@@ -156,7 +156,7 @@
     assert str(many).endswith("\nand 7 more findings")
 
 
-def test_a_finding_names_the_place_the_reason_and_the_remedy(
+def test_a_finding_has_a_position_a_reason_and_a_remedy(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.chdir(tmp_path)
@@ -167,21 +167,21 @@
     out, err = capsys.readouterr()
     assert err.count("\n") == 1
     assert "without the platform's settings" in err
-    told = Finding("FL113", "a.toml", 1, 28, "timeout has no unit", "Write timeout_s = SECONDS")
+    finding = Finding("FL113", "a.toml", 1, 28, "timeout has no unit", "Write timeout_s = SECONDS")
     assert json.loads(out) == [
-        {"file": "a.toml", "usable": False, "findings": [told._asdict()], "more": 0},
+        {"file": "a.toml", "usable": False, "findings": [finding._asdict()], "more": 0},
         {"file": "b.ini", "usable": True, "findings": [], "more": 0, "version": read("b.ini").version},
     ]
 
 
-def test_the_remedy_names_the_section_that_can_say_otherwise() -> None:
+def test_the_remedy_names_the_section_that_can_override_the_setting() -> None:
     for which, where in (("match = {}", "[class.confirm]"), ("class = 'confirm'", "[route.a]")):
         found = loaded(f"defaults.hedge_after = 'p95'\nroute.a = {{{which}}}")
         assert isinstance(found, FindingsError)
         assert found.reported[0].remedy.endswith(f"hedge_most = 0 in {where}")
 
 
-def test_serve_is_refused_as_check_says(tmp_path: Path) -> None:
+def test_serve_rejects_a_file_with_the_findings_of_check(tmp_path: Path) -> None:
     (tmp_path / "platform.json").write_text(json.dumps(VARIANTS[""]))
     file = tmp_path / "c.toml"
     file.write_text('[route.a]\nclass = "view"\ntimeout = 5\n[route.b]\nclass = "confirm"\nattempts = 9\n')
@@ -216,7 +216,7 @@
         "[drill]\nkey = null",
     ],
 )
-def test_an_ini_file_has_the_verdict_that_serve_has(text: str, tmp_path: Path) -> None:
+def test_an_ini_file_is_valid_if_serve_accepts_it(text: str, tmp_path: Path) -> None:
     file = tmp_path / "c.ini"
     file.write_bytes(text.encode())
     found = load(text, str(file))
@@ -240,8 +240,8 @@
         "[status]\n[capture]\nfiles = 2",
     ],
 )
-def test_a_section_means_the_same_in_both(text: str) -> None:
-    """Above all: [door.NAME] alone limits that class and no other."""
+def test_a_section_has_the_same_meaning_in_ini_and_toml(text: str) -> None:
+    """In particular, [door.NAME] without [door] limits only that class."""
     ini, toml = load(text, "c.ini"), load(text, "c.toml")
     assert isinstance(ini, Loaded)
     assert isinstance(toml, Loaded)
@@ -256,7 +256,7 @@
         ("\n[capture]\nring_bytes = 100000000", ("FL176", 2), ("FL176", 2)),
     ],
 )
-def test_findings_on_features_stand_at_their_line(
+def test_findings_of_features_have_the_line_of_their_section_or_key(
     text: str, ini: tuple[str, int], toml: tuple[str, int]
 ) -> None:
     for name, expected in (("c.ini", ini), ("c.toml", toml)):
@@ -265,7 +265,7 @@
         assert [(f.code, f.line) for f in found.reported] == [expected]
 
 
-def test_ini_findings_stand_at_their_line() -> None:
+def test_findings_of_ini_files_have_their_line() -> None:
     for text, place in (
         ("\n[door]\nburst = 1\nrate = x", (4, 1)),
         ("[door]\n\n[y]", (3, 1)),
@@ -276,7 +276,7 @@
         assert [(f.code, f.line, f.column) for f in found.reported] == [("FL109", *place)]
 
 
-# --- places -------------------------------------------------------------------------------------------------
+# --- positions ----------------------------------------------------------------------------------------------
 
 WALK = '''a = 1 # [x]
 "b c".d = [1, {x = 2, 'y' = "]"}, """
@@ -295,7 +295,7 @@
 '''
 
 
-def test_each_key_has_its_place() -> None:
+def test_each_key_has_its_position() -> None:
     places = toml_positions(WALK)
     assert places.duplicate is None
     assert places.too_deep is None
@@ -329,18 +329,18 @@
     return [p for key, below in parts for p in ((*path, key), *_paths(below, (*path, key)))]
 
 
-def readable(text: str) -> dict[str, object] | None:
+def parsed_or_none(text: str) -> dict[str, object] | None:
     try:
         return tomllib.loads(text)
     except ValueError:
         return None
 
 
-def test_no_key_of_any_file_is_without_a_place() -> None:
-    """And none has one that the file does not hold; a key's own text stands there."""
+def test_every_key_of_every_file_has_a_position() -> None:
+    """No other paths have a position, and the key's text is found at its position."""
     seen = 0
     for text in [WALK, *GOOD, *(text for _, text in BAD)]:
-        whole = readable(text)
+        whole = parsed_or_none(text)
         places = toml_positions(text)
         if whole is None or places.too_deep is not None:
             continue
@@ -354,7 +354,7 @@
     assert seen > 300
 
 
-# --- whatever the bytes are ---------------------------------------------------------------------------------
+# --- arbitrary content --------------------------------------------------------------------------------------
 
 BITS = st.sampled_from(
     [
@@ -393,8 +393,8 @@
 EDITS = st.lists(st.tuples(st.integers(0, 400), st.integers(0, 12), BITS | st.just("")), max_size=5)
 
 
-def sound(data: str | bytes, name: str) -> None:
-    """It loads or is refused; what loads allows nothing that the class forbids."""
+def check_load(data: str | bytes, name: str) -> None:
+    """Content loads or is rejected; loaded routes allow nothing that their class forbids."""
     for platform in (PLATFORMS[""], PLATFORMS["no_copies"], None):
         found = load(data, name, platform, MEMORY_MB)
         if isinstance(found, FindingsError):
@@ -416,17 +416,17 @@
 
 @settings(max_examples=400, derandomize=True, deadline=None)
 @given(st.sampled_from([*GOOD, *(text for _, text in BAD)]), EDITS, st.sampled_from(["c.toml", "c.ini"]))
-def test_no_edit_of_a_file_raises(text: str, edits: list[tuple[int, int, str]], name: str) -> None:
+def test_an_edited_file_raises_no_error(text: str, edits: list[tuple[int, int, str]], name: str) -> None:
     for at, cut, bit in edits:
         at %= len(text) + 1
         text = text[:at] + bit + text[at + cut :]
-    sound(text, name)
+    check_load(text, name)
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.binary(max_size=60) | st.text(max_size=60), st.sampled_from(["c.toml", "c.ini"]))
-def test_no_bytes_raise(data: str | bytes, name: str) -> None:
-    sound(data, name)
+def test_arbitrary_bytes_raise_no_error(data: str | bytes, name: str) -> None:
+    check_load(data, name)
 
 
 KEYS = st.sampled_from(
@@ -477,11 +477,11 @@
 )
 
 
-def written(value: object) -> str:
+def toml_text(value: object) -> str:
     if isinstance(value, dict):
-        return "{" + ", ".join(f"{json.dumps(k)} = {written(v)}" for k, v in value.items()) + "}"
+        return "{" + ", ".join(f"{json.dumps(k)} = {toml_text(v)}" for k, v in value.items()) + "}"
     if isinstance(value, list):
-        return "[" + ", ".join(map(written, value)) + "]"
+        return "[" + ", ".join(map(toml_text, value)) + "]"
     if isinstance(value, str):
         return json.dumps(value.encode("utf-8", "replace").decode()).replace("\x7f", "\\u007f")
     return "2024-01-01" if value is None else str(value).lower()
@@ -495,5 +495,5 @@
         max_size=4,
     )
 )
-def test_no_value_in_the_wrong_place_raises(whole: dict[str, object]) -> None:
-    sound("".join(f"{key} = {written(value)}\n" for key, value in whole.items()), "c.toml")
+def test_arbitrary_values_raise_no_error(whole: dict[str, object]) -> None:
+    check_load("".join(f"{key} = {toml_text(value)}\n" for key, value in whole.items()), "c.toml")
--- a/tests/config/test_routes.py
+++ b/tests/config/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route a job comes under, and which of a file's values hold for it."""
+"""The route that a job matches, and the precedence of a file's values."""
 
 from collections.abc import Sequence
 
@@ -53,7 +53,7 @@
     ("method", "path", "headers", "job_class", "name"),
     [
         ("POST", "/view", EMPTY_HEADER_FIELDS, "view", "post"),
-        ("", "", EMPTY_HEADER_FIELDS, "view", "view"),  # of a protocol without paths
+        ("", "", EMPTY_HEADER_FIELDS, "view", "view"),  # as for a protocol without paths
         ("POST", "/view/a", EMPTY_HEADER_FIELDS, "view", "post"),
         ("POST", "/view/a/b", EMPTY_HEADER_FIELDS, "view", "deep"),
         ("POST", "/view/a/b?q=/c", EMPTY_HEADER_FIELDS, "view", "deep"),
@@ -81,28 +81,28 @@
     assert found is None or found.job_class == job_class
 
 
-def test_without_routes_there_is_none() -> None:
+def test_a_job_without_a_matching_route_has_none() -> None:
     assert not NO_ROUTES
     assert NO_ROUTES.find("POST", "/view", EMPTY_HEADER_FIELDS, "view") is None
     assert made('route.a = {class = "view"}').find("POST", "/keep", EMPTY_HEADER_FIELDS, "keep") is None
 
 
-def test_routes_that_the_checker_would_refuse_are_an_error() -> None:
+def test_routes_that_the_checker_would_reject_are_an_error() -> None:
     with pytest.raises(ValueError, match="another one matches"):
         Routes([Route("a", "view", Match("view")), Route("b", "view", Match(path="/view"))])
     with pytest.raises(ValueError, match="does not begin"):
         Routes([Route("a", "view", Match("view", "/keep/x"))])
 
 
-def test_a_route_that_says_nothing_is_as_none() -> None:
+def test_a_route_without_settings_has_the_defaults() -> None:
     routes = {r.job_class: r for r in made("route.a = {match = {}}").all}
     assert routes["view"] == Route("a", "view")
     assert routes["view"].resend_on == ALL_BUT_OK
-    assert routes["confirm"].resend_on == NEVER_RAN  # what the dispatcher does with its class anyway
+    assert routes["confirm"].resend_on == NEVER_RAN  # as the dispatcher without routes
     assert set(routes) == {c.name for c in PLATFORMS[""].classes}
 
 
-def test_every_setting_comes_out() -> None:
+def test_every_setting_is_converted() -> None:
     [route] = made("""
 [route.a]
 match = { class = "view", path = "/view/x", method = "POST", headers = { X-A = "1" } }
@@ -173,14 +173,14 @@
         ("c", "view", 1, Backoff(0.1, 1, 1), None),
     ],
 )
-def test_what_a_route_says_goes_before_its_class_and_the_defaults(
+def test_a_route_overrides_its_class_and_the_defaults(
     name: str, job_class: str, attempts: int, backoff: Backoff, hedge: Hedge | None
 ) -> None:
     [route] = [r for r in made(LEVELS).all if (r.name, r.job_class) == (name, job_class)]
     assert (route.attempts, route.backoff, route.hedge) == (attempts, backoff, hedge)
 
 
-def test_waits_double_up_to_the_longest() -> None:
+def test_the_backoff_doubles_up_to_its_maximum() -> None:
     backoff = Backoff(0.1, 0.5, 0.5)
     assert [round(backoff.wait_s(n), 9) for n in (1, 2, 3, 4, 2000)] == [0.1, 0.2, 0.4, 0.5, 0.5]
     assert backoff.wait_s(2, 1.0) == 0.1
@@ -189,7 +189,7 @@
     assert Backoff().max_total_wait_s(9) == 0
 
 
-def test_the_version_names_the_content() -> None:
+def test_the_version_identifies_the_content() -> None:
     one, same, other = (load(text, "a.toml", PLATFORMS[""]) for text in ("# 1", b"# 1", "# 2"))
     assert isinstance(one, Loaded)
     assert isinstance(same, Loaded)
@@ -198,7 +198,7 @@
     assert len(one.version) == 12
 
 
-def test_without_the_platform_s_settings_no_routes_come_out() -> None:
+def test_without_the_platforms_settings_no_routes_are_built() -> None:
     found = load('route.a = {class = "anything", attempts = 50}', "a.toml")
     assert isinstance(found, Loaded)
     assert not found.routes
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -1,4 +1,4 @@
-"""The operator's file: what it gives, and how one that can't be used ends the program."""
+"""The operator's file: the options that it sets, and the error for an invalid one."""
 
 import os
 import shlex
@@ -35,7 +35,7 @@
         ('[drill]\nkey = 50%% of "it"', Options(drill=DrillOptions('50%% of "it"'))),
         ("[door]\nrate = 5\nmax_keys = 9", Options(door=DoorOptions(5, 40, 9))),
         ("[door.a]\nrate = 5", Options(door_of={"a": DoorOptions(5, 40, 4096)})),
-        (  # what a class leaves unsaid holds as for all, also where its section stands first
+        (  # a class inherits from [door], also if its section comes first
             "[door.a]\nrate = 50\n[door]\nrate = 60\nburst = 90",
             Options(door=DoorOptions(60, 90, 4096), door_of={"a": DoorOptions(50, 90, 4096)}),
         ),
@@ -45,7 +45,7 @@
     assert read(tmp_path, text) == options
 
 
-def test_in_service_capture_alone_is_on() -> None:
+def test_the_deployed_configuration_enables_only_capture() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     command = shlex.split(deploy["run"])
     assert command[:4] == ["exec", ".venv/bin/python", "-m", "finchladder"]
@@ -58,8 +58,8 @@
     assert "-e ." in deploy["build"]
 
 
-def test_what_serves_is_named_in_deploy_and_loads_no_other_command() -> None:
-    """Nor the standard library's HTTP client or difflib, and nothing of the lab: it lives in 32 MB."""
+def test_serve_loads_only_deployed_modules_and_no_other_command() -> None:
+    """A dispatcher may have 32 MB only, so it loads no module of disabled features or other commands."""
     code = """if True:
         import sys
         from finchladder.cli.front import parse
@@ -85,23 +85,26 @@
 
 
 @pytest.mark.parametrize("args", [["--config", "a"], ["serve", "--config", "a"], ["--config", "a", "serve"]])
-def test_the_file_may_be_named_before_the_command_or_after_it(args: list[str]) -> None:
+def test_the_config_option_may_precede_or_follow_the_command(args: list[str]) -> None:
     command, parsed = front.parse(args)
     assert (parsed.config, command) == ("a", serve)
     assert front.parse([])[1].config is None
 
 
 @pytest.mark.parametrize("file", sorted((ROOT / "deploy").glob("*.ini")), ids=lambda p: p.name)
-def test_the_files_of_the_operators_can_be_used(file: Path) -> None:
+def test_the_deployed_files_are_valid(file: Path) -> None:
     read_options(str(file)).check(["roster-view", "roster-confirm"], 32)
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("rate = 1", "section"),
         ("[nope]", "[nope]: unknown section"),
-        ("[DEFAULT]\nrate = 1", "[DEFAULT]: unknown section"),  # configparser would give it to all others
+        (
+            "[DEFAULT]\nrate = 1",
+            "[DEFAULT]: unknown section",
+        ),  # configparser's default section would apply to all others
         ("[door.]", "[door.]: unknown section"),
         ("[door]\nrates = 1", "`rates`"),
         ("[door]\nRate = 1", "`Rate`"),
@@ -116,17 +119,19 @@
         ("[door]\nmax_keys = 1.5", "`int`"),
         ("[capture]\nring_bytes = 1000", ">= 1024"),
         ("[capture]\nfolder =", "length >= 1"),
-        ("[capture]\nring_bytes = 100000000", "is the most"),
+        ("[capture]\nring_bytes = 100000000", "bytes of memory, at most"),
         ("[status]\nretain_ms = 0", "> 0"),
         ("[status]\nmax_entries = 0", ">= 1"),
-        ("[drill]\nkey =", "`str` matching"),  # an empty key would let everybody in
-        ("[door]\nmax_keys = 100000000", "is the most"),  # memory stays bounded, whatever is asked for
-        ("[peers]\nmembers = n1=127.0.0.1:1", "[peers]: dispatcher is none of the 1 that"),
+        ("[drill]\nkey =", "`str` matching"),  # an empty key would admit every client
+        ("[door]\nmax_keys = 100000000", "bytes of memory, at most"),  # options can't exceed the memory
+        ("[peers]\nmembers = n1=127.0.0.1:1", "[peers]: dispatcher is not among the 1 listed"),
         ("\xff", "utf-8"),
         (None, "No such file"),
     ],
 )
-def test_an_unusable_file_ends_with_one_line(tmp_path: Path, text: str | None, said: str) -> None:
+def test_an_invalid_file_ends_the_program_with_one_line(
+    tmp_path: Path, text: str | None, message: str
+) -> None:
     file = tmp_path / "o.ini"
     if text is not None:
         file.write_bytes(text.encode("latin-1"))
@@ -135,4 +140,4 @@
         command, env=os.environ | ENV, capture_output=True, text=True, cwd=ROOT, timeout=20, check=False
     )
     assert (done.returncode, done.stderr.count("\n"), done.stderr[:13]) == (2, 1, "finchladder: ")
-    assert said in done.stderr
+    assert message in done.stderr
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,8 +1,8 @@
-"""Data that version 0.1.0 as of 749a777 wrote is read by this version, value by value.
+"""Data written by version 0.1.0 (commit 749a777) is read by this version with equal values.
 
-The fixtures hold an LMDB state with its values as JSON, one encoded message of each type of the internal
-protocol, a last good list and a simulation trace. They were written once, by that version, and are never
-written anew.
+The fixtures are an LMDB state with its values as JSON, one encoded message of each type of the internal
+protocol, a last good list and a simulation trace. They were written once by that version and must not be
+regenerated.
 """
 
 import json
@@ -21,7 +21,7 @@
 STORED = Path(__file__).parent / "fixtures" / "stored"
 DISK_BYTES = 32 << 20
 MESSAGES = [json.loads(line) for line in (STORED / "messages.jsonl").read_text().splitlines()]
-# by tag, the values of the fields that were appended since: `PullUpdates`, `Update`, `LeaseReply`
+# by message tag, values of the fields added since: `PullUpdates`, `Update`, `LeaseReply`
 APPENDED: dict[int, list[int]] = {8: [0], 57: [0], 58: [0]}
 
 
@@ -29,7 +29,7 @@
     raise AssertionError("the stored identity was not found")
 
 
-def test_an_lmdb_state_of_the_version_before_is_read_value_by_value(tmp_path: Path) -> None:
+def test_an_lmdb_state_of_the_earlier_version_is_read_with_equal_values(tmp_path: Path) -> None:
     shutil.copytree(STORED / "lmdb", tmp_path / "disk")
     store = LmdbStore(str(tmp_path / "disk"), DISK_BYTES)
     identity, acceptor, replica = store.load(no_new_identity)
@@ -41,7 +41,7 @@
     assert json.loads(msgspec.json.encode(found)) == expected
 
 
-def test_the_stored_values_mean_what_they_meant(tmp_path: Path) -> None:
+def test_the_stored_values_are_read_into_the_same_fields(tmp_path: Path) -> None:
     shutil.copytree(STORED / "lmdb", tmp_path / "disk")
     store = LmdbStore(str(tmp_path / "disk"), DISK_BYTES)
     identity, acceptor, replica = store.load(no_new_identity)
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("number", range(len(MESSAGES)))
-def test_a_message_of_the_version_before_is_read_and_written_alike(number: int) -> None:
+def test_a_message_of_the_earlier_version_is_decoded_and_encoded_with_equal_fields(number: int) -> None:
     encoded = bytes.fromhex(MESSAGES[number]["encoded"])
     decoder = request_decoder if MESSAGES[number]["kind"] == "request" else reply_decoder
     fields = msgspec.msgpack.decode(encoded)
@@ -72,17 +72,17 @@
     assert encoder.encode(decoder.decode(encoded)) == expected
 
 
-def test_the_version_before_reads_what_has_appended_fields() -> None:
-    class FormerLeaseReply(msgspec.Struct, frozen=True, array_like=True, tag=58):
+def test_the_earlier_version_decodes_messages_with_added_fields() -> None:
+    class EarlierLeaseReply(msgspec.Struct, frozen=True, array_like=True, tag=58):
         granted: bool
         token: int
         retry_after_ms: int = 0
 
     written = encoder.encode(LeaseReply(True, 7, 20, vacant_ms=300))
-    assert msgspec.msgpack.decode(written, type=FormerLeaseReply) == FormerLeaseReply(True, 7, 20)
+    assert msgspec.msgpack.decode(written, type=EarlierLeaseReply) == EarlierLeaseReply(True, 7, 20)
 
 
-def test_a_last_good_list_of_the_version_before_is_read() -> None:
+def test_a_last_good_list_of_the_earlier_version_is_read() -> None:
     found = last_good_list.read(STORED / "last-good-list")
     assert found is not None
     assert (found.source, found.version, found.time_s) == ("discovery", 7, 1764700000.5)
@@ -90,7 +90,7 @@
     assert last_good_list.encode(found) == (STORED / "last-good-list").read_bytes()
 
 
-def test_a_simulation_trace_of_the_version_before_plays_the_same() -> None:
+def test_a_simulation_trace_of_the_earlier_version_is_reproduced() -> None:
     plan, lines = trace.read(STORED / "simulation-trace.jsonl")
     again, _ = trace.record(plan)
     assert len(lines) == 182
