--- a/finchladder/cli/benchlink.py
+++ b/finchladder/cli/benchlink.py
@@ -1,4 +1,4 @@
-"""Adapter between the bench's text protocol and finchladder.core.api; it makes no decisions.
+"""Adapter between the bench's text protocol and finchladder.core.api; the dispatchers make all decisions.
 
 Malformed input ends the process with one message on standard error and exit status 2. An exception inside the
 decision module is reported in the protocol as FATAL.
@@ -212,10 +212,10 @@
         """Passes an event to its dispatcher and adds the actions to the reply."""
         node = self.nodes.get(i)
         if node is None:
-            raise WireError(f"event for instance {i}, which is not running")
+            raise WireError(f"event for instance {i}, which isn't running")
         try:
             actions = node.handle(now, event)
-        except Exception as e:  # any error of the decision module is reported on the wire, where the run ends
+        except Exception as e:  # any error is reported in the protocol, which ends the run
             reply.append(f"FATAL\t{i}\t{type(e).__name__}: {' '.join(str(e).split())}\n")
             return
         for action in actions:
--- a/finchladder/cli/calls.py
+++ b/finchladder/cli/calls.py
@@ -10,8 +10,10 @@
 from finchladder.features.fault_injection import FaultOrder
 
 CHUNK_BYTES = 64 * 1024
-FAULT_INJECTION_KEY_VARIABLE = "NODE_DRILL_KEY"  # not an argument: every user of the machine can read those
-OUTLIER_KEY_VARIABLE = "NODE_JUDGE_KEY"  # likewise
+FAULT_INJECTION_KEY_VARIABLE = (
+    "NODE_DRILL_KEY"  # not an argument, as all users of the machine can read arguments
+)
+OUTLIER_KEY_VARIABLE = "NODE_JUDGE_KEY"  # not an argument for the same reason
 TIMEOUT_S = 10.0
 
 
@@ -30,7 +32,7 @@
     return http.client.HTTPConnection(*parse_address(os.environ["NODE_LISTEN"]), timeout=TIMEOUT_S)
 
 
-def ask(
+def send_request(
     connection: http.client.HTTPConnection, method: str, path: str, body: bytes | None, fields: dict[str, str]
 ) -> http.client.HTTPResponse:
     """Sends a request and returns a 200 response, its body unread.
@@ -42,8 +44,8 @@
         connection.request(method, path, body, fields)
         response = connection.getresponse()
         if response.status != 200:
-            said = response.read(1024).decode("utf-8", "replace").strip()
-            raise CallError(f"the dispatcher answered {response.status}: {said}")
+            text = response.read(1024).decode("utf-8", "replace").strip()
+            raise CallError(f"the dispatcher answered {response.status}: {text}")
         return response
     except (OSError, http.client.HTTPException) as e:
         raise CallError(f"no answer from {connection.host}:{connection.port}: {e}") from None
@@ -53,27 +55,27 @@
     """Returns the body of a GET, from the dispatcher at `at` or at NODE_LISTEN."""
     connection = http.client.HTTPConnection(*at, timeout=TIMEOUT_S) if at is not None else connect()
     try:
-        return ask(connection, "GET", path, None, {}).read().decode()
+        return send_request(connection, "GET", path, None, {}).read().decode()
     finally:
         connection.close()
 
 
-def drill(order: FaultOrder, key: str) -> str:
-    """Orders a fault injection and returns the answer.
+def start_fault(order: FaultOrder, key: str) -> str:
+    """Starts a fault injection and returns the answer.
 
     Raises:
         ValueError: The key has other characters than visible ASCII.
         CallError: The call failed.
     """
     if not all(" " <= c <= "~" for c in key):
-        raise ValueError("the key holds what is not visible ASCII")  # and is not to be printed
+        raise ValueError("the key has characters that are not visible ASCII")  # the key must not be printed
     connection = connect()
     try:
         body, fields = msgspec.json.encode(order), {"X-Drill-Key": key} if key else {}
-        return ask(connection, "POST", "/_drill", body, fields).read().decode()
+        return send_request(connection, "POST", "/_drill", body, fields).read().decode()
     except CallError as e:
         hint = (
-            f"; {FAULT_INJECTION_KEY_VARIABLE} is not set, and no file named by --config has a key in [drill]"
+            f"; {FAULT_INJECTION_KEY_VARIABLE} is not set, and the file of --config has no key in [drill]"
             if not key
             else ""
         )
@@ -82,7 +84,7 @@
         connection.close()
 
 
-def judge(order: dict[str, object], key: str, at: tuple[str, int] | None = None) -> str:
+def override_worker(order: dict[str, object], key: str, at: tuple[str, int] | None = None) -> str:
     """Overrides outlier detection for a worker, at `at` or at NODE_LISTEN.
 
     Raises:
@@ -90,14 +92,14 @@
         CallError: The call failed.
     """
     if not all(" " <= c <= "~" for c in key):
-        raise ValueError("the key holds what is not visible ASCII")
+        raise ValueError("the key has characters that are not visible ASCII")
     connection = http.client.HTTPConnection(*at, timeout=TIMEOUT_S) if at is not None else connect()
     try:
         fields = {"X-Judge-Key": key} if key else {}
-        return ask(connection, "POST", "/_judge", msgspec.json.encode(order), fields).read().decode()
+        return send_request(connection, "POST", "/_judge", msgspec.json.encode(order), fields).read().decode()
     except CallError as e:
         hint = (
-            f"; {OUTLIER_KEY_VARIABLE} is not set, and no file by --config has a [judgement] key"
+            f"; {OUTLIER_KEY_VARIABLE} is not set, and the file of --config has no key in [judgement]"
             if not key
             else ""
         )
@@ -114,14 +116,14 @@
     """
     connection = connect()
     try:
-        response = ask(connection, "GET", "/_capture", None, {})
-        left = response.length or 0
-        while piece := response.read(CHUNK_BYTES):
-            left -= len(piece)
-            yield piece
-        if left:
-            raise CallError("the dispatcher broke off")
+        response = send_request(connection, "GET", "/_capture", None, {})
+        remaining = response.length or 0
+        while chunk := response.read(CHUNK_BYTES):
+            remaining -= len(chunk)
+            yield chunk
+        if remaining:
+            raise CallError("the dispatcher closed the connection before the end of the answer")
     except (OSError, http.client.HTTPException) as e:
-        raise CallError(f"the dispatcher broke off: {e}") from None
+        raise CallError(f"the connection to the dispatcher failed: {e}") from None
     finally:
         connection.close()
--- a/finchladder/cli/config.py
+++ b/finchladder/cli/config.py
@@ -27,15 +27,15 @@
     def formats(one: argparse.ArgumentParser) -> None:
         one.add_argument("--format", choices=("text", "json"), default="text", help="(default: text)")
 
-    check = command("check", "say all that is wrong with the files, as a dispatcher would at its start")
+    check = command("check", "print all errors of the files, as a dispatcher would when it starts")
     check.add_argument("files", metavar="FILE", nargs="+")
     formats(check)
-    why = command("explain", "show each value of a route, and the line that it came from")
+    why = command("explain", "print each setting of a route, and the line that it comes from")
     why.add_argument("file", metavar="FILE")
     why.add_argument("route", metavar="ROUTE")
     formats(why)
-    command("schema", "print the JSON Schema of a file in TOML")
-    command("convert", "print a file in INI as TOML").add_argument("file", metavar="FILE")
+    command("schema", "print the JSON Schema of TOML files")
+    command("convert", "print an INI file as TOML").add_argument("file", metavar="FILE")
 
 
 def run(args: argparse.Namespace) -> None:
@@ -124,7 +124,7 @@
 
 def convert(args: argparse.Namespace) -> None:
     """Prints an INI file as TOML."""
-    _loaded(args.file)  # nothing comes of a file that can't be used
+    _loaded(args.file)  # ends the program if the file is invalid
     try:
         print(to_toml(args.file), end="")
     except ValueError as e:
--- a/finchladder/cli/drill.py
+++ b/finchladder/cli/drill.py
@@ -16,9 +16,11 @@
     add_config_option(parser)
     parser.add_argument("--class", dest="job_class", required=True, metavar="CLASS")
     parser.add_argument("--share", type=float, required=True, help="part of the class's requests, 0 to 1")
-    parser.add_argument("--delay-ms", type=float, default=0.0, help="hold them for so long (default: not)")
     parser.add_argument(
-        "--abort-share", type=float, help="answered 503 (default: --share, or 0 with a delay)"
+        "--delay-ms", type=float, default=0.0, help="delay of the requests that aren't aborted (default: 0)"
+    )
+    parser.add_argument(
+        "--abort-share", type=float, help="part answered 503 (default: --share, or 0 with a delay)"
     )
     parser.add_argument("--for-s", type=float, required=True, help="seconds until it ends, at most 600")
 
@@ -27,7 +29,7 @@
     """Runs the command; errors end the program with a message."""
     try:
         options = read_options(args.config)
-        # without one the dispatcher says what it says to all who have no key
+        # without a key the dispatcher rejects the call with an explanation
         key = (
             os.environ.get(calls.FAULT_INJECTION_KEY_VARIABLE) or (options.drill and options.drill.key) or ""
         )
@@ -36,7 +38,7 @@
             | ({"abort_share": args.abort_share} if args.abort_share is not None else {}),
             FaultOrder,
         )
-        print(calls.drill(order, key), end="")
+        print(calls.start_fault(order, key), end="")
     except (ValueError, msgspec.ValidationError) as e:
         fail(str(e))
     except calls.CallError as e:
--- a/finchladder/cli/etcd.py
+++ b/finchladder/cli/etcd.py
@@ -21,63 +21,73 @@
 from finchladder.net.etcd.client import Client, EtcdError
 from finchladder.net.etcd.keys import Keys
 
-KEEP_ALIVES_PER_TTL = 3  # times within a lease's life that it is kept alive
-RETRY_INTERVAL_S = 0.5  # after a try that failed
+KEEP_ALIVES_PER_TTL = 3  # keep-alive requests for each TTL of a lease
+RETRY_INTERVAL_S = 0.5  # after a failed attempt
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
     """Adds the command's arguments to the parser."""
     add_config_option(parser)
     parser.add_argument(
-        "--endpoint", action="append", metavar="URL", help="in place of [etcd]; may come again"
+        "--endpoint", action="append", metavar="URL", help="overrides [etcd]; may be repeated"
     )
     for name, text in (
-        ("prefix", "of all keys"),
-        ("user", "whom to log in as"),
-        ("password-file", "its password"),
-        ("ca-file", "PEM"),
-        ("cert-file", "PEM"),
-        ("key-file", "PEM"),
+        ("prefix", "prefix of all keys"),
+        ("user", "user name"),
+        ("password-file", "file with the password"),
+        ("ca-file", "CA certificates, PEM"),
+        ("cert-file", "client certificate, PEM"),
+        ("key-file", "key of the client certificate, PEM"),
     ):
-        parser.add_argument(f"--{name}", metavar="VALUE", help=f"{text}, in place of [etcd]")
+        parser.add_argument(f"--{name}", metavar="VALUE", help=f"{text}; overrides [etcd]")
     commands = parser.add_subparsers(dest="call", required=True, metavar="COMMAND")
 
     def command(name: str, text: str) -> argparse.ArgumentParser:
         return commands.add_parser(name, help=text, description=text)
 
     def entry(one: argparse.ArgumentParser) -> None:
-        one.add_argument("--name", required=True, help="of the real server")
-        one.add_argument("--address", required=True, metavar="HOST:PORT", help="the host as numbers")
+        one.add_argument("--name", required=True, help="name of the worker")
+        one.add_argument("--address", required=True, metavar="HOST:PORT", help="numeric address and port")
         one.add_argument("--zone", default="")
-        one.add_argument("--type", default="", help="machine kind")
+        one.add_argument("--type", default="", help="kind of the worker")
         one.add_argument("--group", type=int, default=0)
         one.add_argument("--weight", type=float, default=1.0)
-        one.add_argument("--since-ms", type=float, help="start of the real server, Unix time (default: now)")
+        one.add_argument("--since-ms", type=float, help="start of the worker, Unix time in ms (default: now)")
 
-    register = command("register", "list a real server while this runs; SIGTERM drains it and takes it out")
+    register = command(
+        "register", "list a worker while this command runs; SIGTERM drains and then removes it"
+    )
     entry(register)
-    register.add_argument("--ttl", type=int, default=5, metavar="S", help="life of its lease (default: 5)")
+    register.add_argument(
+        "--ttl", type=int, default=5, metavar="S", help="TTL of its lease in seconds (default: 5)"
+    )
     register.add_argument(
         "--drain",
         type=float,
         default=5.0,
         metavar="S",
         dest="drain_s",
-        help="from draining to taking it out (default: 5)",
+        help="seconds from draining to removal (default: 5)",
     )
-    entry(command("put", "list a real server until it is taken out"))
+    entry(command("put", "list a worker until it is removed"))
     for name, text in (
-        ("drain", "give real servers no new jobs, whatever else is said of them"),
-        ("undrain", "take drain notices back"),
-        ("remove", "take real servers out, and notices about them"),
+        ("drain", "drain workers regardless of their entries"),
+        ("undrain", "remove drain notices"),
+        ("remove", "remove workers and their drain notices"),
     ):
         one = command(name, text)
         one.add_argument("names", nargs="+", metavar="NAME")
         if name == "drain":
-            one.add_argument("--ttl", type=int, default=0, metavar="S", help="the notice ends by itself")
-    command("list", "what dispatchers make of the keys, a line for each real server")
-    command("import", "list all real servers of a list in discovery's form").add_argument(
-        "file", metavar="FILE", help="JSON; -: standard input"
+            one.add_argument(
+                "--ttl",
+                type=int,
+                default=0,
+                metavar="S",
+                help="seconds until the notice expires (default: never)",
+            )
+    command("list", "print the workers as dispatchers read them, one a line")
+    command("import", "list all workers of an endpoint list in the format of service discovery").add_argument(
+        "file", metavar="FILE", help="JSON; - for standard input"
     )
 
 
@@ -159,7 +169,9 @@
     """
     for name in names:
         if not name or "/" in name or not name.isprintable():
-            raise ValueError(f"{name!r} can't be the name of a real server")
+            raise ValueError(
+                f"{name!r} can't be the name of a worker: it needs printable characters without a slash"
+            )
 
 
 async def register(client: Client, args: argparse.Namespace) -> None:
@@ -167,42 +179,42 @@
 
     While etcd is unreachable it retries.
     """
-    entry, over = service_entry(args), asyncio.Event()
-    again = asyncio.Event()
+    entry, stop = service_entry(args), asyncio.Event()
+    skip_wait = asyncio.Event()
     if args.ttl < 1 or args.drain_s < 0:
         raise ValueError("--ttl must be 1 or more, and --drain 0 or more")
 
-    def told() -> None:
-        (again if over.is_set() else over).set()
+    def on_signal() -> None:
+        (skip_wait if stop.is_set() else stop).set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, told)
-    lease, down = 0, False
-    while not over.is_set():
+        asyncio.get_running_loop().add_signal_handler(number, on_signal)
+    lease, is_unreachable = 0, False
+    while not stop.is_set():
         try:
             if not lease or not await client.keep_alive(lease):
                 lease, new = 0, await client.grant(args.ttl)
                 await client.put(entry, new)
                 lease = new
                 print(f"{entry.name}: listed, lease {lease:x}", file=sys.stderr, flush=True)
-            wait, down = args.ttl / KEEP_ALIVES_PER_TTL, False
+            wait, is_unreachable = args.ttl / KEEP_ALIVES_PER_TTL, False
         except EtcdError as e:
-            if not down:
+            if not is_unreachable:
                 print(f"{entry.name}: {e}; tried again until it answers", file=sys.stderr, flush=True)
-            wait, down = RETRY_INTERVAL_S, True
-        await _either(over, wait)
+            wait, is_unreachable = RETRY_INTERVAL_S, True
+        await _wait_at_most(stop, wait)
     if lease:
         await client.put(service_entry(args, "draining"), lease)
         print(f"{entry.name}: draining", file=sys.stderr, flush=True)
-        until = time.monotonic() + args.drain_s
-        while not again.is_set() and (left := until - time.monotonic()) > 0:
+        drain_end = time.monotonic() + args.drain_s
+        while not skip_wait.is_set() and (left := drain_end - time.monotonic()) > 0:
             await client.keep_alive(lease)
-            await _either(again, min(left, args.ttl / KEEP_ALIVES_PER_TTL))
+            await _wait_at_most(skip_wait, min(left, args.ttl / KEEP_ALIVES_PER_TTL))
         await client.revoke(lease)
         print(f"{entry.name}: out", file=sys.stderr, flush=True)
 
 
-async def _either(event: asyncio.Event, seconds: float) -> None:
+async def _wait_at_most(event: asyncio.Event, seconds: float) -> None:
     with suppress(TimeoutError):
         await asyncio.wait_for(event.wait(), seconds)
 
@@ -226,17 +238,17 @@
     """Removes drain notices."""
     check_names(*args.names)
     for name in args.names:
-        was = await client.delete("drain", name)
-        print(f"{name}: " + ("drains no more" if was else "there was no notice"))
+        existed = await client.delete("drain", name)
+        print(f"{name}: " + ("drains no more" if existed else "there was no notice"))
 
 
 async def remove(client: Client, args: argparse.Namespace) -> None:
     """Removes entries and their drain notices."""
     check_names(*args.names)
     for name in args.names:
-        was = await client.delete("members", name)
+        existed = await client.delete("members", name)
         await client.delete("drain", name)
-        print(f"{name}: " + ("out" if was else "was not listed"))
+        print(f"{name}: " + ("out" if existed else "was not listed"))
 
 
 async def list_entries(client: Client, args: argparse.Namespace) -> None:
--- a/finchladder/cli/front.py
+++ b/finchladder/cli/front.py
@@ -7,17 +7,17 @@
 from importlib import import_module
 from typing import NoReturn, Protocol, cast
 
-COMMANDS = {  # each a file beside this one
+COMMANDS = {  # a module in this package for each
     "serve": "start one dispatcher (the default)",
-    "capture": "what the running dispatcher has recorded",
-    "replay": "decide a capture anew, and print what differs",
-    "drill": "rehearse slow or broken jobs at the running dispatcher",
+    "capture": "print what the running dispatcher has recorded",
+    "replay": "repeat the decisions of a capture, and print differences",
+    "drill": "inject delays or errors into jobs at the running dispatcher",
     "config": "check the operator's file, and explain its routes",
-    "peers": "what a running dispatcher knows of the others, and of the budgets that they share",
-    "judge": "what a running dispatcher holds of real servers; put one out, keep it in, or let it be",
-    "etcd": "list, drain and remove real servers in an etcd that dispatchers follow",
-    "sim": "run the program on a virtual clock and network, with faults from a seed",
-    "lab": "play experiments against dispatchers on loopback, and judge them",
+    "peers": "print a dispatcher's state of its peers and of shared budgets",
+    "judge": "print a dispatcher's ejected workers; eject a worker, protect it, or undo that",
+    "etcd": "list, drain and remove workers in the etcd that dispatchers watch",
+    "sim": "run the program on a virtual clock and network, with seeded faults",
+    "lab": "run experiments against dispatchers on loopback, and check the results",
 }
 
 
@@ -39,12 +39,12 @@
 
 def add_config_option(parser: argparse.ArgumentParser) -> None:
     """Adds the option --config."""
-    # no default: what stands before the command must not be undone by what does not stand after it
+    # no default: it would override a value given before the command
     parser.add_argument(
         "--config",
         metavar="FILE",
         default=argparse.SUPPRESS,
-        help="the operator's file, in TOML if it ends in .toml, else in INI",
+        help="the operator's file: TOML if its name ends in .toml, otherwise INI",
     )
 
 
@@ -54,7 +54,7 @@
         "--log-format",
         choices=("text", "json"),
         default=argparse.SUPPRESS,
-        help="of what serve logs on standard error (default: text)",
+        help="format of the log on standard error (default: text)",
     )
 
 
@@ -80,7 +80,7 @@
     command.arguments(parser)
     before = {name: value for name, value in vars(first).items() if name in ("config", "log_format")}
     if "log_format" in before and first.command != "serve":
-        top.error("--log-format is for serve alone")
+        top.error("--log-format is only for serve")
     return command, parser.parse_args(first.rest, argparse.Namespace(**{"config": None} | before))
 
 
@@ -90,6 +90,6 @@
     try:
         command.run(args)
         sys.stdout.flush()
-    except BrokenPipeError:  # whoever read the output has read enough
+    except BrokenPipeError:  # the reader closed the output
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         sys.exit(1)
--- a/finchladder/cli/judge.py
+++ b/finchladder/cli/judge.py
@@ -26,17 +26,26 @@
     """Adds the command's arguments to the parser."""
     add_config_option(parser)
     parser.add_argument(
-        "server", nargs="?", metavar="NAME", help="of a real server; without one: who is in question"
+        "server",
+        nargs="?",
+        metavar="NAME",
+        help="name of a worker; without it, print workers under suspicion",
     )
     what = parser.add_mutually_exclusive_group()
-    what.add_argument("--out", action="store_const", dest="stance", const="out", help="no job goes there")
-    what.add_argument("--in", action="store_const", dest="stance", const="in", help="no evidence puts it out")
-    what.add_argument("--let", action="store_const", dest="stance", const="let", help="by evidence again")
+    what.add_argument(
+        "--out", action="store_const", dest="stance", const="out", help="eject it: it gets no jobs"
+    )
+    what.add_argument(
+        "--in", action="store_const", dest="stance", const="in", help="protect it from ejection"
+    )
+    what.add_argument("--let", action="store_const", dest="stance", const="let", help="remove the override")
     parser.add_argument(
         "--for", dest="for_s", type=duration, default=600.0, metavar="10m", help="default: 10m"
     )
-    parser.add_argument("--why", default="", metavar="TEXT", help="up to 80 letters, shown wherever it holds")
-    parser.add_argument("--at", metavar="HOST:PORT", help="which dispatcher (default: NODE_LISTEN)")
+    parser.add_argument(
+        "--why", default="", metavar="TEXT", help="reason, up to 80 characters, shown with the override"
+    )
+    parser.add_argument("--at", metavar="HOST:PORT", help="the dispatcher's address (default: NODE_LISTEN)")
 
 
 def run(args: argparse.Namespace) -> None:
@@ -44,7 +53,7 @@
     try:
         at = parse_address(args.at) if args.at else None
         if (args.server is None) != (args.stance is None):
-            raise ValueError("a NAME and one of --out, --in, --let go together")
+            raise ValueError("NAME needs one of --out, --in, --let, and these need NAME")
         if args.server is None:
             sys.stdout.write("".join(f"{line}\n" for line in format_answer(calls.get("/_judge", at))))
             return
@@ -53,23 +62,23 @@
             os.environ.get(calls.OUTLIER_KEY_VARIABLE) or (options.judgement and options.judgement.key) or ""
         )
         order = {"server": args.server, "stance": args.stance, "for_s": args.for_s, "why": args.why}
-        print(calls.judge(order, key, at), end="")
+        print(calls.override_worker(order, key, at), end="")
     except ValueError as e:
         fail(str(e))
     except calls.CallError as e:
         fail(str(e), 1)
 
 
-def format_answer(shown: str) -> list[str]:
+def format_answer(answer: str) -> list[str]:
     """Formats the dispatcher's answer, a line for each worker."""
     found = []
-    for held in msgspec.json.decode(shown):
-        of = f" for {held['class']}" if "class" in held else ""
-        why = f", {held['why']}" if held.get("why") else ""
-        stage = f", stage {held['stage']}" if held.get("stage") else ""
-        score = f", score {held['score']:g}" if "score" in held else ""
+    for entry in msgspec.json.decode(answer):
+        of = f" for {entry['class']}" if "class" in entry else ""
+        why = f", {entry['why']}" if entry.get("why") else ""
+        stage = f", stage {entry['stage']}" if entry.get("stage") else ""
+        score = f", score {entry['score']:g}" if "score" in entry else ""
         found.append(
-            f"{held['server']}{of}: {held['state']}{stage}, {held['left_s']:g} s left,"
-            f" by {held['by'] or 'evidence'}{score}{why}"
+            f"{entry['server']}{of}: {entry['state']}{stage}, {entry['left_s']:g} s left,"
+            f" by {entry['by'] or 'evidence'}{score}{why}"
         )
     return found or ["nobody is in question"]
--- a/finchladder/cli/lab.py
+++ b/finchladder/cli/lab.py
@@ -14,8 +14,8 @@
     from finchladder.lab.check import Variant
     from finchladder.lab.show import Show
 
-RUNS_FOLDER = Path("lab-runs")  # where runs go unless --out says otherwise
-MAX_DISPATCHER_LINES = 5  # dispatchers with a line each; more are told of in sum
+RUNS_FOLDER = Path("lab-runs")  # default folder of runs
+MAX_DISPATCHER_LINES = 5  # with more dispatchers, only their sum is printed
 EXPERIMENTS_FOLDER = Path(__file__).resolve().parents[2] / "benchmarks"
 
 
@@ -26,26 +26,26 @@
     def command(name: str, text: str) -> argparse.ArgumentParser:
         return commands.add_parser(name, help=text, description=text)
 
-    def plays(one: argparse.ArgumentParser) -> None:
+    def add_run_options(one: argparse.ArgumentParser) -> None:
         one.add_argument(
             "--out", type=Path, metavar="DIR", help="an empty or new folder (default: lab-runs/NAME-N)"
         )
-        one.add_argument("--seed", type=int, help="in place of the file's")
+        one.add_argument("--seed", type=int, help="overrides the file's")
         one.add_argument(
             "--set",
             dest="sets",
             action="append",
             default=[],
             metavar="KEY=VALUE",
-            help="in place of the file's, by dotted name: load.phase.0.rate=100",
+            help="overrides a value of the file by dotted name: load.phase.0.rate=100",
         )
         one.add_argument("--quiet", action="store_true", help="no progress")
 
-    run = command("run", "play an experiment")
+    run = command("run", "run an experiment")
     run.add_argument("file", type=Path, metavar="FILE")
-    run.add_argument("--repeats", type=int, metavar="N", help="in place of the file's")
-    plays(run)
-    compare = command("compare", "play two experiments, revisions or settings in turn, and compare them")
+    run.add_argument("--repeats", type=int, metavar="N", help="overrides the file's")
+    add_run_options(run)
+    compare = command("compare", "run two experiments, revisions or settings alternately, and compare them")
     compare.add_argument("a", type=Path, metavar="A")
     compare.add_argument("b", type=Path, metavar="B", nargs="?", help="a second file (default: A again)")
     compare.add_argument("--pairs", type=int, default=5, metavar="N", help="ABAB.., at least 3 (default: 5)")
@@ -58,33 +58,37 @@
             action="append",
             default=[],
             metavar="KEY=VALUE",
-            help=f"a setting of {side.upper()} alone",
+            help=f"overrides a value of {side.upper()} only",
         )
-    plays(compare)
-    floor = command("floor", "play an experiment's schedule at virtual time with simple policies")
+    add_run_options(compare)
+    floor = command("floor", "simulate an experiment's schedule in virtual time with simple policies")
     floor.add_argument("file", type=Path, metavar="FILE")
-    floor.add_argument("--seed", type=int, help="in place of the file's")
+    floor.add_argument("--seed", type=int, help="overrides the file's")
     floor.add_argument(
         "--set",
         dest="sets",
         action="append",
         default=[],
         metavar="KEY=VALUE",
-        help="in place of the file's, by dotted name",
+        help="overrides a value of the file by dotted name",
     )
     floor.add_argument(
-        "--decisions", action="store_true", help="also the program's own decisions, one module a dispatcher"
+        "--decisions",
+        action="store_true",
+        help="also simulate the program's own decisions, one dispatcher module each",
+    )
+    floor.add_argument(
+        "--into", type=Path, metavar="DIR", help="folder of a run, whose report then includes them"
     )
-    floor.add_argument("--into", type=Path, metavar="DIR", help="a run's folder, whose report shows them")
     for name, text in (
-        ("report", "write summary.json and report.html anew from a run's ledger"),
-        ("judge", "judge a run's ledger by the four rules; status 1 where anything is found"),
+        ("report", "rewrite summary.json and report.html from a run's ledger"),
+        ("judge", "check a run's ledger against the four rules; exit status 1 if one is violated"),
     ):
         command(name, text).add_argument("folder", type=Path, metavar="DIR")
     serving = command("serve", "start an experiment's deployment without load, until Ctrl-C")
     serving.add_argument("file", type=Path, metavar="FILE")
-    plays(serving)
-    command("list", "the experiments that are shipped")
+    add_run_options(serving)
+    command("list", "print the included experiments")
 
 
 def run(args: argparse.Namespace) -> None:
@@ -113,7 +117,7 @@
         fail(str(e), 1)
     except Interrupted as e:
         show.close()
-        fail(f"{e}: the run was given up", 128 + e.number)
+        fail(f"{e}: the run was aborted", 128 + e.number)
     finally:
         show.close()
     if not ok:
@@ -140,7 +144,7 @@
         if out is None:
             out = next(p for n in count(1) if not (p := RUNS_FOLDER / f"{name}-{n}").exists())
         elif out.is_dir() and any(out.iterdir()):
-            raise Unusable(f"{out}: holds something already; --out takes an empty or new folder")
+            raise Unusable(f"{out}: the folder isn't empty; --out needs an empty or new folder")
         out.mkdir(parents=True, exist_ok=True)
     except OSError as e:
         raise Unusable(f"{out}: {e.strerror}") from None
@@ -237,7 +241,7 @@
     from finchladder.lab.check import Unusable, load
 
     if args.pairs < compare.LEAST_PAIRS:
-        raise Unusable(f"--pairs: at least {compare.LEAST_PAIRS}, or there is no interval")
+        raise Unusable(f"--pairs: at least {compare.LEAST_PAIRS}, as fewer give no confidence interval")
     sides = []
     for side, file in (("a", args.a), ("b", args.b or args.a)):
         sets = [*args.sets, *getattr(args, f"set_{side}")]
@@ -246,7 +250,7 @@
         sides.append(load(file, sets, args.seed, args.pairs))
     a, b = sides
     if [v.label for v in a] != [v.label for v in b]:
-        raise Unusable(f"{args.b or args.a}: its matrix is not that of {args.a}, so there are no pairs")
+        raise Unusable(f"{args.b or args.a}: its matrix differs from that of {args.a}, so there are no pairs")
     if args.b is None and args.rev_a == args.rev_b and args.set_a == args.set_b:
         raise Unusable(
             "compare: A and B are the same; a second file, --rev-a/-b or --set-a/-b tells them apart"
@@ -293,7 +297,7 @@
     from finchladder.lab.check import Unusable, load
 
     if args.into is not None and not (args.into / "ledger").is_dir():
-        raise Unusable(f"{args.into}: no run's folder")
+        raise Unusable(f"{args.into}: not the folder of a run")
     first: dict[str, Any] | None = None
     for variant in load(args.file, args.sets, args.seed, 1, processes=False):
         try:
@@ -306,10 +310,10 @@
         print(f"{variant.experiment.name} {variant.label}".strip() + f", seed {variant.experiment.seed}")
         print(spread.rows(found.items()))
         for name, f in found.items():
-            told = ", ".join(
+            latencies = ", ".join(
                 f"{c} p50 {v['p50_ms']:.0f} ms, p99 {v['p99_ms']:.0f} ms" for c, v in f["latency"].items()
             )
-            print(f"  {name}: {told}")
+            print(f"  {name}: {latencies}")
     if args.into is not None:
         (args.into / "floors.json").write_bytes(msgspec.json.format(msgspec.json.encode(first), indent=1))
         write(args.into)
--- a/finchladder/cli/peers.py
+++ b/finchladder/cli/peers.py
@@ -1,4 +1,4 @@
-"""`finchladder peers show`: what a running dispatcher knows of the others, and of what they share."""
+"""`finchladder peers show`: prints a dispatcher's state of its peers and of shared budgets."""
 
 import argparse
 import sys
@@ -14,8 +14,8 @@
 def arguments(parser: argparse.ArgumentParser) -> None:
     """Adds the command's arguments to the parser."""
     commands = parser.add_subparsers(dest="call", required=True, metavar="COMMAND")
-    show = commands.add_parser("show", help="members, budgets and counts, as one dispatcher has them")
-    show.add_argument("--at", metavar="HOST:PORT", help="which one (default: NODE_LISTEN)")
+    show = commands.add_parser("show", help="print members, budgets and counts of one dispatcher")
+    show.add_argument("--at", metavar="HOST:PORT", help="the dispatcher's address (default: NODE_LISTEN)")
     show.add_argument("--format", choices=("text", "json"), default="text")
 
 
@@ -38,8 +38,8 @@
     """Formats the dispatcher's answer."""
     members = shown["members"]
     count = {s: sum(m["standing"] == s for m in members) for s in ("alive", "suspected", "gone")}
-    told = ", ".join(f"{n} {standing}" for standing, n in count.items())
-    found = [f"{shown['name']}: {len(members)} listed, {told}"]
+    standings = ", ".join(f"{n} {standing}" for standing, n in count.items())
+    found = [f"{shown['name']}: {len(members)} listed, {standings}"]
     for m in members:
         if m["standing"] != "alive":
             heard = "never heard" if m["heard_s"] is None else f"heard {m['heard_s']:g} s ago"
@@ -56,11 +56,9 @@
             f"counts: {counts['in_flight']:g} slots in flight at {counts['members']} dispatchers,"
             f" {counts['age_s']:.2f} s old"
         )
-    for held in shown.get("judged", ()):
-        of = f" for {held['class']}" if "class" in held else ""
-        found.append(
-            f"{held['server']}{of}: {held['state']}, {held['left_s']:g} s left, by {held['by'] or 'evidence'}"
-        )
+    for w in shown.get("judged", ()):
+        of = f" for {w['class']}" if "class" in w else ""
+        found.append(f"{w['server']}{of}: {w['state']}, {w['left_s']:g} s left, by {w['by'] or 'evidence'}")
     traffic = shown["datagrams"]
     found.append(
         f"datagrams: {traffic['sent']} sent, {traffic['received']} received, {traffic['unsent']} not sent"
--- a/finchladder/cli/serve.py
+++ b/finchladder/cli/serve.py
@@ -20,7 +20,7 @@
 from finchladder.net.host_environment import HostEnvironment, Selector
 from finchladder.net.node import DispatcherNode, OperatorFile
 
-GC_THRESHOLDS = 5000, 10, 8  # of the third generation: a full look after some 400,000 more objects, 50 MB
+GC_THRESHOLDS = 5000, 10, 8  # a collection of the oldest generation after about 400,000 new objects (50 MB)
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
@@ -41,13 +41,13 @@
 def log_to(sink: TextIO, node: str, log_format: str) -> int:
     """Configures logging as text, or as one JSON object a line; returns the sink's id."""
     logger.remove()
-    logger.configure(extra={"node": node})  # the text does not show it
+    logger.configure(extra={"node": node})  # not part of the text format
     return logger.add(sink, level="INFO", backtrace=False, diagnose=False, serialize=log_format == "json")
 
 
 def read_file(path: str, setup: DispatcherSetup) -> OperatorFile:
     """Reads the operator's TOML file, with a callable that reads it again."""
-    from finchladder.config.operator_file import read  # what a dispatcher with an INI file need not load
+    from finchladder.config.operator_file import read  # not loaded with an INI file
 
     again = partial(read, path, setup.settings, setup.limits.memory_mb)
     return OperatorFile(again(), again)
@@ -57,8 +57,8 @@
     setup: DispatcherSetup, options: Options, file: OperatorFile | None, machine: HostEnvironment
 ) -> None:
     """Runs the dispatcher until it is shut down."""
-    # jobs leave no cycles, so the collector finds next to nothing, but each full look at 10,000 real servers
-    # would hold up the loop for 100 ms and more: it comes seldom, and not at what stays
+    # jobs leave no reference cycles, so collections find almost nothing, but a full one with 10,000 workers
+    # would stall the event loop for 100 ms and more: it is rare, and skips objects that exist at the start
     gc.set_threshold(*GC_THRESHOLDS)
     node = DispatcherNode(setup, options, partial(read_setup, os.environ), machine, file=file)
     machine.freeze_objects()
@@ -78,7 +78,9 @@
 
 def run(args: argparse.Namespace) -> None:
     """Runs the command; errors end the program with a message."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop handles it: it must never end the process
+    signal.signal(
+        signal.SIGHUP, signal.SIG_IGN
+    )  # ignored until the event loop handles it, so that it never ends the process
     try:
         setup = read_setup(os.environ)
         file = read_file(args.config, setup) if args.config is not None and is_toml(args.config) else None
--- a/finchladder/cli/sim.py
+++ b/finchladder/cli/sim.py
@@ -14,47 +14,57 @@
 
 def arguments(parser: argparse.ArgumentParser) -> None:
     """Adds the command's arguments to the parser."""
-    parser.description = "The program on a virtual clock and network, with faults from a seed."
+    parser.description = "Runs the program on a virtual clock and network, with seeded faults."
     commands = parser.add_subparsers(dest="action", required=True, metavar="ACTION")
 
-    run = commands.add_parser("run", help="play one seed")
+    run = commands.add_parser("run", help="run one seed")
     run.add_argument("--seed", type=int, required=True)
-    run.add_argument("--steps", type=int, metavar="M", help="go on with the next seeds until so many steps")
-    run.add_argument("--out", metavar="TRACE", help="write the trace of the (last) run here")
+    run.add_argument("--steps", type=int, metavar="M", help="continue with the next seeds until M steps")
+    run.add_argument("--out", metavar="TRACE", help="file for the trace of the last run")
 
-    search = commands.add_parser("search", help="play many seeds")
+    search = commands.add_parser("search", help="run many seeds")
     search.add_argument(
-        "--seeds", type=_span, required=True, metavar="A..B", help="from A up to B; `A..`: on"
+        "--seeds", type=_span, required=True, metavar="A..B", help="from A to B inclusive; `A..`: without end"
     )
     search.add_argument("--jobs", type=int, default=os.cpu_count() or 1, metavar="N", help="processes")
-    search.add_argument("--for", dest="for_s", type=_duration, metavar="8h", help="begin no seed later")
-    search.add_argument("--out", default="sim-found", metavar="DIR", help="for traces of what was found")
-    search.add_argument("--first", action="store_true", help="end with the first violation")
-    search.add_argument("--coverage", action="store_true", help="print which fault met which stage")
+    search.add_argument(
+        "--for", dest="for_s", type=_duration, metavar="8h", help="start no seed after this time"
+    )
+    search.add_argument(
+        "--out", default="sim-found", metavar="DIR", help="folder for the traces of violations"
+    )
+    search.add_argument("--first", action="store_true", help="stop at the first violation")
+    search.add_argument(
+        "--coverage", action="store_true", help="print which faults occurred in which stage of a job"
+    )
 
     fleets = {
-        "peers": "play fleets of peers alone: rights, members, values",
-        "judged": "play dispatchers that judge real servers together: liars, splits, deaths",
+        "peers": "simulate peers only: rate limits, membership, state rows",
+        "judged": "simulate shared outlier detection: false reports, partitions, crashes",
     }
     for name, text in fleets.items():
         fleet = commands.add_parser(name, help=text)
         fleet.add_argument("--seeds", type=_span, required=True, metavar="A..B")
         fleet.add_argument("--jobs", type=int, default=os.cpu_count() or 1, metavar="N", help="processes")
-        fleet.add_argument("--for", dest="for_s", type=_duration, metavar="8h", help="begin no seed later")
+        fleet.add_argument(
+            "--for", dest="for_s", type=_duration, metavar="8h", help="start no seed after this time"
+        )
 
-    replay = commands.add_parser("replay", help="play a trace anew, and compare line by line")
-    shrink = commands.add_parser("shrink", help="make a trace small that still fails the same")
-    explain = commands.add_parser("explain", help="tell a trace as a story, with the lines of code")
+    replay = commands.add_parser("replay", help="repeat a trace, and compare it line by line")
+    shrink = commands.add_parser("shrink", help="reduce a trace to a smaller one with the same violation")
+    explain = commands.add_parser("explain", help="print the events of a trace with the lines of code")
     for command in (replay, shrink, explain):
         command.add_argument("trace", metavar="TRACE")
-    shrink.add_argument("--out", metavar="TRACE", help="default: beside it, with .small before the ending")
+    shrink.add_argument("--out", metavar="TRACE", help="default: the same path with .small before the suffix")
 
-    mutants = commands.add_parser("mutants", help="take out one guard at a time, and see that it is missed")
+    mutants = commands.add_parser(
+        "mutants", help="remove one safeguard at a time, and check that a simulation fails"
+    )
     mutants.add_argument("names", nargs="*", metavar="NAME", help="only these")
-    mutants.add_argument("--folder", default="tests/sim/mutants", help="of patches")
-    mutants.add_argument("--seeds", type=int, default=2000, metavar="N", help="at most, for each")
+    mutants.add_argument("--folder", default="tests/sim/mutants", help="folder of patches")
+    mutants.add_argument("--seeds", type=int, default=2000, metavar="N", help="maximum for each mutant")
     mutants.add_argument("--jobs", type=int, default=os.cpu_count() or 1, metavar="N", help="processes")
-    mutants.add_argument("--out", default="sim-mutants", metavar="DIR", help="for shrunk traces")
+    mutants.add_argument("--out", default="sim-mutants", metavar="DIR", help="folder for shrunk traces")
     mutants.add_argument("--no-shrink", action="store_true")
 
 
@@ -175,7 +185,7 @@
     plan, before = trace.read(path)
     outcome = trace.record(plan)[1]
     if outcome.violation is None:
-        raise ValueError(f"{path}: nothing is broken in it: there is nothing to shrink to")
+        raise ValueError(f"{path}: the trace has no violation, so it can't be shrunk")
     shrinker = Shrinker(plan, outcome.violation.name, print)
     lines, _ = trace.record(shrinker.run())
     out = Path(args.out) if args.out else path.with_suffix(f".small{path.suffix}")
--- a/finchladder/store/last_good_list.py
+++ b/finchladder/store/last_good_list.py
@@ -1,7 +1,8 @@
 """The last good list: a file from which a dispatcher can start while no list source is reachable.
 
-The first line is a JSON header (source, version, time, size, checksum), the rest is the list. The file is
-written beside its path and renamed, so that it is always complete. An unusable file is renamed and logged.
+The first line is a JSON header (source, version, time, size, checksum), the rest is the list. A new list is
+written to a temporary file that then replaces the old one, so that the file is always complete. An unusable
+file is renamed and logged.
 """
 
 import hashlib
@@ -17,9 +18,9 @@
 
 T = TypeVar("T")
 
-MAX_BYTES = 16 * 1024 * 1024  # some 100,000 entries
+MAX_BYTES = 16 * 1024 * 1024  # about 100,000 entries
 MAX_HEADER_BYTES = 1024
-CLOSE_TIMEOUT_S = 1.0  # seconds at the end for what is not yet written
+CLOSE_TIMEOUT_S = 1.0  # limit on the final write at the end of the process
 SET_ASIDE_SUFFIX = ".set-aside"
 
 
@@ -30,7 +31,7 @@
     format: Literal[1]
     source: str
     version: int
-    time_s: float  # Unix time at which the list was known to hold
+    time_s: float  # Unix time at which the list was last known to be valid
     size: int
     sha256: str
 
@@ -38,7 +39,7 @@
 class LastGood(NamedTuple):
     """A list with its origin; `time_s` is a Unix time."""
 
-    source: str  # whose version it is
+    source: str  # the list source that assigned the version
     version: int
     time_s: float
     body: bytes
@@ -133,7 +134,7 @@
         raise
     folder = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)  # the move itself must outlive a power cut
+        os.fsync(folder)  # so that the rename survives a power failure
     finally:
         os.close(folder)
 
@@ -157,7 +158,7 @@
         self.found: Callable[[tuple[LastGood, T] | None], None] = lambda found: None
         self.wake, self.lock, self.closing = threading.Event(), threading.Lock(), False
         self.pending: Callable[[], LastGood] | None = None
-        self.failure_logged = False  # a failing disk is told of once, until it works again
+        self.failure_logged = False  # failures are logged once, until a write succeeds
 
     def begin(self, found: Callable[[tuple[LastGood, T] | None], None]) -> None:
         """Starts the thread, which calls `found` with the stored list, or None without a usable one."""
@@ -168,7 +169,7 @@
         """Schedules a list for writing.
 
         Args:
-            make_list: Returns the list; called on the thread, must not read what the event loop changes.
+            make_list: Returns the list; called on the thread, must not read data that the event loop changes.
         """
         with self.lock:
             self.pending = make_list
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Tests that are listed in KNOWN-RED.txt are played, and their failing is passed over and printed."""
+"""Tests listed in KNOWN-RED.txt are run; their failures don't fail the run and are printed."""
 
 from pathlib import Path
 from typing import Any
@@ -18,27 +18,29 @@
         raise pytest.UsageError(str(e)) from None
 
 
-def refuse(absent: list[str]) -> None:
+def fail_if_any(absent: list[str]) -> None:
     if absent:
-        raise pytest.UsageError(f"KNOWN-RED.txt names tests that are not there: {', '.join(absent)}")
+        raise pytest.UsageError(f"KNOWN-RED.txt names tests that don't exist: {', '.join(absent)}")
 
 
 def pytest_configure() -> None:
-    refuse(known_red.undefined(listed(), TESTS.parent))
+    fail_if_any(known_red.undefined(listed(), TESTS.parent))
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     reds = listed()
-    whole = not config.args or any(Path(arg).resolve() in (TESTS, TESTS.parent) for arg in config.args)
-    if whole:
-        refuse(known_red.missing(reds, [item.nodeid for item in items]))
+    is_complete_run = not config.args or any(
+        Path(arg).resolve() in (TESTS, TESTS.parent) for arg in config.args
+    )
+    if is_complete_run:
+        fail_if_any(known_red.missing(reds, [item.nodeid for item in items]))
     for item in items:
-        if (why := known_red.reason(reds, item.nodeid)) is not None:
-            item.add_marker(pytest.mark.xfail(reason=why, strict=False))
+        if (reason := known_red.reason(reds, item.nodeid)) is not None:
+            item.add_marker(pytest.mark.xfail(reason=reason, strict=False))
 
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
     for red in listed():
         terminalreporter.write_line(
-            f"known red: {red.test}: {red.seen} ({red.issue}); again by: {red.command}"
+            f"known red: {red.test}: {red.seen} ({red.issue}); reproduce with: {red.command}"
         )
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""KNOWN-RED.txt at the root: tests that fail for a real fault which is not fixed yet.
+"""KNOWN-RED.txt in the root folder: tests that fail because of a known fault which isn't fixed yet.
 
-A line each: `tests/file.py::test_name | command and seed | what was seen | issue`. The run passes over just
-these and prints them; it fails where a line can't be read, or a test that it names is not there.
+Each line is `tests/file.py::test_name | command and seed | what was seen | issue`. Failures of exactly these
+tests don't fail the run and are printed. The run fails if a line can't be parsed or its test doesn't exist.
 """
 
 import ast
@@ -20,7 +20,11 @@
 
 
 def read(text: str) -> list[Red]:
-    """ValueError says what is wrong with the file."""
+    """Parses the file.
+
+    Raises:
+        ValueError: A line can't be parsed.
+    """
     reds = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
@@ -33,7 +37,7 @@
 
 
 def undefined(reds: Collection[Red], root: Path) -> list[str]:
-    """Those whose file under `root` defines no such test; nothing needs to be collected for that."""
+    """Returns the tests that their files under `root` don't define, without collecting tests."""
     absent = []
     for red in reds:
         file, _, name = red.test.partition("[")[0].partition("::")
@@ -47,13 +51,13 @@
 
 
 def missing(reds: Collection[Red], collected: Collection[str]) -> list[str]:
-    """Those named that are not there; a name without brackets stands for all cases of a test."""
+    """Returns the tests that weren't collected; a name without brackets stands for all cases of a test."""
     names = {name.partition("[")[0] for name in collected} | set(collected)
     return [red.test for red in reds if red.test not in names]
 
 
 def reason(reds: Collection[Red], name: str) -> str | None:
-    """Why a test is passed over; None: it is not."""
+    """Returns why a test may fail, or None if it isn't listed."""
     for red in reds:
         if red.test in (name, name.partition("[")[0]):
             return f"{red.seen} ({red.issue})"
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -376,7 +376,7 @@
     [
         (["run", "nix.toml"], "nix.toml: No such file or directory"),
         (["run", "small.toml", "--set", "nix=1"], "small.toml: top: unknown key nix"),
-        (["run", "small.toml", "--out", "."], "holds something already"),
+        (["run", "small.toml", "--out", "."], "the folder isn't empty"),
         (["run", "small.toml", "--repeats", "0"], "--repeats: at least 1"),
         (["compare", "small.toml"], "A and B are the same"),
         (["compare", "small.toml", "--set-a", "seed=2", "--pairs", "2"], "--pairs: at least 3"),
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: what it reads, what it writes, and how it ends on what it cannot read."""
+"""The bench adapter: parsed input, formatted output, and its exit on malformed input."""
 
 import json
 import subprocess
@@ -63,7 +63,7 @@
     return subprocess.run(command, input=text, capture_output=True, text=True, cwd=ROOT, check=False)
 
 
-def test_one_request_there_and_back() -> None:
+def test_a_request_is_dispatched_and_its_end_accepted() -> None:
     ended = f"REPORT_BACK\t3\t{REQ}\t10.0.0.1:80\t1\t-\tsuccess\t0.02\t0\tx0:3,made_up:9\n"
     done = run(batch(born() + LIST + DEMAND) + batch(ended, 8.6) + batch("KILLED\t3\n", 8.7))
     assert (done.returncode, done.stderr) == (0, "")
@@ -72,12 +72,12 @@
     assert done.stdout.count("EOR\n") == 3
 
 
-def test_end_of_input_is_a_quiet_end() -> None:
+def test_the_end_of_input_ends_the_adapter_without_output() -> None:
     done = run("")
     assert (done.returncode, done.stdout, done.stderr) == (0, "", "")
 
 
-def test_unknown_ending_counts_as_may_have_run() -> None:
+def test_an_unknown_ending_is_treated_as_possibly_executed() -> None:
     demand = DEMAND.replace("\ts\t", "\tu\t")
     ended = f"REPORT_BACK\t3\t{REQ}\t10.0.0.1:80\t0\t-\tmelted\t0.02\t0\t-\n"
     done = run(batch(born() + LIST + demand) + batch(ended, 8.6))
@@ -107,14 +107,14 @@
         batch(born(FACTS | {"tickS": 0})),
     ],
 )
-def test_what_cannot_be_read_ends_with_one_message(text: str) -> None:
+def test_malformed_input_ends_the_adapter_with_one_message(text: str) -> None:
     done = run(text)
     assert done.returncode != 0
     assert done.stderr.startswith("benchlink: ")
     assert done.stderr.count("\n") == 1
 
 
-def test_a_broken_decision_is_reported_on_the_wire() -> None:
+def test_an_exception_in_a_decision_is_reported_in_the_protocol() -> None:
     code = (
         "from finchladder.cli import benchlink\n"
         "def broken(self, now, event): raise RuntimeError('two\\nlines')\n"
@@ -141,5 +141,5 @@
         (api.Log("text"), "LOG\t7\ttext\n"),
     ],
 )
-def test_each_action_has_its_line(action: api.Action, line: str) -> None:
+def test_each_action_is_formatted_as_its_line(action: api.Action, line: str) -> None:
     assert WRITERS[type(action)]("7", action) == line
--- a/tests/test_build_system.py
+++ b/tests/test_build_system.py
@@ -1,4 +1,4 @@
-"""The build of the system is whole or done again; packages come from a stand-in for pip."""
+"""The system's build script installs all packages or is repeated; a stub replaces pip."""
 
 import signal
 import subprocess
@@ -13,8 +13,8 @@
 SHELL_KILLED = 128 + signal.SIGKILL
 SCRIPT = ROOT / "deploy" / "build_system.sh"
 
-# installs one folder for each line of the list into its target; dies between two of them if told to
-STAND_IN = """\
+# creates a folder in its target for each line of the list; is killed or fails after a given package
+PIP_STUB = """\
 #!/bin/sh
 if [ "$1" = -c ]; then echo "$INTERPRETER"; exit 0; fi
 while [ "$1" != --target ]; do shift; done
@@ -30,7 +30,7 @@
 
 
 class Checkout:
-    """A checkout with three packages, in which the build is run."""
+    """A checkout with three required packages, in which the build runs."""
 
     def __init__(self, root: Path) -> None:
         self.root = root
@@ -38,7 +38,7 @@
         (root / "deploy" / SCRIPT.name).write_text(SCRIPT.read_text())
         (root / "bin").mkdir()
         python = root / "bin" / "python3"
-        python.write_text(STAND_IN)
+        python.write_text(PIP_STUB)
         python.chmod(0o755)
         self.write_requirements("alpha", "beta", "gamma")
 
@@ -65,7 +65,7 @@
     return Checkout(tmp_path)
 
 
-def test_a_build_installs_all_packages_and_the_next_one_has_nothing_to_do(checkout: Checkout) -> None:
+def test_a_build_installs_all_packages_and_the_next_one_installs_none(checkout: Checkout) -> None:
     assert checkout.build() == 0
     assert checkout.build() == 0
     assert checkout.installed() == {"alpha", "beta", "gamma"}
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("ending", ["DIES_AFTER", "FAILS_AFTER"])
-def test_a_build_that_was_cut_off_is_done_again_by_the_next(checkout: Checkout, ending: str) -> None:
+def test_an_interrupted_build_is_repeated_by_the_next(checkout: Checkout, ending: str) -> None:
     assert checkout.build(**{ending: "beta"}) not in (0, None)
     assert checkout.installed() == set()
     assert checkout.build() == 0
@@ -81,7 +81,7 @@
     assert not (checkout.root / "target" / "deps.partial").exists()
 
 
-def test_a_build_that_was_cut_off_leaves_the_former_one_until_it_can_replace_it(checkout: Checkout) -> None:
+def test_an_interrupted_build_leaves_the_earlier_packages_in_place(checkout: Checkout) -> None:
     checkout.build()
     checkout.write_requirements("alpha", "delta")
     assert checkout.build(DIES_AFTER="alpha") == SHELL_KILLED
@@ -96,14 +96,14 @@
     assert checkout.installed() == {"alpha", "beta", "gamma"}
 
 
-def test_another_interpreter_gets_packages_of_its_own(checkout: Checkout) -> None:
+def test_another_interpreter_causes_a_new_installation(checkout: Checkout) -> None:
     checkout.build("CPython 3.11.2 x86_64")
     assert checkout.build("CPython 3.13.5 x86_64") == 0
     assert checkout.pip_runs() == 2
 
 
-def test_the_list_pins_every_package_that_the_pinned_ones_need() -> None:
-    """No package comes in a version that this repository has not named."""
+def test_the_list_pins_all_dependencies_of_its_packages() -> None:
+    """Guards against packages that pip installs in an unpinned version."""
     from importlib.metadata import requires
 
     from packaging.requirements import Requirement
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -302,12 +302,12 @@
 @pytest.mark.parametrize(
     ("text", "reason"),
     [
-        ("", "either members or file"),
-        ("members = a=127.0.0.1:1\nfile = x", "either members or file"),
-        ("members = a=127.0.0.1:1, a=127.0.0.1:2", "a is named twice"),
+        ("", "exactly one of members and file"),
+        ("members = a=127.0.0.1:1\nfile = x", "exactly one of members and file"),
+        ("members = a=127.0.0.1:1, a=127.0.0.1:2", "a is listed twice"),
         ("members = a=127.0.0.1", "unusable"),
-        ("members = a=127.0.0.1:1, b=127.0.0.1:1", "one address"),
-        ("members = a b=127.0.0.1:1", "no dispatcher's name"),
+        ("members = a=127.0.0.1:1, b=127.0.0.1:1", "the same address"),
+        ("members = a b=127.0.0.1:1", "invalid dispatcher name"),
         ("members = a=host:1", "unusable address"),
         ("file = x\nfleet = a b", "fleet"),
         ("file = x\nwave_s = 0", "wave_s"),
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail: what it may hold, and what a run makes of it."""
+"""The list of tests that may fail: its format, and its effect on a run."""
 
 import shutil
 import subprocess
@@ -26,7 +26,7 @@
         ("tests/test_a.py::test_red | | seen | 33", [], "KNOWN-RED.txt:1"),
     ],
 )
-def test_what_the_file_may_hold(text: str, tests: list[str], wrong: str | None) -> None:
+def test_lines_are_parsed_or_rejected(text: str, tests: list[str], wrong: str | None) -> None:
     if wrong is None:
         assert [red.test for red in known_red.read(text)] == tests
     else:
@@ -34,7 +34,7 @@
             known_red.read(text)
 
 
-def test_names_are_held_against_what_is_there() -> None:
+def test_names_are_compared_with_the_collected_tests() -> None:
     reds = known_red.read(RED)
     assert known_red.missing(reds, ["tests/test_a.py::test_red[1]"]) == []
     assert known_red.missing(reds, ["tests/test_a.py::test_red_too"]) == ["tests/test_a.py::test_red"]
@@ -44,16 +44,20 @@
 
 @pytest.mark.parametrize("processes", [(), ("-n", "2")])
 @pytest.mark.parametrize(
-    ("reds", "status", "said"),
+    ("reds", "status", "message"),
     [
         ("", 1, "1 failed, 1 passed"),
-        (RED, 0, "known red: tests/test_a.py::test_red: it loses a job (33); again by: pytest -k test_red"),
-        ("tests/test_a.py::test_gone | c | s | 1", 4, "not there: tests/test_a.py::test_gone"),
+        (
+            RED,
+            0,
+            "known red: tests/test_a.py::test_red: it loses a job (33); reproduce with: pytest -k test_red",
+        ),
+        ("tests/test_a.py::test_gone | c | s | 1", 4, "don't exist: tests/test_a.py::test_gone"),
         ("tests/test_a.py::test_red | s | 1", 4, "a line is `test | command and seed | seen | issue`"),
     ],
 )
-def test_a_run_passes_over_just_those(
-    tmp_path: Path, reds: str, status: int, said: str, processes: tuple[str, ...]
+def test_only_failures_of_listed_tests_are_ignored_and_printed(
+    tmp_path: Path, reds: str, status: int, message: str, processes: tuple[str, ...]
 ) -> None:
     (tmp_path / "tests").mkdir()
     for name in ("__init__.py", "conftest.py", "known_red.py"):
@@ -66,4 +70,4 @@
     command += ["--rootdir", str(tmp_path)]
     done = subprocess.run(command, cwd=tmp_path, capture_output=True, text=True, check=False)
     assert done.returncode == status
-    assert said in done.stdout + done.stderr
+    assert message in done.stdout + done.stderr
