--- a/finchladder/cli/serve.py
+++ b/finchladder/cli/serve.py
@@ -78,9 +78,8 @@
 
 def run(args: argparse.Namespace) -> None:
     """Runs the command; errors end the program with a message."""
-    signal.signal(
-        signal.SIGHUP, signal.SIG_IGN
-    )  # ignored until the event loop handles it, so that it never ends the process
+    # ignored until the event loop handles it, so that it never ends the process
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         setup = read_setup(os.environ)
         file = read_file(args.config, setup) if args.config is not None and is_toml(args.config) else None
--- a/finchladder/config/operator_file.py
+++ b/finchladder/config/operator_file.py
@@ -180,9 +180,8 @@
             continue
         classes = {k: v for k, v in table.items() if name == "door" and isinstance(v, dict)}
         own = {k: v for k, v in table.items() if k not in classes}
-        if (
-            own or not classes or (name,) in collector.positions.table_headers
-        ):  # [door.NAME] without [door] doesn't limit other classes
+        # [door.NAME] without [door] doesn't limit other classes
+        if own or not classes or (name,) in collector.positions.table_headers:
             given[name] = own
             collect_values(collector, SECTIONS[name], own, (name,), 0)
         for job_class, values in classes.items():
--- a/finchladder/config/positions.py
+++ b/finchladder/config/positions.py
@@ -107,11 +107,8 @@
         self.positions = PositionIndex()
         self.implied: set[Path] = set()  # tables that are defined only by their content
         self.table_counts: dict[Path, int] = {}  # tables in each array of tables
-        self.line, self.line_start, self.counted_to = (
-            1,
-            0,
-            0,
-        )  # the line at offset `counted_to`, and the line's offset
+        # the line at offset `counted_to`, and the offset at which it starts
+        self.line, self.line_start, self.counted_to = 1, 0, 0
 
     def position(self) -> Position:
         """Returns the current position; offsets only grow, so each line is counted once."""
--- a/finchladder/config/route_checks.py
+++ b/finchladder/config/route_checks.py
@@ -116,9 +116,8 @@
     """Finds routes that are equally specific and could match the same job."""
     groups: dict[object, dict[str, ResolvedRoute]] = {}
     for r in resolved:
-        groups.setdefault((r.match.rank, r.match.parts), {})[r.name] = (
-            r  # once for a route that matches all classes
-        )
+        # by name, so that a route that matches all classes is included once
+        groups.setdefault((r.match.rank, r.match.parts), {})[r.name] = r
     for group in groups.values():
         for a, b in combinations(group.values(), 2):
             if _overlap(a.match, b.match):
@@ -203,9 +202,8 @@
         void.record("FL129", r.first_given(name), not r.get("backoff.base_s"), base, reason)
     for name in ("backoff.base_s", "resend_on", "retry_budget.share"):
         reason = f"{name} has no effect, as attempts = 1 allows no retries"
-        counts = name == "retry_budget.share" and r.get(
-            "retry_budget.repeats", False
-        )  # the budget also limits client retries
+        # with `repeats` the budget also limits client retries
+        counts = name == "retry_budget.share" and r.get("retry_budget.repeats", False)
         once = r.get("attempts") == 1 and not counts
         void.record("FL134", r.first_given(name), once and r.get(name) != [], sends, reason)
     again = r.first_given("resend_on")
--- a/finchladder/features/fault_injection.py
+++ b/finchladder/features/fault_injection.py
@@ -43,11 +43,10 @@
         """Starts with none.
 
         Args:
-            seed: Seed of a generator of their own.
+            seed: The seed of the generator that selects requests.
         """
-        self.random = Random(
-            f"drills {seed}"
-        )  # separate, so that the dispatcher draws the same numbers without faults
+        # separate from the dispatcher's generator, whose draws must not depend on injected faults
+        self.random = Random(f"drills {seed}")
         self.active: dict[str, tuple[float, FaultOrder]] = {}  # by class, with the time of its end
         self.applied: dict[str, int] = {}
         self.stopped = False
--- a/finchladder/features/replay.py
+++ b/finchladder/features/replay.py
@@ -273,14 +273,13 @@
             routes,
         )
         self.inputs = self.compared = self.differences = 0
-        self.dispatcher: Dispatcher | RouteLimitedDispatcher | None = (
-            None  # None: the state isn't known, so no decision is compared
-        )
+        # None: the state isn't known, so no decision is compared
+        self.dispatcher: Dispatcher | RouteLimitedDispatcher | None = None
         self.arrivals: RequestAdmission | None = None
         self.opening: Opening | None = None
         self.recorded: list[tuple[int, Line]] = []
         self.expected: list[Line] | None = None  # decisions on the last input; None: not compared
-        self.input_line = 0  # the last input's line
+        self.input_line = 0  # line number of the last input
 
     def run(self, lines: Iterable[bytes]) -> None:
         """Replays all lines.
--- a/finchladder/features/shared_admission_limits.py
+++ b/finchladder/features/shared_admission_limits.py
@@ -33,9 +33,8 @@
         self.peers, self.prefix, self.options = peers, f"{name}:", options
         self.family = BudgetFamily(options.rate, min_dispatchers, self._bucket)
         peers.families[self.prefix] = self.family
-        self.buckets: OrderedDict[str, Bucket] = (
-            OrderedDict()
-        )  # by the budget's name, the least recently seen first
+        # by the budget's name, the least recently seen first
+        self.buckets: OrderedDict[str, Bucket] = OrderedDict()
         self.now = 0.0
 
     def take(self, now: float, address: str) -> float:
--- a/finchladder/features/snapshot.py
+++ b/finchladder/features/snapshot.py
@@ -67,15 +67,11 @@
 CONTAINERS = frozenset({dict, list, OrderedDict})
 RECORDS_PER_STEP, ITEMS_PER_STEP, CONTAINERS_PER_STEP = 64, 512, 64  # encoded in one step
 encode = msgspec.json.Encoder().encode
-IMMUTABLE_TYPES: tuple[type, ...] = (
-    Route,
-    Queue,
-    WorkerPool,
-    Request,
-    RequestLimits,
-)  # immutable, referenced by number
-# Stored name of each field of the dispatcher that is stored, and the path of the attribute that holds it.
-# Captures outlive names: a field that moves or is renamed changes its path here and keeps its stored name.
+# each value is encoded once and referenced by its number
+IMMUTABLE_TYPES: tuple[type, ...] = (Route, Queue, WorkerPool, Request, RequestLimits)
+# Name of each stored field of the dispatcher, and the path of its attribute.
+# Captures of earlier versions must remain readable: a field that moves or is renamed changes its path here
+# and keeps its stored name.
 DISPATCHER_FIELDS = {
     "random": "state.random",
     "run": "estimates.mean_run_times_s",
