--- a/finchladder/net/peers/actor.py
+++ b/finchladder/net/peers/actor.py
@@ -209,19 +209,19 @@
 
     # --- configuration and state
 
-    def follow(self, addresses: Mapping[str, Address], least: int) -> None:
-        """Replaces the list of dispatchers; at least `least` are assumed to exist."""
+    def follow(self, addresses: Mapping[str, Address], min_dispatchers: int) -> None:
+        """Replaces the list of dispatchers; at least `min_dispatchers` are assumed to exist."""
         self.addresses = dict(addresses)
-        self.peers.set_dispatchers(self.clock(), self.addresses, least)
+        self.peers.set_dispatchers(self.clock(), self.addresses, min_dispatchers)
 
     def show(self) -> dict[str, Any]:
         """Returns the state and the counters as a JSON object."""
-        shown = self.peers.show(self.clock())
+        state = self.peers.show(self.clock())
         dropped = dict(self.dropped)
-        for reason, n in shown["dropped"].items():
+        for reason, n in state["dropped"].items():
             dropped[reason] = dropped.get(reason, 0) + n
         return (
-            shown
+            state
             | {
                 "dropped": dropped,
                 "datagrams": {
--- a/finchladder/net/peers/datagrams.py
+++ b/finchladder/net/peers/datagrams.py
@@ -1,10 +1,11 @@
 """Encodes packets as datagrams of at most MAX_DATAGRAM_BYTES: msgpack, with a version and the fleet's name.
 
-    [2, fleet, kind, sender, boot, incarnation, number, about, rumours, rows, grants, returns, part, orders]
+    [2, fleet, kind, sender, boot, incarnation, sequence, target, updates, rows, grants, returns, partial_sum,
+    orders]
 
-All structures are arrays in the order of the fields of core/peers/messages.py. The counts of a part are one
-byte string in little-endian order: the workers' numbers in 4 bytes each, then their counts times 8 in 2 bytes
-each. The reports of a row count endings and seconds in tenths.
+All structures are arrays in the order of the fields of core/peers/messages.py. The counts of a partial sum
+are one byte string in little-endian order: the workers' numbers in 4 bytes each, then their counts times 8 in
+2 bytes each. The reports of a row count endings and seconds in tenths.
 """
 
 import struct
@@ -30,7 +31,7 @@
 VERSION = 2
 MAX_DATAGRAM_BYTES = 1_200  # below the MTU of all links, to avoid IP fragmentation
 UNITS_PER_COUNT, MAX_COUNT_UNITS = 8, 0xFFFF
-BYTES_PER_COUNT = 6  # encoded size of one worker in a part
+BYTES_PER_COUNT = 6  # encoded size of one worker in a partial sum
 TENTHS_PER_UNIT = 10
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -43,31 +44,31 @@
     pass
 
 
-class _Rumour(_Array):
+class _MemberUpdate(_Array):
     name: Name
     incarnation: Number
-    standing: Annotated[int, Meta(ge=0, le=2)]
+    status: Annotated[int, Meta(ge=0, le=2)]
 
 
-class _Want(_Array):
+class _Demand(_Array):
     budget: Text
     rate: float
-    have: float
+    borrowed: float
     spent: float
 
 
 class _WorkerReport(_Array):
-    subject: Number
+    subject_id: Number
     bad: Tenths
     link: Tenths
     good: Tenths
-    opened: Tenths
-    left: Tenths
+    opened_tenths: Tenths
+    left_tenths: Tenths
     stage: Annotated[int, Meta(ge=0, lt=16)]
 
 
 class _Override(_Array):
-    server: Annotated[str, Meta(min_length=1, max_length=MAX_WORKER_NAME_LENGTH)]
+    worker: Annotated[str, Meta(min_length=1, max_length=MAX_WORKER_NAME_LENGTH)]
     stance: Annotated[str, Meta(max_length=8)]
     left_s: float
     stamp: Number
@@ -79,31 +80,31 @@
     owner: Name
     boot: Number
     incarnation: Number
-    order: Number
+    sequence: Number
     age_s: float
-    asked: float
-    wants: Annotated[list[_Want], Meta(max_length=16)]
+    requested_at: float
+    demands: Annotated[list[_Demand], Meta(max_length=16)]
     zone: Number
     ended: Tenths
     bad: Tenths
-    reports: Annotated[list[_WorkerReport], Meta(max_length=MAX_WORKER_REPORTS)]
+    worker_reports: Annotated[list[_WorkerReport], Meta(max_length=MAX_WORKER_REPORTS)]
 
 
 class _Grant(_Array):
     serial: Number
     budget: Text
     rate: float
-    asked: float
+    requested_at: float
     boot: Number
 
 
 class _Return(_Array):
     serial: Number
     boot: Number
-    asked: float
+    requested_at: float
 
 
-class _Part(_Array):
+class _PartialSum(_Array):
     level: Number
     wave: Number
     members: Number
@@ -118,13 +119,13 @@
     sender: Name
     boot: Number
     incarnation: Number
-    number: Number
-    about: Text
-    rumours: list[_Rumour]
+    sequence: Number
+    target: Text
+    updates: list[_MemberUpdate]
     rows: list[_Row]
     grants: list[_Grant]
     returns: list[_Return]
-    part: _Part | None
+    partial_sum: _PartialSum | None
     orders: Annotated[list[_Override], Meta(max_length=8)]
 
 
@@ -140,14 +141,14 @@
 
 def encode(fleet: str, p: Packet) -> bytes:
     """Encodes a packet; the caller checks the result against MAX_DATAGRAM_BYTES."""
-    part = None
+    partial_sum = None
     if p.partial_sum is not None:
         counts_by_id = p.partial_sum.counts
         eighths = [min(MAX_COUNT_UNITS, round(count * UNITS_PER_COUNT)) for _, count in counts_by_id]
         counts = struct.pack(
             f"<{len(counts_by_id)}I{len(counts_by_id)}H", *[n for n, _ in counts_by_id], *eighths
         )
-        part = _Part(
+        partial_sum = _PartialSum(
             p.partial_sum.level, p.partial_sum.wave, p.partial_sum.members, p.partial_sum.age_s, counts
         )
     return _encoder.encode(
@@ -161,10 +162,10 @@
             p.sequence,
             p.target,
             p.updates,
-            [_row(r) for r in p.rows],
+            [_row_fields(r) for r in p.rows],
             p.grants,
             p.returns,
-            part,
+            partial_sum,
             p.orders,
         )
     )
@@ -191,40 +192,40 @@
         d.sender,
         d.boot,
         d.incarnation,
-        d.number,
-        d.about,
-        tuple(MemberUpdate(r.name, r.incarnation, MemberStatus(r.standing)) for r in d.rumours),
+        d.sequence,
+        d.target,
+        tuple(MemberUpdate(r.name, r.incarnation, MemberStatus(r.status)) for r in d.updates),
         tuple(
             Row(
                 r.owner,
                 r.boot,
                 r.incarnation,
-                r.order,
+                r.sequence,
                 r.age_s,
-                r.asked,
-                tuple(Demand(w.budget, w.rate, w.have, w.spent) for w in r.wants),
+                r.requested_at,
+                tuple(Demand(w.budget, w.rate, w.borrowed, w.spent) for w in r.demands),
                 r.zone,
                 r.ended / TENTHS_PER_UNIT,
                 r.bad / TENTHS_PER_UNIT,
                 tuple(
                     WorkerReport(
-                        s.subject,
+                        s.subject_id,
                         s.bad / TENTHS_PER_UNIT,
                         s.link / TENTHS_PER_UNIT,
                         s.good / TENTHS_PER_UNIT,
-                        s.opened / TENTHS_PER_UNIT,
-                        s.left / TENTHS_PER_UNIT,
+                        s.opened_tenths / TENTHS_PER_UNIT,
+                        s.left_tenths / TENTHS_PER_UNIT,
                         s.stage,
                     )
-                    for s in r.reports
+                    for s in r.worker_reports
                 ),
             )
             for r in d.rows
         ),
-        tuple(Grant(g.serial, g.budget, g.rate, g.asked, g.boot) for g in d.grants),
-        tuple(Return(r.serial, r.boot, r.asked) for r in d.returns),
-        _part(d.part) if d.part is not None else None,
-        tuple(Override(o.server, o.stance, o.left_s, o.stamp, o.issuer, o.reason) for o in d.orders),
+        tuple(Grant(g.serial, g.budget, g.rate, g.requested_at, g.boot) for g in d.grants),
+        tuple(Return(r.serial, r.boot, r.requested_at) for r in d.returns),
+        _read_partial_sum(d.partial_sum) if d.partial_sum is not None else None,
+        tuple(Override(o.worker, o.stance, o.left_s, o.stamp, o.issuer, o.reason) for o in d.orders),
     )
 
 
@@ -232,7 +233,7 @@
     return min(0xFFFFFF, round(count * TENTHS_PER_UNIT))
 
 
-def _row(r: Row) -> tuple[object, ...]:
+def _row_fields(r: Row) -> tuple[object, ...]:
     reports = [
         (
             s.subject_id,
@@ -248,7 +249,7 @@
     return (*r[:7], r.zone, _tenths(r.ended), _tenths(r.bad), reports)
 
 
-def _part(p: _Part) -> PartialSum:
+def _read_partial_sum(p: _PartialSum) -> PartialSum:
     n, rest = divmod(len(p.counts), BYTES_PER_COUNT)
     if rest:
         raise MalformedDatagramError("malformed")
