--- a/finchladder/cluster/placement/demand.py
+++ b/finchladder/cluster/placement/demand.py
@@ -91,8 +91,8 @@
     received_at: float
     queued: Counter[DemandKey] = field(factory=Counter)
     in_flight: Counter[DemandKey] = field(factory=Counter)
-    worker_loads: Counter[str] = field(factory=Counter)  # by instance, in the unit of the reports
-    replica_requests: Counter[ReplicaKey] = field(factory=Counter)  # in flight, including those for adapters
+    worker_loads: Counter[str] = field(factory=Counter)  # load by instance, in the unit of the reports
+    replica_requests: Counter[ReplicaKey] = field(factory=Counter)  # requests in flight, including adapters
 
 
 @define
--- a/finchladder/cluster/process/quota_client.py
+++ b/finchladder/cluster/process/quota_client.py
@@ -27,7 +27,7 @@
 MAX_IDLE_INTERVAL_S = 60.0
 MIN_RETRY_AFTER_S = 0.25  # earlier retries would compete with other requests for the refilled quota
 UNANSWERED_POLL_INTERVAL_S = 0.25  # polling interval while the account does not reply and no request waits
-UNREACHABLE_AFTER_S = 1.5  # time of failed calls; longer than the election of a new holder takes
+UNREACHABLE_AFTER_S = 1.5  # time of failed calls; longer than an election of a holder takes
 MAX_COST = 10**9  # larger costs are rejected here, since integers in messages have only 64 bits
 RETRY_AFTER_TOO_LARGE_S = 10.0
 
--- a/finchladder/cluster/process/view_proposer.py
+++ b/finchladder/cluster/process/view_proposer.py
@@ -19,7 +19,7 @@
 PROPOSAL_INTERVAL_S = PING_INTERVAL_S / 2
 MAX_PROPOSAL_BACKOFF_S = 0.25
 BACKOFF_JITTER = (0.2, 1.0)  # range of the random factor of MAX_PROPOSAL_BACKOFF_S
-BOOTSTRAP_TIMEOUT_S = 1.0  # the first view needs all seeds in this time after the start, then a majority
+BOOTSTRAP_TIMEOUT_S = 1.0  # time after the start from which a majority of the seeds suffices
 PROPOSAL_STAGGER_S = 0.12  # delay between voters, so that they do not preempt each other's ballots
 UNDECIDED_TIMEOUT_S = 1.0  # time after its vote from which a voter proposes an undecided view again
 
--- a/finchladder/cluster/replication/lease.py
+++ b/finchladder/cluster/replication/lease.py
@@ -19,7 +19,7 @@
 
 from attrs import define
 
-RENEWALS_PER_LEASE = 3  # so that two lost renewals do not let the lease expire
+RENEWALS_PER_LEASE = 3  # two renewals in a row may be lost before the lease expires
 CLOCK_MARGIN_S = 0.2
 
 
--- a/finchladder/cluster/tenancy/quota_account.py
+++ b/finchladder/cluster/tenancy/quota_account.py
@@ -14,7 +14,7 @@
 from finchladder.cluster.tenancy.tenants import QuotaUnit, Tenant
 
 MS_PER_S = 1000
-MAX_RETRY_AFTER_MS = 10_000  # clients wait no longer for a response
+MAX_RETRY_AFTER_MS = 10_000  # clients do not wait longer than this for a response
 
 
 @define
