--- a/benchmarks/aperture_designs.py
+++ b/benchmarks/aperture_designs.py
@@ -96,7 +96,7 @@
         whole = perf_counter() - begun
         begun = perf_counter()
         for i in range(100):
-            aperture.change([(f"new-{i}", ("a", "m"))])
+            aperture.apply_changes([(f"new-{i}", ("a", "m"))])
         entry = (perf_counter() - begun) / 100
         print(f"{n} servers, 200 dispatchers: a list {whole * 1e3:.1f} ms, an entry {entry * 1e6:.0f} us")
 
--- a/finchladder/core/health/detection/overrides.py
+++ b/finchladder/core/health/detection/overrides.py
@@ -38,7 +38,7 @@
     reason: str
 
     @property
-    def room(self) -> int:
+    def size_bytes(self) -> int:
         """Upper bound of the encoded size, in bytes."""
         return len(self.worker.encode()) + len(self.reason.encode()) + len(self.issuer) + 28
 
@@ -128,9 +128,9 @@
         ):
             o, until = self.entries[worker]
             o = o._replace(left_s=until - now)
-            if o.room > room or o in selected:
+            if o.size_bytes > room or o in selected:
                 continue
-            room -= o.room
+            room -= o.size_bytes
             selected.append(o)
             left = self.pending.pop(worker, 0) - 1
             if left > 0:
--- a/finchladder/core/health/detection/reports.py
+++ b/finchladder/core/health/detection/reports.py
@@ -22,7 +22,7 @@
     stage: int  # stage of the trial; 0: not on trial
 
     @property
-    def room(self) -> int:
+    def size_bytes(self) -> int:
         """Upper bound of the encoded size, in bytes."""
         return 24
 
--- a/finchladder/core/membership/aperture.py
+++ b/finchladder/core/membership/aperture.py
@@ -31,7 +31,7 @@
             raise ValueError("aperture: least must be from 2 to 1000")
 
     @property
-    def served(self) -> int:
+    def dispatchers_per_worker(self) -> int:
         """Number of dispatchers that a worker has connections for."""
         return self.server_connections // self.connections_each
 
@@ -53,7 +53,7 @@
 
 def subset_width(n: int, dispatchers: int, settings: ApertureSettings) -> int:
     """Returns the size of a subset of `n` workers: all where each has connections for all dispatchers."""
-    return min(n, max(settings.least, n * settings.served // dispatchers))
+    return min(n, max(settings.least, n * settings.dispatchers_per_worker // dispatchers))
 
 
 def ring_window(ring: Sequence[RingPosition], index: int, dispatchers: int, width: int) -> list[str]:
@@ -81,11 +81,11 @@
         stratum = self.stratum.get(name)
         return stratum is not None and name in self.inside[stratum]
 
-    def change(self, listed: Iterable[tuple[str, Stratum]], gone: Iterable[str] = ()) -> Change:
+    def apply_changes(self, listed: Iterable[tuple[str, Stratum]], removed: Iterable[str] = ()) -> Change:
         """Applies changed entries, idempotently, and returns the resulting change of the subset."""
         touched: set[Stratum] = set()
         new: dict[Stratum, list[RingPosition]] = {}
-        for name in gone:
+        for name in removed:
             self._remove(name, touched)
         for name, stratum in listed:
             if self.stratum.get(name) != stratum:
@@ -115,7 +115,7 @@
     def replace(self, listed: Iterable[tuple[str, Stratum]]) -> Change:
         """Applies a full list, which removes all workers that it lacks."""
         full_list = dict(listed)
-        return self.change(full_list.items(), [name for name in self.stratum if name not in full_list])
+        return self.apply_changes(full_list.items(), [name for name in self.stratum if name not in full_list])
 
     def _remove(self, name: str, touched: set[Stratum]) -> None:
         if (stratum := self.stratum.pop(name, None)) is not None:
--- a/finchladder/core/membership/decisions.py
+++ b/finchladder/core/membership/decisions.py
@@ -301,12 +301,12 @@
                 and src is not self.leader
                 and SourceStatus.LIVE in (old_status, src.status)
             ):
-                names |= _differing_names(src, self.leader)
+                names |= _diff_names(src, self.leader)
         names |= self._select_drain_sources(now)
         if self.leader is not None:
             self._process_names(now, names, self.leader)
         self._advance_guard(now)
-        self._release_stable(now)
+        self._undamp_stable_workers(now)
         self._report_disagreements(now)
         return self._build_decision(now)
 
@@ -318,7 +318,7 @@
             ):
                 names |= self._record_update(now, src, src.commit_restarted(now))
             if src.status in REACHABLE_STANDINGS and now >= src.received_at + src.source.silence_timeout_s:
-                names |= src.mark_lost(now).names
+                names |= src.record_loss(now).names
             names |= src.expire_departures(now)
         return names
 
@@ -382,7 +382,7 @@
         self.disagreements.clear()
         if current is None:
             return dict.fromkeys(new.table)
-        return _differing_names(current, new)
+        return _diff_names(current, new)
 
     def _select_drain_sources(self, now: float) -> dict[str, None]:
         """Selects the sources whose draining notices apply; a lost one is included until its list is too old.
@@ -430,7 +430,7 @@
             if (member := self.members.get(name)) is not None
             and member.state not in UNAVAILABLE
             and not leader.lists(name)
-            and not self._is_confirmed(name, member.entry.started_at)
+            and not self._is_removal_confirmed(name, member.entry.started_at)
         }
         self._detect_mass_removal(now, removed)
         if not self.mass_removal_guard.is_protecting:
@@ -438,7 +438,7 @@
         self.pending_names |= removed
         return [name for name in names if name not in removed]
 
-    def _is_confirmed(self, name: str, started_at: float) -> bool:
+    def _is_removal_confirmed(self, name: str, started_at: float) -> bool:
         """Whether another source confirms the removal of a worker, or the worker was draining."""
         return any(name in src.departures for src in self.live_followers) or any(
             src.draining_start(name) >= started_at for src in self.drain_sources
@@ -473,7 +473,7 @@
             verdict = SourceVerdict.READY
         if entry.started_at == ANY_START:  # a draining notice, and no source knows the worker's start
             entry = entry._replace(started_at=member.entry.started_at if member is not None else 0.0)
-        if self.mass_removal_guard.recent_removals or self.mass_removal_guard.held:
+        if self.mass_removal_guard.recent_removals or self.mass_removal_guard.retained:
             self.mass_removal_guard.record_return(now, name)
         self._set_state(now, name, verdict, entry, address)
 
@@ -482,7 +482,7 @@
         member = self.members.get(name) or self.mass_removal_guard.recent_removals.get(name)
         if member is None:
             return
-        if self._is_confirmed(name, member.entry.started_at):
+        if self._is_removal_confirmed(name, member.entry.started_at):
             self.mass_removal_guard.resolve(name)
             verdict = SourceVerdict.GONE
         elif not isinstance(member, MemberRecord):  # already removed, still unconfirmed
@@ -490,7 +490,7 @@
         elif member.state in UNAVAILABLE:
             verdict = SourceVerdict.GONE
         elif self.mass_removal_guard.is_protecting:
-            self.mass_removal_guard.hold(name)
+            self.mass_removal_guard.retain(name)
             verdict = SourceVerdict.MASS_REMOVAL
         else:
             self.mass_removal_guard.record_removal(now, name, member.entry, member.address)
@@ -537,12 +537,12 @@
                 now, self._listed_count(), self.counts[MemberState.READY]
             )
         ) is not None:
-            if event is GuardEvent.NONE_HELD:
+            if event is GuardEvent.NONE_RETAINED:
                 self._add_fact(FactKind.RETURNED, self.leader)
                 continue
             released = [
                 name
-                for name in self.mass_removal_guard.held
+                for name in self.mass_removal_guard.retained
                 if event is GuardEvent.BELOW_THRESHOLD or not self._is_listed_elsewhere(name)
             ]
             for name in released:
@@ -556,8 +556,8 @@
         restored = self.mass_removal_guard.detect_mass_removal(now, self._listed_count(), len(deferred))
         if restored is None:
             return
-        for name, gone in restored.items():
-            self._set_state(now, name, SourceVerdict.MASS_REMOVAL, gone.entry, gone.address)
+        for name, removal in restored.items():
+            self._set_state(now, name, SourceVerdict.MASS_REMOVAL, removal.entry, removal.address)
         names = [*islice(restored, MAX_NAMES_IN_FACT), *islice(deferred, MAX_NAMES_IN_FACT)]
         self._add_fact(
             FactKind.HOLDING, self.leader, names, len(restored) + len(deferred), self.settings.vanish_window_s
@@ -567,7 +567,7 @@
         """Whether another live source lists the worker."""
         return any(src.lists(name) for src in self.live_followers)
 
-    def _release_stable(self, now: float) -> None:
+    def _undamp_stable_workers(self, now: float) -> None:
         if self._damped:
             self._add_fact(FactKind.FLAPS, self.leader, self._damped, len(self._damped))
             self._damped = []
@@ -629,10 +629,10 @@
     return a[0][:-1] == b[0][:-1] and a[1] == b[1]
 
 
-def _differing_names(a: SourceState, b: SourceState) -> dict[str, None]:
+def _diff_names(a: SourceState, b: SourceState) -> dict[str, None]:
     """Returns the names whose entries differ between two sources, or whose departures one of them stores."""
     names = {name: None for name, source_entry in a.table.items() if b.table.get(name) != source_entry}
     names.update((name, None) for name in b.table if name not in a.table)
-    for marks in (a.departures, a.drains_before_restart, b.departures, b.drains_before_restart):
-        names.update(dict.fromkeys(marks))
+    for departures in (a.departures, a.drains_before_restart, b.departures, b.drains_before_restart):
+        names.update(dict.fromkeys(departures))
     return names
--- a/finchladder/core/membership/removal_guards.py
+++ b/finchladder/core/membership/removal_guards.py
@@ -24,19 +24,19 @@
 class GuardEvent(Enum):
     """Events that change the guard's state."""
 
-    MASS_REMOVAL = "mass"  # more than the allowed share was removed within the window
-    NONE_HELD = "over"  # no removal is held anymore
-    # workers returned or joined: at most the allowed share is missing, and no more are returning
+    MASS_REMOVAL = "mass"  # more than the allowed fraction was removed within the window
+    NONE_RETAINED = "over"  # no removal is held anymore
+    # workers returned or joined: at most the allowed fraction is missing, and no more are returning
     BELOW_THRESHOLD = "few"
-    # held for hold_s; workers that no other source lists are removed, if others are ready
-    HOLD_EXPIRED = "waited"
+    # held for retention_s; workers that no other source lists are removed, if others are ready
+    RETENTION_EXPIRED = "waited"
 
 
 TRANSITIONS = {
     (GuardState.NORMAL, GuardEvent.MASS_REMOVAL): GuardState.PROTECTING,
-    (GuardState.PROTECTING, GuardEvent.NONE_HELD): GuardState.NORMAL,
+    (GuardState.PROTECTING, GuardEvent.NONE_RETAINED): GuardState.NORMAL,
     (GuardState.PROTECTING, GuardEvent.BELOW_THRESHOLD): GuardState.NORMAL,
-    (GuardState.PROTECTING, GuardEvent.HOLD_EXPIRED): GuardState.PROTECTING,
+    (GuardState.PROTECTING, GuardEvent.RETENTION_EXPIRED): GuardState.PROTECTING,
 }
 
 
@@ -54,12 +54,12 @@
     Each call costs O(1), plus O(1) for each returned removal and for each one that leaves the window.
     """
 
-    def __init__(self, share: float, window_s: float, hold_s: float) -> None:
-        self.share, self.window_s, self.hold_s = share, window_s, hold_s
+    def __init__(self, max_fraction: float, window_s: float, retention_s: float) -> None:
+        self.max_fraction, self.window_s, self.retention_s = max_fraction, window_s, retention_s
         self.state = GuardState.NORMAL
         self.recent_removals: OrderedDict[str, Removal] = OrderedDict()
-        self.held: dict[str, None] = {}
-        self.hold_until = inf  # when the waiting time of the held removals ends
+        self.retained: dict[str, None] = {}
+        self.retained_until = inf  # when the waiting time of the held removals ends
         self.last_return_at = 0.0  # when a held worker was last listed again
 
     @property
@@ -74,17 +74,17 @@
     def resolve(self, name: str) -> None:
         """Discards the removal of a worker that is listed again or confirmed as removed."""
         self.recent_removals.pop(name, None)
-        self.held.pop(name, None)
+        self.retained.pop(name, None)
 
     def record_return(self, now: float, name: str) -> None:
         """Records a worker that is listed again."""
-        if name in self.held:
+        if name in self.retained:
             self.last_return_at = now
         self.resolve(name)
 
-    def hold(self, name: str) -> None:
+    def retain(self, name: str) -> None:
         """Holds back the removal of a worker."""
-        self.held[name] = None
+        self.retained[name] = None
 
     def detect_mass_removal(self, now: float, listed: int, more: int = 0) -> dict[str, Removal] | None:
         """Detects a mass removal.
@@ -102,53 +102,54 @@
             and next(iter(self.recent_removals.values())).removed_at + self.window_s <= now
         ):
             self.recent_removals.popitem(last=False)
-        if self.is_protecting or len(self.recent_removals) + more <= self.share * (
+        if self.is_protecting or len(self.recent_removals) + more <= self.max_fraction * (
             listed + len(self.recent_removals)
         ):
             return None
         self.state = TRANSITIONS[self.state, GuardEvent.MASS_REMOVAL]
-        self.hold_until, self.last_return_at = now + self.hold_s, now
+        self.retained_until, self.last_return_at = now + self.retention_s, now
         removals, self.recent_removals = dict(self.recent_removals), OrderedDict()
-        self.held = dict.fromkeys(removals)
+        self.retained = dict.fromkeys(removals)
         return removals
 
     def advance(self, now: float, listed: int, others: int) -> GuardEvent | None:
         """Returns the event due at `now`, if any. `listed` includes held workers, `others` are ready."""
         if not self.is_protecting:
             return None
-        if not self.held:
-            event = GuardEvent.NONE_HELD
+        if not self.retained:
+            event = GuardEvent.NONE_RETAINED
         elif self._is_below_threshold(listed) and now >= self.last_return_at + RETURN_QUIET_S:
             event = GuardEvent.BELOW_THRESHOLD
-        elif now >= self.hold_until:
-            self.hold_until = now + self.hold_s
+        elif now >= self.retained_until:
+            self.retained_until = now + self.retention_s
             if not others:
                 return None
-            event = GuardEvent.HOLD_EXPIRED
+            event = GuardEvent.RETENTION_EXPIRED
         else:
             return None
         self.state = TRANSITIONS[self.state, event]
         return event
 
     def _is_below_threshold(self, listed: int) -> bool:
-        return len(self.held) <= self.share * listed
+        return len(self.retained) <= self.max_fraction * listed
 
     def next_due(self, listed: int) -> float:
         """Returns when `advance` next has an effect; inf: never."""
         if not self.is_protecting:
             return inf
-        if not self.held:
+        if not self.retained:
             return -inf
         return min(
-            self.hold_until, self.last_return_at + RETURN_QUIET_S if self._is_below_threshold(listed) else inf
+            self.retained_until,
+            self.last_return_at + RETURN_QUIET_S if self._is_below_threshold(listed) else inf,
         )
 
 
 class FlapDamping:
     """Counts how often workers stop being ready; flapping ones must stay ready for a while before use."""
 
-    def __init__(self, max_departures: int, window_s: float, hold_s: float) -> None:
-        self.max_departures, self.window_s, self.hold_s = max_departures, window_s, hold_s
+    def __init__(self, max_departures: int, window_s: float, min_ready_s: float) -> None:
+        self.max_departures, self.window_s, self.min_ready_s = max_departures, window_s, min_ready_s
         self.departures: OrderedDict[str, tuple[float, ...]] = (
             OrderedDict()
         )  # the last `max_departures` times of each worker
@@ -181,11 +182,11 @@
         """Returns the damped workers that have been ready for long enough."""
         found = []
         for name, since in self.damped.items():
-            if since + self.hold_s > now:
+            if since + self.min_ready_s > now:
                 break
             found.append(name)
         return found
 
     def next_due(self) -> float:
         """Returns when the first damped worker becomes stable; inf: never."""
-        return next(iter(self.damped.values()), inf) + self.hold_s
+        return next(iter(self.damped.values()), inf) + self.min_ready_s
--- a/finchladder/core/membership/sources.py
+++ b/finchladder/core/membership/sources.py
@@ -203,7 +203,7 @@
             else self._behind_update()
         )
 
-    def mark_lost(self, now: float) -> SourceUpdate:
+    def record_loss(self, now: float) -> SourceUpdate:
         """Marks the source as lost after `silence_timeout_s`; a pending list remains pending."""
         before = self._older_pending_names()
         self._apply(now, SourceEvent.QUIET if self.has_list else SourceEvent.UNDONE)
@@ -297,11 +297,11 @@
                 names[name] = None
                 table[name] = entry
                 if self.departures or self.drains_before_restart or is_restarted:
-                    self._note_listed(now, name, entry, old if is_restarted else None)
+                    self._record_listed(now, name, entry, old if is_restarted else None)
         self.epoch, self.version, self.has_list, self.pending = pending.epoch, pending.version, True, None
         return SourceUpdate(names, restarted=is_restarted, omitted=omitted)
 
-    def _note_listed(self, now: float, name: str, entry: SourceEntry, before: SourceEntry | None) -> None:
+    def _record_listed(self, now: float, name: str, entry: SourceEntry, before: SourceEntry | None) -> None:
         """Removes a stored departure; `before`: the entry from before a restart of the source."""
         self.departures.pop(name, None)
         self.drains_before_restart.pop(name, None)
@@ -325,12 +325,14 @@
         if drained is not None or not is_restarted:
             self._record_departure(self.departures, name, Departure(now, drained))
 
-    def _record_departure(self, marks: OrderedDict[str, Departure], name: str, mark: Departure) -> None:
-        marks[name] = mark
-        if mark.drained_start is not None:
+    def _record_departure(
+        self, departures: OrderedDict[str, Departure], name: str, departure: Departure
+    ) -> None:
+        departures[name] = departure
+        if departure.drained_start is not None:
             self.may_drain.add(name)
-        if len(marks) > MAX_DEPARTURES:
-            marks.popitem(last=False)
+        if len(departures) > MAX_DEPARTURES:
+            departures.popitem(last=False)
 
     # --- queries
 
@@ -349,9 +351,9 @@
         for candidate in (entry, pending_entry if self.status is S.BEHIND else None):
             if candidate is not None and candidate.entry.state is WorkerStatus.DRAINING:
                 found = max(found, candidate.entry.started_at)
-        for marks in (self.departures, self.drains_before_restart):
-            if (mark := marks.get(name)) is not None and mark.drained_start is not None:
-                found = max(found, mark.drained_start)
+        for departures in (self.departures, self.drains_before_restart):
+            if (departure := departures.get(name)) is not None and departure.drained_start is not None:
+                found = max(found, departure.drained_start)
         if found == -inf and pending_entry is None:
             self.may_drain.discard(name)
         return found
@@ -378,7 +380,7 @@
     def expire_departures(self, now: float) -> dict[str, None]:
         """Removes expired departures and returns their names."""
         names: dict[str, None] = {}
-        for marks in (self.departures, self.drains_before_restart):
-            while marks and next(iter(marks.values())).noted_at + DEPARTURE_TTL_S <= now:
-                names[marks.popitem(last=False)[0]] = None
+        for departures in (self.departures, self.drains_before_restart):
+            while departures and next(iter(departures.values())).noted_at + DEPARTURE_TTL_S <= now:
+                names[departures.popitem(last=False)[0]] = None
         return names
--- a/finchladder/core/membership/subscription.py
+++ b/finchladder/core/membership/subscription.py
@@ -18,8 +18,8 @@
         """Schedules a retry with backoff and jitter, as all dispatchers usually lose the list at once."""
         self.is_subscribed = False
         self.failures += 1
-        wait = min(most_s, first_s * 2 ** min(self.failures, MAX_DOUBLINGS))
-        self.retry_at = now + wait * (0.5 + random.random() / 2)
+        backoff_s = min(most_s, first_s * 2 ** min(self.failures, MAX_DOUBLINGS))
+        self.retry_at = now + backoff_s * (0.5 + random.random() / 2)
 
     def record_list(self) -> None:
         """Records a received list, which resets the backoff."""
--- a/finchladder/core/membership/subset_filter.py
+++ b/finchladder/core/membership/subset_filter.py
@@ -36,11 +36,11 @@
             self.addresses = {name: address for name, address in self.addresses.items() if name in present}
             self.aperture.replace(strata)
             return self._to_list(workers.kind, (e for name, e in present.items() if name in self.aperture))
-        gone = [name for name in named if name not in present]
+        removed = [name for name in named if name not in present]
         self.listed |= present
-        change = self.aperture.change(strata, gone)
+        change = self.aperture.apply_changes(strata, removed)
         out = [self.listed[name]._replace(state=WorkerStatus.REMOVED) for name in sorted(change.removed)]
-        for name in gone:
+        for name in removed:
             self.listed.pop(name, None)
             self.addresses.pop(name, None)
         out += [e for name, e in present.items() if name in self.aperture and name not in change.added]
--- a/finchladder/core/membership/watch.py
+++ b/finchladder/core/membership/watch.py
@@ -41,8 +41,8 @@
 LOCAL_OPEN_TIMEOUT_S = 1.0  # timeout of opening a watch with a local agent
 SHARED_OPEN_TIMEOUT_S = 2.1  # timeout with one discovery service for all dispatchers, where calls are queued
 RENUMBERED_AFTER_S = 5.0
-INITIAL_LIST_WAIT_S = 0.3  # time for which a new process waits for a confirmation of its stored list
-NO_CHANGE_WAIT_S = 0.05  # after the response head of a watch: pending changes arrive together with it
+INITIAL_LIST_TIMEOUT_S = 0.3  # time for which a new process waits for a confirmation of its stored list
+NO_CHANGE_DELAY_S = 0.05  # after the response head of a watch: pending changes arrive together with it
 
 
 class WatchState:
@@ -59,7 +59,7 @@
         self.taken_at = 0.0
         self.has_older = False  # whether older lists have arrived since
 
-    def silent_at(self, last_byte: float, last_line: float) -> float:
+    def timeout_at(self, last_byte: float, last_line: float) -> float:
         """Returns when an open watch times out unless more data arrives."""
         return min(last_byte + SILENCE_TIMEOUT_S, last_line + LINE_TIMEOUT_S)
 
--- a/finchladder/core/membership/watch_backoff.py
+++ b/finchladder/core/membership/watch_backoff.py
@@ -9,13 +9,13 @@
 
 | previous call | backoff of a small fleet | random part of the spread |
 | --- | --- | --- |
-| returned changes, or a watch that had returned some was lost | up to 2 * MIN_WAIT_S | any |
-| failed, or returned nothing | twice the last wait up to MAX_WAIT_S, half of it random | the second half |
+| returned changes, or a watch that had returned some was lost | up to 2 * MIN_BACKOFF_S | any |
+| failed, or returned nothing | twice the last wait up to MAX_BACKOFF_S, half of it random | the second half |
 """
 
 from random import Random
 
-MIN_WAIT_S, MAX_WAIT_S = 0.1, 0.8  # backoff of a small fleet, in seconds
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 0.8  # backoff of a small fleet, in seconds
 SMALL_FLEET = 8  # dispatchers up to which the backoff needs no spread
 CALLS_PER_S = 10.0  # rate of calls of the dispatchers beyond SMALL_FLEET together
 
@@ -27,23 +27,23 @@
     changes. A wait is at most `away_s` after an open watch was lost, and `retry_s` after a failed call.
     """
 
-    __slots__ = ("spread_s", "random", "wait_s", "away_s", "retry_s")
+    __slots__ = ("spread_s", "random", "backoff_s", "away_s", "retry_s")
 
     def __init__(self, dispatchers: int, random: Random, away_s: float, retry_s: float) -> None:
         self.spread_s = max(0, dispatchers - SMALL_FLEET) / CALLS_PER_S
-        self.random, self.wait_s, self.away_s, self.retry_s = random, MIN_WAIT_S, away_s, retry_s
+        self.random, self.backoff_s, self.away_s, self.retry_s = random, MIN_BACKOFF_S, away_s, retry_s
 
-    def next_wait_s(self, opened: bool, news: bool) -> float:
+    def next_backoff_s(self, opened: bool, has_changed: bool) -> float:
         """Returns the next wait.
 
         Args:
             opened: Whether the last watch was open.
-            news: Whether a change arrived since the last wait.
+            has_changed: Whether a change arrived since the last wait.
         """
         draw = self.random.random()
         most_s = self.away_s if opened else self.retry_s
-        if news:
-            self.wait_s = MIN_WAIT_S
-            return min(most_s, 2 * MIN_WAIT_S + self.spread_s) * draw
-        self.wait_s = min(2 * self.wait_s, MAX_WAIT_S)
-        return min(most_s, self.wait_s + self.spread_s) * (1 + draw) / 2
+        if has_changed:
+            self.backoff_s = MIN_BACKOFF_S
+            return min(most_s, 2 * MIN_BACKOFF_S + self.spread_s) * draw
+        self.backoff_s = min(2 * self.backoff_s, MAX_BACKOFF_S)
+        return min(most_s, self.backoff_s + self.spread_s) * (1 + draw) / 2
--- a/finchladder/core/peers/bucket.py
+++ b/finchladder/core/peers/bucket.py
@@ -2,18 +2,18 @@
 
 The bucket gains one token every 1 / rate seconds, up to `depth` tokens; a new bucket has none. With many
 dispatchers the rate of each is far below one token per second, so a full token that is unused for
-TOKEN_HOLD_S is discarded: otherwise all idle dispatchers could spend theirs within the same second. In any
+TOKEN_TTL_S is discarded: otherwise all idle dispatchers could spend theirs within the same second. In any
 window of W seconds all dispatchers together take at most
 
-    limit x W + sum of depths,    depth = 1 + rate x (TOKEN_HOLD_S if rate < 1 / TOKEN_HOLD_S else BURST_S)
+    limit x W + sum of depths,    depth = 1 + rate x (TOKEN_TTL_S if rate < 1 / TOKEN_TTL_S else BURST_S)
 
-so the excess is e = (dispatchers + limit x TOKEN_HOLD_S) / (limit x W) in the worst case, in which all
+so the excess is e = (dispatchers + limit x TOKEN_TTL_S) / (limit x W) in the worst case, in which all
 dispatchers hold a full token at once. The share of idle dispatchers that hold one is
-TOKEN_HOLD_S / (TOKEN_HOLD_S + 1 / rate).
+TOKEN_TTL_S / (TOKEN_TTL_S + 1 / rate).
 """
 
 BURST_S = 0.25  # seconds of its rate that a bucket may save beyond one full token: jobs arrive in bursts
-TOKEN_HOLD_S = 1.0
+TOKEN_TTL_S = 1.0
 DEMAND_AVERAGING_S = 1.0  # averaging time of the demand
 
 
@@ -113,18 +113,18 @@
         self._add_tokens(now)
 
     @property
-    def is_slow(self) -> bool:
+    def discards_unused_tokens(self) -> bool:
         """Whether unused full tokens are discarded, so that few of many idle dispatchers hold one."""
-        return not self.keeps_tokens and self.rate * TOKEN_HOLD_S < 1
+        return not self.keeps_tokens and self.rate * TOKEN_TTL_S < 1
 
     def _add_tokens(self, now: float) -> None:
         rate, remaining_s = self.rate, now - self.refilled_at
-        depth = 1.0 + rate * (TOKEN_HOLD_S if self.is_slow else self.burst_s)
+        depth = 1.0 + rate * (TOKEN_TTL_S if self.discards_unused_tokens else self.burst_s)
         self.refilled_at = now
         if rate <= 0:
             return
         # if demand exceeds the rate, the next request will soon use the token
-        hold_s = max(TOKEN_HOLD_S, 3 / self.demand) if self.demand > rate else TOKEN_HOLD_S
+        token_ttl_s = max(TOKEN_TTL_S, 3 / self.demand) if self.demand > rate else TOKEN_TTL_S
         while remaining_s > 0:
             if self.tokens < 1:
                 step = min(remaining_s, (1 - self.tokens) / rate)
@@ -134,9 +134,9 @@
                     self.tokens, self.full_token_since = max(1.0, self.tokens), now - remaining_s
                 continue
             since = now - remaining_s if self.full_token_since is None else self.full_token_since
-            hold_remaining_s = since + hold_s - (now - remaining_s)
-            if hold_remaining_s > remaining_s or not self.is_slow:
+            ttl_remaining_s = since + token_ttl_s - (now - remaining_s)
+            if ttl_remaining_s > remaining_s or not self.discards_unused_tokens:
                 self.tokens = min(depth, self.tokens + rate * remaining_s)
                 return
-            remaining_s -= max(0.0, hold_remaining_s)
+            remaining_s -= max(0.0, ttl_remaining_s)
             self.tokens, self.full_token_since = 0.0, None
--- a/finchladder/core/peers/escrow.py
+++ b/finchladder/core/peers/escrow.py
@@ -1,8 +1,8 @@
 """Escrow of a rate budget that dispatchers share: rates are lent by lease and never exceed the limit.
 
-Each listed dispatcher owns limit / dispatchers. It never lends UNLENDABLE_SHARE of that; it lends the rest,
-while it does not need it, to dispatchers that report excess demand. At any time only one dispatcher may use a
-lent rate:
+Each listed dispatcher owns the rate limit / dispatchers. It never lends UNLENDABLE_FRACTION of its own rate.
+While it does not need the rest, it lends that to dispatchers that report excess demand. At any time only one
+dispatcher may use a lent rate:
 
 | state of a rate | its owner may use it | the borrower may use it |
 | --- | --- | --- |
@@ -33,14 +33,14 @@
 
 from finchladder.core.peers.messages import Demand, Grant, Return, Row
 
-UNLENDABLE_SHARE = 0.1  # share of the own rate that is never lent
+UNLENDABLE_FRACTION = 0.1  # share of the own rate that is never lent
 LEASE_S = 8.0
 MAX_CLOCK_DRIFT = (
     0.005  # largest relative difference between two clock rates; quartz crystals differ by 0.0001
 )
 MARGIN_S = 2 * MAX_CLOCK_DRIFT * LEASE_S + 0.02
 RENEW_INTERVAL_S = 2.0  # shortest time between two renewals of one grant
-MIN_GRANT_SHARE = 0.02  # smallest grant, as a share of the own rate: less is not worth a message
+MIN_GRANT_FRACTION = 0.02  # smallest grant, as a share of the own rate: less is not worth a message
 OVERLENDING_FACTOR = (
     1.5  # lend this multiple of the own part of a shortage: not every other dispatcher can lend
 )
@@ -84,7 +84,7 @@
         self.demand = 0.0  # requests per second of this dispatcher, granted or not
 
     @property
-    def own_share(self) -> float:
+    def own_rate_per_s(self) -> float:
         return self.limit / self.dispatchers
 
 
@@ -93,7 +93,7 @@
 
     def __init__(self, name: str, boot: int, now: float) -> None:
         self.name, self.boot = name, boot
-        self.full_share_at = now + LEASE_S + MARGIN_S  # leases from before a restart have expired by then
+        self.full_rate_at = now + LEASE_S + MARGIN_S  # leases from before a restart have expired by then
         self.budgets: dict[str, Budget] = {}
         self.lent_grants: dict[int, LentGrant] = {}
         self.borrowed_grants: dict[
@@ -115,18 +115,18 @@
     def usable_rate(self, now: float, name: str) -> float:
         """Returns the rate per second that this dispatcher may use of the budget now."""
         b = self.budgets[name]
-        own_rate = b.own_share if now >= self.full_share_at else UNLENDABLE_SHARE * b.own_share
+        own_rate = b.own_rate_per_s if now >= self.full_rate_at else UNLENDABLE_FRACTION * b.own_rate_per_s
         return max(0.0, own_rate - self.lent_rate(name)) + self.borrowed_rate(now, name)
 
     def rate_valid_until(self, now: float, name: str) -> float:
         """Returns when the usable rate next decreases as a lease expires; inf: never."""
-        ends = (t.until for t in self.borrowed_grants.values() if t.budget == name and now < t.until)
-        return min(ends, default=float("inf"))
+        expiries = (t.until for t in self.borrowed_grants.values() if t.budget == name and now < t.until)
+        return min(expiries, default=float("inf"))
 
     def excess_demand(self, now: float, name: str) -> float:
         """Returns the demand per second beyond the own rate, including the borrowed rate, to renew leases."""
         b = self.budgets[name]
-        own_rate = b.own_share if now >= self.full_share_at else UNLENDABLE_SHARE * b.own_share
+        own_rate = b.own_rate_per_s if now >= self.full_rate_at else UNLENDABLE_FRACTION * b.own_rate_per_s
         return max(0.0, b.demand - max(0.0, own_rate - self.lent_rate(name)))
 
     # --- lending
@@ -148,9 +148,9 @@
         self, now: float, b: Budget, requests: list[tuple[Row, Demand]]
     ) -> list[tuple[str, Grant]]:
         lent = self.lent_rate(b.name)
-        spare = min((1 - UNLENDABLE_SHARE) * b.own_share, b.own_share - b.demand) - lent
+        spare = min((1 - UNLENDABLE_FRACTION) * b.own_rate_per_s, b.own_rate_per_s - b.demand) - lent
         overlent = max(0.0, -spare)  # needed here again: grants of this total are not renewed
-        if now < self.full_share_at:
+        if now < self.full_rate_at:
             spare = 0.0
         missing = {row.owner: max(0.0, demand.rate - demand.borrowed) for row, demand in requests}
         total_missing = sum(missing.values())
@@ -162,11 +162,11 @@
             if g is not None and row.requested_at <= g.requested_at:  # this row has been answered
                 continue
             extra_rate = 0.0
-            if spare > MIN_GRANT_SHARE * b.own_share and total_missing > 0:
+            if spare > MIN_GRANT_FRACTION * b.own_rate_per_s and total_missing > 0:
                 shortage = missing[row.owner]
                 # other owners lend as well; a borrower that received too little requests again
                 extra_rate = min(spare * shortage / total_missing, OVERLENDING_FACTOR * shortage / lenders)
-            if extra_rate < MIN_GRANT_SHARE * b.own_share:
+            if extra_rate < MIN_GRANT_FRACTION * b.own_rate_per_s:
                 extra_rate = 0.0
             if g is None:
                 if not extra_rate or len(self.lent_grants) >= MAX_GRANTS:
--- a/finchladder/core/peers/exchange.py
+++ b/finchladder/core/peers/exchange.py
@@ -29,8 +29,8 @@
     WorkerReport,
 )
 from finchladder.core.peers.bucket import Bucket
-from finchladder.core.peers.escrow import UNLENDABLE_SHARE, Budget, Escrow
-from finchladder.core.peers.membership import MemberList, ProbeMessage, Timing
+from finchladder.core.peers.escrow import UNLENDABLE_FRACTION, Budget, Escrow
+from finchladder.core.peers.membership import MemberList, OutgoingMessage, Timing
 from finchladder.core.peers.messages import (
     MAX_PAYLOAD_BYTES,
     Demand,
@@ -136,7 +136,7 @@
 
     # --- budgets
 
-    def share(self, name: str, limit: float, now: float, least: int = 1) -> Bucket:
+    def register_budget(self, name: str, limit: float, now: float, least: int = 1) -> Bucket:
         """Shares a budget of `limit` per second, and returns the bucket with this dispatcher's part of it.
 
         `least`: minimum number of dispatchers, used if the member list is shorter.
@@ -144,7 +144,7 @@
         budget = self.escrow.budgets.get(name)
         if budget is None:
             budget = self._add_budget(name, limit, least)
-            self.buckets[name] = Bucket(budget.own_share, now, -self.random.random())
+            self.buckets[name] = Bucket(budget.own_rate_per_s, now, -self.random.random())
         budget.limit = limit
         self._update_rate(now, name)
         return self.buckets[name]
@@ -156,7 +156,7 @@
     def unshared_rate(self, limit: float, least: int, now: float) -> float:
         """Returns the own rate per second of a budget that is not shared yet."""
         own_rate = limit / max(len(self.members.by_name), least)
-        return own_rate if now >= self.escrow.full_share_at else UNLENDABLE_SHARE * own_rate
+        return own_rate if now >= self.escrow.full_rate_at else UNLENDABLE_FRACTION * own_rate
 
     def claim(self, now: float, name: str, family: BudgetFamily) -> None:
         """Shares a budget of a family from now on. Beyond MAX_DYNAMIC_BUDGETS it remains at the own rate."""
@@ -164,7 +164,7 @@
             if len(self.last_used_at) >= MAX_DYNAMIC_BUDGETS:
                 return
             budget = self._add_budget(name, family.limit, family.min_dispatchers)
-            self.buckets[name] = family.make_bucket(name, budget.own_share)
+            self.buckets[name] = family.make_bucket(name, budget.own_rate_per_s)
             self._update_rate(now, name)
         self.last_used_at[name] = now
 
@@ -182,7 +182,7 @@
         for name, used_at in list(self.last_used_at.items()):
             budget = self.escrow.budgets[name]
             used = self.escrow.lent_rate(name) or self.escrow.borrowed_rate(now, name)
-            if used or budget.demand > CHANGE_THRESHOLD * budget.own_share:
+            if used or budget.demand > CHANGE_THRESHOLD * budget.own_rate_per_s:
                 self.last_used_at[name] = now
             elif now - used_at > BUDGET_IDLE_TIMEOUT_S:
                 del self.last_used_at[name], self.buckets[name], self.escrow.budgets[name]
@@ -254,12 +254,12 @@
 
     # --- sending
 
-    def next_at(self) -> float:
+    def next_due(self) -> float:
         waves = [self.next_wave_at] if self.settings.wave_s else []
-        return min([self.members.next_at(), self.next_gossip_at, *waves])
+        return min([self.members.next_due(), self.next_gossip_at, *waves])
 
     def tick(self, now: float) -> Packets:
-        """Returns the packets due at `now`; call it at `next_at` or later."""
+        """Returns the packets due at `now`; call it at `next_due` or later."""
         packets = [self._build_packet(now, s) for s in self.members.tick(now)]
         if now >= self.next_gossip_at:
             self.next_gossip_at = now + GOSSIP_INTERVAL_S
@@ -290,8 +290,8 @@
         for to, batch in by_borrower.items():
             while batch:
                 n, free_bytes = 0, MAX_PAYLOAD_BYTES
-                while n < len(batch) and batch[n].room <= free_bytes:
-                    free_bytes -= batch[n].room
+                while n < len(batch) and batch[n].size_bytes <= free_bytes:
+                    free_bytes -= batch[n].size_bytes
                     n += 1
                 packets.append(
                     (to, self._empty_packet(PacketKind.GOSSIP)._replace(grants=tuple(batch[: n or 1])))
@@ -303,7 +303,7 @@
         if self.members.pending_updates or self.rows.repeats_left or self.orders.pending:
             fanout = URGENT_FANOUT if now < self.urgent_until else 1
             packets += [
-                self._build_packet(now, ProbeMessage(PacketKind.GOSSIP, to))
+                self._build_packet(now, OutgoingMessage(PacketKind.GOSSIP, to))
                 for to in self.members.sample_alive(fanout)
             ]
         return packets
@@ -352,11 +352,11 @@
     def _empty_packet(self, kind: PacketKind) -> Packet:
         return Packet(kind, self.name, self.boot, self.members.own_member.incarnation)
 
-    def _build_packet(self, now: float, message: ProbeMessage) -> tuple[str, Packet]:
+    def _build_packet(self, now: float, message: OutgoingMessage) -> tuple[str, Packet]:
         updates = self.members.select_updates(message.to, MAX_PAYLOAD_BYTES // 2)
-        free_bytes = MAX_PAYLOAD_BYTES - sum(r.room for r in updates)
+        free_bytes = MAX_PAYLOAD_BYTES - sum(r.size_bytes for r in updates)
         overrides = self.orders.select(now, free_bytes // 2)
-        free_bytes -= sum(o.room for o in overrides)
+        free_bytes -= sum(o.size_bytes for o in overrides)
         rows = self.rows.select_rows(now, message.to, free_bytes)
         return message.to, self._empty_packet(message.kind)._replace(
             sequence=message.sequence,
@@ -414,7 +414,7 @@
                 {
                     "name": name,
                     "limit_per_s": b.limit,
-                    "own_per_s": b.own_share,
+                    "own_per_s": b.own_rate_per_s,
                     "listed": b.dispatchers,
                     "right_per_s": self.escrow.usable_rate(now, name),
                     "lent_per_s": self.escrow.lent_rate(name),
--- a/finchladder/core/peers/membership.py
+++ b/finchladder/core/peers/membership.py
@@ -18,11 +18,11 @@
 | this dispatcher | alive, higher: from before a restart | alive, with the received incarnation + 1 |
 | any | any other | unchanged |
 
-A listed member without any update is considered gone, with incarnation 0. One in GONE_PROBE_INTERVAL pings
-goes to a gone member, so that a partition heals. No safety property depends on this failure detector.
+A listed member without any update is considered gone, with incarnation 0. In every
+GONE_PING_INTERVAL_PERIODS-th period one gone member is pinged as well, so that a healed partition is noticed. No safety property depends on this failure detector.
 
-Costs, each O(1) in the number of members: a ping per period, at most INDIRECT_PROBES ping requests for a
-member that does not answer, MAX_UPDATES_PER_PACKET updates per packet. Memory: a record per listed member.
+Costs, each O(1) in the number of members: a ping per period, at most INDIRECT_PING_MEMBERS ping requests for
+a member that does not answer, MAX_UPDATES_PER_PACKET updates per packet. Memory: a record per listed member.
 """
 
 from collections.abc import Iterable
@@ -32,14 +32,14 @@
 
 from finchladder.core.peers.messages import MAX_INCARNATION, MemberStatus, MemberUpdate, Packet, PacketKind
 
-INDIRECT_PROBES = 3  # members that are requested to ping a silent one
+INDIRECT_PING_MEMBERS = 3  # members that are requested to ping a silent one
 MAX_HEALTH_SCORE = 8  # timeouts grow up to (this + 1) times while this process itself seems unhealthy
 MAX_UPDATES_PER_PACKET = 12  # updates in one packet
 TABLE_UPDATES_PER_PACKET = 4  # of these, from the member table in rotation, which repairs lost updates
 REPEAT_FACTOR = 3.0  # an update is sent this many times half the binary logarithm of the number of members
 MAX_CONFIRMATIONS = 2  # further reporters that reduce the suspicion timeout to its minimum
 MAX_SUSPICION_FACTOR = 3.0  # suspicion timeout with a single reporter, as a multiple of the minimum
-GONE_PROBE_INTERVAL = 4  # rounds between two pings of gone members
+GONE_PING_INTERVAL_PERIODS = 4  # periods between two pings of gone members
 # share of a period; if a round begins later, missing answers are attributed to a stall of this process
 MAX_LATENESS = 0.5
 
@@ -48,11 +48,11 @@
     """Periods and timeouts of the failure detector."""
 
     period_s: float = 0.5
-    ack_timeout_s: float = 0.15  # for a direct answer, before indirect probes are sent
+    ack_timeout_s: float = 0.15  # for a direct answer, before indirect pings are requested
     suspicion_periods: float = 4.0  # minimum suspicion timeout, in periods per log10 of the number of members
 
 
-class ProbeMessage(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """A message to send to a member; `target` is the probed member if it is another one."""
 
     kind: PacketKind
@@ -69,7 +69,7 @@
         "incarnation",
         "status",
         "since",
-        "suspicion_ends_at",
+        "suspicion_until",
         "reporters",
         "repeats_left",
         "last_seen_at",
@@ -78,7 +78,7 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.incarnation, self.status = 0, MemberStatus.GONE
-        self.since = self.suspicion_ends_at = 0.0
+        self.since = self.suspicion_until = 0.0
         self.reporters: set[str] = set()  # members that suspect it; at most MAX_CONFIRMATIONS + 1
         self.repeats_left = 0  # number of packets that still carry its update
         self.last_seen_at = -1.0  # time of the last packet from the member itself; negative: none
@@ -87,20 +87,20 @@
         return MemberUpdate(self.name, self.incarnation, self.status)
 
 
-class _Probe:
+class _PendingPing:
     """An unanswered ping, sent by this dispatcher for itself or at the request of another member."""
 
-    __slots__ = ("target", "indirect_at", "ends_at", "helpers", "nacks", "requester", "requester_sequence")
+    __slots__ = ("target", "indirect_at", "deadline", "helpers", "nacks", "requester", "requester_sequence")
 
     def __init__(
         self,
         target: str,
         indirect_at: float,
-        ends_at: float,
+        deadline: float,
         requester: str = "",
         requester_sequence: int = 0,
     ) -> None:
-        self.target, self.indirect_at, self.ends_at = target, indirect_at, ends_at
+        self.target, self.indirect_at, self.deadline = target, indirect_at, deadline
         self.helpers, self.nacks = 0, 0
         self.requester, self.requester_sequence = (
             requester,
@@ -109,7 +109,7 @@
 
 
 class MemberList:
-    """States of the listed dispatchers, as known to this one, and its probes."""
+    """States of the listed dispatchers, as known to this one, and its pending pings."""
 
     def __init__(
         self,
@@ -123,19 +123,19 @@
         """`incarnation`: the initial value; it is increased once peers report a higher one."""
         self.name, self.timing, self.random = name, timing or Timing(), random
         self.by_name: dict[str, Member] = {}
-        self.probe_order: list[str] = []  # shuffled names; each is pinged once per pass
-        self.probe_index, self.rounds = 0, 0
+        self.ping_order: list[str] = []  # shuffled names; each is pinged once per pass
+        self.ping_index, self.periods = 0, 0
         self.health_score = 0  # 0: healthy
-        self.probes: dict[int, _Probe] = {}
+        self.pending_pings: dict[int, _PendingPing] = {}
         self.sequence = random.getrandbits(31)
-        self.next_round_at = now + random.random() * self.timing.period_s
+        self.next_period_at = now + random.random() * self.timing.period_s
         self.table_index = random.randrange(
             1 << 16
         )  # rotation position of the updates that are sent from the table
         self.pending_updates: dict[
             str, None
         ] = {}  # members with `repeats_left` above 0, least recently sent first
-        self.refuted = self.failed = 0  # statistics: refuted suspicions of this dispatcher, failed probes
+        self.refuted = self.failed = 0  # statistics: refuted suspicions of this dispatcher, unanswered pings
         self.own_member = self.by_name[name] = Member(name)
         self.own_member.status, self.own_member.incarnation = (
             MemberStatus.ALIVE,
@@ -153,9 +153,9 @@
             self.pending_updates.pop(name, None)
         for name in sorted(listed - self.by_name.keys()):
             self.by_name[name] = Member(name)
-        self.probes = {n: p for n, p in self.probes.items() if p.target in listed}
-        self.probe_order = sorted(listed - {self.name})
-        self.random.shuffle(self.probe_order)
+        self.pending_pings = {n: p for n, p in self.pending_pings.items() if p.target in listed}
+        self.ping_order = sorted(listed - {self.name})
+        self.random.shuffle(self.ping_order)
 
     # --- state
 
@@ -167,7 +167,7 @@
         return sum(m.status is standing for m in self.by_name.values())
 
     def sample_alive(self, count: int) -> list[str]:
-        others = [n for n in self.probe_order if self.by_name[n].status is not MemberStatus.GONE]
+        others = [n for n in self.ping_order if self.by_name[n].status is not MemberStatus.GONE]
         return others if len(others) <= count else self.random.sample(others, count)
 
     @property
@@ -176,7 +176,7 @@
 
     # --- receiving
 
-    def receive(self, now: float, p: Packet) -> list[ProbeMessage]:
+    def receive(self, now: float, p: Packet) -> list[OutgoingMessage]:
         """Processes a packet and returns the answers; the caller ensures that the sender is listed."""
         member = self.by_name.get(p.sender)
         if member is None or p.sender == self.name:
@@ -186,37 +186,37 @@
         for update in p.updates:
             self._apply(now, update, p.sender)
         if p.kind is PacketKind.PING:
-            return [ProbeMessage(PacketKind.ACK, p.sender, p.sequence)]
+            return [OutgoingMessage(PacketKind.ACK, p.sender, p.sequence)]
         if p.kind is PacketKind.PING_REQUEST:
-            return self._probe_for_requester(now, p)
-        probe = self.probes.get(p.sequence)
-        if probe is None or p.kind not in (PacketKind.ACK, PacketKind.NACK):
+            return self._ping_for_requester(now, p)
+        ping = self.pending_pings.get(p.sequence)
+        if ping is None or p.kind not in (PacketKind.ACK, PacketKind.NACK):
             return []
         if p.kind is PacketKind.NACK:
-            probe.nacks += probe.nacks < probe.helpers and p.target == probe.target
+            ping.nacks += ping.nacks < ping.helpers and p.target == ping.target
             return []
-        if p.sender != probe.target and p.target != probe.target:
+        if p.sender != ping.target and p.target != ping.target:
             return []
-        del self.probes[p.sequence]
-        if probe.requester:
-            return [ProbeMessage(PacketKind.ACK, probe.requester, probe.requester_sequence, probe.target)]
+        del self.pending_pings[p.sequence]
+        if ping.requester:
+            return [OutgoingMessage(PacketKind.ACK, ping.requester, ping.requester_sequence, ping.target)]
         self.health_score = max(0, self.health_score - 1)
         return []
 
-    def _probe_for_requester(self, now: float, p: Packet) -> list[ProbeMessage]:
+    def _ping_for_requester(self, now: float, p: Packet) -> list[OutgoingMessage]:
         if (
             p.target not in self.by_name
             or p.target in (self.name, p.sender)
-            or len(self.probes) > 8 * INDIRECT_PROBES
+            or len(self.pending_pings) > 8 * INDIRECT_PING_MEMBERS
         ):
             return []
-        ends_at = now + self.timing.ack_timeout_s
-        return [self._ping(p.target, _Probe(p.target, ends_at, ends_at, p.sender, p.sequence))]
+        deadline = now + self.timing.ack_timeout_s
+        return [self._ping(p.target, _PendingPing(p.target, deadline, deadline, p.sender, p.sequence))]
 
-    def _ping(self, target: str, probe: _Probe) -> ProbeMessage:
+    def _ping(self, target: str, ping: _PendingPing) -> OutgoingMessage:
         self.sequence = (self.sequence + 1) & 0x7FFFFFFF
-        self.probes[self.sequence] = probe
-        return ProbeMessage(PacketKind.PING, target, self.sequence)
+        self.pending_pings[self.sequence] = ping
+        return OutgoingMessage(PacketKind.PING, target, self.sequence)
 
     def _apply(self, now: float, update: MemberUpdate, reporter: str) -> None:
         member = self.by_name.get(update.name)
@@ -245,8 +245,8 @@
                 and len(member.reporters) <= MAX_CONFIRMATIONS
             ):
                 member.reporters.add(reporter)
-                member.suspicion_ends_at = min(
-                    member.suspicion_ends_at, member.since + self._suspicion_s(len(member.reporters) - 1)
+                member.suspicion_until = min(
+                    member.suspicion_until, member.since + self._suspicion_s(len(member.reporters) - 1)
                 )
                 self._queue_update(member)
             if member.status is not MemberStatus.ALIVE:
@@ -259,7 +259,7 @@
     ) -> None:
         member.incarnation, member.status, member.since = incarnation, standing, now
         member.reporters = {reporter} if standing is MemberStatus.SUSPECTED else set()
-        member.suspicion_ends_at = now + self._suspicion_s(0)
+        member.suspicion_until = now + self._suspicion_s(0)
         self._queue_update(member)
 
     def _suspicion_s(self, confirmations: int) -> float:
@@ -275,81 +275,86 @@
 
     # --- periodic work
 
-    def tick(self, now: float) -> list[ProbeMessage]:
-        """Returns the messages due at `now`; call it at `next_at` or later."""
-        messages: list[ProbeMessage] = []
-        if now >= self.next_round_at:
-            if now > self.next_round_at + MAX_LATENESS * self.timing.period_s:
+    def tick(self, now: float) -> list[OutgoingMessage]:
+        """Returns the messages due at `now`; call it at `next_due` or later."""
+        messages: list[OutgoingMessage] = []
+        if now >= self.next_period_at:
+            if now > self.next_period_at + MAX_LATENESS * self.timing.period_s:
                 self._record_stall(now)
-            self.next_round_at = now + self.timing.period_s * (1 + self.health_score)
-            messages += self._start_probe(now)
-        for number, probe in list(self.probes.items()):
-            if now >= probe.ends_at:
-                del self.probes[number]
-                if probe.requester:
+            self.next_period_at = now + self.timing.period_s * (1 + self.health_score)
+            messages += self._start_ping(now)
+        for number, ping in list(self.pending_pings.items()):
+            if now >= ping.deadline:
+                del self.pending_pings[number]
+                if ping.requester:
                     messages.append(
-                        ProbeMessage(PacketKind.NACK, probe.requester, probe.requester_sequence, probe.target)
+                        OutgoingMessage(PacketKind.NACK, ping.requester, ping.requester_sequence, ping.target)
                     )
                 else:
-                    self._record_timeout(now, probe)
-            elif now >= probe.indirect_at and not probe.helpers and not probe.requester:
-                helpers = [n for n in self.sample_alive(INDIRECT_PROBES + 1) if n != probe.target][
-                    :INDIRECT_PROBES
+                    self._record_timeout(now, ping)
+            elif now >= ping.indirect_at and not ping.helpers and not ping.requester:
+                helpers = [n for n in self.sample_alive(INDIRECT_PING_MEMBERS + 1) if n != ping.target][
+                    :INDIRECT_PING_MEMBERS
+                ]
+                ping.helpers = max(1, len(helpers))
+                messages += [
+                    OutgoingMessage(PacketKind.PING_REQUEST, n, number, ping.target) for n in helpers
                 ]
-                probe.helpers = max(1, len(helpers))
-                messages += [ProbeMessage(PacketKind.PING_REQUEST, n, number, probe.target) for n in helpers]
         for member in self.by_name.values():
-            if member.status is MemberStatus.SUSPECTED and now >= member.suspicion_ends_at:
+            if member.status is MemberStatus.SUSPECTED and now >= member.suspicion_until:
                 self._set_status(now, member, member.incarnation, MemberStatus.GONE, self.name)
         return messages
 
-    def next_at(self) -> float:
+    def next_due(self) -> float:
         return min(
             [
-                self.next_round_at,
-                *(p.ends_at if p.helpers or p.requester else p.indirect_at for p in self.probes.values()),
+                self.next_period_at,
+                *(
+                    p.deadline if p.helpers or p.requester else p.indirect_at
+                    for p in self.pending_pings.values()
+                ),
             ]
         )
 
     def _record_stall(self, now: float) -> None:
-        """Discards pending probes after a stall of this process, as answers may have arrived unread."""
-        stall_s = now - self.next_round_at
+        """Discards the own pending pings after a stall of this process: answers may have arrived unread."""
+        stall_s = now - self.next_period_at
         self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
-        self.probes = {n: p for n, p in self.probes.items() if p.requester}
+        self.pending_pings = {n: p for n, p in self.pending_pings.items() if p.requester}
         for member in self.by_name.values():
             if member.status is MemberStatus.SUSPECTED:
-                member.suspicion_ends_at += stall_s
-
-    def _start_probe(self, now: float) -> list[ProbeMessage]:
-        self.rounds += 1
-        messages: list[ProbeMessage] = []
-        if self.rounds % GONE_PROBE_INTERVAL == 0:
-            gone = [n for n in self.probe_order if self.by_name[n].status is MemberStatus.GONE]
-            if gone:  # a missing answer has no effect, so no probe is stored
+                member.suspicion_until += stall_s
+
+    def _start_ping(self, now: float) -> list[OutgoingMessage]:
+        self.periods += 1
+        messages: list[OutgoingMessage] = []
+        if self.periods % GONE_PING_INTERVAL_PERIODS == 0:
+            gone = [n for n in self.ping_order if self.by_name[n].status is MemberStatus.GONE]
+            if gone:  # a missing answer has no effect, so no ping is stored
                 messages.append(
-                    ProbeMessage(PacketKind.PING, self.random.choice(gone), self.random.getrandbits(31))
+                    OutgoingMessage(PacketKind.PING, self.random.choice(gone), self.random.getrandbits(31))
                 )
-        for _ in range(len(self.probe_order)):
-            if self.probe_index >= len(self.probe_order):
-                self.probe_index = 0
-                self.random.shuffle(self.probe_order)
-            name = self.probe_order[self.probe_index]
-            self.probe_index += 1
+        for _ in range(len(self.ping_order)):
+            if self.ping_index >= len(self.ping_order):
+                self.ping_index = 0
+                self.random.shuffle(self.ping_order)
+            name = self.ping_order[self.ping_index]
+            self.ping_index += 1
             if self.by_name[name].status is not MemberStatus.GONE:
                 factor = 1 + self.health_score
-                indirect_at, ends_at = (
+                indirect_at, deadline = (
                     now + self.timing.ack_timeout_s * factor,
                     now + 0.9 * self.timing.period_s * factor,
                 )
-                return [*messages, self._ping(name, _Probe(name, indirect_at, ends_at))]
+                return [*messages, self._ping(name, _PendingPing(name, indirect_at, deadline))]
         return messages
 
-    def _record_timeout(self, now: float, probe: _Probe) -> None:
-        member = self.by_name.get(probe.target)
+    def _record_timeout(self, now: float, ping: _PendingPing) -> None:
+        member = self.by_name.get(ping.target)
         if member is None:
             return
         self.failed += 1
-        if probe.helpers and probe.nacks < min(probe.helpers, INDIRECT_PROBES) and len(self.alive()) > 2:
+        if ping.helpers and ping.nacks < min(ping.helpers, INDIRECT_PING_MEMBERS) and len(self.alive()) > 2:
             # Lifeguard: if helpers do not answer either, this process itself may be unhealthy
             self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
         if member.status is MemberStatus.ALIVE:
@@ -365,27 +370,27 @@
         receiver = self.by_name.get(to)
         if receiver is not None and receiver.incarnation and receiver.status is not MemberStatus.ALIVE:
             updates.append(receiver.update())
-            free_bytes -= updates[0].room
+            free_bytes -= updates[0].size_bytes
         for name in list(self.pending_updates):
             if len(updates) >= MAX_UPDATES_PER_PACKET:
                 break
             member = self.by_name[name]
             update = member.update()
-            if name == to or update.room > free_bytes:
+            if name == to or update.size_bytes > free_bytes:
                 continue
-            free_bytes -= update.room
+            free_bytes -= update.size_bytes
             updates.append(update)
             del self.pending_updates[name]
             member.repeats_left -= 1
             if member.repeats_left > 0:
                 self.pending_updates[name] = None  # moves to the end
-        names = self.probe_order
+        names = self.ping_order
         for _ in range(min(TABLE_UPDATES_PER_PACKET, MAX_UPDATES_PER_PACKET - len(updates), len(names))):
             self.table_index += 1
             member = self.by_name[names[self.table_index % len(names)]]
             update = member.update()
-            if member.incarnation and update not in updates and update.room <= free_bytes:
-                free_bytes -= update.room
+            if member.incarnation and update not in updates and update.size_bytes <= free_bytes:
+                free_bytes -= update.size_bytes
                 updates.append(update)
         return updates
 
--- a/finchladder/core/peers/messages.py
+++ b/finchladder/core/peers/messages.py
@@ -1,6 +1,6 @@
 """Messages between dispatchers. Times are seconds; clocks of different dispatchers are never compared.
 
-Each record has an upper bound of its encoded size (`room`, in bytes), so that packets are limited to the size
+Each record has an upper bound of its encoded size (`size_bytes`), so that packets are limited to the size
 of a datagram before they are encoded. `boot` identifies one run of a process: a random number that is drawn
 at its start and only compared for equality.
 """
@@ -46,7 +46,7 @@
     status: MemberStatus
 
     @property
-    def room(self) -> int:
+    def size_bytes(self) -> int:
         return len(self.name) + 14
 
 
@@ -78,11 +78,11 @@
     worker_reports: tuple[reports.WorkerReport, ...] = ()
 
     @property
-    def room(self) -> int:
-        variable_part = sum(len(w.budget) + 30 for w in self.demands) + sum(
-            s.room for s in self.worker_reports
+    def size_bytes(self) -> int:
+        variable_bytes = sum(len(w.budget) + 30 for w in self.demands) + sum(
+            s.size_bytes for s in self.worker_reports
         )
-        return len(self.owner) + 75 + variable_part
+        return len(self.owner) + 75 + variable_bytes
 
 
 class Grant(NamedTuple):
@@ -95,7 +95,7 @@
     boot: int  # of the receiver, from its row
 
     @property
-    def room(self) -> int:
+    def size_bytes(self) -> int:
         return len(self.budget) + 36
 
 
@@ -107,7 +107,7 @@
     requested_at: float  # of the last received grant with this serial, on the sender's clock
 
     @property
-    def room(self) -> int:
+    def size_bytes(self) -> int:
         return 26
 
 
@@ -121,7 +121,7 @@
     counts: tuple[tuple[int, float], ...]  # worker number, slots in flight
 
     @property
-    def room(self) -> int:
+    def size_bytes(self) -> int:
         return 20 + 6 * len(self.counts)
 
 
--- a/finchladder/core/peers/state_rows.py
+++ b/finchladder/core/peers/state_rows.py
@@ -23,7 +23,7 @@
 ROW_TTL_S = 30.0
 REFRESH_INTERVAL_S = 4.0  # longest time between two versions of the own row
 MAX_ROWS_PER_PACKET = 6  # rows in one packet
-MAX_DEMANDS_PER_ROW = 8  # the largest demands are kept
+MAX_DEMANDS_PER_ROW = 8  # the largest demands are largest
 MAX_NEW_ROW_AGE_S = 3.0  # younger rows have priority, and are sent as often as member updates
 
 
@@ -45,9 +45,9 @@
         self, now: float, incarnation: int, demands: Iterable[Demand], own_report: OwnReport | None = None
     ) -> None:
         """Writes the own row. Each budget occurs once in `wants`. `own`: the own report on workers."""
-        kept = sorted(demands, key=lambda w: (-w.rate, w.budget))[:MAX_DEMANDS_PER_ROW]
+        largest = sorted(demands, key=lambda w: (-w.rate, w.budget))[:MAX_DEMANDS_PER_ROW]
         self.sequence += 1
-        row = Row(self.name, self.boot, incarnation, self.sequence, 0.0, now, tuple(kept))
+        row = Row(self.name, self.boot, incarnation, self.sequence, 0.0, now, tuple(largest))
         if own_report is not None:
             row = row._replace(
                 zone=own_report.zone,
@@ -115,9 +115,9 @@
             if len(selected) >= max_rows:
                 return selected
             row, _ = self.by_owner[owner]
-            if owner == to or row.room > free_bytes:
+            if owner == to or row.size_bytes > free_bytes:
                 continue
-            free_bytes -= row.room
+            free_bytes -= row.size_bytes
             selected.append(row._replace(age_s=self.age_s(now, owner)))
             repeats = self.repeats_left.pop(owner) - 1
             if repeats > 0:
@@ -131,9 +131,9 @@
                 found is None
                 or owner == to
                 or any(r.owner == owner for r in selected)
-                or found[0].room > free_bytes
+                or found[0].size_bytes > free_bytes
             ):
                 continue
-            free_bytes -= found[0].room
+            free_bytes -= found[0].size_bytes
             selected.append(found[0]._replace(age_s=self.age_s(now, owner)))
         return selected
--- a/finchladder/core/peers/sums.py
+++ b/finchladder/core/peers/sums.py
@@ -13,14 +13,14 @@
 
 | fault | effect |
 | --- | --- |
-| a datagram is lost | the part of the previous wave is used, with its age; after MAX_PART_AGE_S none |
+| a datagram is lost | the part of the previous wave is used, with its age; after MAX_PARTIAL_SUM_AGE_S none |
 | a member has failed undetected | sums through it lack its parts; `members` counts the included ones |
 | rings differ, as a change of members is not known to all | members may be counted twice or not at all |
 | a network partition | each side forms its own ring, with its own sums |
 | a datagram is late or duplicated | it counts if its wave is later than that of the stored part |
 
 No rule depends on the counts being exact: they age, and their effect decays (loads.py). Memory: log2 n parts
-of MAX_WORKERS_PER_PART counts each. Cost: O(log n x workers with slots in flight) per wave.
+of MAX_WORKERS_PER_PARTIAL_SUM counts each. Cost: O(log n x workers with slots in flight) per wave.
 """
 
 from collections.abc import Iterable, Mapping
@@ -28,10 +28,10 @@
 
 from finchladder.core.peers.messages import PartialSum
 
-MAX_PART_AGE_S = 1.5
-MAX_WORKERS_PER_PART = 160  # the busiest are kept: a part must fit into one datagram
+MAX_PARTIAL_SUM_AGE_S = 1.5
+MAX_WORKERS_PER_PARTIAL_SUM = 160  # the busiest are kept: a part must fit into one datagram
 TAIL_LEVEL_OFFSET = 32  # levels from here on are tails, with A(level - TAIL_LEVEL_OFFSET)
-MIN_MEMBER_SHARE = 0.5  # a total that includes a smaller share of the members is not used
+MIN_MEMBER_FRACTION = 0.5  # a total that includes a smaller share of the members is not used
 
 Counts = Mapping[int, float]
 
@@ -54,7 +54,7 @@
         self.own_counts: Counts = {}
         self.wave = 0
         self.wave_began_at = 0.0
-        self.parts: dict[int, tuple[PartialSum, float]] = {}  # by level, with the time of receipt
+        self.partial_sums: dict[int, tuple[PartialSum, float]] = {}  # by level, with the time of receipt
         self.last_received_wave: dict[tuple[str, int], int] = {}
         self.last_sent_wave: dict[int, int] = {}  # by level
 
@@ -88,93 +88,95 @@
             ring_names = set(ring)
             self.last_received_wave = {k: v for k, v in self.last_received_wave.items() if k[0] in ring_names}
             levels = {*range(self.top_level), *(TAIL_LEVEL_OFFSET + k for k, _ in self.tails())}
-            self.parts = {n: p for n, p in self.parts.items() if n in levels}
+            self.partial_sums = {n: p for n, p in self.partial_sums.items() if n in levels}
         self.own_counts, self.wave_began_at = counts, now
         self.wave += 1
-        parts = self._parts_to_send(now, 0)
+        partial_sums = self._sums_to_send(now, 0)
         # levels whose input was missing in the previous wave are sent without waiting for it
         for level in range(1, self.top_level):
             if self.last_sent_wave.get(level, -1) < self.wave - 1:
-                parts += self._parts_to_send(now, level)
+                partial_sums += self._sums_to_send(now, level)
         for k, _ in self.tails():
             if k and self.last_sent_wave.get(TAIL_LEVEL_OFFSET + k, -1) < self.wave - 1:
-                parts += self._parts_to_send(now, TAIL_LEVEL_OFFSET + k)
-        return parts
+                partial_sums += self._sums_to_send(now, TAIL_LEVEL_OFFSET + k)
+        return partial_sums
 
-    def receive(self, now: float, sender: str, part: PartialSum) -> list[tuple[str, PartialSum]]:
+    def receive(self, now: float, sender: str, partial_sum: PartialSum) -> list[tuple[str, PartialSum]]:
         """Stores a received part, and returns the parts of the next level that it triggers."""
-        level = part.level
+        level = partial_sum.level
         if level not in range(self.top_level) and level - TAIL_LEVEL_OFFSET not in [
             k for k, _ in self.tails()
         ]:
             return []
-        if self.last_received_wave.get((sender, level), -1) >= part.wave:
+        if self.last_received_wave.get((sender, level), -1) >= partial_sum.wave:
             return []
         if len(self.last_received_wave) < 4 * 64:
-            self.last_received_wave[sender, level] = part.wave
-        self.parts[level] = part, now
+            self.last_received_wave[sender, level] = partial_sum.wave
+        self.partial_sums[level] = partial_sum, now
         if level >= TAIL_LEVEL_OFFSET:
             return []
-        parts: list[tuple[str, PartialSum]] = []
+        partial_sums: list[tuple[str, PartialSum]] = []
         if level + 1 < self.top_level and self.last_sent_wave.get(level + 1, -1) < self.wave:
-            parts += self._parts_to_send(now, level + 1)
+            partial_sums += self._sums_to_send(now, level + 1)
         if (
             level + 1 in [k for k, _ in self.tails()]
             and self.last_sent_wave.get(TAIL_LEVEL_OFFSET + level + 1, -1) < self.wave
         ):
-            parts += self._parts_to_send(now, TAIL_LEVEL_OFFSET + level + 1)
-        return parts
+            partial_sums += self._sums_to_send(now, TAIL_LEVEL_OFFSET + level + 1)
+        return partial_sums
 
     def total(self, now: float) -> Total | None:
         """Returns the total over all members, or None if it includes too few of them."""
         own_sum = self._sum(now, self.top_level)
         members, counts, ages = own_sum.members, dict(own_sum.counts), own_sum.age_s * own_sum.members
         for k, _ in self.tails():
-            if (part := self._current_part(now, TAIL_LEVEL_OFFSET + k)) is not None:
-                members += part.members
-                ages += part.age_s * part.members
-                for n, count in part.counts:
+            if (partial_sum := self._current_partial_sum(now, TAIL_LEVEL_OFFSET + k)) is not None:
+                members += partial_sum.members
+                ages += partial_sum.age_s * partial_sum.members
+                for n, count in partial_sum.counts:
                     counts[n] = counts.get(n, 0.0) + count
-        if members < 2 or members < MIN_MEMBER_SHARE * len(self.ring):
+        if members < 2 or members < MIN_MEMBER_FRACTION * len(self.ring):
             return None
         return Total(counts, members, ages / members)
 
-    def _current_part(self, now: float, level: int) -> PartialSum | None:
-        found = self.parts.get(level)
-        if found is None or now - found[1] + found[0].age_s > MAX_PART_AGE_S:
+    def _current_partial_sum(self, now: float, level: int) -> PartialSum | None:
+        found = self.partial_sums.get(level)
+        if found is None or now - found[1] + found[0].age_s > MAX_PARTIAL_SUM_AGE_S:
             return None
-        part, received_at = found
-        return part._replace(age_s=part.age_s + now - received_at)
+        partial_sum, received_at = found
+        return partial_sum._replace(age_s=partial_sum.age_s + now - received_at)
 
     def _sum(self, now: float, level: int) -> PartialSum:
         """Returns A(level) at `now` from the stored parts."""
         counts, members, ages = dict(self.own_counts), 1, now - self.wave_began_at
         for k in range(level):
-            if (part := self._current_part(now, k)) is not None:
-                members += part.members
-                ages += part.age_s * part.members
-                for n, count in part.counts:
+            if (partial_sum := self._current_partial_sum(now, k)) is not None:
+                members += partial_sum.members
+                ages += partial_sum.age_s * partial_sum.members
+                for n, count in partial_sum.counts:
                     counts[n] = counts.get(n, 0.0) + count
-        busiest = sorted(counts.items(), key=lambda c: -c[1])[:MAX_WORKERS_PER_PART]
+        busiest = sorted(counts.items(), key=lambda c: -c[1])[:MAX_WORKERS_PER_PARTIAL_SUM]
         return PartialSum(level, self.wave, members, ages / members, tuple(busiest))
 
-    def _parts_to_send(self, now: float, level: int) -> list[tuple[str, PartialSum]]:
+    def _sums_to_send(self, now: float, level: int) -> list[tuple[str, PartialSum]]:
         n = len(self.ring)
         if n < 2:
             return []
         self.last_sent_wave[level] = self.wave
-        parts: list[tuple[str, PartialSum]] = []
+        partial_sums: list[tuple[str, PartialSum]] = []
         k = level - TAIL_LEVEL_OFFSET if level >= TAIL_LEVEL_OFFSET else level
         if level < TAIL_LEVEL_OFFSET and k < self.top_level:
-            parts.append((self.ring[(self.position + (1 << k)) % n], self._sum(now, k)._replace(level=k)))
+            partial_sums.append(
+                (self.ring[(self.position + (1 << k)) % n], self._sum(now, k)._replace(level=k))
+            )
         if level >= TAIL_LEVEL_OFFSET or k == 0:  # the tail of level 0 depends on no received part
             for power, offset in self.tails():
                 if power == k:
-                    parts.append(
+                    partial_sums.append(
                         (
                             self.ring[(self.position + offset) % n],
                             self._sum(now, k)._replace(level=TAIL_LEVEL_OFFSET + k),
                         )
                     )
                     self.last_sent_wave[TAIL_LEVEL_OFFSET + k] = self.wave
-        return parts
+        return partial_sums
--- a/finchladder/lab/talk.py
+++ b/finchladder/lab/talk.py
@@ -45,7 +45,7 @@
         self._carry(peers.tick(now))
         if (hearsay := peers.take_reports(now)) is not None:
             self.play.nodes[i].tell(hearsay)
-        self.kernel.at(max(now + LEAST_S, peers.next_at()), lambda: self._turn(i))
+        self.kernel.at(max(now + LEAST_S, peers.next_due()), lambda: self._turn(i))
 
     def _carry(self, packets: Packets) -> None:
         for to, packet in packets:
--- a/finchladder/net/endpoint_watcher.py
+++ b/finchladder/net/endpoint_watcher.py
@@ -16,7 +16,7 @@
     version_and_is_full,
 )
 from finchladder.core import api
-from finchladder.core.membership.watch import INITIAL_LIST_WAIT_S, NO_CHANGE_WAIT_S, WatchState
+from finchladder.core.membership.watch import INITIAL_LIST_TIMEOUT_S, NO_CHANGE_DELAY_S, WatchState
 from finchladder.core.membership.watch_backoff import WatchBackoff
 from finchladder.net import http1
 from finchladder.net.actor import Actor
@@ -232,9 +232,9 @@
         self.watch_task = self.spawn(self._keep_watching(known))
 
     async def wait_for_first_update(self) -> None:
-        """Waits up to INITIAL_LIST_WAIT_S for the first update, as a saved list may name removed workers."""
+        """Waits up to INITIAL_LIST_TIMEOUT_S for the first update: a saved list may name removed workers."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(INITIAL_LIST_WAIT_S):
+            async with asyncio.timeout(INITIAL_LIST_TIMEOUT_S):
                 await self.first_update.wait()
 
     def follow(self, address: tuple[str, int]) -> None:
@@ -263,7 +263,7 @@
             if not is_down or self.is_established:
                 self.log.warning("service list: watch over ({}), the last list stays in use", reason)
             is_down = True
-            await asyncio.sleep(self.backoff.next_wait_s(self.is_established, self.index != index_before))
+            await asyncio.sleep(self.backoff.next_backoff_s(self.is_established, self.index != index_before))
 
     async def _watch(self) -> None:
         channel: Channel | None = None
@@ -283,7 +283,7 @@
             if head.status != 200:
                 raise MalformedMessageError(502, f"discovery answered {head.status}")
             self.is_established = True
-            no_change_timer = loop.call_later(NO_CHANGE_WAIT_S, self.first_update.set)
+            no_change_timer = loop.call_later(NO_CHANGE_DELAY_S, self.first_update.set)
             lines, last = LineSplitter(), loop.time()
             requested_full = not index
             while True:
@@ -298,7 +298,7 @@
                         raise ValueError("only older versions arrive; requesting the full list")
                 if channel.parser.body is None or channel.parser.body.is_complete:
                     return
-                async with asyncio.timeout_at(self.watch_state.silent_at(loop.time(), last)):
+                async with asyncio.timeout_at(self.watch_state.timeout_at(loop.time(), last)):
                     await channel.fill()
         finally:
             if no_change_timer is not None:
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -267,7 +267,7 @@
             exchange.evidence = ReportSource(self.detector, self.dispatcher)
 
     def _shared_bucket(self, budget: str, limit: float) -> "Bucket":
-        return self.exchange.share(budget, limit, self.clock(), self.setup.settings.dispatchers)
+        return self.exchange.register_budget(budget, limit, self.clock(), self.setup.settings.dispatchers)
 
     def _build_peers_actor(self, options: Options, exchange: "Peers", arrivals: RequestAdmission) -> None:
         from finchladder.core.peers.loads import attach
--- a/finchladder/net/peers/actor.py
+++ b/finchladder/net/peers/actor.py
@@ -184,7 +184,7 @@
             self._submit_updates(now)
         except Exception:
             logger.exception("peers: a turn died")
-        wait = max(MIN_INTERVAL_S, self.peers.next_at() - self.clock())
+        wait = max(MIN_INTERVAL_S, self.peers.next_due() - self.clock())
         self.timer = asyncio.get_running_loop().call_later(wait, self._exchange)
 
     def _submit_updates(self, now: float) -> None:
--- a/finchladder/sim/peers.py
+++ b/finchladder/sim/peers.py
@@ -78,8 +78,10 @@
 
 
 def room(p: Packet) -> int:
-    part = p.partial_sum.room if p.partial_sum is not None else 0
-    return part + sum(r.room for some in (p.updates, p.rows, p.grants, p.returns, p.orders) for r in some)
+    part = p.partial_sum.size_bytes if p.partial_sum is not None else 0
+    return part + sum(
+        r.size_bytes for some in (p.updates, p.rows, p.grants, p.returns, p.orders) for r in some
+    )
 
 
 class Found(NamedTuple):
@@ -126,7 +128,7 @@
             ExchangeSettings(play.timing, play.wave_s),
             lambda: {7: float(index + 1)},
         )
-        self.tokens = self.peers.share(BUDGET, play.world.limit, self.clock())
+        self.tokens = self.peers.register_budget(BUDGET, play.world.limit, self.clock())
 
     def clock(self) -> float:
         return self.offset + (self.play.now - self.begun) * self.speed
@@ -148,7 +150,7 @@
             self.send(self.peers.tick(self.clock()))
 
     def next_in(self) -> float:
-        return max(0.0005, (self.peers.next_at() - self.clock()) / self.speed)
+        return max(0.0005, (self.peers.next_due() - self.clock()) / self.speed)
 
 
 class Play:
@@ -261,7 +263,7 @@
         self.most_taken = max(self.most_taken, len(self.taken))
         self.looked = len(self.taken)
         # each may take what its right was worth in the window, and what its bucket held at its begin
-        most = (w.limit * WINDOW_S + w.dispatchers + w.limit * bucket.TOKEN_HOLD_S) * (
+        most = (w.limit * WINDOW_S + w.dispatchers + w.limit * bucket.TOKEN_TTL_S) * (
             1 + escrow.MAX_CLOCK_DRIFT
         )
         if len(self.taken) > most:
@@ -293,7 +295,7 @@
                 return self.break_(
                     "bounded", f"{p.name} holds {len(e.lent_grants)} and {len(e.borrowed_grants)} grants"
                 )
-            if len(p.peers.rows.by_owner) > len(self.names) or len(p.peers.members.probes) > 64:
+            if len(p.peers.rows.by_owner) > len(self.names) or len(p.peers.members.pending_pings) > 64:
                 return self.break_("bounded", f"{p.name} holds more rows than there are names")
 
     def _healed(self) -> None:
--- a/tests/core/judging/test_tables.py
+++ b/tests/core/judging/test_tables.py
@@ -278,4 +278,4 @@
         a.issue(40.0, "one more", "out", 60.0, "")
     assert not a.merge(40.0, first)
     assert len(a.entries) == MAX_OVERRIDES
-    assert sum(o.room for o in a.select(40.0, 60)) <= 60
+    assert sum(o.size_bytes for o in a.select(40.0, 60)) <= 60
--- a/tests/core/peers/test_escrow.py
+++ b/tests/core/peers/test_escrow.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from finchladder.core.peers.escrow import LEASE_S, MARGIN_S, UNLENDABLE_SHARE, Budget, Escrow
+from finchladder.core.peers.escrow import LEASE_S, MARGIN_S, UNLENDABLE_FRACTION, Budget, Escrow
 from finchladder.core.peers.messages import Demand, Grant, Return, Row
 
 LIMIT, DEEP = 30.0, 8
@@ -106,7 +106,7 @@
                     tuple(e.borrowed_grants.values()),
                     tuple(e.returned_until),
                     e.budgets["b"].demand,
-                    e.full_share_at,
+                    e.full_rate_at,
                 )
                 for e in self.escrows
             ),
@@ -231,6 +231,6 @@
     others = ((3, Return(1, 1, 1.0)), (2, Return(2, 1, 1.0)), (2, Return(1, 9, 1.0)))
     for boot, back in (*others, (2, Return(1, 1, 0.5))):  # the last one was renewed since
         assert not e.accept_return(boot, back)
-    assert e.usable_rate(LATER, "b") == pytest.approx(UNLENDABLE_SHARE * 10.0)
+    assert e.usable_rate(LATER, "b") == pytest.approx(UNLENDABLE_FRACTION * 10.0)
     assert e.accept_return(2, Return(1, 1, 1.0))
     assert e.usable_rate(LATER, "b") == pytest.approx(10.0)
--- a/tests/core/peers/test_loads.py
+++ b/tests/core/peers/test_loads.py
@@ -90,7 +90,7 @@
 ) -> list[tuple[str, Packet]]:
     row = Row(sender, 9, 1000, order, 0.0, now, wants)
     p.receive(now, Packet(PacketKind.GOSSIP, sender, 9, 1000, rows=(row,)))
-    return p.tick(max(now, p.next_at(), p.next_gossip_at))
+    return p.tick(max(now, p.next_due(), p.next_gossip_at))
 
 
 def door(p: Peers, rate: float = 20.0, keys: int = 10) -> SharedTokenBuckets:
@@ -153,11 +153,11 @@
 
 def test_start_uses_unlendable_share_and_more_dispatchers_reduce_shares() -> None:
     p = peers(now=0.0)
-    assert p.share("b", 40.0, 0.0).rate_at(0.0) == pytest.approx(1.0)
+    assert p.register_budget("b", 40.0, 0.0).rate_at(0.0) == pytest.approx(1.0)
     p.tick(20.0)
     assert p.buckets["b"].rate_at(20.0) == pytest.approx(10.0)
-    assert p.share("c", 40.0, 20.0, least=200).rate_at(20.0) == pytest.approx(0.2)
-    p.share("b", 80.0, 20.0)  # the limit changed
+    assert p.register_budget("c", 40.0, 20.0, least=200).rate_at(20.0) == pytest.approx(0.2)
+    p.register_budget("b", 80.0, 20.0)  # the limit changed
     assert p.buckets["b"].rate_at(20.0) == pytest.approx(20.0)
     p.set_dispatchers(20.0, [f"n{n}" for n in range(1, 9)])
     assert p.buckets["b"].rate_at(20.0) == pytest.approx(10.0)
--- a/tests/core/peers/test_members.py
+++ b/tests/core/peers/test_members.py
@@ -1,14 +1,14 @@
-"""Member states by the table of membership.py; probes, stalls of the own process, and selected updates."""
+"""Member states by the table of membership.py; pings, stalls of the own process, and selected updates."""
 
 from random import Random
 
 import pytest
 
 from finchladder.core.peers.membership import (
-    GONE_PROBE_INTERVAL,
+    GONE_PING_INTERVAL_PERIODS,
     TABLE_UPDATES_PER_PACKET,
     MemberList,
-    ProbeMessage,
+    OutgoingMessage,
     Timing,
 )
 from finchladder.core.peers.messages import MAX_PAYLOAD_BYTES, MemberStatus, MemberUpdate, Packet, PacketKind
@@ -89,12 +89,12 @@
         hold(m, ALIVE, 3)
         for who in accusers:
             m._apply(10.0, MemberUpdate("n2", 3, SUSPECTED), who)
-        ends.append(m.by_name["n2"].suspicion_ends_at - 10.0)
+        ends.append(m.by_name["n2"].suspicion_until - 10.0)
     assert (
         ends[0] == ends[1] > ends[2] > ends[3] == ends[4] == pytest.approx(T.suspicion_periods * T.period_s)
     )
-    m.next_round_at = 10.0 + ends[4]
-    m.tick(m.next_round_at)
+    m.next_period_at = 10.0 + ends[4]
+    m.tick(m.next_period_at)
     assert m.by_name["n2"].status is GONE
 
 
@@ -104,11 +104,11 @@
     m.pending_updates.clear()
 
 
-def play(m: MemberList, now: float, end: float) -> tuple[float, list[ProbeMessage]]:
+def play(m: MemberList, now: float, end: float) -> tuple[float, list[OutgoingMessage]]:
     """Ticks whenever due, up to `end`."""
-    said: list[ProbeMessage] = []
-    while m.next_at() <= end:
-        now = max(now, m.next_at())
+    said: list[OutgoingMessage] = []
+    while m.next_due() <= end:
+        now = max(now, m.next_due())
         said += m.tick(now)
     return now, said
 
@@ -116,7 +116,7 @@
 def test_silent_member_is_probed_indirectly_then_suspected() -> None:
     m = members()
     quiet(m)
-    now, said = play(m, 0.0, m.next_round_at)
+    now, said = play(m, 0.0, m.next_period_at)
     [ping] = [s for s in said if s.kind is PacketKind.PING]
     now, said = play(m, now, now + T.ack_timeout_s)
     helpers = {
@@ -136,16 +136,16 @@
 def test_indirect_answer_counts_and_silent_helpers_raise_own_health_score() -> None:
     m = members()
     quiet(m)
-    now, said = play(m, 0.0, m.next_round_at)
+    now, said = play(m, 0.0, m.next_period_at)
     now, _ = play(m, now, now + T.ack_timeout_s)
     m.receive(now, word("n5", kind=PacketKind.ACK, number=said[0].sequence, about=said[0].to))
-    assert not m.probes
+    assert not m.pending_pings
     assert m.by_name[said[0].to].status is ALIVE
-    now, said = play(m, now, m.next_round_at)
+    now, said = play(m, now, m.next_period_at)
     play(m, now, now + T.period_s - 0.001)
-    now, _ = play(m, now, m.next_round_at)
+    now, _ = play(m, now, m.next_period_at)
     assert m.health_score == 1
-    assert m.next_round_at == now + 2 * T.period_s
+    assert m.next_period_at == now + 2 * T.period_s
 
 
 def test_ping_request_is_forwarded_and_answered() -> None:
@@ -154,10 +154,10 @@
     [ping] = m.receive(0.0, word("n3", kind=PacketKind.PING_REQUEST, number=9, about="n4"))
     assert (ping.kind, ping.to) == (PacketKind.PING, "n4")
     assert m.receive(0.1, word("n4", kind=PacketKind.ACK, number=ping.sequence)) == [
-        ProbeMessage(PacketKind.ACK, "n3", 9, "n4")
+        OutgoingMessage(PacketKind.ACK, "n3", 9, "n4")
     ]
     m.receive(0.2, word("n3", kind=PacketKind.PING_REQUEST, number=10, about="n4"))
-    assert ProbeMessage(PacketKind.NACK, "n3", 10, "n4") in m.tick(0.2 + T.ack_timeout_s)
+    assert OutgoingMessage(PacketKind.NACK, "n3", 10, "n4") in m.tick(0.2 + T.ack_timeout_s)
     for about in ("n1", "n3", "nobody"):
         assert m.receive(0.3, word("n3", kind=PacketKind.PING_REQUEST, number=11, about=about)) == []
 
@@ -165,23 +165,23 @@
 def test_stall_of_own_process_causes_no_suspicion() -> None:
     m = members()
     quiet(m)
-    now, said = play(m, 0.0, m.next_round_at)
+    now, said = play(m, 0.0, m.next_period_at)
     hold(m, SUSPECTED, 3, "n5")
-    until = m.by_name["n5"].suspicion_ends_at
+    until = m.by_name["n5"].suspicion_until
     m.tick(now + 30.0)  # the process stalled
     assert m.by_name[said[0].to].status is not SUSPECTED or said[0].to == "n5"
     assert m.health_score >= 1
-    assert m.by_name["n5"].suspicion_ends_at > until + 25.0
+    assert m.by_name["n5"].suspicion_until > until + 25.0
     assert m.by_name["n5"].status is SUSPECTED
 
 
 def test_gone_members_are_pinged_but_not_suspected() -> None:
     m = members()
     quiet(m, GONE)
-    _, said = play(m, 0.0, 3 * GONE_PROBE_INTERVAL * T.period_s)
+    _, said = play(m, 0.0, 3 * GONE_PING_INTERVAL_PERIODS * T.period_s)
     assert len(said) >= 2
     assert {s.kind for s in said} == {PacketKind.PING}
-    assert not m.probes
+    assert not m.pending_pings
     assert m.count(GONE) == 4
     assert m.alive() == ["n1"]
 
--- a/tests/core/peers/test_values.py
+++ b/tests/core/peers/test_values.py
@@ -7,10 +7,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from finchladder.core.peers.bucket import BURST_S, TOKEN_HOLD_S, Bucket
+from finchladder.core.peers.bucket import BURST_S, TOKEN_TTL_S, Bucket
 from finchladder.core.peers.messages import MAX_PAYLOAD_BYTES, Demand, PartialSum, Row
 from finchladder.core.peers.state_rows import MAX_DEMANDS_PER_ROW, ROW_TTL_S, RowTable
-from finchladder.core.peers.sums import MAX_PART_AGE_S, FleetSums
+from finchladder.core.peers.sums import MAX_PARTIAL_SUM_AGE_S, FleetSums
 
 
 def row(
@@ -116,7 +116,7 @@
     for n, first in enumerate(taken):
         for m in range(n, len(taken)):
             window = taken[m] - first
-            assert m - n + 1 <= most * window + 1 + max(TOKEN_HOLD_S * min(1.0, most), most * BURST_S) + 1e-6
+            assert m - n + 1 <= most * window + 1 + max(TOKEN_TTL_S * min(1.0, most), most * BURST_S) + 1e-6
 
 
 def test_rate_ends_with_lease_and_slow_bucket_discards_full_token() -> None:
@@ -126,7 +126,7 @@
     assert b.rate_at(0.51) == 1.0
     assert sum(b.take(10.0) for _ in range(100)) <= 1 + 25  # only the tokens that were saved up to 0.5 s
     slow, kept = Bucket(0.1, 0.0), Bucket(0.1, 0.0, keeps_tokens=True)
-    for at, there in ((9.9, False), (10.1, True), (10.0 + TOKEN_HOLD_S + 0.1, False), (21.1, True)):
+    for at, there in ((9.9, False), (10.1, True), (10.0 + TOKEN_TTL_S + 0.1, False), (21.1, True)):
         assert slow.has_token(at) is there
     assert kept.has_token(13.0)
     assert kept.has_token(1000.0)
@@ -182,17 +182,17 @@
     totals = [one.total(0.3) for one in sums]
     assert all(t is None or t.members <= 13 for t in totals)
     assert any(t is None or t.members < 13 for t in totals)
-    assert ring(13)[0].total(0.3 + MAX_PART_AGE_S) is None
+    assert ring(13)[0].total(0.3 + MAX_PARTIAL_SUM_AGE_S) is None
 
 
 def test_part_of_earlier_wave_or_invalid_level_is_dropped() -> None:
     one = ring(8)[0]
-    held = dict(one.parts)
+    held = dict(one.partial_sums)
     level, (part, _) = next(iter(held.items()))
     sender = next(s for s, at in one.last_received_wave if at == level)
     for p in (part._replace(wave=0), part._replace(level=31), part._replace(level=40), part):
         assert one.receive(0.3, sender, p) == []
-        assert one.parts == held
+        assert one.partial_sums == held
 
 
 def test_ring_is_independent_of_order_of_names() -> None:
--- a/tests/core/peers/test_world.py
+++ b/tests/core/peers/test_world.py
@@ -59,8 +59,8 @@
 MUTANTS: dict[str, tuple[ModuleType, str, str, str, int]] = {
     "a restarted owner ignores earlier leases": (
         escrow,
-        "self.full_share_at = now + LEASE_S + MARGIN_S",
-        "self.full_share_at = now",
+        "self.full_rate_at = now + LEASE_S + MARGIN_S",
+        "self.full_rate_at = now",
         "rights",
         8,
     ),
@@ -94,15 +94,15 @@
     ),
     "the whole own rate is lent": (
         escrow,
-        "UNLENDABLE_SHARE = 0.1",
-        "UNLENDABLE_SHARE = 0.0",
+        "UNLENDABLE_FRACTION = 0.1",
+        "UNLENDABLE_FRACTION = 0.0",
         "never zero",
         1,
     ),
     "a needed rate is renewed": (
         escrow,
-        "spare = min((1 - UNLENDABLE_SHARE) * b.own_share, b.own_share - b.demand) - lent",
-        "spare = b.own_share",
+        "spare = min((1 - UNLENDABLE_FRACTION) * b.own_rate_per_s, b.own_rate_per_s - b.demand) - lent",
+        "spare = b.own_rate_per_s",
         "never zero",
         1,
     ),
@@ -129,7 +129,7 @@
     ),
     "gone members are not pinged": (
         membership,
-        "if self.rounds % GONE_PROBE_INTERVAL == 0:",
+        "if self.periods % GONE_PING_INTERVAL_PERIODS == 0:",
         "if False:",
         "heals",
         1,
--- a/tests/core/test_aperture.py
+++ b/tests/core/test_aperture.py
@@ -75,13 +75,13 @@
         stratum, name = random.choice([HOME, ("b", "m")]), f"s-{random.randrange(90)}"
         if random.random() < 0.3:
             listed.pop(name, None)
-            change = aperture.change([], [name])
+            change = aperture.apply_changes([], [name])
         elif random.random() < 0.1:
             listed |= {f"s-{i}": stratum for i in range(0, 90, random.choice((2, 5)))}
             change = aperture.replace(listed.items())
         else:
             listed[name] = stratum
-            change = aperture.change([(name, stratum)])
+            change = aperture.apply_changes([(name, stratum)])
         assert change.removed <= inside
         assert not change.added & inside
         inside = inside - change.removed | change.added
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize(("index", "dispatchers"), [(None, None), (None, 40), (3, None), (3, 10)])
 def test_unknown_or_few_dispatchers_use_all_workers(index: int | None, dispatchers: int | None) -> None:
     aperture = Aperture(index, dispatchers, SETTINGS)
-    assert len(aperture.change([(f"s-{i}", HOME) for i in range(50)]).added) == 50
+    assert len(aperture.apply_changes([(f"s-{i}", HOME) for i in range(50)]).added) == 50
 
 
 def test_index_beyond_number_of_dispatchers_is_rejected() -> None:
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -446,7 +446,7 @@
     assert told["w0"] is R
     assert [seen.get(f"w{n}", 0) for n in range(4)] == [one_before, 1, 1, 1]
     assert sum(seen.values()) < 5
-    assert len(m.mass_removal_guard.held) == 17
+    assert len(m.mass_removal_guard.retained) == 17
     assert m.counts[decisions.MemberState.HELD] == 17
 
 
--- a/tests/core/test_recalls.py
+++ b/tests/core/test_recalls.py
@@ -12,7 +12,7 @@
     SILENCE_TIMEOUT_S,
     WatchState,
 )
-from finchladder.core.membership.watch_backoff import MAX_WAIT_S, MIN_WAIT_S, WatchBackoff
+from finchladder.core.membership.watch_backoff import MAX_BACKOFF_S, MIN_BACKOFF_S, WatchBackoff
 
 SHARED = WatchState(shared=True)
 
@@ -26,10 +26,10 @@
     made = []
     for n in range(dispatchers):
         own = recalls(dispatchers, n)
-        at = own.next_wait_s(opened=True, news=True)
+        at = own.next_backoff_s(opened=True, has_changed=True)
         while at < seconds:
             made.append(at)
-            at += seconds if one_wait else own.next_wait_s(opened=False, news=False)
+            at += seconds if one_wait else own.next_backoff_s(opened=False, has_changed=False)
     return made
 
 
@@ -57,19 +57,20 @@
     for news in (True, False):
         for _ in range(300):
             assert (
-                SILENCE_TIMEOUT_S + own.next_wait_s(True, news) + call + MARGIN_S <= MAX_PROPAGATION_S + 1e-9
+                SILENCE_TIMEOUT_S + own.next_backoff_s(True, news) + call + MARGIN_S
+                <= MAX_PROPAGATION_S + 1e-9
             )
-            assert call + own.next_wait_s(False, news) + call + MARGIN_S <= MAX_PROPAGATION_S + 1e-9
+            assert call + own.next_backoff_s(False, news) + call + MARGIN_S <= MAX_PROPAGATION_S + 1e-9
     assert (call == SHARED_OPEN_TIMEOUT_S) == shared
 
 
 @pytest.mark.parametrize(
     ("dispatchers", "most"),
-    [(1, MAX_WAIT_S), (8, MAX_WAIT_S), (12, MAX_WAIT_S + 0.4), (999, SHARED.retry_within_s)],
+    [(1, MAX_BACKOFF_S), (8, MAX_BACKOFF_S), (12, MAX_BACKOFF_S + 0.4), (999, SHARED.retry_within_s)],
 )
 def test_waits_grow_with_number_of_dispatchers_up_to_bound(dispatchers: int, most: float) -> None:
     own = recalls(dispatchers)
-    waits = [own.next_wait_s(opened=False, news=False) for _ in range(200)]
+    waits = [own.next_backoff_s(opened=False, has_changed=False) for _ in range(200)]
     assert max(waits) <= most
     assert min(waits[20:]) >= most / 2
 
@@ -77,5 +78,5 @@
 def test_change_resets_backoff() -> None:
     own = recalls(3)
     for _ in range(10):
-        own.next_wait_s(opened=False, news=False)
-    assert own.next_wait_s(opened=True, news=True) <= 2 * MIN_WAIT_S
+        own.next_backoff_s(opened=False, has_changed=False)
+    assert own.next_backoff_s(opened=True, has_changed=True) <= 2 * MIN_BACKOFF_S
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -96,7 +96,7 @@
         *p.returns,
         *p.orders,
     ]
-    return sum(t.room for t in [*told, *([p.partial_sum] if p.partial_sum else [])])
+    return sum(t.size_bytes for t in [*told, *([p.partial_sum] if p.partial_sum else [])])
 
 
 @settings(deadline=None)
@@ -115,7 +115,7 @@
 
 def made() -> Peers:
     p = Peers("n1", ["n1", "n2", "n3"], 1, 1000, 0.0, ExchangeSettings(wave_s=0.1))
-    p.share("b", 10.0, 0.0)
+    p.register_budget("b", 10.0, 0.0)
     return p
 
 
@@ -128,8 +128,8 @@
         p.escrow.borrowed_grants,
         p.escrow.returned_until,
         p.rows.by_owner,
-        p.sums.parts,
-        p.members.probes,
+        p.sums.partial_sums,
+        p.members.pending_pings,
     )
     return f"{shown} {rest} {sorted(p.members.pending_updates)}"
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -249,7 +249,7 @@
     [(T, T, T + SILENCE_TIMEOUT_S), (T + 1, T, T + 1 + SILENCE_TIMEOUT_S), (T + 3, T, T + LINE_TIMEOUT_S)],
 )
 def test_timeouts_of_an_open_watch(last_byte: float, last_line: float, silent: float) -> None:
-    assert WatchState(False).silent_at(last_byte, last_line) == silent
+    assert WatchState(False).timeout_at(last_byte, last_line) == silent
 
 
 def test_a_restarted_numbering_is_accepted_after_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
