--- a/finchladder/net/actor.py
+++ b/finchladder/net/actor.py
@@ -70,7 +70,7 @@
     def _task_done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.log.opt(exception=error).critical("{}: a task died", self.name)
+            self.log.opt(exception=error).critical("{}: a task ended with an internal error", self.name)
 
     def stop(self) -> None:
         """Cancels all tasks of this actor."""
@@ -90,11 +90,11 @@
         try:
             self.receive(item)
         except Exception:
-            self.log.exception("{}: died on {}", self.name, type(item).__name__)
+            self.log.exception("{}: internal error while handling {}", self.name, type(item).__name__)
             try:
                 self.failed(item)
             except Exception:  # the remaining items must still be handled
-                self.log.exception("{}: could not clear up", self.name)
+                self.log.exception("{}: internal error while cleaning up", self.name)
 
     def receive(self, item: T) -> None:
         """Handles one item; subclasses define how."""
--- a/finchladder/net/capture_recorder.py
+++ b/finchladder/net/capture_recorder.py
@@ -59,5 +59,5 @@
         if self.capture.too_large and not self.is_size_logged:
             self.is_size_logged = True
             logger.warning(
-                "capture: {} bytes are not room enough for the state", self.capture.ring.max_snapshot_bytes
+                "capture: {} bytes are too few for the state", self.capture.ring.max_snapshot_bytes
             )
--- a/finchladder/net/config_reload.py
+++ b/finchladder/net/config_reload.py
@@ -51,7 +51,7 @@
                 more = (
                     f" ({len(lines) - MAX_LOGGED_FINDINGS} more)" if len(lines) > MAX_LOGGED_FINDINGS else ""
                 )
-                logger.error("SIGHUP: routes: version {} stays in force{}", self.loaded.version, more)
+                logger.error("SIGHUP: routes: version {} stays in use{}", self.loaded.version, more)
 
     def _apply_routes(self, new: "Loaded") -> None:
         old = self.loaded
@@ -64,13 +64,16 @@
             names = ", ".join(f"[{f.name.removesuffix('_of')}]" for f in changed)
             raise ValueError(f"{names} would change, which needs a restart: no part of the file is applied")
         if new.version == old.version:
-            logger.info("SIGHUP: routes: version {} holds already", old.version)
+            logger.info("SIGHUP: routes: version {} is already in use", old.version)
             return
         self.apply(new.routes)
         self.loaded = new
         replaced = f"in place of {old.version}"
         logger.info(
-            "SIGHUP: routes: version {} holds, {}, {}", new.version, replaced, count_routes(new.routes)
+            "SIGHUP: routes: version {} is now in use, {}, {}",
+            new.version,
+            replaced,
+            count_routes(new.routes),
         )
 
 
--- a/finchladder/net/decision_actor.py
+++ b/finchladder/net/decision_actor.py
@@ -158,7 +158,7 @@
         elif isinstance(action, api.Subscribe):
             self.on_subscribe(action.on)
         else:
-            self.log.warning("module: no peers can be told anything here")
+            self.log.warning("module: messages to peers are not supported here; one is ignored")
 
     def _for_flow(
         self, flow: Flow, action: api.Send | api.Cancel | api.Reject | api.Fail, now: float
--- a/finchladder/net/endpoint_watcher.py
+++ b/finchladder/net/endpoint_watcher.py
@@ -172,7 +172,7 @@
     def _accepts(self, version: int, is_full: bool) -> bool:
         if self.watch_state.accept(asyncio.get_running_loop().time(), version, is_full):
             return True
-        self.log.warning("service list: version {} came after {}, and is passed over", version, self.index)
+        self.log.warning("service list: version {} is older than {} and is ignored", version, self.index)
         return False
 
     def _apply_change(self, change: EndpointChange, known: bool) -> None:
--- a/finchladder/net/etcd/follow.py
+++ b/finchladder/net/etcd/follow.py
@@ -183,7 +183,7 @@
         timeout_s = RESPONSE_TIMEOUT_S if isinstance(action, ReadPage) else PROBE_TIMEOUT_S
         response = await client.call("kv/range", body, timeout_s)
         if client.logins != logins:
-            self.log.info("etcd: {}: the token had ended, logged in again", client.endpoint)
+            self.log.info("etcd: {}: the token had expired, logged in again", client.endpoint)
         if response.error is not None:
             self.post(CallFailed(response.error))
         elif isinstance(action, ReadPage):
--- a/finchladder/net/etcd/state.py
+++ b/finchladder/net/etcd/state.py
@@ -468,7 +468,9 @@
         self.restarts += 1
         if self.restarts > MAX_RESTARTS:
             return self._on_endpoint_failed(EndpointFailed(Failure.REFUSED, "new tokens are rejected"))
-        self._emit(Log("info", f"etcd: {self.endpoints[self.current]}: the token has ended, logged in again"))
+        self._emit(
+            Log("info", f"etcd: {self.endpoints[self.current]}: the token has expired, logged in again")
+        )
         self._emit(Open(self.current))
         return OPENING
 
@@ -478,7 +480,7 @@
         if self._was_silent():
             return self._start_list()
         if e.header.cluster_id != self.cluster_id or self._is_older(e.header):
-            return self._restart_list("another cluster, or an older revision, responds")
+            return self._restart_list("the response is from another cluster or of an older revision")
         self.restarts = 0
         top = e.header.revision
         # keys outside the prefix may cause the difference: the watch must reach the revision, or is checked
--- a/finchladder/net/job_intake.py
+++ b/finchladder/net/job_intake.py
@@ -122,5 +122,5 @@
     def _deadline_passed(self, flow: Flow) -> None:
         """Fails a flow that the dispatcher core should have answered before its deadline, but has not."""
         if self.flows.finish(flow, Answer("failed")):
-            logger.bind(**_fields(flow)).error("a flow was overdue: the module had not answered it")
+            logger.bind(**_fields(flow)).error("the dispatcher core did not answer a job before its deadline")
             self.decisions.submit(api.ClientDisconnected(flow.id))
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -354,7 +354,7 @@
         logger.info("{}: serving at {}:{}", setup.name, *setup.listen)
         if self.reloader is not None:
             loaded = self.reloader.loaded
-            logger.info("routes: version {} holds, {}", loaded.version, count_routes(loaded.routes))
+            logger.info("routes: version {} is in use, {}", loaded.version, count_routes(loaded.routes))
         await stopping.wait()
         logger.info("{}: leaving", setup.name)
         await self.listener.shut_down()
@@ -378,7 +378,7 @@
         try:
             discovery = self.read_setup().discovery
         except (ValueError, RecursionError) as e:
-            logger.error("SIGHUP: {}; what was read before stays in force", " ".join(str(e).split()))
+            logger.error("SIGHUP: {}; the previous settings stay in use", " ".join(str(e).split()))
             return
         logger.info("SIGHUP: discovery is at {}:{}", *discovery)
         self.watcher.follow(discovery)
@@ -391,7 +391,7 @@
         try:
             addresses = self.options.peers.addresses_including(self.setup.name)
         except ValueError as e:
-            logger.error("SIGHUP: {}; the dispatchers listed before stay", e)
+            logger.error("SIGHUP: {}; the previous list of dispatchers stays in use", e)
             return
         peers.follow(addresses, self.setup.settings.dispatchers)
         logger.info("SIGHUP: [peers]: {} dispatchers are listed", len(addresses))
--- a/finchladder/net/peers/actor.py
+++ b/finchladder/net/peers/actor.py
@@ -106,7 +106,9 @@
         except OSError as e:
             if not self.is_bind_error_logged:
                 logger.error(
-                    "peers: no UDP at {}:{}: {}; each goes on by its own share", *self.own_address, e.strerror
+                    "peers: cannot open UDP socket {}:{}: {}; only this dispatcher's own shares are used",
+                    *self.own_address,
+                    e.strerror,
                 )
             self.is_bind_error_logged = True
             loop.call_later(BIND_RETRY_S, self._open)
@@ -141,7 +143,7 @@
                 # a bug must not stop the reading, and is logged once
                 self._drop("fault")
                 if self.dropped["fault"] == 1:
-                    logger.exception("peers: died on a datagram")
+                    logger.exception("peers: internal error while handling a datagram")
 
     def _handle_datagram(self, data: bytes, source: Address) -> None:
         try:
--- a/finchladder/net/workers.py
+++ b/finchladder/net/workers.py
@@ -225,7 +225,7 @@
             self._write(attempt, connection)
         except Exception:
             self.log.bind(**{"id": attempt.flow.id, "class": attempt.flow.job_class}).exception(
-                "{}: an attempt died", self.name
+                "{}: internal error while sending an attempt", self.name
             )
             connection.close()
             self.end_broken(attempt)
--- a/tests/etcd/test_state.py
+++ b/tests/etcd/test_state.py
@@ -228,7 +228,7 @@
     p.delete("drain/w1")
     p.run(0.1)
     assert p.states() == p.truth()
-    assert ["token has ended" in text for text in p.log] == [True]
+    assert ["token has expired" in text for text in p.log] == [True]
     auth.passwords["u"] = "other"
     p.cluster.cut()
     p.cluster.cut(on=False)
--- a/tests/test_believing.py
+++ b/tests/test_believing.py
@@ -295,7 +295,7 @@
             n.process.send_signal(signal.SIGTERM)
             assert await n.process.wait() == 0
         log = (tmp_path / "log").read_text()
-        assert "membership: 1 entries vanished within 10 s (w1), and stay" in log
+        assert "membership: 1 entries vanished within 10 s (w1); they are kept" in log
         assert last_good_list.decode((tmp_path / "last").read_bytes())[:2] == ("discovery", 5)
         async with node(tmp_path, one, ini=ini, known=None) as n:  # only the file has a list
             assert (await exchange(n.port, HEALTH)).status == 200
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -261,7 +261,7 @@
         logger.remove(sink)
         assert [a.kind for a in answers] == ["failed"]
         assert not flows.by_id
-        assert any("module: died" in line for line in log)
+        assert any("module: internal error while handling" in line for line in log)
 
     asyncio.run(scenario())
 
@@ -343,7 +343,8 @@
 
 
 @pytest.mark.parametrize(
-    ("sockets", "kind", "log"), [(128, "failed", ["a flow was overdue"]), (0, "refused", [])]
+    ("sockets", "kind", "log"),
+    [(128, "failed", ["the dispatcher core did not answer a job"]), (0, "refused", [])],
 )
 def test_a_flow_is_answered_without_the_core(sockets: int, kind: str, log: list[str]) -> None:
     """It fails at its deadline if the core never answers, and is rejected if too many flows are open."""
@@ -433,7 +434,7 @@
         logger.remove(sink)
         assert isinstance(submitted[0], AttemptEnd)
         assert submitted[0].ending is api.Ending.UNREACHABLE
-        assert any("died on Attempt" in line for line in log)
+        assert any("internal error while handling Attempt" in line for line in log)
 
     monkeypatch.setattr(workers.WorkerActor, "_begin", broken)
     asyncio.run(scenario())
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -124,7 +124,7 @@
     async def play() -> None:
         servers = [RealServer(f"w{i}") for i in range(3)]
         async with routed(tmp_path, good, *servers) as n:
-            await until(f"routes: version {version} holds, 1 route", log)
+            await until(f"routes: version {version} is in use, 1 route", log)
             asked, going = 0, True
 
             async def load() -> None:
@@ -137,12 +137,12 @@
             for turn in range(100):
                 file.write_bytes(bad[turn % len(bad)].encode("latin-1") if turn % 5 != 2 else b"x = 1")
                 n.process.send_signal(signal.SIGHUP)
-                await until(lambda turn=turn: log.read_text().count("stays in force") > turn)
+                await until(lambda turn=turn: log.read_text().count("stays in use") > turn)
                 assert not any(c.done() for c in clients)
             going = False
             await asyncio.gather(*clients)
             assert asked > 100
-            assert f"routes: version {version} stays in force" in log.read_text()
+            assert f"routes: version {version} stays in use" in log.read_text()
             assert "operator.toml:3:1: FL118" in log.read_text()
             assert "[capture] would change" in log.read_text()
             for s in servers:
@@ -153,11 +153,11 @@
             for _ in range(3):  # the file is read at least once after the last signal
                 n.process.send_signal(signal.SIGHUP)
             later = hashlib.sha256(new.encode()).hexdigest()[:12]
-            await until(f"version {later} holds, in place of {version}, 1 route", log)
+            await until(f"version {later} is now in use, in place of {version}, 1 route", log)
             assert (await n.ask("y")).status == 503
             assert sum(m.id == "y" for s in servers for m in s.got) == 2
             n.process.send_signal(signal.SIGHUP)
-            await until(f"version {later} holds already", log)
+            await until(f"version {later} is already in use", log)
             n.process.terminate()
             assert await n.process.wait() == 0
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -270,7 +270,9 @@
             assert (await n.ask("a1")).status == 200
             assert (await n.ask("a1")).status == 400  # a repeated id
             assert len(server.got) == 1
-            assert " died" not in (tmp_path / "log").read_text()
+            log = (tmp_path / "log").read_text()
+            assert " died" not in log
+            assert "internal error" not in log
 
     run(scenario())
 
