--- a/finchladder/core/health/detection/aggregation.py
+++ b/finchladder/core/health/detection/aggregation.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 from finchladder.core.health.detection.evidence import DECAY_S
-from finchladder.core.health.detection.reports import WorkerReport
+from finchladder.core.health.detection.reports import SubjectReport
 
 MAX_BAD_PER_REPORTER = 1.5  # bad attempts that one reporter counts for at most
 MAX_GOOD_SCORE = 6.0  # absolute score that one reporter's good attempts count for at most
@@ -32,7 +32,7 @@
     reporter: str
     zone: int
     age_s: float
-    report: WorkerReport
+    report: SubjectReport
 
 
 class CombinedEvidence(NamedTuple):
--- a/finchladder/core/health/detection/detector.py
+++ b/finchladder/core/health/detection/detector.py
@@ -28,7 +28,7 @@
 the same reports; the lower score counts.
 
 An attempt costs O(1). An evaluation of all subjects in question costs O(reports on them), at most once per
-EVALUATION_INTERVAL_S. Memory: evidence for at most each worker and class, MAX_WORKER_REPORTS reports of each
+EVALUATION_INTERVAL_S. Memory: evidence for at most each worker and class, MAX_SUBJECT_REPORTS reports of each
 peer.
 """
 
@@ -60,10 +60,10 @@
 from finchladder.core.health.detection.reports import (
     MAX_COUNT,
     MAX_DURATION_S,
-    MAX_WORKER_REPORTS,
+    MAX_SUBJECT_REPORTS,
     MIN_URGENT_BAD_ATTEMPTS,
     OwnReport,
-    WorkerReport,
+    SubjectReport,
     subject_id,
     zone_number,
 )
@@ -304,7 +304,7 @@
         recent = [bad for at, bad in self.outcomes.values() if now - at < OUTCOME_AGE_S]
         return len(recent) >= MIN_OUTCOMES and 2 * sum(recent) > len(recent)
 
-    def worker_reports(self, now: float, workers: dict[str, Worker]) -> tuple[WorkerReport, ...]:
+    def subject_reports(self, now: float, workers: dict[str, Worker]) -> tuple[SubjectReport, ...]:
         """Returns this dispatcher's reports to its peers, and clears the mark of urgent ones."""
         self.has_unreported = False
         if self.doubts_itself(now):
@@ -331,7 +331,7 @@
                 bad, link, good = (min(MAX_COUNT, c) for c in counts)
                 subject = subject_id(address, worker.started_at, name)
                 found.append(
-                    WorkerReport(
+                    SubjectReport(
                         subject,
                         bad,
                         link,
@@ -342,7 +342,7 @@
                     )
                 )
         found.sort(key=lambda r: (-(r.left_s > 0), -(r.bad + r.link), r.subject_id))
-        return tuple(found[:MAX_WORKER_REPORTS])
+        return tuple(found[:MAX_SUBJECT_REPORTS])
 
     def has_urgent_report(self) -> bool:
         """Whether a bad attempt must be reported at once."""
@@ -357,12 +357,15 @@
             self._remove_reports(peer.reporter)
             if (
                 len(self.reporters) >= MAX_REPORTERS
-                or not peer.worker_reports
+                or not peer.subject_reports
                 or peer.age_s >= REPORT_TIMEOUT_S
             ):
                 continue
-            self.reporters[peer.reporter] = now - peer.age_s, tuple(r.subject_id for r in peer.worker_reports)
-            for r in peer.worker_reports:
+            self.reporters[peer.reporter] = (
+                now - peer.age_s,
+                tuple(r.subject_id for r in peer.subject_reports),
+            )
+            for r in peer.subject_reports:
                 reports = self.reports.get(r.subject_id)
                 if reports is None:
                     reports = self.reports[r.subject_id] = {}
@@ -474,7 +477,7 @@
                     reports.append(r._replace(age_s=age_s))
             if evidence is not None and not doubtful:
                 evidence.decay(now)
-                own_report = WorkerReport(0, evidence.bad, evidence.link, evidence.good, 0.0, 0.0, 0)
+                own_report = SubjectReport(0, evidence.bad, evidence.link, evidence.good, 0.0, 0.0, 0)
                 reports.append(ReceivedReport(self.name, self.zone, 0.0, own_report))
             if reports:
                 by_class[name] = reports
@@ -889,5 +892,5 @@
             detector.zone,
             detector.base_rate.attempts,
             detector.base_rate.bad_attempts,
-            detector.worker_reports(now, self.dispatcher.workers),
+            detector.subject_reports(now, self.dispatcher.workers),
         )
--- a/finchladder/core/health/detection/reports.py
+++ b/finchladder/core/health/detection/reports.py
@@ -4,13 +4,13 @@
 from typing import NamedTuple
 from zlib import crc32
 
-MAX_WORKER_REPORTS = 12  # per dispatcher; the subjects with the most bad attempts are reported
+MAX_SUBJECT_REPORTS = 12  # per dispatcher; the subjects with the most bad attempts are reported
 MIN_URGENT_BAD_ATTEMPTS = 0.9  # a subject with more bad attempts than this is reported at once
 MAX_COUNT = 6_000.0
 MAX_DURATION_S = 600.0
 
 
-class WorkerReport(NamedTuple):
+class SubjectReport(NamedTuple):
     """One dispatcher's evidence on one subject: one incarnation of a worker and one job class."""
 
     subject_id: int
@@ -33,7 +33,7 @@
     reporter: str
     zone: int
     age_s: float  # time since the reporter wrote them
-    worker_reports: tuple[WorkerReport, ...]
+    subject_reports: tuple[SubjectReport, ...]
 
 
 class OwnReport(NamedTuple):
@@ -42,7 +42,7 @@
     zone: int
     attempts: float  # recently ended attempts of this dispatcher at all workers that are not ejected
     bad_attempts: float  # the bad ones among `attempts`
-    worker_reports: tuple[WorkerReport, ...]
+    subject_reports: tuple[SubjectReport, ...]
 
 
 def subject_id(worker: str, started_at: float, job_class: str) -> int:
@@ -55,12 +55,12 @@
     return crc32(zone.encode())
 
 
-def has_invalid_values(worker_reports: tuple[WorkerReport, ...]) -> bool:
+def has_invalid_values(subject_reports: tuple[SubjectReport, ...]) -> bool:
     """Whether there are too many reports, or one with a value out of range."""
-    return len(worker_reports) > MAX_WORKER_REPORTS or not all(
+    return len(subject_reports) > MAX_SUBJECT_REPORTS or not all(
         0 <= r.subject_id < 1 << 32
         and 0 <= r.stage < 16
         and all(isfinite(n) and 0 <= n <= MAX_COUNT for n in (r.bad, r.link, r.good))
         and all(isfinite(n) and 0 <= n <= MAX_DURATION_S for n in (r.opened_s, r.left_s))
-        for r in worker_reports
+        for r in subject_reports
     )
--- a/finchladder/core/peers/exchange.py
+++ b/finchladder/core/peers/exchange.py
@@ -26,7 +26,7 @@
     MIN_URGENT_BAD_ATTEMPTS,
     OwnReport,
     PeerReport,
-    WorkerReport,
+    SubjectReport,
 )
 from finchladder.core.peers.bucket import Bucket
 from finchladder.core.peers.escrow import UNLENDABLE_FRACTION, Budget, Escrow
@@ -219,7 +219,9 @@
             if row.owner in self.members.by_name:
                 previous = self.rows.by_owner.get(row.owner)
                 if self.rows.merge(now, row) and self.evidence is not None:
-                    self._record_reports(now, row, previous[0].worker_reports if previous is not None else ())
+                    self._record_reports(
+                        now, row, previous[0].subject_reports if previous is not None else ()
+                    )
         for order in p.orders:
             self.orders.merge(now, order)
         accepted = [self.escrow.accept_grant(now, p.sender, p.boot, g) for g in p.grants]
@@ -233,15 +235,15 @@
             packets.append((p.sender, self._empty_packet(PacketKind.GOSSIP)._replace(updates=(correction,))))
         return packets
 
-    def _record_reports(self, now: float, row: Row, previous: tuple[WorkerReport, ...]) -> None:
-        if not (row.worker_reports or previous):
+    def _record_reports(self, now: float, row: Row, previous: tuple[SubjectReport, ...]) -> None:
+        if not (row.subject_reports or previous):
             return
         self.changed_owners[row.owner] = None
         assert self.evidence is not None
         known = {s.subject_id for s in previous if s.bad + s.link >= MIN_URGENT_BAD_ATTEMPTS}
         new_subjects = [
             s.subject_id
-            for s in row.worker_reports
+            for s in row.subject_reports
             if s.bad + s.link >= MIN_URGENT_BAD_ATTEMPTS and s.subject_id not in known
         ]
         if not all(map(self.evidence.is_ejected, new_subjects)):
@@ -339,7 +341,9 @@
             own_report = self.evidence.own_report(now)
             published = self.rows.by_owner.get(self.name)
             # the end of the last open case is reported as well
-            open_cases = own_report.worker_reports or (published is not None and published[0].worker_reports)
+            open_cases = own_report.subject_reports or (
+                published is not None and published[0].subject_reports
+            )
             is_repeat_due = is_repeat_due or (bool(open_cases) and now - written_at >= ROW_INTERVAL_S)
         if has_changed or is_repeat_due or now - written_at >= REFRESH_INTERVAL_S:
             self.last_row = now, excess_demands
@@ -396,7 +400,7 @@
         for owner in self.changed_owners:
             if (stored := self.rows.by_owner.get(owner)) is not None:
                 reports.append(
-                    PeerReport(owner, stored[0].zone, self.rows.age_s(now, owner), stored[0].worker_reports)
+                    PeerReport(owner, stored[0].zone, self.rows.age_s(now, owner), stored[0].subject_reports)
                 )
         self.changed_owners, self.next_report_at = {}, now + REPORT_INTERVAL_S
         return PeerReports(tuple(reports), *self.peer_totals, self.members.health_score >= UNHEALTHY_SCORE)
--- a/finchladder/core/peers/messages.py
+++ b/finchladder/core/peers/messages.py
@@ -75,12 +75,12 @@
     zone: int = 0
     ended: float = 0.0  # attempts that ended recently
     bad: float = 0.0  # number of these that failed
-    worker_reports: tuple[reports.WorkerReport, ...] = ()
+    subject_reports: tuple[reports.SubjectReport, ...] = ()
 
     @property
     def size_bytes(self) -> int:
         variable_bytes = sum(len(w.budget) + 30 for w in self.demands) + sum(
-            s.size_bytes for s in self.worker_reports
+            s.size_bytes for s in self.subject_reports
         )
         return len(self.owner) + 75 + variable_bytes
 
@@ -167,7 +167,7 @@
             and _is_in_range(row.bad, MAX_TOTAL)
             and 0 <= row.zone < 1 << 32
         )
-        if not are_totals_valid or reports.has_invalid_values(row.worker_reports):
+        if not are_totals_valid or reports.has_invalid_values(row.subject_reports):
             return "reports of a row"
     if has_invalid_override(p.orders):
         return "values of an override"
--- a/finchladder/core/peers/state_rows.py
+++ b/finchladder/core/peers/state_rows.py
@@ -53,7 +53,7 @@
                 zone=own_report.zone,
                 ended=own_report.attempts,
                 bad=own_report.bad_attempts,
-                worker_reports=own_report.worker_reports,
+                subject_reports=own_report.subject_reports,
             )
         self._store(now, row)
 
--- a/finchladder/net/peers/datagrams.py
+++ b/finchladder/net/peers/datagrams.py
@@ -15,7 +15,7 @@
 from msgspec import Meta
 
 from finchladder.core.health.detection.overrides import MAX_REASON_LENGTH, MAX_WORKER_NAME_LENGTH, Override
-from finchladder.core.health.detection.reports import MAX_WORKER_REPORTS, WorkerReport
+from finchladder.core.health.detection.reports import MAX_SUBJECT_REPORTS, SubjectReport
 from finchladder.core.peers.messages import (
     Demand,
     Grant,
@@ -57,7 +57,7 @@
     spent: float
 
 
-class _WorkerReport(_Array):
+class _SubjectReport(_Array):
     subject_id: Number
     bad: Tenths
     link: Tenths
@@ -87,7 +87,7 @@
     zone: Number
     ended: Tenths
     bad: Tenths
-    worker_reports: Annotated[list[_WorkerReport], Meta(max_length=MAX_WORKER_REPORTS)]
+    subject_reports: Annotated[list[_SubjectReport], Meta(max_length=MAX_SUBJECT_REPORTS)]
 
 
 class _Grant(_Array):
@@ -208,7 +208,7 @@
                 r.ended / TENTHS_PER_UNIT,
                 r.bad / TENTHS_PER_UNIT,
                 tuple(
-                    WorkerReport(
+                    SubjectReport(
                         s.subject_id,
                         s.bad / TENTHS_PER_UNIT,
                         s.link / TENTHS_PER_UNIT,
@@ -217,7 +217,7 @@
                         s.left_tenths / TENTHS_PER_UNIT,
                         s.stage,
                     )
-                    for s in r.worker_reports
+                    for s in r.subject_reports
                 ),
             )
             for r in d.rows
@@ -244,7 +244,7 @@
             _tenths(s.left_s),
             s.stage,
         )
-        for s in r.worker_reports
+        for s in r.subject_reports
     ]
     return (*r[:7], r.zone, _tenths(r.ended), _tenths(r.bad), reports)
 
--- a/finchladder/sim/judged.py
+++ b/finchladder/sim/judged.py
@@ -21,7 +21,12 @@
 from finchladder.core import api
 from finchladder.core.dispatch.dispatcher import Dispatcher
 from finchladder.core.health.detection.detector import DetectorSettings, OutlierDetector, ReportSource, attach
-from finchladder.core.health.detection.reports import MAX_WORKER_REPORTS, OwnReport, WorkerReport, subject_id
+from finchladder.core.health.detection.reports import (
+    MAX_SUBJECT_REPORTS,
+    OwnReport,
+    SubjectReport,
+    subject_id,
+)
 from finchladder.core.health.detection.verdicts import VerdictState
 from finchladder.sim import peers
 
@@ -88,11 +93,11 @@
     def own_report(self, now: float) -> OwnReport:
         names = sorted(self.d.workers)
         says = [
-            WorkerReport(subject_id(a, 0.0, c.name), 500.0, 500.0, 0.0, 1.0, 500.0, 0)
+            SubjectReport(subject_id(a, 0.0, c.name), 500.0, 500.0, 0.0, 1.0, 500.0, 0)
             for a in names
             for c in CLASSES
         ]
-        return OwnReport(self.zone, 500.0, 0.0, tuple(says[:MAX_WORKER_REPORTS]))
+        return OwnReport(self.zone, 500.0, 0.0, tuple(says[:MAX_SUBJECT_REPORTS]))
 
 
 class Process(peers.Process):
--- a/tests/core/judging/test_judging.py
+++ b/tests/core/judging/test_judging.py
@@ -6,7 +6,7 @@
 
 from finchladder import api
 from finchladder.core.health.detection.detector import DetectorSettings, OutlierDetector, ReportSource, attach
-from finchladder.core.health.detection.reports import PeerReport, WorkerReport, subject_id, zone_number
+from finchladder.core.health.detection.reports import PeerReport, SubjectReport, subject_id, zone_number
 from finchladder.core.health.detection.verdicts import VerdictState
 from tests.helpers import Bench, entry, workers
 
@@ -25,13 +25,13 @@
 
 def report(
     server: str, job_class: str, bad: float, good: float = 0.0, left: float = 0.0, link: float = 0.0
-) -> WorkerReport:
-    return WorkerReport(subject_id(server, 0.0, job_class), bad, link, good, 0.1, left, 0)
+) -> SubjectReport:
+    return SubjectReport(subject_id(server, 0.0, job_class), bad, link, good, 0.1, left, 0)
 
 
 def receive(
     b: Bench,
-    reports: dict[str, tuple[WorkerReport, ...]],
+    reports: dict[str, tuple[SubjectReport, ...]],
     dispatchers: int = 40,
     zone: str = "",
     is_degraded: bool = False,
@@ -85,7 +85,7 @@
     ],
 )
 def test_ejection_requires_enough_reporters_and_evidence(
-    reports: dict[str, tuple[WorkerReport, ...]], dispatchers: int, out: bool
+    reports: dict[str, tuple[SubjectReport, ...]], dispatchers: int, out: bool
 ) -> None:
     b, detector, _ = bench(workers(10))
     receive(b, reports, dispatchers)
@@ -293,12 +293,12 @@
     assert source.has_urgent_report()
     own = source.own_report(b.now)
     assert not source.has_urgent_report()
-    assert [(s.subject_id, s.bad) for s in own.worker_reports][0] == (
+    assert [(s.subject_id, s.bad) for s in own.subject_reports][0] == (
         subject_id("w3", 0.0, "safe"),
         1.0,
     )
     b.patch(entry("w3", started_at=b.now))
-    assert source.own_report(b.now).worker_reports == ()
+    assert source.own_report(b.now).subject_reports == ()
     assert not detector.evidence
     receive(b, {f"n{n}": (report("w3", "safe", 5),) for n in range(2, 9)})  # the former incarnation
     assert state(detector, "w3") is VerdictState.CLEAR
--- a/tests/core/judging/test_tables.py
+++ b/tests/core/judging/test_tables.py
@@ -23,7 +23,7 @@
     log_likelihood_ratios,
 )
 from finchladder.core.health.detection.overrides import MAX_OVERRIDES, Override, OverrideTable
-from finchladder.core.health.detection.reports import WorkerReport, has_invalid_values, subject_id
+from finchladder.core.health.detection.reports import SubjectReport, has_invalid_values, subject_id
 from finchladder.core.health.detection.verdicts import (
     ENOUGH_GOOD_ATTEMPTS,
     TRIAL_SHARES,
@@ -93,7 +93,7 @@
 def received(
     reporter: str, zone: int = HERE, age: float = 0.0, bad: float = 0, link: float = 0, good: float = 0
 ) -> ReceivedReport:
-    return ReceivedReport(reporter, zone, age, WorkerReport(7, bad, link, good, 1.0, 0.0, 0))
+    return ReceivedReport(reporter, zone, age, SubjectReport(7, bad, link, good, 1.0, 0.0, 0))
 
 
 COMBINED = {
@@ -223,7 +223,7 @@
     [{"bad": -1.0}, {"good": float("nan")}, {"left_s": 1e300}, {"subject_id": 1 << 32}, {"stage": 99}, {}],
 )
 def test_values_out_of_range_are_detected(change: dict[str, float]) -> None:
-    report = WorkerReport(7, 1.0, 0.0, 2.0, 1.0, 0.0, 0)._replace(**change)  # type: ignore[arg-type]
+    report = SubjectReport(7, 1.0, 0.0, 2.0, 1.0, 0.0, 0)._replace(**change)  # type: ignore[arg-type]
     assert has_invalid_values((report,)) is bool(change)
     assert has_invalid_values((report,) * 13)
 
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -14,7 +14,7 @@
 from finchladder.config.option_files import read_options
 from finchladder.config.options import PeersOptions
 from finchladder.core.health.detection.overrides import STANCES, Override
-from finchladder.core.health.detection.reports import MAX_WORKER_REPORTS, WorkerReport
+from finchladder.core.health.detection.reports import MAX_SUBJECT_REPORTS, SubjectReport
 from finchladder.core.peers.exchange import ExchangeSettings, Peers
 from finchladder.core.peers.messages import (
     MAX_INCARNATION,
@@ -43,7 +43,7 @@
 INT, FIGURE = st.integers(0, MAX_INCARNATION), st.floats(0, 1e9)
 WANT = st.builds(Demand, st.text(max_size=40), FIGURE, FIGURE, FIGURE)
 TENTHS, NUMBER = st.integers(0, 6_000).map(lambda n: n / 10), st.integers(0, (1 << 32) - 1)
-SAID = st.builds(WorkerReport, NUMBER, TENTHS, TENTHS, TENTHS, TENTHS, TENTHS, st.integers(0, 15))
+SAID = st.builds(SubjectReport, NUMBER, TENTHS, TENTHS, TENTHS, TENTHS, TENTHS, st.integers(0, 15))
 ROW = st.builds(
     Row,
     NAME,
@@ -56,7 +56,7 @@
     NUMBER,
     TENTHS,
     TENTHS,
-    st.lists(SAID, max_size=MAX_WORKER_REPORTS).map(tuple),
+    st.lists(SAID, max_size=MAX_SUBJECT_REPORTS).map(tuple),
 )
 ORDER = st.builds(
     Override, NAME, st.sampled_from(STANCES), st.floats(0, 86_400), INT, NAME, st.text(max_size=80)
