--- a/finchladder/core/connections/__init__.py
+++ b/finchladder/core/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Client connections, idle timeouts, memory for bodies, graceful shutdown."""
+"""Client connections, idle timeouts, memory for message bodies, graceful shutdown."""
--- a/finchladder/core/connections/body_memory.py
+++ b/finchladder/core/connections/body_memory.py
@@ -1,25 +1,25 @@
-"""Memory budget for the bodies of requests and answers, reserved before they are read. Sizes in bytes."""
+"""Memory budget for the bodies of requests and answers, which is reserved before they are read."""
 
-MEMORY_SHARE = 0.25  # share of the process's memory limit
-MIN_MEMORY_SHARE = 0.0625  # lower bound of the share, whatever memory the optional features use
+MEMORY_SHARE = 0.25  # share of the process's memory that bodies may use, less the memory of features
+MIN_MEMORY_SHARE = 0.0625  # lower bound of the share after the deduction for features
 
 
 class OutOfBodyMemoryError(Exception):
-    """A reservation exceeds the budget. It remains counted until its owner releases it."""
+    """The reservations exceed the budget. The last one remains counted until its owner releases it."""
 
 
 class BodyMemory:
-    """Budget that all reservations of a process share."""
+    """Budget for all reservations of a process."""
 
     def __init__(self, memory_bytes: int, feature_bytes: int = 0) -> None:
-        # the memory of the features is deducted, so that the total is the same with and without them
+        # `feature_bytes`, the memory of optional features, is deducted: the total is the same without them
         self.free_bytes = max(
             int(MEMORY_SHARE * memory_bytes) - feature_bytes, int(MIN_MEMORY_SHARE * memory_bytes)
         )
 
 
 class Reservation:
-    """One owner's part of the body memory."""
+    """Part of the body memory that one owner has reserved, e.g. a connection."""
 
     def __init__(self, memory: BodyMemory) -> None:
         self.memory, self.size_bytes = memory, 0
--- a/finchladder/core/connections/client_connections.py
+++ b/finchladder/core/connections/client_connections.py
@@ -1,37 +1,42 @@
-"""Table of client connections: which are idle, and which one is closed when the table is full."""
+"""Table of client connections; selects the connection that is closed when the table is full."""
 
 from collections.abc import Callable, Hashable, Iterator
 from enum import IntEnum
 from typing import Generic, TypeVar
 
-MIN_IDLE_S = 0.25  # a client that connected or was answered more recently may be about to send
+MIN_IDLE_S = 0.25  # a client that connected or was answered more recently may be about to send a request
 
 E = TypeVar("E", bound=Hashable)
 
 
 class ConnectionValue(IntEnum):
-    """What a client connection has carried so far; the lowest value is closed first."""
+    """Value of a client connection by the messages that it has carried; the lowest is closed first."""
 
     NEW = 0  # no complete message
-    QUERIED = 1  # a query
-    SERVED = 2  # an answered job, or a callback
+    QUERIED = 1  # at least one query, e.g. of a job's status
+    SERVED = 2  # at least one answered job or worker's callback
 
 
 class ClientConnectionTable(Generic[E]):
-    """At most `max_connections` connections, each closable (awaits a message or its remainder) or busy.
+    """Table of at most `max_connections` connections, each either closable or busy.
 
-    Only a closable connection may be evicted: among those of the lowest value the one idle longest, and one
-    active within MIN_IDLE_S only if there is no other. A connection with unread data is never evicted, as
-    that may be a job or a callback. Times are in seconds of the caller's clock.
+    A connection is closable while it waits for a message or the rest of one, and busy from a complete message
+    until the answer.
 
-    All methods are O(1) but `evict`, which visits each closable connection at most twice and usually one.
+
+    Only a closable connection may be evicted: among those of the lowest value the one idle longest. One that
+    was active within MIN_IDLE_S is evicted only if there is no other. A connection with unread data is never
+    evicted, as the data may be a job or a callback. Times are in seconds of the caller's clock.
+
+    All methods cost O(1), except `evict`: it visits each closable connection at most twice, and usually only
+    one connection.
     """
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
         self._active_at: dict[E, float] = {}  # time of opening or of the last complete message
         self._closable_as: dict[E, ConnectionValue] = {}
-        # connections of each value, the one idle longest first
+        # closable connections by value, the one idle longest first
         self._closable: dict[ConnectionValue, dict[E, None]] = {value: {} for value in ConnectionValue}
 
     def __len__(self) -> int:
@@ -45,7 +50,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether a further connection needs an eviction."""
+        """Whether an eviction is needed before a connection can be added."""
         return len(self._active_at) >= self.max_connections
 
     def add(self, now: float, connection: E) -> None:
@@ -54,20 +59,20 @@
         self.mark_closable(connection, ConnectionValue.NEW)
 
     def mark_idle(self, now: float, connection: E, value: ConnectionValue) -> None:
-        """Marks a connection that completed a message and has received nothing of the next."""
+        """Marks a connection as idle: its last message was answered, and no part of the next has arrived."""
         if connection in self._active_at:
             self._active_at[connection] = now
             self.mark_closable(connection, value)
 
     def mark_closable(self, connection: E, value: ConnectionValue) -> None:
-        """Makes a connection closable, after all others of that value."""
+        """Marks a connection as closable, evicted after the other ones of that value."""
         if connection in self._active_at:  # otherwise it has been closed
             self.mark_busy(connection)
             self._closable_as[connection] = value
             self._closable[value][connection] = None
 
     def mark_busy(self, connection: E) -> None:
-        """Marks a connection that received a complete message: not closable until that is answered."""
+        """Marks a connection that received a complete message as not closable until the answer."""
         if (value := self._closable_as.pop(connection, None)) is not None:
             del self._closable[value][connection]
 
@@ -81,7 +86,7 @@
         return now > self._active_at[connection] + age_s
 
     def evict(self, now: float, is_drained: Callable[[E], bool]) -> E | None:
-        """Removes the connection to be closed.
+        """Selects the connection to be closed and removes it from the table.
 
         Args:
             now: Current time, in seconds of the caller's clock.
@@ -93,7 +98,7 @@
         for connections in self._closable.values():
             for connection in connections:
                 if now < self._active_at[connection] + MIN_IDLE_S:
-                    break  # the remaining ones were active later
+                    break  # the following connections were active later
                 if is_drained(connection):
                     self.remove(connection)
                     return connection
--- a/finchladder/core/connections/idle_timeout.py
+++ b/finchladder/core/connections/idle_timeout.py
@@ -1,15 +1,16 @@
 """Adaptive idle timeout of connections to workers."""
 
-RELEARN_S = 30.0  # time without a reset of an idle connection after which the limit is doubled
-MIN_IDLE_S = 0.05  # lower bound of the limit when it is doubled
+RELEARN_S = 30.0  # time after the last change of the limit until it is doubled
+MIN_IDLE_S = 0.05  # a limit below this is doubled from here
 
 
 class AdaptiveIdleTimeout:
-    """Learns how long a connection may be idle and still be reused; `max_idle_s` at most.
+    """Adapts how long a connection may be idle and still be reused; at most `max_idle_s`.
 
     A middlebox may drop idle connections long before the configured timeout, and the loss is noticed only
-    when the next request ends in a reset, which may not be retried. So each reset halves the allowed idle
-    time, and each RELEARN_S without one doubles it. Times are in seconds of the caller's clock.
+    when the next request ends in a reset, which may not be retried. So a reset after some idle
+    time lowers the limit to half of that time, and each RELEARN_S without a reset doubles the limit.
+    Times are in seconds of the caller's clock.
     """
 
     def __init__(self, now: float, max_idle_s: float) -> None:
@@ -17,11 +18,11 @@
         self._limit_s, self._changed_at = max_idle_s, now
 
     def record_reset(self, now: float, idle_s: float) -> None:
-        """Records that a connection idle for `idle_s` seconds was reset at its next request."""
+        """Records that a connection was reset at its next request after `idle_s` seconds of idle time."""
         self._limit_s, self._changed_at = min(self._limit_s, idle_s / 2), now
 
     def limit_s(self, now: float) -> float:
-        """Returns the longest idle time, in seconds, after which a connection may be reused."""
+        """Returns the longest idle time after which a connection may still be reused."""
         if self._limit_s < self.max_idle_s and now > self._changed_at + RELEARN_S:
             self._limit_s, self._changed_at = min(self.max_idle_s, 2 * max(self._limit_s, MIN_IDLE_S)), now
         return self._limit_s
--- a/finchladder/core/health/__init__.py
+++ b/finchladder/core/health/__init__.py
@@ -1,1 +1,1 @@
-"""Which workers may take work: slow start after a restart, ejection of outliers."""
+"""Decides which workers may receive jobs: slow start after a restart, ejection of outliers."""
--- a/finchladder/core/health/detection/aggregation.py
+++ b/finchladder/core/health/detection/aggregation.py
@@ -1,16 +1,18 @@
 """Combines the reports of all dispatchers on one subject; the weight of each reporter is bounded.
 
+A subject is one worker (since its last start) and one job class.
+
 | attempts in a report | count as |
 | --- | --- |
-| bad: failed 1, silent, slow or overtaken 1/2 | the reporter's own, at most MAX_BAD_PER_REPORTER |
-| link failures, reporter in this dispatcher's zone | the same |
-| link failures, reporters of another zone | one reporter per zone, as they may share one link |
-| good | against the reporter's own bad attempts, at most MAX_GOOD_SCORE |
-| reported some time ago | less, by DECAY_S |
-| reported REPORT_TIMEOUT_S ago or earlier | nothing |
-
-If there is only one zone, all dispatchers may share one link. Link failures then count for nothing here, and
-each dispatcher ejects by its own evidence.
+| bad: failed 1, silent, slow or overtaken 1/2 | bad attempts, at most MAX_BAD_PER_REPORTER of each reporter |
+| link failures, reporter in this dispatcher's zone | bad attempts, within the same maximum |
+| link failures, reporters of another zone | those of one reporter per zone, as a zone may share one link |
+| good | subtracted from the reporter's score, which is at least -MAX_GOOD_SCORE |
+| any, in a report of some age | decayed exponentially with DECAY_S |
+| any, in a report of age REPORT_TIMEOUT_S or more | nothing |
+
+If there is only one zone, all dispatchers may share one link. Link failures are then ignored here, and each
+dispatcher ejects by its own link failures (local evidence, see detector.py).
 """
 
 from collections.abc import Iterable
@@ -20,10 +22,10 @@
 from finchladder.core.health.detection.evidence import DECAY_S
 from finchladder.core.health.detection.reports import SubjectReport
 
-MAX_BAD_PER_REPORTER = 1.5  # bad attempts that one reporter counts for at most
-MAX_GOOD_SCORE = 6.0  # absolute score that one reporter's good attempts count for at most
-REPORT_TIMEOUT_S = 10.0
-MIN_BAD_PER_REPORTER = 0.25  # a reporter of more bad attempts than this counts as one against the worker
+MAX_BAD_PER_REPORTER = 1.5  # maximum number of bad attempts counted for one reporter
+MAX_GOOD_SCORE = 6.0  # one reporter's score is at least minus this
+REPORT_TIMEOUT_S = 10.0  # age at which a report is ignored
+MIN_BAD_PER_REPORTER = 0.25  # `reporters` counts those with more bad attempts than this
 
 
 class ReceivedReport(NamedTuple):
@@ -38,17 +40,19 @@
 class CombinedEvidence(NamedTuple):
     """All dispatchers' evidence on one subject."""
 
-    score: float  # logarithm of the likelihood ratio of a bad worker
-    reporters: int  # number of reporters against the worker; a remote zone's links count as one
+    score: float  # sum of the logarithms of likelihood ratios (evidence.py); high at a bad worker
+    reporters: (
+        int  # number of reporters of bad attempts; those of link failures in a remote zone count as one
+    )
     good: float  # good attempts
-    bad: float = 0.0  # bad attempts without link failures
+    bad: float = 0.0  # bad attempts, link failures excluded
 
 
 NO_EVIDENCE = CombinedEvidence(0.0, 0, 0.0)
 
 
 def merge_by_reporter(reports: Iterable[ReceivedReport]) -> list[ReceivedReport]:
-    """Adds up the reports of each reporter on several classes; the lowest age of them is kept."""
+    """Adds up each reporter's reports on several classes; the sum has the age of the latest one."""
     found: dict[str, ReceivedReport] = {}
     for r in reports:
         previous = found.get(r.reporter)
@@ -69,8 +73,8 @@
         reports: At most one report of each reporter.
         zone: Number of this dispatcher's zone.
         zone_count: Number of zones.
-        bad: Score of a bad attempt.
-        good: Score of a good attempt.
+        bad: Score that a bad attempt adds, above 0.
+        good: Score that a good attempt adds, below 0.
     """
     max_score = MAX_BAD_PER_REPORTER * bad
     score, reporters, good_count, bad_count = 0.0, 0, 0.0, 0.0
--- a/finchladder/core/health/detection/detector.py
+++ b/finchladder/core/health/detection/detector.py
@@ -1,33 +1,41 @@
 """Outlier detector: ejects workers by the evidence of this dispatcher and its peers.
 
-It replaces health/outlier_ejection.py where [judgement] is configured.
+The detector replaces health/outlier_ejection.py where [judgement] is configured. The score of a worker is the
+sum of its evidence (evidence.py): local, of this dispatcher alone, or combined, of all dispatchers
+(aggregation.py). Terms are explained in verdicts.py.
 
-| state of a worker for a job class | may a job of that class be sent there |
+| state of a worker for a job class | may a job of that class be sent to the worker |
 | --- | --- |
-| no evidence, or clear | as the rules and the worker's load allow |
-| suspected, by local or combined evidence | an UNSAFE job: no |
-| ejected locally: local score of LOCAL_EJECT_SCORE | not for base_ejection_s x 2, 4, 8, 16; then one trial |
+| no evidence, or clear | yes |
+| suspected, by local or combined evidence | yes, but no UNSAFE job |
+| ejected locally: score of LOCAL_EJECT_SCORE | no, for base_ejection_s x 2, 4, 8, 16; then one at a time |
 | condemned (verdicts.py): ejected by combined evidence | no |
-| on trial | by selected dispatchers, one job at a time from each, no UNSAFE one |
-
-Each class is judged by its own attempts. Bad attempts of other classes at the same worker also count against
-it, unless its own attempts there succeed. A worker that fails all classes is thus ejected for all after few
-attempts, and one that fails a single class is ejected for that class alone.
-
-Bounds: of each kind and zone at most `max_ejected_share` of the ready workers is ejected here at one time,
-and never the last one. If more than that look bad at one moment (MASS_FAILURE_SCORE, about one bad attempt
-each), this is a mass failure: the cause is assumed to be the network or this dispatcher, no worker is ejected
-for MASS_FAILURE_S, and only evidence above the median of the kind and zone counts. If most workers look
-equally bad, only a much worse one is thus ejected. A dispatcher that doubts its own observations (its event
-loop stalled, it has just started, or over half of the workers that it recently used look bad to it) reports
-nothing.
-
-The fleet's base rate of bad attempts rises some seconds after a change. If many workers begin to fail alike,
-one of them may look like an outlier by chance before that. So for MASS_FAILURE_S from when a worker would
-first be ejected, its score is also computed with the bad rate of the other workers of its kind and zone, from
-the same reports; the lower score counts.
-
-An attempt costs O(1). An evaluation of all subjects in question costs O(reports on them), at most once per
+| on trial | by selected dispatchers, one job at a time from each; an UNSAFE job only in the last stage |
+
+Each class of a worker is evaluated by the attempts of that class. Bad attempts of other classes at the same
+worker also count against it, unless attempts of the class itself succeed there. A worker that fails all
+classes is thus ejected for all after few attempts, and one that fails a single class for that class alone.
+
+Bounds: by combined evidence this dispatcher ejects at most a `max_ejected_share` of the ready workers of each
+kind and zone at one time, rounded down but at least one worker, and never the last one. If more workers than
+that, and more than two, have a score of MASS_FAILURE_SCORE (about one bad attempt each) or are ejected, this
+is a mass failure: the cause is assumed to be the network or this dispatcher. For MASS_FAILURE_S from its
+begin, no suspected worker is ejected by combined evidence.
+
+The median score of the ready workers of the kind and zone is subtracted from each worker's score. If most
+workers look equally bad, only a much worse one is thus ejected.
+
+A dispatcher doubts its own observations if its event loop stalled, if it has just started, or if the last
+attempts at over half of its recently used workers were bad. It then reports nothing to its peers.
+
+The fleet's base rate of bad attempts follows a change only after some seconds. If many workers begin to fail
+at the same rate, one of them may look like an outlier by chance before that. So for MASS_FAILURE_S from the
+time at which a worker's score first suffices for an ejection, its score is also computed with the bad rate of
+the other workers of its kind and zone, from the same reports; the lower score counts.
+
+An attempt at a worker without evidence costs O(1). Any other costs O(workers with evidence, reports or
+verdicts + reports on its worker), and O(reports on the worker's kind and zone) if the score suffices for an
+ejection. An evaluation of all these workers costs O(reports on them), and happens at most once per
 EVALUATION_INTERVAL_S. Memory: evidence for at most each worker and class, MAX_SUBJECT_REPORTS reports of each
 peer.
 """
@@ -84,29 +92,30 @@
     OutlierEjection,
 )
 
-EVALUATION_INTERVAL_S = 0.1  # minimum time between evaluations of all subjects in question
-LOCAL_EJECT_SCORE = 6.0  # local evidence that ejects: two bad attempts of few
-LOCAL_SUSPECT_SCORE = 2.0  # local evidence above this keeps UNSAFE jobs away
-MASS_FAILURE_SCORE = 3.0  # equals verdicts.SUSPECT_SCORE: the first bad attempt at a worker
-MASS_FAILURE_S = 2.5
+EVALUATION_INTERVAL_S = 0.1  # minimum time between two evaluations of all workers
+LOCAL_EJECT_SCORE = 6.0  # local score that ejects a worker: two bad attempts of few
+LOCAL_SUSPECT_SCORE = 2.0  # a worker with a local score above this receives no UNSAFE job
+MASS_FAILURE_SCORE = 3.0  # score of about one bad attempt; equals verdicts.SUSPECT_SCORE
+MASS_FAILURE_S = 2.5  # time from the begin of a mass failure without new ejections
 # a dispatcher doubts its own observations for this long after a start, and after an event loop stall
-START_DOUBT_S, STALL_DOUBT_S = 2.0, 1.0
+START_DOUBTFUL_S, STALL_DOUBTFUL_S = 2.0, 1.0
 MIN_STALL_S = 0.3  # shorter stalls are ignored
-# the latest attempts of this dispatcher at its workers show whether all workers look bad to it: maximum age,
-# fewest workers for a conclusion, most workers remembered
+# a dispatcher doubts its own observations if the last attempts at most of its recently used workers were bad:
+# maximum age of such an attempt, minimum and maximum number of workers that are considered
 OUTCOME_AGE_S, MIN_OUTCOMES, MAX_OUTCOMES = (
     5.0,
     4,
     16,
 )
-NEGLIGIBLE_COUNT = 0.05  # evidence with fewer decayed attempts than this is dropped
-CLEARED_SCORE = -2.0  # evidence is dropped once the combined score of all classes is this low
-EJECTION_REPORT_AGE_S = 3.0  # peers' ejections that were reported earlier are ignored
+NEGLIGIBLE_COUNT = 0.05  # evidence on a worker is dropped if the decayed count of each class is less
+CLEARED_SCORE = -2.0  # evidence on a worker is dropped if the combined score of each class is at most this
+EJECTION_REPORT_AGE_S = 3.0  # ejections in older reports of peers are ignored
 READY_COUNT_INTERVAL_S = 1.0  # minimum time between counts of the ready workers
-SPARED_SCORE = -1.0  # a class with a lower score of its own is not affected by other classes
-INDEX_INTERVAL_S = 1.0  # minimum time between rebuilds of the subject index, while subjects are unknown
-LOCAL_EJECTION_GRACE_S = 15.0  # a local ejection is forgotten this long after its end if not renewed
-# a dispatcher list has at most this many entries; seconds between removals of silent reporters
+SPARED_SCORE = -1.0  # bad attempts of other classes do not count for a class whose own score is lower
+INDEX_INTERVAL_S = 1.0  # minimum time between two rebuilds of the subject index
+LOCAL_EJECTION_GRACE_S = 15.0  # time from the end of a local ejection to its removal if it is not renewed
+# maximum number of peers whose reports are stored (more than config.options.MAX_PEERS); time between removals
+# of reports that have timed out
 MAX_REPORTERS, PURGE_INTERVAL_S = 2048, 1.0
 
 
@@ -118,15 +127,15 @@
 
 
 class ActiveOverride(NamedTuple):
-    """The operator's override for one worker."""
+    """An operator's override for one worker that has not expired."""
 
-    is_ejected: bool  # otherwise the worker is kept in
+    is_ejected: bool  # False: the worker must not be ejected
     until: float
     reason: str
 
 
 class OutlierDetector(OutlierEjection):
-    """Local and combined evidence on workers, and the ejections that follow from it."""
+    """Collects local and combined evidence on workers, and ejects workers by it."""
 
     __slots__ = (
         "name",
@@ -184,33 +193,33 @@
         super().__init__(settings, base_ejection_s)
         self.name, self.limits, self.log = name, limits, log
         self.zone, self.zone_count = zone_number(settings.zone), len(settings.zones)
-        self.evidence: dict[str, dict[str, Evidence]] = {}  # keyed by worker and class
-        self.verdicts: dict[str, dict[str, Verdict]] = {}  # the states other than clear, by worker and class
-        # time at which the ejection ends and number of ejections in a row, by worker and class
+        self.evidence: dict[str, dict[str, Evidence]] = {}  # by worker and class
+        self.verdicts: dict[str, dict[str, Verdict]] = {}  # verdicts that are not clear, by worker and class
+        # time at which a local ejection ends, and number of consecutive ones, by worker and class
         self.local_ejections: dict[str, dict[str, tuple[float, int]]] = {}
-        # reports with the times of their receipt, by subject and reporter
+        # time of receipt and report, by subject and reporter
         self.reports: dict[int, dict[str, tuple[float, ReceivedReport]]] = {}
-        # time at which the latest reports were written and their subjects, by reporter
+        # time at which the latest reports were created, and their subjects, by reporter
         self.reporters: dict[str, tuple[float, tuple[int, ...]]] = {}
         self.next_purge_at = now
-        self.index: dict[int, tuple[str, str]] = {}  # worker and class by subject, as of the last rebuild
+        self.index: dict[int, tuple[str, str]] = {}  # worker and class by subject; rebuilt at times
         self.next_index_at = now
         self.unknown_subjects: set[int] = set()  # reported subjects that the index does not contain
-        self.subjects: dict[int, tuple[str, str]] = {}  # worker and class of each reported subject
-        self.peer_attempts: tuple[float, float] = (0.0, 0.0)  # recent attempts of all peers, and bad ones
-        # median score of the workers of each kind and zone, if it is above 0
+        self.subjects: dict[int, tuple[str, str]] = {}  # worker and class by reported subject, if indexed
+        self.peer_attempts: tuple[float, float] = (0.0, 0.0)  # attempts of all peers, and bad ones among them
+        # median score of the ready workers, by kind and zone; missing if it is 0
         self.median_scores: dict[tuple[str, str], float] = {}
         self.base_rate, self.run_times = BaseRate(now), RunTimeBaseline()
         self.dispatcher_count, self.is_degraded = 1, False
         self.next_evaluation_at = now
         self.started_at, self.doubtful_until = now, 0.0
-        self.outcomes: dict[str, tuple[float, bool]] = {}  # time of the last attempt, and is it bad
-        self.mass_failure_since: dict[tuple[str, str], float] = {}  # keyed by kind and zone
-        self.overrides: dict[str, ActiveOverride] = {}  # keyed by worker
-        # time at which the score of a worker first sufficed for an ejection
+        self.outcomes: dict[str, tuple[float, bool]] = {}  # time of last attempt, was it bad; by worker
+        self.mass_failure_since: dict[tuple[str, str], float] = {}  # by kind and zone
+        self.overrides: dict[str, ActiveOverride] = {}  # by worker
+        # time at which a worker's score first sufficed for an ejection, by worker
         self.first_eject_score_at: dict[str, float] = {}
-        self.has_unreported = False  # there is an urgent report that was not sent yet
-        self.ready_counts: dict[tuple[str, str], int] = {}  # keyed by kind and zone
+        self.has_unreported = False  # a bad attempt has not been reported yet
+        self.ready_counts: dict[tuple[str, str], int] = {}  # ready workers by kind and zone
         self.next_count_at = now
 
     # --- local evidence
@@ -225,21 +234,21 @@
         run_time_s: float,
         worker_index: WorkerIndex,
     ) -> None:
-        """Adds an ended attempt to the evidence; `run_time_s`: 0 if it is not known. O(1)."""
-        cold = worker_index.is_slow_starting(worker, now)
+        """Adds an ended attempt to the evidence and evaluates the worker; `run_time_s`: 0 if unknown."""
+        is_cold = worker_index.is_slow_starting(worker, now)
         weight = WEIGHTS.get(signal, 0.0)
         if (
             signal is AttemptSignal.GOOD
-            and not cold
+            and not is_cold
             and self.run_times.is_slow(job_class.name, worker.kind, run_time_s)
         ):
             weight = HALF_WEIGHT
-        elif cold and signal in (AttemptSignal.SILENT, AttemptSignal.OVERTAKEN):
+        elif is_cold and signal in (AttemptSignal.SILENT, AttemptSignal.OVERTAKEN):
             return  # a worker in slow start is slow without being faulty
         bad = weight > 0
         verdict = self.verdicts.get(worker.address, {}).get(job_class.name)
         if verdict is not None and verdict.state is VerdictState.CONDEMNED:
-            return  # attempts sent before the ejection are no further evidence
+            return  # the attempt was sent before the ejection: no further evidence
         if verdict is not None and verdict.state is VerdictState.TRIAL and sent_at < verdict.since:
             return
         self.outcomes.pop(worker.address, None)
@@ -266,7 +275,7 @@
         self.evaluate(now, worker_index, worker)
 
     def _local_score(self, now: float, address: str, job_class: str) -> float:
-        """Returns the score of this dispatcher's own evidence, link failures included."""
+        """Returns a class's score by this dispatcher's own evidence, link failures included."""
         bad, good = log_likelihood_ratios(self._base_rate())
         scores = {}
         for name, evidence in self.evidence.get(address, {}).items():
@@ -277,10 +286,10 @@
     def _update_local_ejection(self, now: float, worker: Worker, job_class: str, bad: bool) -> None:
         ejection = self.local_ejections.get(worker.address, {}).get(job_class)
         if not bad:
-            if ejection is not None and now >= ejection[0]:  # its trial job succeeded
+            if ejection is not None and now >= ejection[0]:  # the job sent after the ejection succeeded
                 self.local_ejections[worker.address].pop(job_class)
                 if (evidence := self.evidence.get(worker.address, {}).get(job_class)) is not None:
-                    # one good attempt does not prove recovery: the worker stays suspected for a while
+                    # one good attempt is no proof of recovery: up to one bad attempt is kept as suspicion
                     evidence.bad, evidence.link, evidence.good = min(evidence.bad, 1.0), 0.0, evidence.good
         elif ejection is not None or self._local_score(now, worker.address, job_class) >= LOCAL_EJECT_SCORE:
             times = ejection[1] + 1 if ejection is not None else 1
@@ -295,17 +304,17 @@
     def record_stall(self, now: float, duration_s: float) -> None:
         """Records a stall of this dispatcher's event loop."""
         if duration_s >= MIN_STALL_S:
-            self.doubtful_until = now + STALL_DOUBT_S
+            self.doubtful_until = now + STALL_DOUBTFUL_S
 
     def doubts_itself(self, now: float) -> bool:
-        """Whether the bad attempts may be caused by this dispatcher instead of the workers."""
-        if now < self.started_at + START_DOUBT_S or now < self.doubtful_until or self.is_degraded:
+        """Whether this dispatcher may be the cause of its bad attempts, instead of the workers."""
+        if now < self.started_at + START_DOUBTFUL_S or now < self.doubtful_until or self.is_degraded:
             return True
         recent = [bad for at, bad in self.outcomes.values() if now - at < OUTCOME_AGE_S]
         return len(recent) >= MIN_OUTCOMES and 2 * sum(recent) > len(recent)
 
     def subject_reports(self, now: float, workers: dict[str, Worker]) -> tuple[SubjectReport, ...]:
-        """Returns this dispatcher's reports to its peers, and clears the mark of urgent ones."""
+        """Returns this dispatcher's reports to its peers, and resets `has_unreported`."""
         self.has_unreported = False
         if self.doubts_itself(now):
             return ()
@@ -314,9 +323,9 @@
         for address in addresses:
             if (worker := workers.get(address)) is None:
                 continue
-            by_class, held = self.evidence.get(address, {}), self.verdicts.get(address, {})
-            for name in {*by_class, *held}:
-                evidence, verdict = by_class.get(name), held.get(name)
+            by_class, verdicts = self.evidence.get(address, {}), self.verdicts.get(address, {})
+            for name in {*by_class, *verdicts}:
+                evidence, verdict = by_class.get(name), verdicts.get(name)
                 if evidence is not None:
                     evidence.decay(now)
                     counts = evidence.bad, evidence.link, evidence.good
@@ -349,7 +358,7 @@
         return self.has_unreported
 
     def receive_reports(self, now: float, event: PeerReports, worker_index: WorkerIndex) -> None:
-        """Replaces the reports of all peers in the event, and evaluates the workers."""
+        """Replaces the reports of each peer in the event by its new ones, and evaluates the workers."""
         self.dispatcher_count, self.is_degraded = max(1, event.dispatchers), event.is_degraded
         self.peer_attempts = event.attempts, event.bad_attempts
         new = []
@@ -391,7 +400,7 @@
                     self.subjects.pop(subject, None)
 
     def _resolve_subjects(self, now: float, subjects: Iterable[int], workers: Iterable[Worker]) -> None:
-        """Finds the workers and classes of reported subjects.
+        """Stores the worker and class of each reported subject.
 
         O(1) per subject; with unknown ones also O(workers x classes), once per INDEX_INTERVAL_S.
         """
@@ -403,7 +412,7 @@
                 subject_id(w.address, w.started_at, n): (w.address, n) for w in workers for n in names
             }
             subjects = [*subjects, *self.unknown_subjects]
-            # those that are still unknown may be of workers that a later endpoint list contains
+            # a subject that is still unknown may belong to a worker of a later endpoint list
             self.unknown_subjects = {
                 s for s in self.unknown_subjects if s not in self.index and s in self.reports
             }
@@ -414,7 +423,10 @@
     # --- evaluation
 
     def evaluate(self, now: float, worker_index: WorkerIndex, only: Worker | None = None) -> None:
-        """Updates the verdicts of all workers in question, or of `only` after an attempt there."""
+        """Updates the verdicts of all workers with evidence, reports, verdicts or overrides.
+
+        With `only`, the verdicts of that worker alone, after an attempt at it.
+        """
         if now < self.next_evaluation_at and only is None:
             return
         if only is None:
@@ -468,7 +480,7 @@
             reports = []
             for received_at, r in received:
                 age_s = r.age_s + now - received_at
-                # counts that were opened before the ejection are no evidence in the trial after it
+                # on trial, counts of attempts that began before the trial are no evidence
                 if (
                     verdict is None
                     or verdict.state is not VerdictState.TRIAL
@@ -493,7 +505,7 @@
             own = combined.get(name, NO_EVIDENCE)
             others = [r for other in failing if other != name for r in by_class[other]]
             if own.score >= SPARED_SCORE and others:
-                # merged first, so that a reporter of several classes has no more weight than of one
+                # merged first: a reporter of several classes has the same maximum weight as a reporter of one
                 merged = merge_by_reporter([*by_class.get(name, ()), *others])
                 found[name] = combine(merged, self.zone, self.zone_count, bad, good)._replace(good=own.good)
             elif name in combined:
@@ -504,7 +516,7 @@
         return worker.kind, worker.zone
 
     def _max_ejected(self, group: tuple[str, str]) -> int:
-        """Returns how many workers of a kind and zone may be ejected at one time."""
+        """Returns the maximum number of workers of a kind and zone that may be ejected at one time."""
         ready = self.ready_counts.get(group, 0)
         return min(max(1, int(self.limits.max_ejected_share * ready)), ready - 1)
 
@@ -512,10 +524,10 @@
         """Returns the workers of a kind and zone that are ejected or on trial."""
         return [
             a
-            for a, held in self.verdicts.items()
+            for a, verdicts in self.verdicts.items()
             if a in worker_index.workers
             and self._group(worker_index.workers[a]) == group
-            and any(v.state in (VerdictState.CONDEMNED, VerdictState.TRIAL) for v in held.values())
+            and any(v.state in (VerdictState.CONDEMNED, VerdictState.TRIAL) for v in verdicts.values())
         ]
 
     def _detect_mass_failures(
@@ -529,7 +541,7 @@
             worst.setdefault(group, []).append(max(0.0, max_score))
             if max_score >= MASS_FAILURE_SCORE:
                 failing[group] = failing.get(group, 0) + 1
-        # the median over all ready workers, those without evidence counted as 0
+        # the median over all ready workers of the group; a worker without evidence has score 0
         self.median_scores = {
             group: sorted(by_worker)[len(by_worker) - 1 - self.ready_counts.get(group, 0) // 2]
             for group, by_worker in worst.items()
@@ -548,19 +560,21 @@
     ) -> None:
         if not worker.is_ready:
             return
-        held = self.verdicts.get(worker.address, {})
+        verdicts = self.verdicts.get(worker.address, {})
         group = self._group(worker)
         required_reporters = 2 if self.dispatcher_count < 6 else 3
         override = self._active_override(now, worker.address)
         scores = {name: c.score for name, c in by_class.items()}
         worst_class = max(scores, key=scores.__getitem__, default="")
         for name in [c.name for c in self.settings.classes]:
-            combined, verdict = by_class.get(name, NO_EVIDENCE), held.get(name)
+            combined, verdict = by_class.get(name, NO_EVIDENCE), verdicts.get(name)
             if combined is NO_EVIDENCE and verdict is None and override is None and not by_class:
                 continue
             verdict = verdict or Verdict(now)
             state_before = verdict.state
-            is_counted = any(v.state in (VerdictState.CONDEMNED, VerdictState.TRIAL) for v in held.values())
+            is_counted = any(
+                v.state in (VerdictState.CONDEMNED, VerdictState.TRIAL) for v in verdicts.values()
+            )
             may_eject = is_counted or len(self._ejected_in(group, worker_index)) < self._max_ejected(group)
             is_mass_failure = now < self.mass_failure_since.get(group, -MASS_FAILURE_S) + MASS_FAILURE_S
             if override is not None:
@@ -591,31 +605,32 @@
                 if verdict.state in (VerdictState.CLEAR, VerdictState.SUSPECTED) and may_eject:
                     self._adopt_peer_ejections(now, verdict, worker, name, required_reporters)
             if verdict.state is VerdictState.CLEAR:
-                held.pop(name, None)
+                verdicts.pop(name, None)
             else:
-                held[name] = verdict
-                self.verdicts[worker.address] = held
+                verdicts[name] = verdict
+                self.verdicts[worker.address] = verdicts
             if verdict.state is not state_before:
                 self._on_state_change(now, worker, name, verdict, state_before)
-        if not held:
+        if not verdicts:
             self.verdicts.pop(worker.address, None)
         for name, (until, _) in list(self.local_ejections.get(worker.address, {}).items()):
             if now >= until + LOCAL_EJECTION_GRACE_S:
                 del self.local_ejections[worker.address][name]
-        if not held and not self.local_ejections.get(worker.address):
+        if not verdicts and not self.local_ejections.get(worker.address):
             evidence = self.evidence.get(worker.address, {})
-            faded = all(e.bad + e.link + e.good < NEGLIGIBLE_COUNT for e in evidence.values())
-            if faded or (by_class and all(c.score <= CLEARED_SCORE for c in by_class.values())):
+            is_negligible = all(e.bad + e.link + e.good < NEGLIGIBLE_COUNT for e in evidence.values())
+            if is_negligible or (by_class and all(c.score <= CLEARED_SCORE for c in by_class.values())):
                 self.evidence.pop(worker.address, None)
         self._update_worker(now, worker, scores, worker_index)
 
     def _score_at_group_rate(
         self, now: float, worker: Worker, job_class: str, score: float, worker_index: WorkerIndex
     ) -> float:
-        """Returns the score with the current bad rate of the other workers of the kind and zone, if lower.
+        """Returns the lower of `score` and the score at the bad rate of the other workers of the group.
 
-        In a recognised mass failure `score` is returned, as the median is already subtracted. O(reports on
-        the kind and zone).
+        A group is a kind and zone. During a mass failure `score` is returned, as the median of the group is
+        already subtracted from it; likewise from MASS_FAILURE_S after the score first sufficed for an
+        ejection. O(reports on the group).
         """
         first_at = self.first_eject_score_at.setdefault(worker.address, now)
         if self._group(worker) in self.mass_failure_since or now >= first_at + MASS_FAILURE_S:
@@ -630,10 +645,10 @@
     def _bad_rate_of_others(
         self, now: float, worker: Worker, job_class: str, worker_index: WorkerIndex
     ) -> float:
-        """Returns the share of bad attempts at the other ready, not ejected workers of the kind and zone.
+        """Returns the share of bad attempts at the other workers of the kind and zone that are not ejected.
 
-        Workers without bad attempts are not reported, so each worker is assumed to have had as many attempts
-        as this one.
+        Good attempts at workers without bad ones are not reported, so each worker is assumed to have had as
+        many attempts as this one.
         """
         group, doubtful = self._group(worker), self.doubts_itself(now)
         bad, good = log_likelihood_ratios(self._base_rate())
@@ -654,7 +669,7 @@
     def _adopt_peer_ejections(
         self, now: float, verdict: Verdict, worker: Worker, job_class: str, required_reporters: int
     ) -> None:
-        """Ejects a worker that enough peers have ejected; a new dispatcher need not fail jobs there first."""
+        """Ejects a subject that enough peers have ejected; no evidence of this dispatcher is required."""
         left_s = sorted(
             r.report.left_s - (r.age_s + now - received_at)
             for received_at, r in self.reports.get(
@@ -672,7 +687,8 @@
         self, now: float, worker: Worker, job_class: str, verdict: Verdict, before: VerdictState
     ) -> None:
         if verdict.state is VerdictState.TRIAL:
-            self.evidence.get(worker.address, {}).pop(job_class, None)  # the trial counts from zero
+            # on trial, only attempts since its begin count
+            self.evidence.get(worker.address, {}).pop(job_class, None)
         elif verdict.state is VerdictState.CONDEMNED:
             self.local_ejections.get(worker.address, {}).pop(job_class, None)
             self.log(
@@ -685,7 +701,7 @@
     def _update_worker(
         self, now: float, worker: Worker, scores: dict[str, float], worker_index: WorkerIndex
     ) -> None:
-        """Stores the ejection and the suspicion in the worker's record, which the dispatcher reads."""
+        """Stores ejection and suspicion in the worker's record, which the dispatcher reads."""
         ejected = any(
             v.state is VerdictState.CONDEMNED for v in self.verdicts.get(worker.address, {}).values()
         )
@@ -707,15 +723,18 @@
         worker.failure_rate = 1.0 if until or worker.address in self.verdicts else 0.3 if suspect else 0.0
         worker_index.update_suspect(worker)
 
-    # --- queries of the dispatcher
+    # --- queries by the dispatcher
 
     def may_receive(self, now: float, job: Job, worker: Worker, worker_index: WorkerIndex) -> bool:
-        """Whether a worker marked as suspect may get the job; the mark may be outdated."""
+        """Whether a worker whose record marks it as suspect may receive the job.
+
+        The record may be outdated, so the verdicts are evaluated first if an evaluation is due.
+        """
         if now >= self.next_evaluation_at:
             self.evaluate(now, worker_index)
         override = self._active_override(now, worker.address)
         if override is not None and not override.is_ejected:
-            return True  # the override also outranks local evidence
+            return True  # the override takes precedence over local evidence too
         name = job.job_class.name
         unsafe = job.job_class.effect is Effect.UNSAFE and self.spares_unsafe
         verdict = self.verdicts.get(worker.address, {}).get(name)
@@ -724,11 +743,11 @@
         if verdict is not None and verdict.state is VerdictState.TRIAL:
             if unsafe and verdict.stage < len(TRIAL_SHARES):
                 return False
-            return worker.load == 0 and self._has_trial_turn(worker, verdict)
+            return worker.load == 0 and self._is_selected_for_trial(worker, verdict)
         if len(self.ejected) > MAX_EJECTED_SHARE * len(worker_index.workers):
             return True
         if (ejection := self.local_ejections.get(worker.address, {}).get(name)) is not None:
-            if unsafe:  # never a trial job: it may go once the evidence has decayed
+            if unsafe:  # never a trial job: sent only once the local evidence has decayed
                 return (
                     now >= ejection[0] and self._local_score(now, worker.address, name) <= LOCAL_SUSPECT_SCORE
                 )
@@ -739,7 +758,7 @@
             return len(worker_index.suspects) > MAX_EJECTED_SHARE * len(worker_index.workers)
         return True
 
-    def _has_trial_turn(self, worker: Worker, verdict: Verdict) -> bool:
+    def _is_selected_for_trial(self, worker: Worker, verdict: Verdict) -> bool:
         share = max(TRIAL_SHARES[verdict.stage - 1], min(1.0, 2 / self.dispatcher_count))
         position = crc32(
             f"{self.name}/{worker.address}/{worker.started_at:.3f}/{verdict.term_s:g}".encode()
@@ -747,7 +766,7 @@
         return position < share
 
     def forget(self, worker: Worker) -> None:
-        """Forgets a worker that was removed or has restarted."""
+        """Removes all state of a worker that is no longer ready or has restarted."""
         super().forget(worker)
         self._remove_worker(worker.address)
 
@@ -764,9 +783,10 @@
     # --- operator overrides
 
     def apply_overrides(self, now: float, event: OperatorOverrides, worker_index: WorkerIndex) -> None:
-        """Replaces all overrides; workers without one are judged by the evidence."""
+        """Replaces all overrides and evaluates the workers."""
         for address, override in self.overrides.items():
-            if override.is_ejected and address not in event.overrides:  # it begins a trial, as after a term
+            if override.is_ejected and address not in event.overrides:
+                # the override has ended: so does its ejection, and the worker's trial begins
                 for verdict in self.verdicts.get(address, {}).values():
                     verdict.until = min(verdict.until, now)
         self.overrides = {
@@ -794,11 +814,11 @@
     def show(self, now: float, workers: dict[str, Worker]) -> list[dict[str, Any]]:
         """Returns a JSON object for each verdict that is not clear and for each local ejection.
 
-        Times are durations up to or from now, in seconds.
+        Times are in seconds before now (`since_s`) and after now (`left_s`).
         """
         found = []
-        for address, held in sorted(self.verdicts.items()):
-            for name, verdict in sorted(held.items()):
+        for address, verdicts in sorted(self.verdicts.items()):
+            for name, verdict in sorted(verdicts.items()):
                 started_at = workers[address].started_at if address in workers else 0.0
                 reports = self.reports.get(subject_id(address, started_at, name), {}).values()
                 found.append(
@@ -832,7 +852,7 @@
 
 
 def _score_of_class(scores: dict[str, float], job_class: str) -> float:
-    """Returns the score of a class plus the positive ones of others, unless its own is below SPARED_SCORE."""
+    """Returns a class's score plus the positive ones of others; only its own if below SPARED_SCORE."""
     own = scores.get(job_class, 0.0)
     if own < SPARED_SCORE:
         return own
@@ -867,7 +887,7 @@
 
 
 class ReportSource:
-    """This dispatcher's reports, as the exchange with its peers reads them."""
+    """Provides this dispatcher's reports to the exchange with its peers (core/peers/exchange.py)."""
 
     def __init__(self, detector: OutlierDetector, dispatcher: Dispatcher) -> None:
         self.detector, self.dispatcher = detector, dispatcher
@@ -877,7 +897,7 @@
         return self.detector.has_urgent_report()
 
     def is_ejected(self, subject: int) -> bool:
-        """Whether the subject is ejected here, so that further reports on it are not urgent."""
+        """Whether this dispatcher has ejected the subject; further reports on it are then not urgent."""
         address, job_class = self.detector.subjects.get(subject, ("", ""))
         verdict = self.detector.verdicts.get(address, {}).get(job_class)
         return verdict is not None and verdict.state is VerdictState.CONDEMNED
--- a/finchladder/core/health/detection/evidence.py
+++ b/finchladder/core/health/detection/evidence.py
@@ -1,18 +1,19 @@
-"""Evidence that a worker is bad: a sequential probability ratio test (Wald 1945) over its attempts.
+"""Evidence that a worker is bad: a sequential probability ratio test (Wald 1945) over the attempts there.
 
 Each attempt adds the logarithm of a likelihood ratio: the probability of its outcome at a bad worker divided
 by that at a worker with the fleet's base rate of bad attempts. The evidence of several dispatchers therefore
-adds up in any order, and few attempts yield a correspondingly weak score. Counting starts with the first bad
+adds up in any order, and few attempts yield a score near 0. Counting starts with the first bad
 attempt, as in Page's CUSUM test (1954), so that earlier good attempts do not mask a new fault.
 
-| base rate of bad attempts | rate at a bad worker | a bad attempt adds | a good one adds | break-even rate |
+| base rate of bad attempts | rate at a bad worker | a bad attempt adds | a good one adds | score 0 at rate |
 | --- | --- | --- | --- | --- |
 | 0.01 and less | 0.51 | 3.9 | -0.69 | 0.15 |
 | 0.1 | 0.55 | 1.7 | -0.69 | 0.29 |
 | 0.3 | 0.65 | 0.8 | -0.69 | 0.47 |
 | 0.6 and more | 0.8 | 0.3 | -0.69 | 0.71 |
 
-If all workers fail at the same rate, none of them is an outlier. Counts decay with time (DECAY_S) and with
+The last column is the rate of bad attempts at which a worker's score neither rises nor falls on average. If
+all workers fail at the same rate, none of them is an outlier. Counts decay with time (DECAY_S) and with
 each attempt (DECAY_PER_ATTEMPT).
 """
 
@@ -21,33 +22,37 @@
 from finchladder.core.health.outlier_ejection import AttemptSignal
 
 MIN_BASE_RATE, MAX_BASE_RATE = 0.01, 0.6  # limits of the fleet's base rate of bad attempts
+# time after which a count has decayed to 1/e; factor applied to all counts with each new attempt
 DECAY_S, DECAY_PER_ATTEMPT = 8.0, 0.98
-RATE_DECAY_S = 5.0  # time after which an attempt counts 1/e in the base rate
-PRIOR_ATTEMPTS = 20.0  # assumed attempts at MIN_BASE_RATE
-SLOW_FACTOR = 5.0  # a job that ran longer than this multiple of the mean of its class and kind was too slow
+RATE_DECAY_S = 5.0  # time after which an attempt's weight in the base rate is 1/e
+PRIOR_ATTEMPTS = 20.0  # attempts with a bad rate of MIN_BASE_RATE that are added to the observed ones
+SLOW_FACTOR = 5.0  # a run time above this multiple of the mean of its class and kind is slow
 HALF_WEIGHT = 0.5
-# a silent or overtaken attempt may have waited in the worker's queue: a dispatcher that sends few jobs to a
-# worker cannot tell this from its other jobs
+# weight of an attempt as a bad one: half for silent and overtaken attempts, as they may only have waited in
+# the worker's queue, which a dispatcher that sends few jobs there cannot infer from its other jobs
 WEIGHTS = {
     AttemptSignal.FAILED: 1.0,
     AttemptSignal.SILENT: HALF_WEIGHT,
     AttemptSignal.LINK: 1.0,
     AttemptSignal.OVERTAKEN: HALF_WEIGHT,
 }
-MIN_STEP = 0.05  # weight of a new run time in the mean, once enough are known
-MAX_BASELINES = 256  # bound on memory, as endpoint lists may name any kind
-MAX_RUN_TIME_FACTOR = 3.0  # a run time enters the mean as at most this multiple of it
+MIN_STEP = 0.05  # final weight of a new run time in the mean; it starts at 1 and decreases
+MAX_BASELINES = 256  # maximum number of means: endpoint lists may name any kind of worker
+MAX_RUN_TIME_FACTOR = 3.0  # a longer run time is reduced to this multiple of the mean
 
 
 def log_likelihood_ratios(base_rate: float) -> tuple[float, float]:
-    """Returns what a bad and a good attempt add at this base rate of bad attempts."""
+    """Returns what a bad and a good attempt add to the score at this base rate of bad attempts."""
     p = min(MAX_BASE_RATE, max(MIN_BASE_RATE, base_rate))
     q = (1 + p) / 2
     return log(q / p), log((1 - q) / (1 - p))
 
 
 class Evidence:
-    """This dispatcher's decaying counts for one subject, since the first bad attempt here or at a peer."""
+    """This dispatcher's decaying counts of attempts at one subject, from its first bad attempt on.
+
+    The bad attempt that opens the counts is this dispatcher's own or one reported by a peer.
+    """
 
     __slots__ = ("bad", "link", "good", "opened_at", "updated_at")
 
@@ -56,7 +61,7 @@
         self.opened_at = self.updated_at = now
 
     def decay(self, now: float, factor: float = 1.0) -> None:
-        """Decays the counts up to `now`, and by a further `factor`."""
+        """Decays the counts for the time up to `now`, and multiplies them by `factor`."""
         by = factor * exp((self.updated_at - now) / DECAY_S)
         self.bad, self.link, self.good, self.updated_at = self.bad * by, self.link * by, self.good * by, now
 
@@ -73,7 +78,7 @@
 
 
 class BaseRate:
-    """The share of bad attempts among all recent ones; the counts decay with time."""
+    """Share of bad attempts among recent attempts at all workers; the counts decay with time."""
 
     __slots__ = ("attempts", "bad_attempts", "updated_at")
 
@@ -88,7 +93,7 @@
         self.bad_attempts += is_bad
 
     def decay(self, now: float) -> None:
-        """Decays the counts up to `now`."""
+        """Decays the counts for the time up to `now`."""
         by = exp((self.updated_at - now) / RATE_DECAY_S)
         self.attempts, self.bad_attempts, self.updated_at = self.attempts * by, self.bad_attempts * by, now
 
@@ -100,16 +105,19 @@
 
 
 class RunTimeBaseline:
-    """Mean run time of each job class on each kind of worker."""
+    """Moving average of the run time of each job class on each kind of worker."""
 
     __slots__ = ("means",)
 
     def __init__(self) -> None:
-        # mean in seconds and weight of the next run time, by class and kind
+        # mean in seconds, and the weight of the next run time in it, by class and kind of worker
         self.means: dict[tuple[str, str], tuple[float, float]] = {}
 
     def is_slow(self, job_class: str, kind: str, run_time_s: float) -> bool:
-        """Updates the mean, and returns whether the run time is far above it; 0 is an unknown run time."""
+        """Updates the mean, and returns whether the run time exceeds SLOW_FACTOR times the mean before.
+
+        An unknown run time (0) is ignored, and none is slow before the mean has enough run times.
+        """
         if run_time_s <= 0 or (len(self.means) >= MAX_BASELINES and (job_class, kind) not in self.means):
             return False
         mean, step = self.means.get((job_class, kind), (run_time_s, 1.0))
--- a/finchladder/core/health/detection/overrides.py
+++ b/finchladder/core/health/detection/overrides.py
@@ -1,16 +1,17 @@
 """Operator overrides of the outlier detector, issued at any dispatcher and gossiped until they expire.
 
-| an override arrives | result |
-| --- | --- |
-| none is stored for its worker | it is stored, unless it has expired |
-| (stamp, issuer) above that of the stored one | it replaces the stored one |
-| (stamp, issuer) equal or lower | no change |
-| the stored one expires | it is removed |
-
-A stamp is a Lamport timestamp: one more than any that the issuer has received. Of two overrides the later one
-therefore wins if its issuer had received the other, and of two concurrent ones that of the issuer whose name
-sorts last. Clocks are not compared: an override is sent with its remaining time. The stance "let" revokes an
-override; it is stored and gossiped for the time that the revoked one had left.
+| stored override of the worker | event | result |
+| --- | --- | --- |
+| none | an override arrives | it is stored, unless it has expired or the table is full |
+| any | one with a higher (stamp, issuer) arrives | it replaces the stored one |
+| any | one with an equal or lower (stamp, issuer) arrives | no change |
+| any | the stored override expires | it is removed |
+
+A stamp is a Lamport timestamp: one more than the highest stamp among the stored overrides. Of two overrides
+the later one therefore wins if its issuer had received the earlier one. Of two concurrent ones with equal
+stamps, that of the issuer whose name sorts last wins. Clocks of different hosts are not compared: an override
+is sent with its remaining time. The stance "let" revokes an override; it is stored and gossiped at least for
+the time that the revoked override had left.
 """
 
 from collections.abc import Iterable
@@ -19,9 +20,9 @@
 
 from finchladder.core.api import OperatorOverrides
 
-STANCES = ("out", "in", "let")  # eject the worker, keep it in, revoke the override
-MAX_OVERRIDES = 64  # stored at one time; beyond it a new one is refused
-MAX_NEW_PER_PACKET = 4
+STANCES = ("out", "in", "let")  # eject the worker, prevent its ejection, revoke an override
+MAX_OVERRIDES = 64  # maximum number of stored ones
+MAX_NEW_PER_PACKET = 4  # maximum number of new overrides in one packet
 MAX_OVERRIDE_S = 86_400.0
 MAX_REASON_LENGTH, MAX_WORKER_NAME_LENGTH = 80, 64
 MAX_STAMP = 1 << 50
@@ -32,8 +33,8 @@
 
     worker: str
     stance: str
-    left_s: float
-    stamp: int
+    left_s: float  # time until it expires
+    stamp: int  # Lamport timestamp
     issuer: str  # the dispatcher at which the operator issued it
     reason: str
 
@@ -64,13 +65,13 @@
 
         Args:
             dispatcher: Name of this dispatcher.
-            repeats: Number of packets that carry a new override.
+            repeats: Number of packets in which a new override is sent first.
         """
         self.dispatcher, self.repeats = dispatcher, repeats
-        self.entries: dict[str, tuple[Override, float]] = {}  # override and its expiry, by worker
-        self.pending: dict[str, int] = {}  # packets that are still to carry a new override, by worker
-        self.next_index = 0
-        self.has_changed = False  # reset by the caller
+        self.entries: dict[str, tuple[Override, float]] = {}  # override and time of its expiry, by worker
+        self.pending: dict[str, int] = {}  # number of packets left in which it is sent first, by worker
+        self.next_index = 0  # counts packets: selects the override that is repeated in turn
+        self.has_changed = False  # set whenever `entries` changes; reset by the caller
 
     def issue(self, now: float, worker: str, stance: str, for_s: float, reason: str) -> Override:
         """Stores a new override of this dispatcher and returns it.
@@ -92,7 +93,7 @@
         return override
 
     def merge(self, now: float, override: Override) -> bool:
-        """Stores a received override if it is newer, and returns whether it is."""
+        """Stores a received override if it is newer than the stored one; returns whether it was stored."""
         self.remove_expired(now)
         found = self.entries.get(override.worker)
         if override.left_s <= 0 or (found is None and len(self.entries) >= MAX_OVERRIDES):
@@ -108,14 +109,14 @@
         self.has_changed = True
 
     def remove_expired(self, now: float) -> None:
-        """Removes overrides whose time is over."""
+        """Removes the overrides that have expired."""
         for worker in [w for w, (_, until) in self.entries.items() if now >= until]:
             del self.entries[worker]
             self.pending.pop(worker, None)
             self.has_changed = True
 
     def select(self, now: float, room: int) -> list[Override]:
-        """Returns overrides for one packet: new ones first, and one of all in rotation; `room` in bytes."""
+        """Returns at most `room` bytes of overrides for a packet: new ones, then the next of all in turn."""
         self.remove_expired(now)
         selected: list[Override] = []
         workers = list(self.entries)
--- a/finchladder/core/health/detection/reports.py
+++ b/finchladder/core/health/detection/reports.py
@@ -1,24 +1,27 @@
-"""Reports on workers that dispatchers exchange. Durations are in seconds, ages are as of the send."""
+"""Reports on workers that dispatchers exchange. Durations are in seconds, as of when a report is sent.
+
+A subject is one job class at one worker; a restarted worker is a new subject.
+"""
 
 from math import isfinite
 from typing import NamedTuple
 from zlib import crc32
 
-MAX_SUBJECT_REPORTS = 12  # per dispatcher; the subjects with the most bad attempts are reported
+MAX_SUBJECT_REPORTS = 12  # per dispatcher: ejected subjects first, then those with the most bad attempts
 MIN_URGENT_BAD_ATTEMPTS = 0.9  # a subject with more bad attempts than this is reported at once
-MAX_COUNT = 6_000.0
-MAX_DURATION_S = 600.0
+MAX_COUNT = 6_000.0  # maximum of each count of attempts in a report
+MAX_DURATION_S = 600.0  # maximum of each duration in a report
 
 
 class SubjectReport(NamedTuple):
-    """One dispatcher's evidence on one subject: one incarnation of a worker and one job class."""
+    """One dispatcher's evidence on one subject; the counts of attempts decay with time."""
 
     subject_id: int
-    bad: float  # attempts that failed through the worker, each weighted by how much it proves
-    link: float  # attempts that failed through the worker or the network link to it
-    good: float
-    opened_s: float  # time since the reporter began to count
-    left_s: float  # remaining time of the ejection by the reporter; 0: not ejected, or on trial
+    bad: float  # bad attempts without link failures, each with its weight (evidence.WEIGHTS)
+    link: float  # attempts without a connection, or whose connection broke
+    good: float  # good attempts
+    opened_s: float  # time since the reporter's first counted attempt
+    left_s: float  # remaining time of the reporter's ejection of the subject; 0: it is not ejected
     stage: int  # stage of the trial; 0: not on trial
 
     @property
@@ -28,35 +31,35 @@
 
 
 class PeerReport(NamedTuple):
-    """The latest reports of one dispatcher."""
+    """The latest reports of one peer."""
 
     reporter: str
     zone: int
-    age_s: float  # time since the reporter wrote them
+    age_s: float  # time since the reporter created them
     subject_reports: tuple[SubjectReport, ...]
 
 
 class OwnReport(NamedTuple):
-    """What this dispatcher reports to its peers."""
+    """Reports of this dispatcher to its peers."""
 
     zone: int
-    attempts: float  # recently ended attempts of this dispatcher at all workers that are not ejected
-    bad_attempts: float  # the bad ones among `attempts`
+    attempts: float  # decaying count of attempts at workers without a verdict, see BaseRate
+    bad_attempts: float  # number of bad attempts among `attempts`
     subject_reports: tuple[SubjectReport, ...]
 
 
 def subject_id(worker: str, started_at: float, job_class: str) -> int:
-    """Returns a 32-bit hash, the same at all dispatchers; a restarted worker gets a new one."""
+    """Returns a 32-bit hash of a subject, equal at all dispatchers; a worker's restart changes it."""
     return crc32(f"{worker}/{round(started_at * 1000)}/{job_class}".encode())
 
 
 def zone_number(zone: str) -> int:
-    """Returns a 32-bit hash of a zone's name, the same at all dispatchers."""
+    """Returns a 32-bit hash of a zone's name, equal at all dispatchers."""
     return crc32(zone.encode())
 
 
 def has_invalid_values(subject_reports: tuple[SubjectReport, ...]) -> bool:
-    """Whether there are too many reports, or one with a value out of range."""
+    """Whether there are more than MAX_SUBJECT_REPORTS, or a value in one of them is out of range."""
     return len(subject_reports) > MAX_SUBJECT_REPORTS or not all(
         0 <= r.subject_id < 1 << 32
         and 0 <= r.stage < 16
--- a/finchladder/core/health/outlier_ejection.py
+++ b/finchladder/core/health/outlier_ejection.py
@@ -1,15 +1,18 @@
 """Outlier ejection by a moving average of each worker's share of bad endings.
 
+An ending is good if the attempt ended OK, and bad otherwise. The failure share of a worker is the moving
+average: each ending moves it by FAILURE_SMOOTHING of its distance towards 1 (bad) or 0 (good).
+
 | state of a worker | ending of an attempt | new state |
 | --- | --- | --- |
-| failure share | any | moved by FAILURE_SMOOTHING towards 1 (bad) or 0 (good) |
 | failure share above EJECT_THRESHOLD | bad | ejected, each time for twice as long |
-| ejected | good | readmitted, as a suspect |
+| ejected | bad | ejected again, for twice as long |
+| ejected | good | readmitted with a failure share of at most MAX_READMITTED_SHARE |
 | failure share above SUSPECT_THRESHOLD | - | suspect: it receives no UNSAFE job |
 
 Once its ejection is over, a worker receives one trial job at a time. If more than MAX_EJECTED_SHARE of the
-workers are ejected, the signal is assumed to be wrong instead of the workers, and ejections are ignored, as
-with Envoy's panic threshold.
+workers are ejected, the cause is assumed to lie outside the workers, and ejections are ignored, as with
+Envoy's panic threshold.
 """
 
 from enum import Enum
@@ -20,20 +23,21 @@
 
 FAILURE_SMOOTHING = 0.3
 EJECT_THRESHOLD = 0.5  # failure share above which a worker is ejected
-SUSPECT_THRESHOLD = 0.15  # failure share above which a worker receives no UNSAFE job: a failed one is lost
-MAX_READMITTED_SHARE = 0.4  # failure share after a successful trial job: one success is no proof yet
+# below EJECT_THRESHOLD, as an UNSAFE job that may have run is not sent again
+SUSPECT_THRESHOLD = 0.15  # failure share above which a worker receives no UNSAFE job
+MAX_READMITTED_SHARE = 0.4  # upper bound after a successful trial job: one success does not prove recovery
 MAX_EJECTED_SHARE = 0.5  # share of all workers; above it ejections are ignored
-MAX_DOUBLINGS = 4  # doublings of the length of an ejection
+MAX_DOUBLINGS = 4  # maximum number of doublings of an ejection's length
 
 
 class AttemptSignal(Enum):
     """Health signal of an attempt at a worker."""
 
     GOOD = "good"
-    FAILED = "failed"  # the worker answered or reported, and did not complete the job
-    SILENT = "silent"  # the worker sent no report on a job that it had accepted
+    FAILED = "failed"  # the worker answered or called back that it had not completed the job
+    SILENT = "silent"  # the attempt timed out, or the worker no longer reports on it
     LINK = "link"  # no connection, or a broken one
-    OVERTAKEN = "overtaken"  # an attempt that was sent later ended first
+    OVERTAKEN = "overtaken"  # an attempt that was sent later to the same worker ended first
 
 
 SIGNAL_BY_ENDING = {
@@ -55,7 +59,7 @@
         self.settings = settings
         self.base_ejection_s = base_ejection_s
         self.ejected: dict[str, Worker] = {}
-        # a suspect would never receive a job that could clear it if all classes were UNSAFE
+        # False if all classes are UNSAFE: a suspect would then never receive a job that could clear it
         self.spares_unsafe = any(c.effect is not Effect.UNSAFE for c in settings.classes)
 
     def record_ending(
@@ -68,7 +72,7 @@
         run_time_s: float,
         worker_index: WorkerIndex,
     ) -> None:
-        """Updates a worker after an attempt; `run_time_s` is 0 if it is not known. O(1)."""
+        """Updates a worker after an attempt; `run_time_s` is 0 if it is unknown. O(1)."""
         is_bad = signal is not AttemptSignal.GOOD
         worker.failure_rate += FAILURE_SMOOTHING * (is_bad - worker.failure_rate)
         if not is_bad and worker.ejected_until:
@@ -93,7 +97,7 @@
             self.ejected[worker.address] = worker
 
     def may_receive(self, now: float, job: Job, worker: Worker, worker_index: WorkerIndex) -> bool:
-        """Whether a worker above SUSPECT_THRESHOLD may receive the job; an UNSAFE job is never a trial."""
+        """Whether a suspect or ejected worker may receive the job; an UNSAFE job is never a trial job."""
         max_ejected = MAX_EJECTED_SHARE * len(worker_index.workers)
         if len(self.ejected) > max_ejected:
             return True
--- a/finchladder/core/routing/__init__.py
+++ b/finchladder/core/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of routes around the dispatcher: concurrency, retry budgets, hedged requests."""
+"""Routes, and the limits that they apply to the dispatcher: concurrency, retry budgets, hedged requests."""
--- a/finchladder/core/routing/concurrency_limit.py
+++ b/finchladder/core/routing/concurrency_limit.py
@@ -1,4 +1,6 @@
-"""Concurrency limit of a route: a maximum of open jobs, and a bounded queue of waiting ones.
+"""Concurrency limit of a route: a maximum number of open jobs, and a bounded queue of waiting ones.
+
+A job is open from its dispatch to its answer, and takes one slot of the limit.
 
 A queued job was never sent to a worker, so it can be rejected without side effects.
 """
@@ -7,13 +9,14 @@
 
 from finchladder.core.routing.routes import Queue, QueueOrder
 
-Rank = tuple[float, float, int, str]  # (-value, deadline, serial, job id); the lowest is dequeued first
+# sort key in the queue: (-value, deadline, serial, job id); the job with the lowest key is dequeued first
+Rank = tuple[float, float, int, str]
 
 
 class ConcurrencyLimiter:
     """Counts the open jobs of one route and orders its queue.
 
-    Inserting into and removing from the queue cost O(log n) comparisons, and up to n moved pointers.
+    An insertion into the queue or a removal costs O(log n) comparisons and moves up to n pointers.
     """
 
     __slots__ = ("max_open", "queue", "open_count", "waiting", "rank_by_id")
@@ -25,7 +28,10 @@
         self.rank_by_id: dict[str, Rank] = {}
 
     def try_acquire(self) -> bool:
-        """Takes a slot if one is free. Callers drain the queue with `dequeue` whenever a slot is released."""
+        """Takes a slot if one is free, and returns whether one was.
+
+        The caller must call `dequeue` whenever a slot is released: the queue is not considered here.
+        """
         if self.open_count >= self.max_open:
             return False
         self.open_count += 1
@@ -35,13 +41,14 @@
         """Queues a job.
 
         Returns:
-            The id of the job beyond the queue's length, possibly this one: the caller rejects and removes it.
+            The id of the job that exceeds the queue's length, possibly this one, which the caller must
+            reject and remove; None if there is none.
         """
         self.requeue(id, value, deadline, serial)
         return self.waiting[-1][-1] if len(self.waiting) > self.queue.length else None
 
     def requeue(self, id: str, value: float, deadline: float, serial: int) -> None:
-        """Queues a job without a check of the length, e.g. one moved from the limiter of former settings."""
+        """Queues a job without a check of the length, e.g. one that was queued before a reload."""
         rank = self.rank_by_id[id] = self.rank_of(id, value, deadline, serial)
         insort(self.waiting, rank)
 
@@ -65,7 +72,7 @@
         return id
 
     def release(self) -> None:
-        """Frees the slot of a job that was answered."""
+        """Frees the slot of a job that was answered or whose client disconnected."""
         self.open_count -= 1
 
     def remove(self, id: str) -> None:
--- a/finchladder/core/routing/hedging.py
+++ b/finchladder/core/routing/hedging.py
@@ -1,28 +1,29 @@
 """Hedged requests: when a hedge is sent, and what share of the jobs may be hedged.
 
-As in "The tail at scale" (Dean and Barroso, CACM 2013): a hedge is sent once the first attempt has taken
-longer than a high percentile, so few are sent, and the first answer counts.
+A hedge is a second attempt of a job while the first is still open. As in "The tail at scale" (Dean and
+Barroso, CACM 2013), it is sent once the first attempt has taken longer than a high percentile of the
+latencies, so few are sent, and the first answer counts.
 """
 
 from math import ceil, exp, floor, log
 
 RELATIVE_ERROR = 0.02  # maximum relative error of an estimated percentile
-# logarithm of the ratio of neighbouring buckets' bounds
+# logarithm of the ratio of a bucket's upper bound to its lower bound
 LOG_BUCKET_GROWTH = log((1 + RELATIVE_ERROR) / (1 - RELATIVE_ERROR))
-MIN_LATENCY_S, MAX_LATENCY_S = 1e-3, 3600.0  # latencies are clamped to these: 378 buckets at most
-MIN_SAMPLES_BEYOND = 10.0  # samples expected past the percentile before it is estimated
-DECAY_SAMPLES = 1000.0  # samples at which all counts are decayed
+MIN_LATENCY_S, MAX_LATENCY_S = 1e-3, 3600.0  # latencies are clamped to this range: at most 378 buckets
+MIN_SAMPLES_BEYOND = 10.0  # minimum expected number of samples beyond the percentile for an estimate
+DECAY_SAMPLES = 1000.0  # minimum number of samples at which all counts are decayed
 DECAY_FACTOR = 0.5
-ESTIMATE_INTERVAL = 32  # new samples between two estimates
-MAX_HEDGE_TOKENS = 10.0  # tokens that the budget can accumulate, one per hedge
+ESTIMATE_INTERVAL = 32  # number of new samples between two estimates
+MAX_HEDGE_TOKENS = 10.0  # maximum number of accumulated tokens; a hedge takes one
 
 
 class LatencyPercentile:
     """Estimates one percentile of recent latencies, in seconds, from logarithmic buckets.
 
-    DDSketch (Masson, Rim and Lee, VLDB 2019): the estimate is within RELATIVE_ERROR of the true value. Once
-    it holds DECAY_SAMPLES samples, or twice `min_samples`, all counts are halved, so that old samples fade.
-    A sample costs O(1), and each ESTIMATE_INTERVAL-th one O(buckets log buckets).
+    DDSketch (Masson, Rim and Lee, VLDB 2019): the estimate is within RELATIVE_ERROR of the true value. At
+    DECAY_SAMPLES samples or twice `min_samples`, whichever is more, all counts are halved, so that old
+    samples lose weight. A sample costs O(1), and each ESTIMATE_INTERVAL-th one O(buckets log buckets).
     """
 
     __slots__ = ("percentile", "buckets", "total", "new_count", "value_s")
@@ -35,7 +36,7 @@
 
     @property
     def min_samples(self) -> float:
-        """Number of samples below which the percentile is not estimated."""
+        """Minimum number of samples for an estimate."""
         return MIN_SAMPLES_BEYOND / (1 - self.percentile / 100)
 
     def add(self, latency_s: float) -> None:
@@ -54,7 +55,10 @@
             self.value_s = self._estimate_s()
 
     def add_longer_than(self, latency_s: float) -> None:
-        """Adds an attempt cut off after `latency_s`: a lower bound, counted if beyond the percentile."""
+        """Adds an attempt that was cut off after `latency_s`, so that its latency would have been longer.
+
+        It is counted as a sample of `latency_s` only if that is at least the estimated percentile.
+        """
         if self.value_s is not None and latency_s >= self.value_s:
             self.add(latency_s)
 
@@ -65,11 +69,12 @@
             passed += self.buckets[number]
             if passed > rank:
                 break
-        return MIN_LATENCY_S * exp(number * LOG_BUCKET_GROWTH) * (1 - RELATIVE_ERROR)  # the bucket's midpoint
+        # the value whose relative distance from both bounds of the bucket is RELATIVE_ERROR
+        return MIN_LATENCY_S * exp(number * LOG_BUCKET_GROWTH) * (1 - RELATIVE_ERROR)
 
 
 class HedgeBudget:
-    """Token budget that limits hedges to a share of the first sends so far."""
+    """Token budget that limits hedges to a share of the jobs' first sends."""
 
     __slots__ = ("share", "tokens")
 
@@ -77,13 +82,13 @@
         self.share, self.tokens = share, 0.0
 
     def record_first_send(self) -> None:
-        """Deposits `share` of a token for a job's first send."""
+        """Adds `share` of a token for a job's first send."""
         self.tokens = min(self.tokens + self.share, MAX_HEDGE_TOKENS)
 
     def has_token(self) -> bool:
-        """Whether one more hedge is within the budget."""
+        """Whether the budget allows one more hedge."""
         return self.tokens >= 1
 
     def take_token(self) -> None:
-        """Spends the token of one hedge; the caller has checked `has_token`."""
+        """Takes the token of one hedge; the caller must have checked `has_token`."""
         self.tokens -= 1
--- a/finchladder/core/routing/limited_dispatcher.py
+++ b/finchladder/core/routing/limited_dispatcher.py
@@ -1,23 +1,25 @@
-"""Applies the limits of routes around a Dispatcher: same events and actions, and a timer of its own.
+"""Applies the limits of routes to a Dispatcher, with the same events and actions and an additional timer.
 
-The wrapper only restricts the Dispatcher. A job is queued here until its route's concurrency admits it, and
-is then dispatched with limits of its own (api.RequestLimits). When an attempt ends, the Dispatcher first
-receives whether another send is within the limits (api.LimitUpdate), and then the end: it alone decides
-whether to send again, and to which worker. A hedge is likewise an offer to it. The actions returned are
-inspected for sends, answers and cancellations.
+The wrapper only restricts the Dispatcher. A job is queued here until its route's concurrency limit has a free
+slot. The Dispatcher then receives the job with its limits (api.RequestLimits). When an attempt ends, the
+Dispatcher first receives an api.LimitUpdate if the limits of the job change, and then the end of the attempt.
+The Dispatcher alone decides whether to send the job again, and to which worker. It also decides whether to
+send a hedge, a second attempt while the first is open, that is offered to it. Sends, answers and
+cancellations are recorded from the actions that it returns.
 
 | state of a job | event | result |
 | --- | --- | --- |
 | queued | a slot is free | dispatched |
-| queued | the queue is full and others precede it, or it times out | rejected |
-| dispatched | the Dispatcher sends it | one open attempt, the hedge timer is set |
-| one open attempt | hedge timer, within share, budget and attempts | offered as a hedge |
-| open attempts | one ends, another is open | the other continues |
-| open attempts | the last ends, no more sends are within the limits | the Dispatcher may not send it again |
-| open attempts | the last ends, otherwise | it may, at once or after the backoff |
-| any | answered, or its client disconnected | its slot is released |
-
-A job without a route passes through. Each job costs O(1), plus O(log n) in the queue and the timers.
+| queued | the queue exceeds its length and this job is the last, or the job times out | rejected |
+| dispatched | the Dispatcher sends it | one open attempt; the hedge timer is set |
+| one open attempt | hedge timer, within the hedge and retry budgets | a hedge is offered |
+| open attempts | one ends, another is open | the other one continues |
+| open attempts | the last one ends, the limits allow no further send | the job must not be sent again |
+| open attempts | the last one ends, the limits allow a further send | may be sent, after the backoff |
+| any | it is answered, or its client disconnects | its slot is released |
+
+Events of a job without a route are forwarded unchanged. Each job costs O(1), plus O(log n) in the queue and
+the timers.
 Bounds: one record and at most two timers for each open job that has a route; a limiter, retry budget,
 hedge budget and percentile for each route and class.
 """
@@ -53,12 +55,12 @@
 from finchladder.core.routing.retry_budget import RetryBudgetWindow
 from finchladder.core.routing.routes import Queue, RetryBudget, Route, Routes
 
-if TYPE_CHECKING:  # loaded only where dispatchers share retry budgets
+if TYPE_CHECKING:  # loaded only if dispatchers share retry budgets
     from finchladder.core.peers.bucket import Bucket
 
 ROUTE_TIMER_TOKEN = 2  # the Dispatcher's own timer tokens are 0 and 1
 TIMER_TOLERANCE_S = 1e-4  # a timer may fire this much early, as clocks are rounded
-# endings of attempts that were cut off and would have taken longer
+# endings of attempts that were stopped before their answer: their full latency is unknown
 CUT_OFF_ENDINGS = frozenset({Ending.TIMED_OUT, Ending.CANCELLED})
 
 RouteKey = tuple[str, str]  # a route's name and the job's class
@@ -68,18 +70,21 @@
 
 
 class NewRoutes(NamedTuple):
-    """Event that replaces the routes; jobs that have already arrived keep their original limits."""
+    """Event that replaces the routes; jobs in progress keep their limits, except concurrency and budgets."""
 
     routes: Routes
 
 
 class RouteLimits:
-    """Limits of a route for one job class, with their counters; equal limits of a route share these."""
+    """Limits of a route for one job class, with their counters.
+
+    The classes of a route share one limiter, retry budget or hedge budget if their settings of it are equal.
+    """
 
     __slots__ = ("route", "limits", "limiter", "budget", "hedge_budget", "latency")
 
     def __init__(self, route: Route, limits: RequestLimits) -> None:
-        self.route, self.limits = route, limits  # `limits`: the part that the Dispatcher applies
+        self.route, self.limits = route, limits  # `limits`: those that the Dispatcher applies
         self.limiter: ConcurrencyLimiter | None = None
         self.budget: RetryBudgetWindow | None = None
         self.hedge_budget: HedgeBudget | None = None
@@ -87,7 +92,7 @@
 
 
 class RoutedJob:
-    """A job that has a route, from its arrival to its answer and the end of its last attempt."""
+    """A job that has a route; kept until it is answered and its last attempt has ended."""
 
     __slots__ = (
         "id",
@@ -113,21 +118,20 @@
         self.queued_request: Request | None = request  # None once dispatched
         self.arrived_at, self.deadline, self.serial = now, now + request.timeout_s, serial
         budget = scope.route.retry_budget
-        self.is_client_retry = (
-            request.is_client_retry and budget is not None and budget.repeats
-        )  # the request is a retry by its client
+        # the client marked the request as a retry, and the route's retry budget counts such retries
+        self.is_client_retry = request.is_client_retry and budget is not None and budget.repeats
         self.limits = scope.limits
         self.max_sends, self.send_count, self.hedge_count = scope.limits.max_sends, 0, 0
         self.open_attempts = 0  # bit set of the attempts that have not ended
-        self.is_retry_paid = False  # the next retry is already counted in the budget
+        self.is_retry_paid = False  # the next retry has already been counted in the retry budget
         self.is_hedge_offered = False  # at most one hedge is offered per job
         self.is_done = False
 
 
 class RouteLimitedDispatcher:
-    """Applies the limits of routes in front of a Dispatcher, `inner`, which must have no other caller."""
+    """Applies the limits of routes to a Dispatcher, `inner`, which must have no other caller."""
 
-    share: "BucketFactory | None" = None  # set where all dispatchers share their retry budgets
+    share: "BucketFactory | None" = None  # set if all dispatchers share their retry budgets
 
     def __init__(
         self, inner: Dispatcher, routes: Routes, seed: int, share: "BucketFactory | None" = None
@@ -135,19 +139,17 @@
         self.inner, self.settings = inner, inner.settings
         if share is not None:
             self.share = share
-        self.random = Random(
-            f"{seed}/routes"
-        )  # separate: leaves the Dispatcher's sequence of draws unchanged
-        self.margin_s = (
-            inner.state.sweep_interval_s + 2 * inner.settings.clock_tick_s
-        )  # a job that is not sent this long before its deadline is rejected
+        # separate generator: the draws of the Dispatcher are the same with and without routes
+        self.random = Random(f"{seed}/routes")
+        # a queued job is rejected this long before its deadline
+        self.margin_s = inner.state.sweep_interval_s + 2 * inner.settings.clock_tick_s
         self.scopes: dict[RouteKey, RouteLimits] = {}
-        self.gone: list[RouteLimits] = []  # limits of former routes that open jobs still use
-        self.runs: dict[str, RoutedJob] = {}
+        self.gone: list[RouteLimits] = []  # limits of routes before a reload that open jobs still use
+        self.runs: dict[str, RoutedJob] = {}  # by job id
         self.alarms = Alarms()
         self.now, self.serial = 0.0, 0
-        self.timer_at: float | None = None  # time at which the earliest requested timer fires
-        self.freed: list[ConcurrencyLimiter] = []  # limiters with a slot that was freed during this call
+        self.timer_at: float | None = None  # time of the earliest timer that was requested and has not fired
+        self.freed: list[ConcurrencyLimiter] = []  # limiters with a possibly free slot, see `handle`
         self.handlers: dict[type, Callable[[Any], list[Action]]] = {
             Request: self._on_request,
             Ended: self._on_ended,
@@ -210,8 +212,8 @@
             self._close(job)
         elif not job.is_done:
             if not job.open_attempts:
-                self.alarms.drop(job.id)  # the timer of its hedge
-            if (limit := self._limit_after_failure(job, ended.ending)) is not None:
+                self.alarms.drop(job.id)  # the hedge timer
+            if (limit := self._update_limits_after_failure(job, ended.ending)) is not None:
                 actions = self._forward(limit)
         actions += self._forward(ended)
         self._remove_if_finished(job)
@@ -240,7 +242,7 @@
             return self._reject(job)
         if job.open_attempts:
             return self._hedge(job)
-        return self._forward(LimitUpdate(job.id, job.max_sends))  # its backoff is over
+        return self._forward(LimitUpdate(job.id, job.max_sends))  # the backoff is over
 
     def _on_routes(self, event: NewRoutes) -> list[Action]:
         self.apply_routes(event.routes)
@@ -256,11 +258,17 @@
         try:
             return self._forward(Request(request.id, request.job_class, left, *request[3:-1], job.limits))
         except Exception:
-            self._close(job)  # releases the slot, whatever the error
+            self._close(job)  # also releases the slot
             raise
 
-    def _limit_after_failure(self, job: RoutedJob, ending: Ending) -> LimitUpdate | None:
-        """Returns the changed limits of a job after an attempt that failed, or None if they are unchanged."""
+    def _update_limits_after_failure(self, job: RoutedJob, ending: Ending) -> LimitUpdate | None:
+        """Decides whether the job may be retried after an attempt has failed.
+
+        Counts the retry in the budget and sets the backoff timer if it may.
+
+        Returns:
+            The changed limits of the job, or None if they are unchanged.
+        """
         if ending in job.route.resend_on:
             if job.open_attempts or job.send_count >= job.max_sends:
                 return None
@@ -278,10 +286,10 @@
         return LimitUpdate(job.id, job.max_sends)
 
     def _hedge(self, job: RoutedJob) -> list[Action]:
-        """Offers a hedge to the Dispatcher, which may decline if no worker suits."""
+        """Offers a hedge to the Dispatcher, which sends none if no worker is suitable."""
         job.is_hedge_offered = True
         hedges, budget = job.scope.hedge_budget, job.scope.budget
-        if hedges is None or not hedges.has_token():  # None: the current routes do not hedge
+        if hedges is None or not hedges.has_token():  # None: a reload removed the hedge of this route
             return []
         if budget is not None and not budget.may_retry(self.now):
             return []
@@ -342,9 +350,12 @@
         return send if rules.attempt_timeout_s is None else send._replace(timeout_s=rules.attempt_timeout_s)
 
     def _may_move(self, job: RoutedJob, attempt: int) -> bool:
-        """Whether the Dispatcher may cancel an unresponsive worker's attempt: if a retry is allowed."""
+        """Whether the Dispatcher may cancel an attempt at an unresponsive worker, to send the job elsewhere.
+
+        If no other attempt is open, a retry must be within the limits; it is then counted in the budget.
+        """
         if job.open_attempts ^ 1 << attempt:
-            return True  # another attempt is open, and this one is abandoned
+            return True  # another attempt is open: cancelling this one requires no retry
         job.is_retry_paid = Ending.CANCELLED in job.route.resend_on and self._spend_retry(job)
         return job.is_retry_paid
 
@@ -354,7 +365,7 @@
         return [Reject(job.id, self.settings.max_retry_after_s)]
 
     def _close(self, job: RoutedJob) -> None:
-        """Releases what a job holds, once it is answered or its client disconnected."""
+        """Releases the timer and the slot of a job that was answered or whose client disconnected."""
         if job.is_done:
             return
         job.is_done = True
@@ -372,7 +383,10 @@
             self.runs.pop(job.id, None)
 
     def _pool(self, route: Route) -> WorkerPool | None:
-        """Returns the workers allowed for the route's jobs, within the kind that their class requires."""
+        """Returns the pool of workers allowed for the route's jobs, or None if the route does not limit it.
+
+        If the job class requires a kind of worker, the pool contains only this kind.
+        """
         kinds, zones = route.pool.kinds, route.pool.zones
         if not (kinds or zones):
             return None
@@ -382,7 +396,10 @@
     # --- routes -------------------------------------------------------------------------------------------
 
     def apply_routes(self, routes: Routes) -> None:
-        """Replaces the routes; counters of unchanged settings are preserved. O(routes + jobs + workers)."""
+        """Replaces the routes; budgets and percentiles of unchanged settings keep their counts.
+
+        O(routes + jobs + workers).
+        """
         previous, self.scopes = self.scopes, {}
         for route in routes.all:
             max_sends = min(route.attempts or self.settings.max_attempts, self.settings.max_attempts)
@@ -422,7 +439,7 @@
                     budget = previous.budget if previous is not None else None
                     if budget is None or budget.window_s != rule.window_s or budget in budgets.values():
                         budget = None
-                    budget = self._budget(route, rule, budget)
+                    budget = self._keep_or_make_retry_budget(route, rule, budget)
                     budget.reconfigure(rule)
                     budgets[route.name, rule] = budget
                 scope.budget = budgets[route.name, rule]
@@ -441,19 +458,22 @@
                     same = times is not None and times.percentile == percentile
                     scope.latency = times if same else LatencyPercentile(percentile)
 
-    def _budget(
+    def _keep_or_make_retry_budget(
         self, route: Route, rule: RetryBudget, existing: RetryBudgetWindow | None
     ) -> RetryBudgetWindow:
         if self.share is None:
             return existing or RetryBudgetWindow(rule)
         from finchladder.core.peers.retries import SharedRetryBudget  # loaded only if it is used
 
-        # also for an existing budget: its limit may have changed
+        # also called for an existing budget, as its limit may have changed
         bucket = self.share(f"retry.{route.name}", rule.least_per_s)
         return existing or SharedRetryBudget(rule, bucket)
 
     def _move_to_current_route(self, job: RoutedJob) -> None:
-        """Moves a job, with its slot, to the current version of its route, if there is one."""
+        """Moves a job to the new limits of its route after a reload, with its slot or place in the queue.
+
+        A job keeps the former limits if the route, or its concurrency limit, was removed.
+        """
         scope, before = self.scopes.get((job.route.name, job.route.job_class)), job.scope.limiter
         if scope is None or job.is_done or (before is not None and scope.limiter is None):
             return
@@ -472,7 +492,7 @@
 
 
 class Decisions(Protocol):
-    """Interface through which an actor decides: a plain Dispatcher or a RouteLimitedDispatcher."""
+    """Interface of Dispatcher and RouteLimitedDispatcher to the actor that carries out their actions."""
 
     settings: Settings
 
@@ -488,12 +508,12 @@
     spill: SpilloverSettings | None = None,
     share: "BucketFactory | None" = None,
 ) -> Dispatcher | RouteLimitedDispatcher:
-    """Creates the dispatcher that the settings require.
+    """Creates a dispatcher, with zone spillover and route limits if they are configured.
 
     Args:
-        settings: Settings of the decisions.
+        settings: Settings of the dispatcher.
         seed: Seed of all random draws.
-        routes: The routes; None if no routes file is configured, now or after a reload.
+        routes: The routes; None if no routes file is configured, so that a reload cannot add routes.
         spill: Settings of zone spillover; None disables it.
         share: Makes the local bucket of a retry budget that dispatchers share; None if they do not.
     """
--- a/finchladder/core/routing/retry_budget.py
+++ b/finchladder/core/routing/retry_budget.py
@@ -1,22 +1,23 @@
 """Retry budget: limits retries to a share of the first sends of a sliding window.
 
-As Finagle's RetryBudget (Twitter, 2015): first sends deposit a share of a token each, retries take one, both
-expire with a sliding window, and a minimum rate is allowed however little is sent. A failing fleet is then
-sent at most 1 + share times what it would be sent without retries, whatever attempts a job may have.
+As in Finagle's RetryBudget (Twitter, 2015), each first send adds a share of a token, each retry takes one,
+both expire with a sliding window, and a minimum rate of retries is always allowed. Beyond that minimum rate,
+a failing fleet receives at most 1 + share times the sends that it would receive without retries, however
+many attempts a job may have.
 """
 
 from finchladder.core.routing.routes import RetryBudget
 
-SLICE_COUNT = 10  # slices of the window; counts expire one slice at a time
-ROUNDING_TOLERANCE = 1e-9  # tolerance for rounding in sums of shares
+SLICE_COUNT = 10  # number of slices of the window; the counts of one slice expire together
+ROUNDING_TOLERANCE = 1e-9  # the product of `share` and first sends may be rounded down
 
 
 class RetryBudgetWindow:
-    """Counts first sends and retries of a sliding window, and limits the latter.
+    """Counts first sends and retries in a sliding window, and limits the retries.
 
-    Over the last SLICE_COUNT slices (the current one included, so 0.9 to 1 window) retries are at most
-    share x first sends + least_per_s x 0.9 window. Times are seconds of the caller's clock. A call costs
-    O(1), plus the expired slices; memory is SLICE_COUNT pairs of counts.
+    In the last SLICE_COUNT slices, which with the current one cover 0.9 to 1 times `window_s`, retries are
+    at most share x first sends + least_per_s x 0.9 x window_s. Times are seconds of the caller's clock. A
+    call costs O(1 + expired slices); memory is SLICE_COUNT pairs of counts.
     """
 
     __slots__ = ("share", "floor", "window_s", "slice_s", "slices", "first_sends", "retries")
@@ -28,7 +29,7 @@
         self.reconfigure(rule)
 
     def reconfigure(self, rule: RetryBudget) -> None:
-        """Applies changed limits of the same window length; the counts are preserved."""
+        """Replaces the limits, except the window length; the counts are preserved."""
         self.share, self.floor = rule.share, rule.least_per_s * self.slice_s * (SLICE_COUNT - 1)
 
     def record_first_send(self, now: float) -> None:
@@ -37,12 +38,12 @@
         self.first_sends += 1
 
     def may_retry(self, now: float) -> bool:
-        """Whether one more retry is within the budget."""
+        """Whether the budget allows one more retry."""
         self._current_slice(now)
         return self.retries + 1 <= self.share * self.first_sends + self.floor + ROUNDING_TOLERANCE
 
     def try_spend(self, now: float) -> bool:
-        """Counts a retry if it is within the budget, and returns whether it is."""
+        """Counts a retry if the budget allows it, and returns whether it does."""
         if not self.may_retry(now):
             return False
         self._current_slice(now)[2] += 1
