--- a/finchladder/core/connections/body_memory.py
+++ b/finchladder/core/connections/body_memory.py
@@ -9,7 +9,7 @@
 
 
 class BodyMemory:
-    """Budget for all reservations of a process."""
+    """Memory budget for the message bodies of a process; all reservations share it."""
 
     def __init__(self, memory_bytes: int, feature_bytes: int = 0) -> None:
         # `feature_bytes`, the memory of optional features, is deducted: the total is the same without them
--- a/finchladder/core/health/detection/aggregation.py
+++ b/finchladder/core/health/detection/aggregation.py
@@ -23,9 +23,9 @@
 from finchladder.core.health.detection.reports import SubjectReport
 
 MAX_BAD_PER_REPORTER = 1.5  # maximum number of bad attempts counted for one reporter
-MAX_GOOD_SCORE = 6.0  # one reporter's score is at least minus this
+MAX_GOOD_SCORE = 6.0  # the score of one reporter is limited to minus this at the lowest
 REPORT_TIMEOUT_S = 10.0  # age at which a report is ignored
-MIN_BAD_PER_REPORTER = 0.25  # `reporters` counts those with more bad attempts than this
+MIN_BAD_PER_REPORTER = 0.25  # only reporters with more bad attempts than this are counted as reporters
 
 
 class ReceivedReport(NamedTuple):
--- a/finchladder/core/health/detection/detector.py
+++ b/finchladder/core/health/detection/detector.py
@@ -122,7 +122,7 @@
 class DetectorSettings(NamedTuple):
     """Limits of the detector that the operator configures."""
 
-    max_ejected_share: float = 0.3  # share of the ready workers of each kind and zone
+    max_ejected_share: float = 0.3  # maximum share of the ready workers of each kind and zone
     first_term_s: float = 2.0  # length of a first ejection
 
 
@@ -213,7 +213,7 @@
         self.dispatcher_count, self.is_degraded = 1, False
         self.next_evaluation_at = now
         self.started_at, self.doubtful_until = now, 0.0
-        self.outcomes: dict[str, tuple[float, bool]] = {}  # time of last attempt, was it bad; by worker
+        self.outcomes: dict[str, tuple[float, bool]] = {}  # last attempt: time, was it bad; by worker
         self.mass_failure_since: dict[tuple[str, str], float] = {}  # by kind and zone
         self.overrides: dict[str, ActiveOverride] = {}  # by worker
         # time at which a worker's score first sufficed for an ejection, by worker
--- a/finchladder/core/health/detection/evidence.py
+++ b/finchladder/core/health/detection/evidence.py
@@ -29,7 +29,7 @@
 SLOW_FACTOR = 5.0  # a run time above this multiple of the mean of its class and kind is slow
 HALF_WEIGHT = 0.5
 # weight of an attempt as a bad one: half for silent and overtaken attempts, as they may only have waited in
-# the worker's queue, which a dispatcher that sends few jobs there cannot infer from its other jobs
+# the worker's queue: a dispatcher that sends few jobs to a worker has too few others to detect this
 WEIGHTS = {
     AttemptSignal.FAILED: 1.0,
     AttemptSignal.SILENT: HALF_WEIGHT,
--- a/finchladder/core/health/detection/reports.py
+++ b/finchladder/core/health/detection/reports.py
@@ -18,7 +18,7 @@
 
     subject_id: int
     bad: float  # bad attempts without link failures, each with its weight (evidence.WEIGHTS)
-    link: float  # attempts without a connection, or whose connection broke
+    link: float  # attempts that failed without a connection, or as the connection broke
     good: float  # good attempts
     opened_s: float  # time since the reporter's first counted attempt
     left_s: float  # remaining time of the reporter's ejection of the subject; 0: it is not ejected
--- a/finchladder/core/health/detection/verdicts.py
+++ b/finchladder/core/health/detection/verdicts.py
@@ -80,40 +80,34 @@
     verdict.until, verdict.cause, verdict.stage = now + for_s, cause, 0
 
 
-def step(verdict: Verdict, now: float, observation: Observation, first_term_s: float) -> None:
+def step(verdict: Verdict, now: float, seen: Observation, first_term_s: float) -> None:
     """Advances the state machine by one evaluation; `first_term_s` is the length of a first ejection."""
-    verdict.score = observation.score
+    verdict.score = seen.score
     if verdict.state is VerdictState.CONDEMNED:
         if now >= verdict.until:
             verdict.enter(now, VerdictState.TRIAL)
             verdict.stage, verdict.stage_started_at = 1, now
     elif verdict.state is VerdictState.TRIAL:
-        _step_trial(verdict, now, observation, first_term_s)
+        _step_trial(verdict, now, seen, first_term_s)
     elif (
-        observation.score >= EJECT_SCORE
-        and observation.reporters >= observation.required_reporters
-        and observation.may_eject
-        and not observation.is_mass_failure
+        seen.score >= EJECT_SCORE
+        and seen.reporters >= seen.required_reporters
+        and seen.may_eject
+        and not seen.is_mass_failure
     ):
         verdict.term_s = first_term_s
-        eject(verdict, now, first_term_s, f"{observation.reporters} reporters")
+        eject(verdict, now, first_term_s, f"{seen.reporters} reporters")
     else:
-        verdict.enter(
-            now, VerdictState.SUSPECTED if observation.score > SUSPECT_SCORE else VerdictState.CLEAR
-        )
+        verdict.enter(now, VerdictState.SUSPECTED if seen.score > SUSPECT_SCORE else VerdictState.CLEAR)
 
 
-def _step_trial(verdict: Verdict, now: float, observation: Observation, first_term_s: float) -> None:
-    if (
-        observation.score >= RELAPSE_SCORE
-        and observation.reporters >= min(2, observation.required_reporters)
-        and observation.may_eject
-    ):
+def _step_trial(verdict: Verdict, now: float, seen: Observation, first_term_s: float) -> None:
+    if seen.score >= RELAPSE_SCORE and seen.reporters >= min(2, seen.required_reporters) and seen.may_eject:
         verdict.term_s = min(MAX_TERM_S, 2 * max(verdict.term_s, first_term_s))
-        eject(verdict, now, verdict.term_s, f"{observation.reporters} reporters, on trial")
-    elif observation.score <= 0 and (
+        eject(verdict, now, verdict.term_s, f"{seen.reporters} reporters, on trial")
+    elif seen.score <= 0 and (
         now >= verdict.stage_started_at + TRIAL_STAGE_S
-        or observation.good >= ENOUGH_GOOD_ATTEMPTS[verdict.stage - 1]
+        or seen.good >= ENOUGH_GOOD_ATTEMPTS[verdict.stage - 1]
     ):
         verdict.stage, verdict.stage_started_at = verdict.stage + 1, now
         if verdict.stage > len(TRIAL_SHARES):
--- a/finchladder/core/health/outlier_ejection.py
+++ b/finchladder/core/health/outlier_ejection.py
@@ -23,7 +23,7 @@
 
 FAILURE_SMOOTHING = 0.3
 EJECT_THRESHOLD = 0.5  # failure share above which a worker is ejected
-# below EJECT_THRESHOLD, as an UNSAFE job that may have run is not sent again
+# lower than EJECT_THRESHOLD, as a failed UNSAFE job is not sent again if it may have run
 SUSPECT_THRESHOLD = 0.15  # failure share above which a worker receives no UNSAFE job
 MAX_READMITTED_SHARE = 0.4  # upper bound after a successful trial job: one success does not prove recovery
 MAX_EJECTED_SHARE = 0.5  # share of all workers; above it ejections are ignored
--- a/finchladder/core/routing/limited_dispatcher.py
+++ b/finchladder/core/routing/limited_dispatcher.py
@@ -258,7 +258,7 @@
         try:
             return self._forward(Request(request.id, request.job_class, left, *request[3:-1], job.limits))
         except Exception:
-            self._close(job)  # also releases the slot
+            self._close(job)  # releases the slot if the Dispatcher fails
             raise
 
     def _update_limits_after_failure(self, job: RoutedJob, ending: Ending) -> LimitUpdate | None:
@@ -325,7 +325,7 @@
                 continue
             if isinstance(action, Cancel):
                 job = self.runs.get(action.request)
-                if job is not None and not job.is_done and not self._may_move(job, action.attempt):
+                if job is not None and not job.is_done and not self._may_cancel_attempt(job, action.attempt):
                     continue
             elif isinstance(action, Reject | Fail) and (job := self.runs.get(action.request)) is not None:
                 self._close(job)
@@ -349,7 +349,7 @@
                 self.alarms.put(job.id, self.now + after_s)
         return send if rules.attempt_timeout_s is None else send._replace(timeout_s=rules.attempt_timeout_s)
 
-    def _may_move(self, job: RoutedJob, attempt: int) -> bool:
+    def _may_cancel_attempt(self, job: RoutedJob, attempt: int) -> bool:
         """Whether the Dispatcher may cancel an attempt at an unresponsive worker, to send the job elsewhere.
 
         If no other attempt is open, a retry must be within the limits; it is then counted in the budget.
@@ -382,7 +382,7 @@
         if job.is_done and not job.open_attempts:
             self.runs.pop(job.id, None)
 
-    def _pool(self, route: Route) -> WorkerPool | None:
+    def _worker_pool(self, route: Route) -> WorkerPool | None:
         """Returns the pool of workers allowed for the route's jobs, or None if the route does not limit it.
 
         If the job class requires a kind of worker, the pool contains only this kind.
@@ -403,7 +403,7 @@
         previous, self.scopes = self.scopes, {}
         for route in routes.all:
             max_sends = min(route.attempts or self.settings.max_attempts, self.settings.max_attempts)
-            limits = RequestLimits(max_sends, route.priority, self._pool(route))
+            limits = RequestLimits(max_sends, route.priority, self._worker_pool(route))
             self.scopes[route.name, route.job_class] = RouteLimits(route, limits)
         self._assign_limiters()
         self._assign_budgets(previous)
