--- a/finchladder/core/membership/aperture.py
+++ b/finchladder/core/membership/aperture.py
@@ -22,7 +22,8 @@
 
     server_connections: int = 256  # connections that a worker accepts from all dispatchers together
     connections_each: int = 24  # connections that one dispatcher may open to one worker
-    least: int = 4  # minimum workers of a stratum in a subset: both candidates of a key, and alternatives
+    # minimum workers of a stratum in a subset: both candidates of an affinity key and alternatives
+    least: int = 4
 
     def __post_init__(self) -> None:
         if not 1 <= self.connections_each <= self.server_connections <= 1_000_000:
@@ -32,7 +33,7 @@
 
     @property
     def dispatchers_per_worker(self) -> int:
-        """Number of dispatchers that a worker has connections for."""
+        """Number of dispatchers that may connect to one worker with `connections_each`."""
         return self.server_connections // self.connections_each
 
 
@@ -57,7 +58,7 @@
 
 
 def ring_window(ring: Sequence[RingPosition], index: int, dispatchers: int, width: int) -> list[str]:
-    """Returns the names of `wide` neighbours in the ring from this dispatcher's start."""
+    """Returns the names of `width` adjacent workers in the ring, from this dispatcher's start on."""
     start = index * len(ring) // dispatchers
     return [ring[(start + i) % len(ring)][1] for i in range(width)]
 
--- a/finchladder/core/membership/decisions.py
+++ b/finchladder/core/membership/decisions.py
@@ -75,12 +75,15 @@
 class MembershipSettings:
     """Settings of the merge. Shares refer to the listed entries that are not draining; times are seconds."""
 
-    max_vanish: float = 0.5  # larger shares removed without draining are held; 1: never held
-    # window of a mass removal: leases that lose their holders together expire over a full term
+    max_vanish: float = 0.5  # removals without draining beyond this share are held; 1: never
+    # removals within this window are counted together: the leases of workers that fail at the same time
+    # expire over one lease duration
     vanish_window_s: float = 10.0
     hold_s: float = 900.0  # an unconfirmed removal is applied after this time, if other workers are ready
-    max_age_s: float = 3600.0  # an older list is neither loaded at start nor protected from replacement
-    settle_s: float = 5.0  # a preferred source must be live for this time before it becomes the leader again
+    # an older stored list is not loaded; an older list in use may be replaced by any other
+    max_age_s: float = 3600.0
+    # a source of higher preference must be live for this time before it becomes the leader
+    settle_s: float = 5.0
     back_s: float = 1.5  # a source that reports older versions for this time must have restarted
     flap_most: int = 3  # number of times that an entry may stop being ready within `flap_window_s`
     flap_window_s: float = 60.0
@@ -136,7 +139,7 @@
     (
         B.ABSENT,
         SourceVerdict.MASS_REMOVAL,
-    ): B.HELD,  # removed within the window, before the limit was exceeded
+    ): B.HELD,  # the worker was removed within the window, before the mass removal was detected
     (B.READY, SourceVerdict.READY): B.READY,
     (B.READY, SourceVerdict.DRAINING): B.DRAINING,
     (B.READY, SourceVerdict.GONE): B.ABSENT,
@@ -163,8 +166,8 @@
 }
 
 
-UNAVAILABLE = frozenset({B.ABSENT, B.DRAINING, B.DAMPED})  # receives no new jobs
-REACHABLE_STANDINGS = frozenset({SourceStatus.LIVE, SourceStatus.CATCHING_UP, SourceStatus.BEHIND})
+UNAVAILABLE = frozenset({B.ABSENT, B.DRAINING, B.DAMPED})  # states in which a worker receives no new jobs
+REACHABLE_STATUSES = frozenset({SourceStatus.LIVE, SourceStatus.CATCHING_UP, SourceStatus.BEHIND})
 
 
 class MemberRecord:
@@ -263,7 +266,7 @@
         ]
         for src in self.source_states:
             times.append(src.next_expiry_at)
-            if src.status in REACHABLE_STANDINGS:
+            if src.status in REACHABLE_STATUSES:
                 times.append(src.received_at + src.source.silence_timeout_s)
             if src.status is SourceStatus.BEHIND:
                 times.append(src.since if self.is_outdated else src.since + s.back_s)
@@ -295,7 +298,7 @@
         for (
             src,
             old_status,
-        ) in status_changes:  # its entries began or ceased to apply in addition to the leader's
+        ) in status_changes:  # the entries of `src` began or ceased to apply in addition to the leader's
             if (
                 self.leader is not None
                 and src is not self.leader
@@ -317,7 +320,7 @@
                 self.is_outdated or now >= src.since + self.settings.back_s
             ):
                 names |= self._record_update(now, src, src.commit_restarted(now))
-            if src.status in REACHABLE_STANDINGS and now >= src.received_at + src.source.silence_timeout_s:
+            if src.status in REACHABLE_STATUSES and now >= src.received_at + src.source.silence_timeout_s:
                 names |= src.record_loss(now).names
             names |= src.expire_departures(now)
         return names
@@ -439,7 +442,7 @@
         return [name for name in names if name not in removed]
 
     def _is_removal_confirmed(self, name: str, started_at: float) -> bool:
-        """Whether another source confirms the removal of a worker, or the worker was draining."""
+        """Whether a live follower stores the worker's departure, or a source reported it as draining."""
         return any(name in src.departures for src in self.live_followers) or any(
             src.draining_start(name) >= started_at for src in self.drain_sources
         )
@@ -485,7 +488,9 @@
         if self._is_removal_confirmed(name, member.entry.started_at):
             self.mass_removal_guard.resolve(name)
             verdict = SourceVerdict.GONE
-        elif not isinstance(member, MemberRecord):  # already removed, still unconfirmed
+        elif not isinstance(
+            member, MemberRecord
+        ):  # the worker is removed already, and the removal is not confirmed yet
             return
         elif member.state in UNAVAILABLE:
             verdict = SourceVerdict.GONE
@@ -531,7 +536,7 @@
     def _advance_guard(self, now: float) -> None:
         self._detect_mass_removal(now, {})
         if self.pending_names:
-            return  # the held workers are complete once all names are processed
+            return  # not all removals are recorded before all names are processed
         while (
             event := self.mass_removal_guard.advance(
                 now, self._listed_count(), self.counts[MemberState.READY]
--- a/finchladder/core/membership/disagreement.py
+++ b/finchladder/core/membership/disagreement.py
@@ -10,7 +10,7 @@
 
 
 def _disagree(a: SourceEntry | None, b: SourceEntry | None) -> bool:
-    """Whether two sources disagree on a state; a draining notice, known to one source, does not count."""
+    """Whether the entries of two sources differ in status; a notice without a start time is not compared."""
     if any(entry is not None and entry.entry.started_at == ANY_START for entry in (a, b)):
         return False
     return (a and a.entry.state) is not (b and b.entry.state)
@@ -24,8 +24,9 @@
             OrderedDict()
         )  # start of the disagreement, name of the source
         self.reported: dict[str, None] = {}
-        self.next_at = -inf  # reported at most every DISAGREE_S
-        self.has_ended = False  # all reported disagreements have ended, which is not yet returned
+        self.next_at = -inf  # earliest time of the next report, as there is at most one per DISAGREE_S
+        # all reported disagreements have ended, and `take_ended` has not returned this yet
+        self.has_ended = False
 
     def compare(self, now: float, name: str, leader: SourceState, others: Iterable[SourceState]) -> None:
         """Compares the sources' entries of one worker."""
--- a/finchladder/core/membership/removal_guards.py
+++ b/finchladder/core/membership/removal_guards.py
@@ -11,7 +11,8 @@
 from finchladder.core.api import WorkerEntry
 
 RETURN_QUIET_S = 1.0  # removals are final if no held worker has returned for this time
-MAX_FLAPPING_WORKERS = 16_384  # with stored departures; the oldest is evicted first
+# workers with stored departures; the one that departed least recently is evicted first
+MAX_FLAPPING_WORKERS = 16_384
 
 
 class GuardState(Enum):
@@ -26,9 +27,9 @@
 
     MASS_REMOVAL = "mass"  # more than the allowed fraction was removed within the window
     NONE_RETAINED = "over"  # no removal is held anymore
-    # workers returned or joined: at most the allowed fraction is missing, and no more are returning
+    # enough workers returned or joined: at most the allowed fraction is held, and none returned lately
     BELOW_THRESHOLD = "few"
-    # held for retention_s; workers that no other source lists are removed, if others are ready
+    # retention_s has passed; held workers that no other source lists are removed, if others are ready
     RETENTION_EXPIRED = "waited"
 
 
@@ -59,8 +60,8 @@
         self.state = GuardState.NORMAL
         self.recent_removals: OrderedDict[str, Removal] = OrderedDict()
         self.retained: dict[str, None] = {}
-        self.retained_until = inf  # when the waiting time of the held removals ends
-        self.last_return_at = 0.0  # when a held worker was last listed again
+        self.retained_until = inf  # time until which the held removals wait for a confirmation
+        self.last_return_at = 0.0  # time at which a held worker was last listed again
 
     @property
     def is_protecting(self) -> bool:
@@ -113,7 +114,10 @@
         return removals
 
     def advance(self, now: float, listed: int, others: int) -> GuardEvent | None:
-        """Returns the event due at `now`, if any. `listed` includes held workers, `others` are ready."""
+        """Returns the event due at `now`, if any.
+
+        `listed`: number of listed workers, including held ones. `others`: number of ready workers not held.
+        """
         if not self.is_protecting:
             return None
         if not self.retained:
@@ -152,7 +156,7 @@
         self.max_departures, self.window_s, self.min_ready_s = max_departures, window_s, min_ready_s
         self.departures: OrderedDict[str, tuple[float, ...]] = (
             OrderedDict()
-        )  # the last `max_departures` times of each worker
+        )  # times of the last `max_departures` departures of each worker
         self.damped: OrderedDict[str, float] = OrderedDict()  # time since which each worker is ready
 
     def record_departure(self, now: float, name: str) -> None:
--- a/finchladder/core/membership/sources.py
+++ b/finchladder/core/membership/sources.py
@@ -54,7 +54,7 @@
 
 
 class SourceEntry(NamedTuple):
-    """Entry of a source for one worker; without an address it is a notice, not a member of the list."""
+    """Entry of a source for one worker; without an address it is only a draining notice."""
 
     entry: WorkerEntry
     address: Address | None
@@ -66,21 +66,22 @@
     NEVER = "never"  # it has not reported a full list yet
     LIVE = "live"  # in step: its reports apply as they arrive
     LOST = "lost"  # no message for silence_timeout_s, or a stored list: its last list stays in use
-    CATCHING_UP = "catching"  # reachable, but may replay: reports are pending, the last list stays in use
+    # reachable, but may repeat older changes: its reports are pending, and its last list stays in use
+    CATCHING_UP = "catching"
     BEHIND = "behind"  # it reported a list older than its last one, which is pending
 
 
 class SourceEvent(Enum):
-    """Events that change a source's standing."""
+    """Events that change a source's status."""
 
-    BEFORE = "before"  # a stored list
+    BEFORE = "before"  # it reported a stored list
     IN_STEP = "in step"
     REPLAY = "replay"  # reachable, but older changes may still arrive
     OLDER = "older"  # its full list, including later changes, has an older version
     CAUGHT_UP = "caught up"  # the older list has reached the version of the last one
     ANEW = "anew"  # the list stayed older for so long that the source must have restarted
     QUIET = "quiet"  # no message for silence_timeout_s
-    UNDONE = "undone"  # likewise, before its first list was in step
+    UNDONE = "undone"  # no message for silence_timeout_s, before its first list was in step
 
 
 S = SourceStatus
@@ -127,8 +128,8 @@
     """Result of a report; `names` are those whose entries of the source may have changed."""
 
     names: dict[str, None]
-    stale: bool = False  # the report was dropped
-    # version difference of a list that has become pending as older than the last one
+    stale: bool = False  # the report does not follow the last one and was dropped
+    # number of versions by which a list is older than the last one, if it has just become pending
     versions_behind: int = 0
     restarted: bool = False
     omitted: int = 0  # number of names beyond MAX_NAMES
@@ -143,7 +144,7 @@
     def __init__(self, source: Source, rank: int) -> None:
         self.source, self.rank = source, rank
         self.status = S.NEVER
-        self.since = 0.0  # time of the last change of `standing`
+        self.since = 0.0  # time of the last change of `status`
         self.received_at = 0.0
         self.valid_at = 0.0  # time at which its table was last known to be valid
         self.epoch, self.version = "", -1
@@ -154,9 +155,7 @@
         self.drains_before_restart: OrderedDict[str, Departure] = (
             OrderedDict()
         )  # draining notices from before its restart
-        self.may_drain: set[str] = (
-            set()
-        )  # superset of the workers that it reports, or is stored to have reported, as draining
+        self.may_drain: set[str] = set()  # superset of the workers for which `draining_start` returns a time
 
     @property
     def is_live(self) -> bool:
@@ -165,12 +164,12 @@
 
     def _apply(self, now: float, event: SourceEvent) -> None:
         try:
-            standing = TRANSITIONS[self.status, event]
+            new_status = TRANSITIONS[self.status, event]
         except KeyError:
             raise ValueError(f"a source that is {self.status.value} can't be {event.value}") from None
-        if standing is not self.status:
-            self.status, self.since = standing, now
-        if standing is S.LIVE:
+        if new_status is not self.status:
+            self.status, self.since = new_status, now
+        if new_status is S.LIVE:
             self.valid_at = now
 
     # --- input
--- a/finchladder/core/membership/subscription.py
+++ b/finchladder/core/membership/subscription.py
@@ -11,7 +11,7 @@
     __slots__ = ("is_subscribed", "retry_at", "failures")
 
     def __init__(self, on: bool) -> None:
-        """`on`: the list is pushed, or already subscribed to."""
+        """`on`: whether the list is pushed without a request, or was requested already."""
         self.is_subscribed, self.retry_at, self.failures = on, 0.0, 0
 
     def record_loss(self, now: float, first_s: float, most_s: float, random: Random) -> None:
--- a/finchladder/core/membership/subset_filter.py
+++ b/finchladder/core/membership/subset_filter.py
@@ -26,8 +26,8 @@
     def apply(
         self, workers: WorkerList, addresses: dict[str, Address]
     ) -> tuple[WorkerList, dict[str, Address]]:
-        """Returns the list to apply instead, and its addresses."""
-        named = {e.worker: e for e in workers.entries}  # the last of several entries for a worker applies
+        """Returns the changes of the subset that follow from a list of all workers, and their addresses."""
+        named = {e.worker: e for e in workers.entries}  # of several entries for one worker the last applies
         self.addresses.update(addresses)
         present = {name: e for name, e in named.items() if e.state is not WorkerStatus.REMOVED}
         strata = [(name, (e.zone, e.kind)) for name, e in present.items()]
--- a/finchladder/core/membership/watch.py
+++ b/finchladder/core/membership/watch.py
@@ -39,10 +39,12 @@
 LINE_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S  # timeout of a line that arrives in pieces
 MARGIN_S = 0.3  # margin for event loop delays and for applying the list
 LOCAL_OPEN_TIMEOUT_S = 1.0  # timeout of opening a watch with a local agent
-SHARED_OPEN_TIMEOUT_S = 2.1  # timeout with one discovery service for all dispatchers, where calls are queued
+# timeout of opening a watch with a shared discovery service, where calls are queued
+SHARED_OPEN_TIMEOUT_S = 2.1
 RENUMBERED_AFTER_S = 5.0
 INITIAL_LIST_TIMEOUT_S = 0.3  # time for which a new process waits for a confirmation of its stored list
-NO_CHANGE_DELAY_S = 0.05  # after the response head of a watch: pending changes arrive together with it
+# without a change for this time after the response head, none is pending: they arrive with it
+NO_CHANGE_DELAY_S = 0.05
 
 
 class WatchState:
@@ -55,9 +57,10 @@
         self.open_timeout_s = SHARED_OPEN_TIMEOUT_S if shared else LOCAL_OPEN_TIMEOUT_S
         self.reopen_within_s = MAX_PROPAGATION_S - SILENCE_TIMEOUT_S - self.open_timeout_s - MARGIN_S
         self.retry_within_s = MAX_PROPAGATION_S - 2 * self.open_timeout_s - MARGIN_S
-        self.version: int | None = None  # of the last applied list; None: none since the start
+        # version of the last applied list; None: none was applied since the start
+        self.version: int | None = None
         self.taken_at = 0.0
-        self.has_older = False  # whether older lists have arrived since
+        self.has_older = False  # whether older lists have arrived since `taken_at`
 
     def timeout_at(self, last_byte: float, last_line: float) -> float:
         """Returns when an open watch times out unless more data arrives."""
--- a/finchladder/core/membership/watch_backoff.py
+++ b/finchladder/core/membership/watch_backoff.py
@@ -16,8 +16,8 @@
 from random import Random
 
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 0.8  # backoff of a small fleet, in seconds
-SMALL_FLEET = 8  # dispatchers up to which the backoff needs no spread
-CALLS_PER_S = 10.0  # rate of calls of the dispatchers beyond SMALL_FLEET together
+SMALL_FLEET = 8  # up to this number of dispatchers the backoff needs no spread
+CALLS_PER_S = 10.0  # total rate of calls of the dispatchers beyond SMALL_FLEET
 
 
 class WatchBackoff:
@@ -34,11 +34,11 @@
         self.random, self.backoff_s, self.away_s, self.retry_s = random, MIN_BACKOFF_S, away_s, retry_s
 
     def next_backoff_s(self, opened: bool, has_changed: bool) -> float:
-        """Returns the next wait.
+        """Returns the next backoff, in seconds.
 
         Args:
             opened: Whether the last watch was open.
-            has_changed: Whether a change arrived since the last wait.
+            has_changed: Whether a change arrived since the last backoff.
         """
         draw = self.random.random()
         most_s = self.away_s if opened else self.retry_s
--- a/finchladder/core/peers/bucket.py
+++ b/finchladder/core/peers/bucket.py
@@ -8,11 +8,11 @@
     limit x W + sum of depths,    depth = 1 + rate x (TOKEN_TTL_S if rate < 1 / TOKEN_TTL_S else BURST_S)
 
 so the excess is e = (dispatchers + limit x TOKEN_TTL_S) / (limit x W) in the worst case, in which all
-dispatchers hold a full token at once. The share of idle dispatchers that hold one is
+dispatchers hold a full token at once. The fraction of idle dispatchers that hold one is
 TOKEN_TTL_S / (TOKEN_TTL_S + 1 / rate).
 """
 
-BURST_S = 0.25  # seconds of its rate that a bucket may save beyond one full token: jobs arrive in bursts
+BURST_S = 0.25  # a bucket saves the tokens of this time beyond one full token, as jobs arrive in bursts
 TOKEN_TTL_S = 1.0
 DEMAND_AVERAGING_S = 1.0  # averaging time of the demand
 
@@ -106,7 +106,7 @@
     def _refill(self, now: float) -> None:
         if now <= self.refilled_at:
             return
-        if self.refilled_at < self.rate_until < now:  # the rate decreased in between
+        if self.refilled_at < self.rate_until < now:  # the rate expired in between
             self._add_tokens(self.rate_until)
         if now > self.rate_until:
             self.rate, self.rate_until = min(self.rate, self.guaranteed_rate), float("inf")
--- a/finchladder/core/peers/escrow.py
+++ b/finchladder/core/peers/escrow.py
@@ -6,14 +6,14 @@
 
 | state of a rate | its owner may use it | the borrower may use it |
 | --- | --- | --- |
-| not lent | yes; for LEASE_S + margin after a start, only the unlendable share | no |
+| not lent | yes; for LEASE_S + margin after a start, only the unlendable fraction | no |
 | lent at `t` for a row written at `r` | from t + LEASE_S + margin, own clock | until r + LEASE_S, own clock |
 | the grant is lost or arrives too late | likewise | never |
 | renewed or increased, at `t2` for `r2` | from t2 + LEASE_S + margin | until r2 + LEASE_S |
 | reduced | never: the message might be lost; the lease expires instead | - |
 | returned, as of `r` | once the return arrives | no longer, from before the return is sent |
 | renewed for a later `r`, meanwhile | as if it had not been returned | the renewal may arrive, and counts |
-| the owner has restarted | after LEASE_S + margin; the unlendable share at once | until the lease expires |
+| the owner has restarted | after LEASE_S + margin; UNLENDABLE_FRACTION at once | until the lease expires |
 | the borrower has restarted | from t + LEASE_S + margin | never: `boot` differs |
 
 The total holds for links that are cut, delayed, duplicating or one-way: a grant answers a row that its
@@ -33,19 +33,17 @@
 
 from finchladder.core.peers.messages import Demand, Grant, Return, Row
 
-UNLENDABLE_FRACTION = 0.1  # share of the own rate that is never lent
+UNLENDABLE_FRACTION = 0.1  # fraction of the own rate that is never lent
 LEASE_S = 8.0
-MAX_CLOCK_DRIFT = (
-    0.005  # largest relative difference between two clock rates; quartz crystals differ by 0.0001
-)
+# largest relative difference between two clock rates; quartz crystals differ by 0.0001
+MAX_CLOCK_DRIFT = 0.005
 MARGIN_S = 2 * MAX_CLOCK_DRIFT * LEASE_S + 0.02
 RENEW_INTERVAL_S = 2.0  # shortest time between two renewals of one grant
-MIN_GRANT_FRACTION = 0.02  # smallest grant, as a share of the own rate: less is not worth a message
-OVERLENDING_FACTOR = (
-    1.5  # lend this multiple of the own part of a shortage: not every other dispatcher can lend
-)
+MIN_GRANT_FRACTION = 0.02  # smallest grant, as a fraction of the own rate: less is not worth a message
+# a lender covers this multiple of its equal part of a shortage, as some dispatchers cannot lend
+OVERLENDING_FACTOR = 1.5
 MAX_GRANTS = 1024
-RETURN_THRESHOLD = 0.7  # a dispatcher that needs less than this share of the borrowed rate returns some
+RETURN_THRESHOLD = 0.7  # a dispatcher that needs less than this fraction of its borrowed rate returns grants
 
 
 class LentGrant(NamedTuple):
@@ -89,19 +87,17 @@
 
 
 class Escrow:
-    """Budgets of one dispatcher. Over all dispatchers the usable rates never exceed the limit."""
+    """Budgets and grants of one dispatcher. The usable rates of all dispatchers never exceed the limit."""
 
     def __init__(self, name: str, boot: int, now: float) -> None:
         self.name, self.boot = name, boot
         self.full_rate_at = now + LEASE_S + MARGIN_S  # leases from before a restart have expired by then
         self.budgets: dict[str, Budget] = {}
         self.lent_grants: dict[int, LentGrant] = {}
-        self.borrowed_grants: dict[
-            tuple[str, int, int], BorrowedGrant
-        ] = {}  # by owner, boot of the owner and serial
-        self.returned_until: dict[
-            tuple[str, int, int], float
-        ] = {}  # returned grants, which are never accepted again, and when their records expire
+        # key: owner, boot of the owner, serial
+        self.borrowed_grants: dict[tuple[str, int, int], BorrowedGrant] = {}
+        # returned grants, which are not accepted again, with the time at which the record is removed
+        self.returned_until: dict[tuple[str, int, int], float] = {}
         self.serial = 0
 
     # --- usable rates
@@ -119,12 +115,12 @@
         return max(0.0, own_rate - self.lent_rate(name)) + self.borrowed_rate(now, name)
 
     def rate_valid_until(self, now: float, name: str) -> float:
-        """Returns when the usable rate next decreases as a lease expires; inf: never."""
+        """Returns the time at which the next borrowed lease of the budget expires; inf: none is borrowed."""
         expiries = (t.until for t in self.borrowed_grants.values() if t.budget == name and now < t.until)
         return min(expiries, default=float("inf"))
 
     def excess_demand(self, now: float, name: str) -> float:
-        """Returns the demand per second beyond the own rate, including the borrowed rate, to renew leases."""
+        """Returns the demand per second beyond the own rate, including demand that borrowed rates cover."""
         b = self.budgets[name]
         own_rate = b.own_rate_per_s if now >= self.full_rate_at else UNLENDABLE_FRACTION * b.own_rate_per_s
         return max(0.0, b.demand - max(0.0, own_rate - self.lent_rate(name)))
@@ -149,7 +145,8 @@
     ) -> list[tuple[str, Grant]]:
         lent = self.lent_rate(b.name)
         spare = min((1 - UNLENDABLE_FRACTION) * b.own_rate_per_s, b.own_rate_per_s - b.demand) - lent
-        overlent = max(0.0, -spare)  # needed here again: grants of this total are not renewed
+        # lent rate that this dispatcher needs itself again: grants of this total are not renewed
+        overlent = max(0.0, -spare)
         if now < self.full_rate_at:
             spare = 0.0
         missing = {row.owner: max(0.0, demand.rate - demand.borrowed) for row, demand in requests}
@@ -159,7 +156,7 @@
         grants: list[tuple[str, Grant]] = []
         for row, _ in requests:
             g = granted.get((row.owner, row.boot))
-            if g is not None and row.requested_at <= g.requested_at:  # this row has been answered
+            if g is not None and row.requested_at <= g.requested_at:  # the grant already answers this row
                 continue
             extra_rate = 0.0
             if spare > MIN_GRANT_FRACTION * b.own_rate_per_s and total_missing > 0:
@@ -195,7 +192,7 @@
         if g.boot != self.boot or g.budget not in self.budgets or key in self.returned_until:
             return False
         until = g.requested_at + LEASE_S
-        if until <= now or g.requested_at > now:  # a reading of this clock cannot lie in the future
+        if until <= now or g.requested_at > now:  # `requested_at` is this dispatcher's own time
             return False
         previous = self.borrowed_grants.get(key)
         if previous is None and len(self.borrowed_grants) >= MAX_GRANTS:
@@ -208,7 +205,7 @@
         return True
 
     def return_unneeded(self, now: float) -> list[tuple[str, Return]]:
-        """Stops the use of borrowed rates that are hardly needed, and returns the messages to the owners."""
+        """Stops using borrowed rates that are hardly needed; returns the messages to send, by owner."""
         returns: list[tuple[str, Return]] = []
         for name in self.budgets:
             borrowed = self.borrowed_rate(now, name)
@@ -223,7 +220,7 @@
                 borrowed -= t.rate
                 del self.borrowed_grants[key]
                 if len(self.returned_until) < 4 * MAX_GRANTS:
-                    # the owner accepts this only if it has granted this serial for no later row
+                    # the owner rejects this return if it has since renewed the grant for a later row
                     self.returned_until[key] = t.until
                     returns.append((t.owner, Return(t.serial, t.owner_boot, t.requested_at)))
         return returns
--- a/finchladder/core/peers/exchange.py
+++ b/finchladder/core/peers/exchange.py
@@ -13,7 +13,7 @@
 | a grant, a return | at once | the borrower, the owner |
 | partial sums | every wave_s | log2 n members (sums.py) |
 | reports on workers | after a failure, every ROW_INTERVAL_S while a case is open | URGENT_FANOUT members |
-| overrides of operators | with any of these packets | |
+| overrides of operators | new ones first, others in rotation | with any of these packets |
 """
 
 from collections.abc import Callable, Iterable
@@ -48,21 +48,22 @@
 
 GOSSIP_INTERVAL_S = 0.1
 ROW_INTERVAL_S = 0.5
-MAX_DEMAND_AGE_S = 4.0  # older demands are not answered: half of the lease would have passed
+MAX_DEMAND_AGE_S = 4.0  # older demands get no grant: half of the lease would have passed on arrival
 MAX_DYNAMIC_BUDGETS = 128  # budgets that are created on demand; configured budgets are not counted
-BUDGET_IDLE_TIMEOUT_S = (
-    10.0  # a budget created on demand is removed after this, unless it is lent, borrowed or in demand
-)
+# a budget created on demand is removed after this, unless it is lent, borrowed or in demand
+BUDGET_IDLE_TIMEOUT_S = 10.0
 LEAVE_RECIPIENTS = 5
 URGENT_FANOUT, URGENT_PERIOD_S = (
     3,
     0.5,
 )  # members that receive an urgent report on a worker, and for how long
-UNHEALTHY_SCORE = 3  # health score of membership.py: a few lost datagrams prove nothing about workers
+# health score (membership.py) from which `PeerReports` marks this process as unhealthy; it is above 1, as
+# a few lost datagrams prove nothing about workers
+UNHEALTHY_SCORE = 3
 REPORT_INTERVAL_S, URGENT_REPORT_INTERVAL_S = (
     2.0,
     0.1,
-)  # longest time between two deliveries of peers' reports, and that while new reports are pending
+)  # delivery intervals of peers' reports: without new reports, and while new ones are pending
 CHANGE_THRESHOLD = 0.2  # relative change of a demand that causes an early row
 Packets = list[tuple[str, Packet]]
 
@@ -77,9 +78,9 @@
 class Evidence(Protocol):
     """Source of this dispatcher's reports on workers."""
 
-    def has_urgent_report(self) -> bool: ...  # whether there is a failure that was not reported yet
+    def has_urgent_report(self) -> bool: ...  # whether a failure has not been reported to peers yet
     def own_report(self, now: float) -> OwnReport: ...
-    # whether it is ejected here already, so that further reports change nothing soon
+    # whether this dispatcher has ejected the subject; further reports on it are not urgent then
     def is_ejected(self, subject_id: int) -> bool: ...
 
 
@@ -129,10 +130,9 @@
             0.0,
             0.0,
             1,
-        )  # attempts that peers reported as ended, the failed ones, and the number of reporters with this one
-        self.changed_owners: dict[
-            str, None
-        ] = {}  # peers whose reports on workers changed since their delivery
+        )  # attempts that peers reported, failed ones of these, number of reporters including this dispatcher
+        # peers whose reports on workers changed since `take_reports` last returned them
+        self.changed_owners: dict[str, None] = {}
 
     # --- budgets
 
@@ -159,7 +159,10 @@
         return own_rate if now >= self.escrow.full_rate_at else UNLENDABLE_FRACTION * own_rate
 
     def claim(self, now: float, name: str, family: BudgetFamily) -> None:
-        """Shares a budget of a family from now on. Beyond MAX_DYNAMIC_BUDGETS it remains at the own rate."""
+        """Creates the shared budget `name` of a family, or postpones its removal if it exists.
+
+        If there are MAX_DYNAMIC_BUDGETS already, the budget is not shared: its rate stays `unshared_rate`.
+        """
         if name not in self.escrow.budgets:
             if len(self.last_used_at) >= MAX_DYNAMIC_BUDGETS:
                 return
@@ -198,14 +201,14 @@
     def _update_rate(self, now: float, name: str) -> None:
         rate = self.escrow.usable_rate(now, name)
         bucket = self.buckets[name]
-        # after the first lease expires, until the next update, no borrowed rate is used
+        # once the first lease expires, no borrowed rate is used until the next update of the rate
         bucket.guaranteed_rate = rate - self.escrow.borrowed_rate(now, name)
         bucket.set_rate(now, rate, self.escrow.rate_valid_until(now, name))
 
     # --- receiving
 
     def receive(self, now: float, p: Packet) -> Packets:
-        """Processes a decoded packet; an invalid one, or one of an unlisted sender, is only counted."""
+        """Processes a decoded packet. An invalid one, or one of an unlisted sender, is only counted."""
         if p.sender == self.name:
             if p.boot != self.boot:
                 self.name_conflicts += 1
@@ -257,6 +260,7 @@
     # --- sending
 
     def next_due(self) -> float:
+        """Returns the time at which `tick` next has something to do."""
         waves = [self.next_wave_at] if self.settings.wave_s else []
         return min([self.members.next_due(), self.next_gossip_at, *waves])
 
@@ -333,14 +337,14 @@
             abs(rate - previous.get(n, 0.0)) > CHANGE_THRESHOLD * max(rate, previous.get(n, 0.0))
             for n, rate in excess_demands.items()
         )
-        # a demand is repeated so that its leases are renewed before they expire
+        # a demand is published again so that the owners renew its leases before they expire
         is_repeat_due = any(excess_demands.values()) and now - written_at >= 2 * ROW_INTERVAL_S
         own_report = None
         if self.evidence is not None:
             has_changed = has_changed or self.evidence.has_urgent_report()
             own_report = self.evidence.own_report(now)
             published = self.rows.by_owner.get(self.name)
-            # the end of the last open case is reported as well
+            # after the last case is closed, one more row without reports is published
             open_cases = own_report.subject_reports or (
                 published is not None and published[0].subject_reports
             )
--- a/finchladder/core/peers/membership.py
+++ b/finchladder/core/peers/membership.py
@@ -19,7 +19,8 @@
 | any | any other | unchanged |
 
 A listed member without any update is considered gone, with incarnation 0. In every
-GONE_PING_INTERVAL_PERIODS-th period one gone member is pinged as well, so that a healed partition is noticed. No safety property depends on this failure detector.
+GONE_PING_INTERVAL_PERIODS-th period one gone member is pinged as well, so that a healed partition is
+noticed. No safety property depends on this failure detector.
 
 Costs, each O(1) in the number of members: a ping per period, at most INDIRECT_PING_MEMBERS ping requests for
 a member that does not answer, MAX_UPDATES_PER_PACKET updates per packet. Memory: a record per listed member.
@@ -33,14 +34,16 @@
 from finchladder.core.peers.messages import MAX_INCARNATION, MemberStatus, MemberUpdate, Packet, PacketKind
 
 INDIRECT_PING_MEMBERS = 3  # members that are requested to ping a silent one
-MAX_HEALTH_SCORE = 8  # timeouts grow up to (this + 1) times while this process itself seems unhealthy
+# the period and timeouts are multiplied by the score + 1 while this process seems unhealthy
+MAX_HEALTH_SCORE = 8
 MAX_UPDATES_PER_PACKET = 12  # updates in one packet
-TABLE_UPDATES_PER_PACKET = 4  # of these, from the member table in rotation, which repairs lost updates
+# of these, updates taken from the member table in rotation, which repairs lost ones
+TABLE_UPDATES_PER_PACKET = 4
 REPEAT_FACTOR = 3.0  # an update is sent this many times half the binary logarithm of the number of members
 MAX_CONFIRMATIONS = 2  # further reporters that reduce the suspicion timeout to its minimum
 MAX_SUSPICION_FACTOR = 3.0  # suspicion timeout with a single reporter, as a multiple of the minimum
 GONE_PING_INTERVAL_PERIODS = 4  # periods between two pings of gone members
-# share of a period; if a round begins later, missing answers are attributed to a stall of this process
+# fraction of a period; if one begins later than this, missing answers are attributed to a stall here
 MAX_LATENESS = 0.5
 
 
@@ -48,7 +51,7 @@
     """Periods and timeouts of the failure detector."""
 
     period_s: float = 0.5
-    ack_timeout_s: float = 0.15  # for a direct answer, before indirect pings are requested
+    ack_timeout_s: float = 0.15  # time for a direct answer before indirect pings are requested
     suspicion_periods: float = 4.0  # minimum suspicion timeout, in periods per log10 of the number of members
 
 
@@ -79,7 +82,7 @@
         self.name = name
         self.incarnation, self.status = 0, MemberStatus.GONE
         self.since = self.suspicion_until = 0.0
-        self.reporters: set[str] = set()  # members that suspect it; at most MAX_CONFIRMATIONS + 1
+        self.reporters: set[str] = set()  # members that suspect this one; at most MAX_CONFIRMATIONS + 1
         self.repeats_left = 0  # number of packets that still carry its update
         self.last_seen_at = -1.0  # time of the last packet from the member itself; negative: none
 
@@ -132,10 +135,10 @@
         self.table_index = random.randrange(
             1 << 16
         )  # rotation position of the updates that are sent from the table
-        self.pending_updates: dict[
-            str, None
-        ] = {}  # members with `repeats_left` above 0, least recently sent first
-        self.refuted = self.failed = 0  # statistics: refuted suspicions of this dispatcher, unanswered pings
+        # members with `repeats_left` above 0, least recently sent first
+        self.pending_updates: dict[str, None] = {}
+        # counters: refuted claims about this dispatcher, own pings without an answer
+        self.refuted = self.failed = 0
         self.own_member = self.by_name[name] = Member(name)
         self.own_member.status, self.own_member.incarnation = (
             MemberStatus.ALIVE,
@@ -163,8 +166,8 @@
         """Returns the sorted names of the members that are alive or suspected, including this dispatcher."""
         return sorted(n for n, m in self.by_name.items() if m.status is not MemberStatus.GONE)
 
-    def count(self, standing: MemberStatus) -> int:
-        return sum(m.status is standing for m in self.by_name.values())
+    def count(self, status: MemberStatus) -> int:
+        return sum(m.status is status for m in self.by_name.values())
 
     def sample_alive(self, count: int) -> list[str]:
         others = [n for n in self.ping_order if self.by_name[n].status is not MemberStatus.GONE]
@@ -255,15 +258,15 @@
             self._set_status(now, member, update.incarnation, update.status, reporter)
 
     def _set_status(
-        self, now: float, member: Member, incarnation: int, standing: MemberStatus, reporter: str
+        self, now: float, member: Member, incarnation: int, status: MemberStatus, reporter: str
     ) -> None:
-        member.incarnation, member.status, member.since = incarnation, standing, now
-        member.reporters = {reporter} if standing is MemberStatus.SUSPECTED else set()
+        member.incarnation, member.status, member.since = incarnation, status, now
+        member.reporters = {reporter} if status is MemberStatus.SUSPECTED else set()
         member.suspicion_until = now + self._suspicion_s(0)
         self._queue_update(member)
 
     def _suspicion_s(self, confirmations: int) -> float:
-        """Returns the suspicion timeout with `others` reporters besides the first."""
+        """Returns the suspicion timeout, in seconds, with `confirmations` reporters besides the first."""
         shortest = self.timing.suspicion_periods * max(1.0, log10(len(self.by_name))) * self.timing.period_s
         progress = log(confirmations + 1) / log(MAX_CONFIRMATIONS + 1)
         return shortest * max(1.0, MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1) * progress)
@@ -306,6 +309,7 @@
         return messages
 
     def next_due(self) -> float:
+        """Returns the time of the next period or ping timeout, at which `tick` is due."""
         return min(
             [
                 self.next_period_at,
--- a/finchladder/core/peers/messages.py
+++ b/finchladder/core/peers/messages.py
@@ -55,7 +55,7 @@
 
     budget: str
     rate: float  # excess demand per second beyond the own rate; 0: none
-    borrowed: float  # part of `rate` that others have lent it
+    borrowed: float  # part of `rate` that other dispatchers have lent the owner
     spent: float  # tokens taken since the owner's start
 
 
@@ -66,15 +66,13 @@
     boot: int
     incarnation: int
     sequence: int
-    age_s: (
-        float  # time since it was written that it spent at the processes that forwarded it, without transit
-    )
-    requested_at: float  # when it was written, on the owner's clock; others only echo it
+    age_s: float  # total time that the row spent at the processes that forwarded it; transit is not counted
+    requested_at: float  # when the row was written, on the owner's clock; other dispatchers only echo it
     demands: tuple[Demand, ...]
     # reports on workers, if [judgement] is enabled
     zone: int = 0
     ended: float = 0.0  # attempts that ended recently
-    bad: float = 0.0  # number of these that failed
+    bad: float = 0.0  # ended attempts that failed
     subject_reports: tuple[reports.SubjectReport, ...] = ()
 
     @property
@@ -92,7 +90,7 @@
     budget: str
     rate: float
     requested_at: float
-    boot: int  # of the receiver, from its row
+    boot: int  # boot of the receiver, as in its row
 
     @property
     def size_bytes(self) -> int:
@@ -100,10 +98,10 @@
 
 
 class Return(NamedTuple):
-    """Returns a grant to its owner, the receiver; the sender has stopped to use it permanently."""
+    """Returns a grant to its owner, the receiver; the sender no longer uses it and never will again."""
 
     serial: int
-    boot: int  # of the receiver, which lent it
+    boot: int  # boot of the receiver, which lent the rate
     requested_at: float  # of the last received grant with this serial, on the sender's clock
 
     @property
@@ -143,7 +141,7 @@
 
 
 def validation_error(p: Packet) -> str | None:
-    """Returns which part of a packet has values out of range, or None. Such a packet must be dropped."""
+    """Returns which part of a packet has values out of range; None: no part. An invalid packet is dropped."""
     if not 0 <= p.incarnation <= MAX_INCARNATION or p.sequence < 0 or p.boot < 0:
         return "incarnation"
     if not all(0 <= r.incarnation <= MAX_INCARNATION for r in p.updates):
--- a/finchladder/core/peers/state_rows.py
+++ b/finchladder/core/peers/state_rows.py
@@ -23,7 +23,7 @@
 ROW_TTL_S = 30.0
 REFRESH_INTERVAL_S = 4.0  # longest time between two versions of the own row
 MAX_ROWS_PER_PACKET = 6  # rows in one packet
-MAX_DEMANDS_PER_ROW = 8  # the largest demands are largest
+MAX_DEMANDS_PER_ROW = 8  # demands beyond this number are omitted, the smallest first
 MAX_NEW_ROW_AGE_S = 3.0  # younger rows have priority, and are sent as often as member updates
 
 
@@ -32,11 +32,10 @@
 
     def __init__(self, name: str, boot: int, repeats: int) -> None:
         self.name, self.boot, self.repeats = name, boot, repeats
-        self.by_owner: dict[str, tuple[Row, float]] = {}  # with the time of receipt
-        self.repeats_left: dict[
-            str, int
-        ] = {}  # owners of new rows, with the number of packets still to carry them
-        self.urgent: dict[str, None] = {}  # those of them that are sent first
+        self.by_owner: dict[str, tuple[Row, float]] = {}  # row and its time of receipt
+        # owners of new rows, with the number of packets that each row is still to be sent in
+        self.repeats_left: dict[str, int] = {}
+        self.urgent: dict[str, None] = {}  # owners in `repeats_left` whose rows are sent first
         self.sequence = 0
         self.rotation: list[str] = []  # owners of other rows, which fill the remaining space
         self.merged = self.stale = 0
@@ -44,7 +43,7 @@
     def write(
         self, now: float, incarnation: int, demands: Iterable[Demand], own_report: OwnReport | None = None
     ) -> None:
-        """Writes the own row. Each budget occurs once in `wants`. `own`: the own report on workers."""
+        """Writes the own row. `demands`: at most one per budget. `own_report`: the own report on workers."""
         largest = sorted(demands, key=lambda w: (-w.rate, w.budget))[:MAX_DEMANDS_PER_ROW]
         self.sequence += 1
         row = Row(self.name, self.boot, incarnation, self.sequence, 0.0, now, tuple(largest))
@@ -101,14 +100,14 @@
         ]
 
     def total_spent(self, now: float, budget: str) -> tuple[float, int]:
-        """Returns the tokens that all dispatchers took from a budget, and of how many this is known."""
+        """Returns the tokens taken from a budget in total, and the number of dispatchers that report them."""
         found = [w.spent for row, _ in self.by_owner.values() for w in row.demands if w.budget == budget]
         return sum(found), len(found)
 
     def select_rows(
         self, now: float, to: str, free_bytes: int, max_rows: int = MAX_ROWS_PER_PACKET
     ) -> list[Row]:
-        """Selects rows for one packet: new ones first, the least often sent before others, then others."""
+        """Selects rows for one packet: urgent ones, new ones (least recently sent first), two others."""
         selected: list[Row] = []
         self.urgent = {o: None for o in self.urgent if o in self.repeats_left}
         for owner in [*self.urgent, *(o for o in self.repeats_left if o not in self.urgent)]:
--- a/finchladder/core/peers/sums.py
+++ b/finchladder/core/peers/sums.py
@@ -31,7 +31,7 @@
 MAX_PARTIAL_SUM_AGE_S = 1.5
 MAX_WORKERS_PER_PARTIAL_SUM = 160  # the busiest are kept: a part must fit into one datagram
 TAIL_LEVEL_OFFSET = 32  # levels from here on are tails, with A(level - TAIL_LEVEL_OFFSET)
-MIN_MEMBER_FRACTION = 0.5  # a total that includes a smaller share of the members is not used
+MIN_MEMBER_FRACTION = 0.5  # a total that includes a smaller fraction of the members is not used
 
 Counts = Mapping[int, float]
 
@@ -92,7 +92,7 @@
         self.own_counts, self.wave_began_at = counts, now
         self.wave += 1
         partial_sums = self._sums_to_send(now, 0)
-        # levels whose input was missing in the previous wave are sent without waiting for it
+        # levels that the previous wave did not send, as their input was missing, are sent without it
         for level in range(1, self.top_level):
             if self.last_sent_wave.get(level, -1) < self.wave - 1:
                 partial_sums += self._sums_to_send(now, level)
--- a/finchladder/net/capture_recorder.py
+++ b/finchladder/net/capture_recorder.py
@@ -13,7 +13,7 @@
 
 
 class CaptureRecorder:
-    """Passes the inputs and outputs of the dispatcher core to the capture and contains its errors."""
+    """Passes inputs and outputs of the dispatcher core to the capture; logs the capture's errors."""
 
     def __init__(self, capture: Capture) -> None:
         self.capture = capture
--- a/finchladder/net/client_listener.py
+++ b/finchladder/net/client_listener.py
@@ -72,7 +72,7 @@
         """
         for n in range(MAX_ACCEPTED_AT_ONCE):
             if self.connections.is_full and n:
-                return  # no connection is closed before another one is known to wait
+                return  # none is evicted in this call, as it is unknown whether a further one waits
             if self.connections.is_full and not self._evict_one() and self._pause():
                 return
             try:
--- a/finchladder/net/etcd/state.py
+++ b/finchladder/net/etcd/state.py
@@ -20,9 +20,11 @@
 SOURCE = "etcd"
 MAX_SILENCE_S = 5.0  # after a longer silence, the next messages may be outdated, and the list is read again
 PROBE_INTERVAL_S = 2.0  # from one response to the next probe for a quorum
-MAX_WATCH_LAG_S = 10.0  # a watch that has not reached the revision of a probe after this time is checked
+MAX_WATCH_LAG_S = (
+    10.0  # a watch that has not reached a probe's revision after this time is checked for missed changes
+)
 RESPONSE_TIMEOUT_S = 1.0  # timeout for a connection, a response, or the start of a watch
-PROBE_TIMEOUT_S = 2.0  # longer, as the watch of a slow endpoint may still work
+PROBE_TIMEOUT_S = 2.0  # longer than RESPONSE_TIMEOUT_S, as the watch of a slow endpoint may still work
 KEYS_PER_PAGE = 256  # some 100 KB, read and applied in 2 ms
 # backoff between two rounds over all endpoints; the last value is the maximum after a rejected login
 BACKOFF_S, MAX_BACKOFF_S, MAX_REFUSED_BACKOFF_S = (0.1, 1.0, 5.0)
@@ -225,8 +227,8 @@
         self.following_since: float | None = None
         self.restarts = 0  # number of lists and logins since the last valid response
         self.partial_list: Keys | None = None  # a list whose pages are not all read
-        self.list_revision = 0  # the revision of `partial_list`; its cluster and term follow
-        self.list_cluster_id = self.list_term = 0
+        self.list_revision = 0  # revision of `partial_list`
+        self.list_cluster_id = self.list_term = 0  # cluster id and term of `partial_list`
         self.page_after = b""
         self.changed: dict[str, None] = {}  # workers changed by the fragments of an incomplete message
         # a revision that the watch has not reached, preceded by the time of the probe that returned it
--- a/finchladder/net/flows.py
+++ b/finchladder/net/flows.py
@@ -10,7 +10,9 @@
 from finchladder.core.dispatch.attempt_stages import Stage, Step, next_stage
 from finchladder.features.status import JobStatus
 
-MAX_ENDED_IDS = 4096  # the minimum number kept: a request repeated under the same id must not run again
+MAX_ENDED_IDS = (
+    4096  # ids of ended flows that are kept at least, so that a repeated request does not run again
+)
 
 
 class Answer(NamedTuple):
--- a/finchladder/net/http1.py
+++ b/finchladder/net/http1.py
@@ -17,7 +17,9 @@
 HEAD_CACHE_SIZE, MAX_CACHED_HEAD_BYTES = 256, 512
 REPEATED_REQUEST_START = b"POST /v1/job-events "
 MAX_PIECE_BYTES = 64 * 1024
-READ_CHUNK_BYTES = 16 * 1024  # bytes read from a socket at once: a larger buffer costs time to zero
+READ_CHUNK_BYTES = (
+    16 * 1024
+)  # bytes read from a socket at once: filling a larger buffer with zeros takes too long
 REASONS = {
     100: "Continue",
     200: "OK",
@@ -377,14 +379,15 @@
 
     last_read_was_short = False  # the last read left space in the buffer, so the socket was empty
     is_polled_elsewhere = False
-    max_read_ahead = 0  # maximum bytes read without a request, to notice a close behind them; 0: none
+    # maximum bytes read before they are asked for, so that the peer's close after them is noticed; 0: none
+    max_read_ahead = 0
 
     def _handle_events(self, fd: Any, events: int) -> None:
-        """Keeps listening: IOStream stops after an unrequested read and would miss a close behind it."""
+        """Keeps reading: IOStream stops after an unrequested read and would miss the peer's close."""
         super()._handle_events(fd, events)
         if self.max_read_ahead and self._state is not None and not self.closed():
             if self._read_buffer_size > self.max_read_ahead:
-                self.close()  # a close behind more bytes than may be read ahead would go unnoticed
+                self.close()  # the peer's close after more bytes than may be read ahead would go unnoticed
             elif not self._state & IOLoop.READ:
                 self._add_io_state(IOLoop.READ)
 
--- a/finchladder/net/job_intake.py
+++ b/finchladder/net/job_intake.py
@@ -103,7 +103,8 @@
         loop, cancel_deadline = IOLoop.current(), flow.timer
         handle = loop.call_later(fault.delay_s, self._release_delayed, flow)
 
-        def forget() -> None:  # also when the client disconnects: the flow must not stay referenced
+        # also called when the client disconnects, so that no timer keeps a reference to the flow
+        def forget() -> None:
             if cancel_deadline is not None:
                 cancel_deadline()
             loop.remove_timeout(handle)
--- a/finchladder/net/membership_actor.py
+++ b/finchladder/net/membership_actor.py
@@ -92,7 +92,7 @@
         """Saves a list, which is built only when it is written."""
 
     def close(self) -> None:
-        """Stops writing."""
+        """Stops saving lists."""
 
 
 class MembershipActor(Actor[Report]):
--- a/finchladder/net/peers/datagrams.py
+++ b/finchladder/net/peers/datagrams.py
@@ -31,7 +31,7 @@
 VERSION = 2
 MAX_DATAGRAM_BYTES = 1_200  # below the MTU of all links, to avoid IP fragmentation
 UNITS_PER_COUNT, MAX_COUNT_UNITS = 8, 0xFFFF
-BYTES_PER_COUNT = 6  # encoded size of one worker in a partial sum
+BYTES_PER_COUNT = 6  # encoded size of one worker's number and count in a partial sum
 TENTHS_PER_UNIT = 10
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
--- a/finchladder/net/slots.py
+++ b/finchladder/net/slots.py
@@ -30,7 +30,7 @@
             await turn
         except BaseException:
             if turn.done() and not turn.cancelled():
-                self.release()  # it got the slot in the same moment as it stopped waiting
+                self.release()  # the waiter was given a slot just before its wait was cancelled
             else:
                 self.waiters.remove(turn)
             raise
--- a/finchladder/net/timers.py
+++ b/finchladder/net/timers.py
@@ -7,7 +7,7 @@
 
 from finchladder.core.timing_wheel import TimingWheel
 
-RESOLUTION_S = 0.01  # seconds: the maximum delay of a call
+RESOLUTION_S = 0.01  # seconds by which a timer's function may be called late
 
 
 class Timers:
--- a/finchladder/net/workers.py
+++ b/finchladder/net/workers.py
@@ -290,7 +290,7 @@
         self.flows.forget_if_over(end.attempt.flow)
 
     async def _submit_end_after_delete(self, end: AttemptEnd) -> None:
-        """Submits the end only after the DELETE is written, so that attempts do not run at the same time.
+        """Submits an attempt's end only after the DELETE is written, so that attempts do not overlap.
 
         The dispatcher core may send the job elsewhere as soon as it has the end. The DELETE is repeated until
         the job's deadline; a worker that stays unreachable until then may still run the job.
@@ -432,7 +432,7 @@
         self.reaper.start()
 
     def update(self, worker_list: api.WorkerList, addresses: dict[str, tuple[str, int]]) -> None:
-        """Applies readiness and addresses at once, ahead of all mailboxes, then submits the list."""
+        """Applies readiness and addresses before queued messages, then submits the list to the core."""
         if worker_list.kind is not api.ListKind.PATCH:
             named = {e.worker for e in worker_list.entries}
             for name, actor in self.actors.items():
