--- a/finchladder/net/admission.py
+++ b/finchladder/net/admission.py
@@ -221,9 +221,9 @@
         if not connection.has_stream:
             self.silent_connections.pop(connection, None)
         if self.admits_all or not self.controller.must_enqueue or not self._enqueue(connection, data, now):
-            self._pass_on(connection, data)
+            self._pass_to_parser(connection, data)
 
-    def _pass_on(self, connection: ClientConnection, data: bytes) -> None:
+    def _pass_to_parser(self, connection: ClientConnection, data: bytes) -> None:
         """Passes received bytes to the parser."""
         if connection.has_stream:
             return connection.receive(data)
@@ -327,12 +327,12 @@
 
     def _admit(self, connection: ClientConnection) -> None:
         connection.is_admitted = True
-        self._pass_on(connection, connection.queued_message)
+        self._pass_to_parser(connection, connection.queued_message)
 
     def _reject(self, connection: ClientConnection, now: float) -> None:
         if self.is_known(connection.job_id.decode("ascii")):
             # the answer to a repeated id is an error, not a rejection
-            return self._pass_on(connection, connection.queued_message)
+            return self._pass_to_parser(connection, connection.queued_message)
         self.rejected_count += 1
         connection.queued_message = b""
         connection.reservation.resize(0)
--- a/finchladder/net/client_connection.py
+++ b/finchladder/net/client_connection.py
@@ -180,8 +180,8 @@
         return self.next_bytes is not None and not self.next_bytes.done() and not self.queued_message
 
     @property
-    def waited_s(self) -> float:
-        """The seconds for which the current message lay unread in the socket."""
+    def message_age_s(self) -> float:
+        """Seconds since the socket received the current message; 0 if that time is unknown."""
         return self.clock() - self.received_at if self.received_at else 0.0
 
     def receive(self, data: bytes) -> None:
--- a/finchladder/net/control.py
+++ b/finchladder/net/control.py
@@ -80,7 +80,7 @@
     dump: Dump | None = None  # sent instead of `body`
 
 
-class ControlCalls:
+class ControlEndpoints:
     """Serves the control endpoints of the enabled features."""
 
     def __init__(
--- a/finchladder/net/etcd/messages.py
+++ b/finchladder/net/etcd/messages.py
@@ -11,10 +11,12 @@
 import msgspec
 
 MAX_WHOLE_BYTES = 64 * 1024  # a longer response is parsed as it arrives
-MAX_ITEM_BYTES = 32 * 1024  # of a key with its value in JSON; valid entries are less than a tenth of it
+MAX_ITEM_BYTES = (
+    32 * 1024
+)  # maximum length of a key with its value in JSON; valid entries are below a tenth of it
 MAX_FRAME_BYTES = 32 * 1024  # maximum length of a response without its items
 MAX_ITEMS = 200_000  # maximum number of keys or events in one response
-KEY_SEARCH_BYTES = 4096  # the part of an overlong item that is searched for its key
+KEY_SEARCH_BYTES = 4096  # number of leading bytes of an overlong item that are searched for its key
 
 INVALID, DENIED, PRECONDITION, UNAUTHENTICATED = 3, 7, 9, 16  # gRPC status codes
 _TOKEN_ERRORS = ("invalid auth token", "user name is empty", "revision of auth store is old")
--- a/finchladder/net/etcd/state.py
+++ b/finchladder/net/etcd/state.py
@@ -19,10 +19,9 @@
 
 SOURCE = "etcd"
 MAX_SILENCE_S = 5.0  # after a longer silence, the next messages may be outdated, and the list is read again
-PROBE_INTERVAL_S = 2.0  # from one response to the next probe for a quorum
-MAX_WATCH_LAG_S = (
-    10.0  # a watch that has not reached a probe's revision after this time is checked for missed changes
-)
+PROBE_INTERVAL_S = 2.0  # seconds from a response to the next probe, which checks for a quorum
+# a watch that has not reached a probe's revision after this time is checked for missed changes
+MAX_WATCH_LAG_S = 10.0
 RESPONSE_TIMEOUT_S = 1.0  # timeout for a connection, a response, or the start of a watch
 PROBE_TIMEOUT_S = 2.0  # longer than RESPONSE_TIMEOUT_S, as the watch of a slow endpoint may still work
 KEYS_PER_PAGE = 256  # some 100 KB, read and applied in 2 ms
@@ -30,13 +29,13 @@
 BACKOFF_S, MAX_BACKOFF_S, MAX_REFUSED_BACKOFF_S = (0.1, 1.0, 5.0)
 ENDPOINT_JITTER_S = 0.05  # maximum random wait before the next endpoint, so that 1,000 dispatchers spread
 STABLE_WATCH_S = 2.0  # after a watch of this duration, the backoff starts again from its minimum
-MAX_RESTARTS = 3  # lists or logins restarted at once; further ones count as failures of the endpoint
+MAX_RESTARTS = 3  # lists or logins restarted without backoff; one more counts as a failure of the endpoint
 
 
 class State(Enum):
     """The states of a `Follower`; TRANSITIONS holds the allowed transitions."""
 
-    WAITING = "waiting"  # until the next try
+    WAITING = "waiting"  # until the timer expires for the next connection attempt
     OPENING = "opening"  # connecting and, if a user is configured, logging in
     LISTING = "listing"
     STARTING = "starting"  # a watch was requested
--- a/finchladder/net/etcd/wire.py
+++ b/finchladder/net/etcd/wire.py
@@ -24,7 +24,7 @@
 from finchladder.net.http1 import Channel, Connect, MalformedMessageError, Stream, StreamClosedError
 
 MAX_BODY_BYTES = 1 << 30  # maximum length of a response, which is never buffered completely
-RESPONSE_TIMEOUT_S = 1.0  # for connecting, including the TLS handshake, or for the next part of a response
+RESPONSE_TIMEOUT_S = 1.0  # timeout of connecting with the TLS handshake, and of the next part of a response
 CALL_TIMEOUT_S = 10.0  # timeout for a complete response
 # detects a watch whose peer became unreachable: a probe every 3 s, and an error after 3 of them
 KEEP_ALIVE_OPTIONS = (
--- a/finchladder/net/flows.py
+++ b/finchladder/net/flows.py
@@ -10,9 +10,8 @@
 from finchladder.core.dispatch.attempt_stages import Stage, Step, next_stage
 from finchladder.features.status import JobStatus
 
-MAX_ENDED_IDS = (
-    4096  # ids of ended flows that are kept at least, so that a repeated request does not run again
-)
+# ids of ended flows that are kept at least, so that a repeated request does not run again
+MAX_ENDED_IDS = 4096
 
 
 class Answer(NamedTuple):
--- a/finchladder/net/node.py
+++ b/finchladder/net/node.py
@@ -26,7 +26,7 @@
 from finchladder.net.capture_recorder import CaptureRecorder
 from finchladder.net.client_listener import ClientListener
 from finchladder.net.config_reload import ConfigReloader, count_routes
-from finchladder.net.control import ControlCalls
+from finchladder.net.control import ControlEndpoints
 from finchladder.net.decision_actor import Clock, DecisionActor
 from finchladder.net.endpoint_watcher import MAX_APPLIED_AT_ONCE, EndpointWatcher
 from finchladder.net.flows import FlowTable
@@ -193,9 +193,9 @@
             )
             self.intake.routes = file.loaded.routes
 
-    def _build_controls(self, arrivals: RequestAdmission, peers: "Peers | None") -> ControlCalls:
+    def _build_controls(self, arrivals: RequestAdmission, peers: "Peers | None") -> ControlEndpoints:
         """Builds the control endpoints of the enabled features."""
-        controls = ControlCalls(
+        controls = ControlEndpoints(
             self.clock, self.classes, self.options, self.flows.status, arrivals, self.capture
         )
         controls.peers = self.peers
@@ -227,7 +227,7 @@
         )
         self.decisions.on_job_started = self.admission.record_start
 
-    def _build_clients(self, controls: ControlCalls) -> None:
+    def _build_clients(self, controls: ControlEndpoints) -> None:
         """Builds the message handler and the listener for client connections."""
         source = self.membership or self.watcher
         handler = RequestHandler(
--- a/finchladder/net/peers/actor.py
+++ b/finchladder/net/peers/actor.py
@@ -17,9 +17,9 @@
 from finchladder.net.peers.datagrams import MAX_DATAGRAM_BYTES, MalformedDatagramError, decode, encode
 
 MAX_READ_AT_ONCE = 64  # datagrams read in one loop iteration
-BIND_RETRY_S = 5.0  # seconds between two tries to bind the socket
+BIND_RETRY_S = 5.0  # seconds between two attempts to bind the socket
 SOCKET_BUFFER_BYTES = 1 << 18  # size of the receive buffer
-MIN_INTERVAL_S = 0.001  # minimum time between two rounds of the exchange
+MIN_INTERVAL_S = 0.001  # minimum time between two calls of `Peers.tick`
 
 Address = tuple[str, int]
 
@@ -54,7 +54,7 @@
         on_update: Callable[[PeerLoads | PeerReports | OperatorOverrides], None] | None,
         bind: Callable[[Address], socket.socket] = bind,
     ) -> None:
-        """Binds nothing yet.
+        """Creates the actor; `start` opens the socket.
 
         Args:
             peers: The exchange's state machine.
@@ -90,7 +90,7 @@
         self._exchange()
 
     def stop(self) -> None:
-        """Announces to the peers that this dispatcher leaves, and closes the socket."""
+        """Announces the graceful shutdown to the peers, and closes the socket."""
         self._send(self.peers.leave(self.clock()))
         self.is_stopped = True
         if self.timer is not None:
--- a/finchladder/net/peers/datagrams.py
+++ b/finchladder/net/peers/datagrams.py
@@ -5,7 +5,7 @@
 
 All structures are arrays in the order of the fields of core/peers/messages.py. The counts of a partial sum
 are one byte string in little-endian order: the workers' numbers in 4 bytes each, then their counts times 8 in
-2 bytes each. The reports of a row count endings and seconds in tenths.
+2 bytes each. The reports of a row count ended attempts and seconds in tenths.
 """
 
 import struct
--- a/finchladder/net/request_handler.py
+++ b/finchladder/net/request_handler.py
@@ -5,7 +5,7 @@
 from finchladder.core.connections.client_connections import ConnectionValue
 from finchladder.net.admission import Admission
 from finchladder.net.client_connection import ClientConnection
-from finchladder.net.control import ControlCalls, Reply
+from finchladder.net.control import ControlEndpoints, Reply
 from finchladder.net.flows import Answer, Flow
 from finchladder.net.http1 import Head, MalformedMessageError, StreamClosedError
 from finchladder.net.job_intake import DuplicateRequestError, JobIntake
@@ -40,7 +40,7 @@
     def __init__(
         self,
         intake: JobIntake,
-        controls: ControlCalls,
+        controls: ControlEndpoints,
         is_ready: Callable[[], bool],
         on_callback: Callable[[Callback], None],
         admission: Admission | None = None,
@@ -83,7 +83,7 @@
             raise MalformedMessageError(400, "send the next request only after the response to this one")
         id, facts, left_s = read_id(head), read_facts(head), read_time_left(head)
         if connection.received_at:
-            left_s = max(0.0, left_s - connection.waited_s)
+            left_s = max(0.0, left_s - connection.message_age_s)
         route = self.intake.routes.find(head.method, head.target, head.headers, job_class)
         if route is not None:
             left_s = route.effective_timeout_s(left_s)
--- a/finchladder/net/worker_connection.py
+++ b/finchladder/net/worker_connection.py
@@ -13,18 +13,21 @@
 class Exchange(Protocol):
     """The owner of one request on a connection. Exactly one of the two methods is called, once."""
 
-    def answered(self, head: Head) -> None:
-        """The response's head has arrived."""
+    def handle_response_head(self, head: Head) -> None:
+        """Handles the head of the response."""
 
     def connection_failed(self, written: bool) -> None:
-        """The connection ended before the response's head; `written`: the last byte may have been sent."""
+        """Handles a connection that ended before the response's head.
+
+        `written`: the last byte of the request may have been sent.
+        """
         ...
 
 
 class WorkerConnection:
     """A connection to a worker: idle again after a complete exchange, closed after anything else.
 
-    Bytes that arrive while it is idle close it: the next exchange would take them for its response.
+    Bytes that arrive while it is idle close it: the next exchange would read them as its response.
     """
 
     def __init__(
@@ -43,7 +46,7 @@
         self.writing: asyncio.Future[None] | None = None
         self.task = asyncio.get_running_loop().create_task(self._read_responses())
 
-    def begin(self, exchange: Exchange, request: bytes) -> None:
+    def send_request(self, exchange: Exchange, request: bytes) -> None:
         """Sends a request; only allowed on an idle connection."""
         self.exchange, self.is_busy, self.is_request_sent = exchange, True, False
         try:
@@ -76,7 +79,7 @@
         head = await self.channel.head()
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            exchange.answered(head)
+            exchange.handle_response_head(head)
         body = self.channel.parser.body
         if body is not None and body.until_close:
             return False
--- a/finchladder/net/workers.py
+++ b/finchladder/net/workers.py
@@ -34,7 +34,8 @@
 # idle connections, and unlisted workers, handled in one iteration of the event loop: some 2 ms
 MAX_REAPED_AT_ONCE = 200
 DELETE_TIMEOUT_S = 1.0  # timeout of a DELETE, including the wait for a connection
-CANCEL_RETRY_INTERVAL_S = 0.25  # seconds between two tries of a DELETE that a further attempt waits for
+# seconds between two sends of a DELETE for which a further attempt of the job waits
+CANCEL_RETRY_INTERVAL_S = 0.25
 
 
 class Cancellation(NamedTuple):
@@ -75,7 +76,7 @@
     def __init__(self, worker: "WorkerActor", attempt: Attempt, connection: WorkerConnection) -> None:
         self.worker, self.attempt, self.connection = worker, attempt, connection
 
-    def answered(self, head: Head) -> None:
+    def handle_response_head(self, head: Head) -> None:
         """Marks the job as accepted, or ends its attempt."""
         attempt = self.attempt
         attempt.connection = None
@@ -101,7 +102,7 @@
 class CancelExchange:
     """The DELETE of a job at its worker. Its response does not matter."""
 
-    def answered(self, head: Head) -> None:
+    def handle_response_head(self, head: Head) -> None:
         """Ignores the response."""
 
     def connection_failed(self, written: bool) -> None:
@@ -240,7 +241,7 @@
         request = attempt.flow.message.request(self._host_header(), max(0.0, attempt.deadline - self.clock()))
         attempt.connection = connection
         attempt.step(Step.WRITE)
-        connection.begin(JobExchange(self, attempt, connection), request)
+        connection.send_request(JobExchange(self, attempt, connection), request)
 
     def end_broken(self, attempt: Attempt) -> None:
         """Ends an attempt whose connection or handling failed, with the ending for its stage."""
@@ -307,7 +308,7 @@
             async with asyncio.timeout(DELETE_TIMEOUT_S):
                 connection = await self._acquire_connection()
                 self.timers.schedule(connection, self.clock() + DELETE_TIMEOUT_S, connection.close)
-                connection.begin(
+                connection.send_request(
                     CancelExchange(), http1.write_request("DELETE", path, [("Host", self._host_header())])
                 )
                 if connection.writing is not None:
@@ -319,7 +320,7 @@
     # --- connections ----------------------------------------------------------------------------------------
 
     def _acquire_idle_connection(self) -> WorkerConnection | None:
-        """Returns an idle connection, or None if that needs a wait for a slot or a new connection."""
+        """Returns an idle connection; None if there is none, or if no slot is free at once."""
         if (
             not (self.idle and self.slots.is_available and self.shared_slots.is_available)
             or (connection := self._pop_idle_connection()) is None
@@ -479,7 +480,7 @@
         return actor
 
     def send(self, attempt: Attempt) -> None:
-        """Passes an attempt to its worker's actor, or voids it where the worker is gone."""
+        """Passes an attempt to its worker's actor, or ends it as VOID if the worker has none."""
         actor = self.actors.get(attempt.worker)
         if actor is not None:
             actor.post(attempt)
--- a/tests/sim/test_tools.py
+++ b/tests/sim/test_tools.py
@@ -62,7 +62,7 @@
     assert "VIOLATION once" in story
     code = [line for line in told if line.startswith("  finchladder/")]
     assert any(
-        "workers.py" in line and "WorkerConnection.begin" in line for line in code
+        "workers.py" in line and "WorkerConnection.send_request" in line for line in code
     )  # the second sending of it
 
 
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -33,7 +33,7 @@
 from finchladder.features.request_admission import RequestAdmission
 from finchladder.net.capture_files import CaptureFiles
 from finchladder.net.capture_recorder import CaptureRecorder
-from finchladder.net.control import ControlCalls
+from finchladder.net.control import ControlEndpoints
 from finchladder.net.decision_actor import Clock
 from finchladder.net.http1 import Head, Headers
 from tests.core.test_fleet import HISTORY_SETTINGS, History
@@ -559,7 +559,7 @@
     """A dump keeps its data in memory until it is sent, so a second one at the same time is rejected."""
     recorded = RecordedRun()
     recorded.run_steps(2000)
-    controls = ControlCalls(Clock(), set(), FEATURES, None, recorded.arrivals, recorded.capture)
+    controls = ControlEndpoints(Clock(), set(), FEATURES, None, recorded.arrivals, recorded.capture)
     head = Head(1, Headers([]), "GET", "/_capture")
     first, second = controls.answer(head, b""), controls.answer(head, b"")
     assert first
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -15,7 +15,7 @@
 from finchladder.core.connections.graceful_shutdown import GracefulShutdown
 from finchladder.features.fault_injection import FaultInjector, FaultOrder, InjectedFault
 from finchladder.features.request_admission import RequestAdmission
-from finchladder.net.control import ControlCalls
+from finchladder.net.control import ControlEndpoints
 from finchladder.net.decision_actor import Clock, DecisionActor
 from finchladder.net.flows import Answer, Flow, FlowTable
 from finchladder.net.http1 import Head, Headers, MalformedMessageError
@@ -213,7 +213,7 @@
 def test_an_invalid_order_is_rejected(body: bytes) -> None:
     options = Options(drill=DrillOptions(KEY))
     arrivals = RequestAdmission(options, 1)
-    controls = ControlCalls(Clock(), {"u"}, options, None, arrivals, None)
+    controls = ControlEndpoints(Clock(), {"u"}, options, None, arrivals, None)
     with pytest.raises(MalformedMessageError) as e:
         controls.answer(Head(1, Headers([("X-Drill-Key", KEY)]), "POST", "/_drill"), body)
     assert arrivals.fault_injector is not None
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -23,7 +23,7 @@
 from finchladder.core.overload.controller import OverloadSettings, State
 from finchladder.net import admission, client_connection, client_listener, http1, messages, workers
 from finchladder.net.admission import Admission, parse_plain_job
-from finchladder.net.control import ControlCalls
+from finchladder.net.control import ControlEndpoints
 from finchladder.net.decision_actor import Clock, DecisionActor
 from finchladder.net.flows import Answer, Attempt, Flow, FlowTable
 from finchladder.net.host_environment import HostEnvironment, Selector
@@ -59,7 +59,9 @@
             band.admitted_fraction = 0.0  # jobs that do not wait are rejected
         self.admission._tick = lambda: None  # type: ignore[method-assign]
         self.admit(0)
-        controls = ControlCalls(self.intake.clock, self.intake.classes, OFF, None, self.intake.arrivals, None)
+        controls = ControlEndpoints(
+            self.intake.clock, self.intake.classes, OFF, None, self.intake.arrivals, None
+        )
         front = RequestHandler(self.intake, controls, lambda: True, self.submitted.append, self.admission)
         self.bodies = BodyMemory(memory)
         self.clients = client_listener.ClientListener(front, self.bodies, sockets)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -16,7 +16,7 @@
 from finchladder.core.dispatch.attempt_stages import Step
 from finchladder.features.request_admission import RequestAdmission
 from finchladder.net import client_listener, endpoint_watcher, http1, messages, workers
-from finchladder.net.control import ControlCalls
+from finchladder.net.control import ControlEndpoints
 from finchladder.net.decision_actor import AttemptEnd, Clock, DecisionActor
 from finchladder.net.flows import Answer, Attempt, Flow, FlowTable
 from finchladder.net.http1 import Head, Headers, MalformedMessageError, Parser
@@ -230,7 +230,7 @@
 
 
 def listener(job_intake: JobIntake, bodies: BodyMemory) -> client_listener.ClientListener:
-    controls = ControlCalls(job_intake.clock, job_intake.classes, OFF, None, job_intake.arrivals, None)
+    controls = ControlEndpoints(job_intake.clock, job_intake.classes, OFF, None, job_intake.arrivals, None)
     return client_listener.ClientListener(
         RequestHandler(job_intake, controls, lambda: True, lambda c: None), bodies, 128
     )
