--- a/finchladder/sim/__init__.py
+++ b/finchladder/sim/__init__.py
@@ -1,1 +1,1 @@
-"""The program as it stands, on virtual clocks and a virtual network, with faults from a seed."""
+"""Simulation: runs the unmodified program on virtual clocks and a virtual network, with seeded faults."""
--- a/finchladder/sim/coverage.py
+++ b/finchladder/sim/coverage.py
@@ -1,4 +1,4 @@
-"""Which kinds of fault met which stages of an attempt: where a search has been, and where it has not."""
+"""Coverage of a search: how often each kind of fault was injected at each stage of an attempt."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -17,17 +17,17 @@
 
 
 class Coverage:
-    """Counted as a fault strikes: the stage of each attempt concerned, at the dispatchers concerned.
+    """Counts the stages of the affected attempts at the affected dispatchers when a fault is injected.
 
-    `held`: a flow without an attempt that is out. `started`: accepted, and its start was told. `leaving`:
-    the dispatcher had its SIGTERM.
+    `held`: a flow without a pending attempt. `started`: accepted, and its start was reported. `leaving`:
+    the dispatcher has received SIGTERM.
     """
 
     def __init__(self, run: "Run") -> None:
         self.run = run
         self.counts: Counter[tuple[str, str]] = Counter()
 
-    def met(self, kind: str, target: str) -> None:
+    def count_fault(self, kind: str, target: str) -> None:
         found: Counter[str] = Counter()
         names = target.replace(">", "~").split("~")
         for p in self.run.processes.values():
@@ -58,7 +58,7 @@
 
 
 def table(counts: Counter[tuple[str, str]], kinds: Iterable[str] = KINDS) -> str:
-    """A row for each kind of fault. A hole is a dot."""
+    """Formats one row for each kind of fault; a dot marks a combination that never occurred."""
     width = max(len(k) for k in kinds)
     lines = [" " * width + "".join(f"{c:>10}" for c in COLUMNS)]
     for kind in kinds:
--- a/finchladder/sim/explain.py
+++ b/finchladder/sim/explain.py
@@ -1,7 +1,7 @@
-"""Tells a failing run as a story, with the lines of the program that ran as the rule was broken.
+"""Explains a failing run: its relevant events, and the program's code that ran when the rule was violated.
 
-The run is played twice: first to find the turn of the dispatcher's loop that did it (the last one in which it
-wrote something about the request, else the last before the violation), then with that turn traced.
+The run is executed twice: first to find the loop turn of the dispatcher that caused the violation (the last
+one in which it wrote data about the request, else the last before the violation), then with that turn traced.
 """
 
 import linecache
@@ -17,43 +17,43 @@
 from finchladder.sim.process import Process
 from finchladder.sim.run import Run, Seen, Violation
 
-ROOMS = tuple(str(trace.PACKAGE / room) for room in ("core", "config", "features", "net"))
-MOST_LINES = 60  # of code, and of the story's further parts
+TRACED_PATHS = tuple(str(trace.PACKAGE / name) for name in ("core", "config", "features", "net"))
+MOST_LINES = 60  # function calls shown
 ABOUT = {
-    "answer": "Every request that a dispatcher took gets one final answer in its time.",
-    "once": "What must not run twice is not sent twice, nor refused once it may have run.",
-    "drain": "Nothing new goes to a real server that the dispatcher was told to drain or to be gone.",
-    "cold": "A real server that has just started is not sent more than it can take.",
-    "liveness": "Once faults are over, all is served again.",
-    "inner": "What must hold inside a dispatcher.",
+    "answer": "Every request that a dispatcher accepted gets one final answer in time.",
+    "once": "A job that must not run twice is not sent twice, nor rejected after it may have run.",
+    "drain": "No new job goes to a real server that the endpoint list shows as draining or gone.",
+    "cold": "A real server that has just started does not get more load than it can handle.",
+    "liveness": "After the last fault, all jobs are served again.",
+    "inner": "The internal state of a dispatcher must be consistent.",
 }
 TEXTS = {
-    "start": "{node} starts, with {servers} real servers in its last list",
-    "admitted": "the front finds {node} healthy",
-    "watch": "{node} watches the list from version {index} on",
-    "asked": "a client asks {node}: {id}, and waits {patience} s",
+    "start": "{node} starts with {servers} real servers in its last endpoint list",
+    "admitted": "the front layer admits {node} after a health check",
+    "watch": "{node} watches the endpoint list from index {index}",
+    "asked": "a client sends {id} to {node} and waits up to {patience} s",
     "answered": "{id} ends at its client: {end} {status}",
     "taken": "{server} gets {id}: {verdict}",
-    "began": "{server} begins {id}",
-    "ended": "{server} is through with {id}: {how}",
-    "told": "{server} tells {node} of {id}: {state}",
-    "untold": "{server} gives up telling of {id}: {state}",
-    "given up": "{server} is told that nobody wants {id} any more (known there: {known})",
-    "crossed": "{node} closes before it has read {id}, which is sent once more",
+    "began": "{server} starts {id}",
+    "ended": "{server} ends {id}: {how}",
+    "told": "{server} sends {node} a callback for {id}: {state}",
+    "untold": "{server} drops the callback for {id} after its last attempt: {state}",
+    "given up": "{server} gets a cancellation of {id} (job known: {known})",
+    "crossed": "{node} closes before it reads {id}, which is sent again",
     "born": "{server} starts (cold: {cold})",
     "died": "{server}: {why}",
-    "fault": "FAULT {number}: {kind} strikes {target}",
-    "faults over": "all faults are taken back",
+    "fault": "FAULT {number}: {kind} at {target}",
+    "faults over": "all faults are reverted",
     "term": "{node} gets SIGTERM",
-    "exit": "{node} has ended",
-    "rude": "a rude client ({kind}) connects to {node}",
+    "exit": "{node} has exited",
+    "rude": "a misbehaving client ({kind}) connects to {node}",
     "log": "{node} logs {level}: {text}",
     "violation": "VIOLATION {rule}: {kind}: {text}",
 }
 
 
 class Entered(NamedTuple):
-    """A function of the program that was entered, from which line."""
+    """A function of the program that was entered, and the line that called it."""
 
     depth: int
     file: str
@@ -67,11 +67,11 @@
     violation: Violation
     seen: list[Seen]
     node: str
-    turn: int  # of that process's loop, over all its starts; 0: none
+    turn: int  # number of the loop turn of this process over all its starts; 0: none
 
 
 class _Watch:
-    """Counts the turns of each process, and notes those in which it wrote something about an id."""
+    """Counts the turns of each process, and records the last turn in which it wrote each request id."""
 
     def __init__(self, run: Run) -> None:
         self.run = run
@@ -86,13 +86,13 @@
     def wrote_bytes(self, end: End, data: bytes) -> None:
         if end.host not in self.turns:
             return
-        for id in self.run.clients.known:
+        for id in self.run.clients.requests_by_id:
             if id.encode() in data:
                 self.wrote[end.host, id] = self.turns[end.host] + 1
 
 
 def find(plan: Plan) -> Found | None:
-    """None: the plan breaks nothing."""
+    """Runs the plan and locates its violation; returns None if there is none."""
     seen: list[Seen] = []
     run = Run(plan, seen.append)
     watch = _Watch(run)
@@ -110,16 +110,20 @@
 
 
 def path(plan: Plan, node: str, turn: int) -> list[Entered]:
-    """The functions of the program that were entered in that turn."""
+    """Returns the functions of the program that were entered in one loop turn."""
     entered: list[Entered] = []
     depth = 0
 
     def tracer(frame: FrameType, event: str, arg: Any) -> Any:
         nonlocal depth
         code = frame.f_code
-        if event == "call" and code.co_filename.startswith(ROOMS) and "<locals>.<" not in code.co_qualname:
+        if (
+            event == "call"
+            and code.co_filename.startswith(TRACED_PATHS)
+            and "<locals>.<" not in code.co_qualname
+        ):
             caller = frame.f_back
-            while caller is not None and not caller.f_code.co_filename.startswith(ROOMS):
+            while caller is not None and not caller.f_code.co_filename.startswith(TRACED_PATHS):
                 caller = caller.f_back
             depth += 1
             entered.append(
@@ -161,7 +165,7 @@
 
 
 def code(entered: list[Entered]) -> Iterator[str]:
-    """The calls as a tree, each with the line that made it."""
+    """Formats the calls as a tree, each with the calling line."""
     for e in entered[-MOST_LINES:]:
         name = Path(e.called_file or e.file).relative_to(trace.PACKAGE.parent)
         number = e.called_line or e.line
@@ -173,14 +177,14 @@
     fields = {"status": "", "try": "", **seen.fields}
     if seen.what == "listed":
         states = ", ".join(f"{k} {v}" for k, v in seen.fields.items() if k != "node")
-        return f"{seen.fields['node']} is told of the list: {states or 'nothing'}"
+        return f"{seen.fields['node']} receives the endpoint list: {states or 'no states'}"
     text = TEXTS.get(seen.what, f"{seen.what} {seen.fields}").format(**fields).rstrip()
     again = f" (try {fields['try']})" if fields["try"] else ""
     return text + again
 
 
 def concerned(found: Found) -> list[Seen]:
-    """What the story is about: faults, the request, the process and the real servers that it met."""
+    """Selects the events about faults, the request, the process and the real servers involved."""
     v = found.violation
     ids = {v.id} if v.id else set()
     servers = {v.server} if v.server else set()
@@ -223,25 +227,25 @@
 
 
 def explain(plan: Plan) -> Iterator[str]:
-    """The whole story, line by line."""
+    """Yields the lines of the explanation."""
     yield from world(plan)
     found = find(plan)
     if found is None:
-        yield "Nothing is broken in this run."
+        yield "This run violates no rule."
         return
     v = found.violation
     yield ""
     yield f"{v.name}: {v.text}"
     yield f"({ABOUT.get(v.rule, '')} Step {v.step}, {v.at:.6f} s after the run's begin.)"
     yield ""
-    yield f"{len(plan.jobs)} jobs; faults that are planned:"
+    yield f"{len(plan.jobs)} jobs; planned faults:"
     for f in plan.faults:
-        yield f"  {f.number}: {f.kind} {f.target or 'whom the moment is about'}, {when(f)}, for {f.for_s:g} s"
+        yield f"  {f.number}: {f.kind} {f.target or 'target of the moment'}, {when(f)}, for {f.for_s:g} s"
     yield ""
     yield "What happened:"
     for seen in concerned(found):
         yield f"  {seen.at:10.6f}  {tell(seen)}"
     if found.turn:
         yield ""
-        yield f"What {found.node} ran in the turn of its loop that did it (number {found.turn}):"
+        yield f"Code that {found.node} ran in loop turn {found.turn}, which caused the violation:"
         yield from code(path(plan, found.node, found.turn))
--- a/finchladder/sim/faults.py
+++ b/finchladder/sim/faults.py
@@ -1,4 +1,4 @@
-"""Strikes what a plan says, at its time or its moment, and takes it back: in its time, or at the end."""
+"""Injects a plan's faults at their times or moments, and reverts each after its duration or at the end."""
 
 import signal
 from collections.abc import Callable
@@ -8,8 +8,9 @@
 import msgspec
 
 from finchladder.lab.wire import Message, write_request
-from finchladder.sim.clients import ClientTalk
+from finchladder.sim.clients import ClientConnection
 from finchladder.sim.draws import stream
+from finchladder.sim.http_connection import HttpConnection
 from finchladder.sim.network import End, Link
 from finchladder.sim.plan import (
     OF_DISPATCHERS,
@@ -21,20 +22,19 @@
     Job,
     Moment,
 )
-from finchladder.sim.talk import Talk
 
 if TYPE_CHECKING:
     from finchladder.sim.process import Process
     from finchladder.sim.run import Run
     from finchladder.sim.servers import Server
 
-SLOWEST_TURN_S = 0.02  # of a sluggish process: far below the slack that the rules leave
-MOST_DELAY_S = 0.012  # latency of a delayed link to the clients: it counts as the dispatcher's own time
-MOST_HELD, MOST_BURST = 300, 25
+MAX_TURN_DELAY_S = 0.02  # of a sluggish process; far below the slack that the rules allow
+MAX_CLIENT_LATENCY_S = 0.012  # of a delayed link to the clients; the rules count it as the dispatcher's time
+MAX_HELD_CONNECTIONS, MAX_BURST_JOBS = 300, 25
 
 
-class Who(NamedTuple):
-    """Whom a moment is about; what is empty is drawn."""
+class FaultSubject(NamedTuple):
+    """The objects that a moment concerns; an empty field is drawn at random."""
 
     node: str = ""
     server: str = ""
@@ -42,24 +42,24 @@
     end: End | None = None
 
 
-class Held(Talk):
-    """A connection that is opened and kept, and on which nothing comes."""
+class HeldConnection(HttpConnection):
+    """A connection that stays open without sending a request."""
 
-    def message(self, m: Message) -> None:
+    def on_message(self, m: Message) -> None:
         self.close()
 
 
-class Operator(Talk):
-    """Posts an order to a dispatcher."""
+class Operator(HttpConnection):
+    """Posts an operator's order to a dispatcher."""
 
     def __init__(self, run: "Run", data: bytes) -> None:
         super().__init__(run.net, responses=True)
         self.data = data
 
-    def made(self) -> None:
-        self.say(self.data)
+    def on_connected(self) -> None:
+        self.write(self.data)
 
-    def message(self, m: Message) -> None:
+    def on_message(self, m: Message) -> None:
         self.close()
 
 
@@ -67,9 +67,11 @@
     def __init__(self, run: "Run") -> None:
         self.run = run
         self.limit = run.begin + run.plan.calm_at - SETTLE_S
-        self.aimed: list[tuple[Fault, list[int]]] = []
-        self.undo: dict[int, Callable[[], None]] = {}
-        self.breaks: dict[tuple[str, str], tuple[int, float]] = {}  # how many, and how long after
+        self.moment_faults: list[tuple[Fault, list[int]]] = []
+        self.reverts: dict[int, Callable[[], None]] = {}
+        self.callback_breaks: dict[
+            tuple[str, str], tuple[int, float]
+        ] = {}  # remaining connections to break, and the delay
         self.term_s = max(3.0, *(c.deadline_s for c in run.plan.experiment.job_class)) + 0.7
         self.struck = 0
 
@@ -78,79 +80,79 @@
         for fault in self.run.plan.faults:
             at = self.run.begin + fault.at
             if fault.on is not None:
-                self.aimed.append((fault, [fault.nth]))
+                self.moment_faults.append((fault, [fault.nth]))
             elif at < self.limit:
-                kernel.at(at, lambda f=fault: self.strike(f, Who()))  # type: ignore[misc]
+                kernel.at(at, lambda f=fault: self.inject(f, FaultSubject()))  # type: ignore[misc]
         kernel.at(self.limit, self.stop)
 
-    def moment(self, name: Moment, who: Who) -> None:
+    def moment(self, name: Moment, subject: FaultSubject) -> None:
         now = self.run.kernel.now
         if now >= self.limit:
             return
-        for fault, left in self.aimed:
+        for fault, left in self.moment_faults:
             if fault.on == name and self.run.begin + fault.at <= now and left[0] > 0:
                 left[0] -= 1
                 if not left[0]:
                     self.run.kernel.after(
                         fault.after_s,
-                        lambda f=fault: self.strike(f, who),  # type: ignore[misc]
+                        lambda f=fault: self.inject(f, subject),  # type: ignore[misc]
                     )
 
     def stop(self) -> None:
-        """Faults are over: all that is broken is mended."""
-        self.run.see("faults over")
-        for number in list(self.undo):
-            self._end(number)
-        self.breaks.clear()
+        """Ends fault injection and reverts all faults."""
+        self.run.trace_event("faults over")
+        for number in list(self.reverts):
+            self._revert(number)
+        self.callback_breaks.clear()
         for server in self.run.servers.values():
-            server.model.set_error_rate(0.0)  # what the calm jobs ask for must be possible
+            server.model.set_error_rate(0.0)  # the calm jobs must be able to succeed
 
-    def _end(self, number: int) -> None:
-        if (undo := self.undo.pop(number, None)) is not None:
-            undo()
+    def _revert(self, number: int) -> None:
+        if (reverts := self.reverts.pop(number, None)) is not None:
+            reverts()
 
-    def strike(self, f: Fault, who: Who) -> None:
+    def inject(self, f: Fault, subject: FaultSubject) -> None:
         run = self.run
-        if run.kernel.now >= self.limit or f.number in self.undo:
+        if run.kernel.now >= self.limit or f.number in self.reverts:
             return
         random = stream(run.plan.seed, "strike", f.number)
         if f.kind in OF_DISPATCHERS:
-            name = f.target or who.node or random.choice(list(run.processes))
-            self._tell(f, name)
-            undo = self._dispatcher(f, run.processes[name], random)
+            name = f.target or subject.node or random.choice(list(run.processes))
+            self._record(f, name)
+            reverts = self._dispatcher(f, run.processes[name], random)
         elif f.kind in OF_SERVERS:
-            name = f.target or who.server or random.choice(list(run.servers))
-            self._tell(f, name)
-            undo = self._server(f, run.servers[name])
+            name = f.target or subject.server or random.choice(list(run.servers))
+            self._record(f, name)
+            reverts = self._server(f, run.servers[name])
         elif f.kind in OF_LIST:
-            name = f.target or who.node or random.choice(list(run.processes))
-            self._tell(f, name)
-            undo = self._list(f, name)
+            name = f.target or subject.node or random.choice(list(run.processes))
+            self._record(f, name)
+            reverts = self._list(f, name)
         elif f.kind in OF_LINKS:
-            undo = self._link(f, who, random)
+            reverts = self._link(f, subject, random)
         elif f.kind == "blackout":
-            self._tell(f, "all")
-            undo = self._blackout()
+            self._record(f, "all")
+            reverts = self._blackout()
         elif f.kind == "break_calls":
-            node = who.node or random.choice(list(run.processes))
-            server = who.server or random.choice(list(run.servers))
-            self._tell(f, f"{server}>{node}")
-            # before it arrives, on its arrival, after it, and with its answer under way or already there
+            node = subject.node or random.choice(list(run.processes))
+            server = subject.server or random.choice(list(run.servers))
+            self._record(f, f"{server}>{node}")
+            # the callback is in transit, arrives, has arrived, or its answer is in transit or has arrived
             after = random.choice([0.0, 0.7, 1.7, 1.7, 2.5, 4.0]) * run.plan.world.latency_s
-            self.breaks[server, node] = 1 + int(f.size * 10), after
-            undo = None
+            self.callback_breaks[server, node] = 1 + int(f.size * 10), after
+            reverts = None
         else:
-            undo = self._client(f, who, random)
-        if undo is not None:
-            self.undo[f.number] = undo
+            reverts = self._client(f, subject, random)
+        if reverts is not None:
+            self.reverts[f.number] = reverts
             at = min(self.limit, run.kernel.now + f.for_s)
-            run.kernel.at(at, lambda: self._end(f.number))
+            run.kernel.at(at, lambda: self._revert(f.number))
 
-    def _tell(self, f: Fault, target: str) -> None:
+    def _record(self, f: Fault, target: str) -> None:
         self.struck += 1
         self.run.step("fault", f.kind)
-        self.run.see("fault", kind=f.kind, target=target, number=f.number)
-        self.run.coverage.met(f.kind, target)
+        self.run.trace_event("fault", kind=f.kind, target=target, number=f.number)
+        self.run.coverage.count_fault(f.kind, target)
 
     # --- dispatchers
 
@@ -164,39 +166,39 @@
             p.pause()
             return p.go_on
         elif f.kind == "clock":
-            p.wall_off = (f.size - 0.5) * 7200
+            p.wall_offset_s = (f.size - 0.5) * 7200
 
-            def right() -> None:
-                p.wall_off = 0.0
+            def restore_clock() -> None:
+                p.wall_offset_s = 0.0
 
-            return right
+            return restore_clock
         elif f.kind == "sluggish":
             pace = self.run.plan.world.pace_s
-            p.sluggish = max(1.0, min(SLOWEST_TURN_S / pace, 1 + f.size * 400))
+            p.slowdown = max(1.0, min(MAX_TURN_DELAY_S / pace, 1 + f.size * 400))
 
-            def quick() -> None:
-                p.sluggish = 1.0
+            def restore_speed() -> None:
+                p.slowdown = 1.0
 
-            return quick
+            return restore_speed
         return None
 
     def kill(self, p: "Process") -> None:
         run = self.run
         if p.state == "down":
             return
-        run.struck("kill", p.name)
-        run.kernel.after(0.1, lambda: run.struck("kill", p.name, "end"))
+        run.record_fault("kill", p.name)
+        run.kernel.after(0.1, lambda: run.record_fault("kill", p.name, "end"))
         p.go_on()
         p.kill()
         run.clients.front.died(run.kernel.now, p.name)
 
     def restart(self, p: "Process") -> None:
-        if p.state == "down" and not self.run.ending:
+        if p.state == "down" and not self.run.is_ending:
             p.start()
             self.run.clients.watch(p.name, p.starts)
 
     def term(self, p: "Process") -> None:
-        """SIGTERM, SIGKILL should it not have ended by then, and a new start once it has."""
+        """Sends SIGTERM, then SIGKILL if the process has not ended by its limit, and starts it again."""
         run, start = self.run, p.starts
         if p.state != "up":
             return
@@ -207,9 +209,9 @@
             run.kernel.after(0.05, lambda: self.restart(p))
 
         p.on_exit = again
-        run.see("term", node=p.name)
+        run.trace_event("term", node=p.name)
         p.signal(signal.SIGTERM)
-        if not p.is_up:  # it came before the program could handle it
+        if not p.is_up:  # SIGTERM arrived before the program had installed its handler
             p.on_exit()
             return
         run.moment("term", node=p.name)
@@ -218,9 +220,11 @@
     def _overdue(self, p: "Process", start: int) -> None:
         if p.starts == start and p.state == "leaving":
             run = self.run
-            if not run.rules.ledger.stopped(p.name, p.left_at, run.kernel.now):
-                run.found("left late", f"{p.name} runs {self.term_s:.1f} s after SIGTERM", node=p.name)
-            run.struck("restart", p.name, "killed")
+            if not run.rules.ledger.stopped(p.name, p.sigterm_at, run.kernel.now):
+                run.report_violation(
+                    "left late", f"{p.name} runs {self.term_s:.1f} s after SIGTERM", node=p.name
+                )
+            run.record_fault("restart", p.name, "killed")
             self.kill(p)
             self.restart(p)
 
@@ -233,14 +237,14 @@
         for s in servers:
             s.kill()
 
-        def back() -> None:
+        def restart_all() -> None:
             for s in servers:
                 if not s.model.up:
                     s.come_back()
             for p in nodes:
                 self.restart(p)
 
-        return back
+        return restart_all
 
     # --- real servers
 
@@ -254,30 +258,30 @@
                 s.drain()
                 return s.come_back
             case "slow":
-                s.model.set_speed(now, max(0.0, f.size - 0.5))  # 0: it stands still, and tells nothing
-                s.played()
+                s.model.set_speed(now, max(0.0, f.size - 0.5))  # 0: no progress and no reports
+                s.after_model_change()
 
-                def fast() -> None:
+                def restore_speed() -> None:
                     s.model.set_speed(self.run.kernel.now, 1.0)
-                    s.played()
+                    s.after_model_change()
 
-                return fast
+                return restore_speed
             case "errors":
                 s.model.set_error_rate(0.3 + 0.7 * f.size)
                 return lambda: s.model.set_error_rate(None)
             case "swallow":
-                s.swallow = 0.3 + 0.7 * f.size
+                s.swallow_rate = 0.3 + 0.7 * f.size
 
-                def answer() -> None:
-                    s.swallow = 0.0
+                def answer_again() -> None:
+                    s.swallow_rate = 0.0
 
-                return answer
+                return answer_again
             case "freeze":
                 s.pause()
                 return s.go_on
         return None
 
-    # --- the list
+    # --- the endpoint list
 
     def _list(self, f: Fault, node: str) -> Callable[[], None] | None:
         run, registry = self.run, self.run.registry
@@ -286,17 +290,17 @@
             case "list_silent":
                 registry.model.silent(now, True, [node])
 
-                def speak() -> None:
+                def resume_updates() -> None:
                     registry.model.silent(run.kernel.now, False, [node])
-                    registry.played()
+                    registry.after_model_change()
 
-                return speak
+                return resume_updates
             case "list_late":
                 registry.model.behind(now, f.size * 2, [node])
                 return lambda: registry.model.behind(run.kernel.now, 0.0, [node])
             case "list_gap":
                 registry.model.vanish(now, max(0.3, f.size), min(f.for_s, self.limit - now))
-                registry.played()
+                registry.after_model_change()
             case "list_break":
                 registry.break_off(node, reset=f.size < 0.5)
             case "list_move":
@@ -306,23 +310,23 @@
 
     # --- links and connections
 
-    def _link(self, f: Fault, who: Who, random: Random) -> Callable[[], None] | None:
+    def _link(self, f: Fault, subject: FaultSubject, random: Random) -> Callable[[], None] | None:
         run = self.run
         if f.target:
             a, _, b = f.target.partition("~")
         else:
-            a = who.node or random.choice(list(run.processes))
-            b = who.server
-            if not b and who.end is not None:
-                b = who.end.peer.host if who.end.host == a else who.end.host
+            a = subject.node or random.choice(list(run.processes))
+            b = subject.server
+            if not b and subject.end is not None:
+                b = subject.end.peer.host if subject.end.host == a else subject.end.host
             b = b or random.choice([*run.servers, "clients", "registry"])
         link = run.net.link(a, b)
-        self._tell(f, link.name)
+        self._record(f, link.name)
         for struck in [*run.net.links_of(a), *run.net.links_of(b)] if f.kind == "deaf" else [link]:
-            struck.struck_at = self.limit  # until then it may not do what it should
+            struck.struck_at = self.limit  # until then the checks excuse effects of this link
         ends = list(link.ends)
-        if not f.target and who.end is not None and who.end.pipe.link is link:
-            ends = [who.end]
+        if not f.target and subject.end is not None and subject.end.pipe.link is link:
+            ends = [subject.end]
         match f.kind:
             case "cut" | "half_cut":
                 for end in ends:
@@ -340,7 +344,7 @@
 
                 return accept
             case "delay":
-                most = MOST_DELAY_S / link.manners.latency_s if b == "clients" else 50.0
+                most = MAX_CLIENT_LATENCY_S / link.settings.latency_s if b == "clients" else 50.0
                 link.slow = max(1.0, min(most, 1 + f.size * 200))
 
                 def again() -> None:
@@ -352,7 +356,7 @@
         return None
 
     def _silence(self, f: Fault, link: Link, ends: list[End]) -> Callable[[], None]:
-        """One way, both ways, or all of the link, connects included; it heals when it ends."""
+        """Silences one direction, both, or the whole link with new connections; returns the repair."""
         net = self.run.net
         if f.size < 0.4:
             link.silent = True
@@ -380,64 +384,66 @@
     def _deaf(self, host: str) -> Callable[[], None]:
         found = [x for x in self.run.net.listeners.values() if x.host == host]
         for listener in found:
-            listener.deaf = True
+            listener.ignores_connects = True
 
-        def hear() -> None:
+        def answer_connects() -> None:
             for listener in found:
-                listener.deaf = False
+                listener.ignores_connects = False
 
-        return hear
+        return answer_connects
 
     def _stall(self, f: Fault, ends: list[End]) -> Callable[[], None]:
-        """Peers read slowly."""
-        talks = [e.handler for end in ends for e in (end, end.peer) if isinstance(e.handler, Talk)]
-        for talk in talks:
-            if isinstance(talk, ClientTalk) and talk.end is not None:
-                talk.end.struck = True
-            talk.stall(100 + f.size * 50_000)
+        """Makes the simulated sides of the connections read slowly."""
+        connections = [
+            e.handler for end in ends for e in (end, end.peer) if isinstance(e.handler, HttpConnection)
+        ]
+        for connection in connections:
+            if isinstance(connection, ClientConnection) and connection.end is not None:
+                connection.end.struck = True
+            connection.stall(100 + f.size * 50_000)
 
-        def read() -> None:
-            for talk in talks:
-                talk.resume()
+        def resume_reading() -> None:
+            for connection in connections:
+                connection.resume()
 
-        return read
+        return resume_reading
 
     def call_back(self, server: str, node: str, end: End | None) -> None:
-        """A call-back was written: its connection may break before it, after it, or after its answer."""
-        count, after = self.breaks.get((server, node), (0, 0.0))
+        """Breaks the connection of a callback, depending on the fault's delay and remaining count."""
+        count, after = self.callback_breaks.get((server, node), (0, 0.0))
         if end is None or not count:
             return
-        self.breaks[server, node] = count - 1, after
+        self.callback_breaks[server, node] = count - 1, after
         self.run.kernel.after(after, lambda: self.run.net.cut(end, both=count % 3 > 0))
 
     # --- clients
 
-    def _client(self, f: Fault, who: Who, random: Random) -> Callable[[], None] | None:
+    def _client(self, f: Fault, subject: FaultSubject, random: Random) -> Callable[[], None] | None:
         run = self.run
-        node = who.node or random.choice(list(run.processes))
+        node = subject.node or random.choice(list(run.processes))
         match f.kind:
             case "leave":
-                id = who.id or (random.choice(list(run.clients.open)) if run.clients.open else "")
-                self._tell(f, id)
+                id = subject.id or (random.choice(list(run.clients.open)) if run.clients.open else "")
+                self._record(f, id)
                 run.clients.leave(id)
             case "burst":
-                self._tell(f, "clients")
+                self._record(f, "clients")
                 self._burst(f, random)
             case "rude":
-                self._tell(f, node)
+                self._record(f, node)
                 for _ in range(1 + int(f.size * 4)):
                     run.clients.rude(random.getrandbits(32), node)
             case "hold":
-                self._tell(f, node)
+                self._record(f, node)
                 return self._hold(f, node)
             case "drill":
-                self._tell(f, node)
+                self._record(f, node)
                 self._drill(f, node, random)
         return None
 
     def _burst(self, f: Fault, random: Random) -> None:
         run = self.run
-        for n in range(5 + int(f.size * MOST_BURST)):
+        for n in range(5 + int(f.size * MAX_BURST_JOBS)):
             c = random.choice(run.plan.experiment.job_class)
             job = Job(
                 number=1000 * (1 + f.number) + n,
@@ -447,17 +453,19 @@
                 key=random.choice(["", "hot", f"b{n}"]),
                 work_s=random.uniform(0.005, 0.05),
             )
-            run.clients.wish(job)
+            run.clients.submit(job)
 
     def _hold(self, f: Fault, node: str) -> Callable[[], None]:
         run = self.run
-        held = [Held(run.net, responses=True) for _ in range(10 + int(f.size * MOST_HELD))]
-        for talk in held:
-            talk.connect("holder", "10.3.3.1", run.address_of(node))
+        held = [
+            HeldConnection(run.net, responses=True) for _ in range(10 + int(f.size * MAX_HELD_CONNECTIONS))
+        ]
+        for connection in held:
+            connection.connect("holder", "10.3.3.1", run.address_of(node))
 
         def close() -> None:
-            for talk in held:
-                talk.close()
+            for connection in held:
+                connection.close()
 
         return close
 
--- a/finchladder/sim/talk.py
+++ b/finchladder/sim/http_connection.py
@@ -1,54 +1,54 @@
-"""A peer's side of a connection: whole HTTP messages in, bytes out, over an end of the network."""
+"""One side of a simulated HTTP connection: receives whole messages and sends bytes."""
 
 from finchladder.lab.wire import Message, Parser, WireError
 from finchladder.sim.network import End, Handler, Network
 
-READ = 65_536
+READ_BYTES = 65_536
 
 
-class Talk(Handler):
-    """To be subclassed. It reads at once, unless `stall` has been called; what it can't write waits."""
+class HttpConnection(Handler):
+    """Base class. Reads as data arrives unless `stall` was called; buffers what can't be written yet."""
 
     def __init__(self, net: Network, responses: bool) -> None:
         self.net = net
         self.parser = Parser(responses)
         self.end: End | None = None
         self.out = bytearray()
-        self.closing = False  # once all is written
-        self.over = False
-        self.rate: float | None = None  # bytes a second that it reads, where it is slow
+        self.closing = False  # close once the buffer is written
+        self.is_closed = False
+        self.rate: float | None = None  # bytes per second read while stalled; None: no limit
 
-    # --- what a subclass hears
+    # --- callbacks for subclasses
 
-    def message(self, m: Message) -> None: ...
+    def on_message(self, m: Message) -> None: ...
 
-    def begun(self, place: int) -> None:
-        """The first byte of a message has come; it is at this place of all that came."""
+    def on_message_begun(self, offset: int) -> None:
+        """Called at the first byte of a message, with its offset in all bytes received."""
 
-    def made(self) -> None:
-        """A connection that it asked for is there."""
+    def on_connected(self) -> None:
+        """Called when an outgoing connection is established."""
 
-    def lost(self, how: str) -> None:
-        """refused, reset, closed (in good order), bad (no HTTP). Once, and not after `close`."""
+    def on_lost(self, how: str) -> None:
+        """Called at most once, never after `close`: refused, reset, closed (orderly) or bad (not HTTP)."""
 
-    # --- what it does
+    # --- operations
 
     def connect(self, host: str, ip: str, address: tuple[str, int]) -> End:
         self.end = self.net.connect(host, ip, address, self)
         return self.end
 
-    def say(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         self.out += data
         self._flush()
 
     def close(self) -> None:
-        """In good order, what was said before it included."""
+        """Closes in an orderly way after all buffered bytes are written."""
         self.closing = True
         self._flush()
 
     def reset(self) -> None:
-        if not self.over:
-            self.over = True
+        if not self.is_closed:
+            self.is_closed = True
             if self.end is not None:
                 self.end.reset()
 
@@ -60,27 +60,27 @@
         if self.end is not None:
             self.arrived(self.end)
 
-    # --- the network's calls
+    # --- calls of the network
 
     def opened(self, end: End) -> None:
         self.end = end
-        if not self.over:
-            self.made()
+        if not self.is_closed:
+            self.on_connected()
             self._flush()
 
     def refused(self, end: End) -> None:
         self._lost("refused")
 
-    def room(self, end: End) -> None:
+    def space_available(self, end: End) -> None:
         self._flush()
 
     def arrived(self, end: End) -> None:
         if self.rate is not None:
-            self.net.kernel.after(0.01, lambda: self._sip(end))
+            self.net.kernel.after(0.01, lambda: self._read_slowly(end))
             return
-        while not self.over:
+        while not self.is_closed:
             try:
-                data = end.read(READ)
+                data = end.read(READ_BYTES)
             except BlockingIOError:
                 return
             except OSError:
@@ -91,8 +91,8 @@
                 return
             self._feed(data)
 
-    def _sip(self, end: End) -> None:
-        if self.rate is None or self.over:
+    def _read_slowly(self, end: End) -> None:
+        if self.rate is None or self.is_closed:
             return
         try:
             data = end.read(max(1, int(self.rate * 0.01)))
@@ -105,23 +105,23 @@
             self._lost("closed")
             return
         self._feed(data)
-        self.net.kernel.after(0.01, lambda: self._sip(end))
+        self.net.kernel.after(0.01, lambda: self._read_slowly(end))
 
     def _feed(self, data: bytes) -> None:
         if not self.parser.begun and self.end is not None:
-            self.begun(self.end.taken - len(data))
+            self.on_message_begun(self.end.taken - len(data))
         try:
             messages = self.parser.feed(data)
         except WireError:
             self._lost("bad")
             return
         for m in messages:
-            if not self.over:
-                self.message(m)
+            if not self.is_closed:
+                self.on_message(m)
 
     def _flush(self) -> None:
         end = self.end
-        if self.over or end is None or not end.up:
+        if self.is_closed or end is None or not end.up:
             return
         try:
             while self.out:
@@ -132,13 +132,13 @@
             self._lost("reset")
             return
         if self.closing:
-            self.over = True
+            self.is_closed = True
             end.close()
 
     def _lost(self, how: str) -> None:
-        if self.over:
+        if self.is_closed:
             return
-        self.over = True
+        self.is_closed = True
         if self.end is not None:
             self.end.close()
-        self.lost(how)
+        self.on_lost(how)
--- a/finchladder/sim/judged.py
+++ b/finchladder/sim/judged.py
@@ -1,17 +1,17 @@
-"""Many dispatchers that judge real servers together, at virtual time: bad ones, liars, splits, deaths.
+"""Simulation of outlier detection by many dispatchers with faulty servers, false reports and partitions.
 
-The world of sim/peers.py, with the program's decisions in each process, real servers whose truth is known,
-and an eye from outside:
+It extends the simulation of sim/peers.py with the program's decisions in each process and real servers whose
+faults are known, and checks these rules:
 
 | rule | what must hold |
 | --- | --- |
-| bound | of each zone no dispatcher holds more out than its share, and never the last |
-| good | who was not bad for GOOD_S is held out by half of the honest at most; not where one stalls |
-| left | one that fails nearly all gets in LEFT_S no more than EACH_SENDS of each and MORE_SENDS |
-| once | a job that may not be repeated is sent once, unless it certainly never ran |
-| ends | ENDS_S after the last fault nobody condemns anybody, unless one lies |
+| bound | no dispatcher ejects more than the allowed share of a zone, and never its last server |
+| good | at most half of the honest dispatchers eject a server good for GOOD_S; not checked with pauses |
+| left | a server that fails nearly all jobs gets at most EACH_SENDS per dispatcher + MORE_SENDS in LEFT_S |
+| once | a job that may not be repeated is sent again only if it certainly never ran |
+| ends | ENDS_S after the last fault no server is ejected, unless a dispatcher reports falsely |
 
-A liar tells with each word that all real servers fail. Deterministic by the seed.
+A liar is a dispatcher that always reports failures of all real servers. A run depends only on its seed.
 """
 
 from collections import deque
@@ -31,13 +31,13 @@
 from finchladder.sim import peers
 
 ENDS_S = 60.0
-SETTLED_S = 3.0  # from the begin
-GOOD_S = 45.0  # it may be out for a longest term after it was mended, and its trial
+STARTUP_S = 3.0  # startup time in which the rule "good" is not checked
+GOOD_S = 45.0  # covers the longest ejection after the repair, and the trial
 LEFT_S, EACH_SENDS, MORE_SENDS = 6.0, 4, 12
-RUN_S = 0.05
-ASKED_S = 4.0
-GOOD_RATE = 0.003  # of a good one's jobs fail
-UNSAFE_PART = 0.4
+JOB_S = 0.05
+PATIENCE_S = 4.0
+GOOD_FAILURE_RATE = 0.003  # fraction of failing jobs at a good server
+UNSAFE_FRACTION = 0.4
 CLASSES = (
     api.JobClass("view", api.Effect.SAFE, latency_target_s=0.3, deadline_s=5.0),
     api.JobClass("confirm", api.Effect.UNSAFE, latency_target_s=0.6, deadline_s=5.0, value=10.0),
@@ -55,7 +55,7 @@
     world: peers.World
     servers: int
     zones: int
-    rate: float  # jobs a second, of all
+    rate: float  # jobs per second in total
     bads: tuple[Bad, ...]
     liar: int  # -1: none
 
@@ -78,8 +78,8 @@
 KINDS = ("all", "all", "third", "class", "refuse")
 
 
-class _Liar:
-    """Says that all fail, with all the weight that a word can have."""
+class _FalseReporter:
+    """Reports that all real servers fail, with the highest weight a report can have."""
 
     def __init__(self, d: Dispatcher, zone: int) -> None:
         self.d, self.zone = d, zone
@@ -92,19 +92,19 @@
 
     def own_report(self, now: float) -> OwnReport:
         names = sorted(self.d.workers)
-        says = [
+        subject_reports = [
             SubjectReport(subject_id(a, 0.0, c.name), 500.0, 500.0, 0.0, 1.0, 500.0, 0)
             for a in names
             for c in CLASSES
         ]
-        return OwnReport(self.zone, 500.0, 0.0, tuple(says[:MAX_SUBJECT_REPORTS]))
+        return OwnReport(self.zone, 500.0, 0.0, tuple(subject_reports[:MAX_SUBJECT_REPORTS]))
 
 
 class Process(peers.Process):
-    """One life of a dispatcher, with its decisions."""
+    """One incarnation of a dispatcher, with its decisions."""
 
-    def __init__(self, play: "Play", index: int, life: int) -> None:
-        super().__init__(play, index, life)
+    def __init__(self, play: "Play", index: int, incarnation: int) -> None:
+        super().__init__(play, index, incarnation)
         scene = self.scene = play.scene
         zones = tuple(f"z{n}" for n in range(scene.zones))
         settings = api.Settings(
@@ -116,10 +116,12 @@
             reports_start=True,
             may_cancel=True,
         )
-        self.d = Dispatcher(settings, Random(f"{play.seed}/{index}/{life}/d").getrandbits(60))
+        self.d = Dispatcher(settings, Random(f"{play.seed}/{index}/{incarnation}/d").getrandbits(60))
         self.judging: OutlierDetector = attach(self.d, self.name, DetectorSettings(), self.clock())
         lies = scene.liar == index
-        self.peers.evidence = _Liar(self.d, self.judging.zone) if lies else ReportSource(self.judging, self.d)
+        self.peers.evidence = (
+            _FalseReporter(self.d, self.judging.zone) if lies else ReportSource(self.judging, self.d)
+        )
         self.paused_at = 0.0
         entries = tuple(
             api.WorkerEntry(f"w{n}", api.WorkerStatus.READY, zones[n % scene.zones])
@@ -141,7 +143,7 @@
                 play.sent_job(self, a)
 
     def later(self, event: api.Event) -> None:
-        """What comes while it stands still waits."""
+        """Handles an event, or delays it while the process is paused."""
         play: Play = self.play  # type: ignore[assignment]
         if play.alive.get(self.index) is not self:
             return
@@ -159,16 +161,18 @@
         super().__init__(seed, self.scene.world)
         self.job_random = Random(f"{seed}/jobs")
         self.jobs = 0
-        self.sends: dict[str, list[bool]] = {}  # of jobs that may not be repeated: whether each may have run
-        self.at_bad: dict[int, deque[float]] = {}
+        self.sends: dict[
+            str, list[bool]
+        ] = {}  # for each job that may not be repeated: whether each send may have run
+        self.sends_to_bad: dict[int, deque[float]] = {}
         self.failed = 0
-        self.faulty = [0.0] * self.scene.servers  # since when each is good; inf while it is bad
+        self.last_bad_at = [0.0] * self.scene.servers  # time at which each server was last seen bad; 0: never
         self.most_out = 0
 
     def start(self, index: int) -> None:
-        self.lives[index] += 1
-        self.alive[index] = process = Process(self, index, self.lives[index])
-        self._beat(process)
+        self.incarnations[index] += 1
+        self.alive[index] = process = Process(self, index, self.incarnations[index])
+        self._run_turns(process)
 
     def _wake(self, process: peers.Process) -> None:
         super()._wake(process)
@@ -188,10 +192,12 @@
         process = self.alive.get(index)
         if isinstance(process, Process) and not process.paused:
             self.jobs += 1
-            name = "confirm" if r.random() < UNSAFE_PART else "view"
+            name = "confirm" if r.random() < UNSAFE_FRACTION else "view"
             key = r.getrandbits(30) if r.random() < 0.7 else None
-            process.tell(api.Request(f"j{self.jobs}", name, ASKED_S, key=key))
-        if self.now < self.world.for_s + ENDS_S - 1.0:  # work goes on, so that what was out can come back
+            process.tell(api.Request(f"j{self.jobs}", name, PATIENCE_S, key=key))
+        if (
+            self.now < self.world.for_s + ENDS_S - 1.0
+        ):  # jobs continue after the faults, so that ejected servers can return
             self.at(self.now + r.expovariate(self.scene.rate), self._take)
 
     def sent_job(self, process: Process, a: api.Send) -> None:
@@ -200,14 +206,14 @@
         attempt = len(job.attempts) - 1
         bad, unsafe = self.bad(n), job.job_class.effect is api.Effect.UNSAFE
         if bad is not None and bad.kind in ("all", "refuse"):
-            self._met(n)
-        ending, took = api.Ending.OK, RUN_S * r.uniform(0.5, 1.5)
+            self._record_bad_send(n)
+        ending, took = api.Ending.OK, JOB_S * r.uniform(0.5, 1.5)
         rate = 0.0
         if bad is not None:
             rate = {"all": 0.95, "third": 0.34, "class": 0.95 * unsafe, "refuse": 0.0}[bad.kind]
             if bad.kind == "refuse":
                 ending, took = api.Ending.UNREACHABLE, 0.005
-        if ending is api.Ending.OK and r.random() < max(rate, GOOD_RATE):
+        if ending is api.Ending.OK and r.random() < max(rate, GOOD_FAILURE_RATE):
             ending = api.Ending.ERROR
         self.failed += ending is not api.Ending.OK
         if unsafe:
@@ -222,11 +228,11 @@
             lambda: process.later(api.Ended(a.request, attempt, ending, ending is api.Ending.OK, 0.0)),
         )
 
-    # --- what must hold
+    # --- rules
 
-    def _met(self, server: int) -> None:
-        """Each dispatcher may meet a bad one itself, where it hears nothing; later no more than trials."""
-        times = self.at_bad.setdefault(server, deque())
+    def _record_bad_send(self, server: int) -> None:
+        """Checks `left`: a dispatcher without reports may try a bad server itself, later only in trials."""
+        times = self.sends_to_bad.setdefault(server, deque())
         times.append(self.now)
         while times[0] < self.now - LEFT_S:
             times.popleft()
@@ -238,10 +244,10 @@
                 f"w{server} fails since {self.now - bad.at:.1f} s and got {len(times)} in {LEFT_S:g} s",
             )
 
-    def _look(self) -> None:
-        """Budgets are not looked at here."""
+    def _check_window(self) -> None:
+        """Does nothing, as budgets are not checked here."""
 
-    def _look_closer(self) -> None:
+    def _check_state(self) -> None:
         honest = [p for i, p in self.alive.items() if isinstance(p, Process) and i != self.scene.liar]
         out: dict[str, int] = {}
         for p in honest:
@@ -258,10 +264,12 @@
             self.most_out = max(self.most_out, sum(groups.values()))
         for n in range(self.scene.servers):
             if self.bad(n) is not None:
-                self.faulty[n] = self.now
-            since_good = self.now - self.faulty[n] if self.faulty[n] or self.now < 1.0 else float("inf")
+                self.last_bad_at[n] = self.now
+            since_good = (
+                self.now - self.last_bad_at[n] if self.last_bad_at[n] or self.now < 1.0 else float("inf")
+            )
             good = since_good > GOOD_S and not any(f.kind == "pause" for f in self.world.faults)
-            if good and self.now > SETTLED_S and 2 * out.get(f"w{n}", 0) > len(honest):
+            if good and self.now > STARTUP_S and 2 * out.get(f"w{n}", 0) > len(honest):
                 return self.break_("good", f"w{n} is good, and out at {out[f'w{n}']} of {len(honest)}")
 
     def _healed(self) -> None:
--- a/finchladder/sim/loop.py
+++ b/finchladder/sim/loop.py
@@ -1,8 +1,8 @@
-"""An event loop at virtual time: asyncio's interface over the kernel's heap of events.
+"""An event loop on virtual time: asyncio's interface over the kernel's event heap.
 
-Each simulated process has one. It does what asyncio's own does in a turn: what is ready on sockets, then the
-timers that are due, then all calls that were ready as the turn began. A turn takes no time while it runs; the
-next one comes a drawn while later, so that bytes, timers and other processes fall in between.
+Each simulated process has one. A turn works as in asyncio's loop: it polls the sockets, collects the due
+timers, then runs all callbacks that were ready when the turn began. A turn takes no virtual time; the next
+one follows after a random delay, so that bytes, timers and other processes interleave.
 """
 
 import asyncio
@@ -23,12 +23,12 @@
 from finchladder.lab.models.kernel import Event, Kernel
 
 Call = Callable[..., object]
-MOST_CANCELLED = 64  # cancelled timers in the heap before it is swept, where they are also half of it
-MOST_DEAD = 256  # entries of ended tasks before they are swept
+MAX_CANCELLED_TIMERS = 64  # the heap is cleaned above this number if half of its timers are cancelled
+MAX_ENDED_TASKS = 256  # task entries above which ended ones are removed
 
 
 class Selected(Protocol):
-    """A socket as its loop sees it."""
+    """The interface of a socket to its event loop."""
 
     reader: asyncio.Handle | None
     writer: asyncio.Handle | None
@@ -40,13 +40,13 @@
 
 
 class Pace(Protocol):
-    """How long a process needs between being ready and running, in seconds."""
+    """Returns the delay in seconds between being ready and running."""
 
     def __call__(self) -> float: ...
 
 
 class VirtualIOLoop(BaseAsyncIOLoop):
-    """Tornado's view of the loop. Its timers count wall time, which here is the loop's own."""
+    """Tornado's loop. Its timers use wall time by default; here they use the loop's virtual time."""
 
     asyncio_loop: "VirtualLoop"
 
@@ -55,7 +55,7 @@
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """`failed` is told of what asyncio would log: an exception that nobody took."""
+    """Calls `failed` for each unhandled exception that asyncio would log."""
 
     dead = stopped = running = False
 
@@ -64,18 +64,18 @@
     ) -> None:
         super().__init__()
         self.kernel, self.pace, self.random, self.failed = kernel, pace, random, failed
-        self.soon: deque[asyncio.Handle] = deque()
+        self.ready: deque[asyncio.Handle] = deque()
         self.timers: list[tuple[float, int, asyncio.TimerHandle]] = []
         self.serial = self.cancelled = 0
         self.numbers = itertools.count(3)
         self.sockets: dict[int, Selected] = {}
-        self.hot: dict[int, Selected] = {}  # those on which something may be ready, by descriptor
+        self.maybe_ready: dict[int, Selected] = {}  # sockets that may be ready, by descriptor
         self.wake: Event | None = None
         self.wake_at = inf
         self.turns = 0
-        self.handlers: dict[int, asyncio.Handle] = {}  # of signals
-        self.made: list[ref[asyncio.Task[Any]]] = []
-        self.fired: Callable[[], None] = lambda: None  # told of each timer
+        self.handlers: dict[int, asyncio.Handle] = {}  # signal handlers
+        self.task_refs: list[ref[asyncio.Task[Any]]] = []
+        self.fired: Callable[[], None] = lambda: None  # called for each timer that fires
         self.before_turn: Callable[[], None] | None = None
         self.after_turn: Callable[[], None] = lambda: None
         self.set_task_factory(None)
@@ -100,9 +100,9 @@
     ) -> asyncio.Handle:
         handle = asyncio.Handle(callback, args, self, context)
         if not self.dead:
-            self.soon.append(handle)
+            self.ready.append(handle)
             if not self.running:
-                self._rouse()
+                self._schedule_turn()
         return handle
 
     call_soon_threadsafe = call_soon  # type: ignore[assignment]
@@ -120,26 +120,28 @@
             self.serial += 1
             heapq.heappush(self.timers, (when, self.serial, handle))
             if not self.running and when < self.wake_at:
-                self._arm(when)
+                self._wake_at(when)
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
         self.cancelled += 1
-        if self.cancelled > MOST_CANCELLED and 2 * self.cancelled > len(self.timers):
+        if self.cancelled > MAX_CANCELLED_TIMERS and 2 * self.cancelled > len(self.timers):
             self.timers = [entry for entry in self.timers if not entry[2].cancelled()]
             heapq.heapify(self.timers)
             self.cancelled = 0
 
     def create_task(self, coro: Any, **more: Any) -> asyncio.Task[Any]:
         task = asyncio.Task(coro, loop=self, **more)
-        self.made.append(ref(task))
-        if len(self.made) > MOST_DEAD:
-            self.made = [entry for entry in self.made if (t := entry()) is not None and not t.done()]
+        self.task_refs.append(ref(task))
+        if len(self.task_refs) > MAX_ENDED_TASKS:
+            self.task_refs = [
+                entry for entry in self.task_refs if (t := entry()) is not None and not t.done()
+            ]
         return task
 
     def tasks(self) -> list[asyncio.Task[Any]]:
-        """Those that have not ended, in the order in which they were made."""
-        return [t for entry in self.made if (t := entry()) is not None and not t.done()]
+        """Returns the tasks that have not ended, in the order of their creation."""
+        return [t for entry in self.task_refs if (t := entry()) is not None and not t.done()]
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
         if not self.dead:
@@ -176,7 +178,7 @@
         socket = self.sockets.get(number)
         if socket is None or (handle := getattr(socket, side)) is None:
             return False
-        handle.cancel()  # also where this very turn was about to run it
+        handle.cancel()  # also prevents a callback already queued in this turn
         setattr(socket, side, None)
         return True
 
@@ -190,14 +192,14 @@
 
     def detach(self, number: int) -> None:
         self.sockets.pop(number, None)
-        self.hot.pop(number, None)
+        self.maybe_ready.pop(number, None)
 
     def touch(self, number: int, socket: Selected) -> None:
-        """Something may be ready there now."""
-        if number not in self.hot and self._is_ready(socket):
-            self.hot[number] = socket
+        """Schedules a turn if the socket is ready."""
+        if number not in self.maybe_ready and self._is_ready(socket):
+            self.maybe_ready[number] = socket
             if not self.running:
-                self._rouse()
+                self._schedule_turn()
 
     def _is_ready(self, socket: Selected) -> bool:
         return (socket.reader is not None and socket.readable) or (
@@ -206,12 +208,12 @@
 
     # --- turns
 
-    def _rouse(self) -> None:
+    def _schedule_turn(self) -> None:
         due = self.kernel.now + self.pace()
         if due < self.wake_at:
-            self._arm(due)
+            self._wake_at(due)
 
-    def _arm(self, due: float) -> None:
+    def _wake_at(self, due: float) -> None:
         if self.dead or self.stopped:
             return
         if self.wake is not None:
@@ -225,17 +227,17 @@
         if self.before_turn is not None:
             self.before_turn()
         self._poll()
-        now, timers, soon = self.kernel.now, self.timers, self.soon
+        now, timers, ready = self.kernel.now, self.timers, self.ready
         while timers and timers[0][0] <= now:
             handle = heapq.heappop(timers)[2]
             if not handle.cancelled():
                 self.fired()
-                soon.append(handle)
+                ready.append(handle)
         self.running = True
         events._set_running_loop(self)
         try:
-            for _ in range(len(soon)):
-                call = soon.popleft()
+            for _ in range(len(ready)):
+                call = ready.popleft()
                 if not call.cancelled():
                     call._run()
         finally:
@@ -245,31 +247,31 @@
         self._next()
 
     def _next(self) -> None:
-        for number in [n for n, s in self.hot.items() if not self._is_ready(s)]:
-            del self.hot[number]
-        if self.soon or self.hot:
-            self._rouse()
+        for number in [n for n, s in self.maybe_ready.items() if not self._is_ready(s)]:
+            del self.maybe_ready[number]
+        if self.ready or self.maybe_ready:
+            self._schedule_turn()
         while self.timers and self.timers[0][2].cancelled():
             heapq.heappop(self.timers)
             self.cancelled = max(0, self.cancelled - 1)
         if self.timers and self.timers[0][0] < self.wake_at:
-            self._arm(self.timers[0][0])
+            self._wake_at(self.timers[0][0])
 
     def _poll(self) -> None:
-        if not self.hot:
+        if not self.maybe_ready:
             return
-        numbers = list(self.hot)
+        numbers = list(self.maybe_ready)
         if len(numbers) > 1:
-            self.random.shuffle(numbers)  # no order among sockets is promised
+            self.random.shuffle(numbers)  # the order of ready sockets is not defined
         for number in numbers:
-            socket = self.hot[number]
+            socket = self.maybe_ready[number]
             if socket.reader is not None and socket.readable:
-                self.soon.append(socket.reader)
+                self.ready.append(socket.reader)
             if socket.writer is not None and socket.writable:
-                self.soon.append(socket.writer)
+                self.ready.append(socket.writer)
 
-    def run_out(self, most: int) -> bool:
-        """Takes turns at once until no task is left; False: some still are after so many."""
+    def run_until_done(self, most: int) -> bool:
+        """Runs up to `most` turns without delay; returns whether all tasks have ended."""
         self.stop_turns()
         for _ in range(most):
             if not self.tasks():
@@ -277,8 +279,8 @@
             self._turn()
         return not self.tasks()
 
-    def within(self, call: Callable[[], object]) -> None:
-        """Runs a call as if the loop did, at once."""
+    def call_in_loop(self, call: Callable[[], object]) -> None:
+        """Runs a call immediately with this loop as the running loop."""
         before = events._get_running_loop()
         events._set_running_loop(self)
         self.running = True
@@ -291,18 +293,18 @@
     def start(self, main: Coroutine[Any, Any, None]) -> asyncio.Task[Any]:
         return self.create_task(main)
 
-    # --- what happens to the process
+    # --- process control
 
     def signal(self, sig: int) -> bool:
-        """False: nothing handles it."""
+        """Queues the handler of a signal; returns False if there is none."""
         if (handle := self.handlers.get(sig)) is None:
             return False
-        self.soon.append(handle)
-        self._rouse()
+        self.ready.append(handle)
+        self._schedule_turn()
         return True
 
     def stop_turns(self) -> None:
-        """As SIGSTOP does: what comes in waits, and time goes on."""
+        """Stops the loop as SIGSTOP does: input waits while time advances."""
         self.stopped = True
         if self.wake is not None:
             self.kernel.cancel(self.wake)
@@ -312,24 +314,24 @@
         self.stopped = False
         self._next()
 
-    def die(self) -> None:
-        """Nothing of it runs any more; what it holds stays, so that nothing is cleared up by its own code."""
+    def kill(self) -> None:
+        """Stops the loop for good. Tasks are kept, so that no cleanup code of the program runs."""
         self.dead = True
         if self.wake is not None:
             self.kernel.cancel(self.wake)
             self.wake, self.wake_at = None, inf
 
-    def bury(self) -> None:
-        """At the end of a run: ends its coroutines without a word."""
+    def close_tasks(self) -> None:
+        """Closes all coroutines at the end of a run, ignoring their errors."""
         self.dead = True
         closed: set[int] = set()
-        while left := [t for t in self.tasks() if id(t) not in closed]:  # closing one may begin another
+        while left := [t for t in self.tasks() if id(t) not in closed]:  # closing a task may create another
             for task in left:
                 closed.add(id(task))
                 task._log_destroy_pending = False  # type: ignore[attr-defined]
-                with suppress(Exception):  # one that does not let itself be closed
-                    self.within(task.get_coro().close)
-        self.soon.clear()
+                with suppress(Exception):  # a coroutine may ignore GeneratorExit
+                    self.call_in_loop(task.get_coro().close)
+        self.ready.clear()
         self.timers.clear()
         self.sockets.clear()
-        self.hot.clear()
+        self.maybe_ready.clear()
--- a/finchladder/sim/mutants.py
+++ b/finchladder/sim/mutants.py
@@ -1,8 +1,8 @@
-"""Mutants: small patches that each take one guard out of the program, and the search for each of them.
+"""Mutation tests: small patches that each remove one safeguard, and the search for a seed that detects it.
 
-A mutant that is never found is a hole in the rules or in the faults. A patch is a unified diff with lines
-before it that say `# part: ...` and `# takes out: ...`. It is applied by its text, not by its line numbers:
-what it takes out must stand in the file just once, wherever.
+A mutant that is never found shows a gap in the rules or in the faults. A patch is a unified diff after the
+lines `# part: ...` and `# takes out: ...`. It is applied by its text, not by its line numbers: the text that
+it removes must occur exactly once in the file.
 """
 
 import os
@@ -18,7 +18,7 @@
 
 from finchladder.sim.trace import PACKAGE
 
-MOST_S = 7200.0  # of one hunt
+MAX_SEARCH_S = 7200.0  # time limit of one search
 
 
 class Hunk(NamedTuple):
@@ -35,7 +35,7 @@
 
 
 class Hunt(NamedTuple):
-    """`seeds`: how many it took, counted from 1; 0: it was not found. `lines`: of its shrunk trace."""
+    """`seeds`: seeds until it was found, 0 if it was not. `lines`: lines of its shrunk trace."""
 
     mutant: Mutant
     seeds: int
@@ -44,7 +44,7 @@
 
 
 def load(folder: Path) -> list[Mutant]:
-    """ValueError: a patch that can't be read."""
+    """Reads all patches of a folder; raises ValueError for an invalid one."""
     return [read(path) for path in sorted(folder.glob("*.patch"))]
 
 
@@ -76,25 +76,27 @@
             if line[0] != "-":
                 after.append(line[1:])
         elif line.strip():
-            raise ValueError(f"{path}: a line that belongs to no patch: {line.strip()}")
+            raise ValueError(f"{path}: this line is outside any hunk: {line.strip()}")
     close()
     if not (part and takes_out and hunks):
-        raise ValueError(f"{path}: part, takes out, or the patch itself is missing")
+        raise ValueError(f"{path}: the line '# part: ', the line '# takes out: ' or the diff is missing")
     return Mutant(path.stem, part, takes_out, hunks)
 
 
 def apply(mutant: Mutant, root: Path) -> None:
-    """ValueError: it does not fit any more."""
+    """Applies a mutant; raises ValueError if its text does not occur exactly once."""
     for hunk in mutant.hunks:
         path = root / hunk.file
         text = path.read_text()
         if text.count(hunk.before) != 1:
-            raise ValueError(f"{mutant.name}: stands {text.count(hunk.before)} times in {hunk.file}")
+            raise ValueError(
+                f"{mutant.name}: the text to replace occurs {text.count(hunk.before)} times in {hunk.file}"
+            )
         path.write_text(text.replace(hunk.before, hunk.after))
 
 
 def copy(to: Path) -> None:
-    """The package as it is."""
+    """Copies the package into the folder `to`."""
     shutil.copytree(PACKAGE, to / PACKAGE.name, ignore=shutil.ignore_patterns("__pycache__"))
 
 
@@ -102,7 +104,7 @@
     command = [sys.executable, "-m", PACKAGE.name, "sim", *words]
     env = os.environ | {"PYTHONPATH": str(root), "PYTHONDONTWRITEBYTECODE": "1"}
     return subprocess.run(
-        command, cwd=root, env=env, capture_output=True, text=True, timeout=MOST_S, check=False
+        command, cwd=root, env=env, capture_output=True, text=True, timeout=MAX_SEARCH_S, check=False
     )
 
 
@@ -116,7 +118,7 @@
         )
         first = next((line for line in done.stdout.splitlines() if line.startswith("seed ")), "")
         if done.returncode not in (0, 1) or (done.returncode and not first):
-            raise ValueError(f"{mutant.name}: the search itself failed: {done.stderr[-500:]}")
+            raise ValueError(f"{mutant.name}: the search command failed: {done.stderr[-500:]}")
         if not first:
             return Hunt(mutant, 0, "", 0)
         head, _, violation = first.partition(": ")
@@ -133,7 +135,7 @@
 def hunt(
     mutants: Sequence[Mutant], most: int, jobs: int, out: Path | None, say: Callable[[str], None]
 ) -> list[Hunt]:
-    """Several at once, each on one process. `out`: where shrunk traces go."""
+    """Searches for several mutants in parallel, one process each. `out`: folder for shrunk traces."""
     with ThreadPoolExecutor(jobs) as pool:
         futures = [pool.submit(hunt_one, mutant, most, out) for mutant in mutants]
         hunts = []
--- a/finchladder/sim/network.py
+++ b/finchladder/sim/network.py
@@ -1,17 +1,17 @@
-"""A virtual network: listeners, connections, and what may happen to them. No bytes leave the process.
+"""A virtual network of listeners and connections, with fault injection. No bytes leave the process.
 
-A connection is two `End`s, each with a `Pipe` towards the other. What is written is cut into segments, each
-of which arrives after the latency of its link, in order within a pipe and in any order between pipes. What
-can happen to a connection, and what an end sees of it:
+A connection is two `End`s, each with a `Pipe` towards the other. Written data is cut into segments, each
+of which arrives after the latency of its link, in order within a pipe and in any order between pipes. Each
+event on a connection, and its effect on both ends:
 
-| what | the writer | the reader |
+| event | the writer | the reader |
 | --- | --- | --- |
-| the other side closes | may write until its reset comes back | all bytes, then the end |
-| the other side closes with bytes unread, dies, or resets | reset | what was under way may be lost; reset |
-| the pipe is silenced | may write until the buffer is full | nothing, until it is opened again |
+| the other side closes | may write until the reset arrives | all bytes, then end of file |
+| the other side closes with bytes unread, dies, or resets | reset | bytes in transit may be lost; reset |
+| the pipe is silenced | may write until the buffer is full | nothing until the pipe heals |
 | the other side does not read | may write until the buffer is full | |
-| nobody listens at the address | refused | |
-| nobody answers at the address | nothing, ever, or until somebody does | |
+| no listener at the address | refused | |
+| no answer from the address | nothing until a later retry is answered | |
 """
 
 import errno
@@ -23,73 +23,78 @@
 from finchladder.lab.models.kernel import Kernel
 from finchladder.sim.draws import stream
 
-BACKLOG = 1024  # connections that wait to be accepted; more are dropped, as the kernel does
-AGAIN_S = (1.0, 3.0, 7.0, 15.0)  # after its first try, when a connect that was not answered is tried again
-MOST_PIECES = 12  # of one write
+BACKLOG = 1024  # connections waiting to be accepted; further ones are reset
+CONNECT_RETRY_TIMES_S = (
+    1.0,
+    3.0,
+    7.0,
+    15.0,
+)  # times after the first SYN at which it is sent again
+MAX_SEGMENTS_PER_WRITE = 12
 
 
 class Handler(Protocol):
-    """What is told of an end's fortunes. Each is called as it happens, by the kernel."""
+    """Callbacks for the events of an end, called by the kernel when they happen."""
 
     def opened(self, end: "End") -> None: ...
     def refused(self, end: "End") -> None: ...
     def arrived(self, end: "End") -> None:
-        """Bytes, the other side's end, or a reset."""
+        """Bytes, end of file, or a reset arrived."""
         ...
 
-    def room(self, end: "End") -> None:
-        """More may be written."""
+    def space_available(self, end: "End") -> None:
+        """The send buffer has space again."""
         ...
 
 
 class Listening(Protocol):
     def connected(self, end: "End") -> Handler | None:
-        """A new connection, whose handler is returned; None: it is reset."""
+        """Returns the handler of a new connection, or None to reset it."""
         ...
 
 
-class Manners(NamedTuple):
-    """How a run's network carries bytes. Seconds and bytes."""
+class LinkSettings(NamedTuple):
+    """How a link carries bytes. Times in seconds, sizes in bytes."""
 
     latency_s: float = 0.0005
-    jitter: float = 0.3  # of the latency, up
-    cut: str = "whole"  # whole, few, many: how writes are cut into segments
-    buffer: int = 256 * 1024  # under way and unread, of one pipe
-    reset_drops: float = 0.5  # chance that a reset overtakes what is under way or unread
+    jitter: float = 0.3  # largest addition to the latency, as a fraction of it
+    cut: str = "whole"  # whole, few or many: how writes are cut into segments
+    buffer: int = 256 * 1024  # limit of bytes in transit and unread in one pipe
+    reset_drops: float = 0.5  # probability that a reset discards data in transit or unread
 
 
 class Link:
-    """All that goes between two hosts, whichever of them connects. A host is a process or a peer."""
+    """The traffic between two hosts in both directions. A host is a process or a simulated peer."""
 
-    def __init__(self, name: str, manners: Manners) -> None:
-        self.name, self.manners = name, manners
-        self.slow = 1.0  # times the latency
-        self.silent = False  # nothing passes, and new connections are not answered
+    def __init__(self, name: str, settings: LinkSettings) -> None:
+        self.name, self.settings = name, settings
+        self.slow = 1.0  # factor on the latency
+        self.silent = False  # no data passes and new connections are not answered
         self.refuses = False  # new connections are refused
         self.count = 0
-        self.struck_at = -1.0  # when the run last did something to it
-        self.ends: dict[End, None] = {}  # of connections that stand, the side that connected
+        self.struck_at = -1.0  # when a fault was last injected into it
+        self.ends: dict[End, None] = {}  # the connecting end of each open connection
 
 
 class Segment(NamedTuple):
-    data: bytes  # empty: the end
+    data: bytes  # empty: end of file
 
 
 class Pipe:
-    """Bytes one way. `under_way`: bytes sent that have not arrived."""
+    """One direction of a connection. `under_way`: bytes sent that have not arrived."""
 
     __slots__ = ("link", "random", "under_way", "last", "silent", "kept", "dropped")
 
     def __init__(self, link: Link, random: Random) -> None:
         self.link, self.random = link, random
         self.under_way = 0
-        self.last = 0.0  # nothing may arrive before what was sent before it
+        self.last = 0.0  # arrival time of the last segment; later segments may not overtake it
         self.silent = False
-        self.kept: deque[Segment] = deque()  # what was sent into the silence
-        self.dropped = False  # nothing that is under way will arrive
+        self.kept: deque[Segment] = deque()  # segments sent while the pipe or link was silent
+        self.dropped = False  # segments in transit are discarded
 
     def delay(self) -> float:
-        m = self.link.manners
+        m = self.link.settings
         return m.latency_s * self.link.slow * (1 + m.jitter * self.random.random())
 
 
@@ -122,13 +127,13 @@
         self.pipe: Pipe
         self.handler: Handler | None = None
         self.inbox = bytearray()
-        self.ended = False  # the other side's end has come
+        self.ended = False  # end of file has arrived
         self.error = 0  # errno
-        self.closed = self.shut = False  # wholly, or for its own writes
+        self.closed = self.shut = False  # closed in both directions, or only for writing
         self.up = False
-        self.taken = self.sent = 0  # bytes read, and bytes given to the network, since the beginning
-        self.writes: deque[tuple[int, float]] | None = None  # where each write began and when, if it is kept
-        self.struck = False  # the run has done something to it
+        self.taken = self.sent = 0  # total bytes read and total bytes sent
+        self.writes: deque[tuple[int, float]] | None = None  # offset and time of each write, if recorded
+        self.struck = False  # a fault was injected into this connection
 
     def __repr__(self) -> str:
         return f"{self.host}>{self.peer.host}#{self.number}"
@@ -140,67 +145,67 @@
         return bool(self.inbox) or self.ended or self.error != 0
 
     def read(self, most: int, peek: bool = False) -> bytes:
-        """b"" after the other side's end. BlockingIOError: nothing is there. OSError: reset."""
+        """Returns b"" at end of file; raises BlockingIOError without data and OSError after a reset."""
         if self.inbox:
             data = bytes(self.inbox[:most])
             if not peek:
                 del self.inbox[: len(data)]
                 self.taken += len(data)
-                self.net.has_room(self.peer)
+                self.net.schedule_space_notice(self.peer)
             return data
         if self.error:
-            raise OSError(self.error, "reset")
+            raise OSError(self.error, "connection reset")
         if self.ended or self.closed:
             return b""
-        raise BlockingIOError(errno.EAGAIN, "nothing there")
+        raise BlockingIOError(errno.EAGAIN, "no data")
 
     # --- writing
 
     @property
     def space(self) -> int:
-        return max(0, self.pipe.link.manners.buffer - self.pipe.under_way - len(self.peer.inbox))
+        return max(0, self.pipe.link.settings.buffer - self.pipe.under_way - len(self.peer.inbox))
 
     @property
     def writable(self) -> bool:
         return self.up and (self.error != 0 or self.space > 0)
 
     def write(self, data: bytes | bytearray | memoryview) -> int:
-        """Takes what there is room for. BlockingIOError: none. OSError: the connection is broken."""
+        """Writes as much as the buffer holds; raises BlockingIOError if full, OSError if not connected."""
         if self.error:
-            raise OSError(self.error if not self.ended else errno.EPIPE, "broken")
+            raise OSError(self.error if not self.ended else errno.EPIPE, "connection broken")
         if self.closed:
-            raise OSError(errno.EBADF, "closed")
+            raise OSError(errno.EBADF, "connection closed")
         if self.shut:
-            raise OSError(errno.EPIPE, "shut")
+            raise OSError(errno.EPIPE, "connection shut down for writing")
         taken = min(len(data), self.space) if self.up else 0
         if not taken:
-            raise BlockingIOError(errno.EAGAIN, "no room")
+            raise BlockingIOError(errno.EAGAIN, "send buffer full")
         if self.writes is not None:
             self.writes.append((self.sent, self.net.kernel.now))
         self.sent += taken
         self.net.send(self, bytes(data[:taken]))
         return taken
 
-    def written_at(self, place: int) -> float:
-        """When the byte at this place was written, where writes are kept; earlier ones are forgotten."""
+    def written_at(self, offset: int) -> float:
+        """Returns when the byte at `offset` was written, and drops records of earlier writes."""
         writes = self.writes
         assert writes
-        while len(writes) > 1 and writes[1][0] <= place:
+        while len(writes) > 1 and writes[1][0] <= offset:
             writes.popleft()
         return writes[0][1]
 
-    # --- ends
+    # --- closing
 
     def shutdown(self) -> None:
-        """Of its own writes: what was written arrives, and then its end. It may still read."""
+        """Closes for writing: sent data still arrives, then end of file. Reading stays possible."""
         if self.closed or self.error or not self.up:
             raise OSError(errno.ENOTCONN, "not connected")
         if not self.shut:
             self.shut = True
-            self.net.end(self)
+            self.net.send_eof(self)
 
     def close(self) -> None:
-        """In good order: what was written still arrives. With bytes unread it is a reset."""
+        """Closes: sent data still arrives. Resets the connection instead if bytes are unread."""
         if self.closed:
             return
         if self.inbox or self.error:
@@ -208,7 +213,7 @@
             return
         self.closed = True
         self.net.on_close(self)
-        self.net.shut(self)
+        self.net.close_end(self)
 
     def reset(self) -> None:
         if self.closed:
@@ -222,38 +227,38 @@
 class Listener:
     def __init__(self, host: str, address: tuple[str, int], listening: Listening) -> None:
         self.host, self.address, self.listening = host, address, listening
-        self.deaf = False  # new connections are not answered
+        self.ignores_connects = False  # does not answer new connections
 
 
 class Network:
-    """`seen(kind, end, size)` is told of each delivery: it is what a step is."""
+    """Calls `on_delivery(kind, end, size)` for each delivery, which counts as one step."""
 
     def __init__(
         self,
         kernel: Kernel,
         seed: int,
-        manners: Callable[[str, str], Manners],
-        seen: Callable[[str, End, int], None],
+        settings: Callable[[str, str], LinkSettings],
+        on_delivery: Callable[[str, End, int], None],
     ) -> None:
-        self.kernel, self.seed, self.manners, self.seen = kernel, seed, manners, seen
+        self.kernel, self.seed, self.settings, self.on_delivery = kernel, seed, settings, on_delivery
         self.listeners: dict[tuple[str, int], Listener] = {}
         self.links: dict[tuple[str, str], Link] = {}
         self.ports: dict[str, int] = {}
-        self.hosts: dict[str, str] = {}  # by IP address, whether it listens or not
+        self.hosts: dict[str, str] = {}  # by IP address, listening or not
         self.on_close: Callable[[End], None] = lambda end: None
         self.on_write: Callable[[End, bytes], None] | None = None
 
     def link(self, a: str, b: str) -> Link:
         key = (a, b) if a <= b else (b, a)
         if (link := self.links.get(key)) is None:
-            link = self.links[key] = Link("~".join(key), self.manners(a, b))
+            link = self.links[key] = Link("~".join(key), self.settings(a, b))
         return link
 
     def links_of(self, host: str) -> list[Link]:
         return [link for key, link in self.links.items() if host in key]
 
     def ends_of(self, host: str) -> list[End]:
-        """This host's side of all its connections that stand."""
+        """Returns this host's end of each of its open connections."""
         found = []
         for key, link in self.links.items():
             if host in key:
@@ -273,7 +278,7 @@
             del self.listeners[listener.address]
 
     def connect(self, host: str, ip: str, address: tuple[str, int], handler: Handler) -> End:
-        """The end is not up before `opened`."""
+        """Starts a connection; the returned end is not up before `opened` is called."""
         port = self.ports[ip] = self.ports.get(ip, 30000) + 1
         other = self.hosts[address[0]]
         link = self.link(host, other)
@@ -283,35 +288,35 @@
         random = stream(self.seed, "connection", link.name, host, link.count)
         end.pipe, far.pipe = Pipe(link, random), Pipe(link, random)
         end.handler = handler
-        self._knock(end, 0)
+        self._send_syn(end, 0)
         return end
 
-    def _knock(self, end: End, again: int) -> None:
-        """The first packet. One that is lost comes again."""
+    def _send_syn(self, end: End, again: int) -> None:
+        """Sends the first packet, and repeats it until it is answered or the retries run out."""
         if end.closed or end.up or end.error:
             return
         link = end.pipe.link
         if not link.silent:
-            self.kernel.after(end.pipe.delay(), lambda: self._knocked(end))
-        if again < len(AGAIN_S):
-            wait = AGAIN_S[again] - (AGAIN_S[again - 1] if again else 0.0)
-            self.kernel.after(wait, lambda: self._knock(end, again + 1))
+            self.kernel.after(end.pipe.delay(), lambda: self._syn_arrives(end))
+        if again < len(CONNECT_RETRY_TIMES_S):
+            wait = CONNECT_RETRY_TIMES_S[again] - (CONNECT_RETRY_TIMES_S[again - 1] if again else 0.0)
+            self.kernel.after(wait, lambda: self._send_syn(end, again + 1))
 
-    def _knocked(self, end: End) -> None:
+    def _syn_arrives(self, end: End) -> None:
         far = end.peer
         if end.closed or end.up or far.up:
             return
         link = end.pipe.link
         listener = self.listeners.get(far.address)
-        if link.silent or (listener is not None and listener.deaf):
+        if link.silent or (listener is not None and listener.ignores_connects):
             return
-        self.seen("knock", far, 0)
+        self.on_delivery("knock", far, 0)
         if listener is None or link.refuses:
             self.kernel.after(far.pipe.delay(), lambda: self._refused(end))
             return
         far.up = True
         link.ends[end] = None
-        # the answer is on its way before the listener may say anything
+        # the handshake's answer must arrive before any data of the listener
         at = self.kernel.now + far.pipe.delay()
         far.pipe.last = at
         self.kernel.at(at, lambda: self._opened(end))
@@ -321,18 +326,18 @@
 
     def _refused(self, end: End) -> None:
         if not end.closed and not end.up and not end.error:
-            self.seen("refused", end, 0)
+            self.on_delivery("refused", end, 0)
             end.error = errno.ECONNREFUSED
             if end.handler is not None:
                 end.handler.refused(end)
 
     def _opened(self, end: End) -> None:
-        if end.closed:  # given up meanwhile: the other side finds nobody there
+        if end.closed:  # closed meanwhile, so the other side gets a reset
             self._reset_arrives(end.peer)
             return
         if end.peer.pipe.silent or end.error or end.up:
             return
-        self.seen("open", end, 0)
+        self.on_delivery("open", end, 0)
         end.up = True
         if end.handler is not None:
             end.handler.opened(end)
@@ -348,10 +353,10 @@
             self._forward(end, Segment(piece))
 
     def _pieces(self, pipe: Pipe, data: bytes) -> list[bytes]:
-        cut = pipe.link.manners.cut
+        cut = pipe.link.settings.cut
         if cut == "whole" or len(data) < 2:
             return [data]
-        most = 3 if cut == "few" else MOST_PIECES
+        most = 3 if cut == "few" else MAX_SEGMENTS_PER_WRITE
         count = pipe.random.randrange(1, most + 1)
         places = sorted(pipe.random.randrange(1, len(data)) for _ in range(count - 1))
         edges = [0, *places, len(data)]
@@ -366,22 +371,22 @@
         self.kernel.at(pipe.last, lambda: self._arrive(end, segment))
 
     def _arrive(self, end: End, segment: Segment) -> None:
-        """At the other side of `end`."""
+        """Delivers a segment to the peer of `end`."""
         pipe, far = end.pipe, end.peer
         if pipe.dropped:
             return
         if pipe.silent or pipe.link.silent:
-            pipe.kept.append(segment)  # it will be sent again once something passes
+            pipe.kept.append(segment)  # sent again after the link heals
             return
         pipe.under_way -= len(segment.data)
         if far.error:
             return
         if far.closed:
-            self.seen("late", far, len(segment.data))
+            self.on_delivery("late", far, len(segment.data))
             if segment.data:
                 self._answer_reset(far)
             return
-        self.seen("bytes" if segment.data else "end", far, len(segment.data))
+        self.on_delivery("bytes" if segment.data else "end", far, len(segment.data))
         if segment.data:
             far.inbox += segment.data
         else:
@@ -389,25 +394,25 @@
         if far.handler is not None:
             far.handler.arrived(far)
 
-    def has_room(self, end: End) -> None:
-        """The other side has read: its word of that takes a while."""
+    def schedule_space_notice(self, end: End) -> None:
+        """Schedules `room` at this end after the link's latency, as the peer has read data."""
         if end.handler is not None and not end.closed:
-            self.kernel.after(end.peer.pipe.delay(), lambda: self._room(end))
+            self.kernel.after(end.peer.pipe.delay(), lambda: self._notify_space(end))
 
-    def _room(self, end: End) -> None:
+    def _notify_space(self, end: End) -> None:
         if end.handler is not None and not end.closed and not end.error:
-            end.handler.room(end)
+            end.handler.space_available(end)
 
-    # --- ends
+    # --- closing
 
-    def end(self, end: End) -> None:
+    def send_eof(self, end: End) -> None:
         self._forward(end, Segment(b""))
 
-    def shut(self, end: End) -> None:
+    def close_end(self, end: End) -> None:
         if not end.up:
             return
         if not end.shut:
-            self.end(end)
+            self.send_eof(end)
         self._leave(end)
 
     def _leave(self, end: End) -> None:
@@ -417,13 +422,13 @@
             end.pipe.link.ends.pop(far, None)
 
     def break_off(self, end: End) -> None:
-        """This side is reset by its owner: the other one hears of it, unless nothing passes."""
+        """Resets the connection from this end; the peer gets the reset unless the link is silent."""
         pipe = end.pipe
         self._leave(end)
         if not end.up:
             return
-        if pipe.random.random() < pipe.link.manners.reset_drops:
-            pipe.dropped = True  # it overtakes what is under way
+        if pipe.random.random() < pipe.link.settings.reset_drops:
+            pipe.dropped = True  # the reset discards data in transit
         if pipe.silent or pipe.link.silent:
             pipe.dropped = True
             return
@@ -433,7 +438,7 @@
         self.kernel.at(at, lambda: self._reset_arrives(end.peer))
 
     def _answer_reset(self, end: End) -> None:
-        """What comes to a closed end is answered with a reset."""
+        """Answers data for a closed end with a reset."""
         pipe = end.pipe
         if not (pipe.silent or pipe.link.silent):
             self.kernel.after(pipe.delay(), lambda: self._reset_arrives(end.peer))
@@ -447,26 +452,26 @@
         self.struck_reset(end)
 
     def struck_reset(self, end: End) -> None:
-        """A reset comes to this end, be it from the other side or from something on the way."""
+        """Delivers a reset to this end, sent by the peer or by a device on the path."""
         if end.closed or end.error:
             return
-        self.seen("reset", end, 0)
+        self.on_delivery("reset", end, 0)
         pipe = end.peer.pipe
         end.error = errno.ECONNRESET
-        if pipe.random.random() < pipe.link.manners.reset_drops:
+        if pipe.random.random() < pipe.link.settings.reset_drops:
             end.inbox.clear()
         self._leave(end)
         if end.handler is not None:
             end.handler.arrived(end)
 
-    # --- what a run may do to a connection
+    # --- fault injection
 
     def silence(self, end: End) -> None:
-        """What this end sends from now on does not arrive, nor what is under way."""
+        """Holds back all data that this end has in transit or sends until `heal`."""
         end.pipe.silent = end.struck = end.peer.struck = True
 
     def heal(self, end: End) -> None:
-        """What was sent into the silence arrives after all."""
+        """Ends a silence: the data that was held back is delivered."""
         pipe = end.pipe
         pipe.silent = False
         self._resend(end)
@@ -490,7 +495,7 @@
             self._forward(end, segment)
 
     def cut(self, end: End, both: bool = True) -> None:
-        """Something on the way resets the connection: both ends hear of it, or this one alone."""
+        """Simulates a reset by a device on the path, at both ends or at this end alone."""
         end.struck = end.peer.struck = True
         end.pipe.dropped = end.peer.pipe.dropped = both
         if both:
--- a/finchladder/sim/peers.py
+++ b/finchladder/sim/peers.py
@@ -1,18 +1,18 @@
-"""Many dispatchers' peers at virtual time: links that are split, lose, delay and double, processes that die.
+"""Simulation of peer communication on virtual time: partitions, loss, delay, duplicates and process deaths.
 
-The decisions of `core/peers` as they stand, a clock for each process that runs at a speed of its own, and an
-eye from outside that compares with what is true as it goes on:
+It runs the decisions of `core/peers` unmodified, with a clock of its own speed for each process, and compares
+their state with the true state:
 
 | rule | what must hold |
 | --- | --- |
-| rights | what all may use of a budget at one moment adds up to the limit at the most |
-| window | what all took of it in any WINDOW_S is within limit x (1 + e), by bucket.py |
-| never zero | whoever runs has a right above 0, whatever it hears |
-| once | what a dispatcher believes of one life's spending never falls back, and is never above the truth |
-| bounded | no table grows beyond its bound, no packet beyond its room |
-| heals | HEAL_S after the last fault all that run hold each other alive, and those that are dead for gone |
-
-Deterministic by the seed: no clock, no thread, no hash order.
+| rights | the shares of a budget that all may use at one moment add up to at most the limit |
+| window | the tokens taken by all in any WINDOW_S stay within limit x (1 + e), as in bucket.py |
+| never zero | every running dispatcher has a share above 0, whatever it receives |
+| once | the spending a dispatcher stores for an incarnation never decreases or exceeds the true value |
+| bounded | no table exceeds its limit, no packet exceeds its size |
+| heals | HEAL_S after the last fault dispatchers see running peers as alive and dead ones as gone |
+
+A run depends only on its seed: it uses no real clock, no threads and no hash order.
 """
 
 from collections import deque
@@ -31,10 +31,10 @@
 KINDS = ("split", "split", "one_way", "loss", "late", "double", "kill", "kill", "pause", "shift")
 WINDOW_S = 1.0
 LATENCY_S = 0.002
-BUFFER = 256  # packets that wait at a process that stands still
+BUFFER = 256  # packets kept for a paused process
 HEAL_S = 40.0
-RIGHTS_EVERY_S = 0.02  # they are looked at; a wrong one lasts for a lease's margin at the least
-FOR_GOOD_S = 60.0  # who is away for longer stays away
+SHARE_CHECK_INTERVAL_S = 0.02  # interval of the checks; a wrong share lasts at least for a lease's margin
+MAX_ABSENCE_S = 60.0  # a process that is down for longer counts as gone for good
 BUDGET = "retry:all"
 
 
@@ -45,12 +45,12 @@
 
 
 class World(NamedTuple):
-    """What is drawn. Times are seconds from the begin."""
+    """The drawn environment. Times are seconds from the start."""
 
     dispatchers: int
-    limit: float  # of the one budget, a second
-    demand: float  # takes a second, of all
-    skew: float  # 0: spread evenly; 1: nearly all at one
+    limit: float  # of the only budget, tokens per second
+    demand: float  # requested tokens per second in total
+    skew: float  # 0: spread evenly; 1: all at one dispatcher
     for_s: float
     faults: tuple["Fault", ...]
 
@@ -60,7 +60,7 @@
     at: float
     for_s: float
     size: float
-    who: tuple[int, ...]  # those struck; of a split one side
+    who: tuple[int, ...]  # affected dispatchers; for a split, one side
 
 
 def draw(seed: int, most: int = 9) -> World:
@@ -77,7 +77,7 @@
     return World(n, limit, limit * r.choice((0.3, 1.0, 3.0)), r.choice((0.0, 0.5, 0.95)), 60.0, tuple(faults))
 
 
-def room(p: Packet) -> int:
+def packet_bytes(p: Packet) -> int:
     part = p.partial_sum.size_bytes if p.partial_sum is not None else 0
     return part + sum(
         r.size_bytes for some in (p.updates, p.rows, p.grants, p.returns, p.orders) for r in some
@@ -98,7 +98,7 @@
 def search(
     seeds: range, jobs: int, go_on: Callable[[], bool], play: Callable[[int], tuple[int, Found]] = play_seed
 ) -> Iterator[tuple[int, Found]]:
-    """Each seed with what came of it, as they end; `go_on` is asked before more are begun."""
+    """Yields the result of each seed in order; starts more seeds while `go_on` returns True."""
     rest = iter(seeds)
     with ProcessPoolExecutor(jobs) as pool:
         while go_on() and (some := list(islice(rest, 4 * jobs))):
@@ -106,18 +106,18 @@
 
 
 class Process:
-    """One life of a dispatcher: a clock that begins anywhere, and runs up to DRIFT too fast or too slow."""
+    """One incarnation of a dispatcher, with a random clock offset and a drift of up to MAX_CLOCK_DRIFT."""
 
-    def __init__(self, play: "Play", index: int, life: int) -> None:
-        r = Random(f"{play.seed}/{index}/{life}")
-        self.play, self.index, self.life, self.name = play, index, life, f"n{index + 1}"
+    def __init__(self, play: "Play", index: int, incarnation: int) -> None:
+        r = Random(f"{play.seed}/{index}/{incarnation}")
+        self.play, self.index, self.incarnation, self.name = play, index, incarnation, f"n{index + 1}"
         self.begun = play.now
         self.speed = 1 + r.uniform(-1, 1) * escrow.MAX_CLOCK_DRIFT * 0.99
         self.offset = r.uniform(0, 1e6)
-        # a wall clock may be an hour off: a later life then begins with a lower incarnation
+        # a wall clock may be an hour off, so a later process may start with a lower incarnation number
         wall = 1_700_000_000 + play.now + r.choice((0.0, 0.0, -3600.0, 3600.0))
         self.paused = False
-        self.waits: deque[Packet] = deque(maxlen=BUFFER)
+        self.queued_packets: deque[Packet] = deque(maxlen=BUFFER)
         self.believed: dict[tuple[str, int], float] = {}
         self.peers = Peers(
             self.name,
@@ -135,13 +135,13 @@
 
     def send(self, packets: list[tuple[str, Packet]]) -> None:
         for to, packet in packets:
-            if room(packet) > MAX_PAYLOAD_BYTES:
-                self.play.break_("bounded", f"a packet of {self.name} takes {room(packet)} bytes")
+            if packet_bytes(packet) > MAX_PAYLOAD_BYTES:
+                self.play.break_("bounded", f"a packet of {self.name} takes {packet_bytes(packet)} bytes")
             self.play.carry(self, to, packet)
 
     def hear(self, packet: Packet) -> None:
         if self.paused:
-            self.waits.append(packet)
+            self.queued_packets.append(packet)
         else:
             self.send(self.peers.receive(self.clock(), packet))
 
@@ -167,30 +167,30 @@
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.broken: Broken | None = None
         self.alive: dict[int, Process] = {}
-        self.lives = [0] * self.world.dispatchers
-        self.links: list[Fault] = []  # faults of links at work
+        self.incarnations = [0] * self.world.dispatchers
+        self.links: list[Fault] = []  # active faults of links
         self.shift = 0
-        self.rights_at = 0.0
+        self.next_share_check_at = 0.0
         self.taken: deque[tuple[float, int]] = deque()
-        self.most_taken = self.total_taken = self.looked = 0
+        self.most_taken = self.total_taken = self.checked_count = 0
         self.sent = self.lost = 0
-        self.spent: dict[tuple[str, int], int] = {}  # in truth, by life
+        self.spent: dict[tuple[str, int], int] = {}  # true spending by incarnation
 
     def at(self, when: float, what: Callable[[], None]) -> None:
         self.serial += 1
         heappush(self.queue, (when, self.serial, what))
 
-    # --- the world
+    # --- the environment
 
     def start(self, index: int) -> None:
-        self.lives[index] += 1
-        self.alive[index] = process = Process(self, index, self.lives[index])
-        self._beat(process)
+        self.incarnations[index] += 1
+        self.alive[index] = process = Process(self, index, self.incarnations[index])
+        self._run_turns(process)
 
-    def _beat(self, process: Process) -> None:
+    def _run_turns(self, process: Process) -> None:
         if self.alive.get(process.index) is process:
             process.turn()
-            self.at(self.now + process.next_in(), lambda: self._beat(process))
+            self.at(self.now + process.next_in(), lambda: self._run_turns(process))
 
     def carry(self, sender: Process, to: str, packet: Packet) -> None:
         self.sent += 1
@@ -222,7 +222,7 @@
             for i in f.who:
                 if (process := self.alive.get(i)) is not None:
                     process.paused = True
-                    self.at(self.now + min(f.for_s, FOR_GOOD_S / 5), lambda p=process: self._wake(p))  # type: ignore[misc]
+                    self.at(self.now + min(f.for_s, MAX_ABSENCE_S / 5), lambda p=process: self._wake(p))  # type: ignore[misc]
         elif f.kind == "shift":
             self.shift = f.who[0]
         else:
@@ -231,9 +231,9 @@
 
     def _wake(self, process: Process) -> None:
         process.paused = False
-        waits, process.waits = process.waits, deque(maxlen=BUFFER)
+        queued, process.queued_packets = process.queued_packets, deque(maxlen=BUFFER)
         if self.alive.get(process.index) is process:
-            for packet in waits:
+            for packet in queued:
                 process.hear(packet)
 
     def _take(self) -> None:
@@ -244,32 +244,32 @@
         if process is not None and not process.paused and process.tokens.take(process.clock()):
             self.total_taken += 1
             self.taken.append((self.now, index))
-            life = process.name, process.peers.boot
-            self.spent[life] = self.spent.get(life, 0) + 1
+            incarnation = process.name, process.peers.boot
+            self.spent[incarnation] = self.spent.get(incarnation, 0) + 1
         if self.now < w.for_s:
             self.at(self.now + self.random.expovariate(w.demand), self._take)
 
-    # --- what must hold
+    # --- rules
 
-    def _look(self) -> None:
+    def _check_window(self) -> None:
         w = self.world
-        if len(self.taken) == self.looked:  # nobody took any: the rights are to be looked at
-            if self.now >= self.rights_at:
-                self.rights_at = self.now + RIGHTS_EVERY_S
-                self._look_at_rights()
+        if len(self.taken) == self.checked_count:  # no token was taken: only the shares need a check
+            if self.now >= self.next_share_check_at:
+                self.next_share_check_at = self.now + SHARE_CHECK_INTERVAL_S
+                self._check_shares()
             return
         while self.taken and self.taken[0][0] <= self.now - WINDOW_S:
             self.taken.popleft()
         self.most_taken = max(self.most_taken, len(self.taken))
-        self.looked = len(self.taken)
-        # each may take what its right was worth in the window, and what its bucket held at its begin
+        self.checked_count = len(self.taken)
+        # each may take its share of the window plus the contents of its bucket at the start of the window
         most = (w.limit * WINDOW_S + w.dispatchers + w.limit * bucket.TOKEN_TTL_S) * (
             1 + escrow.MAX_CLOCK_DRIFT
         )
         if len(self.taken) > most:
             self.break_("window", f"{len(self.taken)} in {WINDOW_S:g} s, and {most:.1f} is the most")
 
-    def _look_at_rights(self) -> None:
+    def _check_shares(self) -> None:
         w = self.world
         rights = {i: p.peers.escrow.usable_rate(p.clock(), BUDGET) for i, p in self.alive.items()}
         allowed = sum(p.tokens.rate_at(p.clock()) for p in self.alive.values())
@@ -280,7 +280,7 @@
             if right <= 0:
                 return self.break_("never zero", f"n{i + 1} may use nothing")
 
-    def _look_closer(self) -> None:
+    def _check_state(self) -> None:
         for p in self.alive.values():
             for owner, (row, _) in p.peers.rows.by_owner.items():
                 told = sum(want.spent for want in row.demands)
@@ -316,9 +316,9 @@
         for f in self.world.faults:
             self.at(f.at, lambda f=f: self.strike(f))  # type: ignore[misc]
         self.at(1.0, self._take)
-        over = [f.at + min(f.for_s, FOR_GOOD_S) for f in self.world.faults]
+        over = [f.at + min(f.for_s, MAX_ABSENCE_S) for f in self.world.faults]
         end = max([self.world.for_s, *over]) + (self.heal_s if heals else 0.0)
-        look_at = 0.0
+        check_at = 0.0
         while self.queue and self.broken is None:
             when, _, what = heappop(self.queue)
             if when > end:
@@ -326,10 +326,10 @@
             self.now = max(self.now, when)
             self.steps += 1
             what()
-            self._look()
-            if self.now >= look_at:
-                look_at = self.now + 0.5
-                self._look_closer()
+            self._check_window()
+            if self.now >= check_at:
+                check_at = self.now + 0.5
+                self._check_state()
         if self.broken is None and heals:
             self._healed()
         return self.broken
--- a/finchladder/sim/plan.py
+++ b/finchladder/sim/plan.py
@@ -1,7 +1,7 @@
-"""What a run plays: its world, its jobs, its faults and their times. Drawn from a seed, or cut down by hand.
+"""Simulation plans: the environment, the jobs and the faults of a run, drawn from a seed or minimized.
 
-A plan is all that a run needs, so a trace that carries one can be played anywhere, whatever this file comes
-to draw later. Times are seconds from the run's begin.
+A plan holds everything that a run needs, so the plan in a trace can be replayed after this file's drawing
+has changed. Times are seconds from the start of the run.
 """
 
 from random import Random
@@ -23,21 +23,21 @@
 )
 from finchladder.sim.draws import some, spread, stream
 
-BOOT_S = 0.6  # dispatchers are up and admitted by then
-SETTLE_S = 9.0  # after the last fault all is served again within this: the claim of liveness
-CALM_S = 1.0  # the calm jobs come within it
-END_S = 6.0  # after the last job all processes are told to leave, and have left by then
+BOOT_S = 0.6  # time by which dispatchers are up and admitted
+SETTLE_S = 9.0  # all jobs are served again this long after the last fault (the liveness rule)
+CALM_S = 1.0  # the time in which the calm jobs arrive
+END_S = 6.0  # time after the last job for open jobs to finish before SIGTERM
 
 Moment = Literal[
-    "start",  # a dispatcher's process has begun
+    "start",  # a dispatcher process has started
     "list",  # discovery has written a change to a dispatcher
     "asked",  # a client has written a request's last byte
-    "taken",  # a request's last byte has come to a real server
+    "taken",  # a request's last byte has arrived at a real server
     "accepted",  # its 202 has been written
-    "started",  # a real server has written a call-back of a start
-    "result",  # a real server has written a call-back of an end, which nobody has read
+    "started",  # a real server has written the callback of a job's start
+    "result",  # a real server has written the callback of a job's end, not read yet
     "term",  # SIGTERM was sent
-    "answer",  # a dispatcher has written a client's answer
+    "answer",  # a client has received its answer
 ]
 FaultKind = Literal[
     # dispatchers
@@ -53,9 +53,9 @@
     "errors",
     "swallow",
     "freeze",
-    # everything at once: all real servers die and come back cold, all dispatchers start anew
+    # everything at once: all real servers restart cold and all dispatchers restart
     "blackout",
-    # the list
+    # the endpoint list
     "list_silent",
     "list_late",
     "list_gap",
@@ -105,7 +105,7 @@
 
 
 class Job(msgspec.Struct, omit_defaults=True, tag="job"):
-    """One wish of a client."""
+    """One job that a client requests."""
 
     number: int
     at: float
@@ -115,37 +115,37 @@
     work_s: float = 0.02
     slots: int = 1
     body: int = 2  # bytes
-    leaves_s: float = 0.0  # the client goes after so long; 0: it waits as long as it said
-    calm: bool = False  # must be served: it comes when all faults are long over
+    leaves_s: float = 0.0  # the client disconnects after this time; 0: it waits for its whole patience
+    calm: bool = False  # must be served, as it arrives SETTLE_S after the last fault
 
 
 class Fault(msgspec.Struct, omit_defaults=True, tag="fault"):
-    """Something that goes wrong: at a time, or `after_s` a moment, the nth of its kind from `at` on."""
+    """An injected fault: at the time `at`, or `after_s` after the nth moment `on` from `at` on."""
 
     kind: FaultKind
     at: float
     on: Moment | None = None
     nth: int = 1
     after_s: float = 0.0
-    target: str = ""  # a dispatcher, a real server, or a link "a~b"; empty: whom the moment is about
+    target: str = ""  # a dispatcher, real server or link "a~b"; empty: the one the moment concerns
     for_s: float = 0.0
     size: float = 0.0
     number: int = 0
 
 
 class World(msgspec.Struct, omit_defaults=True):
-    """What does not change in a run."""
+    """The environment of a run, which stays fixed."""
 
     latency_s: float = 0.0005
     jitter: float = 0.5
     cut: Literal["whole", "few", "many"] = "whole"
     buffer: int = 262_144
     reset_drops: float = 0.5
-    pace_s: float = 0.0001  # between being ready and running, at the most
-    options: str = ""  # the operator's file
-    routes: list[str] = []  # of one in TOML beside it: as it is at the start, and at each SIGHUP in turn
+    pace_s: float = 0.0001  # longest delay between being ready and running
+    options: str = ""  # the contents of the operator's options file
+    routes: list[str] = []  # successive contents of the TOML routes file: at the start and at each SIGHUP
     clients: int = 4
-    ghosts: int = 0  # entries of the list that only ever drain: they make it long
+    ghosts: int = 0  # draining entries that make the endpoint list long
     wall: float = 1_700_000_000.0
 
 
@@ -156,7 +156,7 @@
     jobs: list[Job] = []
     faults: list[Fault] = []
     calm_at: float = 0.0  # all faults are over by `calm_at` minus SETTLE_S
-    ends: bool = True  # all processes are told to leave, and looked at when they have left
+    ends: bool = True  # the run ends with SIGTERM and a check that all processes have exited
 
 
 def dispatcher_names(plan: Plan) -> list[str]:
@@ -171,7 +171,7 @@
 
 
 def draw(seed: int) -> Plan:
-    """The plan of that seed. What it draws depends on the seed and on this file alone."""
+    """Returns the plan of a seed, which depends only on the seed and this file."""
     r = stream(seed, "plan")
     faulty_s = r.choice([3.0, 5.0, 8.0])
     experiment = _experiment(r, seed)
@@ -245,7 +245,7 @@
     )
 
 
-ROUTE_LINES = {  # and how often a route has them
+ROUTE_LINES = {  # options of a route, with the probability of each
     "timeout_s = 1.5": 0.3,
     "attempt_timeout_s = 0.4": 0.3,
     "hedge_after_s = 0.05\nhedge_most = 1.0": 0.5,
@@ -280,7 +280,7 @@
 
 
 def _routes(r: Random, plan: Plan) -> list[str]:
-    """Some of them can't be used, as the platform may forbid what they ask for: a file like any other."""
+    """Draws route files. Some are invalid, as the platform may forbid an option; this is intended."""
     if r.random() < 0.6:
         return []
 
@@ -319,7 +319,7 @@
 
 
 def _faults(r: Random, plan: Plan, faulty_s: float) -> list[Fault]:
-    """Swarm testing (Groce et al., 2012): which kinds a run has at all is drawn first."""
+    """Swarm testing (Groce et al., 2012): first draws the subset of fault kinds of the run."""
     kinds = some(r, KINDS, r.choice([0.06, 0.12, 0.25]))
     found: list[Fault] = []
     for _ in range(r.choice([1, 3, 6, 12, 20])):
@@ -334,7 +334,7 @@
 
 
 def _bundle(r: Random, plan: Plan, kinds: list[FaultKind], faulty_s: float) -> list[Fault]:
-    """Several at one and the same moment."""
+    """Draws several faults for the same moment."""
     first = _fault(r, plan, r.choice(kinds), faulty_s, True)
     others = [_fault(r, plan, r.choice(kinds), faulty_s, True) for _ in range(r.choice([1, 2]))]
     for f in others:
--- a/finchladder/sim/process.py
+++ b/finchladder/sim/process.py
@@ -1,4 +1,4 @@
-"""A dispatcher's process on a virtual machine: the program's own node, on a loop, sockets and clocks."""
+"""A simulated dispatcher process: the program's own node on a virtual loop, sockets and clocks."""
 
 import asyncio
 import itertools
@@ -26,12 +26,12 @@
 
 PORT = 8081
 EMPTY = Loaded(Options(), NO_ROUTES, "none")
-GRACE_S = 0.7  # SIGKILL comes no earlier than the longest deadline (3 s at the least) and this after SIGTERM
-MOST_TURNS_LAST = 200  # in which all tasks must have ended once their cancelling was asked for
+GRACE_S = 0.7  # SIGKILL comes this long after SIGTERM plus the longest deadline (at least 3 s)
+MAX_FINAL_TURNS = 200  # loop turns in which all cancelled tasks must end
 
 
-class Memory(Disk):
-    """Where capture files go: nowhere, but each call is answered as a disk would."""
+class MemoryDisk(Disk):
+    """A disk for capture files that keeps the last two files in memory."""
 
     def __init__(self) -> None:
         self.files: list[list[bytes]] = []
@@ -51,7 +51,7 @@
 
 
 class Process:
-    """One dispatcher over all its starts. down -> up -> leaving -> down; stopped is beside it."""
+    """One dispatcher over all its starts: down -> up -> leaving -> down; `stopped` is independent."""
 
     def __init__(self, run: "Run", index: int) -> None:
         e = run.plan.experiment
@@ -62,16 +62,16 @@
         self.state: Literal["down", "up", "leaving"] = "down"
         self.stopped = False
         self.starts = 0
-        self.wall_off = 0.0
-        self.sluggish = 1.0
+        self.wall_offset_s = 0.0
+        self.slowdown = 1.0
         self.loop: VirtualLoop | None = None
         self.node: DispatcherNode | None = None
         self.main: asyncio.Task[None] | None = None
         self.machine = HostEnvironment()
-        self.buried: list[VirtualLoop] = []
-        self.left_at = 0.0
+        self.dead_loops: list[VirtualLoop] = []
+        self.sigterm_at = 0.0
         self.on_exit: Callable[[], None] = lambda: None
-        self.made: Callable[[DispatcherNode], None] = lambda node: None
+        self.on_node_created: Callable[[DispatcherNode], None] = lambda node: None
 
     @property
     def address(self) -> tuple[str, int]:
@@ -81,39 +81,41 @@
     def is_up(self) -> bool:
         return self.state != "down"
 
-    # --- its life
+    # --- start and end
 
     def start(self) -> None:
         run = self.run
         self.starts += 1
-        self.state, self.stopped, self.sluggish = "up", False, 1.0
-        self.wall_off = 0.0  # all machines read one clock: it may jump while a process runs, not before
+        self.state, self.stopped, self.slowdown = "up", False, 1.0
+        self.wall_offset_s = (
+            0.0  # the machines' clocks agree when a process starts; a fault may shift one while it runs
+        )
         random = stream(run.plan.seed, "process", self.name, self.starts)
         most = run.plan.world.pace_s
 
         def pace() -> float:
-            return most * self.sluggish * random.random()
+            return most * self.slowdown * random.random()
 
         self.loop = loop = VirtualLoop(run.kernel, pace, random, self._failed)
         loop.after_turn = partial(run.turned, self)
         if run.before_turn is not None:
             loop.before_turn = partial(run.before_turn, self)
         loop.fired = partial(run.step, "timer", self.name)
-        since = 1000.0 * random.random()  # no two machines count alike
+        since = 1000.0 * random.random()  # each machine's monotonic clock starts elsewhere
         kernel, wall = run.kernel, run.plan.world.wall
         self.machine = HostEnvironment(
-            wall=lambda: wall + kernel.now + self.wall_off,
+            wall=lambda: wall + kernel.now + self.wall_offset_s,
             cpu=lambda: 0.0,  # a turn takes no time
-            run_in_thread=self._aside,
+            run_in_thread=self._run_inline,
             monotonic=lambda: since + kernel.now,
             listen=self._listen,
             allow_descriptors=lambda sockets: None,
             connect=partial(http1.connect, make=self._socket),
-            open_capture_files=self._files,
+            open_capture_files=self._open_capture,
         )
         setup, options = self.setup(), self.run.options
-        run.struck("started", self.name)
-        run.see("start", node=self.name, servers=len(run.registry.known[self.name]))
+        run.record_fault("started", self.name)
+        run.trace_event("start", node=self.name, servers=len(run.registry.known[self.name]))
         self.main = loop.create_task(self._live(setup, options))
         run.moment("start", node=self.name)
 
@@ -139,7 +141,7 @@
             first = load(texts[0], "routes.toml", setup.settings)
             file = OperatorFile(first if isinstance(first, Loaded) else EMPTY, read)
         self.node = node = DispatcherNode(setup, options, self.setup, self.machine, file)
-        self.made(node)
+        self.on_node_created(node)
         await node.serve()
 
     def _failed(self, message: str, error: BaseException | None) -> None:
@@ -149,57 +151,59 @@
         if self.state == "down" or self.loop is None:
             return
         if number == signal.SIGTERM:
-            self.left_at = self.run.kernel.now
+            self.sigterm_at = self.run.kernel.now
             self.state = "leaving"
         if not self.loop.signal(number) and number == signal.SIGTERM:
             self.kill()
 
     def kill(self) -> None:
-        """SIGKILL: nothing of it runs any more, and its connections are reset."""
+        """Simulates SIGKILL: stops the loop and resets all connections."""
         if self.state == "down":
             return
         assert self.loop is not None
         self.state, self.stopped = "down", False
-        self.loop.die()
-        self._gone()
+        self.loop.kill()
+        self._clean_up()
 
     def exited(self) -> None:
-        """The program has ended by itself: what was left of it is looked at, as asyncio.run would end it."""
+        """Ends a process whose main task returned: cancels the remaining tasks as asyncio.run does."""
         assert self.loop is not None
         loop = self.loop
         for task in loop.tasks():
-            loop.within(task.cancel)
+            loop.call_in_loop(task.cancel)
         loop.after_turn = lambda: None
-        if not loop.run_out(MOST_TURNS_LAST):
+        if not loop.run_until_done(MAX_FINAL_TURNS):
             names = ", ".join(sorted({task.get_name() for task in loop.tasks()}))
-            self.run.found("task", f"tasks do not end when they are cancelled: {names}", node=self.name)
+            self.run.report_violation(
+                "task", f"tasks do not end when they are cancelled: {names}", node=self.name
+            )
         self.state, self.stopped = "down", False
-        loop.die()
-        self._gone()
+        loop.kill()
+        self._clean_up()
         self.on_exit()
 
-    def _gone(self) -> None:
+    def _clean_up(self) -> None:
         assert self.loop is not None
         net = self.run.net
         for listener in [x for x in net.listeners.values() if x.host == self.name]:
             listener.listening.close()  # type: ignore[attr-defined]
         for end in net.ends_of(self.name):
             end.reset()
-        self.buried.append(self.loop)
+        self.dead_loops.append(self.loop)
 
     def pause(self) -> None:
         if self.state != "down" and not self.stopped and self.loop is not None:
             self.stopped = True
             self.loop.stop_turns()
-            self.run.struck("pause", self.name)
+            self.run.record_fault("pause", self.name)
 
     def go_on(self) -> None:
         if self.stopped and self.loop is not None:
             self.stopped = False
-            self.run.struck("pause", self.name, "end")
+            self.run.record_fault("pause", self.name, "end")
             self.loop.go_on()
 
-    # --- what the program is given
+    # --- the host environment of the program
 
     def _socket(self, family: int) -> Socket:
         assert self.loop is not None
@@ -211,8 +215,8 @@
         socket.listener = self.run.net.listen(self.name, address, socket)
         return [cast(Socket, socket)]
 
-    async def _aside(self, call: Callable[[], Any]) -> Any:
+    async def _run_inline(self, call: Callable[[], Any]) -> Any:
         return call()
 
-    def _files(self, options: CaptureOptions, name: str, start_ms: int) -> Disk | None:
-        return Memory() if options.folder is not None else None
+    def _open_capture(self, options: CaptureOptions, name: str, start_ms: int) -> Disk | None:
+        return MemoryDisk() if options.folder is not None else None
--- a/finchladder/sim/registry.py
+++ b/finchladder/sim/registry.py
@@ -1,4 +1,4 @@
-"""Discovery of a run: the lab's model, with an address of its own for each dispatcher."""
+"""The discovery service of a run: the lab's model, with a separate address for each dispatcher."""
 
 from math import inf
 from typing import TYPE_CHECKING, Any
@@ -10,8 +10,8 @@
 from finchladder.lab.records import Told
 from finchladder.lab.wire import CHUNKED_HEAD, Message, write_chunk, write_response
 from finchladder.sim.draws import stream
+from finchladder.sim.http_connection import HttpConnection
 from finchladder.sim.network import End, Handler, Listener
-from finchladder.sim.talk import Talk
 
 if TYPE_CHECKING:
     from finchladder.sim.run import Run
@@ -19,24 +19,24 @@
 
 HOST = "registry"
 PATH = "/catalog/members"
-TOLD_S = 6.0  # what does not arrive counts as told so much later
-LOOKS_S = 0.005
+MAX_DELIVERY_DELAY_S = 6.0  # a list update that does not arrive counts as received after this time
+DELIVERY_POLL_S = 0.005
 
 
-class Watcher(Talk):
+class Watcher(HttpConnection):
     def __init__(self, registry: "Registry", node: str, end: End) -> None:
         super().__init__(registry.run.net, responses=False)
         self.registry, self.node, self.end = registry, node, end
         self.start = registry.run.processes[node].starts
         self.asked: dict[int, None] = {}
         self.headed = False
-        self.said = 0
+        self.written_bytes = 0
 
-    def message(self, m: Message) -> None:
+    def on_message(self, m: Message) -> None:
         path, _, query = m.target.partition("?")
         wish = parse_qs(query)
         if m.method != "GET" or path != PATH or wish.get("stream") != ["1"] or self.asked:
-            self.say(write_response(404))
+            self.write(write_response(404))
             return
         index = wish.get("index", ["-1"])[0]
         registry = self.registry
@@ -45,58 +45,58 @@
         )
         self.asked[number] = None
         registry.watchers[number] = self
-        registry.run.see("watch", node=self.node, index=index)
-        registry.played()
+        registry.run.trace_event("watch", node=self.node, index=index)
+        registry.after_model_change()
 
     def line(self, line: Line) -> None:
-        """What is written here counts as told from now on."""
+        """Writes a line of the list; its states count as received now, or once they arrive."""
         run = self.registry.run
         data = (b"" if self.headed else CHUNKED_HEAD) + write_chunk(line.data)
-        self.said += len(data)
-        self.say(data)
+        self.written_bytes += len(data)
+        self.write(data)
         self.headed = True
         if line.data != b"\n":
             run.step("list", self.node)
             self.registry.remember(self.node, line.data)
             known = [told for told in line.told if told.server in run.servers]
-            run.see("listed", node=self.node, **{told.server: told.state for told in known})
+            run.trace_event("listed", node=self.node, **{told.server: told.state for told in known})
             if self.passes:
-                self.tell(known)
+                self.record_received(known)
             else:
-                self.late(known, self.said, run.kernel.now)
+                self.record_when_delivered(known, self.written_bytes, run.kernel.now)
             run.moment("list", end=self.end, node=self.node)
 
     @property
     def passes(self) -> bool:
-        """Whether what is written here arrives; to be asked only for news."""
-        if self.over or self.end is None:
+        """Whether written data arrives without a fault's delay; valid only when an update is written."""
+        if self.is_closed or self.end is None:
             return False
         pipe = self.end.pipe
         return not (pipe.silent or pipe.dropped or pipe.link.silent or self.out)
 
-    def tell(self, known: list[Told]) -> None:
+    def record_received(self, known: list[Told]) -> None:
         for told in known:
             told.at = self.registry.run.kernel.now
             self.registry.run.rules.put(told)
 
-    def late(self, known: list[Told], place: int, since: float) -> None:
-        """It counts as told once it has arrived, or after TOLD_S, unless it is no news any more."""
+    def record_when_delivered(self, known: list[Told], end_offset: int, since: float) -> None:
+        """Records states as received once they arrive, or late ones after a limit unless newer ones came."""
         run, end = self.registry.run, self.end
         assert end is not None
         if run.processes[self.node].starts != self.start:
             return
-        over = self.over or end.pipe.dropped or end.error != 0
-        if not over and end.sent - end.pipe.under_way >= place:
-            self.tell(known)
-        elif run.kernel.now < since + TOLD_S:
-            run.kernel.after(LOOKS_S, lambda: self.late(known, place, since))
+        over = self.is_closed or end.pipe.dropped or end.error != 0
+        if not over and end.sent - end.pipe.under_way >= end_offset:
+            self.record_received(known)
+        elif run.kernel.now < since + MAX_DELIVERY_DELAY_S:
+            run.kernel.after(DELIVERY_POLL_S, lambda: self.record_when_delivered(known, end_offset, since))
         else:
             told = run.rules.ledger.told
-            self.tell(
+            self.record_received(
                 [t for t in known if not any(x.at > since for x in told.get((self.node, t.server), ()))]
             )
 
-    def lost(self, how: str) -> None:
+    def on_lost(self, how: str) -> None:
         for number in self.asked:
             self.registry.model.unwatch(number)
             self.registry.watchers.pop(number, None)
@@ -113,7 +113,9 @@
         )
         self.watchers: dict[int, Watcher] = {}
         self.open: dict[Watcher, None] = {}
-        self.known: dict[str, dict[str, Any]] = {node: {} for node in nodes}  # entries as last told
+        self.known: dict[str, dict[str, Any]] = {
+            node: {} for node in nodes
+        }  # entries as last sent, by dispatcher
         self.index = dict.fromkeys(nodes, 0)
         self.ports = dict.fromkeys(nodes, 9000)
         self.listeners: dict[str, Listener] = {}
@@ -140,11 +142,11 @@
     def _listen(self, node: str) -> None:
         ip, _, port = self.address(node).partition(":")
         self.run.net.hosts[ip] = HOST
-        self.listeners[node] = self.run.net.listen(HOST, (ip, int(port)), Door(self, node))
+        self.listeners[node] = self.run.net.listen(HOST, (ip, int(port)), RegistryListener(self, node))
 
     def change(self, states: dict[str, tuple[Any, float]]) -> None:
         self.model.change(self.run.kernel.now, states)
-        self.played()
+        self.after_model_change()
 
     def remember(self, node: str, data: bytes) -> None:
         line = msgspec.json.decode(data)
@@ -162,7 +164,7 @@
         return {"index": self.index[node], "snapshot": True, "endpoints": endpoints}
 
     def move(self, node: str) -> None:
-        """To another address. The connections that stand fall silent, new ones are refused there."""
+        """Moves to a new address. Open connections fall silent; the old address refuses new ones."""
         self.run.net.unlisten(self.listeners[node])
         self.ports[node] += 1
         self._listen(node)
@@ -174,27 +176,27 @@
 
     def break_off(self, node: str, reset: bool) -> None:
         for watcher in [w for w in self.open if w.node == node]:
-            watcher.lost("")
+            watcher.on_lost("")
             if reset:
                 watcher.reset()
             else:
                 watcher.close()
 
-    def played(self) -> None:
+    def after_model_change(self) -> None:
         for line in self.model.advance(self.run.kernel.now):
             if (watcher := self.watchers.get(line.watch)) is not None:
                 watcher.line(line)
         if (due := self.model.next_due()) is not None and due < self.due:
             self.due = max(due, self.run.kernel.now)
-            self.run.kernel.at(self.due, self._ring)
+            self.run.kernel.at(self.due, self._advance_model)
 
-    def _ring(self) -> None:
+    def _advance_model(self) -> None:
         if self.run.kernel.now >= self.due:
             self.due = inf
-            self.played()
+            self.after_model_change()
 
 
-class Door:
+class RegistryListener:
     def __init__(self, registry: Registry, node: str) -> None:
         self.registry, self.node = registry, node
 
--- a/finchladder/sim/rules.py
+++ b/finchladder/sim/rules.py
@@ -1,8 +1,7 @@
-"""The four rules after every step: the lab's own judge, asked about what has just changed.
+"""Checks the four rules after every step with the lab's own judge.
 
-The judge looks at one try, one run or one cold start at a time, so here it is asked about the one that a
-record concerns as soon as the record is there. At a run's end it judges the whole ledger as well, and must
-find the same.
+The judge checks one attempt, one run or one cold start at a time, so each new record triggers a check of the
+one it concerns. At the end of a simulation run the judge also checks the whole ledger and must find the same.
 """
 
 from collections.abc import Callable
@@ -14,12 +13,12 @@
 
 
 class LiveLedger(Ledger):
-    """A ledger that grows. Each record is joined as `ledger.join` would."""
+    """A ledger that grows with each record, in the way `ledger.join` builds a whole one."""
 
     def __init__(self, experiment: Experiment) -> None:
         super().__init__(experiment)
         self.runs: dict[str, list[Run]] = {}
-        self.sent: dict[tuple[str, int], list[tuple[float, float, bool]]] = {}  # to cold servers
+        self.sent: dict[tuple[str, int], list[tuple[float, float, bool]]] = {}  # sends to cold real servers
 
     def run_of(self, id: str, server: str, epoch: int, at: float) -> Run | None:
         fits = [r for r in self.runs.get(id, ()) if r.server == server and r.epoch == epoch]
@@ -27,7 +26,7 @@
 
 
 class Rules:
-    """`broken` is called with each finding, at the step at which it became one."""
+    """Calls `broken` with each finding at the step at which the rule is violated."""
 
     def __init__(self, experiment: Experiment, begin: float, broken: Callable[[Finding], None]) -> None:
         self.experiment, self.broken = experiment, broken
@@ -42,7 +41,7 @@
         match record:
             case records.Asked() as r:
                 t = ledger.tries.setdefault(r.id, Try(r, runs=ledger.runs.setdefault(r.id, [])))
-                t.asked = r  # one that was written once more goes by its last writing
+                t.asked = r  # a request that was written again counts from its last write
             case records.Answered() as r:
                 self._answered(r)
             case records.Taken() as r:
@@ -67,9 +66,9 @@
                 self.judge.kills = {d: ledger.intervals(frozenset({"kill"}), d) for d in ledger.dispatchers}
             case _:
                 pass
-        self._tell()
+        self._report_findings()
 
-    def _tell(self) -> None:
+    def _report_findings(self) -> None:
         found, self.judge.found = self.judge.found, []
         for finding in found:
             self.broken(finding)
@@ -117,7 +116,7 @@
             run.result = r.result
 
     def whole(self) -> Verdict:
-        """The judge's word on all of the run's records."""
+        """Returns the judge's verdict on all records of the run."""
         copies = [type(r)(*[getattr(r, f) for f in r.__struct_fields__]) for r in self.records]
         ledger = join(Ledger(self.experiment), copies)
         return Judge(ledger).judge()
--- a/finchladder/sim/search.py
+++ b/finchladder/sim/search.py
@@ -1,4 +1,4 @@
-"""Plays many seeds on several processes. What each finds depends on its seed alone, not on who played it."""
+"""Runs many seeds on several processes. The result of a seed does not depend on the process."""
 
 import multiprocessing
 import signal
@@ -14,11 +14,11 @@
 from finchladder.sim.plan import draw
 from finchladder.sim.run import LOG, Outcome, Run
 
-HANGS_S = 60.0  # CPU seconds: a run that takes longer never ends, and is no result
+MAX_CPU_S = 60.0  # CPU seconds after which a run counts as hanging and has no outcome
 
 
 class Result(msgspec.Struct):
-    """Of one seed. `error`: the simulator itself failed, or the run hangs; then there is no outcome."""
+    """The result of one seed. `error`: the simulator failed or the run hangs; `outcome` is then None."""
 
     seed: int
     outcome: Outcome | None
@@ -26,22 +26,22 @@
     took_s: float = 0.0
 
 
-class Hangs(BaseException):
-    """No Exception: the program's own guards must not swallow it."""
+class RunTimeoutError(BaseException):
+    """Not an Exception, so that `except Exception` in the program does not swallow it."""
 
 
 def _alarm(number: int, frame: object) -> None:
-    raise Hangs
+    raise RunTimeoutError
 
 
 def play_seed(seed: int) -> Result:
     began = time.perf_counter()
     before = signal.signal(signal.SIGVTALRM, _alarm)
-    signal.setitimer(signal.ITIMER_VIRTUAL, HANGS_S)
+    signal.setitimer(signal.ITIMER_VIRTUAL, MAX_CPU_S)
     try:
         outcome, error = Run(draw(seed)).play(), ""
-    except Hangs:
-        outcome, error = None, f"hangs: no end after {HANGS_S:.0f} s of CPU"
+    except RunTimeoutError:
+        outcome, error = None, f"hangs: no end after {MAX_CPU_S:.0f} s of CPU"
     except Exception:
         outcome, error = None, traceback.format_exc()
     finally:
@@ -51,7 +51,7 @@
 
 
 def results(seeds: Iterable[int], jobs: int, until: float | None = None) -> Iterator[Result]:
-    """In the order of the seeds. `until`: of time.monotonic(), after which no further seed is begun."""
+    """Yields results in the order of the seeds; starts no seed after `until` on time.monotonic()."""
 
     def wanted() -> Iterator[int]:
         for seed in seeds:
@@ -63,7 +63,7 @@
         yield from map(play_seed, wanted())
         return
     with multiprocessing.get_context("fork").Pool(jobs, LOG.keep, maxtasksperchild=500) as pool:
-        # handed out a few at a time: a pool would take all the seeds at once, and play them all
+        # submitted a few at a time: a pool would accept all seeds at once and run them all
         waiting = []
         for seed in wanted():
             waiting.append(pool.apply_async(play_seed, (seed,)))
@@ -74,13 +74,13 @@
 
 
 class Tally:
-    """What a search has seen so far."""
+    """The totals of a search so far."""
 
     def __init__(self) -> None:
         self.seeds = self.steps = self.faults = self.errors = 0
         self.virtual_s = 0.0
         self.kinds: Counter[str] = Counter()
-        self.first: dict[str, int] = {}  # by violation: the first seed
+        self.first: dict[str, int] = {}  # the first seed of each violation
         self.answers: Counter[str] = Counter()
         self.coverage: Counter[tuple[str, str]] = Counter()
         self.began = time.perf_counter()
@@ -120,7 +120,7 @@
     until: float | None = None,
     first: bool = False,
 ) -> Tally:
-    """Each seed's violation is told, and its trace written to `out`. `first`: ends with the first one."""
+    """Prints each seed's violation and writes its trace to `out`. `first`: stops at the first one."""
     tally = Tally()
     for r in results(seeds, jobs, until):
         tally.add(r)
--- a/finchladder/sim/shrink.py
+++ b/finchladder/sim/shrink.py
@@ -1,8 +1,8 @@
-"""Makes a failing plan small: delta debugging over faults, clients, jobs and the deployment, then over times.
+"""Minimizes a failing plan: delta debugging over faults, clients, jobs and the deployment, then times.
 
-After Zeller and Hildebrandt, "Simplifying and isolating failure-inducing input" (2002). A smaller plan counts
-where it ends in a violation of the same rule and kind. Draws hang on the names of things, so what is left of
-a plan behaves much as it did among the rest.
+After Zeller and Hildebrandt, "Simplifying and isolating failure-inducing input" (2002). A smaller plan
+is accepted if it ends in a violation of the same rule and kind. Random draws depend on names, so the
+remaining parts of a plan behave much as they did in the whole plan.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -14,20 +14,20 @@
 from finchladder.sim.run import Outcome, Run
 
 T = TypeVar("T")
-MOST_PLAYS = 1500
+MAX_RUNS = 1500
 
 
 class Shrinker:
-    """`plan` is the smallest that failed so far. `plays`: runs that it took."""
+    """`plan` is the smallest plan that failed so far; `runs` counts the simulation runs."""
 
     def __init__(self, plan: Plan, name: str, say: Callable[[str], None] = lambda text: None) -> None:
         self.plan, self.name, self.say = plan, name, say
-        self.plays = 0
+        self.runs = 0
 
     def fails(self, plan: Plan) -> bool:
-        if self.plays >= MOST_PLAYS:
+        if self.runs >= MAX_RUNS:
             return False
-        self.plays += 1
+        self.runs += 1
         outcome = self.outcome(plan)
         if outcome is None or outcome.violation is None or outcome.violation.name != self.name:
             return False
@@ -37,25 +37,25 @@
     def outcome(self, plan: Plan) -> Outcome | None:
         try:
             return Run(plan).play()
-        except Exception:  # cut so small that it is no run any more
+        except Exception:  # the reduced plan can't be run
             return None
 
     def run(self) -> Plan:
         size = -1
-        while size != (size := self.size()) and self.plays < MOST_PLAYS:
+        while size != (size := self.size()) and self.runs < MAX_RUNS:
             self._list("faults", self.plan.faults, lambda p, v: replace(p, faults=v))
             self._clients()
             self._list("jobs", self.plan.jobs, lambda p, v: replace(p, jobs=v))
             self._deployment()
             self._times()
-            self.say(f"{len(self.plan.faults)} faults, {len(self.plan.jobs)} jobs after {self.plays} plays")
+            self.say(f"{len(self.plan.faults)} faults, {len(self.plan.jobs)} jobs after {self.runs} runs")
         return self.plan
 
     def size(self) -> int:
         return len(msgspec.json.encode(self.plan))
 
     def _list(self, what: str, items: Sequence[T], put: Callable[[Plan, list[T]], Plan]) -> None:
-        """ddmin: complements of ever smaller parts."""
+        """ddmin: tries the complements of smaller and smaller parts."""
         left = list(items)
         if left and self.fails(put(self.plan, [])):
             return
@@ -73,7 +73,7 @@
                 parts = min(len(left), parts * 2)
 
     def _clients(self) -> None:
-        """All jobs of one client together."""
+        """Tries to remove all jobs of one client at a time."""
         for client in sorted({job.client for job in self.plan.jobs}):
             jobs = [job for job in self.plan.jobs if job.client != client]
             if len(jobs) < len(self.plan.jobs):
@@ -85,7 +85,7 @@
                 self.fails(simpler)
 
     def _simpler(self) -> Iterator[Plan | None]:
-        """One step each, made from the plan as it is by then."""
+        """Yields simpler plans, each one step from the current plan."""
         yield replace(self.plan, ends=False) if self.plan.ends else None
         while self.plan.experiment.dispatchers > 1:
             before = self.plan
@@ -127,7 +127,7 @@
         return replace(self.plan, experiment=msgspec.structs.replace(self.plan.experiment, **what))
 
     def _times(self) -> None:
-        """Everything as early, as short and as plain as it may be."""
+        """Tries earlier and shorter times and simpler values."""
         faulty = max([0.0, *(f.at for f in self.plan.faults), *(j.at for j in self.plan.jobs if not j.calm)])
         calm = round(max(faulty + 0.3, BOOT_S) + SETTLE_S, 1)
         if calm < self.plan.calm_at:
--- a/finchladder/sim/sockets.py
+++ b/finchladder/sim/sockets.py
@@ -1,4 +1,4 @@
-"""A virtual socket: what Tornado's streams and listeners ask of a real one, over an end of the network."""
+"""A virtual socket: the socket methods that Tornado's streams and listeners use, over a network end."""
 
 import asyncio
 import errno
@@ -11,7 +11,7 @@
 
 
 class VirtualSocket(Handler):
-    """Of one process, told apart by its descriptor. Just what the program uses; what is missing raises."""
+    """A socket of one process with its own descriptor; a method the program does not use raises."""
 
     family = socket.AF_INET
 
@@ -21,10 +21,10 @@
         self.writer: asyncio.Handle | None = None
         self.end: End | None = None
         self.listener: Listener | None = None
-        self.waiting: deque[End] = deque()  # connections to be accepted
+        self.waiting: deque[End] = deque()  # connections that are not accepted yet
         loop.attach(number, self)
 
-    # --- as its loop sees it
+    # --- interface to the event loop
 
     @property
     def readable(self) -> bool:
@@ -39,7 +39,7 @@
     def touched(self) -> None:
         self.loop.touch(self.number, self)
 
-    # --- as the network sees it
+    # --- interface to the network
 
     def opened(self, end: End) -> None:
         self.touched()
@@ -50,18 +50,18 @@
     def arrived(self, end: End) -> None:
         self.touched()
 
-    def room(self, end: End) -> None:
+    def space_available(self, end: End) -> None:
         self.touched()
 
     def connected(self, end: End) -> Handler | None:
-        """Of a listening one."""
+        """Queues a new connection of a listening socket; None if the backlog is full."""
         if len(self.waiting) >= BACKLOG:
             return None
         self.waiting.append(end)
         self.touched()
-        return Early(self)
+        return UnacceptedConnection(self)
 
-    # --- as the program sees it
+    # --- socket interface
 
     def fileno(self) -> int:
         return self.number
@@ -74,7 +74,7 @@
 
     def getsockopt(self, level: int, option: int, size: int = 0) -> int:
         if (level, option) != (socket.SOL_SOCKET, socket.SO_ERROR):
-            raise OSError(errno.ENOPROTOOPT, "no such option here")
+            raise OSError(errno.ENOPROTOOPT, "this virtual socket supports only SO_ERROR")
         return self.end.error if self.end is not None else 0
 
     def connect(self, address: tuple[str, int]) -> None:
@@ -83,12 +83,14 @@
 
     def shutdown(self, how: int) -> None:
         if how != socket.SHUT_WR or self.end is None:
-            raise OSError(errno.EINVAL, "only the own writes of a connection")
+            raise OSError(
+                errno.EINVAL, "a virtual socket supports shutdown only of a connection and with SHUT_WR"
+            )
         self.end.shutdown()
 
     def accept(self) -> tuple["VirtualSocket", tuple[str, int]]:
         if not self.waiting:
-            raise BlockingIOError(errno.EAGAIN, "nobody there")
+            raise BlockingIOError(errno.EAGAIN, "no connection to accept")
         end = self.waiting.popleft()
         accepted = VirtualSocket(self.loop, self.net, self.host, self.ip, self.loop.descriptor())
         accepted.end, end.handler = end, accepted
@@ -120,8 +122,8 @@
             self.waiting.clear()
 
 
-class Early(Handler):
-    """Of a connection that the process has not accepted: what comes is kept, and makes nothing ready."""
+class UnacceptedConnection(Handler):
+    """Handler of a connection that is not accepted yet: data is kept and makes no descriptor ready."""
 
     def __init__(self, listening: VirtualSocket) -> None:
         self.listening = listening
@@ -135,5 +137,5 @@
     def arrived(self, end: End) -> None:
         pass
 
-    def room(self, end: End) -> None:
+    def space_available(self, end: End) -> None:
         pass
--- a/finchladder/sim/trace.py
+++ b/finchladder/sim/trace.py
@@ -1,10 +1,10 @@
-"""Traces: JSON lines that hold a run's whole plan, what was seen of it, and how it ended.
+"""Traces: JSON lines with a run's whole plan, its observed events, and its outcome.
 
-| line | what it holds |
+| line | contents |
 | --- | --- |
-| first | `trace` (the format's version), `code` (a digest of the program), `seed`, and the world of plan.py |
-| `{"type": "job", ...}`, `{"type": "fault", ...}` | the rest of the plan, as in plan.py |
-| `{"t": .., "see": .., ...}` | what was seen, in order; `t` in seconds from the run's begin |
+| first | `trace` (the format's version), `code` (a digest of the program), `seed`, and the plan's `World` |
+| `{"type": "job", ...}`, `{"type": "fault", ...}` | the rest of the plan, encoded as in plan.py |
+| `{"t": .., "see": .., ...}` | an event, in order; `t` in seconds from the start of the run |
 | last | `end`: the violation or null, and the digest of all steps |
 
 The same plan under the same code gives the same bytes.
@@ -22,7 +22,7 @@
 
 VERSION = 1
 PACKAGE = Path(__file__).resolve().parents[1]
-ROOMS = ("core", "config", "features", "net", "sim", "lab/models", "lab/judge.py", "lab/ledger.py")
+DIGEST_PATHS = ("core", "config", "features", "net", "sim", "lab/models", "lab/judge.py", "lab/ledger.py")
 _encode = msgspec.json.Encoder(order="deterministic").encode
 
 
@@ -44,14 +44,14 @@
 
 
 class TraceError(ValueError):
-    """A file that is no trace; the message says why in one line."""
+    """Raised for an invalid trace file; the message gives the reason in one line."""
 
 
 def code_digest() -> str:
-    """Of the files that decide how a run goes."""
+    """Hashes the source files that determine a run."""
     digest = blake2b(digest_size=6)
-    for room in ROOMS:
-        path = PACKAGE / room
+    for name in DIGEST_PATHS:
+        path = PACKAGE / name
         for file in sorted(path.rglob("*.py")) if path.is_dir() else [path]:
             digest.update(file.relative_to(PACKAGE).as_posix().encode() + b"\0" + file.read_bytes())
     return digest.hexdigest()
@@ -62,7 +62,7 @@
 
 
 def record(plan: Plan) -> tuple[list[bytes], Outcome]:
-    """Plays the plan; its trace, line by line, and how it ended."""
+    """Runs the plan; returns the lines of its trace and the outcome."""
     lines = head_of(plan)
     outcome = Run(plan, lambda seen: lines.append(line_of(seen))).play()
     lines.append(end_of(outcome))
@@ -84,14 +84,16 @@
 
 
 def read(path: Path) -> tuple[Plan, list[bytes]]:
-    """The plan, and all lines. OSError, TraceError: it can't be used."""
+    """Returns the plan and all lines; raises OSError or TraceError for an unusable file."""
     lines = path.read_bytes().splitlines()
     try:
         if not lines:
-            raise TraceError("it is empty")
+            raise TraceError("the trace file is empty")
         header = msgspec.json.decode(lines[0], type=Header)
         if header.trace != VERSION:
-            raise TraceError(f"it is of version {header.trace}, and this is {VERSION}")
+            raise TraceError(
+                f"trace version {header.trace} is not supported; this program reads version {VERSION}"
+            )
         plan = Plan(header.seed, header.experiment, header.world, calm_at=header.calm_at, ends=header.ends)
         for line in lines[1:]:
             if line.startswith(b'{"type":"job"'):
@@ -104,7 +106,7 @@
 
 
 def end_in(lines: list[bytes]) -> End | None:
-    """How a trace says that its run ended; None where its end is missing."""
+    """Returns the recorded outcome of a trace, or None if its last line is missing."""
     try:
         return msgspec.convert(msgspec.json.decode(lines[-1])["end"], End)
     except (msgspec.MsgspecError, KeyError, IndexError, TypeError):
@@ -112,7 +114,10 @@
 
 
 def first_difference(before: list[bytes], now: list[bytes]) -> tuple[int, bytes, bytes] | None:
-    """Line number, and the line in each; b"" where there is none. The code's digest may differ."""
+    """Returns the number and both versions of the first line that differs, b"" for a missing one.
+
+    The header is not compared, as it holds the code's digest.
+    """
     for number in range(max(len(before), len(now))):
         a = before[number] if number < len(before) else b""
         b = now[number] if number < len(now) else b""
--- a/tests/sim/test_hard_cases.py
+++ b/tests/sim/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""The orders of events that are hardest to meet, each as a plan: it must come about, and break nothing."""
+"""Rare orders of events, each as a plan: the order must occur and violate no rule."""
 
 from typing import Any
 
@@ -25,11 +25,11 @@
         discovery=Discovery(delay_s=0.01),
     )
     calm = BOOT_S + 7.0 + SETTLE_S
-    wishes = [Job(n, round(1.0 + 0.2 * n, 2), n % 2, job_class, f"k{n}", 0.05) for n in range(jobs)]
-    wishes += [Job(jobs + n, calm + 0.2 * n, 0, "view", calm=True) for n in range(2)]
+    job_list = [Job(n, round(1.0 + 0.2 * n, 2), n % 2, job_class, f"k{n}", 0.05) for n in range(jobs)]
+    job_list += [Job(jobs + n, calm + 0.2 * n, 0, "view", calm=True) for n in range(2)]
     for number, fault in enumerate(faults):
         fault.number = number
-    return Plan(1, e, World(latency_s=0.002, jitter=0.0), wishes, faults, calm)
+    return Plan(1, e, World(latency_s=0.002, jitter=0.0), job_list, faults, calm)
 
 
 def play(p: Plan) -> tuple[Outcome, list[Seen]]:
@@ -44,12 +44,12 @@
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.001, 0.0021, 0.004])
-def test_a_real_server_dies_between_its_result_and_the_reading_of_it(after_s: float) -> None:
+def test_a_real_server_dies_after_sending_a_result_that_is_not_read_yet(after_s: float) -> None:
     outcome, seen = play(plan([Fault("crash", 0.0, "result", nth=2, after_s=after_s, for_s=0.5)]))
     [died] = those(seen, "died", why="killed")
     told = [at for at in those(seen, "told", state="done") if at <= died]
     assert died - told[-1] == pytest.approx(after_s)
-    assert outcome.answers["200"] >= 5  # the others; this one's result may have come, or not
+    assert outcome.answers["200"] >= 5  # all but the job whose result may be lost
     assert max(map(len, (those(seen, "taken", id=f"j{n}t1") for n in range(4)))) == 1
 
 
@@ -62,7 +62,7 @@
     assert outcome.answers["200"] >= 2
 
 
-def test_sigterm_while_the_list_changes_a_call_back_comes_and_a_client_leaves() -> None:
+def test_sigterm_while_the_list_changes_a_callback_arrives_and_a_client_disconnects() -> None:
     at_once: dict[str, Any] = {"at": 0.0, "on": "result", "nth": 3}
     faults = [
         Fault("drain", target="w1", for_s=1.0, **at_once),
@@ -79,12 +79,12 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_a_call_back_is_tried_ten_times_over_connections_that_break(seed: int) -> None:
-    """Before it has come, as it comes, or with its answer under way: as the seed says."""
+def test_a_callback_is_sent_ten_times_over_connections_that_break(seed: int) -> None:
+    """The seed decides whether connections break before a callback arrives, on arrival or at its answer."""
     p = plan([Fault("break_calls", 0.0, "started", nth=2, size=0.95)])
     p.seed = seed
     outcome, seen = play(p)
     answered = [at for at in those(seen, "answered", id="j1t1") if at < 1.5]
     told = [s.fields.get("try", 1) for s in seen if s.what == "told" and s.fields["id"] == "j1t1"]
-    assert max(told) == 10 or (answered and max(told) == 1)  # broken after the answer to it
+    assert max(told) == 10 or (answered and max(told) == 1)  # the connection broke after the answer
     assert outcome.answers["200"] + outcome.answers.get("502", 0) == 6
--- a/tests/sim/test_network.py
+++ b/tests/sim/test_network.py
@@ -1,4 +1,4 @@
-"""The virtual network and sockets: what each side sees, as a table, and the same talk on real sockets."""
+"""The virtual network and sockets: the events at each side, and a comparison with real sockets."""
 
 import asyncio
 import errno
@@ -13,15 +13,15 @@
 from finchladder.net.http1 import Channel, Stream, StreamClosedError, connect, server_parser
 from finchladder.sim.draws import stream
 from finchladder.sim.loop import VirtualLoop
-from finchladder.sim.network import AGAIN_S, End, Handler, Manners, Network
+from finchladder.sim.network import CONNECT_RETRY_TIMES_S, End, Handler, LinkSettings, Network
 from finchladder.sim.sockets import VirtualSocket
 
 HERE = ("10.0.0.1", 80)
-BEGIN = 0.5  # seconds: connections are up by then
+BEGIN = 0.5  # seconds until connections are established
 
 
 class Side(Handler):
-    """Notes what it is told, with the time; reads at once unless it is told not to."""
+    """Logs each event with its time; reads data on arrival unless `reads` is False."""
 
     def __init__(self, kernel: Kernel, reads: bool = True) -> None:
         self.kernel, self.reads = kernel, reads
@@ -42,7 +42,7 @@
     def refused(self, end: End) -> None:
         self.note("refused")
 
-    def room(self, end: End) -> None:
+    def space_available(self, end: End) -> None:
         self.note("room")
 
     def arrived(self, end: End) -> None:
@@ -59,11 +59,11 @@
 
 
 class Pair:
-    """A client's and a server's side over a network with 1 ms one way."""
+    """A client side and a server side over a network with 1 ms latency one way."""
 
     def __init__(self, reads: bool = True, **manners: Any) -> None:
         self.kernel = Kernel()
-        how = Manners(**{"latency_s": 0.001, "jitter": 0.0, "reset_drops": 0.0} | manners)
+        how = LinkSettings(**{"latency_s": 0.001, "jitter": 0.0, "reset_drops": 0.0} | manners)
         self.net = Network(self.kernel, 1, lambda a, b: how, lambda kind, end, size: None)
         self.net.hosts[HERE[0]] = "server"
         self.client, self.server = Side(self.kernel), Side(self.kernel, reads)
@@ -140,10 +140,10 @@
         a.write(b"%02d," % n)
     text = "".join(what for _, what in pair.after()[1])
     assert text == "".join(f"{n:02d}," for n in range(50))
-    assert len(pair.server.log) > 50  # many are cut
+    assert len(pair.server.log) > 50  # many writes arrive in several segments
 
 
-def test_a_buffer_takes_no_more_than_it_holds_until_the_other_side_reads() -> None:
+def test_a_full_buffer_accepts_no_data_until_the_other_side_reads() -> None:
     pair = Pair(reads=False, buffer=10)
     a, b = pair.connect()
     assert a.write(b"0123456789abc") == 10
@@ -151,20 +151,20 @@
         a.write(b"d")
     pair.kernel.run(1.0)
     with pytest.raises(BlockingIOError):
-        a.write(b"d")  # it has arrived, and is not read
+        a.write(b"d")  # the data has arrived but is not read
     assert b.read(4) == b"0123"
     assert a.write(b"defgh") == 4
 
 
 @pytest.mark.parametrize(("heard_at", "opened"), [(0.5, 1.002), (2.0, 3.002), (20.0, None)])
-def test_a_connect_is_tried_again_until_somebody_answers(heard_at: float, opened: float | None) -> None:
+def test_a_connect_is_retried_until_it_is_answered(heard_at: float, opened: float | None) -> None:
     pair = Pair()
-    pair.listener.deaf = True
+    pair.listener.ignores_connects = True
     pair.net.connect("client", "10.0.0.2", HERE, pair.client)
-    pair.kernel.after(heard_at, lambda: setattr(pair.listener, "deaf", False))
+    pair.kernel.after(heard_at, lambda: setattr(pair.listener, "ignores_connects", False))
     pair.kernel.run(60.0)
     assert pair.client.log == ([(opened, "opened")] if opened else [])
-    assert max(AGAIN_S) < 20.0
+    assert max(CONNECT_RETRY_TIMES_S) < 20.0
 
 
 @pytest.mark.parametrize("how", ["nobody listens", "the link refuses"])
@@ -179,11 +179,11 @@
     assert pair.client.log == [(0.002, "refused")]
 
 
-# --- the same talk over the kernel's sockets and over virtual ones
+# --- the same exchange over real and virtual sockets
 
 
 class Machine:
-    """A loop of a virtual process, and its sockets."""
+    """The loop of a virtual process, and its sockets."""
 
     def __init__(self, net: Network, host: str, ip: str, failed: list[str]) -> None:
         self.net, self.host, self.ip = net, host, ip
@@ -206,7 +206,7 @@
 
 
 async def answer(listening: list[Any], log: Log) -> None:
-    """Takes one connection: reads a line, writes much, peeks at the end."""
+    """Accepts one connection, reads a line, writes 300 kB, and waits for the end of file."""
     from tornado.netutil import add_accept_handler
 
     taken: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
@@ -232,7 +232,7 @@
     log.append(channel.is_reusable())
     channel.close()
     with pytest.raises((StreamClosedError, OSError)):
-        await connect(address, make)  # nobody listens there any more, or will soon
+        await connect(address, make)  # the listener is closed or closes soon
         await asyncio.sleep(0.1)
         await connect(address, make)
     log.append("refused")
@@ -262,10 +262,10 @@
     assert not there.loop.sockets
 
 
-def test_a_process_stands_still_and_dies_without_a_word() -> None:
+def test_a_process_is_paused_and_killed_without_running_its_cleanup() -> None:
     failed: list[str] = []
     kernel, log = Kernel(), list[object]()
-    net = Network(kernel, 1, lambda a, b: Manners(), lambda kind, end, size: None)
+    net = Network(kernel, 1, lambda a, b: LinkSettings(), lambda kind, end, size: None)
     machine = Machine(net, "one", "10.0.0.1", failed)
 
     async def live() -> None:
@@ -287,10 +287,10 @@
     kernel.run(9.0)
     machine.loop.go_on()
     kernel.run(9.5)
-    machine.loop.die()
+    machine.loop.kill()
     kernel.run(60.0)
     assert log == [1.0, "out", 2.25, "out", 9.0, "out"]
     assert not failed
-    machine.loop.bury()
+    machine.loop.close_tasks()
     assert log[-1] == "finally"
     assert not failed
--- a/tests/sim/test_search.py
+++ b/tests/sim/test_search.py
@@ -1,4 +1,4 @@
-"""The program under the simulator: 200 seeds break nothing, and a seed is the same wherever it is played."""
+"""The program in the simulator: 200 seeds violate no rule, and a seed gives the same run in any process."""
 
 import os
 import subprocess
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("first", [1, 51, 101, 151])
 def test_no_seed_breaks_a_rule(first: int) -> None:
-    """Together 200 seeds."""
+    """The four cases cover 200 seeds."""
     for r in results(range(first, first + 50), jobs=1):
         assert r.outcome is not None, r.error
         assert r.outcome.violation is None, f"seed {r.seed}: {r.outcome.violation}"
--- a/tests/sim/test_tools.py
+++ b/tests/sim/test_tools.py
@@ -1,4 +1,4 @@
-"""What is made of a failing run: its trace, its replay, its smallest form, its story; and the mutants."""
+"""Tools for failing runs: traces, replay, minimization and explanation; and the mutation tests."""
 
 import subprocess
 import sys
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def failing(monkeypatch: pytest.MonkeyPatch) -> Plan:
-    """A job that failed counts as one that never ran: fragile ones are refused, or sent again."""
+    """Treats a failed job as one that never ran, so unsafe jobs are rejected or sent again."""
     monkeypatch.setitem(workers.CALLBACK_ENDINGS, "failed", Ending.OVERLOADED)
     for seed in range(1, 100):
         if (v := Run(draw(seed)).play().violation) is not None:
@@ -33,7 +33,7 @@
     raise AssertionError("not found in 100 seeds")
 
 
-def test_a_failing_run_becomes_a_short_trace_and_a_story(failing: Plan, tmp_path: Path) -> None:
+def test_a_failing_run_becomes_a_short_trace_and_an_explanation(failing: Plan, tmp_path: Path) -> None:
     lines, outcome = trace.record(failing)
     path = tmp_path / "t.jsonl"
     trace.write(path, lines)
@@ -63,10 +63,10 @@
     code = [line for line in told if line.startswith("  finchladder/")]
     assert any(
         "workers.py" in line and "WorkerConnection.send_request" in line for line in code
-    )  # the second sending of it
+    )  # the second send
 
 
-def test_a_trace_that_is_none_is_told_so(tmp_path: Path) -> None:
+def test_an_invalid_trace_file_raises_an_error_with_its_path(tmp_path: Path) -> None:
     path = tmp_path / "t.jsonl"
     for text in ("", "{}\n", '{"trace":99}\n', "no json\n"):
         path.write_text(text)
@@ -78,12 +78,12 @@
     before = [b"head", b"a", b"b"]
     assert (
         trace.first_difference(before, [b"another head", b"a", b"b"]) is None
-    )  # the code's digest may differ
+    )  # the header with the code's digest may differ
     assert trace.first_difference(before, [b"head", b"a", b"c"]) == (3, b"b", b"c")
     assert trace.first_difference(before, [b"head", b"a"]) == (3, b"b", b"")
 
 
-def test_every_kind_of_fault_and_every_moment_comes_about() -> None:
+def test_every_kind_of_fault_and_every_moment_occurs() -> None:
     tally = Tally()
     for r in results(range(1, 61), jobs=1):
         tally.add(r)
@@ -92,7 +92,7 @@
     assert aimed == {None, *MOMENTS}
 
 
-def test_a_plan_is_the_same_however_it_went_over_the_wire() -> None:
+def test_a_plan_is_unchanged_by_encoding_and_decoding() -> None:
     for seed in range(20):
         plan = draw(seed)
         assert msgspec.json.decode(msgspec.json.encode(plan), type=Plan) == plan == draw(seed)
@@ -119,7 +119,7 @@
 # --- mutants
 
 
-def test_all_mutants_fit_the_program_and_lie_in_many_parts(tmp_path: Path) -> None:
+def test_all_mutants_apply_to_the_program_and_cover_many_parts(tmp_path: Path) -> None:
     found = mutants.load(MUTANTS)
     assert len(found) >= 25
     assert len({m.part for m in found}) >= 12
@@ -136,8 +136,8 @@
 @pytest.mark.parametrize(
     "name", ["end-is-no-answer", "deadline-timer-kept", "forgotten-while-out", "half-a-write"]
 )
-def test_a_mutant_is_found_in_a_copy_and_the_program_stays_as_it_is(name: str) -> None:
-    """Four that any few seeds find; the rest are for `sim mutants`."""
+def test_a_mutant_is_found_in_a_copy_without_changing_the_program(name: str) -> None:
+    """Four mutants that a few seeds find; the command `sim mutants` covers the rest."""
     mutant = mutants.read(MUTANTS / f"{name}.patch")
     before = [(ROOT / h.file).read_bytes() for h in mutant.hunks]
     found = mutants.hunt_one(mutant, 12, None)
@@ -147,14 +147,14 @@
 
 
 @pytest.mark.parametrize("text", ["# part: x\n", "# part: x\n# takes out: y\nnonsense\n"])
-def test_a_patch_that_can_not_be_read(text: str, tmp_path: Path) -> None:
+def test_an_invalid_patch_raises_an_error_with_its_path(text: str, tmp_path: Path) -> None:
     path = tmp_path / "m.patch"
     path.write_text(text)
     with pytest.raises(ValueError, match="m.patch"):
         mutants.read(path)
 
 
-def test_a_patch_that_does_not_fit_any_more(tmp_path: Path) -> None:
+def test_a_patch_that_no_longer_applies_raises_an_error(tmp_path: Path) -> None:
     (tmp_path / "a.py").write_text("x = 1\nx = 1\n")
     for before in ("y = 1\n", "x = 1\n"):
         with pytest.raises(ValueError, match="times in a.py"):
