--- a/finchladder/cluster/placement/planning_state.py
+++ b/finchladder/cluster/placement/planning_state.py
@@ -64,7 +64,7 @@
         return any(demand.queued for demand in self.demand.values())
 
     @property
-    def is_down_to_reserved_slots(self) -> bool:
+    def has_only_reserved_slots(self) -> bool:
         """Whether all slots that are empty or contain an idle model are reserved for cold starts."""
         return bool(self.reserved_slots) and self.replaceable_slots <= self.reserved_slots
 
--- a/finchladder/cluster/placement/replica_planner.py
+++ b/finchladder/cluster/placement/replica_planner.py
@@ -69,7 +69,7 @@
         min_value = MIN_REPLICA_VALUE if has_replica else MIN_FIRST_REPLICA_VALUE
         if value < min_value:
             return None
-        if has_replica and self.state.is_down_to_reserved_slots and not self._is_overloaded(model):
+        if has_replica and self.state.has_only_reserved_slots and not self._is_overloaded(model):
             return None
         candidates = self._candidates(model, value, min_value, has_replica)
         if not candidates:
--- a/finchladder/config/route_checks.py
+++ b/finchladder/config/route_checks.py
@@ -245,14 +245,14 @@
         void.record("FL137", on, r.get("attempts") == 1, sends, reason)
     after, bounds = (
         r.first_given("hedge_after_s"),
-        [b for b in (_total_limit(r), _attempt_limit(r)) if b is not None],
+        [b for b in (_total_limit(r), _attempt_timeout(r)) if b is not None],
     )
     if after is not None and r.hedge_trigger is not None and bounds and after.value >= min(bounds)[0]:
         most, what = min(bounds)
         collector.add("FL139", after.path, f"no hedge would be sent within {what}", most=most)
 
 
-def _attempt_limit(r: ResolvedRoute) -> tuple[float, str] | None:
+def _attempt_timeout(r: ResolvedRoute) -> tuple[float, str] | None:
     one = r.get("attempt_timeout_s")
     return (one, f"attempt_timeout_s, {one:g} s") if one is not None else None
 
--- a/finchladder/config/settings.py
+++ b/finchladder/config/settings.py
@@ -71,17 +71,17 @@
         raise SettingsError(f"settings: {' '.join(str(e).split())}") from None
 
 
-def _at(facts: Any, path: tuple[str, ...]) -> Any:
+def _value_at_path(facts: Any, path: tuple[str, ...]) -> Any:
     for name in path:
         facts = facts[name]
     return facts
 
 
 def _named(facts: Facts) -> dict[str, Any]:
-    named = {field: _at(facts, path) for field, path in FIELD_PATHS.items()}
+    named = {field: _value_at_path(facts, path) for field, path in FIELD_PATHS.items()}
     for field, path in OPTIONAL_FIELD_PATHS.items():
         try:
-            named[field] = _at(facts, path)
+            named[field] = _value_at_path(facts, path)
         except KeyError:
             continue  # absent: api.Settings has the default
     family, caps = facts.get("familyInfo", {}), facts["caps"]
--- a/finchladder/core/dispatch/placement.py
+++ b/finchladder/core/dispatch/placement.py
@@ -71,7 +71,7 @@
         """Selects the least loaded accepting worker; if the first few reject, that of a random sample."""
         if self.state.worker_load.breaks_ties_at_random:
             return self._draw_least_loaded(job, pool)
-        by_load = pool.by_load(MAX_CANDIDATES)
+        by_load = pool.workers_by_load(MAX_CANDIDATES)
         chosen, rejecting = first_accepting(
             by_load, lambda w: self.is_under_threshold(w) and self.rules.is_permitted(job, w)
         )
@@ -90,7 +90,7 @@
     def _draw_least_loaded(self, job: Job, pool: PoolIndex) -> Worker | None:
         state = self.state
         starting = self._slow_start_candidates(job, pool) if job.key is None else []
-        by_load = pool.by_load(MAX_CANDIDATES)
+        by_load = pool.workers_by_load(MAX_CANDIDATES)
         others = pool.random_workers(state.random, MAX_CANDIDATES)
         fetch_runs = 0.0 if job.key is None else FETCH_COST_RUNS
         examined = [*by_load, *others, *starting]
--- a/finchladder/core/dispatch/worker_index.py
+++ b/finchladder/core/dispatch/worker_index.py
@@ -107,7 +107,7 @@
     def pairs(self, key: int, count: int) -> list[list[Worker]]:
         return list(self.walk_pairs(key, count))
 
-    def by_load(self, limit: int) -> Iterator[Worker]:
+    def workers_by_load(self, limit: int) -> Iterator[Worker]:
         """Yields up to `limit` workers by load, then the local zone first, then by position."""
         return islice((w for level in self.sorted_levels for w in self.levels[level]), limit)
 
--- a/finchladder/core/dispatch/zone_dispatcher.py
+++ b/finchladder/core/dispatch/zone_dispatcher.py
@@ -117,7 +117,7 @@
         in slow start are not counted as capacity, as they accept almost no jobs.
         """
         if pool.size <= MAX_OBSERVED_WORKERS:
-            observed = list(pool.by_load(MAX_OBSERVED_WORKERS))
+            observed = list(pool.workers_by_load(MAX_OBSERVED_WORKERS))
         else:
             observed = list(pool.random_workers(self.zone_random, MAX_OBSERVED_WORKERS))
         slots = free = open_slots = own_load = 0.0
--- a/tests/core/oracle.py
+++ b/tests/core/oracle.py
@@ -84,7 +84,7 @@
         pairs = self.reference().pairs(key, count)
         return iter(pairs[first:] + pairs[:first])
 
-    def by_load(self, limit: int) -> Iterator[Worker]:
+    def workers_by_load(self, limit: int) -> Iterator[Worker]:
         return islice(sorted(self.ready(), key=lambda w: (w.load, w.zone != self.zone, w.position)), limit)
 
     def random_workers(self, random: Random, limit: int) -> Iterator[Worker]:
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -168,7 +168,9 @@
     for kind, pool in d.worker_index.pools.items():
         ready = [w for w in d.workers.values() if w.is_ready and kind in (None, w.kind)]
         local = d.settings.zone
-        assert list(pool.by_load(999)) == sorted(ready, key=lambda w: (w.load, w.zone != local, w.position))
+        assert list(pool.workers_by_load(999)) == sorted(
+            ready, key=lambda w: (w.load, w.zone != local, w.position)
+        )
         assert pool.size == len(ready)
         assert all(pool.levels.values())
         for ring, (points, owners) in zip(pool.rings, ReferencePool(ready).rings, strict=True):
