--- a/finchladder/cli/calls.py
+++ b/finchladder/cli/calls.py
@@ -52,7 +52,7 @@
 
 
 def get(path: str, at: tuple[str, int] | None = None) -> str:
-    """Returns the body of a GET, from the dispatcher at `at` or at NODE_LISTEN."""
+    """Returns the body of a GET request to the dispatcher at address `at`, by default NODE_LISTEN."""
     connection = http.client.HTTPConnection(*at, timeout=TIMEOUT_S) if at is not None else connect()
     try:
         return send_request(connection, "GET", path, None, {}).read().decode()
@@ -85,7 +85,7 @@
 
 
 def override_worker(order: dict[str, object], key: str, at: tuple[str, int] | None = None) -> str:
-    """Overrides outlier detection for a worker, at `at` or at NODE_LISTEN.
+    """Orders the dispatcher at `at`, by default NODE_LISTEN, to override outlier detection for a worker.
 
     Raises:
         ValueError: The key has other characters than visible ASCII.
--- a/finchladder/cli/etcd.py
+++ b/finchladder/cli/etcd.py
@@ -22,7 +22,7 @@
 from finchladder.net.etcd.keys import Keys
 
 KEEP_ALIVES_PER_TTL = 3  # keep-alive requests for each TTL of a lease
-RETRY_INTERVAL_S = 0.5  # after a failed attempt
+RETRY_INTERVAL_S = 0.5  # wait after a failed attempt
 
 
 def arguments(parser: argparse.ArgumentParser) -> None:
@@ -59,7 +59,7 @@
     )
     entry(register)
     register.add_argument(
-        "--ttl", type=int, default=5, metavar="S", help="TTL of its lease in seconds (default: 5)"
+        "--ttl", type=int, default=5, metavar="S", help="TTL of the entry's lease in seconds (default: 5)"
     )
     register.add_argument(
         "--drain",
--- a/finchladder/cli/judge.py
+++ b/finchladder/cli/judge.py
@@ -40,7 +40,12 @@
     )
     what.add_argument("--let", action="store_const", dest="stance", const="let", help="remove the override")
     parser.add_argument(
-        "--for", dest="for_s", type=duration, default=600.0, metavar="10m", help="default: 10m"
+        "--for",
+        dest="for_s",
+        type=duration,
+        default=600.0,
+        metavar="10m",
+        help="duration of the override (default: 10m)",
     )
     parser.add_argument(
         "--why", default="", metavar="TEXT", help="reason, up to 80 characters, shown with the override"
--- a/finchladder/cli/lab.py
+++ b/finchladder/cli/lab.py
@@ -39,7 +39,7 @@
             metavar="KEY=VALUE",
             help="overrides a value of the file by dotted name: load.phase.0.rate=100",
         )
-        one.add_argument("--quiet", action="store_true", help="no progress")
+        one.add_argument("--quiet", action="store_true", help="print no progress")
 
     run = command("run", "run an experiment")
     run.add_argument("file", type=Path, metavar="FILE")
@@ -48,7 +48,9 @@
     compare = command("compare", "run two experiments, revisions or settings alternately, and compare them")
     compare.add_argument("a", type=Path, metavar="A")
     compare.add_argument("b", type=Path, metavar="B", nargs="?", help="a second file (default: A again)")
-    compare.add_argument("--pairs", type=int, default=5, metavar="N", help="ABAB.., at least 3 (default: 5)")
+    compare.add_argument(
+        "--pairs", type=int, default=5, metavar="N", help="pairs of runs, at least 3 (default: 5)"
+    )
     for side in "ab":
         compare.add_argument(
             f"--rev-{side}", metavar="REV", help=f"git revision of the program in {side.upper()}"
@@ -236,7 +238,7 @@
 
 
 def compare_two(args: argparse.Namespace, show: "Show") -> bool:
-    """Runs two experiments alternately and compares them; pair k has the seed plus k."""
+    """Runs two experiments alternately and compares them; pair k runs with the seed plus k."""
     from finchladder.lab import compare
     from finchladder.lab.check import Unusable, load
 
@@ -253,7 +255,7 @@
         raise Unusable(f"{args.b or args.a}: its matrix differs from that of {args.a}, so there are no pairs")
     if args.b is None and args.rev_a == args.rev_b and args.set_a == args.set_b:
         raise Unusable(
-            "compare: A and B are the same; a second file, --rev-a/-b or --set-a/-b tells them apart"
+            "compare: A and B are the same; give a second file, or different --rev-a/-b or --set-a/-b"
         )
     out = output_folder(args.out, f"{a[0].experiment.name}-compare")
     pairs: dict[str, list[tuple[dict[str, Any], dict[str, Any]]]] = {}
@@ -290,7 +292,7 @@
 
 
 def floor_file(args: argparse.Namespace, show: "Show") -> bool:
-    """Prints the floors of each variant; with --into, those of the first are written there."""
+    """Prints the floors of each variant; with --into, writes those of the first to that run's folder."""
     import msgspec
 
     from finchladder.lab import decisions, floor, spread
--- a/finchladder/cli/peers.py
+++ b/finchladder/cli/peers.py
@@ -66,5 +66,5 @@
     for why, n in sorted(shown["dropped"].items()):
         found.append(f"  dropped: {why}: {n}")
     if not shown["socket"]:
-        found.append("  its UDP socket is not there")
+        found.append("  the dispatcher's UDP socket for peers is not open")
     return found
--- a/finchladder/cli/sim.py
+++ b/finchladder/cli/sim.py
@@ -60,9 +60,11 @@
     mutants = commands.add_parser(
         "mutants", help="remove one safeguard at a time, and check that a simulation fails"
     )
-    mutants.add_argument("names", nargs="*", metavar="NAME", help="only these")
+    mutants.add_argument("names", nargs="*", metavar="NAME", help="mutants to run (default: all)")
     mutants.add_argument("--folder", default="tests/sim/mutants", help="folder of patches")
-    mutants.add_argument("--seeds", type=int, default=2000, metavar="N", help="maximum for each mutant")
+    mutants.add_argument(
+        "--seeds", type=int, default=2000, metavar="N", help="maximum number for each mutant"
+    )
     mutants.add_argument("--jobs", type=int, default=os.cpu_count() or 1, metavar="N", help="processes")
     mutants.add_argument("--out", default="sim-mutants", metavar="DIR", help="folder for shrunk traces")
     mutants.add_argument("--no-shrink", action="store_true")
--- a/finchladder/cluster/process/contact_timeouts.py
+++ b/finchladder/cluster/process/contact_timeouts.py
@@ -38,7 +38,7 @@
 
     @property
     def unconfirmed_timeout_s(self) -> float:
-        """Seconds for which a dispatcher serves without a confirmation after a lost quorum was reported."""
+        """Seconds for which a dispatcher serves after the last report of a recent confirmation."""
         return UNCONFIRMED_FRACTION * self.contact_s
 
     @property
--- a/finchladder/cluster/process/dispatcher_node.py
+++ b/finchladder/cluster/process/dispatcher_node.py
@@ -31,7 +31,7 @@
 from finchladder.cluster.types.messages import Update
 
 READY_PATH = "/api/readyz"
-WORKER_KEEPALIVE_S = 20.0  # reduced if a worker announces a shorter timeout
+WORKER_KEEPALIVE_S = 20.0  # idle timeout of worker connections; shortened if a worker announces less
 UNCONFIRMED_READY_AFTER_S = 4.0  # time after the start from which readiness needs no confirmed state
 
 # Phases of a graceful shutdown
--- a/finchladder/cluster/process/placer.py
+++ b/finchladder/cluster/process/placer.py
@@ -89,7 +89,7 @@
         self.budget.begin_term(token, steady(), is_reelected=self.lease_service.reacquired)
         self.workers.follow_sessions(self.snapshot)
         if token > 1:
-            self.tasks.spawn(self.takeover.run(token), "takeover of the placer")
+            self.tasks.spawn(self.takeover.run(token), "takeover by the new placer")
 
     def _plan(self) -> None:
         now = steady()
--- a/finchladder/cluster/process/view_proposer.py
+++ b/finchladder/cluster/process/view_proposer.py
@@ -20,7 +20,9 @@
 MAX_PROPOSAL_BACKOFF_S = 0.25
 BACKOFF_JITTER = (0.2, 1.0)  # range of the random factor of MAX_PROPOSAL_BACKOFF_S
 BOOTSTRAP_TIMEOUT_S = 1.0  # time after the start from which a majority of the seeds suffices
-PROPOSAL_STAGGER_S = 0.12  # delay between voters, so that they do not preempt each other's ballots
+# Each live voter waits this much longer than the one ranked before it until it proposes a view, so that
+# voters do not preempt each other's ballots.
+PROPOSAL_STAGGER_S = 0.12
 UNDECIDED_TIMEOUT_S = 1.0  # time after its vote from which a voter proposes an undecided view again
 
 
--- a/finchladder/cluster/process/worker_sessions.py
+++ b/finchladder/cluster/process/worker_sessions.py
@@ -70,7 +70,7 @@
         return await self.retirements.propagate(instance)
 
     def apply_retirements(self, retirements: tuple[WorkerRetirement, ...]) -> None:
-        """Applies the retirements that the chain has stored to the tables, which may have been lost."""
+        """Applies the retirements stored in the chain to the replicated tables, which may lack them."""
         if retirements is self._applied_retirements:
             return
         applied = frozenset(self._applied_retirements)
--- a/finchladder/cluster/tenancy/quota_rule.py
+++ b/finchladder/cluster/tenancy/quota_rule.py
@@ -11,7 +11,7 @@
 GRANT_VALIDITY_S = 0.5  # time after the reservation request within which the dispatcher may use the grant
 ARRIVAL_DELAY_S = 0.4  # maximum time from the last check of a grant to the arrival of its request at a worker
 SLACK_FRACTION = 0.9  # fraction of the rule's slack that buckets may grant
-DEBT_FRACTION = 0.5  # `max_debt` as a fraction of the units beyond the burst that may be granted at once
+DEBT_FRACTION = 0.5  # `max_debt` as a fraction of (units that may be granted at once - burst)
 
 
 @frozen
--- a/finchladder/cluster/types/members.py
+++ b/finchladder/cluster/types/members.py
@@ -37,7 +37,7 @@
 
     @property
     def source_groups(self) -> tuple[tuple[Member, ...], ...]:
-        """The state sources, or a group of the survivors if the view has no state sources."""
+        """The groups of state sources; if there are none, one group with all survivors."""
         return self.state_sources or (self.chain[: self.survivors],)
 
     @property
--- a/finchladder/config/endpoint_list.py
+++ b/finchladder/config/endpoint_list.py
@@ -30,7 +30,7 @@
 
     def to_worker_entry(self) -> api.WorkerEntry:
         """Converts the entry to the core's form; its start time becomes seconds."""
-        # the id is the name and not the address: it is the same at all dispatchers, as are its hashes
+        # the id is the name, not the address, so that the id and its hashes are the same at all dispatchers
         return api.WorkerEntry(
             self.name,
             WORKER_STATUS_BY_NAME[self.status],
--- a/finchladder/config/findings.py
+++ b/finchladder/config/findings.py
@@ -68,7 +68,7 @@
 
 
 REMEDIES = {
-    # the file as a whole
+    # findings about the file as a whole
     "FL101": "Name a file that can be read",
     "FL102": "Keep it under 1 MB",
     "FL103": "Save it as UTF-8 without a byte order mark",
@@ -77,7 +77,7 @@
     "FL107": "Write it as described in docs/ROUTES.md, with less nesting",
     "FL108": "Complete the file, its end is missing",
     "FL109": "Write it as described in docs/FEATURES.md",
-    # tables and values
+    # findings about tables and values
     "FL111": "Use one of {known}",
     "FL112": "Use one of {known}",
     "FL113": "Write {instead}",
@@ -97,7 +97,7 @@
     "FL127": "Write it in the syntax of HTTP: {wanted}",
     "FL128": "Set its share too",
     "FL129": "Set base_s above 0",
-    # each route separately
+    # findings about one route by itself
     "FL131": "Make attempt_timeout_s at most {most:g}",
     "FL132": "Lower attempts, attempt_timeout_s or the backoff, or raise timeout_s",
     "FL133": "Make most_s at least base_s",
@@ -116,7 +116,7 @@
     "FL146": "Leave method out, or write POST",
     "FL147": "Add a route of that class, or remove the section",
     "FL148": "Add a route, or remove the section",
-    # routes against the platform's settings
+    # findings about routes that conflict with the platform's settings
     "FL161": "Use one of {known}",
     "FL162": "Make timeout_s at most {most:g}",
     "FL163": "Lower attempts, attempt_timeout_s or the backoff",
--- a/finchladder/config/ini_file.py
+++ b/finchladder/config/ini_file.py
@@ -56,7 +56,7 @@
     for name, values in sections.items():
         part, dot, job_class = name.partition(".")
         if part == "door" and dot and job_class:
-            # a class inherits from [door]: with the default burst, it could be below a raised rate
+            # a class inherits unset values from [door]: the default burst could be below a raised rate
             classes[job_class] = _section(name, {**sections.get("door", {}), **values}, DoorOptions, strict)
         elif name in SECTIONS:
             found[name] = _section(name, values, SECTIONS[name], strict)
--- a/finchladder/config/operator_file.py
+++ b/finchladder/config/operator_file.py
@@ -109,8 +109,8 @@
 
 
 def _ini(collector: FindingCollector, text: str, name: str) -> Options:
-    """Parses as a dispatcher does; its error becomes the only finding."""
-    text = text.replace("\r\n", "\n").replace("\r", "\n")  # as Python does when it reads a text file
+    """Parses an INI file as a dispatcher does; an error becomes the only finding."""
+    text = text.replace("\r\n", "\n").replace("\r", "\n")  # as when Python reads a text file
     collector.positions = ini_positions(text)
     try:
         return read_ini(text, name)
@@ -151,7 +151,7 @@
         return tomllib.loads(text)
     except ValueError as e:
         message = str(e)
-    except RecursionError:  # if the walker stopped before it found the depth
+    except RecursionError:  # toml_positions() may stop before it reaches the deep nesting
         collector.abort("FL107", Position(1, 1), "tables or arrays are nested too deeply")
     m = _AT.search(message)
     lines = text.replace("\r\n", "\n").split("\n")
@@ -171,7 +171,7 @@
 
 
 def _features(collector: FindingCollector, sections: dict[str, Any]) -> Options:
-    """Converts the sections that an INI file has as well, with the same meaning."""
+    """Converts the sections of optional features, which are the same in an INI file."""
     given: dict[str, dict[str, Any]] = {}
     before = len(collector.findings)
     for name, table in sections.items():
@@ -224,7 +224,8 @@
         collector.add("FL120", path, f"{quote_value(path[-1])} is {type_name(table)}", table=name)
         return None
     found = collect_values(collector, kind, table, path, level)
-    for name in ("class", "match"):  # also if invalid: they show that the route selects jobs
+    # recorded even if the value is invalid: route_checks only tests whether the route selects jobs
+    for name in ("class", "match"):
         if name in table:
             found.setdefault(f"{name}?", GivenValue(True, (*path, name), level))
     if "hedge_after" in table and "hedge_after_s" in table:
--- a/finchladder/config/options.py
+++ b/finchladder/config/options.py
@@ -22,14 +22,16 @@
 if TYPE_CHECKING:
     from finchladder.core.membership.decisions import MembershipSettings
 
-ADDRESS_BYTES = 256  # of an address in an admission limit: 193 measured, more for longer addresses
-ENTRY_BYTES = 768  # maximum of a job's status, with an id of 128 characters
-# bytes of memory for each byte of the ring: 1.4 measured with its objects, and as much during a dump
+ADDRESS_BYTES = 256  # memory of an address in an admission limit: 193 measured, more for long addresses
+ENTRY_BYTES = 768  # maximum memory of a job's status, with an id of 128 characters
+# bytes of memory for each byte of the capture ring: 1.4 measured for the ring, as much again during a dump
 RING_MEMORY_FACTOR = 3
 ETCD_PORT = 2379
 MAX_PEERS = 2000
 PEER_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,31}", re.ASCII)
-MEMORY_DIVISOR = 4  # features may use 1/4 of the memory, which reduces the buffers for bodies
+# All optional features together may use 1/4 of `memory_mb`. What they use is not available to the buffers of
+# request bodies.
+MEMORY_DIVISOR = 4
 
 Part = TypeVar("Part", bound=msgspec.Struct)
 Rate = Annotated[float, Meta(gt=0, le=10_000)]
@@ -69,7 +71,7 @@
 
     def memory_bytes(self) -> int:
         """Returns the memory that the recorder may use, in bytes."""
-        waiting = 2 * self.file_bytes if self.folder is not None else 0  # queued for the disk
+        waiting = 2 * self.file_bytes if self.folder is not None else 0  # data queued for writing
         return RING_MEMORY_FACTOR * self.ring_bytes + waiting
 
 
@@ -143,7 +145,7 @@
 
     def settings(self) -> "MembershipSettings":
         """Returns the core's settings."""
-        from finchladder.core.membership.decisions import MembershipSettings  # loaded only if it is on
+        from finchladder.core.membership.decisions import MembershipSettings  # loaded only with the feature
 
         given = msgspec.structs.asdict(self)
         return MembershipSettings(**{k: v for k, v in given.items() if k not in ("last_good", "lead")})
@@ -235,7 +237,7 @@
 class JudgementOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     most_out: Annotated[float, Meta(ge=0.05, le=0.5)] = 0.3
     term_s: Annotated[float, Meta(ge=0.5, le=16)] = 2.0
-    # as in [drill]; without a key all overrides are rejected
+    # the same pattern as in [drill]; without a key all overrides are rejected
     key: Annotated[str, Meta(pattern=r"\A[!-~]([ -~]{0,254}[!-~])?\Z")] | None = None
 
 
--- a/finchladder/config/platform.py
+++ b/finchladder/config/platform.py
@@ -53,7 +53,7 @@
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: str
-    known: bytes  # a validated endpoint list; empty: none
+    known: bytes  # content of a validated endpoint list; empty if there is none
     settings: api.Settings
     caps: ConnectionLimits
     limits: ProcessLimits
--- a/finchladder/config/positions.py
+++ b/finchladder/config/positions.py
@@ -50,8 +50,8 @@
 class PositionIndex:
     """Positions by path.
 
-    `table_headers` are the tables with a header of their own. `duplicate` or `too_deep` is set if the walk
-    ended there.
+    `table_headers` contains the tables that have a `[header]` line. If parsing stopped at a duplicate key or
+    table, or at too deep a nesting, `duplicate` or `too_deep` is the place where it stopped.
     """
 
     def __init__(self) -> None:
@@ -82,7 +82,7 @@
 
 
 def toml_positions(text: str) -> PositionIndex:
-    """Returns the positions in a TOML text, as far as it can be parsed."""
+    """Returns the positions in a TOML text, up to the place at which parsing stops."""
     walk = _TomlWalker(text.replace("\r\n", "\n"))
     with suppress(_PositionLostError):
         walk.read_file()
@@ -105,8 +105,8 @@
     def __init__(self, text: str) -> None:
         self.text, self.offset = text, 0
         self.positions = PositionIndex()
-        self.implied: set[Path] = set()  # tables that are defined only by their content
-        self.table_counts: dict[Path, int] = {}  # tables in each array of tables
+        self.implied: set[Path] = set()  # tables that exist only because a path below them is defined
+        self.table_counts: dict[Path, int] = {}  # number of tables in each array of tables
         # the line at offset `counted_to`, and the offset at which it starts
         self.line, self.line_start, self.counted_to = 1, 0, 0
 
--- a/finchladder/config/precedence.py
+++ b/finchladder/config/precedence.py
@@ -24,7 +24,7 @@
 ALTERNATIVES = {
     "hedge_after": "hedge_after_s",
     "hedge_after_s": "hedge_after",
-}  # setting one of them removes the other
+}  # a level that sets one of them removes the other one of lower levels
 
 
 @dataclass(frozen=True, slots=True)
--- a/finchladder/config/route_checks.py
+++ b/finchladder/config/route_checks.py
@@ -1,6 +1,6 @@
 """Semantic checks of routes: contradictions with themselves, other routes or the platform's settings.
 
-Pure: they take routes with the origin of each value and add findings.
+The checks have no side effects but findings; they take routes with the origin of each value.
 """
 
 from collections.abc import Iterable
@@ -27,8 +27,8 @@
     routes: dict[str, ValuesByPath],
     resolved: list[ResolvedRoute],
 ) -> None:
-    """Runs all semantic checks; those against the platform only if its settings are given."""
-    if not collector.findings:  # otherwise an invalid part may be what uses a section
+    """Runs all semantic checks; comparisons with the platform's settings only if these are given."""
+    if not collector.findings:  # an invalid part might use a section that seems unused
         _check_unused(collector, defaults, classes, routes, resolved)
     for name, own in routes.items():
         _check_match(collector, name, own)
@@ -227,7 +227,7 @@
 
 
 def _most_specific(*given: GivenValue) -> GivenValue:
-    """Returns the value of the highest level, the first one of equals."""
+    """Returns the value with the highest level of precedence; the first of several."""
     return max(given, key=lambda s: s.level)
 
 
@@ -272,7 +272,7 @@
         collector.add("FL141", wait.path, f"longest_wait_s is longer than {total[1]}", most=total[0])
 
 
-# --- against the platform's settings ------------------------------------------------------------------------
+# --- comparison with the platform's settings ----------------------------------------------------------------
 
 
 def check_platform_limits(collector: FindingCollector, r: ResolvedRoute, settings: Settings) -> None:
--- a/finchladder/config/value_checks.py
+++ b/finchladder/config/value_checks.py
@@ -46,7 +46,7 @@
     level: int = 0  # 0 [defaults], 1 [class.NAME], 2 [route.NAME]
 
 
-ValuesByPath = dict[str, GivenValue]  # by dotted names, as backoff.base_s
+ValuesByPath = dict[str, GivenValue]  # keys are dotted names such as backoff.base_s
 
 
 def type_name(value: Any) -> str:
--- a/finchladder/core/dispatch/job_schedule.py
+++ b/finchladder/core/dispatch/job_schedule.py
@@ -47,7 +47,8 @@
         """
         found = {job.serial: job for job in self.by_due_time.pop_due(now)}
         for name, max_wait_s in max_waits_s.items():
-            # one slot is added, as `arrived_at + max_wait_s`, which the caller checks, may round differently
+            # The caller compares `arrived_at + max_wait_s` with `now`, which may round differently from this
+            # subtraction. One slot width is added, so that no due job is missed.
             for job in self.queued_by_class[name].pop_due(now - max_wait_s + self.slot_width_s):
                 # the job stays queued until `remove_queued` is called
                 self.queued_by_class[name].put(job.serial, job, job.arrived_at)
--- a/finchladder/core/dispatch/key_frequency.py
+++ b/finchladder/core/dispatch/key_frequency.py
@@ -41,11 +41,12 @@
     __slots__ = ("counts", "total", "epoch", "settings", "added_since_decay", "pair_phase")
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """`seed`: seeds the draw of the pair of a hot key that this dispatcher uses first."""
+        """`seed`: seeds the random choice of the pair of workers that is used first for a hot key."""
         self.settings = settings
         self.added_since_decay = 0.0  # requests counted since the last decay
-        # 0 to 1, the position of the next request among a hot key's pairs. It starts at random, as the counts
-        # of all dispatchers are alike and would select the same pairs.
+        # Selects the pair of workers for the next request of a hot key, as a fraction (0 to 1) of the number
+        # of its pairs. The initial value is random: all dispatchers count similar numbers of requests for a
+        # key, so that otherwise they would all use the same pair at the same time.
         self.pair_phase = Random(f"{seed}/homes").random() if self.is_large_fleet else 0.0
         self.counts: OrderedDict[int, tuple[float, int]] = OrderedDict()  # count, epoch of last update
         self.total = 0.0
--- a/finchladder/core/dispatch/outcomes.py
+++ b/finchladder/core/dispatch/outcomes.py
@@ -23,7 +23,7 @@
         self.full_share = 0.0
 
     def record_placement(self, is_placed: bool) -> None:
-        """Records a placement. `is_placed`: the job was sent or answered at once, not queued."""
+        """Records the result of a placement: `is_placed` if the job was sent or answered, not queued."""
         self.full_share += SMOOTHING * ((not is_placed) - self.full_share)
 
     def record_start(self, attempt: Attempt) -> None:
--- a/finchladder/core/dispatch/state.py
+++ b/finchladder/core/dispatch/state.py
@@ -14,10 +14,11 @@
 
 SWEEPS_PER_TARGET = 20  # sweeps per shortest latency target; each sweep places queued jobs
 SWEEPS_PER_SCAN = 4  # sweeps from one scan of the open jobs to the next; bounds the CPU time of scans
-# Start delay above which a worker is considered full, in shortest latency targets. A connection handshake
-# across zones takes 0.2 of them.
+# A worker is considered full if the start of an attempt is delayed by more than this fraction of the shortest
+# latency target. A connection handshake across zones takes 0.2 of it.
 START_GRACE_TARGETS = 0.3
-STALL_TARGETS = 3.0  # an attempt is stalled after this time without a report, in shortest latency targets
+# An attempt counts as stalled after this many times the shortest latency target without a report.
+STALL_TARGETS = 3.0
 
 
 class DispatcherState:
--- a/finchladder/core/dispatch/worker_index.py
+++ b/finchladder/core/dispatch/worker_index.py
@@ -216,7 +216,7 @@
     def update(self, worker: Worker, entry: WorkerEntry) -> bool:
         """Applies a list entry to the worker.
 
-        Returns whether the worker joins; it is then in no load level until `add_to_levels` is called.
+        Returns whether the worker was added to its pools; if so, the caller must call `add_to_levels`.
         """
         ready = entry.state is WorkerStatus.READY
         joins = ready and (
--- a/finchladder/features/__init__.py
+++ b/finchladder/features/__init__.py
@@ -1,1 +1,1 @@
-"""What an operator's file turns on. Each is a unit without clock or sockets; its glue is in net/."""
+"""Optional features, enabled by the operator's file. They use no clock or sockets; net/ calls them."""
--- a/finchladder/features/admission_limits.py
+++ b/finchladder/features/admission_limits.py
@@ -6,7 +6,7 @@
 
 from finchladder.config.options import DoorOptions, Options
 
-ROUNDING_TOLERANCE_S = 1e-6  # so that a retry exactly at the announced time isn't rejected
+ROUNDING_TOLERANCE_S = 1e-6  # admits a retry at exactly the announced time despite rounding errors
 
 
 class TokenBuckets:
@@ -20,12 +20,13 @@
         self.interval_s = 1 / options.rate
         self.max_lead_s = (options.burst - 1) * self.interval_s + ROUNDING_TOLERANCE_S
         self.max_keys = options.max_keys
-        self.full_at: OrderedDict[str, float] = OrderedDict()  # the least recently seen first
-        # origin of times: at Unix times of 1.7e9 s each addition of an interval would lose up to 2e-7 s
+        self.full_at: OrderedDict[str, float] = OrderedDict()  # by address, the least recently seen first
+        # Time of the first request, to which the times in `full_at` are relative. With Unix times, about
+        # 1.7e9 s, each addition of an interval would have a rounding error of up to 2e-7 s.
         self.started_at: float | None = None
 
     def take(self, now: float, address: str) -> float:
-        """Takes a token of an address.
+        """Takes a token from an address's bucket.
 
         Returns:
             0.0, or the seconds until the next token if there is none.
@@ -56,12 +57,12 @@
     """The admission limits of all job classes."""
 
     def __init__(self, options: Options) -> None:
-        """Creates the buckets of the general limit and of classes with one of their own."""
+        """Creates the buckets of the general limit and of the classes that have their own limit."""
         self.general: Limits | None = TokenBuckets(options.door) if options.door is not None else None
         self.by_class: dict[str, Limits] = {name: TokenBuckets(o) for name, o in options.door_of.items()}
 
     def use_shared(self, options: Options, make: Callable[[str, DoorOptions], Limits]) -> None:
-        """Replaces the limits by ones shared by all dispatchers, which `make` creates by a unique name."""
+        """Replaces the limits by limits that all dispatchers share; `make` takes a limit's unique name."""
         if options.door is not None:
             self.general = make("door", options.door)
         self.by_class = {name: make(f"door.{name}", o) for name, o in options.door_of.items()}
--- a/finchladder/features/capture.py
+++ b/finchladder/features/capture.py
@@ -1,7 +1,8 @@
 """Capture: inputs and decisions as JSON lines in a ring of bounded size. No clock and no I/O.
 
 An input's line and those of its decisions form a block. The ring consists of segments; each but the first
-begins with a snapshot of the state, so that it can be replayed although the start was dropped.
+begins with a snapshot of the state, so that a replay can begin there after
+earlier segments were dropped.
 """
 
 import math
@@ -18,11 +19,11 @@
 from finchladder.features.fault_injection import FaultOrder
 from finchladder.features.request_admission import AdmissionDecision
 
-SEGMENTS_PER_RING = 8  # segments in a full ring: the oldest is dropped at once
+SEGMENTS_PER_RING = 8  # number of segments of a full ring; the oldest is dropped as a whole
 OPENING_LINE_BYTES = 256  # bytes reserved for the first line of a dump
 CHUNK_BYTES = 64 * 1024
-MAX_SKIPPED_SNAPSHOTS = 64  # snapshots not attempted after one that was too large
-FILE_RETRY_INTERVAL_S = 10.0  # seconds until a new file is tried after one that could not be written
+MAX_SKIPPED_SNAPSHOTS = 64  # limit on the snapshots skipped after one that was too large
+FILE_RETRY_INTERVAL_S = 10.0  # minimum time from opening a file that fails to opening the next one
 # bounds of a recorded load report; decisions don't depend on load reports
 MAX_REPORT_VALUES = 16
 MAX_REPORT_NAME_LENGTH = 32  # characters
@@ -73,7 +74,9 @@
         return {"t": t, "in": "list", "kind": e.kind, "entries": e.entries}
     if isinstance(e, NewRoutes):
         return {"t": t, "in": "routes", "routes": e.routes.all}
-    raise TypeError(f"events of type {type(e).__name__} can't be recorded")  # the program submits no others
+    raise TypeError(
+        f"events of type {type(e).__name__} can't be recorded"
+    )  # the program submits only the types above
 
 
 def _bounded_report(report: dict[str, float]) -> dict[str, float]:
@@ -109,7 +112,7 @@
 
 
 def encode_admission(t: float, request_id: str, decision: AdmissionDecision) -> list[Line]:
-    """Encodes the decision on a request; one that is admitted at once has no line."""
+    """Encodes the decision on a request; a request that is admitted without a fault has no line."""
     if decision.wait_s > 0:
         return [{"t": t, "out": "turn_away", "id": request_id, "retry_after": decision.wait_s}]
     if (fault := decision.fault) is not None:
@@ -118,23 +121,23 @@
 
 
 def encode_fault_order(t: float, order: FaultOrder, until: float | None) -> list[Line]:
-    """Encodes the answer to an order for fault injection."""
+    """Encodes the answer to an order for fault injection; an order without effect has no line."""
     return [{"t": t, "out": "drill", "class": order.job_class, "until": until}] if until is not None else []
 
 
 def encode_block(lines: Sequence[Line]) -> bytes:
-    """Joins encoded lines to a block."""
+    """Encodes lines and joins them to a block."""
     return b"".join(encode(line) + b"\n" for line in lines)
 
 
 class Segment:
-    """Consecutive blocks, after a snapshot of the state."""
+    """Consecutive blocks, preceded by a snapshot of the state if there is one."""
 
     __slots__ = ("start", "blocks", "size")
 
     def __init__(self, start: bytes | None) -> None:
         """Starts without blocks."""
-        self.start = start  # the snapshot's line; empty: the initial state; None: no snapshot
+        self.start = start  # the snapshot's line; empty for the initial state; None: no snapshot
         self.blocks: list[bytes] = []
         self.size = len(start or b"")
 
@@ -180,7 +183,7 @@
         return self.max_bytes // 4
 
     def begin_segment(self) -> Segment:
-        """Starts a new segment; a snapshot of this moment may follow."""
+        """Starts a new segment; `set_snapshot` may later add a snapshot of the present state."""
         segment = Segment(None)
         self.segments.append(segment)
         self.next_segment_bytes = self.max_bytes // SEGMENTS_PER_RING
@@ -205,7 +208,7 @@
             self._drop_oldest()
 
     def content(self) -> tuple[int, list[bytes]]:
-        """Returns the number of inputs dropped before, and the lines from the first replayable segment."""
+        """Returns the number of missing earlier inputs, and the lines from the first replayable segment."""
         lost, segments = self.lost, list(self.segments)
         while len(segments) > 1 and segments[0].start is None:
             lost += len(segments.pop(0).blocks)
@@ -214,7 +217,7 @@
 
 
 def split_chunks(lines: Sequence[bytes]) -> Iterator[bytes]:
-    """Yields the same bytes in chunks of bounded size."""
+    """Joins lines and yields the result in chunks of at most `CHUNK_BYTES`."""
     chunk = bytearray()
     for line in lines:
         for start in range(0, len(line), CHUNK_BYTES):
@@ -228,9 +231,9 @@
 
 
 class Sink(Protocol):
-    """Destination of files.
+    """Writer of capture files.
 
-    Neither call blocks; False means that the data wasn't accepted or an earlier call failed.
+    Neither method blocks; False means that the data wasn't accepted or an earlier call failed.
     """
 
     def open(self, data: bytes) -> bool:
@@ -241,7 +244,7 @@
 
 
 class SnapshotSource(Protocol):
-    """Incremental snapshot of the state at the time of `begin`; `size` is the number of bytes so far."""
+    """Incremental snapshot of the state at the time of `begin`; `size`: bytes encoded so far."""
 
     size: int
 
@@ -256,7 +259,7 @@
 
 
 class PendingSnapshot:
-    """A snapshot in progress, and the blocks since its start if a file is to begin with both."""
+    """A snapshot in progress, with the blocks since its start if both are to begin a new file."""
 
     def __init__(self, t: float, inputs: int, segment: Segment | None, for_file: bool) -> None:
         """Starts without blocks."""
@@ -267,8 +270,8 @@
 class Capture:
     """Records inputs and decisions.
 
-    A snapshot takes many steps. `schedule` runs one step in a later iteration of the event loop; if it isn't
-    set, all steps run at once.
+    A snapshot takes many steps. `schedule` runs a function in a later iteration of the event loop, here
+    one step; if it is None, all steps run immediately.
     """
 
     def __init__(
@@ -289,7 +292,7 @@
         self.inputs = 0
         self.schedule: Callable[[Callable[[], None]], None] | None = None
         self.pending: PendingSnapshot | None = None
-        self.too_large = self.snapshots_to_skip = 0  # consecutive failures; snapshots not attempted
+        self.too_large = self.snapshots_to_skip = 0  # consecutive too large snapshots; next ones to skip
 
     def opening_line(self, t: float, lost: int) -> bytes:
         """Returns the first line of a capture."""
@@ -387,7 +390,7 @@
         if state is None and not too_large:
             return
         self._discard_snapshot()
-        if too_large or state is None:  # the next ones will probably be too large as well
+        if too_large or state is None:  # the next snapshots will probably be too large as well
             self.too_large += 1
             self.snapshots_to_skip = min(2**self.too_large, MAX_SKIPPED_SNAPSHOTS)
             if pending.for_file:
@@ -410,13 +413,15 @@
         """Appends a block to the file; returns whether the next file is due."""
         assert self.sink is not None
         self.file_ok = self.file_ok and self.sink.write(block)
-        if not self.file_ok:  # after a missed input the file can't be replayed any further
+        if not self.file_ok:  # a replay can't continue past a missed input
             return t >= self.file_retry_at
         self.file_size += len(block)
-        return self.file_size >= self.max_file_bytes * 7 // 8  # so that the blocks until then still fit
+        return (
+            self.file_size >= self.max_file_bytes * 7 // 8
+        )  # the rest is for blocks until the next file is open
 
     def _open_file(self, t: float, inputs: int, state: bytes, since: Sequence[bytes] = ()) -> None:
-        """Opens a file with the number of inputs before it, a snapshot and the blocks since."""
+        """Opens a file; it begins with the number of earlier inputs, a snapshot and the blocks since then."""
         if self.sink is None:
             return
         self.file_retry_at = t + FILE_RETRY_INTERVAL_S
--- a/finchladder/features/fault_injection.py
+++ b/finchladder/features/fault_injection.py
@@ -13,13 +13,13 @@
 
 
 class FaultOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"job_class": "class"}):
-    """Body of the control call; both shares refer to all requests of the class."""
+    """Body of the control call; `share` and `abort_share` are fractions of all requests of the class."""
 
     job_class: str
     share: Share
     for_s: Annotated[float, Meta(gt=0, le=600)]
     delay_ms: Annotated[float, Meta(ge=0, le=600_000)] = 0.0
-    abort_share: Share | None = None  # None: without a delay `share` is aborted, with a delay none
+    abort_share: Share | None = None  # None: `share` if `delay_ms` is 0, otherwise no request is aborted
 
     @property
     def total_abort_share(self) -> float:
@@ -40,19 +40,19 @@
     """The active fault injections by job class."""
 
     def __init__(self, seed: int) -> None:
-        """Starts with none.
+        """Starts without active injections.
 
         Args:
             seed: The seed of the generator that selects requests.
         """
         # separate from the dispatcher's generator, whose draws must not depend on injected faults
         self.random = Random(f"drills {seed}")
-        self.active: dict[str, tuple[float, FaultOrder]] = {}  # by class, with the time of its end
+        self.active: dict[str, tuple[float, FaultOrder]] = {}  # by class: end time and order
         self.applied: dict[str, int] = {}
         self.stopped = False
 
     def start(self, now: float, order: FaultOrder) -> float:
-        """Starts an injection, replacing the class's earlier one, and returns the time at which it ends."""
+        """Starts an injection in place of the class's earlier one; returns the time at which it ends."""
         until = now + order.for_s
         self.active[order.job_class] = until, order
         self.applied.setdefault(order.job_class, 0)
--- a/finchladder/features/replay.py
+++ b/finchladder/features/replay.py
@@ -1,4 +1,4 @@
-"""Replay of a capture: repeats its inputs and compares the decisions. It has no clock."""
+"""Replay of a capture: repeats its inputs and compares the decisions. Times are those of the capture."""
 
 from collections.abc import Callable, Iterable, Iterator
 from difflib import SequenceMatcher
@@ -246,7 +246,7 @@
 
 
 class Replay:
-    """Compares decisions and counts them."""
+    """Repeats the decisions of a capture, and counts those that are compared or differ."""
 
     def __init__(
         self,
@@ -261,7 +261,7 @@
         Args:
             settings: The platform's settings.
             options: The operator's options.
-            report: Called with each line that differs.
+            report: Called with each recorded or repeated line that differs.
             warn: Called with a description of decisions that can't be compared.
             routes: The operator's routes, if any.
         """
@@ -273,7 +273,7 @@
             routes,
         )
         self.inputs = self.compared = self.differences = 0
-        # None: the state isn't known, so no decision is compared
+        # None: the state at this line is unknown, so no decision is compared
         self.dispatcher: Dispatcher | RouteLimitedDispatcher | None = None
         self.arrivals: RequestAdmission | None = None
         self.opening: Opening | None = None
@@ -351,7 +351,7 @@
             dispatcher: Decisions = self.dispatcher
             try:
                 return encode_decision(t, dispatcher.handle(t, event), None)
-            except Exception as e:  # captures record any error, so it is compared
+            except Exception as e:  # a capture records errors of all types, so they are compared
                 return encode_decision(t, [], e)
         if self.arrivals is None:
             return None
@@ -367,7 +367,7 @@
         recorded, self.recorded = self.recorded, []
         if self.expected is None:
             return
-        # encoded and decoded as in a file, so that values compare as they do there
+        # encoded and decoded once, so that values are equal to those read from a file
         expected = [msgspec.json.decode(encode(line), type=Line) for line in self.expected]
         before = [line for _, line in recorded]
         self.compared += len(before)
--- a/finchladder/features/request_admission.py
+++ b/finchladder/features/request_admission.py
@@ -10,7 +10,7 @@
 class AdmissionDecision(NamedTuple):
     """The decision on one request."""
 
-    wait_s: float = 0.0  # above 0: rejected; the next token is available after this time
+    wait_s: float = 0.0  # above 0: the request is rejected; a token is available after this time
     fault: InjectedFault | None = None
 
 
--- a/finchladder/features/shared_admission_limits.py
+++ b/finchladder/features/shared_admission_limits.py
@@ -12,11 +12,11 @@
 from finchladder.core.peers.bucket import Bucket
 from finchladder.core.peers.exchange import BudgetFamily, Peers
 
-MAX_RETRY_AFTER_S = 2.0  # longest announced time: by then peers may have lent part of their rate
+MAX_RETRY_AFTER_S = 2.0  # longest announced wait; after it, peers may have lent some of their rate
 
 
 class SharedTokenBuckets:
-    """Token buckets as `admission_limits.TokenBuckets`, shared between dispatchers.
+    """Token buckets by address, like `admission_limits.TokenBuckets` but shared between dispatchers.
 
     At most `max_keys` addresses are stored; core/peers limits how many of them are shared.
     """
@@ -56,11 +56,11 @@
         return min(MAX_RETRY_AFTER_S, bucket.wait_s(now))
 
     def _bucket(self, name: str, own: float) -> Bucket:
-        """Returns a bucket; an existing one is reused, as a new one starts with a complete token."""
+        """Returns a bucket; an existing one is reused, because a new one would start with a token."""
         bucket = self.buckets.get(name)
         if bucket is None:
             burst_s = (self.options.burst - 1) / self.options.rate
-            shared = self.peers.buckets.get(name)  # still shared, though evicted from this table
+            shared = self.peers.buckets.get(name)  # peers may share a bucket that was evicted here
             bucket = self.buckets[name] = shared or Bucket(own, self.now, 1.0, burst_s, keeps_tokens=True)
             if len(self.buckets) > self.options.max_keys:
                 self.buckets.popitem(last=False)
--- a/finchladder/features/snapshot.py
+++ b/finchladder/features/snapshot.py
@@ -1,4 +1,6 @@
-"""Snapshots of the dispatcher's state as JSON, and their restoration: needed by a capture without its start.
+"""Snapshots of the dispatcher's state as JSON, and their restoration.
+
+A capture whose first inputs were dropped is replayed from a snapshot.
 
 All slots of the record types are stored, so a field that is added to a record type needs no change here.
 Values that are derived from the settings are not stored: a snapshot is restored into a new dispatcher with
@@ -37,7 +39,7 @@
 from finchladder.features.fault_injection import FaultOrder
 from finchladder.features.request_admission import RequestAdmission
 
-MAX_STORED_ADDRESSES = 1000  # with more addresses in the admission limits, a replay skips their decisions
+MAX_STORED_ADDRESSES = 1000  # with more, admission limits are not stored, and a replay skips them
 RECORD_TYPES: tuple[type, ...] = (
     Worker,
     Attempt,
@@ -58,7 +60,9 @@
     TypicalWeight,
     OutlierEjection,
 )
-MUTABLE_FIELDS: dict[type, tuple[str, ...]] = {  # the most frequent types, and their container fields
+MUTABLE_FIELDS: dict[
+    type, tuple[str, ...]
+] = {  # types of the most frequent records, and their fields with containers
     Worker: ("unstarted_attempts", "fetched_keys"),
     Job: ("attempts",),
     RoutedJob: (),
@@ -67,7 +71,7 @@
 CONTAINERS = frozenset({dict, list, OrderedDict})
 RECORDS_PER_STEP, ITEMS_PER_STEP, CONTAINERS_PER_STEP = 64, 512, 64  # encoded in one step
 encode = msgspec.json.Encoder().encode
-# each value is encoded once and referenced by its number
+# Each value of these types is encoded once and referenced by its number.
 IMMUTABLE_TYPES: tuple[type, ...] = (Route, Queue, WorkerPool, Request, RequestLimits)
 # Name of each stored field of the dispatcher, and the path of its attribute.
 # Captures of earlier versions must remain readable: a field that moves or is renamed changes its path here
@@ -96,8 +100,8 @@
     "timer_due": "is_timer_set",
     "serial": "serial",
 }
-# The same for the fields of a dispatcher with zone spillover only. A state without them is restored as well;
-# spillover then starts from its initial state.
+# Stored names and attribute paths of the fields that only a dispatcher with zone spillover has. A state
+# without them can be restored; spillover then starts from its initial state.
 ZONE_FIELDS = {
     "spills": "spillovers",
     "counts": "send_counts",
@@ -121,7 +125,7 @@
 
 
 def stored_slots(kind: type) -> list[str]:
-    derived = ("load_level", "pools", "settings")  # set again by Dispatcher.reindex
+    derived = ("load_level", "pools", "settings")  # not stored: computed or set again after a restoration
     return [name for name in kind.__slots__ if name not in derived]  # type: ignore[attr-defined]
 
 
@@ -228,7 +232,7 @@
         for _ in self.work:
             return None
         state = b"".join(self.out)
-        self._clear()  # no record has a tracked type any more
+        self._clear()  # by now every record has its original type again
         return state
 
     def discard(self) -> None:
@@ -397,7 +401,7 @@
         for record, (kind, *values) in zip(self.records, rows, strict=True):
             for name, value in zip(stored_slots(RECORD_TYPES[kind]), values, strict=True):
                 setattr(record, name, self.get(value))
-            if isinstance(record, Worker):  # including one that only a job refers to
+            if isinstance(record, Worker):  # also a worker that only a job refers to
                 record.load_level, record.pools = None, ()
 
     def get(self, value: Any) -> Any:
@@ -475,7 +479,8 @@
     if paths.keys() ^ state["fields"].keys() not in (set(), ZONE_FIELDS.keys()):
         raise StateError("the state has other fields than this version stores")
     fields = {name: reader.get(value) for name, value in state["fields"].items() if name in paths}
-    for name in ("held", "run"):  # by class, limited to the configured classes
+    # values by class: those of classes no longer configured are dropped, new classes get initial values
+    for name in ("held", "run"):
         initial = attrgetter(paths[name])(dispatcher)
         kept = {n: v for n, v in fields[name].items() if (n if name == "run" else n[1]) in dispatcher.classes}
         fields[name] = kept | {n: v for n, v in initial.items() if n not in kept}
@@ -483,13 +488,13 @@
         _set(dispatcher, paths[name], value)
     worker_load = dispatcher.worker_load
     for part in (dispatcher.state.key_frequency, worker_load, worker_load.learned_capacity):
-        part.settings = dispatcher.settings  # of the present configuration
+        part.settings = dispatcher.settings  # not the stored settings
     for n, (own, peers, count, credit) in state["tenants"].items():
         if (t := dispatcher.tenants.by_tenant.get(n)) is not None:
             t.own_rps, t.peers_rps, t.request_count, t.credit = own, peers, count, credit
     dispatcher.reindex()
     if isinstance(decisions, RouteLimitedDispatcher):
-        routes = Routes(scope.route for scope in decisions.scopes.values())  # of the present configuration
+        routes = Routes(scope.route for scope in decisions.scopes.values())  # not the stored routes
         vars(decisions).update({n: reader.get(v) for n, v in state.get("routes", {}).items()})
         decisions.apply_routes(routes)
 
@@ -515,7 +520,7 @@
         not_comparable.append(
             "admission decisions, as the admission limits had too many client addresses to store"
         )
-    for name in tables.keys() & (stored or {}).keys():  # other tables start empty
+    for name in tables.keys() & (stored or {}).keys():  # tables that were not stored start empty
         tables[name].started_at, full_at = stored[name]
         tables[name].full_at = OrderedDict((a, t) for a, t in full_at)
     if arrivals.fault_injector is not None and "drills" in state:
@@ -523,5 +528,7 @@
         restore_random(arrivals.fault_injector.random, random)
         orders = [(until, msgspec.convert(order, FaultOrder)) for until, order in active]
         arrivals.fault_injector.active = {order.job_class: (until, order) for until, order in orders}
-        arrivals.fault_injector.applied = dict.fromkeys(arrivals.fault_injector.active, 0)  # metrics only
+        arrivals.fault_injector.applied = dict.fromkeys(
+            arrivals.fault_injector.active, 0
+        )  # used for metrics only
     return not_comparable
--- a/finchladder/features/status.py
+++ b/finchladder/features/status.py
@@ -15,9 +15,9 @@
     Ending.OVERLOADED: "returned",
     Ending.BROKEN: "lost",
     Ending.TIMED_OUT: "timed_out",
-    Ending.CANCELLED: "timed_out",  # cancelled, as no client waits for the result
+    Ending.CANCELLED: "timed_out",  # a job is cancelled when no client waits for its result
 }
-# used if no attempt determines the state. `left`: the client disconnected before the answer
+# Used if the last attempt's ending determines no state. `left`: the client disconnected before the answer.
 STATE_BY_ANSWER_KIND = {"refused": "returned", "left": "timed_out", "failed": "failed", "served": "done"}
 
 
@@ -38,9 +38,9 @@
     def __init__(self, job_class: str) -> None:
         """Starts as a waiting job."""
         self.job_class, self.state = job_class, "waiting"
-        self.server: str | None = None  # of the last attempt
+        self.server: str | None = None  # worker of the last attempt
         self.share = 0.0
-        self.ending: Ending | None = None  # of the last attempt
+        self.ending: Ending | None = None  # ending of the last attempt
         self.ended_at = 0.0
 
 
@@ -51,10 +51,10 @@
         """Starts without jobs."""
         self.retain_s, self.max_entries = options.retain_ms / 1000, options.max_entries
         self.unfinished: dict[str, Entry] = {}
-        self.finished: OrderedDict[str, Entry] = OrderedDict()  # by the time of their end, the oldest first
+        self.finished: OrderedDict[str, Entry] = OrderedDict()  # ordered by the time at which they ended
 
     def add(self, now: float, id: str, job_class: str) -> None:
-        """Adds a job; if all entries are of unfinished jobs, it isn't tracked."""
+        """Adds a job; it isn't tracked if the maximum number of entries is taken by unfinished jobs."""
         self._expire(now)
         self.finished.pop(id, None)
         if len(self.unfinished) + len(self.finished) >= self.max_entries:
@@ -96,7 +96,7 @@
         e.state, e.share = ("done", 1.0) if ending is Ending.OK else ("waiting", e.share)
 
     def record_answer(self, now: float, id: str, kind: str) -> None:
-        """Records that no attempt is pending and the final answer was given or no longer can be."""
+        """Records that a job is finished: its final answer was given, or can no longer be given."""
         if (e := self.unfinished.pop(id, None)) is None:
             return
         e.state = STATE_BY_ENDING[e.ending] if e.ending in STATE_BY_ENDING else STATE_BY_ANSWER_KIND[kind]
@@ -107,7 +107,9 @@
         """Returns a job's status, or None if the id is unknown."""
         self._expire(now)
         if (e := self.unfinished.get(id)) is not None:
-            at = e.server if e.ending in (None, Ending.OK) else None  # otherwise it waits for another attempt
+            at = (
+                e.server if e.ending in (None, Ending.OK) else None
+            )  # a job between two attempts is at no worker
             return StatusReply(e.state, at, e.share if at else 0.0, e.job_class)
         if (e := self.finished.get(id)) is not None:
             return StatusReply(e.state, e.server, e.share, e.job_class)
--- a/finchladder/store/last_good_list.py
+++ b/finchladder/store/last_good_list.py
@@ -73,7 +73,7 @@
     try:
         head = msgspec.json.decode(line[:MAX_HEADER_BYTES], type=Head)
     except (msgspec.MsgspecError, UnicodeDecodeError):
-        raise UnusableListError("it is no list of this program") from None
+        raise UnusableListError("it is not a last good list written by finchladder") from None
     if len(body) != head.size:
         raise UnusableListError(f"it has {len(body)} bytes of a list of {head.size}")
     if hashlib.sha256(body).hexdigest() != head.sha256:
--- a/tests/test_believing.py
+++ b/tests/test_believing.py
@@ -76,10 +76,13 @@
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (b"", "no list of this program"),
-        (b"127.0.0.1 localhost\n", "no list of this program"),
-        (HEAD.replace(b'"format":1', b'"format":2') + b"\n" + BODY, "no list of this program"),
-        (b"\xff" + WHOLE, "no list of this program"),
+        (b"", "it is not a last good list written by finchladder"),
+        (b"127.0.0.1 localhost\n", "it is not a last good list written by finchladder"),
+        (
+            HEAD.replace(b'"format":1', b'"format":2') + b"\n" + BODY,
+            "it is not a last good list written by finchladder",
+        ),
+        (b"\xff" + WHOLE, "it is not a last good list written by finchladder"),
         (HEAD, "0 bytes of a list of"),
         (WHOLE[:-9], "bytes of a list of"),
         (WHOLE + b"{}", "bytes of a list of"),
