--- a/finchladder/cli/benchlink.py
+++ b/finchladder/cli/benchlink.py
@@ -48,7 +48,7 @@
 
 
 def read_report(text: str) -> dict[str, float] | None:
-    """Parses a load report, without unknown fields."""
+    """Parses a load report; unknown fields are ignored."""
     if text == "-" or not text:
         return None
     pairs = (pair.split(":", 1) for pair in text.split(","))
--- a/finchladder/cli/serve.py
+++ b/finchladder/cli/serve.py
@@ -57,8 +57,8 @@
     setup: DispatcherSetup, options: Options, file: OperatorFile | None, machine: HostEnvironment
 ) -> None:
     """Runs the dispatcher until it is shut down."""
-    # jobs leave no reference cycles, so collections find almost nothing, but a full one with 10,000 workers
-    # would stall the event loop for 100 ms and more: it is rare, and skips objects that exist at the start
+    # Jobs leave no reference cycles, so collections free almost nothing. With 10,000 workers, a full one
+    # would stall the event loop for 100 ms and more; so it is rare, and skips objects that exist at the start
     gc.set_threshold(*GC_THRESHOLDS)
     node = DispatcherNode(setup, options, partial(read_setup, os.environ), machine, file=file)
     machine.freeze_objects()
--- a/finchladder/config/findings.py
+++ b/finchladder/config/findings.py
@@ -25,8 +25,8 @@
         return f"{self.file}:{self.line}:{self.column}: {self.code} {self.reason}. {self.remedy}."
 
 
-MAX_FINDINGS = 200  # reported findings of one file
-MAX_REASON_LENGTH = 300  # characters of a reason
+MAX_FINDINGS = 200  # maximum number of findings that are reported for one file
+MAX_REASON_LENGTH = 300  # characters of a reason or a remedy
 
 
 class FindingsError(InvalidFileError):
--- a/finchladder/features/capture.py
+++ b/finchladder/features/capture.py
@@ -23,7 +23,7 @@
 OPENING_LINE_BYTES = 256  # bytes reserved for the first line of a dump
 CHUNK_BYTES = 64 * 1024
 MAX_SKIPPED_SNAPSHOTS = 64  # limit on the snapshots skipped after one that was too large
-FILE_RETRY_INTERVAL_S = 10.0  # minimum time from opening a file that fails to opening the next one
+FILE_RETRY_INTERVAL_S = 10.0  # minimum time between two openings of a file if writing fails
 # bounds of a recorded load report; decisions don't depend on load reports
 MAX_REPORT_VALUES = 16
 MAX_REPORT_NAME_LENGTH = 32  # characters
--- a/finchladder/features/request_admission.py
+++ b/finchladder/features/request_admission.py
@@ -67,7 +67,7 @@
         return ADMITTED
 
     def start_fault(self, now: float, order: FaultOrder) -> float | None:
-        """Starts a fault injection; returns the time at which it ends, or None if they are disabled."""
+        """Starts a fault injection; returns the time at which it ends, or None if that is disabled."""
         until = self.fault_injector.start(now, order) if self.fault_injector is not None else None
         if self.observer is not None:
             self.observer.record_fault_order(now, order, until)
--- a/finchladder/features/snapshot.py
+++ b/finchladder/features/snapshot.py
@@ -39,7 +39,7 @@
 from finchladder.features.fault_injection import FaultOrder
 from finchladder.features.request_admission import RequestAdmission
 
-MAX_STORED_ADDRESSES = 1000  # with more, admission limits are not stored, and a replay skips them
+MAX_STORED_ADDRESSES = 1000  # with more, admission limits are neither stored nor replayed
 RECORD_TYPES: tuple[type, ...] = (
     Worker,
     Attempt,
