--- a/finchladder/cli/etcd.py
+++ b/finchladder/cli/etcd.py
@@ -271,7 +271,7 @@
 
 
 async def import_entries(client: Client, args: argparse.Namespace) -> None:
-    """Adds all entries of a list in discovery's form, or of the `known` list of a platform file."""
+    """Adds all entries of a JSON endpoint list (ServiceList), or of the `known` list of a platform file."""
     try:
         data = sys.stdin.read() if args.file == "-" else Path(args.file).read_text("utf-8")
         found = json.loads(data)
--- a/finchladder/cli/serve.py
+++ b/finchladder/cli/serve.py
@@ -41,7 +41,7 @@
 def log_to(sink: TextIO, node: str, log_format: str) -> int:
     """Configures logging as text, or as one JSON object a line; returns the sink's id."""
     logger.remove()
-    logger.configure(extra={"node": node})  # not part of the text format
+    logger.configure(extra={"node": node})  # only JSON log lines show the node
     return logger.add(sink, level="INFO", backtrace=False, diagnose=False, serialize=log_format == "json")
 
 
--- a/finchladder/cluster/configuration/schema.py
+++ b/finchladder/cluster/configuration/schema.py
@@ -9,7 +9,7 @@
 from jsonschema import Draft202012Validator, ValidationError
 
 TENANTS = "tenants"
-REMOVE = "remove"  # field of a patch
+REMOVE = "remove"  # field of a patch that lists the names of the items to remove
 REDACTED = "..."  # replaces unknown names from a request in error messages; they may be misplaced API keys
 
 NAME_SCHEMA = {"type": "string", "minLength": 1}
--- a/finchladder/cluster/placement/demand.py
+++ b/finchladder/cluster/placement/demand.py
@@ -92,7 +92,8 @@
     queued: Counter[DemandKey] = field(factory=Counter)
     in_flight: Counter[DemandKey] = field(factory=Counter)
     worker_loads: Counter[str] = field(factory=Counter)  # load by instance, in the unit of the reports
-    replica_requests: Counter[ReplicaKey] = field(factory=Counter)  # requests in flight, including adapters
+    # requests in flight at each replica, including those for adapters of its model
+    replica_requests: Counter[ReplicaKey] = field(factory=Counter)
 
 
 @define
--- a/finchladder/cluster/process/failure_detection.py
+++ b/finchladder/cluster/process/failure_detection.py
@@ -104,7 +104,9 @@
             if reply.newer_view is not None:
                 await self.agreement.learn(reply.newer_view)
         except ClusterError:
-            return  # `alive_members` accounts for an unreachable peer as well as for a failed local disk
+            # nothing to do: `alive_members` leaves out a peer without a recent reply, and reports whether
+            # this process is healthy
+            return
 
     def alive_members(self) -> dict[str, MemberStatus]:
         """Returns the members that are not suspected, including this process, keyed by disk id."""
--- a/finchladder/cluster/process/update_puller.py
+++ b/finchladder/cluster/process/update_puller.py
@@ -70,7 +70,7 @@
     placer: str = ""  # peer address of the placer; empty: unknown
     placer_term: int = 0  # fencing token of the placer
     dispatcher_count: int = 0
-    confirmed_at: float = NEVER  # time of the last update that reported a recent confirmation
+    confirmed_at: float = NEVER  # time of the last update whose sender reported `chain_confirmed`
     quorum_lost_at: float = NEVER  # start of the last period in which sources reported a loss of the quorum
     expired_at: float = field(factory=steady)  # time of the last cleanup of the tables
     poll_now: Signal = field(factory=Signal)  # fires when the primary changes or is no longer confirmed
--- a/finchladder/cluster/process/view_proposer.py
+++ b/finchladder/cluster/process/view_proposer.py
@@ -85,7 +85,10 @@
         return self.agreement.acceptor.accepted if waited_s > UNDECIDED_TIMEOUT_S else None
 
     def _bootstrap_view(self) -> View | None:
-        """Returns the first view with all seeds, or after the timeout with those of a majority that reply."""
+        """Returns the first view, or None while too few seeds are healthy.
+
+        All seeds are needed at first; after BOOTSTRAP_TIMEOUT_S a majority of healthy seeds suffices.
+        """
         seeds = self._seed_addresses()
         alive = self.detector.alive_members().values()
         found = [status.member for status in alive if status.healthy and status.member.peer_address in seeds]
--- a/finchladder/config/ini_file.py
+++ b/finchladder/config/ini_file.py
@@ -1,4 +1,4 @@
-"""Operators' files in INI form, and the conversion of sections of either form to options."""
+"""Reads operators' files in INI form, and converts the sections of INI or TOML files to options."""
 
 from collections.abc import Mapping
 from configparser import ConfigParser
--- a/finchladder/config/options.py
+++ b/finchladder/config/options.py
@@ -189,7 +189,10 @@
 
 
 class PeersOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Either `members`, each as NAME=HOST:PORT, or a `file`, a JSON object {NAME: "HOST:PORT"}."""
+    """The dispatchers that exchange data, in `members` or a `file`.
+
+    Each of `members` is NAME=HOST:PORT; the file is a JSON object {NAME: "HOST:PORT"}.
+    """
 
     fleet: Annotated[str, Meta(pattern=r"\A[A-Za-z0-9][A-Za-z0-9._-]{0,31}\Z")] = "finchladder"
     members: list[Annotated[str, Meta(max_length=100)]] = []
--- a/finchladder/core/dispatch/worker_load.py
+++ b/finchladder/core/dispatch/worker_load.py
@@ -63,7 +63,8 @@
         self.settings = settings
         # weights far above it are ignored: they would make all other workers look full
         self.typical_weight = TypicalWeight()
-        self.learned_capacity = WorkerCapacity(settings)  # breaks ties if weights do not report load
+        # breaks ties between workers in a large fleet, unless `weights_report_load` is set
+        self.learned_capacity = WorkerCapacity(settings)
         self.capacities: dict[str, float] = {}  # largest weight by kind
         self.max_capacity = 0.0  # largest weight of all kinds
         self.mean_capacity = 0.0  # mean capacity of workers past slow start; 0: unknown
--- a/finchladder/core/health/detection/detector.py
+++ b/finchladder/core/health/detection/detector.py
@@ -248,7 +248,7 @@
         bad = weight > 0
         verdict = self.verdicts.get(worker.address, {}).get(job_class.name)
         if verdict is not None and verdict.state is VerdictState.CONDEMNED:
-            return  # the attempt was sent before the ejection: no further evidence
+            return  # the attempt was sent before the ejection, so it is no further evidence
         if verdict is not None and verdict.state is VerdictState.TRIAL and sent_at < verdict.since:
             return
         self.outcomes.pop(worker.address, None)
--- a/finchladder/core/health/detection/verdicts.py
+++ b/finchladder/core/health/detection/verdicts.py
@@ -52,7 +52,9 @@
     def __init__(self, now: float) -> None:
         self.state, self.since = VerdictState.CLEAR, now
         self.until = 0.0  # time at which the ejection ends
-        self.term_s = 0.0  # length of the last ejection by evidence or peers; 0: none since it was clear
+        # length of the last ejection by evidence, or `first_term_s` if only peers caused ejections;
+        # 0: neither since the last trial that ended in CLEAR
+        self.term_s = 0.0
         self.stage, self.stage_started_at = 0, now  # stage of the trial; 0: not on trial
         self.cause = ""  # reporters, peers or operator that caused the last ejection
         self.score = 0.0  # score at the last evaluation
--- a/finchladder/core/membership/decisions.py
+++ b/finchladder/core/membership/decisions.py
@@ -42,7 +42,7 @@
     HOLDING = "holding"  # `number` entries were removed at once: they stay until confirmed
     RELEASED = "released"  # `number` of them are removed
     RETURNED = "returned"  # each held entry is listed again or removed
-    FLAPS = "flaps"  # `names` are flapping: they must be stable first
+    FLAPS = "flaps"  # the workers `names` are flapping: they are used again only once they are stable
     DISAGREE = "disagree"  # `source`, not the leader, disagrees on `number` entries, `names` first
     AGREED = "agreed"  # the disagreement ended
     OLD = "old"  # the list in use is so old that any other replaces it
@@ -60,10 +60,10 @@
 
 
 class Decision(NamedTuple):
-    """Changes of the merged list, with entries that are not ready first.
+    """Changes of the merged list; entries of workers that are not ready precede the others.
 
-    The first non-empty one is FULL (STALE if from a stored list), all others are PATCH. If `workers.entries`
-    is empty, there is nothing to apply.
+    The first decision that has entries is FULL (STALE if no source is live), all others are PATCH. If
+    `workers.entries` is empty, there is nothing to apply.
     """
 
     workers: WorkerList
--- a/finchladder/core/peers/membership.py
+++ b/finchladder/core/peers/membership.py
@@ -223,7 +223,7 @@
 
     def _apply(self, now: float, update: MemberUpdate, reporter: str) -> None:
         member = self.by_name.get(update.name)
-        if member is None:  # not listed here
+        if member is None:  # this process lists no such member: the update is ignored
             return
         if member is self.own_member:
             is_newer = update.incarnation > member.incarnation
--- a/finchladder/core/routing/hedging.py
+++ b/finchladder/core/routing/hedging.py
@@ -32,7 +32,7 @@
         self.percentile = percentile
         self.buckets: dict[int, float] = {}
         self.total, self.new_count = 0.0, 0
-        self.value_s: float | None = None  # the estimate; None: too few samples
+        self.value_s: float | None = None  # estimated percentile of the latencies; None: too few samples
 
     @property
     def min_samples(self) -> float:
--- a/finchladder/core/routing/limited_dispatcher.py
+++ b/finchladder/core/routing/limited_dispatcher.py
@@ -396,9 +396,10 @@
     # --- routes -------------------------------------------------------------------------------------------
 
     def apply_routes(self, routes: Routes) -> None:
-        """Replaces the routes; budgets and percentiles of unchanged settings keep their counts.
+        """Replaces the routes, in O(routes + jobs + workers).
 
-        O(routes + jobs + workers).
+        Hedge budgets keep their counts, as do retry budgets whose window is unchanged, and latency estimates
+        whose percentile is unchanged.
         """
         previous, self.scopes = self.scopes, {}
         for route in routes.all:
--- a/finchladder/features/fault_injection.py
+++ b/finchladder/features/fault_injection.py
@@ -1,4 +1,7 @@
-"""Fault injection: delays or aborts a share of a class's requests for a limited time. Times are arguments."""
+"""Fault injection: delays or aborts a share of a class's requests for a limited time.
+
+The callers pass the current time; no clock is read here.
+"""
 
 from random import Random
 from typing import Annotated, NamedTuple
--- a/finchladder/features/snapshot.py
+++ b/finchladder/features/snapshot.py
@@ -108,13 +108,14 @@
     "look_at": "next_observation_at",
     "draws": "zone_random",
 }
+# attributes of RouteLimitedDispatcher that are not stored
 UNSTORED_ROUTE_FIELDS = {
     "settings",
     "handlers",
     "inner",
     "margin_s",
     "freed",
-}  # of RouteLimitedDispatcher
+}
 RANDOM_STATE_FORMAT = "<625I"
 
 State = dict[str, Any]
--- a/finchladder/net/admission.py
+++ b/finchladder/net/admission.py
@@ -93,7 +93,10 @@
 
 
 class Admission:
-    """Receives plain jobs from idle connections and admits, delays or rejects them."""
+    """Receives plain jobs from idle connections and admits, delays or rejects them.
+
+    A plain job is one whole request with a head that matches `_PLAIN_JOB`; all other data goes to the parser.
+    """
 
     def __init__(
         self,
@@ -115,8 +118,9 @@
         self.connections: dict[int, ClientConnection] = {}  # by file descriptor
         # connections that have received nothing yet, oldest first
         self.silent_connections: dict[ClientConnection, None] = {}
-        # set by the listener: starts serving a connection; closes a connection
+        # set by the listener: called with a connection whose data goes to the parser
         self.on_open: Callable[[ClientConnection], None] = lambda connection: None
+        # set by the listener: called with a connection to close
         self.on_close: Callable[[ClientConnection], None] = lambda connection: None
         self.admits_all = False  # set at shutdown: nothing is delayed or rejected any more
         self.is_retry_scheduled = False
@@ -239,7 +243,7 @@
         return age if MIN_AGE_S < age < MAX_AGE_S else 0.0
 
     def _enqueue(self, connection: ClientConnection, data: bytes, now: float) -> bool:
-        """Queues a plain job of a known class; returns False if the data must go to the parser now."""
+        """Queues data that is a plain job of a known class; returns False if it must go to the parser now."""
         if (job := parse_plain_job(data)) is None:
             return False
         job_class, id, left_s = job
--- a/finchladder/net/client_connection.py
+++ b/finchladder/net/client_connection.py
@@ -84,7 +84,7 @@
         self.handler, self.table = handler, table
         self.intake, self.clock = handler.intake, handler.intake.clock
         self.reservation = reservation  # for the body of the message being read or handled
-        self.answer: Answer | None = None  # the flow's answer, until it is taken
+        self.answer: Answer | None = None  # the flow's answer, until its response is written
         self.answer_future: asyncio.Future[None] | None = None
         self.flow: Flow | None = None
         self.is_busy = False  # from the first byte of a message to the last of its response
--- a/finchladder/net/etcd/state.py
+++ b/finchladder/net/etcd/state.py
@@ -374,7 +374,10 @@
         return False
 
     def _has_untried_endpoint(self) -> bool:
-        """Whether another endpoint may be more recent; each is tried once before an older state is used."""
+        """Records that the current endpoint is behind; returns whether another may hold a newer revision.
+
+        An older state is accepted only after all endpoints were tried.
+        """
         self.lagging_endpoints[self.current] = None
         return len(self.lagging_endpoints) < len(self.endpoints)
 
--- a/finchladder/net/workers.py
+++ b/finchladder/net/workers.py
@@ -34,7 +34,7 @@
 # idle connections, and unlisted workers, handled in one iteration of the event loop: some 2 ms
 MAX_REAPED_AT_ONCE = 200
 DELETE_TIMEOUT_S = 1.0  # timeout of a DELETE, including the wait for a connection
-# seconds between two sends of a DELETE for which a further attempt of the job waits
+# seconds until a DELETE that could not be sent is tried again; the job's next attempt waits for it
 CANCEL_RETRY_INTERVAL_S = 0.25
 
 
@@ -446,7 +446,7 @@
             self._set_ready(actor, e.state is api.WorkerStatus.READY)
             address = addresses.get(e.worker, actor.address)
             if actor.address != address or self.started_at.get(e.worker, e.started_at) != e.started_at:
-                actor.drop_idle()  # they lead to a process that has ended
+                actor.drop_idle()  # idle connections lead to the worker's earlier process
             actor.address, self.started_at[e.worker] = address, e.started_at
         self.decisions.submit(worker_list)
 
--- a/finchladder/sim/faults.py
+++ b/finchladder/sim/faults.py
@@ -29,7 +29,8 @@
     from finchladder.sim.servers import Server
 
 MAX_TURN_DELAY_S = 0.02  # of a sluggish process; far below the slack that the rules allow
-MAX_CLIENT_LATENCY_S = 0.012  # of a delayed link to the clients; the rules count it as the dispatcher's time
+# maximum latency of a delayed link to the clients; the rules count it as time that the dispatcher took
+MAX_CLIENT_LATENCY_S = 0.012
 MAX_HELD_CONNECTIONS, MAX_BURST_JOBS = 300, 25
 
 
--- a/finchladder/sim/invariants.py
+++ b/finchladder/sim/invariants.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from finchladder.sim.process import Process
 
-TABLE_CHECK_INTERVAL_TURNS = 32  # turns between two checks of whole tables
+TABLE_CHECK_INTERVAL_TURNS = 32  # event loop turns between two calls of `check_tables`
 MAX_CANCEL_S = 1.5  # one second for a connection and an answer, plus a margin
 CANCELLED_ENDINGS = (api.Ending.CANCELLED, api.Ending.TIMED_OUT)
 TIMER_SLACK_S = 0.15  # timers of a sluggish process fire late
--- a/finchladder/sim/judged.py
+++ b/finchladder/sim/judged.py
@@ -231,7 +231,10 @@
     # --- rules
 
     def _record_bad_send(self, server: int) -> None:
-        """Checks `left`: a dispatcher without reports may try a bad server itself, later only in trials."""
+        """Records a send to a bad server, and checks the rule `left`, which limits the sends in LEFT_S.
+
+        The limit allows each dispatcher some attempts of its own, and some more for trials.
+        """
         times = self.sends_to_bad.setdefault(server, deque())
         times.append(self.now)
         while times[0] < self.now - LEFT_S:
--- a/finchladder/sim/peers.py
+++ b/finchladder/sim/peers.py
@@ -33,7 +33,9 @@
 LATENCY_S = 0.002
 BUFFER = 256  # packets kept for a paused process
 HEAL_S = 40.0
-SHARE_CHECK_INTERVAL_S = 0.02  # interval of the checks; a wrong share lasts at least for a lease's margin
+# seconds between two checks of the shares while no token is taken; short enough to miss no wrong share, as
+# one lasts at least for a lease's margin
+SHARE_CHECK_INTERVAL_S = 0.02
 MAX_ABSENCE_S = 60.0  # a process that is down for longer counts as gone for good
 BUDGET = "retry:all"
 
@@ -174,7 +176,7 @@
         self.taken: deque[tuple[float, int]] = deque()
         self.most_taken = self.total_taken = self.checked_count = 0
         self.sent = self.lost = 0
-        self.spent: dict[tuple[str, int], int] = {}  # true spending by incarnation
+        self.spent: dict[tuple[str, int], int] = {}  # tokens actually taken, by process name and boot number
 
     def at(self, when: float, what: Callable[[], None]) -> None:
         self.serial += 1
--- a/finchladder/sim/plan.py
+++ b/finchladder/sim/plan.py
@@ -35,7 +35,7 @@
     "taken",  # a request's last byte has arrived at a real server
     "accepted",  # its 202 has been written
     "started",  # a real server has written the callback of a job's start
-    "result",  # a real server has written the callback of a job's end, not read yet
+    "result",  # a real server has written the callback of a job's end, which the dispatcher has not read yet
     "term",  # SIGTERM was sent
     "answer",  # a client has received its answer
 ]
--- a/finchladder/sim/process.py
+++ b/finchladder/sim/process.py
@@ -51,7 +51,11 @@
 
 
 class Process:
-    """One dispatcher over all its starts: down -> up -> leaving -> down; `stopped` is independent."""
+    """One dispatcher over all its starts.
+
+    Its `state` goes from down to up, to leaving and back to down; a kill skips leaving. `stopped` tells
+    whether a process that is up or leaving is paused.
+    """
 
     def __init__(self, run: "Run", index: int) -> None:
         e = run.plan.experiment
--- a/finchladder/sim/run.py
+++ b/finchladder/sim/run.py
@@ -367,7 +367,7 @@
                 loop.close_tasks()
 
     def running_process(self) -> Process | None:
-        """The process running_process turn it is."""
+        """Returns the process whose event loop is running now, or None."""
         return next((p for p in self.processes.values() if p.loop is not None and p.loop.running), None)
 
 
--- a/finchladder/sim/servers.py
+++ b/finchladder/sim/servers.py
@@ -1,4 +1,7 @@
-"""The real servers of a run: the lab's model behind a listener, and its callbacks that report job events."""
+"""The "real servers" of a run, which run jobs but are simulated themselves.
+
+Each is the lab's server model behind a listener, with callbacks that report job events.
+"""
 
 from collections import deque
 from math import inf
@@ -248,7 +251,7 @@
         if self.admitted:
             server.model.disconnected(now)
         self.end_unanswered(now, "cancelled")
-        if self.pending is not None:  # cancelled before the 202
+        if self.pending is not None:  # the accepted job's 202 was not sent yet
             server.model.cancel(now, self.pending.id)
             self.pending = None
             server.after_model_change()
