--- a/finchladder/net/client_connection.py
+++ b/finchladder/net/client_connection.py
@@ -210,10 +210,10 @@
         except MalformedMessageError as e:
             await self._reject(e)
         except OutOfBodyMemoryError:
-            await self._reject(MalformedMessageError(503, "the memory for request bodies is used up"))
+            await self._reject(MalformedMessageError(503, "too much is being sent at once"))
         except TimeoutError:
             if self.is_busy:  # a connection on which nothing arrived is closed without a response
-                await self._reject(MalformedMessageError(408, "the request was not complete in time"))
+                await self._reject(MalformedMessageError(408, "the request took too long to come"))
         except (StreamClosedError, OSError):
             pass
         finally:
--- a/finchladder/net/control.py
+++ b/finchladder/net/control.py
@@ -128,14 +128,14 @@
 
     def _answer_get(self, head: Head, answer: Callable[[], Reply]) -> Reply:
         if head.method != "GET":
-            raise MalformedMessageError(405, "use GET for this path", allow="GET")
+            raise MalformedMessageError(405, "this is asked for by GET", allow="GET")
         return answer()
 
     def _status(self, id: str) -> Reply:
         assert self.status is not None
         status = self.status.get(self.clock(), id)
         if status is None:
-            return Reply(404, b"no job with this id is known here\n")
+            return Reply(404, b"no job of this id is known here\n")
         return Reply(200, msgspec.json.encode(status), (JSON_HEADER,))
 
     def _metrics(self) -> Reply:
@@ -163,7 +163,7 @@
 
     def _override(self, outlier_control: OutlierControls, head: Head, body: bytes) -> Reply:
         if head.method != "POST":
-            raise MalformedMessageError(405, "use GET or POST for this path", allow="GET, POST")
+            raise MalformedMessageError(405, "this is asked for by GET, and said by POST", allow="GET, POST")
         given = (head.headers.get("x-judge-key") or "").encode()
         if outlier_control.key is None or not compare_digest(given, outlier_control.key.encode()):
             return Reply(403, b"no word without the key\n")
--- a/finchladder/net/http1.py
+++ b/finchladder/net/http1.py
@@ -126,7 +126,7 @@
         raise MalformedMessageError(400, "malformed header field")
     value = m[2].decode("latin-1").strip(" \t")
     if plain and not _PLAIN.fullmatch(value):
-        raise MalformedMessageError(400, "a header field has characters other than visible ASCII")
+        raise MalformedMessageError(400, "a header field holds what is not visible ASCII")
     return m[1].decode("ascii"), value
 
 
@@ -254,20 +254,20 @@
             if any(
                 c != want for c, want in zip(part[data:], b"\r\n"[-min(2, self.remaining) :], strict=False)
             ):
-                raise MalformedMessageError(400, "chunk data does not end with CRLF")
+                raise MalformedMessageError(400, "chunk without its end")
             self.remaining -= len(part)
             return not self.remaining
         end = buffer.find(b"\r\n")
         if end < 0 or end > MAX_HEAD_BYTES:
             if len(buffer) > MAX_HEAD_BYTES:
-                raise MalformedMessageError(400, "chunk size line too long")
+                raise MalformedMessageError(400, "chunk head too long")
             return False
         line = bytes(buffer[:end])
         del buffer[: end + 2]
         if self.in_trailers:
             self._take_trailer(line)
         elif (m := _CHUNK.fullmatch(line)) is None:
-            raise MalformedMessageError(400, "malformed chunk size line")
+            raise MalformedMessageError(400, "malformed chunk head")
         else:
             size = int(m[1], 16)
             self.in_trailers, self.remaining = not size, size + 2 if size else 0
@@ -280,7 +280,7 @@
             return
         self.trailer_count, self.trailer_bytes = self.trailer_count + 1, self.trailer_bytes + len(line) + 2
         if self.trailer_count > MAX_FIELDS or self.trailer_bytes > MAX_HEAD_BYTES:
-            raise MalformedMessageError(400, "too many or too long trailers")
+            raise MalformedMessageError(400, "too many trailers")
         _parse_field(line, self.ascii_only)
 
 
--- a/finchladder/net/messages.py
+++ b/finchladder/net/messages.py
@@ -86,9 +86,7 @@
     """
     value = head.headers.get("x-correlation-id")
     if value is None or not _ID.fullmatch(value):
-        raise MalformedMessageError(
-            400, "X-Correlation-Id must be given once, as 1 to 128 visible ASCII characters"
-        )
+        raise MalformedMessageError(400, "X-Correlation-Id is missing, repeated or unusable")
     return value
 
 
@@ -101,9 +99,7 @@
     value = head.headers.get("x-time-left") or ""
     seconds = float(value) if _TIME_LEFT.fullmatch(value) else 0.0
     if seconds <= 0:
-        raise MalformedMessageError(
-            400, "X-Time-Left must be given once, in seconds above 0 and below 1,000,000"
-        )
+        raise MalformedMessageError(400, "X-Time-Left is missing, repeated or unusable")
     return seconds
 
 
@@ -128,9 +124,9 @@
         try:
             facts[name] = float(value)
         except ValueError:
-            raise MalformedMessageError(400, f"X-Facts: {name} is not a number") from None
+            raise MalformedMessageError(400, f"X-Facts: {name} is no number") from None
         if not (math.isfinite(facts[name]) and 0 <= facts[name] < 1e6):
-            raise MalformedMessageError(400, f"X-Facts: {name} must be at least 0 and below 1,000,000")
+            raise MalformedMessageError(400, f"X-Facts: {name} can't be used")
     return facts
 
 
--- a/finchladder/net/request_handler.py
+++ b/finchladder/net/request_handler.py
@@ -59,7 +59,7 @@
         if path == CALLBACK_PATH:
             connection.sends_callbacks = True
             if head.method != "POST":
-                raise MalformedMessageError(405, "use POST for callbacks")
+                raise MalformedMessageError(405, "call-backs come by POST")
             self.on_callback(read_callback(body))
             connection.raise_value(ConnectionValue.SERVED)
             return Reply(204)
@@ -77,10 +77,10 @@
         if job_class not in self.intake.classes:
             raise MalformedMessageError(404, "no such class")
         if head.method != "POST":
-            raise MalformedMessageError(405, "use POST for jobs")
+            raise MalformedMessageError(405, "jobs come by POST")
         # bytes after the request may be another one, smuggled in its body
         if connection.channel.parser.has_more:
-            raise MalformedMessageError(400, "send the next request only after the response to this one")
+            raise MalformedMessageError(400, "one request at a time")
         id, facts, left_s = read_id(head), read_facts(head), read_time_left(head)
         if connection.received_at:
             left_s = max(0.0, left_s - connection.message_age_s)
@@ -108,6 +108,6 @@
             self.intake.open_flow(flow, decision.fault)
         except DuplicateRequestError:
             raise MalformedMessageError(
-                400, "a request with this X-Correlation-Id was received before"
+                400, "a request with this X-Correlation-Id has come already"
             ) from None
         return reply_of(await connection.wait_for_answer(flow))
--- a/finchladder/sim/run.py
+++ b/finchladder/sim/run.py
@@ -49,7 +49,7 @@
     "all ",
     "capture: no file",
 )  # logged errors that faults outside the program cause
-OVERDUE = "a flow was overdue"
+OVERDUE = "the dispatcher core did not answer a job"
 AFTER_STOP_S = 5.0  # overdue flows of a paused process are excused for this time after it resumes
 LEVELS = {"DEBUG": 10, "INFO": 20, "SUCCESS": 25, "WARNING": 30, "ERROR": 40, "CRITICAL": 50}
 
